--- a/cmd/havencart/demo.go
+++ b/cmd/havencart/demo.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"havencart/lab/fleet"
-	"havencart/lab/script"
-	"havencart/lab/transcript"
+	"havencart/lab/reportimport"
+	"havencart/lab/scenario"
 )
 
 // errRule is returned by a demo in which a rule was broken.
@@ -66,12 +66,12 @@
 	return cmd
 }
 
-func readReport(path string) (*transcript.Day, error) {
+func readReport(path string) (*reportimport.Day, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	day, err := transcript.Parse(string(raw))
+	day, err := reportimport.Parse(string(raw))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", errUsage, path, err)
 	}
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithCancel(cmd.Context())
 	defer cancel()
 	result, err := d.Run(ctx)
-	if errors.Is(err, script.ErrScript) {
+	if errors.Is(err, scenario.ErrScript) {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	if err != nil {
--- a/cmd/havencart/hunt.go
+++ b/cmd/havencart/hunt.go
@@ -9,18 +9,18 @@
 
 	"github.com/spf13/cobra"
 
-	"havencart/lab/hunt"
+	"havencart/lab/faultsearch"
 )
 
 func huntCommand() *cobra.Command {
-	cfg := hunt.Config{Parallel: runtime.NumCPU()}
+	cfg := faultsearch.Config{Parallel: runtime.NumCPU()}
 	out, lasts := "", 20*time.Second
 	cmd := &cobra.Command{Use: "hunt", Short: "Search for bad days in virtual time, shrink and keep them", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg.Base = hunt.Base(lasts)
+			cfg.Base = faultsearch.Base(lasts)
 			cfg.Base.Seed = cfg.Seed
 			cfg.Tell = func(text string) { fmt.Fprintln(cmd.ErrOrStderr(), text) }
-			finds, err := hunt.Run(cmd.Context(), cfg)
+			finds, err := faultsearch.Run(cmd.Context(), cfg)
 			if err != nil {
 				return err
 			}
--- a/cmd/havencart/load.go
+++ b/cmd/havencart/load.go
@@ -13,9 +13,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"havencart/lab/audit"
 	"havencart/lab/client"
-	"havencart/lab/load"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
 )
 
 // errVoid is returned by a load run in which the tool itself was too slow.
@@ -28,7 +28,7 @@
 	at, classes, tenants []string
 	arrivals             string
 	shape, habit         string
-	mix                  load.Mix
+	mix                  loadgen.Mix
 	lasts                time.Duration
 	seed                 uint64
 }
@@ -64,28 +64,28 @@
 }
 
 // next makes the source of calls.
-func (o loadOptions) next() (func() (time.Duration, load.Call, bool), error) {
+func (o loadOptions) next() (func() (time.Duration, loadgen.Call, bool), error) {
 	if o.arrivals != "" {
 		raw, err := os.ReadFile(o.arrivals)
 		if err != nil {
 			return nil, err
 		}
-		next, _, err := load.ParseArrivals(o.arrivals, string(raw), o.mix)
+		next, _, err := loadgen.ParseArrivals(o.arrivals, string(raw), o.mix)
 		return next, err
 	}
 	shares := make([]float64, len(o.tenants))
 	for i := range shares {
 		shares[i] = 1
 	}
-	return load.NewSource(o.mix, o.lasts, o.classes, o.tenants, shares, o.seed).Next, nil
+	return loadgen.NewSource(o.mix, o.lasts, o.classes, o.tenants, shares, o.seed).Next, nil
 }
 
 func (o *loadOptions) check() error {
-	o.mix.Shape, o.mix.Habit = load.Shape(o.shape), load.Habit(o.habit)
+	o.mix.Shape, o.mix.Habit = loadgen.Shape(o.shape), loadgen.Habit(o.habit)
 	switch {
-	case !slices.Contains([]load.Shape{load.Steady, load.Bursty, load.Ramp, load.Daily}, o.mix.Shape):
+	case !slices.Contains([]loadgen.Shape{loadgen.Steady, loadgen.Bursty, loadgen.Ramp, loadgen.Daily}, o.mix.Shape):
 		return fmt.Errorf("%w: shape %q", errUsage, o.shape)
-	case !slices.Contains([]load.Habit{load.Never, load.AtOnce, load.Wait, load.Advised, load.Impolite}, o.mix.Habit):
+	case !slices.Contains([]loadgen.Habit{loadgen.Never, loadgen.AtOnce, loadgen.Wait, loadgen.Advised, loadgen.Impolite}, o.mix.Habit):
 		return fmt.Errorf("%w: habit %q", errUsage, o.habit)
 	case !(o.mix.Rate > 0) || !(o.mix.Zipf > 1) || o.mix.Functions < 1 || o.mix.Patience < time.Millisecond:
 		return fmt.Errorf("%w: rate, functions and patience must be above 0, zipf above 1", errUsage)
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	book := audit.NewBook()
+	book := invariant.NewBook()
 	var pools []*client.Pool
 	for _, at := range o.at {
 		p := &client.Pool{Name: at, Address: at, Book: book, Grace: time.Second}
--- a/cmd/havencart/load_test.go
+++ b/cmd/havencart/load_test.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"havencart/lab/client"
-	"havencart/lab/load"
+	"havencart/lab/loadgen"
 )
 
 func lateRun(late int, by time.Duration) error {
 	t := newLoadTally()
 	for i := range 1000 {
-		o := client.Observation{Call: load.Call{Class: "a"}, Outcome: "served", Took: time.Millisecond, Tries: 1}
+		o := client.Observation{Call: loadgen.Call{Class: "a"}, Outcome: "served", Took: time.Millisecond, Tries: 1}
 		if i < late {
 			o.Late = by
 		}
--- a/cmd/havencart/main.go
+++ b/cmd/havencart/main.go
@@ -12,11 +12,11 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"havencart/internal/bulletinwire"
-	"havencart/internal/config"
+	"havencart/internal/config/gatewayconfig"
+	"havencart/internal/config/platformconfig"
 	"havencart/internal/gateway"
-	"havencart/internal/settings"
-	"havencart/lab/script"
+	"havencart/internal/platform/endpointstream"
+	"havencart/lab/scenario"
 )
 
 // Exit codes, as docs/running.md tells them.
@@ -45,7 +45,7 @@
 	}
 	fmt.Fprintln(os.Stderr, "havencart:", err)
 	switch {
-	case errors.Is(err, config.ErrSettings), errors.Is(err, settings.ErrMalformed), errors.Is(err, bulletinwire.ErrMalformed),
+	case errors.Is(err, gatewayconfig.ErrSettings), errors.Is(err, platformconfig.ErrMalformed), errors.Is(err, endpointstream.ErrMalformed),
 		errors.Is(err, errUsage):
 		return exitSettings
 	case errors.Is(err, gateway.ErrUnclean):
@@ -94,7 +94,7 @@
 			if err != nil {
 				return err
 			}
-			set, err := config.Load(args[0])
+			set, err := gatewayconfig.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -113,9 +113,9 @@
 	troubles := false
 	cmd := &cobra.Command{Use: "check FILE", Short: "Check the settings, or a script of troubles, in FILE", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			check := func(path string) error { _, err := config.Load(path); return err }
+			check := func(path string) error { _, err := gatewayconfig.Load(path); return err }
 			if troubles {
-				check = func(path string) error { _, err := script.Load(path); return err }
+				check = func(path string) error { _, err := scenario.Load(path); return err }
 			}
 			if err := check(args[0]); err != nil {
 				return err
@@ -131,9 +131,9 @@
 	troubles := false
 	cmd := &cobra.Command{Use: "reference", Short: "Print the page of all settings, or of all troubles", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			page := config.Reference()
+			page := gatewayconfig.Reference()
 			if troubles {
-				page = script.Reference()
+				page = scenario.Reference()
 			}
 			fmt.Fprint(cmd.OutOrStdout(), page)
 		}}
--- a/cmd/havencart/relay.go
+++ b/cmd/havencart/relay.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
+	"havencart/internal/config/platformconfig"
 	"havencart/internal/gateway"
-	"havencart/internal/settings"
 )
 
 // relayCommand runs a front end on the users' platform, which tells it all in its environment.
@@ -42,11 +42,11 @@
 }
 
 // loadRelay reads the configuration. Name and address in the environment go above those in the file.
-func loadRelay(path string) (*settings.Relay, error) {
+func loadRelay(path string) (*platformconfig.Relay, error) {
 	if path == "" {
 		return nil, fmt.Errorf("%w: RELAY_CONFIG is not set", errUsage)
 	}
-	set, err := settings.LoadRelay(path)
+	set, err := platformconfig.LoadRelay(path)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/havencart/relay_test.go
+++ b/cmd/havencart/relay_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"havencart/internal/execwire"
-	"havencart/lab/bulletin"
-	"havencart/lab/executor"
+	"havencart/internal/platform/workerframe"
+	"havencart/lab/platformdiscovery"
+	"havencart/lab/platformworker"
 )
 
 // These tests are of the process that the platform starts: its signals, its exit and what it says.
@@ -153,15 +153,15 @@
 	return is && len(list) > 0 && list[0] == true
 }
 
-func stands(t *testing.T) (*bulletin.Server, *executor.Server) {
+func stands(t *testing.T) (*platformdiscovery.Server, *platformworker.Server) {
 	t.Helper()
-	board, err := bulletin.Start()
+	board, err := platformdiscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(board.Close)
-	worker, err := executor.Start(func(c *executor.Conn, f execwire.Frame) {
-		c.Answer(execwire.Frame{Code: execwire.OK, ID: f.ID, Body: f.Body})
+	worker, err := platformworker.Start(func(c *platformworker.Conn, f workerframe.Frame) {
+		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: f.Body})
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/havencart/tools.go
+++ b/cmd/havencart/tools.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
-	"havencart/lab/audit"
 	"havencart/lab/fleet"
+	"havencart/lab/functionstore"
+	"havencart/lab/invariant"
 	"havencart/lab/model"
-	"havencart/lab/origin"
 	"havencart/lab/worker"
 )
 
@@ -44,16 +44,16 @@
 func runWorker(cmd *cobra.Command, cfg worker.Config, store string) error {
 	world := model.NewWorld()
 	if store == "" {
-		own, err := origin.Start(world, model.StoreConfig{Places: 8, Limit: 40}, "127.0.0.1:0")
+		own, err := functionstore.Start(world, model.StoreConfig{Places: 8, Limit: 40}, "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		defer own.Close()
 		store = own.Address()
 	}
-	fetcher := origin.NewClient(world, store)
+	fetcher := functionstore.NewClient(world, store)
 	defer fetcher.Close()
-	w, err := worker.Start(world, cfg, fetcher, model.NewGroup(), audit.NewBook())
+	w, err := worker.Start(world, cfg, fetcher, model.NewGroup(), invariant.NewBook())
 	if err != nil {
 		return err
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/simhost/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"havencart/internal/benchhost"
+	"havencart/internal/simhost"
 )
 
 func main() {
-	if err := benchhost.New().Run(os.Stdin, os.Stdout); err != nil {
+	if err := simhost.New().Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/gatewayconfig/config_test.go
@@ -1,4 +1,4 @@
-package config
+package gatewayconfig
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 const good = `
@@ -39,8 +39,8 @@
 		t.Fatal(err)
 	}
 	if s.Directory != (Directory{"consul", "http://127.0.0.1:8500", "my workers"}) || s.MaxBody != 2<<20 ||
-		len(s.Classes) != 2 || s.Classes[0].Aim != 500*time.Millisecond || s.Classes[0].Repeat != control.Unsafe ||
-		s.Classes[1].Scope != control.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].Lanes != 4 {
+		len(s.Classes) != 2 || s.Classes[0].Aim != 500*time.Millisecond || s.Classes[0].Repeat != scheduler.Unsafe ||
+		s.Classes[1].Scope != scheduler.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].Lanes != 4 {
 		t.Errorf("%+v", s)
 	}
 	if s.MaxCalls != 20000 || s.Classes[1].GiveUp != 2*time.Second || s.MissAnswered {
@@ -110,7 +110,7 @@
 
 // TestTheReferenceIsTrue holds docs/settings.md to the table.
 func TestTheReferenceIsTrue(t *testing.T) {
-	page, err := os.ReadFile("../../docs/settings.md")
+	page, err := os.ReadFile("../../../docs/settings.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/parse.go
+++ b/internal/config/gatewayconfig/parse.go
@@ -1,4 +1,4 @@
-package config
+package gatewayconfig
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"os"
 	"strings"
 
-	"havencart/internal/lines"
+	"havencart/internal/directive"
 )
 
 // ErrSettings is wrapped by every error about the text of a settings file.
@@ -24,11 +24,11 @@
 
 // Parse reads settings from text; name is what errors call it.
 func Parse(name, text string) (*Settings, error) {
-	s, p := &Settings{}, &lines.Parser{}
-	lines.Defaults(s, top)
-	p.Top = func(at lines.Place, words []lines.Word) { s.line(p, at, words) }
+	s, p := &Settings{}, &directive.Parser{}
+	directive.Defaults(s, top)
+	p.Top = func(at directive.Place, words []directive.Word) { s.line(p, at, words) }
 	p.Parse(name, text)
-	s.whole(p, lines.Place{File: name})
+	s.whole(p, directive.Place{File: name})
 	if err := p.Err(); err != nil {
 		return nil, fmt.Errorf("%w:\n%w", ErrSettings, err)
 	}
@@ -36,23 +36,23 @@
 }
 
 // line takes a line outside blocks.
-func (s *Settings) line(p *lines.Parser, at lines.Place, words []lines.Word) {
+func (s *Settings) line(p *directive.Parser, at directive.Place, words []directive.Word) {
 	switch words[0].Text {
 	case "class":
-		lines.Block(p, at, words, classTable, func(c *Class) *string { return &c.Name }, &s.Classes, nil)
+		directive.Block(p, at, words, classTable, func(c *Class) *string { return &c.Name }, &s.Classes, nil)
 	case "tenant":
-		lines.Block(p, at, words, tenantTable, func(t *Tenant) *string { return &t.Name }, &s.Tenants, nil)
+		directive.Block(p, at, words, tenantTable, func(t *Tenant) *string { return &t.Name }, &s.Tenants, nil)
 	case "function":
-		lines.Block(p, at, words, functionTable, func(f *Function) *string { return &f.Name }, &s.Functions, nil)
+		directive.Block(p, at, words, functionTable, func(f *Function) *string { return &f.Name }, &s.Functions, nil)
 	case "watch":
-		lines.Block(p, at, words, watchTable, func(w *Watch) *string { return &w.Name }, &s.Watch, nil)
+		directive.Block(p, at, words, watchTable, func(w *Watch) *string { return &w.Name }, &s.Watch, nil)
 	default:
-		lines.Apply(p, at, words, s, top, "class, tenant, function, watch, include")
+		directive.Apply(p, at, words, s, top, "class, tenant, function, watch, include")
 	}
 }
 
 // whole checks what no single line shows.
-func (s *Settings) whole(p *lines.Parser, at lines.Place) {
+func (s *Settings) whole(p *directive.Parser, at directive.Place) {
 	if len(s.Classes) == 0 {
 		p.Fail(at, 0, "no class is given; at least one is needed")
 	}
@@ -81,7 +81,7 @@
 }
 
 // counted checks that the front ends of this process are among those of the installation.
-func (s *Settings) counted(p *lines.Parser, at lines.Place, where string) {
+func (s *Settings) counted(p *directive.Parser, at directive.Place, where string) {
 	if s.First+s.Loops > s.FrontEnds {
 		p.Fail(at, 0, "%sfront ends %d to %d of this process, but front-ends says there are %d", where, s.First,
 			s.First+s.Loops-1, s.FrontEnds)
@@ -103,10 +103,10 @@
 	var out strings.Builder
 	out.WriteString("# Settings\n\nMade from the program's own table (`havencart reference`). One directive a line; a comment runs\n" +
 		"from `#`; `include FILE` reads another file there; blocks end with `end`.\n")
-	lines.Section(&out, "Outside blocks", top)
-	lines.Section(&out, "`class NAME` ... `end`", classTable)
-	lines.Section(&out, "`tenant NAME` ... `end`", tenantTable)
-	lines.Section(&out, "`function NAME` ... `end`", functionTable)
-	lines.Section(&out, "`watch NAME` ... `end`: settings by which nothing is decided; what is not given is as outside", watchTable)
+	directive.Section(&out, "Outside blocks", top)
+	directive.Section(&out, "`class NAME` ... `end`", classTable)
+	directive.Section(&out, "`tenant NAME` ... `end`", tenantTable)
+	directive.Section(&out, "`function NAME` ... `end`", functionTable)
+	directive.Section(&out, "`watch NAME` ... `end`: settings by which nothing is decided; what is not given is as outside", watchTable)
 	return out.String()
 }
--- a/internal/config/watch.go
+++ b/internal/config/gatewayconfig/watch.go
@@ -1,9 +1,9 @@
-package config
+package gatewayconfig
 
 import (
 	"time"
 
-	"havencart/internal/lines"
+	"havencart/internal/directive"
 )
 
 // Watch are settings of another shape of installation, by which nothing is decided: the program counts where they
@@ -19,19 +19,19 @@
 	"keep-alive", "order-timeout", "load-window", "load-free", "load-share", "max-attempts", "max-retry-after",
 	"connect-timeout", "drain-grace", "cold-from", "cold-time", "tip-multiple", "tip-window"}
 
-var watchTable = append([]lines.Directive[Watch]{
-	lines.Number("every", 1, 1000000, "1", "one event in so many is looked at; each costs a copy of the module's memory",
+var watchTable = append([]directive.Directive[Watch]{
+	directive.Number("every", 1, 1000000, "1", "one event in so many is looked at; each costs a copy of the module's memory",
 		func(w *Watch) *int { return &w.Every }),
 }, watchDirectives()...)
 
 // watchDirectives are those of the top that may be watched, checked as there and set when all is read.
-func watchDirectives() (out []lines.Directive[Watch]) {
+func watchDirectives() (out []directive.Directive[Watch]) {
 	for _, name := range watchable {
 		for _, d := range top {
 			if d.Name != name {
 				continue
 			}
-			out = append(out, lines.Directive[Watch]{Name: d.Name, Takes: d.Takes, Help: d.Help, Words: d.Words,
+			out = append(out, directive.Directive[Watch]{Name: d.Name, Takes: d.Takes, Help: d.Help, Words: d.Words,
 				Set: func(w *Watch, values []string) error {
 					w.given = append(w.given, func(s *Settings) error { return d.Set(s, values) })
 					return d.Set(&Settings{}, values)
--- a/internal/settings/relay_test.go
+++ b/internal/config/platformconfig/relay_test.go
@@ -1,4 +1,4 @@
-package settings
+package platformconfig
 
 import (
 	"errors"
--- a/internal/settings/settings.go
+++ b/internal/config/platformconfig/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings object of the users' platform: the one that the bench hands to an instance
+// Package platformconfig reads the settings object of the users' platform: the one that the bench hands to an instance
 // and that a front end on sockets finds in its configuration. It decides nothing.
-package settings
+package platformconfig
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"math"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 type ms float64
@@ -21,7 +21,7 @@
 
 // Site is what the settings tell: the module's own, and what only a front end on sockets needs.
 type Site struct {
-	Control  control.Settings
+	Control  scheduler.Settings
 	Classes  []string      // names, in the order of Control.Classes
 	Tenants  []string      // names, in the order of Control.Tenants
 	Zones    []string      // names; Control.Zone is an index into them
@@ -95,22 +95,22 @@
 	Worth      float64 `json:"worth"`
 }
 
-func (c class) control() (control.Class, error) {
-	repeats := map[string]control.Repeat{
-		"retryable": control.Safe, "dedup": control.Keyed, "fragile": control.Unsafe,
+func (c class) control() (scheduler.Class, error) {
+	repeats := map[string]scheduler.Repeat{
+		"retryable": scheduler.Safe, "dedup": scheduler.Keyed, "fragile": scheduler.Unsafe,
 	}
-	scopes := map[string]control.Scope{
-		"": control.ScopeAll, "all": control.ScopeAll, "zone": control.ScopeZone, "cell": control.ScopeCell,
+	scopes := map[string]scheduler.Scope{
+		"": scheduler.ScopeAll, "all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeCell,
 	}
 	repeat, known := repeats[c.Repeat]
 	scope, knownScope := scopes[c.KeyScope]
 	switch {
 	case !known:
-		return control.Class{}, fmt.Errorf("repeat is %q", c.Repeat)
+		return scheduler.Class{}, fmt.Errorf("repeat is %q", c.Repeat)
 	case !knownScope:
-		return control.Class{}, fmt.Errorf("keyScope is %q", c.KeyScope)
+		return scheduler.Class{}, fmt.Errorf("keyScope is %q", c.KeyScope)
 	}
-	return control.Class{
+	return scheduler.Class{
 		Aim: c.OnTime.duration(), Deadline: c.Deadline.duration(), Worth: c.Worth, LateWorth: c.LateWorth,
 		Repeat: repeat, Scope: scope, Memory: c.MemorySpan.duration(),
 	}, nil
@@ -129,7 +129,7 @@
 	}
 	for _, t := range in.Customers {
 		site.Tenants = append(site.Tenants, t.Name)
-		site.Control.Tenants = append(site.Control.Tenants, control.Tenant{Share: t.Portion, Quota: t.Quota})
+		site.Control.Tenants = append(site.Control.Tenants, scheduler.Tenant{Share: t.Portion, Quota: t.Quota})
 	}
 	for i, c := range in.Classes {
 		converted, err := c.control()
@@ -143,8 +143,8 @@
 }
 
 // control is what the module is told, but for classes and tenants.
-func (in *object) control(seed uint64) control.Settings {
-	out := control.Settings{
+func (in *object) control(seed uint64) scheduler.Settings {
+	out := scheduler.Settings{
 		Seed: seed, Self: in.Ordinal, FrontEnds: max(1, in.Balancers), Zone: in.Zone,
 		MissAnswered: in.Family.WhenAbsent == "miss", MayOrder: in.Family.MayLoad,
 		TellsWarm: in.Family.WarmNotes, TellsCrowd: in.Family.PeersInHand,
--- a/internal/settings/settings_test.go
+++ b/internal/config/platformconfig/settings_test.go
@@ -1,11 +1,11 @@
-package settings
+package platformconfig
 
 import (
 	"errors"
 	"testing"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 func TestParse(t *testing.T) {
@@ -23,7 +23,7 @@
 	c := s.Classes[0]
 	if s.Seed != 9 || s.FrontEnds != 3 || !s.AskForWorkers || !s.MissAnswered || s.KeepAlive != 8600*time.Millisecond ||
 		s.MaxRetryAfter != 500*time.Millisecond || s.TipWindow != 2*time.Second || s.SecondCopies ||
-		c.Repeat != control.Keyed || c.Scope != control.ScopeCell || c.Memory != 6*time.Second || s.Tenants[0].Share != 0.82 {
+		c.Repeat != scheduler.Keyed || c.Scope != scheduler.ScopeCell || c.Memory != 6*time.Second || s.Tenants[0].Share != 0.82 {
 		t.Errorf("parsed %+v", s)
 	}
 	if site.Streams != 32 || site.ConnIdle != 30*time.Second || site.MaxCalls != 20000 || len(site.Zones) != 2 ||
--- a/internal/decide/doorkeep/doorkeep.go
+++ b/internal/decide/connadmission/doorkeep.go
@@ -1,7 +1,7 @@
-// Package doorkeep decides about clients' connections: how many there may be beside those to workers, which one
+// Package connadmission decides about clients' connections: how many there may be beside those to workers, which one
 // goes when there are too many, and when one that asks nothing is closed. It is pure: times come in and go out as
 // durations.
-package doorkeep
+package connadmission
 
 import "time"
 
--- a/internal/decide/doorkeep/doorkeep_test.go
+++ b/internal/decide/connadmission/doorkeep_test.go
@@ -1,4 +1,4 @@
-package doorkeep
+package connadmission
 
 import (
 	"testing"
--- a/internal/decide/strands/strands.go
+++ b/internal/decide/connpool/strands.go
@@ -1,7 +1,7 @@
-// Package strands decides on the connections to workers that carry many calls each: on which one the next call
+// Package connpool decides on the connections to workers that carry many calls each: on which one the next call
 // goes, when another is opened, tried again or closed. It is pure: times come in as durations since the process's
 // start.
-package strands
+package connpool
 
 import "time"
 
--- a/internal/decide/strands/strands_test.go
+++ b/internal/decide/connpool/strands_test.go
@@ -1,4 +1,4 @@
-package strands
+package connpool
 
 import (
 	"testing"
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/incarnation/roster.go
@@ -1,14 +1,14 @@
-// Package roster decides from when a worker's process counts as started, out of what the list of workers says
+// Package incarnation decides from when a worker's process counts as started, out of what the list of workers says
 // and what the worker says of itself. The rule that no cold worker is pushed over stands on that time, and
 // neither source is sure: the list comes late and its times are another machine's wall clock; the worker's own
 // word is exact but comes only once there is a connection.
-package roster
+package incarnation
 
 import (
 	"maps"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 // sameStart is how far apart two tellings of one start may lie.
@@ -19,17 +19,17 @@
 
 // Roster remembers what was said of each worker.
 type Roster struct {
-	workers map[control.WorkerID]*entry
+	workers map[scheduler.WorkerID]*entry
 }
 
 type entry struct {
-	info   control.WorkerInfo // as last given to the module
-	listed time.Duration      // start as the list last told it, uncorrected
-	life   uint64             // as the worker last told it, 0 if it never did
+	info   scheduler.WorkerInfo // as last given to the module
+	listed time.Duration        // start as the list last told it, uncorrected
+	life   uint64               // as the worker last told it, 0 if it never did
 }
 
 // New returns a Roster that knows nobody.
-func New() *Roster { return &Roster{workers: map[control.WorkerID]*entry{}} }
+func New() *Roster { return &Roster{workers: map[scheduler.WorkerID]*entry{}} }
 
 // Listed takes a list at now, whose Started fields are the list's own, and returns it with the times that
 // count. Workers that a whole list lacks are kept in mind, as they may come back with the same process.
@@ -37,8 +37,8 @@
 // A start told in the future is now: it guards against a worker's clock that is ahead, which would leave it
 // cold for good. A start is corrected once, when the list first tells it, so that it does not move with each
 // list. A start earlier than the one that counts changes nothing: a list may be older than a connection.
-func (r *Roster) Listed(now time.Duration, list []control.WorkerInfo) []control.WorkerInfo {
-	out := make([]control.WorkerInfo, len(list))
+func (r *Roster) Listed(now time.Duration, list []scheduler.WorkerInfo) []scheduler.WorkerInfo {
+	out := make([]scheduler.WorkerInfo, len(list))
 	for i, info := range list {
 		e := r.workers[info.ID]
 		told := info.Started
@@ -60,25 +60,25 @@
 }
 
 // bound forgets workers that a whole list lacks where there are too many of them.
-func (r *Roster) bound(list []control.WorkerInfo) {
+func (r *Roster) bound(list []scheduler.WorkerInfo) {
 	if len(r.workers) <= len(list)+spare {
 		return
 	}
-	named := map[control.WorkerID]bool{}
+	named := map[scheduler.WorkerID]bool{}
 	for _, info := range list {
 		named[info.ID] = true
 	}
-	maps.DeleteFunc(r.workers, func(id control.WorkerID, _ *entry) bool { return !named[id] })
+	maps.DeleteFunc(r.workers, func(id scheduler.WorkerID, _ *entry) bool { return !named[id] })
 }
 
 // Met takes at now what a worker says on a new connection: a number that differs between its lives, and how
 // long its process runs by its own monotonic clock. It returns the worker's entry and whether it is news.
 //
 // It guards against a list that tells a restart late or, its clock being wrong, not at all.
-func (r *Roster) Met(now time.Duration, id control.WorkerID, life uint64, up time.Duration) (control.WorkerInfo, bool) {
+func (r *Roster) Met(now time.Duration, id scheduler.WorkerID, life uint64, up time.Duration) (scheduler.WorkerInfo, bool) {
 	e := r.workers[id]
 	if e == nil {
-		return control.WorkerInfo{}, false // nobody may be sent to that no list named
+		return scheduler.WorkerInfo{}, false // nobody may be sent to that no list named
 	}
 	another := e.life != 0 && e.life != life
 	e.life = life
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/incarnation/roster_test.go
@@ -1,14 +1,14 @@
-package roster
+package incarnation
 
 import (
 	"testing"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 func one(r *Roster, now, started time.Duration) time.Duration {
-	return r.Listed(now, []control.WorkerInfo{{ID: 1, Started: started, State: control.Ready}})[0].Started
+	return r.Listed(now, []scheduler.WorkerInfo{{ID: 1, Started: started, State: scheduler.Ready}})[0].Started
 }
 
 func TestAStartInTheFutureIsNowAndStays(t *testing.T) {
@@ -23,14 +23,14 @@
 func TestAnOlderListChangesNothing(t *testing.T) {
 	r := New()
 	one(r, time.Minute, 30*time.Second)
-	if got := one(r, time.Minute, control.LongAgo); got != 30*time.Second {
+	if got := one(r, time.Minute, scheduler.LongAgo); got != 30*time.Second {
 		t.Errorf("started %v", got)
 	}
 }
 
 func TestARestartByTheListCounts(t *testing.T) {
 	r := New()
-	one(r, time.Minute, control.LongAgo)
+	one(r, time.Minute, scheduler.LongAgo)
 	if got := one(r, time.Minute, 50*time.Second); got != 50*time.Second {
 		t.Errorf("started %v", got)
 	}
@@ -38,12 +38,12 @@
 
 func TestTheWorkersOwnWordComesBeforeTheList(t *testing.T) {
 	r := New()
-	one(r, time.Minute, control.LongAgo) // its clock was set back: the list knows of no start
+	one(r, time.Minute, scheduler.LongAgo) // its clock was set back: the list knows of no start
 	info, news := r.Met(time.Minute, 1, 7, time.Second)
 	if !news || info.Started != 59*time.Second {
 		t.Fatalf("started %v, news %t", info.Started, news)
 	}
-	if got := one(r, 2*time.Minute, control.LongAgo); got != 59*time.Second {
+	if got := one(r, 2*time.Minute, scheduler.LongAgo); got != 59*time.Second {
 		t.Errorf("the list undid it: %v", got)
 	}
 	if _, news := r.Met(2*time.Minute, 1, 7, 61*time.Second); news {
@@ -78,7 +78,7 @@
 func TestWorkersOfLongAgoAreForgotten(t *testing.T) {
 	r := New()
 	for i := range 10 * spare {
-		r.Listed(time.Duration(i)*time.Second, []control.WorkerInfo{{ID: control.WorkerID(i), State: control.Ready}})
+		r.Listed(time.Duration(i)*time.Second, []scheduler.WorkerInfo{{ID: scheduler.WorkerID(i), State: scheduler.Ready}})
 	}
 	if n := len(r.workers); n > 1+spare {
 		t.Errorf("%d workers are remembered, one is listed", n)
--- a/internal/decide/shed/shed.go
+++ b/internal/decide/loadshed/shed.go
@@ -1,6 +1,6 @@
-// Package shed decides when a front end's loop refuses arrivals because it is behind: by how long they waited
+// Package loadshed decides when a front end's loop refuses arrivals because it is behind: by how long they waited
 // in its queue, not by how many wait. It is pure: times come in as durations since the process's start.
-package shed
+package loadshed
 
 import (
 	"math"
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/loadshed/shed_test.go
@@ -1,4 +1,4 @@
-package shed
+package loadshed
 
 import (
 	"testing"
--- a/internal/decide/lateness/lateness.go
+++ b/internal/decide/looplag/lateness.go
@@ -1,6 +1,6 @@
-// Package lateness decides how much sooner than it must be a final answer is given, by how late a front end's own
+// Package looplag decides how much sooner than it must be a final answer is given, by how late a front end's own
 // process has been lately. It is pure: times come in and go out as durations since the process's start.
-package lateness
+package looplag
 
 import "time"
 
--- a/internal/decide/lateness/lateness_test.go
+++ b/internal/decide/looplag/lateness_test.go
@@ -1,4 +1,4 @@
-package lateness
+package looplag
 
 import (
 	"testing"
--- a/internal/decide/linkcare/linkcare.go
+++ b/internal/decide/reconnect/linkcare.go
@@ -1,6 +1,6 @@
-// Package linkcare decides when a front end dials a worker again and when a silent connection is given up.
+// Package reconnect decides when a front end dials a worker again and when a silent connection is given up.
 // It is pure: times come in and go out as durations since the process's start, chance from a seeded generator.
-package linkcare
+package reconnect
 
 import (
 	"math/rand/v2"
--- a/internal/decide/linkcare/list.go
+++ b/internal/decide/reconnect/list.go
@@ -1,4 +1,4 @@
-package linkcare
+package reconnect
 
 import "time"
 
--- a/internal/lines/directive.go
+++ b/internal/directive/directive.go
@@ -1,7 +1,7 @@
-// Package lines reads settings in the manner of classic daemons: one directive a line, blocks that a word opens
+// Package directive reads settings in the manner of classic daemons: one directive a line, blocks that a word opens
 // and "end" closes, include, comments from #. Directives are declared in tables. All errors of a file are told
 // at once, each with file, line and column, what was found and what is allowed.
-package lines
+package directive
 
 import (
 	"fmt"
--- a/internal/lines/words.go
+++ b/internal/directive/words.go
@@ -1,4 +1,4 @@
-package lines
+package directive
 
 import (
 	"fmt"
--- a/internal/directory/bulletin.go
+++ b/internal/discovery/bulletin.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/bulletinwire"
-	"havencart/internal/decide/linkcare"
+	"havencart/internal/decide/reconnect"
+	"havencart/internal/platform/endpointstream"
+	"havencart/scheduler"
 )
 
 // Bulletin follows the list of the users' platform: numbered events over TCP, of which the first are known at the
@@ -23,7 +23,7 @@
 type Bulletin struct {
 	zones, kinds []string
 	last         uint64
-	workers      map[uint32]bulletinwire.Entry // not gone; bounded by what one whole list may hold
+	workers      map[uint32]endpointstream.Entry // not gone; bounded by what one whole list may hold
 
 	rng  *rand.Rand // Run's alone
 	dial func(ctx context.Context, address string) (net.Conn, error)
@@ -36,15 +36,15 @@
 // NewBulletin returns a source that follows the bulletin at an address from the events known on, if any, with waits
 // drawn by seed.
 func NewBulletin(address string, known []byte, zones, kinds []string, seed uint64) (*Bulletin, error) {
-	b := &Bulletin{zones: zones, kinds: kinds, workers: map[uint32]bulletinwire.Entry{}, address: address,
+	b := &Bulletin{zones: zones, kinds: kinds, workers: map[uint32]endpointstream.Entry{}, address: address,
 		moved: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0x6c697374)),
 		dial: func(ctx context.Context, address string) (net.Conn, error) {
-			return (&net.Dialer{Timeout: linkcare.ListDial()}).DialContext(ctx, "tcp", address)
+			return (&net.Dialer{Timeout: reconnect.ListDial()}).DialContext(ctx, "tcp", address)
 		}}
 	if len(known) == 0 {
 		return b, nil // nothing is known yet
 	}
-	last, events, err := bulletinwire.ParseKnown(known, zones, kinds)
+	last, events, err := endpointstream.ParseKnown(known, zones, kinds)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
@@ -99,7 +99,7 @@
 			return
 		case <-moved:
 			failures, moved = 0, nil
-		case <-time.After(linkcare.ListAgain(failures, b.rng.Float64())):
+		case <-time.After(reconnect.ListAgain(failures, b.rng.Float64())):
 			return
 		}
 	}
@@ -123,14 +123,14 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if _, err := conn.Write(bulletinwire.AppendHello(nil, b.last)); err != nil {
+	if _, err := conn.Write(endpointstream.AppendHello(nil, b.last)); err != nil {
 		return false, fmt.Errorf("write to the bulletin: %w", err)
 	}
 	r := bufio.NewReader(conn)
-	silence := linkcare.ListSilence(b.rng.Float64())
+	silence := reconnect.ListSilence(b.rng.Float64())
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(silence)) // fails on a closed connection only
-		e, err := bulletinwire.Read(r, len(b.zones), len(b.kinds))
+		e, err := endpointstream.Read(r, len(b.zones), len(b.kinds))
 		if err != nil {
 			return told, fmt.Errorf("read the bulletin: %w", err)
 		}
@@ -143,16 +143,16 @@
 
 // apply takes an event, once, and says whether it changed the list. Events of before are told again after a
 // connection was made anew, and some twice.
-func (b *Bulletin) apply(e bulletinwire.Event) bool {
-	if e.Kind == bulletinwire.Nothing || e.Number <= b.last {
+func (b *Bulletin) apply(e endpointstream.Event) bool {
+	if e.Kind == endpointstream.Nothing || e.Number <= b.last {
 		return false
 	}
 	b.last = e.Number
-	if e.Kind == bulletinwire.Whole {
+	if e.Kind == endpointstream.Whole {
 		clear(b.workers)
 	}
 	for _, x := range e.Entries {
-		if x.State == bulletinwire.Gone {
+		if x.State == endpointstream.Gone {
 			delete(b.workers, x.ID)
 		} else {
 			b.workers[x.ID] = x
@@ -161,8 +161,8 @@
 	return true
 }
 
-var bulletinStates = map[bulletinwire.State]control.WorkerState{bulletinwire.Ready: control.Ready,
-	bulletinwire.Draining: control.Draining}
+var bulletinStates = map[endpointstream.State]scheduler.WorkerState{endpointstream.Ready: scheduler.Ready,
+	endpointstream.Draining: scheduler.Draining}
 
 func (b *Bulletin) list() []Worker {
 	list := make([]Worker, 0, len(b.workers))
--- a/internal/directory/bulletin_test.go
+++ b/internal/discovery/bulletin_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 
 	"go.uber.org/goleak"
 
-	"havencart/control"
-	"havencart/internal/bulletinwire"
-	"havencart/lab/bulletin"
+	"havencart/internal/platform/endpointstream"
+	"havencart/lab/platformdiscovery"
+	"havencart/scheduler"
 )
 
 // lists is a Sink that hands lists to the test and drops failures, which may come as often as they like.
@@ -18,20 +18,20 @@
 func (l lists) Listed(list []Worker) { l <- list }
 func (lists) ListFailed(error)       {}
 
-func entry(id uint32, port uint16, s bulletinwire.State) bulletinwire.Entry {
-	return bulletinwire.Entry{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), State: s, Weight: 1.5}
+func entry(id uint32, port uint16, s endpointstream.State) endpointstream.Entry {
+	return endpointstream.Entry{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), State: s, Weight: 1.5}
 }
 
-func event(number uint64, kind bulletinwire.Kind, entries ...bulletinwire.Entry) bulletinwire.Event {
-	return bulletinwire.Event{Number: number, Kind: kind, Entries: entries}
+func event(number uint64, kind endpointstream.Kind, entries ...endpointstream.Entry) endpointstream.Event {
+	return endpointstream.Event{Number: number, Kind: kind, Entries: entries}
 }
 
 const known = `{"no":3,"items":[{"no":3,"roster":{"seq":1,"whole":true,"hosts":[
 	{"host":"s-00000001","dial":"127.0.0.1:9001","site":"room","class":"std","block":4,"health":"up","share":2,"born_ms":0}]}}]}`
 
-func start(t *testing.T) *bulletin.Server {
+func start(t *testing.T) *platformdiscovery.Server {
 	t.Helper()
-	s, err := bulletin.Start()
+	s, err := platformdiscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 func names(list []Worker) (s string) {
 	for _, w := range list {
 		s += w.Name[9:]
-		if w.State == control.Draining {
+		if w.State == scheduler.Draining {
 			s += "d"
 		}
 		s += " "
@@ -82,14 +82,14 @@
 	if last := <-s.Asked(); last != 3 {
 		t.Errorf("asked from %d", last)
 	}
-	s.Tell(event(4, bulletinwire.Changes, entry(2, 9002, bulletinwire.Ready)))
+	s.Tell(event(4, endpointstream.Changes, entry(2, 9002, endpointstream.Ready)))
 	want(t, told, "1 2 ")
-	s.Tell(event(5, bulletinwire.Changes, entry(1, 9001, bulletinwire.Draining)))
+	s.Tell(event(5, endpointstream.Changes, entry(1, 9001, endpointstream.Draining)))
 	want(t, told, "1d 2 ")
-	s.Tell(event(6, bulletinwire.Changes, entry(1, 9001, bulletinwire.Gone), entry(3, 9001, bulletinwire.Ready)))
-	want(t, told, "2 3 ")                                                                               // another worker at the address of one that has gone
-	s.Raw(bulletinwire.Append(nil, event(6, bulletinwire.Changes, entry(1, 9001, bulletinwire.Ready)))) // told twice
-	s.Tell(event(7, bulletinwire.Whole, entry(9, 9009, bulletinwire.Ready)))
+	s.Tell(event(6, endpointstream.Changes, entry(1, 9001, endpointstream.Gone), entry(3, 9001, endpointstream.Ready)))
+	want(t, told, "2 3 ")                                                                                     // another worker at the address of one that has gone
+	s.Raw(endpointstream.Append(nil, event(6, endpointstream.Changes, entry(1, 9001, endpointstream.Ready)))) // told twice
+	s.Tell(event(7, endpointstream.Whole, entry(9, 9009, endpointstream.Ready)))
 	want(t, told, "9 ")
 }
 
@@ -99,12 +99,12 @@
 	_, told := follow(t, s.Address())
 	<-told
 	<-s.Asked()
-	s.Raw(bulletinwire.Append(nil, event(4, bulletinwire.Changes, entry(2, 9002, bulletinwire.Ready)))[:20]) // half of it
+	s.Raw(endpointstream.Append(nil, event(4, endpointstream.Changes, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
 	s.Break()
 	if last := <-s.Asked(); last != 3 {
 		t.Errorf("after half an event asked from %d", last)
 	}
-	s.Tell(event(4, bulletinwire.Changes, entry(2, 9002, bulletinwire.Ready)))
+	s.Tell(event(4, endpointstream.Changes, entry(2, 9002, endpointstream.Ready)))
 	want(t, told, "1 2 ")
 	s.Raw([]byte("noise that is no event"))
 	if last := <-s.Asked(); last != 4 {
@@ -118,12 +118,12 @@
 	b, told := follow(t, old.Address())
 	<-told
 	<-old.Asked()
-	old.Tell(event(4, bulletinwire.Changes, entry(2, 9002, bulletinwire.Ready)))
+	old.Tell(event(4, endpointstream.Changes, entry(2, 9002, endpointstream.Ready)))
 	want(t, told, "1 2 ")
 	b.Move(other.Address())
 	if last := <-other.Asked(); last != 4 {
 		t.Errorf("at the other address asked from %d", last)
 	}
-	other.Tell(event(5, bulletinwire.Changes, entry(3, 9003, bulletinwire.Ready)))
+	other.Tell(event(5, endpointstream.Changes, entry(3, 9003, endpointstream.Ready)))
 	want(t, told, "1 2 3 ")
 }
--- a/internal/directory/consul.go
+++ b/internal/discovery/consul.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 const (
@@ -163,14 +163,14 @@
 	return w, nil
 }
 
-func (i Instance) state() control.WorkerState {
-	state := control.Ready
+func (i Instance) state() scheduler.WorkerState {
+	state := scheduler.Ready
 	for _, c := range i.Checks {
 		if strings.HasPrefix(c.CheckID, "_service_maintenance") || c.CheckID == "_node_maintenance" {
-			return control.Draining
+			return scheduler.Draining
 		}
 		if c.Status == "critical" {
-			state = control.Gone
+			state = scheduler.Gone
 		}
 	}
 	return state
--- a/internal/directory/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"havencart/internal/bulletinwire"
+	"havencart/internal/platform/endpointstream"
 )
 
 // asked is one connection that a Bulletin made, from its greeting on.
@@ -39,7 +39,7 @@
 		}
 		ours, theirs := net.Pipe()
 		go func() {
-			last, err := bulletinwire.ReadHello(theirs)
+			last, err := endpointstream.ReadHello(theirs)
 			if err == nil {
 				came <- asked{theirs, address, last, time.Since(began)}
 			}
@@ -54,14 +54,14 @@
 	return b, told, came
 }
 
-func (a asked) tell(t *testing.T, e bulletinwire.Event) {
+func (a asked) tell(t *testing.T, e endpointstream.Event) {
 	t.Helper()
-	if _, err := a.Write(bulletinwire.Append(nil, e)); err != nil {
+	if _, err := a.Write(endpointstream.Append(nil, e)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-var second = event(4, bulletinwire.Changes, entry(2, 9002, 0))
+var second = event(4, endpointstream.Changes, entry(2, 9002, 0))
 
 // spread has 8 front ends lose their list in the same way, and says how many came back in which instants: within most,
 // and from the last event on.
@@ -102,7 +102,7 @@
 
 // TestTheBulletinMovesAtAnyMoment: the numbers go on, nothing counts twice, and an old connection says nothing more.
 func TestTheBulletinMovesAtAnyMoment(t *testing.T) {
-	raw := bulletinwire.Append(nil, second)
+	raw := endpointstream.Append(nil, second)
 	for name, moment := range map[string]func(t *testing.T, b *Bulletin, first asked) (last uint64){
 		"in the middle of an event": func(t *testing.T, _ *Bulletin, first asked) uint64 {
 			if _, err := first.Write(raw[:len(raw)-1]); err != nil {
@@ -150,7 +150,7 @@
 					t.Error("the old connection is still read")
 				}
 				again.tell(t, second) // told anew where it was taken before
-				again.tell(t, event(5, bulletinwire.Changes, entry(3, 9003, 0)))
+				again.tell(t, event(5, endpointstream.Changes, entry(3, 9003, 0)))
 				want(t, told, "1 2 ")
 				want(t, told, "1 2 3 ")
 				if len(told) > 0 {
@@ -181,8 +181,8 @@
 
 // TestEventsOfTheBulletinComeInPieces: cut at every byte, and all in one.
 func TestEventsOfTheBulletinComeInPieces(t *testing.T) {
-	raw := bulletinwire.Append(bulletinwire.Append(bulletinwire.Append(nil, second), bulletinwire.Event{Number: 4}),
-		event(5, bulletinwire.Whole, entry(3, 9003, 0), entry(1, 9001, 1)))
+	raw := endpointstream.Append(endpointstream.Append(endpointstream.Append(nil, second), endpointstream.Event{Number: 4}),
+		event(5, endpointstream.Whole, entry(3, 9003, 0), entry(1, 9001, 1)))
 	for cut := range raw {
 		synctest.Test(t, func(t *testing.T) {
 			_, told, came := scripted(t, 1, nil)
--- a/internal/directory/directory.go
+++ b/internal/discovery/directory.go
@@ -1,7 +1,7 @@
-// Package directory follows the list of workers: from a service that speaks Consul's health endpoint with
+// Package discovery follows the list of workers: from a service that speaks Consul's health endpoint with
 // blocking queries, or from a file. It believes what it is told and decides nothing; what cannot be read is
 // told as a failure and the list of before stays in force.
-package directory
+package discovery
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"net"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 // ErrMalformed is wrapped by every error about a list that cannot be read. Such a list is refused whole.
@@ -25,7 +25,7 @@
 	Kind    string
 	Scale   float64   // 1 if not told
 	Started time.Time // zero if not told
-	State   control.WorkerState
+	State   scheduler.WorkerState
 }
 
 // Sink is told each whole list, and each time that it could not be had.
--- a/internal/directory/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -1,4 +1,4 @@
-package directory_test
+package discovery_test
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 
 	"go.uber.org/goleak"
 
-	"havencart/control"
-	"havencart/internal/directory"
-	lab "havencart/lab/directory"
+	"havencart/internal/discovery"
+	lab "havencart/lab/discoveryserver"
+	"havencart/scheduler"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -24,14 +24,14 @@
 const soon = 20 * time.Second
 
 type sink struct {
-	lists chan []directory.Worker
+	lists chan []discovery.Worker
 	fails chan error
 }
 
-func (s sink) Listed(l []directory.Worker) { s.lists <- l }
+func (s sink) Listed(l []discovery.Worker) { s.lists <- l }
 func (s sink) ListFailed(err error)        { s.fails <- err }
 
-func (s sink) list(t *testing.T) []directory.Worker {
+func (s sink) list(t *testing.T) []discovery.Worker {
 	t.Helper()
 	select {
 	case l := <-s.lists:
@@ -53,9 +53,9 @@
 	}
 }
 
-func follow(t *testing.T, source directory.Source) sink {
+func follow(t *testing.T, source discovery.Source) sink {
 	t.Helper()
-	s := sink{make(chan []directory.Worker, 100), make(chan error, 100)}
+	s := sink{make(chan []discovery.Worker, 100), make(chan error, 100)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); source.Run(ctx, s) }()
@@ -63,7 +63,7 @@
 	return s
 }
 
-func names(list []directory.Worker) string {
+func names(list []discovery.Worker) string {
 	var all []string
 	for _, w := range list {
 		all = append(all, fmt.Sprintf("%s:%d", w.Name, w.State))
@@ -71,7 +71,7 @@
 	return strings.Join(all, " ")
 }
 
-func start(t *testing.T, n int) (*lab.Server, sink, *directory.Consul) {
+func start(t *testing.T, n int) (*lab.Server, sink, *discovery.Consul) {
 	t.Helper()
 	d, err := lab.Start("127.0.0.1:0")
 	if err != nil {
@@ -79,13 +79,13 @@
 	}
 	t.Cleanup(d.Close)
 	for i := range n {
-		d.Set(entry(i+1, control.Ready))
+		d.Set(entry(i+1, scheduler.Ready))
 	}
-	c := directory.NewConsul(d.URL(), "workers", "test")
+	c := discovery.NewConsul(d.URL(), "workers", "test")
 	return d, follow(t, c), c
 }
 
-func entry(i int, state control.WorkerState) lab.Entry {
+func entry(i int, state scheduler.WorkerState) lab.Entry {
 	return lab.Entry{Name: fmt.Sprint("w", i), Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Cell: "c", State: state,
 		Started: time.UnixMilli(1000)}
 }
@@ -96,15 +96,15 @@
 	if names(list) != "w1:1 w2:1" || list[0].Cell != "c" || !list[0].Started.Equal(time.UnixMilli(1000)) {
 		t.Fatalf("%+v", list)
 	}
-	d.Set(entry(1, control.Draining))
+	d.Set(entry(1, scheduler.Draining))
 	if got := names(s.list(t)); got != "w1:2 w2:1" {
 		t.Error(got)
 	}
-	d.Set(entry(1, control.Gone))
+	d.Set(entry(1, scheduler.Gone))
 	if got := names(s.list(t)); got != "w2:1" {
 		t.Error(got)
 	}
-	critical := entry(2, control.Gone)
+	critical := entry(2, scheduler.Gone)
 	critical.Critical = true
 	d.Set(critical)
 	if got := names(s.list(t)); got != "w2:3" {
@@ -143,7 +143,7 @@
 	d, s, _ := start(t, 3)
 	s.list(t)
 	d.Back()
-	d.Set(entry(3, control.Draining))
+	d.Set(entry(3, scheduler.Draining))
 	for range 3 { // the list as it was may be told once more
 		if got := names(s.list(t)); got == "w1:1 w2:1 w3:2" {
 			return
@@ -160,13 +160,13 @@
 		"bad scale":    `[{"Service":{"ID":"w","Address":"h","Port":1,"Meta":{"scale":"-1"}}}]`,
 		"bad start":    `[{"Service":{"ID":"w","Address":"h","Port":1,"Meta":{"started":"noon"}}}]`,
 	} {
-		if _, err := directory.ParseConsul([]byte(body)); !errors.Is(err, directory.ErrMalformed) {
+		if _, err := discovery.ParseConsul([]byte(body)); !errors.Is(err, discovery.ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "[]") }))
 	defer server.Close()
-	if err := follow(t, directory.NewConsul(server.URL, "workers", "test")).failure(t); !errors.Is(err, directory.ErrMalformed) {
+	if err := follow(t, discovery.NewConsul(server.URL, "workers", "test")).failure(t); !errors.Is(err, discovery.ErrMalformed) {
 		t.Errorf("an answer without an index: %v", err)
 	}
 }
@@ -183,13 +183,13 @@
 		}
 	}
 	write("worker w1 127.0.0.1:9001 zone a # the first\n\nworker w2 127.0.0.1:9002 state draining\n")
-	source := directory.NewFile(path)
+	source := discovery.NewFile(path)
 	s := follow(t, source)
 	if got := names(s.list(t)); got != "w1:1 w2:2" {
 		t.Error(got)
 	}
 	write("worker w1 127.0.0.1:9001 colour red\n")
-	if err := s.failure(t); !errors.Is(err, directory.ErrMalformed) || !strings.Contains(err.Error(), "workers:1: found \"colour\"") {
+	if err := s.failure(t); !errors.Is(err, discovery.ErrMalformed) || !strings.Contains(err.Error(), "workers:1: found \"colour\"") {
 		t.Error(err)
 	}
 	write("worker w3 127.0.0.1:9003\n")
@@ -201,7 +201,7 @@
 func FuzzParseConsul(f *testing.F) {
 	f.Add([]byte(`[{"Node":{"Address":"h"},"Service":{"ID":"w","Port":1,"Meta":{"scale":"1","started":"5"}},"Checks":[{"CheckID":"_node_maintenance","Status":"critical"}]}]`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		list, err := directory.ParseConsul(raw)
+		list, err := discovery.ParseConsul(raw)
 		for _, w := range list {
 			if err == nil && (w.Name == "" || w.Address == "" || !(w.Scale > 0) || w.State == 0) {
 				t.Fatalf("accepted %+v", w)
@@ -213,7 +213,7 @@
 func FuzzParseFile(f *testing.F) {
 	f.Add("worker w1 127.0.0.1:9001 zone a scale 2 started 2026-01-02T03:04:05Z state gone # text")
 	f.Fuzz(func(t *testing.T, text string) {
-		list, err := directory.ParseFile("f", text)
+		list, err := discovery.ParseFile("f", text)
 		for _, w := range list {
 			if err == nil && (w.Name == "" || w.Address == "" || !(w.Scale > 0) || w.State == 0) {
 				t.Fatalf("accepted %+v", w)
--- a/internal/directory/file.go
+++ b/internal/discovery/file.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/fsnotify/fsnotify"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 // File follows a list in a file, one worker a line:
@@ -82,7 +82,7 @@
 	sink.Listed(list)
 }
 
-var states = map[string]control.WorkerState{"ready": control.Ready, "draining": control.Draining, "gone": control.Gone}
+var states = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Gone}
 
 // ParseFile reads the text of a list; name is what errors call it. They name line and wrap ErrMalformed.
 func ParseFile(name, text string) ([]Worker, error) {
@@ -107,7 +107,7 @@
 		return Worker{}, fmt.Errorf("found %q; allowed: worker NAME HOST:PORT and pairs of a word and its value",
 			strings.Join(words, " "))
 	}
-	w := Worker{Name: words[1], Address: words[2], Scale: 1, State: control.Ready}
+	w := Worker{Name: words[1], Address: words[2], Scale: 1, State: scheduler.Ready}
 	for i := 3; i < len(words); i += 2 {
 		if err := w.set(words[i], words[i+1]); err != nil {
 			return w, err
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -3,16 +3,16 @@
 import (
 	"time"
 
-	"havencart/control"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // This file carries out what the module asks: Front is its control.Actions. What comes back at once is told
 // to the module after its turn, never within it.
 
 // Send starts an attempt.
-func (f *Front) Send(id control.RequestID, to control.WorkerID, until time.Duration) {
+func (f *Front) Send(id scheduler.RequestID, to scheduler.WorkerID, until time.Duration) {
 	c, w := f.calls[id], f.workers[to]
 	if c == nil {
 		f.log.Error().Uint32("request", uint32(id)).Msg("send of a call that is not in hand")
@@ -21,14 +21,14 @@
 	if until <= 0 || until > c.deadline {
 		until = c.deadline
 	}
-	a := &attempt{Attempt: workerlink.Attempt{Body: c.Body, Deadline: until, Call: workerwire.Call{Copy: c.Copy, ID: c.ID,
+	a := &attempt{Attempt: muxclient.Attempt{Body: c.Body, Deadline: until, Call: muxframe.Call{Copy: c.Copy, ID: c.ID,
 		Attempt: c.attempts, Class: f.set.Classes[c.Class], Tenant: f.tenant(c.Tenant), Key: c.Key}},
 		call: c, number: c.attempts, worker: w, sent: f.now}
 	c.attempts++
 	c.out = a
 	f.counts.Attempts++
 	if w == nil || c.state != waiting || until <= f.now {
-		f.later = append(f.later, func() { f.ended(a, workerlink.Result{Status: control.Moot, Crowd: -1}) })
+		f.later = append(f.later, func() { f.ended(a, muxclient.Result{Status: scheduler.Moot, Crowd: -1}) })
 		return
 	}
 	f.attempts[&a.Attempt] = a
@@ -47,7 +47,7 @@
 }
 
 // Refuse gives the final answer that promises that a repeat does no harm.
-func (f *Front) Refuse(id control.RequestID, retryAfter time.Duration) {
+func (f *Front) Refuse(id scheduler.RequestID, retryAfter time.Duration) {
 	if c := f.calls[id]; c != nil {
 		why := "no worker could answer in time"
 		if c.why != "" {
@@ -58,29 +58,29 @@
 }
 
 // Fail gives the final answer that promises nothing.
-func (f *Front) Fail(id control.RequestID) {
+func (f *Front) Fail(id scheduler.RequestID) {
 	if c := f.calls[id]; c != nil {
-		f.final(c, Final{Kind: Failed, Why: c.why, TimedOut: c.last == control.Timeout || c.last == control.Cancelled})
+		f.final(c, Final{Kind: Failed, Why: c.why, TimedOut: c.last == scheduler.Timeout || c.last == scheduler.Cancelled})
 	}
 }
 
 // Cancel stops waiting for an attempt.
-func (f *Front) Cancel(id control.RequestID, number int) {
+func (f *Front) Cancel(id scheduler.RequestID, number int) {
 	c := f.calls[id]
 	if c == nil || c.out == nil || c.out.number != number || c.out.begun {
 		return
 	}
 	a := c.out
-	f.later = append(f.later, func() { f.giveUp(a, control.Cancelled, "called back") })
+	f.later = append(f.later, func() { f.giveUp(a, scheduler.Cancelled, "called back") })
 }
 
 // Load orders copies held, or asks how many stand.
-func (f *Front) Load(to control.WorkerID, id control.FunctionID, copies int) {
+func (f *Front) Load(to scheduler.WorkerID, id scheduler.FunctionID, copies int) {
 	w, fn := f.workers[to], f.functions[id]
 	o := &order{worker: w, function: id, given: f.now}
 	if w == nil || fn == nil {
 		f.later = append(f.later, func() {
-			f.module.Loaded(f.now, control.Loaded{Worker: to, Function: id, Status: control.ConnectFailed})
+			f.module.Loaded(f.now, scheduler.Loaded{Worker: to, Function: id, Status: scheduler.ConnectFailed})
 		})
 		return
 	}
@@ -89,7 +89,7 @@
 	} else {
 		f.counts.Asks++
 	}
-	o.Order.Load = workerwire.Load{Copy: fn.copy, Copies: copies}
+	o.Order.Load = muxframe.Load{Copy: fn.copy, Copies: copies}
 	f.orders[&o.Order] = o
 	o.timer = timer{at: f.now + f.set.Control.OrderTimeout, order: o}
 	f.timers.set(&o.timer)
@@ -99,14 +99,14 @@
 }
 
 // Unload has the idle copies of a function unloaded.
-func (f *Front) Unload(to control.WorkerID, id control.FunctionID) {
+func (f *Front) Unload(to scheduler.WorkerID, id scheduler.FunctionID) {
 	if w, fn := f.workers[to], f.functions[id]; w != nil && fn != nil {
 		w.link.Unload(fn.copy.Function)
 	}
 }
 
 // Probe asks a worker for its load.
-func (f *Front) Probe(to control.WorkerID) {
+func (f *Front) Probe(to scheduler.WorkerID) {
 	if w := f.workers[to]; w != nil {
 		f.counts.Probes++
 		w.probes = append(w.probes, f.now)
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -5,20 +5,20 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // BenchmarkFront is the loop's part of a call, module included: from its arrival to its final answer.
 func BenchmarkFront(b *testing.B) {
 	t := &testing.T{}
 	f := newBench(t, 8, nil)
-	answer := &workerlink.Answer{}
+	answer := &muxclient.Answer{}
 	b.ReportAllocs()
 	for b.Loop() {
 		c := NewCall()
-		c.Since, c.Patience, c.Copy = f.at, 2e9, workerwire.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
+		c.Since, c.Patience, c.Copy = f.at, 2e9, muxframe.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
 		f.at += 20000 // 50,000 calls a second
 		f.Tick(f.at)
 		f.Arrive(f.at, c)
@@ -26,7 +26,7 @@
 			if len(l.left) > 0 {
 				a := l.left[0]
 				l.left = l.left[:0]
-				f.Ended(f.at, a, workerlink.Result{Status: control.OK, Warmth: control.FoundWarm, Crowd: -1, Answer: answer})
+				f.Ended(f.at, a, muxclient.Result{Status: scheduler.OK, Warmth: scheduler.FoundWarm, Crowd: -1, Answer: answer})
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		c := NewCall()
-		c.Since, c.queued, c.Patience, c.Copy = at-50*ms, at-50*ms, 2e9, workerwire.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
+		c.Since, c.queued, c.Patience, c.Copy = at-50*ms, at-50*ms, 2e9, muxframe.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
 		at += 20000
 		f.Arrive(at, c)
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -7,9 +7,9 @@
 import (
 	"time"
 
-	"havencart/control"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // Kind is the kind of a final answer.
@@ -28,11 +28,11 @@
 // Final is the one final answer of a call.
 type Final struct {
 	Kind       Kind
-	Why        string             // for people
-	RetryAfter time.Duration      // advice with Refused; 0 is none
-	TimedOut   bool               // with Failed: nothing was heard in time
-	Answer     *workerlink.Answer // with Served
-	Worker     string             // with Served
+	Why        string            // for people
+	RetryAfter time.Duration     // advice with Refused; 0 is none
+	TimedOut   bool              // with Failed: nothing was heard in time
+	Answer     *muxclient.Answer // with Served
+	Worker     string            // with Served
 	Attempts   int
 }
 
@@ -43,7 +43,7 @@
 	Class    int
 	Tenant   int
 	Key      string
-	Copy     workerwire.Copy
+	Copy     muxframe.Copy
 	Cost     time.Duration // rough work, 0 if not told
 	Body     []byte
 	Patience time.Duration // until the client gives up, counted from Since
@@ -53,7 +53,7 @@
 	answer   chan Final
 	deliver  func(Final)
 	state    callState
-	id       control.RequestID
+	id       scheduler.RequestID
 	deadline time.Duration // final answer due
 	attempts int
 	out      *attempt
@@ -61,7 +61,7 @@
 	ran      bool          // an attempt may have run
 	fn       *function     // that it calls
 	work     time.Duration // that its run took, where the worker told it
-	last     control.Status
+	last     scheduler.Status
 	why      string
 }
 
@@ -100,9 +100,9 @@
 }
 
 // mayHaveRun notes how an attempt ended, for what may be promised.
-func (c *Call) mayHaveRun(s control.Status) {
+func (c *Call) mayHaveRun(s scheduler.Status) {
 	switch s {
-	case control.Error, control.Timeout, control.Reset, control.Cancelled:
+	case scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled:
 		c.ran = true
 	}
 }
--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/workerlink"
+	"havencart/internal/native/muxclient"
+	"havencart/scheduler"
 )
 
 // TestAClientThatLeftBeforeItsArrivalIsSentNowhere: the loop takes events before arrivals, so that a client's leaving
@@ -56,7 +56,7 @@
 				t.Errorf("may cancel %v, has left %v: called back %v", mayCancel, hasLeft, called)
 			}
 			if hasLeft && !mayCancel {
-				b.end(c, control.OK) // nobody waits for it
+				b.end(c, scheduler.OK) // nobody waits for it
 			}
 			if !b.Idle() {
 				t.Errorf("may cancel %v, has left %v: not forgotten", mayCancel, hasLeft)
@@ -73,12 +73,12 @@
 
 // TestAClientThatLeavesBetweenAttemptsIsSentNowhere: its attempt was turned away, and the next one would go out.
 func TestAClientThatLeavesBetweenAttemptsIsSentNowhere(t *testing.T) {
-	for _, end := range []control.Status{control.Full, control.Miss, control.ConnectFailed, control.Error, control.Timeout, control.Reset} {
+	for _, end := range []scheduler.Status{scheduler.Full, scheduler.Miss, scheduler.ConnectFailed, scheduler.Error, scheduler.Timeout, scheduler.Reset} {
 		crossed(t, "left", "ended", func(t *testing.T, leftFirst bool) {
 			b := newBench(t, 3, nil)
 			c := b.call(safe)
 			_, a := b.out(c)
-			ended := func() { b.Ended(b.at, a, workerlink.Result{Status: end, Crowd: -1}) }
+			ended := func() { b.Ended(b.at, a, muxclient.Result{Status: end, Crowd: -1}) }
 			if leftFirst {
 				b.Left(b.at, c)
 				before := b.Counts().Attempts
@@ -110,13 +110,13 @@
 			o := l.orders[0]
 			l.orders = l.orders[1:]
 			if o.Load.Copies == 0 {
-				b.OrderEnded(b.at, o, control.OK, 0)
+				b.OrderEnded(b.at, o, scheduler.OK, 0)
 				continue
 			}
 			if leftFirst {
 				b.Left(b.at, c)
 			}
-			b.OrderEnded(b.at, o, control.OK, 1)
+			b.OrderEnded(b.at, o, scheduler.OK, 1)
 			if !leftFirst {
 				b.out(c)
 				b.Left(b.at, c)
@@ -137,16 +137,16 @@
 		if removedFirst {
 			b.list(0, nil)
 			b.pass(2 * time.Second / 4) // the sweep keeps what is busy
-			b.end(c, control.OK)
+			b.end(c, scheduler.OK)
 		} else {
-			b.end(c, control.OK)
+			b.end(c, scheduler.OK)
 			b.list(0, nil)
 		}
 		b.want(c, Served)
 		b.pass(2 * time.Second)
 		b.list(1, nil)
 		again := b.call(unsafe)
-		b.end(again, control.OK)
+		b.end(again, scheduler.OK)
 		b.want(again, Served)
 	})
 }
@@ -164,7 +164,7 @@
 	if l.drained || b.opened != 1 {
 		t.Errorf("drained %v, %d links opened for a worker that came back", l.drained, b.opened)
 	}
-	b.end(out, control.OK)
+	b.end(out, scheduler.OK)
 	b.want(out, Served)
 }
 
@@ -176,7 +176,7 @@
 		l, a := b.out(c)
 		answer := func() {
 			l.drop(a)
-			b.Ended(b.at, a, workerlink.Result{Status: control.OK, Crowd: -1, Answer: &workerlink.Answer{Body: []byte("x")}})
+			b.Ended(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{Body: []byte("x")}})
 		}
 		if answerFirst {
 			answer()
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"havencart/internal/callhttp"
-	"havencart/internal/workerwire"
+	"havencart/internal/native/httpserver"
+	"havencart/internal/native/muxframe"
 )
 
 // Catalog is what is known of classes, tenants and functions by name.
@@ -21,13 +21,13 @@
 type CatalogClass struct {
 	Name     string
 	Patience time.Duration // where a call tells none, and at most
-	Copy     workerwire.Copy
+	Copy     muxframe.Copy
 }
 
 // CatalogFunction is a function that the settings list.
 type CatalogFunction struct {
 	Class int
-	Copy  workerwire.Copy
+	Copy  muxframe.Copy
 }
 
 // edge hands a connection's calls to one loop: it is the callhttp.Handler.
@@ -43,7 +43,7 @@
 }
 
 // Take implements callhttp.Handler.
-func (e edge) Take(in *callhttp.Call) (callhttp.Pending, error) {
+func (e edge) Take(in *httpserver.Call) (httpserver.Pending, error) {
 	c := NewCall()
 	c.ID, c.Key, c.Body, c.Cost = in.ID, in.Key, in.Body, in.Cost
 	c.Since = in.Began.Sub(e.loop.cfg.Began)
@@ -55,7 +55,7 @@
 }
 
 // Resolve finds a call's class, tenant and function.
-func (k *Catalog) Resolve(in *callhttp.Call, c *Call) error {
+func (k *Catalog) Resolve(in *httpserver.Call, c *Call) error {
 	listed, known := k.Functions[in.Function]
 	if !known && k.Listed {
 		return fmt.Errorf("no function %q", in.Function)
@@ -83,7 +83,7 @@
 	if in.Patience > 0 {
 		c.Patience = min(c.Patience, in.Patience)
 	}
-	c.Copy = workerwire.Copy{Function: in.Function,
+	c.Copy = muxframe.Copy{Function: in.Function,
 		MemoryMB:   cmp.Or(listed.Copy.MemoryMB, in.MemoryMB, class.Copy.MemoryMB),
 		Lanes:      cmp.Or(listed.Copy.Lanes, in.Lanes, class.Copy.Lanes),
 		LoadMillis: cmp.Or(listed.Copy.LoadMillis, float64(in.Load)/float64(time.Millisecond), class.Copy.LoadMillis)}
@@ -100,23 +100,23 @@
 }
 
 // Wait implements callhttp.Pending.
-func (p pending) Wait(gone <-chan struct{}) (callhttp.Answer, bool) {
+func (p pending) Wait(gone <-chan struct{}) (httpserver.Answer, bool) {
 	select {
 	case f := <-p.call.Answer():
 		return f.answer(p.call.ID), true
 	case <-gone:
-		return callhttp.Answer{}, false
+		return httpserver.Answer{}, false
 	}
 }
 
 // Leave implements callhttp.Pending.
 func (p pending) Leave() { p.loop.Leave(p.call) }
 
-var outcomes = map[Kind]callhttp.Outcome{Served: callhttp.Served, Refused: callhttp.Refused, Failed: callhttp.Failed}
+var outcomes = map[Kind]httpserver.Outcome{Served: httpserver.Served, Refused: httpserver.Refused, Failed: httpserver.Failed}
 
 // answer is a final answer as the client edge has it.
-func (f Final) answer(id string) callhttp.Answer {
-	out := callhttp.Answer{Outcome: outcomes[f.Kind], Why: f.Why, RetryAfter: f.RetryAfter, TimedOut: f.TimedOut,
+func (f Final) answer(id string) httpserver.Answer {
+	out := httpserver.Answer{Outcome: outcomes[f.Kind], Why: f.Why, RetryAfter: f.RetryAfter, TimedOut: f.TimedOut,
 		Worker: f.Worker, Attempts: f.Attempts, ID: id}
 	if f.Answer != nil {
 		out.Type, out.Body, out.Length = f.Answer.Type, f.Answer.Body, f.Answer.Length
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/directory"
-	"havencart/internal/workerlink"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/scheduler"
 )
 
 // This file explores the life of calls exhaustively in a small scope: every order of what can happen to two
@@ -26,7 +26,7 @@
 	kind     [2]Kind
 	arrivals int
 	leftBy   [2]bool
-	late     []*workerlink.Attempt // given up here after they had left
+	late     []*muxclient.Attempt // given up here after they had left
 	drained  bool
 	sends    map[string][]send
 	path     []string
@@ -35,7 +35,7 @@
 
 // send is one attempt as a worker could know of it.
 type send struct {
-	attempt *workerlink.Attempt
+	attempt *muxclient.Attempt
 	cell    int
 	at      time.Duration
 	never   bool // it is known not to have run
@@ -48,12 +48,12 @@
 	w *world
 }
 
-func (s spy) Send(a *workerlink.Attempt) *workerlink.Result {
+func (s spy) Send(a *muxclient.Attempt) *muxclient.Result {
 	s.w.sent(s.fakeLink, a)
 	return s.fakeLink.Send(a)
 }
 
-func (s spy) Abandon(a *workerlink.Attempt) bool {
+func (s spy) Abandon(a *muxclient.Attempt) bool {
 	left := s.fakeLink.Abandon(a)
 	if left {
 		s.w.late = append(s.w.late, a)
@@ -63,7 +63,7 @@
 	return left
 }
 
-func (s spy) Drain(d time.Duration) ([]*workerlink.Attempt, []*workerlink.Order) {
+func (s spy) Drain(d time.Duration) ([]*muxclient.Attempt, []*muxclient.Order) {
 	taken, orders := s.fakeLink.Drain(d)
 	for _, a := range taken {
 		s.w.note(a).never = true
@@ -71,13 +71,13 @@
 	return taken, orders
 }
 
-func (w *world) Open(id control.WorkerID, info directory.Worker) Link {
+func (w *world) Open(id scheduler.WorkerID, info discovery.Worker) Link {
 	l := w.bench.Open(id, info).(*fakeLink)
 	l.holds = true
 	return spy{l, w}
 }
 
-func (w *world) note(a *workerlink.Attempt) *send {
+func (w *world) note(a *muxclient.Attempt) *send {
 	list := w.sends[a.Call.ID]
 	for i := range list {
 		if list[i].attempt == a {
@@ -94,7 +94,7 @@
 }
 
 // sent holds rules 2 and 3 at the moment at which an attempt is handed to a link.
-func (w *world) sent(l *fakeLink, a *workerlink.Attempt) {
+func (w *world) sent(l *fakeLink, a *muxclient.Attempt) {
 	id := a.Call.ID
 	i := int(id[0] - '0')
 	cell := int(l.name[1]-'0') % 2
@@ -171,25 +171,25 @@
 		l := w.links[name]
 		for _, a := range l.queued {
 			add(func() { w.leaves(l, a) }, "%s leaves for %s", a.Call.ID, name)
-			add(func() { w.ends(l, a, control.ConnectFailed) }, "%s finds no connection to %s", a.Call.ID, name)
+			add(func() { w.ends(l, a, scheduler.ConnectFailed) }, "%s finds no connection to %s", a.Call.ID, name)
 		}
 		for _, a := range l.left {
 			if mine := w.attempts[a]; mine != nil && mine.begun {
-				add(func() { w.ends(l, a, control.OK) }, "%s ends", a.Call.ID)
-				add(func() { w.ends(l, a, control.Reset) }, "%s breaks off", a.Call.ID)
+				add(func() { w.ends(l, a, scheduler.OK) }, "%s ends", a.Call.ID)
+				add(func() { w.ends(l, a, scheduler.Reset) }, "%s breaks off", a.Call.ID)
 				continue
 			}
-			for _, s := range []control.Status{control.OK, control.Error, control.Full, control.Reset} {
+			for _, s := range []scheduler.Status{scheduler.OK, scheduler.Error, scheduler.Full, scheduler.Reset} {
 				add(func() { w.ends(l, a, s) }, "%s at %s ends with status %d", a.Call.ID, name, s)
 			}
 			add(func() {
-				w.Began(w.at, a, workerlink.Result{Status: control.OK, Crowd: -1, Answer: &workerlink.Answer{}})
+				w.Began(w.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
 			}, "%s begins", a.Call.ID)
 		}
 	}
 	for _, a := range w.late {
 		add(func() {
-			w.Ended(w.at, a, workerlink.Result{Status: control.OK, Crowd: -1, Answer: &workerlink.Answer{}})
+			w.Ended(w.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
 		}, "%s late", a.Call.ID)
 	}
 	for i := range w.arrivals {
@@ -200,7 +200,7 @@
 	if w.drained {
 		add(func() { w.drained = false; w.list(2, nil) }, "w0 is ready")
 	} else {
-		add(func() { w.drained = true; w.list(2, map[string]control.WorkerState{"w0": control.Draining}) }, "w0 drains")
+		add(func() { w.drained = true; w.list(2, map[string]scheduler.WorkerState{"w0": scheduler.Draining}) }, "w0 drains")
 	}
 	add(func() { w.pass(900 * ms) }, "900ms pass")
 	return list
@@ -216,7 +216,7 @@
 	w.Arrive(w.at, c)
 }
 
-func (w *world) leaves(l *fakeLink, a *workerlink.Attempt) {
+func (w *world) leaves(l *fakeLink, a *muxclient.Attempt) {
 	if w.drained && l.name == "w0" {
 		w.fail("call %s leaves for a worker that drains", a.Call.ID)
 	}
@@ -225,10 +225,10 @@
 	w.note(a).left = true
 }
 
-func (w *world) ends(l *fakeLink, a *workerlink.Attempt, s control.Status) {
+func (w *world) ends(l *fakeLink, a *muxclient.Attempt, s scheduler.Status) {
 	l.drop(a)
-	w.note(a).never = s == control.ConnectFailed || s == control.Full
-	w.Ended(w.at, a, workerlink.Result{Status: s, Crowd: -1, Answer: &workerlink.Answer{}})
+	w.note(a).never = s == scheduler.ConnectFailed || s == scheduler.Full
+	w.Ended(w.at, a, muxclient.Result{Status: s, Crowd: -1, Answer: &muxclient.Answer{}})
 }
 
 // finish lets all time pass: each call whose client stayed must have its answer.
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -9,20 +9,20 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/decide/lateness"
-	"havencart/internal/decide/roster"
-	"havencart/internal/decide/shed"
+	"havencart/internal/decide/incarnation"
+	"havencart/internal/decide/loadshed"
+	"havencart/internal/decide/looplag"
 	"havencart/internal/decide/tenancy"
-	"havencart/internal/directory"
-	"havencart/internal/watch"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/internal/shadow"
+	"havencart/scheduler"
 )
 
 // Settings are what a Front needs beside the module's own.
 type Settings struct {
-	Control  control.Settings
+	Control  scheduler.Settings
 	Name     string   // of this front end, unique among all
 	Classes  []string // names, in the order of Control.Classes
 	Tenants  []string // names, in the order of Control.Tenants
@@ -33,34 +33,34 @@
 	Began    time.Time     // wall time at 0 of the clock
 
 	// Decide makes the module; nil stands for control.New.
-	Decide func(now time.Duration, set control.Settings, a control.Actions) Module
+	Decide func(now time.Duration, set scheduler.Settings, a scheduler.Actions) Module
 	// Watch, where given, are settings by which nothing is decided: it is counted where they would decide otherwise.
-	Watch *watch.Settings
+	Watch *shadow.Settings
 }
 
 // Module is what decides: control.Controller, or in the laboratory a baseline set beside it.
 type Module interface {
-	Workers(now time.Duration, list []control.WorkerInfo, whole bool)
+	Workers(now time.Duration, list []scheduler.WorkerInfo, whole bool)
 	ListFailed(now time.Duration)
 	Woke(now time.Duration, token uint64)
-	Arrive(now time.Duration, r control.Request)
-	Outcome(now time.Duration, o control.Outcome)
-	Gone(now time.Duration, id control.RequestID)
-	Loaded(now time.Duration, l control.Loaded)
-	Started(now time.Duration, id control.RequestID)
-	Probed(now time.Duration, p control.Probed)
+	Arrive(now time.Duration, r scheduler.Request)
+	Outcome(now time.Duration, o scheduler.Outcome)
+	Gone(now time.Duration, id scheduler.RequestID)
+	Loaded(now time.Duration, l scheduler.Loaded)
+	Started(now time.Duration, id scheduler.RequestID)
+	Probed(now time.Duration, p scheduler.Probed)
 }
 
 // Link is the way to one worker, as workerlink.Link is.
 type Link interface {
-	Send(*workerlink.Attempt) *workerlink.Result
-	Withdraw(*workerlink.Attempt) (notLeft bool)
-	Abandon(*workerlink.Attempt) (mayHaveLeft bool)
-	Load(*workerlink.Order) control.Status
-	AbandonOrder(*workerlink.Order)
+	Send(*muxclient.Attempt) *muxclient.Result
+	Withdraw(*muxclient.Attempt) (notLeft bool)
+	Abandon(*muxclient.Attempt) (mayHaveLeft bool)
+	Load(*muxclient.Order) scheduler.Status
+	AbandonOrder(*muxclient.Order)
 	Unload(function string)
 	Probe()
-	Drain(grace time.Duration) ([]*workerlink.Attempt, []*workerlink.Order)
+	Drain(grace time.Duration) ([]*muxclient.Attempt, []*muxclient.Order)
 	Resume()
 	Busy() bool
 	Stop()
@@ -69,7 +69,7 @@
 // Outside is what a Front reaches beside its links.
 type Outside interface {
 	// Open begins a link; what happens on it is told to the Front with this worker's identifier.
-	Open(id control.WorkerID, w directory.Worker) Link
+	Open(id scheduler.WorkerID, w discovery.Worker) Link
 	// Follow asks the directory anew.
 	Follow()
 }
@@ -79,9 +79,9 @@
 	Taken, Served, Refused, Failed, Left uint64
 	TurnedAway                           uint64 // refused without being taken
 	Attempts, Loads, Asks, Probes        uint64
-	Late                                 uint64       // answers that nobody waited for any longer
-	Overdue                              uint64       // final answers that the module did not give in time
-	Otherwise                            watch.Counts // what watched settings would have decided otherwise
+	Late                                 uint64        // answers that nobody waited for any longer
+	Overdue                              uint64        // final answers that the module did not give in time
+	Otherwise                            shadow.Counts // what watched settings would have decided otherwise
 }
 
 // Front is the state machine of one front end. Its methods are called one at a time, with times that never go
@@ -91,22 +91,22 @@
 	outside Outside
 	log     zerolog.Logger
 	module  Module
-	watched *watch.Module // the module, where other settings are watched
-	roster  *roster.Roster
-	shed    shed.Shed
+	watched *shadow.Module // the module, where other settings are watched
+	roster  *incarnation.Roster
+	shed    loadshed.Shed
 	tenancy *tenancy.Tenancy
-	late    lateness.Lateness
+	late    looplag.Lateness
 	now     time.Duration
 	timers  timers
 	ends    timers   // of calls: fired sooner where the loop is late
 	later   []func() // what came back at once; told after the module's turn
 
-	calls     map[control.RequestID]*Call
-	lastID    control.RequestID
-	attempts  map[*workerlink.Attempt]*attempt
-	orders    map[*workerlink.Order]*order
-	workers   map[control.WorkerID]*worker
-	functions map[control.FunctionID]*function
+	calls     map[scheduler.RequestID]*Call
+	lastID    scheduler.RequestID
+	attempts  map[*muxclient.Attempt]*attempt
+	orders    map[*muxclient.Order]*order
+	workers   map[scheduler.WorkerID]*worker
+	functions map[scheduler.FunctionID]*function
 	zones     map[string]int
 	cells     map[string]int
 	kinds     map[string]int
@@ -115,7 +115,7 @@
 }
 
 type attempt struct {
-	workerlink.Attempt
+	muxclient.Attempt
 	call    *Call
 	number  int
 	worker  *worker
@@ -126,26 +126,26 @@
 }
 
 type order struct {
-	workerlink.Order
+	muxclient.Order
 	worker   *worker
-	function control.FunctionID
+	function scheduler.FunctionID
 	given    time.Duration
 	timer    timer
 	settled  bool
 }
 
 type worker struct {
-	directory.Worker
-	id      control.WorkerID
+	discovery.Worker
+	id      scheduler.WorkerID
 	link    Link
-	state   control.WorkerState
+	state   scheduler.WorkerState
 	probes  []time.Duration // asked, oldest first
 	down    bool
 	retired []Link // of addresses of before, with calls still under way
 }
 
 type function struct {
-	copy workerwire.Copy
+	copy muxframe.Copy
 	used time.Duration
 	cost tenancy.Cost
 }
@@ -162,11 +162,11 @@
 	for _, c := range set.Control.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	f := &Front{set: set, outside: outside, late: lateness.New(longest), log: log, roster: roster.New(), now: now,
+	f := &Front{set: set, outside: outside, late: looplag.New(longest), log: log, roster: incarnation.New(), now: now,
 		tenancy: tenancy.New(set.Tenancy),
-		calls:   map[control.RequestID]*Call{}, attempts: map[*workerlink.Attempt]*attempt{},
-		orders: map[*workerlink.Order]*order{}, workers: map[control.WorkerID]*worker{},
-		functions: map[control.FunctionID]*function{}, zones: map[string]int{}, cells: map[string]int{},
+		calls:   map[scheduler.RequestID]*Call{}, attempts: map[*muxclient.Attempt]*attempt{},
+		orders: map[*muxclient.Order]*order{}, workers: map[scheduler.WorkerID]*worker{},
+		functions: map[scheduler.FunctionID]*function{}, zones: map[string]int{}, cells: map[string]int{},
 		kinds: map[string]int{}}
 	for _, z := range set.Zones {
 		intern(f.zones, z)
@@ -175,10 +175,10 @@
 	case set.Decide != nil:
 		f.module = set.Decide(now, set.Control, f)
 	case set.Watch != nil:
-		f.watched = watch.New(now, set.Control, *set.Watch, f, f.wouldDiffer)
+		f.watched = shadow.New(now, set.Control, *set.Watch, f, f.wouldDiffer)
 		f.module = f.watched
 	default:
-		f.module = control.New(now, set.Control, f)
+		f.module = scheduler.New(now, set.Control, f)
 	}
 	f.timers.set(&timer{at: now + sweepEvery, sweep: true})
 	return f
@@ -293,14 +293,14 @@
 	if c.ID == "" {
 		c.ID = fmt.Sprintf("%s-%x-%d", f.set.Name, f.set.Began.UnixNano(), c.id)
 	}
-	if c.Key == "" && f.set.Control.Classes[c.Class].Repeat == control.Keyed {
+	if c.Key == "" && f.set.Control.Classes[c.Class].Repeat == scheduler.Keyed {
 		c.Key = c.ID // so that at least our own repeats are dropped
 	}
 	f.calls[c.id] = c
 	f.counts.Taken++
 	c.timer = timer{at: c.Since + c.Patience - f.set.Margin/2, call: c}
 	f.ends.set(&c.timer)
-	f.module.Arrive(f.now, control.Request{ID: c.id, Class: c.Class, Tenant: c.Tenant, Function: id,
+	f.module.Arrive(f.now, scheduler.Request{ID: c.id, Class: c.Class, Tenant: c.Tenant, Function: id,
 		Budget: c.deadline - f.now, Cost: c.Cost, MemoryMB: c.Copy.MemoryMB, Lanes: c.Copy.Lanes,
 		LoadTime: c.Copy.LoadTime()})
 }
@@ -322,9 +322,9 @@
 	switch a := c.out; {
 	case a == nil:
 	case a.begun:
-		f.giveUp(a, control.Cancelled, "the client left")
+		f.giveUp(a, scheduler.Cancelled, "the client left")
 	case c.state == left && a.worker.withdraw(a):
-		f.ended(a, workerlink.Result{Status: control.Moot, Why: "the client left", Crowd: -1})
+		f.ended(a, muxclient.Result{Status: scheduler.Moot, Why: "the client left", Crowd: -1})
 	}
 	f.forget(c)
 	f.settleLater()
@@ -378,12 +378,12 @@
 		f.timers.set(&timer{at: f.now + sweepEvery, sweep: true})
 	case t.attempt != nil:
 		if !t.attempt.settled && !t.attempt.begun {
-			f.giveUp(t.attempt, control.Timeout, "nothing heard in time")
+			f.giveUp(t.attempt, scheduler.Timeout, "nothing heard in time")
 		}
 	case t.order != nil:
 		if !t.order.settled {
 			t.order.worker.link.AbandonOrder(&t.order.Order)
-			f.orderEnded(t.order, control.Timeout, 0)
+			f.orderEnded(t.order, scheduler.Timeout, 0)
 		}
 	case t.call != nil && t.call.state == waiting:
 		f.overdue(t.call)
@@ -404,9 +404,9 @@
 	if c.state != waiting {
 		return
 	}
-	a, as := c.out, control.Moot
+	a, as := c.out, scheduler.Moot
 	if a != nil && a.worker.abandon(a) {
-		as = control.Cancelled
+		as = scheduler.Cancelled
 	}
 	c.mayHaveRun(as)
 	kind := Refused
@@ -416,7 +416,7 @@
 	f.final(c, Final{Kind: kind, Why: why, TimedOut: true, RetryAfter: f.set.Control.MaxRetryAfter})
 	f.module.Gone(f.now, c.id)
 	if a != nil {
-		f.ended(a, workerlink.Result{Status: as, Why: why, Crowd: -1})
+		f.ended(a, muxclient.Result{Status: as, Why: why, Crowd: -1})
 	}
 }
 
@@ -467,7 +467,7 @@
 	case Served:
 		end.Bad = f.now-c.Since > f.set.Control.Classes[c.Class].Aim
 	case Failed:
-		end.Bad = c.last == control.Timeout || c.last == control.Cancelled // else it is the function's or worker's own fault
+		end.Bad = c.last == scheduler.Timeout || c.last == scheduler.Cancelled // else it is the function's or worker's own fault
 	}
 	f.tenancy.Ended(f.now, c.Tenant, end)
 }
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/directory"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 const ms = time.Millisecond
@@ -20,24 +20,24 @@
 // fakeLink stands for a link: it keeps what the Front gave it until a test says what became of it.
 type fakeLink struct {
 	name     string
-	queued   []*workerlink.Attempt // not left
-	left     []*workerlink.Attempt
-	orders   []*workerlink.Order
-	canceled []*workerlink.Attempt
+	queued   []*muxclient.Attempt // not left
+	left     []*muxclient.Attempt
+	orders   []*muxclient.Order
+	canceled []*muxclient.Attempt
 	drained  bool
 	stopped  bool
 	probes   int
 	unloads  int
 	holds    bool // what is sent stays in the write buffer
-	turns    *workerlink.Result
+	turns    *muxclient.Result
 }
 
-func (l *fakeLink) Send(a *workerlink.Attempt) *workerlink.Result {
+func (l *fakeLink) Send(a *muxclient.Attempt) *muxclient.Result {
 	switch {
 	case l.turns != nil:
 		return l.turns
 	case l.drained:
-		return &workerlink.Result{Status: control.Moot, Crowd: -1}
+		return &muxclient.Result{Status: scheduler.Moot, Crowd: -1}
 	case l.holds:
 		l.queued = append(l.queued, a)
 	default:
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (l *fakeLink) Abandon(a *workerlink.Attempt) bool {
+func (l *fakeLink) Abandon(a *muxclient.Attempt) bool {
 	was := slices.Contains(l.left, a)
 	if was {
 		l.canceled = append(l.canceled, a)
@@ -55,7 +55,7 @@
 	return was
 }
 
-func (l *fakeLink) Withdraw(a *workerlink.Attempt) bool {
+func (l *fakeLink) Withdraw(a *muxclient.Attempt) bool {
 	was := slices.Contains(l.queued, a)
 	if was {
 		l.drop(a)
@@ -63,19 +63,22 @@
 	return was
 }
 
-func (l *fakeLink) drop(a *workerlink.Attempt) {
-	match := func(x *workerlink.Attempt) bool { return x == a }
+func (l *fakeLink) drop(a *muxclient.Attempt) {
+	match := func(x *muxclient.Attempt) bool { return x == a }
 	l.queued, l.left = slices.DeleteFunc(l.queued, match), slices.DeleteFunc(l.left, match)
 }
 
-func (l *fakeLink) Load(o *workerlink.Order) control.Status { l.orders = append(l.orders, o); return 0 }
-func (l *fakeLink) AbandonOrder(*workerlink.Order)          {}
-func (l *fakeLink) Unload(string)                           { l.unloads++ }
-func (l *fakeLink) Probe()                                  { l.probes++ }
-func (l *fakeLink) Resume()                                 { l.drained = false }
-func (l *fakeLink) Busy() bool                              { return len(l.queued)+len(l.left) > 0 }
-func (l *fakeLink) Stop()                                   { l.stopped = true }
-func (l *fakeLink) Drain(time.Duration) ([]*workerlink.Attempt, []*workerlink.Order) {
+func (l *fakeLink) Load(o *muxclient.Order) scheduler.Status {
+	l.orders = append(l.orders, o)
+	return 0
+}
+func (l *fakeLink) AbandonOrder(*muxclient.Order) {}
+func (l *fakeLink) Unload(string)                 { l.unloads++ }
+func (l *fakeLink) Probe()                        { l.probes++ }
+func (l *fakeLink) Resume()                       { l.drained = false }
+func (l *fakeLink) Busy() bool                    { return len(l.queued)+len(l.left) > 0 }
+func (l *fakeLink) Stop()                         { l.stopped = true }
+func (l *fakeLink) Drain(time.Duration) ([]*muxclient.Attempt, []*muxclient.Order) {
 	l.drained = true
 	taken := l.queued
 	l.queued = nil
@@ -92,7 +95,7 @@
 	follows int
 }
 
-func (b *bench) Open(_ control.WorkerID, w directory.Worker) Link {
+func (b *bench) Open(_ scheduler.WorkerID, w discovery.Worker) Link {
 	b.opened++
 	l := &fakeLink{name: w.Name}
 	b.links[w.Name] = l
@@ -101,12 +104,12 @@
 
 func (b *bench) Follow() { b.follows++ }
 
-func classes() control.Settings {
-	return control.Settings{Seed: 1, FrontEnds: 1, KeepAlive: 10 * time.Second, TellsWarm: true, MayCancel: true, MaxAttempts: 4,
-		OrderTimeout: time.Second, MaxRetryAfter: 500 * ms, DrainGrace: 500 * ms, Resolution: ms, Classes: []control.Class{
-			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: control.Safe},
-			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: control.Keyed, Scope: control.ScopeCell, Memory: time.Second},
-			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: control.Unsafe}}}
+func classes() scheduler.Settings {
+	return scheduler.Settings{Seed: 1, FrontEnds: 1, KeepAlive: 10 * time.Second, TellsWarm: true, MayCancel: true, MaxAttempts: 4,
+		OrderTimeout: time.Second, MaxRetryAfter: 500 * ms, DrainGrace: 500 * ms, Resolution: ms, Classes: []scheduler.Class{
+			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: scheduler.Safe},
+			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: scheduler.Keyed, Scope: scheduler.ScopeCell, Memory: time.Second},
+			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: scheduler.Unsafe}}}
 }
 
 const (
@@ -128,10 +131,10 @@
 }
 
 // list tells a list of workers, all ready but those in states.
-func (b *bench) list(n int, states map[string]control.WorkerState) {
-	var list []directory.Worker
+func (b *bench) list(n int, states map[string]scheduler.WorkerState) {
+	var list []discovery.Worker
 	for i := range n {
-		w := directory.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Cell: fmt.Sprint(i % 2), Scale: 1, State: control.Ready}
+		w := discovery.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Cell: fmt.Sprint(i % 2), Scale: 1, State: scheduler.Ready}
 		if s := states[w.Name]; s != 0 {
 			w.State = s
 		}
@@ -143,7 +146,7 @@
 func (b *bench) call(class int) *Call {
 	c := NewCall()
 	c.Class, c.Since, c.Patience = class, b.at, 2*time.Second
-	c.Copy = workerwire.Copy{Function: "f", MemoryMB: 100, Lanes: 2}
+	c.Copy = muxframe.Copy{Function: "f", MemoryMB: 100, Lanes: 2}
 	b.Arrive(b.at, c)
 	return c
 }
@@ -156,7 +159,7 @@
 }
 
 // out is the link and the attempt that is out for c.
-func (b *bench) out(c *Call) (*fakeLink, *workerlink.Attempt) {
+func (b *bench) out(c *Call) (*fakeLink, *muxclient.Attempt) {
 	b.Helper()
 	for _, l := range b.links {
 		for _, a := range slices.Concat(l.left, l.queued) {
@@ -171,11 +174,11 @@
 
 func (b *bench) isOut(c *Call) bool { return c.out != nil }
 
-func (b *bench) end(c *Call, s control.Status) *fakeLink {
+func (b *bench) end(c *Call, s scheduler.Status) *fakeLink {
 	b.Helper()
 	l, a := b.out(c)
 	l.drop(a)
-	b.Ended(b.at, a, workerlink.Result{Status: s, Crowd: -1, Answer: &workerlink.Answer{Body: []byte("x")}})
+	b.Ended(b.at, a, muxclient.Result{Status: s, Crowd: -1, Answer: &muxclient.Answer{Body: []byte("x")}})
 	return l
 }
 
@@ -201,7 +204,7 @@
 func TestACallIsServedAndForgotten(t *testing.T) {
 	b := newBench(t, 2, nil)
 	c := b.call(safe)
-	b.end(c, control.OK)
+	b.end(c, scheduler.OK)
 	b.want(c, Served)
 	if !b.Idle() || b.Counts().Served != 1 {
 		t.Errorf("%+v", b.Counts())
@@ -210,7 +213,7 @@
 
 // TestAnUnsafeCallIsNeverSentAgainOnceItMayHaveRun is rule 2 through the links' statuses.
 func TestAnUnsafeCallIsNeverSentAgainOnceItMayHaveRun(t *testing.T) {
-	for _, s := range []control.Status{control.Reset, control.Error, control.Timeout, control.Cancelled} {
+	for _, s := range []scheduler.Status{scheduler.Reset, scheduler.Error, scheduler.Timeout, scheduler.Cancelled} {
 		b := newBench(t, 3, nil)
 		c := b.call(unsafe)
 		b.end(c, s)
@@ -219,7 +222,7 @@
 			t.Errorf("status %d: %d attempts", s, c.attempts)
 		}
 	}
-	for _, s := range []control.Status{control.ConnectFailed, control.Full, control.Miss, control.Moot} {
+	for _, s := range []scheduler.Status{scheduler.ConnectFailed, scheduler.Full, scheduler.Miss, scheduler.Moot} {
 		b := newBench(t, 3, nil)
 		c := b.call(unsafe)
 		b.end(c, s)
@@ -238,13 +241,13 @@
 	}
 	c := b.call(unsafe)
 	l, _ := b.out(c)
-	b.list(2, map[string]control.WorkerState{l.name: control.Draining})
+	b.list(2, map[string]scheduler.WorkerState{l.name: scheduler.Draining})
 	b.pass(100 * ms)
 	next, a := b.out(c)
 	if next == l || a.Call.Attempt != 1 {
 		t.Errorf("attempt %d at %s after the notice", a.Call.Attempt, next.name)
 	}
-	b.end(c, control.OK)
+	b.end(c, scheduler.OK)
 	b.want(c, Served)
 }
 
@@ -252,12 +255,12 @@
 	b := newBench(t, 2, nil)
 	c := b.call(unsafe)
 	l, _ := b.out(c)
-	b.list(2, map[string]control.WorkerState{l.name: control.Gone})
+	b.list(2, map[string]scheduler.WorkerState{l.name: scheduler.Gone})
 	b.pass(3 * sweepEvery / 2)
 	if l.stopped {
 		t.Fatal("the link was stopped with a call under way")
 	}
-	b.end(c, control.OK)
+	b.end(c, scheduler.OK)
 	b.want(c, Served)
 	b.pass(2 * sweepEvery)
 	if !l.stopped {
@@ -269,13 +272,13 @@
 	b := newBench(t, 1, nil)
 	old := b.links["w0"]
 	c := b.call(safe)
-	b.Listed(b.at, []directory.Worker{{Name: "w0", Address: "elsewhere:1", Scale: 1, State: control.Ready}})
+	b.Listed(b.at, []discovery.Worker{{Name: "w0", Address: "elsewhere:1", Scale: 1, State: scheduler.Ready}})
 	if b.opened != 2 || !old.drained || old.stopped {
 		t.Fatalf("opened %d, old link drained %t, stopped %t", b.opened, old.drained, old.stopped)
 	}
 	a := old.left[0]
 	old.drop(a)
-	b.Ended(b.at, a, workerlink.Result{Status: control.OK, Crowd: -1, Answer: &workerlink.Answer{}})
+	b.Ended(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
 	b.want(c, Served)
 	b.pass(2 * sweepEvery)
 	if !old.stopped {
@@ -317,7 +320,7 @@
 	_, a := b.out(c)
 	b.pass(2 * time.Second)
 	b.want(c, Failed)
-	b.Ended(b.at, a, workerlink.Result{Status: control.OK, Crowd: -1, Answer: &workerlink.Answer{}})
+	b.Ended(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
 	b.want(c, 0)
 }
 
@@ -346,7 +349,7 @@
 		b := newBench(t, 1, nil)
 		c := b.call(unsafe)
 		l, a := b.out(c)
-		b.Began(b.at, a, workerlink.Result{Status: control.OK, Crowd: -1, Answer: &workerlink.Answer{Stream: &workerlink.Stream{}}})
+		b.Began(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{Stream: &muxclient.Stream{}}})
 		b.want(c, Served)
 		b.pass(3 * time.Second) // neither time-out nor deadline holds for it
 		if len(l.canceled) != 0 {
@@ -363,8 +366,8 @@
 	b := newBench(t, 2, nil)
 	c := b.call(safe)
 	_, a := b.out(c)
-	b.Began(b.at, a, workerlink.Result{Status: control.OK, Crowd: -1, Answer: &workerlink.Answer{}})
-	b.Ended(b.at, a, workerlink.Result{Status: control.Reset, Crowd: -1})
+	b.Began(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
+	b.Ended(b.at, a, muxclient.Result{Status: scheduler.Reset, Crowd: -1})
 	b.pass(100 * ms)
 	b.want(c, Served)
 	if c.attempts != 1 || !b.Idle() {
@@ -386,7 +389,7 @@
 func TestACallWithoutTimeIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t, 1, nil)
 	c := NewCall()
-	c.Since, c.Patience, c.Copy = b.at-2*time.Second, 2*time.Second, workerwire.Copy{Function: "f"}
+	c.Since, c.Patience, c.Copy = b.at-2*time.Second, 2*time.Second, muxframe.Copy{Function: "f"}
 	b.Arrive(b.at, c)
 	b.want(c, Refused)
 }
@@ -414,10 +417,10 @@
 func TestARestartByTheWorkersOwnWordEndsBeliefs(t *testing.T) {
 	b := newBench(t, 1, nil)
 	id := WorkerID("w0")
-	b.Met(b.at, id, workerwire.Welcome{Worker: "w0", Life: 1, UpMillis: 3600_000})
+	b.Met(b.at, id, muxframe.Welcome{Worker: "w0", Life: 1, UpMillis: 3600_000})
 	c := b.call(safe)
-	b.end(c, control.OK)
-	b.Met(b.at, id, workerwire.Welcome{Worker: "w0", Life: 2, UpMillis: 5})
+	b.end(c, scheduler.OK)
+	b.Met(b.at, id, muxframe.Welcome{Worker: "w0", Life: 2, UpMillis: 5})
 	if info, news := b.roster.Met(b.at, id, 2, 5*ms); news || info.Started < b.at-10*ms {
 		t.Errorf("started %v, news %t", info.Started, news)
 	}
@@ -443,15 +446,15 @@
 		f.copy.Function = "another"
 	}
 	b.want(b.call(safe), Refused)
-	b.end(c, control.OK)
+	b.end(c, scheduler.OK)
 }
 
 func TestWhatTheLinkTurnsAwayGoesElsewhere(t *testing.T) {
 	b := newBench(t, 2, nil)
 	first := b.call(unsafe)
 	l, _ := b.out(first)
-	l.turns = &workerlink.Result{Status: control.ConnectFailed, Crowd: -1}
-	b.end(first, control.ConnectFailed)
+	l.turns = &muxclient.Result{Status: scheduler.ConnectFailed, Crowd: -1}
+	b.end(first, scheduler.ConnectFailed)
 	b.pass(100 * ms)
 	if next, _ := b.out(first); next == l {
 		t.Error("sent to the same worker")
@@ -480,7 +483,7 @@
 	b := newBench(t, 1, nil)
 	behind := func() *Call {
 		c := NewCall()
-		c.Since, c.queued, c.Patience, c.Copy = b.at-50*ms, b.at-50*ms, 2*time.Second, workerwire.Copy{Function: "f"}
+		c.Since, c.queued, c.Patience, c.Copy = b.at-50*ms, b.at-50*ms, 2*time.Second, muxframe.Copy{Function: "f"}
 		b.Arrive(b.at, c)
 		return c
 	}
@@ -504,9 +507,9 @@
 	if l.probes != 1 || l.unloads != 1 || b.Counts().Probes != 1 {
 		t.Errorf("%d probes, %d unloads", l.probes, l.unloads)
 	}
-	b.Probed(b.at, id, control.OK, nil)
-	b.Probed(b.at, id, control.OK, nil) // one that was not asked for
-	b.end(c, control.OK)
+	b.Probed(b.at, id, scheduler.OK, nil)
+	b.Probed(b.at, id, scheduler.OK, nil) // one that was not asked for
+	b.end(c, scheduler.OK)
 }
 
 // TestAnAnswersWaitForTheLoopIsNotTheWorkers holds that a loop that is late tells the module no slow workers.
@@ -515,10 +518,10 @@
 	c := b.call(safe)
 	a := c.out
 	b.pass(100 * time.Millisecond)
-	if took := b.took(a, workerlink.Result{At: a.sent + 30*time.Millisecond}); took != 30*time.Millisecond {
+	if took := b.took(a, muxclient.Result{At: a.sent + 30*time.Millisecond}); took != 30*time.Millisecond {
 		t.Errorf("an answer read after 30ms, seen after 100ms, counts as one of %v", took)
 	}
-	if took := b.took(a, workerlink.Result{}); took != 100*time.Millisecond {
+	if took := b.took(a, muxclient.Result{}); took != 100*time.Millisecond {
 		t.Errorf("an answer that tells no time, seen after 100ms, counts as one of %v", took)
 	}
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -9,25 +9,25 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/cpu"
 
-	"havencart/control"
-	"havencart/internal/directory"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // LoopConfig is what a Loop needs beside its Front's settings.
 type LoopConfig struct {
 	Settings
-	Link     workerlink.Config // Worker, Address, Seed and Now are set for each link
-	Dial     Dial              // in place of Link, where workers speak another protocol
-	Source   directory.Source
+	Link     muxclient.Config // Worker, Address, Seed and Now are set for each link
+	Dial     Dial             // in place of Link, where workers speak another protocol
+	Source   discovery.Source
 	Queue    int           // arrivals that may wait for the loop; more are refused at once
 	Events   int           // events from links that may wait; beyond, the links stop reading
 	StopWait time.Duration // how long a stop waits for what is in hand
 }
 
 // Dial begins a link to a worker; what happens on it is told to events.
-type Dial func(id control.WorkerID, w directory.Worker, now func() time.Duration, events workerlink.Events) OwnLink
+type Dial func(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) OwnLink
 
 // OwnLink is a Link whose goroutines are waited for.
 type OwnLink interface {
@@ -223,7 +223,7 @@
 }
 
 // Open implements Outside.
-func (l *Loop) Open(id control.WorkerID, w directory.Worker) Link {
+func (l *Loop) Open(id scheduler.WorkerID, w discovery.Worker) Link {
 	if l.open != nil {
 		return l.open(l)
 	}
@@ -240,14 +240,14 @@
 	return link
 }
 
-func (l *Loop) dial(id control.WorkerID, w directory.Worker) OwnLink {
+func (l *Loop) dial(id scheduler.WorkerID, w discovery.Worker) OwnLink {
 	if l.cfg.Dial != nil {
 		return l.cfg.Dial(id, w, l.Now, linkEvents{l, id})
 	}
 	cfg := l.cfg.Link
 	cfg.Worker, cfg.Address, cfg.Now = w.Name, w.Address, l.Now
 	cfg.FrontEnd, cfg.Seed = l.cfg.Name, l.cfg.Control.Seed^uint64(id)
-	return workerlink.New(cfg, linkEvents{l, id})
+	return muxclient.New(cfg, linkEvents{l, id})
 }
 
 // Follow implements Outside.
@@ -256,7 +256,7 @@
 // listSink posts what a directory tells.
 type listSink struct{ l *Loop }
 
-func (s listSink) Listed(list []directory.Worker) {
+func (s listSink) Listed(list []discovery.Worker) {
 	s.l.post(func(now time.Duration) { s.l.front.Listed(now, list) })
 }
 
@@ -267,26 +267,26 @@
 // linkEvents posts what happens on the link to one worker.
 type linkEvents struct {
 	l  *Loop
-	id control.WorkerID
+	id scheduler.WorkerID
 }
 
-func (e linkEvents) Began(a *workerlink.Attempt, r workerlink.Result) {
+func (e linkEvents) Began(a *muxclient.Attempt, r muxclient.Result) {
 	e.l.post(func(now time.Duration) { e.l.front.Began(now, a, r) })
 }
 
-func (e linkEvents) Ended(a *workerlink.Attempt, r workerlink.Result) {
+func (e linkEvents) Ended(a *muxclient.Attempt, r muxclient.Result) {
 	e.l.post(func(now time.Duration) { e.l.front.Ended(now, a, r) })
 }
 
-func (e linkEvents) OrderEnded(o *workerlink.Order, s control.Status, copies int) {
+func (e linkEvents) OrderEnded(o *muxclient.Order, s scheduler.Status, copies int) {
 	e.l.post(func(now time.Duration) { e.l.front.OrderEnded(now, o, s, copies) })
 }
 
-func (e linkEvents) Probed(s control.Status, report []float64) {
+func (e linkEvents) Probed(s scheduler.Status, report []float64) {
 	e.l.post(func(now time.Duration) { e.l.front.Probed(now, e.id, s, report) })
 }
 
-func (e linkEvents) Up(w workerwire.Welcome) {
+func (e linkEvents) Up(w muxframe.Welcome) {
 	e.l.post(func(now time.Duration) { e.l.front.Met(now, e.id, w) })
 }
 
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -11,36 +11,36 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/directory"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // instant is a link to a worker that answers at once, so that the loop alone is what is measured.
 type instant struct {
 	fakeLink
-	sent chan *workerlink.Attempt
+	sent chan *muxclient.Attempt
 }
 
-func (l *instant) Send(a *workerlink.Attempt) *workerlink.Result { l.sent <- a; return nil }
+func (l *instant) Send(a *muxclient.Attempt) *muxclient.Result { l.sent <- a; return nil }
 
-func (l *instant) Abandon(*workerlink.Attempt) bool { return true }
+func (l *instant) Abandon(*muxclient.Attempt) bool { return true }
 
 // answers answers until the link is stopped for good.
 func (l *instant) answers(loop *Loop) {
-	answer := &workerlink.Answer{}
+	answer := &muxclient.Answer{}
 	for a := range l.sent {
 		loop.post(func(now time.Duration) {
-			loop.front.Ended(now, a, workerlink.Result{Status: control.OK, Warmth: control.FoundWarm, Crowd: -1, Answer: answer})
+			loop.front.Ended(now, a, muxclient.Result{Status: scheduler.OK, Warmth: scheduler.FoundWarm, Crowd: -1, Answer: answer})
 		})
 	}
 }
 
 // fixed is a directory that tells one list.
-type fixed []directory.Worker
+type fixed []discovery.Worker
 
-func (f fixed) Run(ctx context.Context, sink directory.Sink) { sink.Listed(f); <-ctx.Done() }
+func (f fixed) Run(ctx context.Context, sink discovery.Sink) { sink.Listed(f); <-ctx.Done() }
 func (f fixed) Follow()                                      {}
 
 // alone runs a loop with workers that answer at once and returns what ends it.
@@ -48,14 +48,14 @@
 	set := Settings{Control: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxCalls: 1 << 20, Began: time.Now()}
 	var list fixed
 	for i := range workers {
-		list = append(list, directory.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Scale: 1, State: control.Ready})
+		list = append(list, discovery.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Scale: 1, State: scheduler.Ready})
 	}
 	l := NewLoop(LoopConfig{Settings: set, Source: list, Queue: 1 << 20, Events: 1 << 14, StopWait: time.Second}, zerolog.Nop())
 	var mu sync.Mutex
 	var links []*instant
 	var tasks sync.WaitGroup
 	l.open = func(loop *Loop) Link {
-		link := &instant{sent: make(chan *workerlink.Attempt, 1<<20)}
+		link := &instant{sent: make(chan *muxclient.Attempt, 1<<20)}
 		mu.Lock()
 		defer mu.Unlock()
 		links = append(links, link)
@@ -96,7 +96,7 @@
 			o.mu.Unlock()
 		}
 	})
-	c.Since, c.Patience, c.Copy = l.Now(), 2*time.Second, workerwire.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
+	c.Since, c.Patience, c.Copy = l.Now(), 2*time.Second, muxframe.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
 	return c
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -6,26 +6,28 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"havencart/control"
-	"havencart/internal/directory"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // This file takes what comes from the workers and the directory.
 
 // WorkerID is the module's name for the worker of a name, the same at all front ends.
-func WorkerID(name string) control.WorkerID { return control.WorkerID(xxhash.Sum64String(name)) }
+func WorkerID(name string) scheduler.WorkerID { return scheduler.WorkerID(xxhash.Sum64String(name)) }
 
 // FunctionID is the module's name for the function of a name, the same at all front ends.
-func FunctionID(name string) control.FunctionID { return control.FunctionID(xxhash.Sum64String(name)) }
+func FunctionID(name string) scheduler.FunctionID {
+	return scheduler.FunctionID(xxhash.Sum64String(name))
+}
 
 // Listed takes a whole list of workers. Links of workers that drain or are gone take back what has not left
 // before the module is told, so that nothing new can leave from here on.
-func (f *Front) Listed(now time.Duration, list []directory.Worker) {
+func (f *Front) Listed(now time.Duration, list []discovery.Worker) {
 	f.now = now
-	infos := make([]control.WorkerInfo, 0, len(list))
-	named := map[control.WorkerID]bool{}
+	infos := make([]scheduler.WorkerInfo, 0, len(list))
+	named := map[scheduler.WorkerID]bool{}
 	for _, in := range list {
 		id := WorkerID(in.Name)
 		if named[id] {
@@ -34,12 +36,12 @@
 		}
 		named[id] = true
 		f.meet(id, in)
-		infos = append(infos, control.WorkerInfo{ID: id, Zone: intern(f.zones, in.Zone), Cell: intern(f.cells, in.Cell),
+		infos = append(infos, scheduler.WorkerInfo{ID: id, Zone: intern(f.zones, in.Zone), Cell: intern(f.cells, in.Cell),
 			Kind: intern(f.kinds, in.Kind), Scale: in.Scale, Started: f.started(in.Started), State: in.State})
 	}
 	for _, id := range sortedKeys(f.workers) {
 		if !named[id] {
-			f.turn(f.workers[id], control.Gone)
+			f.turn(f.workers[id], scheduler.Gone)
 		}
 	}
 	f.module.Workers(now, f.roster.Listed(now, infos), true)
@@ -49,16 +51,16 @@
 // started turns a wall time into one of the clock.
 func (f *Front) started(at time.Time) time.Duration {
 	if at.IsZero() {
-		return control.LongAgo
+		return scheduler.LongAgo
 	}
 	return at.Sub(f.set.Began)
 }
 
 // meet takes an entry of the list: it opens a link to a new worker, or to one at a new address.
-func (f *Front) meet(id control.WorkerID, in directory.Worker) {
+func (f *Front) meet(id scheduler.WorkerID, in discovery.Worker) {
 	w := f.workers[id]
 	if w == nil {
-		if in.State == control.Gone {
+		if in.State == scheduler.Gone {
 			return // nothing goes there
 		}
 		w = &worker{id: id}
@@ -70,14 +72,14 @@
 			w.retired = append(w.retired, w.link)
 		}
 		w.link = f.outside.Open(id, in)
-		w.state = control.Ready
+		w.state = scheduler.Ready
 	}
 	w.Worker = in
 	f.turn(w, in.State)
 }
 
 // turn notes a worker's state and shuts or opens its link for new work.
-func (f *Front) turn(w *worker, state control.WorkerState) {
+func (f *Front) turn(w *worker, state scheduler.WorkerState) {
 	if w.state == state {
 		return
 	}
@@ -85,9 +87,9 @@
 	was := w.state
 	w.state = state
 	switch {
-	case state == control.Ready:
+	case state == scheduler.Ready:
 		w.link.Resume()
-	case was == control.Ready:
+	case was == scheduler.Ready:
 		f.takeBack(w)
 	}
 }
@@ -98,13 +100,13 @@
 	for _, x := range attempts {
 		if a := f.attempts[x]; a != nil {
 			f.later = append(f.later, func() {
-				f.ended(a, workerlink.Result{Status: control.Moot, Why: "the worker drains", Crowd: -1})
+				f.ended(a, muxclient.Result{Status: scheduler.Moot, Why: "the worker drains", Crowd: -1})
 			})
 		}
 	}
 	for _, x := range orders {
 		if o := f.orders[x]; o != nil {
-			f.later = append(f.later, func() { f.orderEnded(o, control.Full, 0) })
+			f.later = append(f.later, func() { f.orderEnded(o, scheduler.Full, 0) })
 		}
 	}
 }
@@ -122,7 +124,7 @@
 			}
 		}
 		w.retired = keep
-		if w.state == control.Gone && len(keep) == 0 && !w.link.Busy() {
+		if w.state == scheduler.Gone && len(keep) == 0 && !w.link.Busy() {
 			w.link.Stop()
 			delete(f.workers, id)
 		}
@@ -143,7 +145,7 @@
 }
 
 // Met takes what a worker said on a new connection.
-func (f *Front) Met(now time.Duration, id control.WorkerID, in workerwire.Welcome) {
+func (f *Front) Met(now time.Duration, id scheduler.WorkerID, in muxframe.Welcome) {
 	f.now = now
 	w := f.workers[id]
 	if w == nil {
@@ -152,15 +154,15 @@
 	w.down = false
 	up := time.Duration(in.UpMillis) * time.Millisecond
 	f.log.Debug().Str("worker", w.Name).Dur("up", up).Msg("connected")
-	if info, news := f.roster.Met(now, id, in.Life, up); news && w.state == control.Ready {
+	if info, news := f.roster.Met(now, id, in.Life, up); news && w.state == scheduler.Ready {
 		f.log.Info().Str("worker", w.Name).Dur("up", up).Msg("started anew, by its own word")
-		f.module.Workers(now, []control.WorkerInfo{info}, false)
+		f.module.Workers(now, []scheduler.WorkerInfo{info}, false)
 	}
 	f.settleLater()
 }
 
 // Down takes the news that there is no connection to a worker.
-func (f *Front) Down(now time.Duration, id control.WorkerID, why error) {
+func (f *Front) Down(now time.Duration, id scheduler.WorkerID, why error) {
 	f.now = now
 	if w := f.workers[id]; w != nil && !w.down {
 		w.down = true
@@ -172,14 +174,14 @@
 func (f *Front) Late(time.Duration) { f.counts.Late++ }
 
 // Began takes the beginning of a long answer: it is the final answer, and goes on from here to the client.
-func (f *Front) Began(now time.Duration, x *workerlink.Attempt, r workerlink.Result) {
+func (f *Front) Began(now time.Duration, x *muxclient.Attempt, r muxclient.Result) {
 	f.now = now
 	a := f.attempts[x]
 	if a == nil {
 		return
 	}
 	if a.call.state != waiting {
-		f.giveUp(a, control.Cancelled, "nobody waits")
+		f.giveUp(a, scheduler.Cancelled, "nobody waits")
 	} else {
 		a.begun = true
 		f.timers.stop(&a.timer) // a running answer has no time-out; the edge judges its standstill
@@ -190,7 +192,7 @@
 }
 
 // Ended takes the end of an attempt from its link.
-func (f *Front) Ended(now time.Duration, x *workerlink.Attempt, r workerlink.Result) {
+func (f *Front) Ended(now time.Duration, x *muxclient.Attempt, r muxclient.Result) {
 	f.now = now
 	if a := f.attempts[x]; a != nil {
 		f.ended(a, r)
@@ -200,18 +202,18 @@
 
 // giveUp ends an attempt from this side. One that never left ends as that: called back it is moot, and if its
 // time passed in the queue there was no connection that took it.
-func (f *Front) giveUp(a *attempt, as control.Status, why string) {
+func (f *Front) giveUp(a *attempt, as scheduler.Status, why string) {
 	if a.settled {
 		return
 	}
 	if !a.worker.abandon(a) {
-		if as == control.Timeout {
-			as, why = control.ConnectFailed, "not sent in time"
+		if as == scheduler.Timeout {
+			as, why = scheduler.ConnectFailed, "not sent in time"
 		} else {
-			as = control.Moot
+			as = scheduler.Moot
 		}
 	}
-	f.ended(a, workerlink.Result{Status: as, Why: why, Crowd: -1})
+	f.ended(a, muxclient.Result{Status: as, Why: why, Crowd: -1})
 }
 
 // withdraw takes an attempt back from the link that has it, if it has not begun to leave.
@@ -230,7 +232,7 @@
 }
 
 // ended tells the module the outcome of an attempt, once.
-func (f *Front) ended(a *attempt, r workerlink.Result) {
+func (f *Front) ended(a *attempt, r muxclient.Result) {
 	if a.settled {
 		return
 	}
@@ -241,10 +243,10 @@
 	c.out, c.last, c.why = nil, r.Status, r.Why
 	c.mayHaveRun(r.Status)
 	f.learnCost(a, r)
-	if r.Status == control.OK && c.state == waiting {
+	if r.Status == scheduler.OK && c.state == waiting {
 		f.final(c, Final{Kind: Served, Answer: r.Answer, Worker: a.worker.Name})
 	}
-	out := control.Outcome{Request: c.id, Attempt: a.number, Status: r.Status, Latency: f.took(a, r),
+	out := scheduler.Outcome{Request: c.id, Attempt: a.number, Status: r.Status, Latency: f.took(a, r),
 		Closed: c.state != waiting, Warmth: r.Warmth, Crowd: r.Crowd, Report: r.Report}
 	if a.worker != nil {
 		out.Worker = a.worker.id
@@ -255,7 +257,7 @@
 
 // took is how long an attempt took until its answer was read. What the answer then waited for the loop is not the
 // worker's: taken for that, a loop that is late would hold back calls from workers that are not.
-func (f *Front) took(a *attempt, r workerlink.Result) time.Duration {
+func (f *Front) took(a *attempt, r muxclient.Result) time.Duration {
 	if r.At > a.sent && r.At < f.now {
 		return r.At - a.sent
 	}
@@ -263,22 +265,22 @@
 }
 
 // learnCost learns from an attempt what its function's calls take, without the loads in it.
-func (f *Front) learnCost(a *attempt, r workerlink.Result) {
+func (f *Front) learnCost(a *attempt, r muxclient.Result) {
 	fn := a.call.fn
-	loaded := r.Warmth == control.BeganLoad || r.Warmth == control.WaitedForLoad
+	loaded := r.Warmth == scheduler.BeganLoad || r.Warmth == scheduler.WaitedForLoad
 	switch {
 	case r.Ran > 0:
 		a.call.work = r.Ran
 		fn.cost.Told(r.Ran)
-	case r.Status == control.OK && !loaded:
+	case r.Status == scheduler.OK && !loaded:
 		fn.cost.Seen(f.now - a.sent)
-	case r.Status == control.Timeout, r.Status == control.Cancelled:
+	case r.Status == scheduler.Timeout, r.Status == scheduler.Cancelled:
 		fn.cost.AtLeast(f.now - a.sent)
 	}
 }
 
 // OrderEnded takes the answer to an order from its link.
-func (f *Front) OrderEnded(now time.Duration, x *workerlink.Order, s control.Status, copies int) {
+func (f *Front) OrderEnded(now time.Duration, x *muxclient.Order, s scheduler.Status, copies int) {
 	f.now = now
 	if o := f.orders[x]; o != nil {
 		f.orderEnded(o, s, copies)
@@ -286,19 +288,19 @@
 	f.settleLater()
 }
 
-func (f *Front) orderEnded(o *order, s control.Status, copies int) {
+func (f *Front) orderEnded(o *order, s scheduler.Status, copies int) {
 	if o.settled {
 		return
 	}
 	o.settled = true
 	f.timers.stop(&o.timer)
 	delete(f.orders, &o.Order)
-	f.module.Loaded(f.now, control.Loaded{Worker: o.worker.id, Function: o.function, Status: s, Latency: f.now - o.given,
+	f.module.Loaded(f.now, scheduler.Loaded{Worker: o.worker.id, Function: o.function, Status: s, Latency: f.now - o.given,
 		Copies: copies})
 }
 
 // Probed takes the answer to a probe.
-func (f *Front) Probed(now time.Duration, id control.WorkerID, s control.Status, report []float64) {
+func (f *Front) Probed(now time.Duration, id scheduler.WorkerID, s scheduler.Status, report []float64) {
 	f.now = now
 	w := f.workers[id]
 	if w == nil || len(w.probes) == 0 {
@@ -306,6 +308,6 @@
 	}
 	asked := w.probes[0]
 	w.probes = w.probes[1:]
-	f.module.Probed(now, control.Probed{Worker: id, Status: s, Latency: now - asked, Report: report})
+	f.module.Probed(now, scheduler.Probed{Worker: id, Status: s, Latency: now - asked, Report: report})
 	f.settleLater()
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -12,25 +12,25 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/callrpc"
-	"havencart/internal/decide/doorkeep"
-	"havencart/internal/directory"
-	"havencart/internal/execlink"
-	"havencart/internal/settings"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/config/platformconfig"
+	"havencart/internal/decide/connadmission"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/internal/platform/rpcserver"
+	"havencart/internal/platform/workerclient"
+	"havencart/scheduler"
 )
 
 // Relay is a front end on the users' platform: one Loop, their protocol before and behind it.
 type Relay struct {
-	set      *settings.Relay
+	set      *platformconfig.Relay
 	log      zerolog.Logger
 	loop     *Loop
 	listener net.Listener
-	clients  *callrpc.Server
-	bulletin *directory.Bulletin
-	budget   *execlink.Budget
+	clients  *rpcserver.Server
+	bulletin *discovery.Bulletin
+	budget   *workerclient.Budget
 	leaving  atomic.Bool
 	after    func(time.Duration, func()) // calls a function later; tests do so by hand
 
@@ -57,27 +57,27 @@
 )
 
 // NewRelay prepares a front end and begins to listen; Run serves.
-func NewRelay(set *settings.Relay, log zerolog.Logger) (*Relay, error) {
+func NewRelay(set *platformconfig.Relay, log zerolog.Logger) (*Relay, error) {
 	runtime.GOMAXPROCS(max(1, int(set.Cores+0.5)))
 	debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryMB) * (1 << 20)))
 	log = sampled(log)
-	clients, workers := doorkeep.Parts(set.Sockets)
-	r := &Relay{set: set, log: log, budget: execlink.NewBudget(workers),
+	clients, workers := connadmission.Parts(set.Sockets)
+	r := &Relay{set: set, log: log, budget: workerclient.NewBudget(workers),
 		after: func(d time.Duration, f func()) { time.AfterFunc(d, f) }}
 	var err error
 	site := set.Site
-	if r.bulletin, err = directory.NewBulletin(set.Bulletin, set.Known, site.Zones, site.Kinds, set.Seed); err != nil {
+	if r.bulletin, err = discovery.NewBulletin(set.Bulletin, set.Known, site.Zones, site.Kinds, set.Seed); err != nil {
 		return nil, err
 	}
 	if r.listener, err = net.Listen("tcp", set.Listen); err != nil {
 		return nil, fmt.Errorf("clients' listener: %w", err)
 	}
-	rules := callrpc.Rules{Tenants: site.Tenants, MemoryMB: site.MemoryMB}
+	rules := rpcserver.Rules{Tenants: site.Tenants, MemoryMB: site.MemoryMB}
 	for i, c := range site.Control.Classes {
-		rules.Classes = append(rules.Classes, callrpc.Class{Name: site.Classes[i], Longest: c.Deadline,
-			Keyed: c.Repeat == control.Keyed})
+		rules.Classes = append(rules.Classes, rpcserver.Class{Name: site.Classes[i], Longest: c.Deadline,
+			Keyed: c.Repeat == scheduler.Keyed})
 	}
-	r.clients = callrpc.New(callrpc.Config{Rules: rules, MaxConns: clients, MaxOpen: relayOpen, MaxOut: relayOut,
+	r.clients = rpcserver.New(rpcserver.Config{Rules: rules, MaxConns: clients, MaxOpen: relayOpen, MaxOut: relayOut,
 		Write: relayWrite, Rest: relayRest, Wrote: func(took time.Duration) { r.loop.Behind(took) }}, r, log)
 	r.loop = NewLoop(r.loopConfig(), log)
 	return r, nil
@@ -92,9 +92,9 @@
 }
 
 // dial is the way to a worker in the platform's protocol.
-func (r *Relay) dial(id control.WorkerID, w directory.Worker, now func() time.Duration, events workerlink.Events) OwnLink {
+func (r *Relay) dial(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) OwnLink {
 	site := r.set.Site
-	return execlink.New(execlink.Config{Worker: w.Name, Address: w.Address, ConnectTimeout: site.Control.ConnectTimeout,
+	return workerclient.New(workerclient.Config{Worker: w.Name, Address: w.Address, ConnectTimeout: site.Control.ConnectTimeout,
 		Streams: site.Streams, Idle: site.ConnIdle, MaxQueue: linkQueue, MaxAnswer: relayAnswer, Reports: site.Control.Reports,
 		Budget: r.budget, Seed: site.Control.Seed ^ uint64(id), Now: now}, events)
 }
@@ -106,9 +106,9 @@
 func (r *Relay) Ready() bool { return !r.leaving.Load() }
 
 // Take implements callrpc.Handler.
-func (r *Relay) Take(in *callrpc.Call, answer func(callrpc.Answer)) (leave func(), err error) {
+func (r *Relay) Take(in *rpcserver.Call, answer func(rpcserver.Answer)) (leave func(), err error) {
 	if !r.ids.take(in.ID) {
-		return nil, fmt.Errorf("%w: id %s was used before", callrpc.ErrBroken, in.ID)
+		return nil, fmt.Errorf("%w: id %s was used before", rpcserver.ErrBroken, in.ID)
 	}
 	size := int64(len(in.Body))
 	over := sync.OnceFunc(func() { // its final answer, or its client's leaving, whichever comes first
@@ -121,7 +121,7 @@
 	})
 	c.ID, c.Class, c.Tenant, c.Key, c.Cost, c.Body = in.ID, in.Class, in.Tenant, in.Key, in.Cost, in.Body
 	c.Patience, c.Since = in.Patience, in.Came.Sub(r.loop.cfg.Began)
-	c.Copy = workerwire.Copy{Function: in.Function, MemoryMB: in.MemoryMB, Lanes: in.Lanes, LoadMillis: millis(in.Load)}
+	c.Copy = muxframe.Copy{Function: in.Function, MemoryMB: in.MemoryMB, Lanes: in.Lanes, LoadMillis: millis(in.Load)}
 	if r.bodies.Add(size) > int64(bodiesPart*float64(r.set.MemoryMB)*(1<<20)) {
 		c.settle(Final{Kind: Refused, Why: "too much in hand", RetryAfter: r.set.Site.Control.MaxRetryAfter})
 		return func() {}, nil
@@ -130,11 +130,11 @@
 	return func() { over(); r.loop.Leave(c) }, nil
 }
 
-var rpcKinds = map[Kind]callrpc.Kind{Served: callrpc.Served, Refused: callrpc.Refused, Failed: callrpc.Failed}
+var rpcKinds = map[Kind]rpcserver.Kind{Served: rpcserver.Served, Refused: rpcserver.Refused, Failed: rpcserver.Failed}
 
 // rpc is a final answer as the platform's clients have it.
-func (f Final) rpc() callrpc.Answer {
-	out := callrpc.Answer{Kind: rpcKinds[f.Kind], After: f.RetryAfter}
+func (f Final) rpc() rpcserver.Answer {
+	out := rpcserver.Answer{Kind: rpcKinds[f.Kind], After: f.RetryAfter}
 	if f.Answer != nil {
 		out.Body = f.Answer.Body
 	}
@@ -143,7 +143,7 @@
 
 // Follow makes the relay go by a configuration read anew. Only the bulletin's address can change while it runs; a
 // configuration of another deployment changes nothing.
-func (r *Relay) Follow(set *settings.Relay) {
+func (r *Relay) Follow(set *platformconfig.Relay) {
 	if field := r.set.Differs(set); field != "" {
 		r.log.Error().Str("field", field).Msg("the configuration stays as it was: the new one is of another front end")
 		return
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -13,11 +13,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"go.uber.org/goleak"
 
-	"havencart/internal/execwire"
-	"havencart/internal/rpcwire"
-	"havencart/internal/settings"
-	"havencart/lab/bulletin"
-	"havencart/lab/executor"
+	"havencart/internal/config/platformconfig"
+	"havencart/internal/platform/rpcframe"
+	"havencart/internal/platform/workerframe"
+	"havencart/lab/platformdiscovery"
+	"havencart/lab/platformworker"
 )
 
 // relayText is a configuration; the places are for the bulletin's address and an executor's.
@@ -37,21 +37,21 @@
 type relayed struct {
 	*Relay
 	t     *testing.T
-	board *bulletin.Server
+	board *platformdiscovery.Server
 	stop  context.CancelFunc
 	waits chan func() // ends the time for which clients come after a stop
 	ended chan error
 }
 
-func startRelay(t *testing.T, script executor.Script) *relayed {
+func startRelay(t *testing.T, script platformworker.Script) *relayed {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	board, err := bulletin.Start()
+	board, err := platformdiscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(board.Close)
-	e, err := executor.Start(script)
+	e, err := platformworker.Start(script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 // newRelayed prepares a front end, which listens; run begins its Run.
 func newRelayed(t *testing.T, board, worker string) (r *relayed, run func()) {
 	t.Helper()
-	set, err := settings.ParseRelay(fmt.Appendf(nil, relayText, board, worker))
+	set, err := platformconfig.ParseRelay(fmt.Appendf(nil, relayText, board, worker))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,13 +126,13 @@
 	if _, err := c.Write(raw); err != nil {
 		r.t.Fatal(err)
 	}
-	r.expect(c, rpcwire.AppendTrue(nil, uint32(number), well))
+	r.expect(c, rpcframe.AppendTrue(nil, uint32(number), well))
 }
 
 // TestARelayServesFromWhatIsKnownWhileTheListIsDown and is ready at once.
 func TestARelayServesFromWhatIsKnownWhileTheListIsDown(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	e, err := executor.Start(served)
+	e, err := platformworker.Start(served)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 		t.Errorf("%d connections to workers before any call: hundreds that start together would all dial", n)
 	}
 	r.ask(c, 2, "quote", 1)
-	r.expect(c, rpcwire.AppendServed(nil, 2, []byte("did body")))
+	r.expect(c, rpcframe.AppendServed(nil, 2, []byte("did body")))
 	r.end()
 }
 
@@ -169,15 +169,15 @@
 	}
 }
 
-func served(c *executor.Conn, f execwire.Frame) {
-	c.Answer(execwire.Frame{Code: execwire.OK, ID: f.ID, Body: append([]byte("did "), f.Body...)})
+func served(c *platformworker.Conn, f workerframe.Frame) {
+	c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: append([]byte("did "), f.Body...)})
 }
 
 func TestRelayServesACallFromClientToWorkerAndBack(t *testing.T) {
 	r := startRelay(t, served)
 	c := r.connect()
 	r.ask(c, 1, "quote", 1)
-	r.expect(c, rpcwire.AppendServed(nil, 1, []byte("did body")))
+	r.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
 	r.end()
 }
 
@@ -185,15 +185,15 @@
 func TestRelayGivesASpoiltUnsafeCallNoSecondRun(t *testing.T) {
 	runs := map[uint64]int{}
 	seen := make(chan uint64, 16)
-	r := startRelay(t, func(c *executor.Conn, f execwire.Frame) {
-		if f.Code == execwire.Request {
+	r := startRelay(t, func(c *platformworker.Conn, f workerframe.Frame) {
+		if f.Code == workerframe.Request {
 			seen <- f.ID
 			c.Raw([]byte("noise that is no frame"))
 		}
 	})
 	c := r.connect()
 	r.ask(c, 1, "unlock", 1)
-	r.expect(c, rpcwire.AppendError(nil, 1, "Lost", "", ""))
+	r.expect(c, rpcframe.AppendError(nil, 1, "Lost", "", ""))
 	r.ask(c, 2, "quote", 2) // may be sent again, and is
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
@@ -210,21 +210,21 @@
 
 func TestRelayTurnsAnIDAwayThatIsInUse(t *testing.T) {
 	come, answer := make(chan bool, 1), make(chan bool)
-	r := startRelay(t, func(c *executor.Conn, f execwire.Frame) { come <- true; <-answer; served(c, f) })
+	r := startRelay(t, func(c *platformworker.Conn, f workerframe.Frame) { come <- true; <-answer; served(c, f) })
 	first, second := r.connect(), r.connect()
 	r.ask(first, 1, "quote", 1)
 	<-come
 	r.ask(second, 1, "quote", 1)
-	r.expect(second, rpcwire.AppendError(nil, 1, "Malformed", "", ""))
+	r.expect(second, rpcframe.AppendError(nil, 1, "Malformed", "", ""))
 	close(answer)
-	r.expect(first, rpcwire.AppendServed(nil, 1, []byte("did body")))
+	r.expect(first, rpcframe.AppendServed(nil, 1, []byte("did body")))
 	r.end()
 }
 
 // TestRelayAnswersWhatItHasBeforeItStops holds that a stop loses nothing: neither what is out nor what still comes.
 func TestRelayAnswersWhatItHasBeforeItStops(t *testing.T) {
 	come, answer := make(chan bool, 4), make(chan bool)
-	r := startRelay(t, func(c *executor.Conn, f execwire.Frame) { come <- true; <-answer; served(c, f) })
+	r := startRelay(t, func(c *platformworker.Conn, f workerframe.Frame) { come <- true; <-answer; served(c, f) })
 	c := r.connect()
 	r.ask(c, 1, "quote", 1)
 	<-come
@@ -237,8 +237,8 @@
 	<-come
 	over()
 	close(answer)
-	r.expect(c, rpcwire.AppendServed(nil, 1, []byte("did body")))
-	r.expect(late, rpcwire.AppendServed(nil, 2, []byte("did body")))
+	r.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
+	r.expect(late, rpcframe.AppendServed(nil, 2, []byte("did body")))
 	if err := <-r.ended; err != nil {
 		t.Errorf("stopped: %v", err)
 	}
@@ -246,7 +246,7 @@
 
 func TestRelayFollowsTheBulletinToAnotherAddress(t *testing.T) {
 	r := startRelay(t, served)
-	other, err := bulletin.Start()
+	other, err := platformdiscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,28 +263,28 @@
 // TestRequestsInHandStayWithinTheMemory: what would go beyond is refused at once, and what ends or leaves makes room.
 func TestRequestsInHandStayWithinTheMemory(t *testing.T) {
 	come, answer := make(chan bool, 64), make(chan bool)
-	r := startRelay(t, func(c *executor.Conn, f execwire.Frame) {
-		if f.Code == execwire.Request {
+	r := startRelay(t, func(c *platformworker.Conn, f workerframe.Frame) {
+		if f.Code == workerframe.Request {
 			come <- true
 			<-answer
-			served(c, execwire.Frame{ID: f.ID})
+			served(c, workerframe.Frame{ID: f.ID})
 		}
 	})
 	r.set.MemoryMB = 1 // of which a quarter is for bodies
-	large := make([]byte, rpcwire.MaxBody)
+	large := make([]byte, rpcframe.MaxBody)
 	c := r.connect()
 	for i := range 16 {
 		r.askWith(c, 1+i, "quote", 1+i, large)
 	}
 	<-come
 	r.askWith(c, 17, "quote", 17, large)
-	r.expect(c, rpcwire.AppendError(nil, 17, "Backoff", "after", "500"))
+	r.expect(c, rpcframe.AppendError(nil, 17, "Backoff", "after", "500"))
 	c.Close()
 	close(answer)
 	for r.bodies.Load() > 0 { // until it is heard that the client left
 	}
 	next := r.connect()
 	r.askWith(next, 1, "quote", 18, large)
-	r.expect(next, rpcwire.AppendServed(nil, 1, []byte("did ")))
+	r.expect(next, rpcframe.AppendServed(nil, 1, []byte("did ")))
 	r.end()
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -12,23 +12,23 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/callhttp"
-	"havencart/internal/config"
+	"havencart/internal/config/gatewayconfig"
 	"havencart/internal/decide/tenancy"
-	"havencart/internal/directory"
-	"havencart/internal/watch"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/discovery"
+	"havencart/internal/native/httpserver"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/internal/shadow"
+	"havencart/scheduler"
 )
 
 // Service is a gateway process: its loops, and the clients' listener before them.
 type Service struct {
-	set      *config.Settings
+	set      *gatewayconfig.Settings
 	log      zerolog.Logger
 	loops    []*Loop
 	listener net.Listener
-	clients  *callhttp.Server
+	clients  *httpserver.Server
 	next     atomic.Uint64
 }
 
@@ -46,7 +46,7 @@
 const linkQueue = 4096
 
 // NewService prepares a gateway and begins to listen; Run serves.
-func NewService(set *config.Settings, log zerolog.Logger) (*Service, error) {
+func NewService(set *gatewayconfig.Settings, log zerolog.Logger) (*Service, error) {
 	l, err := net.Listen("tcp", set.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("clients' listener: %w", err)
@@ -58,9 +58,9 @@
 	for i := range set.Loops {
 		s.loops = append(s.loops, NewLoop(loopConfig(set, i, began), log.With().Int("front-end", set.First+i).Logger()))
 	}
-	s.clients = callhttp.New(callhttp.Config{Idle: set.IdleTime, Header: set.HeaderTime, Body: set.BodyTime,
+	s.clients = httpserver.New(httpserver.Config{Idle: set.IdleTime, Header: set.HeaderTime, Body: set.BodyTime,
 		Write: set.WriteTime, Stall: set.StallTime, MaxHeader: set.MaxHeader, MaxBody: set.MaxBody, Pipeline: set.Pipeline,
-		MaxConns: set.MaxConns, KeepHalves: set.HalfClosed}, func() callhttp.Handler {
+		MaxConns: set.MaxConns, KeepHalves: set.HalfClosed}, func() httpserver.Handler {
 		return edge{s.loops[s.next.Add(1)%uint64(len(s.loops))], catalog}
 	}, log)
 	return s, nil
@@ -149,19 +149,19 @@
 	}
 }
 
-func loopConfig(set *config.Settings, i int, began time.Time) LoopConfig {
+func loopConfig(set *gatewayconfig.Settings, i int, began time.Time) LoopConfig {
 	cfg := LoopConfig{Settings: FrontSettings(set, i, began, rand.Uint64()), Queue: set.Queue, Events: eventQueue, StopWait: set.StopWait,
-		Link: workerlink.Config{ConnectTimeout: set.ConnectTimeout, Window: set.Window, MaxQueue: linkQueue}}
+		Link: muxclient.Config{ConnectTimeout: set.ConnectTimeout, Window: set.Window, MaxQueue: linkQueue}}
 	if set.Directory.Kind == "file" {
-		cfg.Source = directory.NewFile(set.Directory.Where)
+		cfg.Source = discovery.NewFile(set.Directory.Where)
 	} else {
-		cfg.Source = directory.NewConsul(set.Directory.Where, set.Directory.Service, cfg.Name)
+		cfg.Source = discovery.NewConsul(set.Directory.Where, set.Directory.Service, cfg.Name)
 	}
 	return cfg
 }
 
 // FrontSettings are the settings of the process's front end i, which began at a wall time and draws from seed.
-func FrontSettings(set *config.Settings, i int, began time.Time, seed uint64) Settings {
+func FrontSettings(set *gatewayconfig.Settings, i int, began time.Time, seed uint64) Settings {
 	out := Settings{Name: fmt.Sprintf("%s-%d", set.Name, set.First+i), Margin: set.AnswerMargin, MaxCalls: set.MaxCalls,
 		Began: began, Zones: append([]string{set.Zone}, set.Zones...), Control: moduleSettings(set, i, seed)}
 	for _, c := range set.Classes {
@@ -172,13 +172,13 @@
 	}
 	out.Tenancy = tenancySettings(set)
 	if other, every := set.Watched(); other != nil {
-		out.Watch = &watch.Settings{Control: moduleSettings(other, i, seed), Every: every}
+		out.Watch = &shadow.Settings{Control: moduleSettings(other, i, seed), Every: every}
 	}
 	return out
 }
 
 // tenancySettings are what the tenants were promised of one front end: of quotas its part, of shares all.
-func tenancySettings(set *config.Settings) tenancy.Settings {
+func tenancySettings(set *gatewayconfig.Settings) tenancy.Settings {
 	out := tenancy.Settings{By: set.Shares}
 	for _, t := range set.Tenants {
 		out.Shares = append(out.Shares, t.Share)
@@ -188,8 +188,8 @@
 }
 
 // moduleSettings are the module's own for the process's front end i.
-func moduleSettings(set *config.Settings, i int, seed uint64) control.Settings {
-	out := control.Settings{Seed: seed, Self: set.First + i, FrontEnds: set.FrontEnds,
+func moduleSettings(set *gatewayconfig.Settings, i int, seed uint64) scheduler.Settings {
+	out := scheduler.Settings{Seed: seed, Self: set.First + i, FrontEnds: set.FrontEnds,
 		MissAnswered: set.MissAnswered, MayOrder: set.Orders, TellsWarm: set.TellsWarm, TellsCrowd: set.TellsCrowd,
 		KeepAlive: set.KeepAlive, OrderTimeout: set.OrderTimeout, LoadWindow: set.LoadWindow, LoadFree: set.LoadFree,
 		LoadShare: set.LoadShare, MayProbe: set.Probes, MayCancel: set.Cancel, MaxAttempts: set.MaxAttempts,
@@ -200,23 +200,23 @@
 		out.Classes = append(out.Classes, c.Control())
 	}
 	for _, t := range set.Tenants {
-		out.Tenants = append(out.Tenants, control.Tenant{Share: t.Share, Quota: t.Quota})
+		out.Tenants = append(out.Tenants, scheduler.Tenant{Share: t.Share, Quota: t.Quota})
 	}
 	return out
 }
 
 // CatalogOf is what settings tell of classes, tenants and functions.
-func CatalogOf(set *config.Settings) *Catalog {
+func CatalogOf(set *gatewayconfig.Settings) *Catalog {
 	k := &Catalog{Functions: map[string]CatalogFunction{}, Listed: set.FunctionsOnly}
 	for _, c := range set.Classes {
-		k.Classes = append(k.Classes, CatalogClass{Name: c.Name, Patience: c.GiveUp, Copy: workerwire.Copy{
+		k.Classes = append(k.Classes, CatalogClass{Name: c.Name, Patience: c.GiveUp, Copy: muxframe.Copy{
 			MemoryMB: float64(c.Size), Lanes: c.Lanes, LoadMillis: millis(c.Load)}})
 	}
 	for _, t := range set.Tenants {
 		k.Tenants = append(k.Tenants, t.Name)
 	}
 	for _, f := range set.Functions {
-		k.Functions[f.Name] = CatalogFunction{Class: max(0, set.Class(f.Class)), Copy: workerwire.Copy{
+		k.Functions[f.Name] = CatalogFunction{Class: max(0, set.Class(f.Class)), Copy: muxframe.Copy{
 			MemoryMB: float64(f.Size), Lanes: f.Lanes, LoadMillis: millis(f.Load)}}
 	}
 	return k
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -5,30 +5,30 @@
 	"testing"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/config"
+	"havencart/internal/config/gatewayconfig"
+	"havencart/scheduler"
 )
 
 // TestDefaultsAreAsBefore pins what the module is told where the settings file says nothing of it.
 func TestDefaultsAreAsBefore(t *testing.T) {
-	set, err := config.Parse("f", "directory file /nowhere\nclass a\nend\n")
+	set, err := gatewayconfig.Parse("f", "directory file /nowhere\nclass a\nend\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := FrontSettings(set, 0, time.Time{}, 3)
-	want := control.Settings{Seed: 3, FrontEnds: 1, MayOrder: true, TellsWarm: true, TellsCrowd: true, KeepAlive: 10 * time.Second,
+	want := scheduler.Settings{Seed: 3, FrontEnds: 1, MayOrder: true, TellsWarm: true, TellsCrowd: true, KeepAlive: 10 * time.Second,
 		OrderTimeout: 10 * time.Second, LoadFree: 4, LoadShare: 0.1, MayProbe: true, MayCancel: true, MaxAttempts: 5,
 		MaxRetryAfter: time.Second, ConnectTimeout: 250 * ms, DrainGrace: 500 * ms, ColdFrom: 0.2, ColdTime: 15 * time.Second,
 		TipMultiple: 3, TipWindow: 2 * time.Second, Resolution: ms, Reports: reportNames,
-		Classes: []control.Class{{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.3, Repeat: control.Unsafe,
-			Scope: control.ScopeCell, Memory: 5 * time.Second}}}
+		Classes: []scheduler.Class{{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.3, Repeat: scheduler.Unsafe,
+			Scope: scheduler.ScopeCell, Memory: 5 * time.Second}}}
 	if !reflect.DeepEqual(got.Control, want) || got.Watch != nil {
 		t.Errorf("the module is told\n%+v\nwant\n%+v", got.Control, want)
 	}
 }
 
 func TestSettingsOfTheNewShapeReachTheModule(t *testing.T) {
-	set, err := config.Parse("f", "directory file /nowhere\nprobes off\nretry-after off\nweights nominal\nclass a\nend\nwatch w\n  probes on\n  weights live\nend\n")
+	set, err := gatewayconfig.Parse("f", "directory file /nowhere\nprobes off\nretry-after off\nweights nominal\nclass a\nend\nwatch w\n  probes on\n  weights live\nend\n")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/tenancy_test.go
+++ b/internal/gateway/tenancy_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/config"
+	"havencart/internal/config/gatewayconfig"
 	"havencart/internal/decide/tenancy"
-	"havencart/internal/workerlink"
+	"havencart/internal/native/muxclient"
+	"havencart/scheduler"
 )
 
 // TestTenantsPromisesReachTheFrontEnd: of a quota each front end has its part, of the shares all.
 func TestTenantsPromisesReachTheFrontEnd(t *testing.T) {
 	text := "directory file /nowhere\nfront-ends 4\nclass a\nend\ntenant t\n  share 0.7\n  quota 100\nend\ntenant u\n  share 0.3\nend\n"
 	for add, by := range map[string]tenancy.By{"": tenancy.Nothing, "shares work\n": tenancy.Work, "shares calls\n": tenancy.Calls} {
-		set, err := config.Parse("f", add+text)
+		set, err := gatewayconfig.Parse("f", add+text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +52,7 @@
 		l, a := b.out(b.call(safe))
 		l.drop(a)
 		b.at += 400 * ms
-		b.Ended(b.at, a, workerlink.Result{Status: control.OK, Warmth: control.FoundWarm, Crowd: -1, Ran: ran, Answer: &workerlink.Answer{}})
+		b.Ended(b.at, a, muxclient.Result{Status: scheduler.OK, Warmth: scheduler.FoundWarm, Crowd: -1, Ran: ran, Answer: &muxclient.Answer{}})
 		if got := b.functions[FunctionID("f")].cost.Expect(); got != cmp.Or(ran, 400*ms) {
 			t.Errorf("a run of %v within 400 ms counts as %v", ran, got)
 		}
--- a/internal/house/house_test.go
+++ b/internal/layering/layering_test.go
@@ -1,5 +1,5 @@
-// Package house has the test that holds the floors of docs/architecture.md.
-package house
+// Package layering has the test that holds the floors of docs/architecture.md.
+package layering
 
 import (
 	"go/ast"
@@ -14,14 +14,14 @@
 
 // floors are the packages from the bottom up; an import must not go up, and on one floor only where siblings says.
 var floors = [][]string{
-	{"control"},
-	{"internal/decide/", "internal/watch"},
-	{"internal/lines"},
-	{"internal/config", "internal/settings"},
-	{"internal/workerwire", "internal/benchwire", "internal/rpcwire", "internal/execwire", "internal/bulletinwire"},
-	{"internal/callhttp", "internal/callrpc", "internal/workerlink", "internal/directory"},
-	{"internal/execlink"},
-	{"internal/gateway", "internal/benchhost"},
+	{"scheduler"},
+	{"internal/decide/", "internal/shadow"},
+	{"internal/directive"},
+	{"internal/config/gatewayconfig", "internal/config/platformconfig"},
+	{"internal/native/muxframe", "internal/simwire", "internal/platform/rpcframe", "internal/platform/workerframe", "internal/platform/endpointstream"},
+	{"internal/native/httpserver", "internal/platform/rpcserver", "internal/native/muxclient", "internal/discovery"},
+	{"internal/platform/workerclient"},
+	{"internal/gateway", "internal/simhost"},
 	{"lab/"},
 	{"cmd/"},
 }
@@ -72,7 +72,7 @@
 func TestImportsGoDown(t *testing.T) {
 	seen := 0
 	packages(t, func(path string, p *build.Package) {
-		if path == "internal/house" {
+		if path == "internal/layering" {
 			return
 		}
 		seen++
--- a/internal/callhttp/parse.go
+++ b/internal/native/httpserver/parse.go
@@ -1,4 +1,4 @@
-package callhttp
+package httpserver
 
 import (
 	"bufio"
--- a/internal/callhttp/types.go
+++ b/internal/native/httpserver/types.go
@@ -1,7 +1,7 @@
-// Package callhttp is the clients' edge: POST /call/FUNCTION over HTTP/1.1, requests parsed by the standard
+// Package httpserver is the clients' edge: POST /call/FUNCTION over HTTP/1.1, requests parsed by the standard
 // library. It knows nothing of workers: a Handler takes each call and gives its final answer. docs/running.md
 // lists the headers.
-package callhttp
+package httpserver
 
 import (
 	"context"
--- a/internal/workerlink/io.go
+++ b/internal/native/muxclient/io.go
@@ -1,4 +1,4 @@
-package workerlink
+package muxclient
 
 import (
 	"bufio"
@@ -9,9 +9,9 @@
 	"net"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/decide/linkcare"
-	"havencart/internal/workerwire"
+	"havencart/internal/decide/reconnect"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // batchBytes bounds what one write hands to the system: calls behind it can still be taken back.
@@ -24,7 +24,7 @@
 	var b Batch
 	for {
 		l.claim(&b)
-		Tell(l.events, b.Faulty, control.Moot, control.Error, "its frame cannot be encoded")
+		Tell(l.events, b.Faulty, scheduler.Moot, scheduler.Error, "its frame cannot be encoded")
 		if len(b.Bytes) > 0 {
 			n, err := conn.Write(b.Bytes)
 			l.written(&b, n, err)
@@ -35,9 +35,9 @@
 		}
 		verdict, next := l.check()
 		switch verdict {
-		case linkcare.Dead:
+		case reconnect.Dead:
 			return fmt.Errorf("%s is silent: %w", l.cfg.Worker, errHalfOpen)
-		case linkcare.Ping:
+		case reconnect.Ping:
 			continue // claimed above
 		}
 		timer := time.NewTimer(next - l.cfg.Now())
@@ -55,12 +55,12 @@
 var errHalfOpen = errors.New("no sign of life")
 
 // check asks the pulse of the connection and queues the ping that it wants.
-func (l *Link) check() (linkcare.Verdict, time.Duration) {
+func (l *Link) check() (reconnect.Verdict, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	verdict, next := l.pulse.Check(l.cfg.Now())
-	if verdict == linkcare.Ping {
-		l.push(frame{kind: workerwire.TypePing})
+	if verdict == reconnect.Ping {
+		l.push(frame{kind: muxframe.TypePing})
 	}
 	return verdict, next
 }
@@ -71,7 +71,7 @@
 	defer l.mu.Unlock()
 	l.box.Claim(b, l.encode)
 	if len(b.Bytes) > 0 && l.conn != nil {
-		l.setWriteDeadline(linkcare.WriteLimit())
+		l.setWriteDeadline(reconnect.WriteLimit())
 	}
 }
 
@@ -82,12 +82,12 @@
 		call := i.Attempt.Call
 		call.Patience = max(0, (i.Attempt.Deadline - l.cfg.Now()).Milliseconds())
 		call.Window = uint32(l.cfg.Window)
-		return workerwire.Append(buf, workerwire.TypeCall, uint32(i.Attempt.number), call, i.Attempt.Body)
+		return muxframe.Append(buf, muxframe.TypeCall, uint32(i.Attempt.number), call, i.Attempt.Body)
 	case i.Order != nil:
-		return workerwire.Append(buf, workerwire.TypeLoad, uint32(i.Order.number), i.Order.Load, nil)
+		return muxframe.Append(buf, muxframe.TypeLoad, uint32(i.Order.number), i.Order.Load, nil)
 	}
 	f := i.Frame.(frame)
-	return workerwire.Append(buf, f.kind, f.number, f.header, nil)
+	return muxframe.Append(buf, f.kind, f.number, f.header, nil)
 }
 
 // written takes the result of a write.
@@ -96,12 +96,12 @@
 	never := l.box.Written(b, n)
 	l.mu.Unlock()
 	if len(never) > 0 {
-		Tell(l.events, never, control.ConnectFailed, control.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
+		Tell(l.events, never, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
 	}
 }
 
 // read handles frames until the connection breaks.
-func (l *Link) read(conn net.Conn, reader *workerwire.Reader) error {
+func (l *Link) read(conn net.Conn, reader *muxframe.Reader) error {
 	for {
 		f, err := reader.Next()
 		if err == nil {
@@ -116,48 +116,48 @@
 	}
 }
 
-func (l *Link) handle(f workerwire.Frame) error {
+func (l *Link) handle(f muxframe.Frame) error {
 	switch f.Type {
-	case workerwire.TypeAnswer:
+	case muxframe.TypeAnswer:
 		return l.answer(f)
-	case workerwire.TypeData:
+	case muxframe.TypeData:
 		return l.data(f)
-	case workerwire.TypeEnd:
+	case muxframe.TypeEnd:
 		return l.finish(f)
-	case workerwire.TypeLoaded:
+	case muxframe.TypeLoaded:
 		return l.loaded(f)
-	case workerwire.TypeProbed:
+	case muxframe.TypeProbed:
 		return l.probed(f)
-	case workerwire.TypePing:
+	case muxframe.TypePing:
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.push(frame{kind: workerwire.TypePong})
+		l.push(frame{kind: muxframe.TypePong})
 		return nil
-	case workerwire.TypePong:
+	case muxframe.TypePong:
 		return nil
 	}
-	return fmt.Errorf("%w: %v from a worker", workerwire.ErrMalformed, f.Type)
+	return fmt.Errorf("%w: %v from a worker", muxframe.ErrMalformed, f.Type)
 }
 
-var statuses = map[workerwire.Status]control.Status{
-	workerwire.StatusOK: control.OK, workerwire.StatusError: control.Error,
-	workerwire.StatusFull: control.Full, workerwire.StatusMiss: control.Miss,
+var statuses = map[muxframe.Status]scheduler.Status{
+	muxframe.StatusOK: scheduler.OK, muxframe.StatusError: scheduler.Error,
+	muxframe.StatusFull: scheduler.Full, muxframe.StatusMiss: scheduler.Miss,
 }
 
-var warmths = map[workerwire.Warmth]control.Warmth{
-	workerwire.FoundWarm: control.FoundWarm, workerwire.BeganLoad: control.BeganLoad,
-	workerwire.WaitedForLoad: control.WaitedForLoad, workerwire.LoadFailed: control.LoadFailed,
+var warmths = map[muxframe.Warmth]scheduler.Warmth{
+	muxframe.FoundWarm: scheduler.FoundWarm, muxframe.BeganLoad: scheduler.BeganLoad,
+	muxframe.WaitedForLoad: scheduler.WaitedForLoad, muxframe.LoadFailed: scheduler.LoadFailed,
 }
 
 // answer takes the end of an attempt, or the beginning of a long answer.
-func (l *Link) answer(f workerwire.Frame) error {
-	var in workerwire.Answer
+func (l *Link) answer(f muxframe.Frame) error {
+	var in muxframe.Answer
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
 	status, known := statuses[in.Status]
-	if !known || in.More && status != control.OK {
-		return fmt.Errorf("%w: answer with status %d, more %t", workerwire.ErrMalformed, in.Status, in.More)
+	if !known || in.More && status != scheduler.OK {
+		return fmt.Errorf("%w: answer with status %d, more %t", muxframe.ErrMalformed, in.Status, in.More)
 	}
 	r := Result{Status: status, Why: in.Problem, Warmth: warmths[in.Warmth], Crowd: -1, Report: in.Report}
 	if in.Ran > 0 && in.Ran < float64(math.MaxInt64/time.Millisecond) {
@@ -172,7 +172,7 @@
 	if a == nil || a.stream != nil {
 		l.mu.Unlock()
 		if !issued || a != nil {
-			return fmt.Errorf("%w: answer to call %d, which is not under way", workerwire.ErrMalformed, f.Call)
+			return fmt.Errorf("%w: answer to call %d, which is not under way", muxframe.ErrMalformed, f.Call)
 		}
 		l.events.Late(f.Call)
 		return nil
@@ -202,7 +202,7 @@
 }
 
 func (l *Link) overrun(number uint32) error {
-	return fmt.Errorf("%w: more of the answer to call %d than was allowed", workerwire.ErrMalformed, number)
+	return fmt.Errorf("%w: more of the answer to call %d than was allowed", muxframe.ErrMalformed, number)
 }
 
 // allow gives the worker credit for n more bytes of an answer.
@@ -210,12 +210,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.box.Attempt(uint64(number)) != nil {
-		l.push(frame{kind: workerwire.TypeCredit, number: number, header: workerwire.Credit{Bytes: uint32(n)}})
+		l.push(frame{kind: muxframe.TypeCredit, number: number, header: muxframe.Credit{Bytes: uint32(n)}})
 	}
 }
 
 // data takes the next part of an answer; parts of an answer that nobody waits for are dropped.
-func (l *Link) data(f workerwire.Frame) error {
+func (l *Link) data(f muxframe.Frame) error {
 	l.mu.Lock()
 	a := l.box.Attempt(uint64(f.Call))
 	l.mu.Unlock()
@@ -223,7 +223,7 @@
 		return nil
 	}
 	if a.stream == nil {
-		return fmt.Errorf("%w: data for call %d before its answer", workerwire.ErrMalformed, f.Call)
+		return fmt.Errorf("%w: data for call %d before its answer", muxframe.ErrMalformed, f.Call)
 	}
 	if !a.stream.add(f.Body) {
 		return l.overrun(f.Call)
@@ -232,8 +232,8 @@
 }
 
 // finish takes the end of an answer that came in parts.
-func (l *Link) finish(f workerwire.Frame) error {
-	var in workerwire.End
+func (l *Link) finish(f muxframe.Frame) error {
+	var in muxframe.End
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
@@ -245,13 +245,13 @@
 	}
 	if a.stream == nil {
 		l.mu.Unlock()
-		return fmt.Errorf("%w: end of call %d before its answer", workerwire.ErrMalformed, f.Call)
+		return fmt.Errorf("%w: end of call %d before its answer", muxframe.ErrMalformed, f.Call)
 	}
 	l.box.Answered(uint64(f.Call))
 	l.mu.Unlock()
 	r := *a.begun
 	if in.Broken != "" {
-		r.Status, r.Why = control.Error, in.Broken
+		r.Status, r.Why = scheduler.Error, in.Broken
 		a.stream.end(fmt.Errorf("%w: %s", ErrBroken, in.Broken))
 	} else {
 		a.stream.end(nil)
@@ -260,14 +260,14 @@
 	return nil
 }
 
-func (l *Link) loaded(f workerwire.Frame) error {
-	var in workerwire.Loaded
+func (l *Link) loaded(f muxframe.Frame) error {
+	var in muxframe.Loaded
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
 	status, known := statuses[in.Status]
 	if !known {
-		return fmt.Errorf("%w: order answered with status %d", workerwire.ErrMalformed, in.Status)
+		return fmt.Errorf("%w: order answered with status %d", muxframe.ErrMalformed, in.Status)
 	}
 	l.mu.Lock()
 	o := l.box.OrderAnswered(uint64(f.Call))
@@ -278,8 +278,8 @@
 	return nil
 }
 
-func (l *Link) probed(f workerwire.Frame) error {
-	var in workerwire.Probed
+func (l *Link) probed(f muxframe.Frame) error {
+	var in muxframe.Probed
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
--- a/internal/workerlink/link.go
+++ b/internal/native/muxclient/link.go
@@ -1,4 +1,4 @@
-package workerlink
+package muxclient
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/decide/linkcare"
-	"havencart/internal/workerwire"
+	"havencart/internal/decide/reconnect"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // errClosed is why a link that was closed by its owner is down.
@@ -30,14 +30,14 @@
 	probes   int    // asked, not answered
 	last     uint32 // number given last
 	conn     net.Conn
-	pulse    *linkcare.Pulse
+	pulse    *reconnect.Pulse
 	draining bool
 	closed   bool
 }
 
 // frame is one that belongs to no attempt that waits and to no order.
 type frame struct {
-	kind   workerwire.Type
+	kind   muxframe.Type
 	number uint32
 	header any
 }
@@ -65,10 +65,10 @@
 	switch {
 	case l.draining:
 		a.state = unsent
-		return &Result{Status: control.Moot, Why: "the worker drains", Crowd: -1}
+		return &Result{Status: scheduler.Moot, Why: "the worker drains", Crowd: -1}
 	case l.closed || l.box.Waiting() >= l.cfg.MaxQueue:
 		a.state = unsent
-		return &Result{Status: control.ConnectFailed, Why: "the link's queue is full or closed", Crowd: -1}
+		return &Result{Status: scheduler.ConnectFailed, Why: "the link's queue is full or closed", Crowd: -1}
 	}
 	l.box.PushAttempt(l.number(), a)
 	l.wake()
@@ -92,14 +92,14 @@
 		if a.stream != nil {
 			a.stream.end(fmt.Errorf("%w: given up here", ErrBroken))
 		}
-		l.push(frame{kind: workerwire.TypeCancel, number: uint32(a.number)})
+		l.push(frame{kind: muxframe.TypeCancel, number: uint32(a.number)})
 	}
 	return mayHaveLeft
 }
 
 // Load gives an order and returns 0; its answer is told by Events. What cannot be taken on returns its status
 // at once.
-func (l *Link) Load(o *Order) control.Status {
+func (l *Link) Load(o *Order) scheduler.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if status := l.orderable(o); status != 0 {
@@ -112,12 +112,12 @@
 }
 
 // orderable says why an order cannot be written, 0 if it can.
-func (l *Link) orderable(o *Order) control.Status {
+func (l *Link) orderable(o *Order) scheduler.Status {
 	switch {
 	case l.draining && o.Load.Copies > 0:
-		return control.Full
+		return scheduler.Full
 	case l.closed || l.box.Waiting() >= l.cfg.MaxQueue:
-		return control.ConnectFailed
+		return scheduler.ConnectFailed
 	}
 	return 0
 }
@@ -133,7 +133,7 @@
 func (l *Link) Unload(function string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.push(frame{kind: workerwire.TypeUnload, header: workerwire.Unload{Function: function}})
+	l.push(frame{kind: muxframe.TypeUnload, header: muxframe.Unload{Function: function}})
 }
 
 // Probe asks the worker for its load; the answer is told by Events.
@@ -141,7 +141,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.probes++
-	l.push(frame{kind: workerwire.TypeProbe})
+	l.push(frame{kind: muxframe.TypeProbe})
 }
 
 // Drain takes back all new work that has not left, returns it, and takes on none from now: none of it ran.
@@ -203,7 +203,7 @@
 // run dials, serves and dials again until the link is closed.
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
-	redial := linkcare.NewRedial(l.cfg.Seed)
+	redial := reconnect.NewRedial(l.cfg.Seed)
 	for {
 		err := l.connect(ctx, redial)
 		redial.Failed(l.cfg.Now())
@@ -225,7 +225,7 @@
 }
 
 // pause waits until the next attempt to connect is due. A call that waits makes it due sooner.
-func (l *Link) pause(ctx context.Context, redial *linkcare.Redial) bool {
+func (l *Link) pause(ctx context.Context, redial *reconnect.Redial) bool {
 	for {
 		wait := redial.Next() - l.cfg.Now()
 		if wait <= 0 {
@@ -245,14 +245,14 @@
 }
 
 // connect makes one connection and serves it until it breaks; it returns why it did.
-func (l *Link) connect(ctx context.Context, redial *linkcare.Redial) error {
+func (l *Link) connect(ctx context.Context, redial *reconnect.Redial) error {
 	conn, reader, welcome, err := l.greet(ctx)
 	if err != nil {
 		return err
 	}
 	redial.Up()
 	l.mu.Lock()
-	l.conn, l.pulse = conn, linkcare.NewPulse(l.cfg.Now())
+	l.conn, l.pulse = conn, reconnect.NewPulse(l.cfg.Now())
 	l.mu.Unlock()
 	l.events.Up(welcome)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -276,8 +276,8 @@
 }
 
 // greet dials and exchanges Hello and Welcome, all within ConnectTimeout.
-func (l *Link) greet(ctx context.Context) (net.Conn, *workerwire.Reader, workerwire.Welcome, error) {
-	var welcome workerwire.Welcome
+func (l *Link) greet(ctx context.Context) (net.Conn, *muxframe.Reader, muxframe.Welcome, error) {
+	var welcome muxframe.Welcome
 	dialCtx, cancel := context.WithTimeout(ctx, l.cfg.ConnectTimeout)
 	defer cancel()
 	conn, err := new(net.Dialer).DialContext(dialCtx, "tcp", l.cfg.Address)
@@ -296,23 +296,23 @@
 	return conn, reader, welcome, nil
 }
 
-func (l *Link) handshake(conn net.Conn) (*workerwire.Reader, workerwire.Welcome, error) {
-	var welcome workerwire.Welcome
-	hello, err := workerwire.Append(nil, workerwire.TypeHello, 0,
-		workerwire.Hello{Version: workerwire.Version, FrontEnd: l.cfg.FrontEnd}, nil)
+func (l *Link) handshake(conn net.Conn) (*muxframe.Reader, muxframe.Welcome, error) {
+	var welcome muxframe.Welcome
+	hello, err := muxframe.Append(nil, muxframe.TypeHello, 0,
+		muxframe.Hello{Version: muxframe.Version, FrontEnd: l.cfg.FrontEnd}, nil)
 	if err != nil {
 		return nil, welcome, err
 	}
 	if _, err := conn.Write(hello); err != nil {
 		return nil, welcome, err
 	}
-	reader := workerwire.NewReader(newBuffered(conn), l.cfg.MaxFrame)
+	reader := muxframe.NewReader(newBuffered(conn), l.cfg.MaxFrame)
 	f, err := reader.Next()
 	if err != nil {
 		return nil, welcome, err
 	}
-	if f.Type != workerwire.TypeWelcome {
-		return nil, welcome, fmt.Errorf("%w: %v in place of welcome", workerwire.ErrMalformed, f.Type)
+	if f.Type != muxframe.TypeWelcome {
+		return nil, welcome, fmt.Errorf("%w: %v in place of welcome", muxframe.ErrMalformed, f.Type)
 	}
 	if err := f.Decode(&welcome); err != nil {
 		return nil, welcome, err
@@ -320,8 +320,8 @@
 	switch {
 	case welcome.Refused != "":
 		return nil, welcome, fmt.Errorf("refused: %s", welcome.Refused)
-	case welcome.Version != workerwire.Version:
-		return nil, welcome, fmt.Errorf("it speaks version %d, this is %d", welcome.Version, workerwire.Version)
+	case welcome.Version != muxframe.Version:
+		return nil, welcome, fmt.Errorf("it speaks version %d, this is %d", welcome.Version, muxframe.Version)
 	case welcome.Worker != l.cfg.Worker:
 		return nil, welcome, fmt.Errorf("worker %q answers at %s", welcome.Worker, l.cfg.Address)
 	}
@@ -341,10 +341,10 @@
 			i.Attempt.stream.end(fmt.Errorf("%w: %w", ErrBroken, why))
 		}
 	}
-	Tell(l.events, waiting, control.ConnectFailed, control.ConnectFailed, why.Error())
-	Tell(l.events, out, control.Reset, control.Reset, why.Error())
+	Tell(l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, why.Error())
+	Tell(l.events, out, scheduler.Reset, scheduler.Reset, why.Error())
 	for range probes {
-		l.events.Probed(control.ConnectFailed, nil)
+		l.events.Probed(scheduler.ConnectFailed, nil)
 	}
 	l.events.Down(why)
 }
--- a/internal/workerlink/link_test.go
+++ b/internal/native/muxclient/link_test.go
@@ -1,4 +1,4 @@
-package workerlink
+package muxclient
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 
 	"go.uber.org/goleak"
 
-	"havencart/control"
-	"havencart/internal/workerwire"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -26,24 +26,24 @@
 // heard gathers what a link tells.
 type heard struct {
 	began, ended chan Result
-	orders       chan control.Status
-	probes       chan control.Status
-	up           chan workerwire.Welcome
+	orders       chan scheduler.Status
+	probes       chan scheduler.Status
+	up           chan muxframe.Welcome
 	down         chan error
 	late         chan uint32
 }
 
 func newHeard() *heard {
-	return &heard{make(chan Result, 1000), make(chan Result, 1000), make(chan control.Status, 1000),
-		make(chan control.Status, 1000), make(chan workerwire.Welcome, 1000), make(chan error, 1000),
+	return &heard{make(chan Result, 1000), make(chan Result, 1000), make(chan scheduler.Status, 1000),
+		make(chan scheduler.Status, 1000), make(chan muxframe.Welcome, 1000), make(chan error, 1000),
 		make(chan uint32, 1000)}
 }
 
-func (h *heard) Began(_ *Attempt, r Result)                        { h.began <- r }
-func (h *heard) Ended(_ *Attempt, r Result)                        { h.ended <- r }
-func (h *heard) OrderEnded(_ *Order, s control.Status, copies int) { h.orders <- s }
-func (h *heard) Probed(s control.Status, _ []float64)              { h.probes <- s }
-func (h *heard) Up(w workerwire.Welcome)                           { h.up <- w }
+func (h *heard) Began(_ *Attempt, r Result)                          { h.began <- r }
+func (h *heard) Ended(_ *Attempt, r Result)                          { h.ended <- r }
+func (h *heard) OrderEnded(_ *Order, s scheduler.Status, copies int) { h.orders <- s }
+func (h *heard) Probed(s scheduler.Status, _ []float64)              { h.probes <- s }
+func (h *heard) Up(w muxframe.Welcome)                               { h.up <- w }
 func (h *heard) Down(err error) {
 	select {
 	case h.down <- err:
@@ -68,7 +68,7 @@
 	t        *testing.T
 	listener net.Listener
 	conn     net.Conn
-	in       *workerwire.Reader
+	in       *muxframe.Reader
 }
 
 func listen(t *testing.T) *peer {
@@ -89,7 +89,7 @@
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { conn.Close() })
-	p.conn, p.in = conn, workerwire.NewReader(bufio.NewReader(conn), 0)
+	p.conn, p.in = conn, muxframe.NewReader(bufio.NewReader(conn), 0)
 	return p
 }
 
@@ -97,14 +97,14 @@
 func (p *peer) greet(life uint64) *peer {
 	p.t.Helper()
 	p.accept()
-	if f := p.next(); f.Type != workerwire.TypeHello {
+	if f := p.next(); f.Type != muxframe.TypeHello {
 		p.t.Fatalf("%v in place of hello", f.Type)
 	}
-	p.write(workerwire.TypeWelcome, 0, workerwire.Welcome{Version: workerwire.Version, Worker: "w", Life: life}, "")
+	p.write(muxframe.TypeWelcome, 0, muxframe.Welcome{Version: muxframe.Version, Worker: "w", Life: life}, "")
 	return p
 }
 
-func (p *peer) next() workerwire.Frame {
+func (p *peer) next() muxframe.Frame {
 	p.t.Helper()
 	_ = p.conn.SetReadDeadline(time.Now().Add(soon))
 	f, err := p.in.Next()
@@ -115,14 +115,14 @@
 }
 
 // call is the next frame that is a call, whatever pings come before it.
-func (p *peer) call() (uint32, workerwire.Call) {
+func (p *peer) call() (uint32, muxframe.Call) {
 	p.t.Helper()
 	for {
 		f := p.next()
-		if f.Type != workerwire.TypeCall {
+		if f.Type != muxframe.TypeCall {
 			continue
 		}
-		var c workerwire.Call
+		var c muxframe.Call
 		if err := f.Decode(&c); err != nil {
 			p.t.Fatal(err)
 		}
@@ -130,9 +130,9 @@
 	}
 }
 
-func (p *peer) write(kind workerwire.Type, number uint32, header any, body string) {
+func (p *peer) write(kind muxframe.Type, number uint32, header any, body string) {
 	p.t.Helper()
-	raw, err := workerwire.Append(nil, kind, number, header, []byte(body))
+	raw, err := muxframe.Append(nil, kind, number, header, []byte(body))
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 }
 
 func attempt(id string) *Attempt {
-	return &Attempt{Call: workerwire.Call{Copy: workerwire.Copy{Function: "f", Lanes: 1}, ID: id}, Body: []byte("in"),
+	return &Attempt{Call: muxframe.Call{Copy: muxframe.Copy{Function: "f", Lanes: 1}, ID: id}, Body: []byte("in"),
 		Deadline: time.Hour}
 }
 
@@ -177,13 +177,13 @@
 		t.Errorf("call %+v", c)
 	}
 	crowd := 3
-	p.write(workerwire.TypeAnswer, second, workerwire.Answer{Status: workerwire.StatusOK, Crowd: &crowd, Ran: 12.5}, "out")
-	if r := await(t, "an answer", h.ended); r.Status != control.OK || string(r.Answer.Body) != "out" || r.Crowd != 3 ||
+	p.write(muxframe.TypeAnswer, second, muxframe.Answer{Status: muxframe.StatusOK, Crowd: &crowd, Ran: 12.5}, "out")
+	if r := await(t, "an answer", h.ended); r.Status != scheduler.OK || string(r.Answer.Body) != "out" || r.Crowd != 3 ||
 		r.Ran != 12500*time.Microsecond {
 		t.Errorf("result %+v", r)
 	}
-	p.write(workerwire.TypeAnswer, first, workerwire.Answer{Status: workerwire.StatusMiss}, "")
-	if r := await(t, "an answer", h.ended); r.Status != control.Miss || r.Crowd != -1 {
+	p.write(muxframe.TypeAnswer, first, muxframe.Answer{Status: muxframe.StatusMiss}, "")
+	if r := await(t, "an answer", h.ended); r.Status != scheduler.Miss || r.Crowd != -1 {
 		t.Errorf("result %+v", r)
 	}
 }
@@ -197,7 +197,7 @@
 		l.Send(attempt("a"))
 		p.call()
 		p.reset()
-		if r := await(t, "the end", h.ended); r.Status != control.Reset {
+		if r := await(t, "the end", h.ended); r.Status != scheduler.Reset {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -206,7 +206,7 @@
 		p.listener.Close()
 		l, h := open(t, p, nil)
 		if r := l.Send(attempt("a")); r == nil {
-			if r := await(t, "the end", h.ended); r.Status != control.ConnectFailed {
+			if r := await(t, "the end", h.ended); r.Status != scheduler.ConnectFailed {
 				t.Errorf("%+v", r)
 			}
 		}
@@ -216,7 +216,7 @@
 		l, h := open(t, p, func(c *Config) { c.ConnectTimeout = 50 * time.Millisecond })
 		l.Send(attempt("a"))
 		p.accept()
-		if r := await(t, "the end", h.ended); r.Status != control.ConnectFailed {
+		if r := await(t, "the end", h.ended); r.Status != scheduler.ConnectFailed {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -225,7 +225,7 @@
 		l, h := open(t, p, func(c *Config) { c.Worker = "other" })
 		l.Send(attempt("a"))
 		p.greet(1)
-		if r := await(t, "the end", h.ended); r.Status != control.ConnectFailed || !strings.Contains(r.Why, `"w"`) {
+		if r := await(t, "the end", h.ended); r.Status != scheduler.ConnectFailed || !strings.Contains(r.Why, `"w"`) {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -235,10 +235,10 @@
 		p.greet(1)
 		l.Send(attempt("a"))
 		n, _ := p.call()
-		raw, _ := workerwire.Append(nil, workerwire.TypeAnswer, n, workerwire.Answer{Status: workerwire.StatusOK}, nil)
+		raw, _ := muxframe.Append(nil, muxframe.TypeAnswer, n, muxframe.Answer{Status: muxframe.StatusOK}, nil)
 		_, _ = p.conn.Write(raw[:len(raw)-2])
 		p.conn.Close()
-		if r := await(t, "the end", h.ended); r.Status != control.Reset || !strings.Contains(r.Why, "unexpected EOF") {
+		if r := await(t, "the end", h.ended); r.Status != scheduler.Reset || !strings.Contains(r.Why, "unexpected EOF") {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -249,7 +249,7 @@
 		l.Send(attempt("a"))
 		p.call()
 		_, _ = p.conn.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
-		if r := await(t, "the end", h.ended); r.Status != control.Reset || !strings.Contains(r.Why, "malformed") {
+		if r := await(t, "the end", h.ended); r.Status != scheduler.Reset || !strings.Contains(r.Why, "malformed") {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -270,7 +270,7 @@
 	_, _ = io.ReadFull(p.conn, make([]byte, 100)) // it is being written
 	p.reset()
 	for range 2 {
-		if r := await(t, "the end", h.ended); r.Status != control.ConnectFailed {
+		if r := await(t, "the end", h.ended); r.Status != scheduler.ConnectFailed {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -282,20 +282,20 @@
 	a, b := attempt("a"), attempt("b")
 	l.Send(a)
 	l.Send(b)
-	l.Load(&Order{Load: workerwire.Load{Copies: 1}})
-	l.Load(&Order{Load: workerwire.Load{Copies: 0}})
+	l.Load(&Order{Load: muxframe.Load{Copies: 1}})
+	l.Load(&Order{Load: muxframe.Load{Copies: 0}})
 	attempts, orders := l.Drain(time.Second)
 	if len(attempts) != 2 || attempts[0] != a || len(orders) != 1 {
 		t.Fatalf("taken back: %d attempts, %d orders", len(attempts), len(orders))
 	}
-	if r := l.Send(attempt("c")); r == nil || r.Status != control.Moot {
+	if r := l.Send(attempt("c")); r == nil || r.Status != scheduler.Moot {
 		t.Errorf("new work after the notice: %+v", r)
 	}
-	if s := l.Load(&Order{Load: workerwire.Load{Copies: 2}}); s != control.Full {
+	if s := l.Load(&Order{Load: muxframe.Load{Copies: 2}}); s != scheduler.Full {
 		t.Errorf("an order after the notice: %v", s)
 	}
 	p.greet(1)
-	if f := p.next(); f.Type != workerwire.TypeLoad {
+	if f := p.next(); f.Type != muxframe.TypeLoad {
 		t.Errorf("%v left, only the question may", f.Type)
 	}
 	if len(h.ended) != 0 {
@@ -319,7 +319,7 @@
 	l.Send(big)
 	_, _ = io.ReadFull(p.conn, make([]byte, 100))
 	l.Drain(10 * time.Millisecond)
-	if r := await(t, "the end", h.ended); r.Status != control.ConnectFailed {
+	if r := await(t, "the end", h.ended); r.Status != scheduler.ConnectFailed {
 		t.Errorf("%+v", r)
 	}
 	got, _ := io.Copy(io.Discard, p.conn)
@@ -347,10 +347,10 @@
 	if !l.Abandon(b) {
 		t.Error("an attempt that was read did not leave")
 	}
-	if f := p.next(); f.Type != workerwire.TypeCancel || f.Call != n {
+	if f := p.next(); f.Type != muxframe.TypeCancel || f.Call != n {
 		t.Errorf("the worker is told %v %d", f.Type, f.Call)
 	}
-	p.write(workerwire.TypeAnswer, n, workerwire.Answer{Status: workerwire.StatusOK}, "late")
+	p.write(muxframe.TypeAnswer, n, muxframe.Answer{Status: muxframe.StatusOK}, "late")
 	if got := await(t, "a late answer", h.late); got != n {
 		t.Errorf("late answer to %d", got)
 	}
@@ -369,7 +369,7 @@
 	answered := attempt("answered")
 	l.Send(answered)
 	n, _ := p.call()
-	p.write(workerwire.TypeAnswer, n, workerwire.Answer{Status: workerwire.StatusOK}, "done")
+	p.write(muxframe.TypeAnswer, n, muxframe.Answer{Status: muxframe.StatusOK}, "done")
 	await(t, "the answer", h.ended)
 	if !l.Abandon(answered) {
 		t.Error("an attempt that was answered never left")
@@ -400,7 +400,7 @@
 	old, _ := p.call()
 	former := p.conn
 	former.(*net.TCPConn).CloseWrite() // the worker's end of the old connection lives on
-	if r := await(t, "the end", h.ended); r.Status != control.Reset {
+	if r := await(t, "the end", h.ended); r.Status != scheduler.Reset {
 		t.Fatalf("%+v", r)
 	}
 	l.Send(attempt("b"))
@@ -409,10 +409,10 @@
 	if now == old {
 		t.Fatal("a number was used again")
 	}
-	p.write(workerwire.TypeAnswer, old, workerwire.Answer{Status: workerwire.StatusOK}, "")
+	p.write(muxframe.TypeAnswer, old, muxframe.Answer{Status: muxframe.StatusOK}, "")
 	await(t, "a late answer", h.late)
-	p.write(workerwire.TypeAnswer, now, workerwire.Answer{Status: workerwire.StatusOK}, "")
-	if r := await(t, "the answer", h.ended); r.Status != control.OK {
+	p.write(muxframe.TypeAnswer, now, muxframe.Answer{Status: muxframe.StatusOK}, "")
+	if r := await(t, "the answer", h.ended); r.Status != scheduler.OK {
 		t.Errorf("%+v", r)
 	}
 }
@@ -421,8 +421,8 @@
 	p := listen(t)
 	_, h := open(t, p, nil)
 	p.greet(1)
-	p.write(workerwire.TypeAnswer, 77, workerwire.Answer{Status: workerwire.StatusOK}, "")
-	if err := await(t, "the break", h.down); !errors.Is(err, workerwire.ErrMalformed) {
+	p.write(muxframe.TypeAnswer, 77, muxframe.Answer{Status: muxframe.StatusOK}, "")
+	if err := await(t, "the break", h.down); !errors.Is(err, muxframe.ErrMalformed) {
 		t.Errorf("%v", err)
 	}
 }
@@ -434,8 +434,8 @@
 	l.Send(attempt("a"))
 	n, c := p.call()
 	part := strings.Repeat("x", int(c.Window)/2)
-	p.write(workerwire.TypeAnswer, n, workerwire.Answer{Status: workerwire.StatusOK, More: true}, part)
-	p.write(workerwire.TypeData, n, nil, part)
+	p.write(muxframe.TypeAnswer, n, muxframe.Answer{Status: muxframe.StatusOK, More: true}, part)
+	p.write(muxframe.TypeData, n, nil, part)
 	begun := await(t, "the beginning", h.began)
 	got := 0
 	for range 2 {
@@ -447,14 +447,14 @@
 	}
 	for credit := 0; credit < int(c.Window); {
 		f := p.next()
-		var in workerwire.Credit
-		if f.Type == workerwire.TypeCredit && f.Decode(&in) == nil {
+		var in muxframe.Credit
+		if f.Type == muxframe.TypeCredit && f.Decode(&in) == nil {
 			credit += int(in.Bytes)
 		}
 	}
-	p.write(workerwire.TypeData, n, nil, "end")
-	p.write(workerwire.TypeEnd, n, workerwire.End{}, "")
-	if r := await(t, "the end", h.ended); r.Status != control.OK {
+	p.write(muxframe.TypeData, n, nil, "end")
+	p.write(muxframe.TypeEnd, n, muxframe.End{}, "")
+	if r := await(t, "the end", h.ended); r.Status != scheduler.OK {
 		t.Errorf("%+v", r)
 	}
 	b, err := begun.Answer.Stream.Next(context.Background(), soon)
@@ -473,14 +473,14 @@
 	l.Send(attempt("quick"))
 	slow, c := p.call()
 	quick, _ := p.call()
-	p.write(workerwire.TypeAnswer, slow, workerwire.Answer{Status: workerwire.StatusOK, More: true},
+	p.write(muxframe.TypeAnswer, slow, muxframe.Answer{Status: muxframe.StatusOK, More: true},
 		strings.Repeat("x", int(c.Window)))
-	p.write(workerwire.TypeAnswer, quick, workerwire.Answer{Status: workerwire.StatusOK}, "")
-	if r := await(t, "the quick answer", h.ended); r.Status != control.OK {
+	p.write(muxframe.TypeAnswer, quick, muxframe.Answer{Status: muxframe.StatusOK}, "")
+	if r := await(t, "the quick answer", h.ended); r.Status != scheduler.OK {
 		t.Errorf("%+v", r)
 	}
-	p.write(workerwire.TypeData, slow, nil, "too much")
-	if r := await(t, "the break", h.ended); r.Status != control.Reset || !strings.Contains(r.Why, "allowed") {
+	p.write(muxframe.TypeData, slow, nil, "too much")
+	if r := await(t, "the break", h.ended); r.Status != scheduler.Reset || !strings.Contains(r.Why, "allowed") {
 		t.Errorf("%+v", r)
 	}
 	begun := await(t, "the beginning", h.began)
@@ -496,22 +496,22 @@
 	p := listen(t)
 	l, h := open(t, p, nil)
 	p.greet(1)
-	l.Load(&Order{Load: workerwire.Load{Copies: 1}})
+	l.Load(&Order{Load: muxframe.Load{Copies: 1}})
 	f := p.next()
-	p.write(workerwire.TypeLoaded, f.Call, workerwire.Loaded{Status: workerwire.StatusOK, Copies: 1}, "")
-	if s := await(t, "the order's end", h.orders); s != control.OK {
+	p.write(muxframe.TypeLoaded, f.Call, muxframe.Loaded{Status: muxframe.StatusOK, Copies: 1}, "")
+	if s := await(t, "the order's end", h.orders); s != scheduler.OK {
 		t.Errorf("%v", s)
 	}
 	l.Probe()
-	for p.next().Type != workerwire.TypeProbe {
+	for p.next().Type != muxframe.TypeProbe {
 	}
-	p.write(workerwire.TypeProbed, 0, workerwire.Probed{Status: workerwire.StatusOK}, "")
-	if s := await(t, "the probe's end", h.probes); s != control.OK {
+	p.write(muxframe.TypeProbed, 0, muxframe.Probed{Status: muxframe.StatusOK}, "")
+	if s := await(t, "the probe's end", h.probes); s != scheduler.OK {
 		t.Errorf("%v", s)
 	}
 	l.Probe()
 	p.reset()
-	if s := await(t, "the probe's end", h.probes); s != control.ConnectFailed {
+	if s := await(t, "the probe's end", h.probes); s != scheduler.ConnectFailed {
 		t.Errorf("%v", s)
 	}
 }
@@ -524,7 +524,7 @@
 			t.Fatalf("%+v", r)
 		}
 	}
-	if r := l.Send(attempt("third")); r == nil || r.Status != control.ConnectFailed {
+	if r := l.Send(attempt("third")); r == nil || r.Status != scheduler.ConnectFailed {
 		t.Errorf("%+v", r)
 	}
 }
@@ -539,7 +539,7 @@
 	p.call()
 	clock.Add(int64(time.Minute))
 	l.Unload("f") // wakes the writer, as its timer would
-	if r := await(t, "the end", h.ended); r.Status != control.Reset || !strings.Contains(r.Why, "sign of life") {
+	if r := await(t, "the end", h.ended); r.Status != scheduler.Reset || !strings.Contains(r.Why, "sign of life") {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/workerlink/outbox.go
+++ b/internal/native/muxclient/outbox.go
@@ -1,6 +1,6 @@
-package workerlink
+package muxclient
 
-import "havencart/control"
+import "havencart/scheduler"
 
 // Outbox is what waits to be written to one connection of a worker, and what has left on it and has no answer
 // yet. It knows of each attempt and order whether its frame left. Every link keeps its books here, whatever its
@@ -265,7 +265,7 @@
 }
 
 // Tell tells the ends of items; no lock is held.
-func Tell(events Events, items []Item, call, order control.Status, why string) {
+func Tell(events Events, items []Item, call, order scheduler.Status, why string) {
 	for _, i := range items {
 		switch {
 		case i.Attempt != nil:
--- a/internal/workerlink/stream.go
+++ b/internal/native/muxclient/stream.go
@@ -1,4 +1,4 @@
-package workerlink
+package muxclient
 
 import (
 	"context"
--- a/internal/workerlink/types.go
+++ b/internal/native/muxclient/types.go
@@ -1,4 +1,4 @@
-// Package workerlink keeps one multiplexed connection to a worker: it dials and dials again, writes what the
+// Package muxclient keeps one multiplexed connection to a worker: it dials and dials again, writes what the
 // front end sends, tells it how each attempt and order ended, and knows of every attempt whether the worker
 // can have seen it. On that rests the rule that no effect happens twice.
 //
@@ -12,20 +12,20 @@
 //	the worker answered                                      as it says
 //
 // Writing is handing bytes to the system: from then on they may reach the worker at any time.
-package workerlink
+package muxclient
 
 import (
 	"time"
 
-	"havencart/control"
-	"havencart/internal/workerwire"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
 )
 
 // Result is how an attempt ended.
 type Result struct {
-	Status control.Status
+	Status scheduler.Status
 	Why    string // for people
-	Warmth control.Warmth
+	Warmth scheduler.Warmth
 	Crowd  int // -1 where not told
 	Report []float64
 	Ran    time.Duration // that the run took, without what the call waited; 0: not told
@@ -44,7 +44,7 @@
 // Attempt is one attempt of a call at one worker. The exported fields are the caller's and stay as they are
 // from Send on; the others belong to the link.
 type Attempt struct {
-	Call     workerwire.Call
+	Call     muxframe.Call
 	Body     []byte
 	Deadline time.Duration // nobody waits after this; on the clock of Config.Now
 
@@ -68,7 +68,7 @@
 
 // Order is one order to load, or the question how many copies stand.
 type Order struct {
-	Load workerwire.Load
+	Load muxframe.Load
 
 	number uint64
 	state  state
@@ -82,11 +82,11 @@
 	// Ended tells the end of an attempt, once, unless it was abandoned.
 	Ended(a *Attempt, r Result)
 	// OrderEnded tells the answer to an order, once, unless it was abandoned.
-	OrderEnded(o *Order, s control.Status, copies int)
+	OrderEnded(o *Order, s scheduler.Status, copies int)
 	// Probed tells the answer to a probe, or that none can come.
-	Probed(s control.Status, report []float64)
+	Probed(s scheduler.Status, report []float64)
 	// Up tells that a connection stands, with what the worker said of itself.
-	Up(w workerwire.Welcome)
+	Up(w muxframe.Welcome)
 	// Down tells that there is no connection, and why.
 	Down(why error)
 	// Late tells of an answer that nobody waits for any longer.
--- a/internal/workerwire/frame.go
+++ b/internal/native/muxframe/frame.go
@@ -1,4 +1,4 @@
-// Package workerwire is the codec of the protocol between a front end and its workers: length-prefixed frames
+// Package muxframe is the codec of the protocol between a front end and its workers: length-prefixed frames
 // with a CBOR header (RFC 8949) and a raw body. It does no I/O but on the reader that it is given.
 //
 // A frame is
@@ -11,7 +11,7 @@
 //	         the body, raw, to the end of the frame
 //
 // docs/protocol.md tells what each frame means and which may follow which.
-package workerwire
+package muxframe
 
 import (
 	"encoding/binary"
--- a/internal/workerwire/frame_test.go
+++ b/internal/native/muxframe/frame_test.go
@@ -1,4 +1,4 @@
-package workerwire
+package muxframe
 
 import (
 	"bytes"
--- a/internal/bulletinwire/bulletinwire.go
+++ b/internal/platform/endpointstream/bulletinwire.go
@@ -1,7 +1,7 @@
-// Package bulletinwire reads and writes the bulletin, as the users' platform calls its list of executors: frames on
+// Package endpointstream reads and writes the bulletin, as the users' platform calls its list of executors: frames on
 // a connection, and the same events as JSON in a front end's configuration. It is strict: every length is checked
 // before anything is allocated for it.
-package bulletinwire
+package endpointstream
 
 import (
 	"encoding/binary"
--- a/internal/bulletinwire/bulletinwire_test.go
+++ b/internal/platform/endpointstream/bulletinwire_test.go
@@ -1,4 +1,4 @@
-package bulletinwire
+package endpointstream
 
 import (
 	"bytes"
--- a/internal/rpcwire/rpcwire.go
+++ b/internal/platform/rpcframe/rpcwire.go
@@ -1,7 +1,7 @@
-// Package rpcwire reads and writes the MessagePack-RPC messages that clients of the users' platform speak. It is
+// Package rpcframe reads and writes the MessagePack-RPC messages that clients of the users' platform speak. It is
 // strict: every length is checked before anything is allocated for it, and what is not a message as the platform's
 // page words it is an error.
-package rpcwire
+package rpcframe
 
 import (
 	"bytes"
--- a/internal/rpcwire/rpcwire_test.go
+++ b/internal/platform/rpcframe/rpcwire_test.go
@@ -1,4 +1,4 @@
-package rpcwire
+package rpcframe
 
 import (
 	"bufio"
--- a/internal/callrpc/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -1,4 +1,4 @@
-package callrpc
+package rpcserver
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"havencart/internal/decide/doorkeep"
-	"havencart/internal/rpcwire"
+	"havencart/internal/decide/connadmission"
+	"havencart/internal/platform/rpcframe"
 )
 
 // readBuffer is small: there are many connections, and memory is short.
@@ -50,19 +50,19 @@
 	return &conn{s: s, net: nc, in: bufio.NewReaderSize(nc, readBuffer), open: map[uint32]*exchange{}, since: time.Now()}
 }
 
-func (c *conn) standing(now time.Time) doorkeep.Conn {
+func (c *conn) standing(now time.Time) connadmission.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stands(now)
 }
 
 // stands is how the connection stands; the lock is held.
-func (c *conn) stands(now time.Time) doorkeep.Conn {
+func (c *conn) stands(now time.Time) connadmission.Conn {
 	open := len(c.open)
 	if c.taking || c.writing {
 		open++
 	}
-	return doorkeep.Conn{Open: open, Asked: c.asked, Half: c.half, Since: now.Sub(c.since)}
+	return connadmission.Conn{Open: open, Asked: c.asked, Half: c.half, Since: now.Sub(c.since)}
 }
 
 // closeIf closes a connection on which nothing is open and nothing is to be written, if may says so of how it stands
@@ -70,7 +70,7 @@
 //
 // A message that came whole counts as open until it is taken or turned down. It guards against a request that is read
 // from a connection which is closed meanwhile: its client sends it anew under the same id, and would find that in use.
-func (c *conn) closeIf(may func(doorkeep.Conn) bool) bool {
+func (c *conn) closeIf(may func(connadmission.Conn) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if stands := c.stands(time.Now()); c.closed || stands.Open > 0 || !may(stands) {
@@ -98,7 +98,7 @@
 
 // read takes requests until the connection ends, and leaves what is open then.
 func (c *conn) read() {
-	reader := rpcwire.NewReader(c.in)
+	reader := rpcframe.NewReader(c.in)
 	for c.next(reader) {
 	}
 	c.mu.Lock()
@@ -119,7 +119,7 @@
 }
 
 // next takes the next message and says whether to go on.
-func (c *conn) next(reader *rpcwire.Reader) bool {
+func (c *conn) next(reader *rpcframe.Reader) bool {
 	if _, err := c.in.Peek(1); err != nil {
 		return false
 	}
@@ -128,7 +128,7 @@
 	c.stand(false, true)
 	defer c.stand(false, false)
 	switch {
-	case errors.Is(err, rpcwire.ErrMalformed):
+	case errors.Is(err, rpcframe.ErrMalformed):
 		c.refute(m.Number, err)
 		return false
 	case err != nil:
@@ -156,12 +156,12 @@
 	c.s.broken.Add(1)
 	c.s.log.Info().Err(why).Msg("a client broke the protocol")
 	if number > 0 {
-		c.write(func(out []byte) []byte { return rpcwire.AppendError(out, number, "Malformed", "", "") })
+		c.write(func(out []byte) []byte { return rpcframe.AppendError(out, number, "Malformed", "", "") })
 	}
 }
 
 // request takes one request.
-func (c *conn) request(m rpcwire.Message) error {
+func (c *conn) request(m rpcframe.Message) error {
 	if m.Method == heartbeat {
 		c.beat(m)
 		return nil
@@ -203,12 +203,12 @@
 	return nil
 }
 
-func (c *conn) beat(m rpcwire.Message) {
+func (c *conn) beat(m rpcframe.Message) {
 	c.mu.Lock()
 	c.last = max(c.last, m.Number)
 	c.asked = true
 	c.mu.Unlock()
-	c.write(func(out []byte) []byte { return rpcwire.AppendTrue(out, m.Number, c.s.handler.Ready()) })
+	c.write(func(out []byte) []byte { return rpcframe.AppendTrue(out, m.Number, c.s.handler.Ready()) })
 }
 
 // revoke takes back requests: nobody waits for them. One that has its answer is none of these any longer.
@@ -234,13 +234,13 @@
 		c.since = time.Now()
 		switch {
 		case a.Kind == Served:
-			return rpcwire.AppendServed(out, number, a.Body)
+			return rpcframe.AppendServed(out, number, a.Body)
 		case a.Kind == Refused && a.After > 0:
-			return rpcwire.AppendError(out, number, "Backoff", "after", strconv.FormatInt(a.After.Milliseconds(), 10))
+			return rpcframe.AppendError(out, number, "Backoff", "after", strconv.FormatInt(a.After.Milliseconds(), 10))
 		case a.Kind == Refused:
-			return rpcwire.AppendError(out, number, "Backoff", "", "")
+			return rpcframe.AppendError(out, number, "Backoff", "", "")
 		}
-		return rpcwire.AppendError(out, number, "Lost", "", "")
+		return rpcframe.AppendError(out, number, "Lost", "", "")
 	})
 }
 
--- a/internal/callrpc/crossings_test.go
+++ b/internal/platform/rpcserver/crossings_test.go
@@ -1,4 +1,4 @@
-package callrpc
+package rpcserver
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"havencart/internal/decide/doorkeep"
-	"havencart/internal/rpcwire"
+	"havencart/internal/decide/connadmission"
+	"havencart/internal/platform/rpcframe"
 )
 
 // gate is a listener whose Accept waits until the test lets it go on.
@@ -54,7 +54,7 @@
 		}
 		call := <-h.calls
 		call.answer(Answer{Kind: Served, Body: []byte("one")})
-		expect(t, c, rpcwire.AppendServed(nil, 1, []byte("one")))
+		expect(t, c, rpcframe.AppendServed(nil, 1, []byte("one")))
 		l.Close()
 		if err := <-served; err != nil {
 			t.Error(err)
@@ -111,7 +111,7 @@
 	h := slowTaker{taker{make(chan *taken, 1), make(chan string, 1)}, make(chan bool), make(chan bool)}
 	s := New(Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}, h, zerolog.Nop())
 	s.take(ours)
-	any := func(doorkeep.Conn) bool { return true }
+	any := func(connadmission.Conn) bool { return true }
 	var c *conn
 	for c = range s.conns {
 	}
@@ -128,7 +128,7 @@
 		t.Error("closed while a request was open")
 	}
 	call.answer(Answer{Kind: Served, Body: []byte("one")})
-	expect(t, theirs, rpcwire.AppendServed(nil, 1, []byte("one")))
+	expect(t, theirs, rpcframe.AppendServed(nil, 1, []byte("one")))
 	c.closeBehind()
 	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("read %v", err)
@@ -143,22 +143,22 @@
 	defer theirs.Close()
 	c := newConn(New(Config{}, taker{}, zerolog.Nop()), ours)
 	c.asked, c.since = true, time.Now().Add(-time.Hour)
-	if looked := c.standing(time.Now()); !doorkeep.Over(looked) {
+	if looked := c.standing(time.Now()); !connadmission.Over(looked) {
 		t.Fatalf("not idle: %+v", looked)
 	}
 	c.stand(true, false)
-	if c.closeIf(doorkeep.Over) {
+	if c.closeIf(connadmission.Over) {
 		t.Error("closed in the middle of a message")
 	}
-	if c.closeIf(doorkeep.OverAtStop) {
+	if c.closeIf(connadmission.OverAtStop) {
 		t.Error("closed in the middle of a message at a stop")
 	}
 	c.stand(false, true)
-	if c.closeIf(func(doorkeep.Conn) bool { return true }) {
+	if c.closeIf(func(connadmission.Conn) bool { return true }) {
 		t.Error("closed between a request's last byte and its taking")
 	}
 	c.stand(false, false)
-	if !c.closeIf(doorkeep.OverAtStop) {
+	if !c.closeIf(connadmission.OverAtStop) {
 		t.Error("an idle one is kept at a stop")
 	}
 }
@@ -177,7 +177,7 @@
 	first.answer(Answer{Kind: Served, Body: []byte("one")})
 	<-told // the write of the first one begins, and nobody reads
 	second.answer(Answer{Kind: Served, Body: []byte("two")})
-	expect(t, theirs, rpcwire.AppendServed(rpcwire.AppendServed(nil, 1, []byte("one")), 2, []byte("two")))
+	expect(t, theirs, rpcframe.AppendServed(rpcframe.AppendServed(nil, 1, []byte("one")), 2, []byte("two")))
 	if len(told) != 0 {
 		t.Errorf("the second answer's wait of %v for its client is told as ours", <-told)
 	}
--- a/internal/callrpc/leaving_test.go
+++ b/internal/platform/rpcserver/leaving_test.go
@@ -1,4 +1,4 @@
-package callrpc
+package rpcserver
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"havencart/internal/rpcwire"
+	"havencart/internal/platform/rpcframe"
 )
 
 // TestEachWayOfLeavingIsHeard: the calls are left, and the connection's place is free again.
@@ -41,7 +41,7 @@
 			next := connect(t, address) // there is one place
 			write(t, next, ask(t, 1, "quote", good(3)))
 			(<-h.calls).answer(Answer{Kind: Served})
-			expect(t, next, rpcwire.AppendServed(nil, 1, nil))
+			expect(t, next, rpcframe.AppendServed(nil, 1, nil))
 		})
 	}
 }
@@ -65,7 +65,7 @@
 			<-h.left
 		}
 		calls[1].answer(Answer{Kind: Served, Body: []byte("late")})
-		expect(t, c, rpcwire.AppendServed(nil, uint32(numbers[0]), []byte("first")))
+		expect(t, c, rpcframe.AppendServed(nil, uint32(numbers[0]), []byte("first")))
 	}
 }
 
@@ -89,7 +89,7 @@
 				t.Fatalf("body %q", call.Body)
 			}
 			call.answer(Answer{Kind: Served})
-			want = rpcwire.AppendServed(want, uint32(number-n+1+i), nil)
+			want = rpcframe.AppendServed(want, uint32(number-n+1+i), nil)
 		}
 		expect(t, c, want)
 	}
@@ -165,9 +165,9 @@
 	last := connect(t, address)
 	write(t, last, ask(t, 1, "quote", good(2)))
 	(<-h.calls).answer(Answer{Kind: Served})
-	expect(t, last, rpcwire.AppendServed(nil, 1, nil))
+	expect(t, last, rpcframe.AppendServed(nil, 1, nil))
 	call.answer(Answer{Kind: Served})
-	expect(t, asks, rpcwire.AppendServed(nil, 1, nil))
+	expect(t, asks, rpcframe.AppendServed(nil, 1, nil))
 	for _, c := range silent {
 		c.Close()
 	}
--- a/internal/callrpc/passing.go
+++ b/internal/platform/rpcserver/passing.go
@@ -1,4 +1,4 @@
-package callrpc
+package rpcserver
 
 import (
 	"errors"
--- a/internal/callrpc/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -1,4 +1,4 @@
-package callrpc
+package rpcserver
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/internal/decide/doorkeep"
+	"havencart/internal/decide/connadmission"
 )
 
 // Config bounds what clients may do.
@@ -109,8 +109,8 @@
 	s.mu.Lock()
 	list, states := s.states()
 	s.mu.Unlock()
-	i := doorkeep.Evict(states)
-	if i < 0 || !list[i].closeIf(doorkeep.MayEvict) {
+	i := connadmission.Evict(states)
+	if i < 0 || !list[i].closeIf(connadmission.MayEvict) {
 		return false
 	}
 	s.evicted.Add(1)
@@ -119,7 +119,7 @@
 }
 
 // states is how the connections stand; the lock is held.
-func (s *Server) states() (list []*conn, states []doorkeep.Conn) {
+func (s *Server) states() (list []*conn, states []connadmission.Conn) {
 	now := time.Now()
 	for c := range s.conns {
 		list = append(list, c)
@@ -142,9 +142,9 @@
 		list, states := s.states()
 		finishing := s.finishing
 		s.mu.Unlock()
-		over := doorkeep.Over
+		over := connadmission.Over
 		if finishing {
-			over = doorkeep.OverAtStop
+			over = connadmission.OverAtStop
 		}
 		for i, c := range list {
 			if over(states[i]) && c.closeIf(over) {
--- a/internal/callrpc/server_test.go
+++ b/internal/platform/rpcserver/server_test.go
@@ -1,4 +1,4 @@
-package callrpc
+package rpcserver
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"go.uber.org/goleak"
 
-	"havencart/internal/rpcwire"
+	"havencart/internal/platform/rpcframe"
 )
 
 // taker is a Handler that hands calls to the test.
@@ -121,12 +121,12 @@
 		t.Errorf("took %+v", first.Call)
 	}
 	second.answer(Answer{Kind: Served, Body: []byte("two")})
-	expect(t, c, rpcwire.AppendServed(nil, 2, []byte("two")))
+	expect(t, c, rpcframe.AppendServed(nil, 2, []byte("two")))
 	first.answer(Answer{Kind: Refused, After: 250 * time.Millisecond})
-	expect(t, c, rpcwire.AppendError(nil, 1, "Backoff", "after", "250"))
+	expect(t, c, rpcframe.AppendError(nil, 1, "Backoff", "after", "250"))
 	first.answer(Answer{Kind: Served}) // one answer is all
 	write(t, c, message(t, 0, 3, "heartbeat", []any{map[string]string{}}))
-	expect(t, c, rpcwire.AppendTrue(nil, 3, true))
+	expect(t, c, rpcframe.AppendTrue(nil, 3, true))
 }
 
 func TestRevokedCallIsLeftAndOwedNothing(t *testing.T) {
@@ -139,7 +139,7 @@
 	}
 	call.answer(Answer{Kind: Served})
 	write(t, c, message(t, 0, 2, "heartbeat", []any{map[string]string{}}))
-	expect(t, c, rpcwire.AppendTrue(nil, 2, true))
+	expect(t, c, rpcframe.AppendTrue(nil, 2, true))
 }
 
 func TestClientThatLeavesLeavesItsCalls(t *testing.T) {
@@ -186,7 +186,7 @@
 			h, address := serve(t, 4)
 			c := connect(t, address)
 			write(t, c, ask(t, 1, test.method, test.fields))
-			expect(t, c, rpcwire.AppendError(nil, 1, "Malformed", "", ""))
+			expect(t, c, rpcframe.AppendError(nil, 1, "Malformed", "", ""))
 			if rest, err := io.ReadAll(c); len(rest) > 0 || err != nil {
 				t.Errorf("then %q, %v", rest, err)
 			}
@@ -229,12 +229,12 @@
 	third := connect(t, address)
 	write(t, third, ask(t, 1, "quote", good(2)))
 	(<-h.calls).answer(Answer{Kind: Failed})
-	expect(t, third, rpcwire.AppendError(nil, 1, "Lost", "", ""))
+	expect(t, third, rpcframe.AppendError(nil, 1, "Lost", "", ""))
 	if _, err := io.ReadAll(silent); err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Error(err)
 	}
 	call.answer(Answer{Kind: Served})
-	expect(t, asks, rpcwire.AppendServed(nil, 1, nil))
+	expect(t, asks, rpcframe.AppendServed(nil, 1, nil))
 }
 
 // TestTurnedDownRequestLosesNoOtherOnItsConnection holds that a client whose id another used before keeps its other
@@ -244,12 +244,12 @@
 	c := connect(t, address)
 	write(t, c, append(ask(t, 1, "quote", good(1)), ask(t, 2, "quote", good(255))...))
 	call := <-h.calls
-	expect(t, c, rpcwire.AppendError(nil, 2, "Malformed", "", ""))
+	expect(t, c, rpcframe.AppendError(nil, 2, "Malformed", "", ""))
 	call.answer(Answer{Kind: Served})
-	expect(t, c, rpcwire.AppendServed(nil, 1, nil))
+	expect(t, c, rpcframe.AppendServed(nil, 1, nil))
 	for n := range mostFaults - 1 {
 		write(t, c, ask(t, 3+n, "quote", good(255)))
-		expect(t, c, rpcwire.AppendError(nil, uint32(3+n), "Malformed", "", ""))
+		expect(t, c, rpcframe.AppendError(nil, uint32(3+n), "Malformed", "", ""))
 	}
 	if rest, err := io.ReadAll(c); len(rest) > 0 || err != nil {
 		t.Errorf("then %q, %v", rest, err)
--- a/internal/callrpc/types.go
+++ b/internal/platform/rpcserver/types.go
@@ -1,10 +1,10 @@
-// Package callrpc is the edge of the users' platform's clients: MessagePack-RPC over TCP. What a client sends is
+// Package rpcserver is the edge of the users' platform's clients: MessagePack-RPC over TCP. What a client sends is
 // checked here whole, against the names and bounds of Rules, before anybody else hears of it. It knows nothing of
 // workers: a Handler takes each call and gives its final answer.
 //
 // A client that breaks the protocol gets an error, where its request has a number, and its connection is closed:
 // whatever else is open on it is left. No usual client does that.
-package callrpc
+package rpcserver
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"havencart/internal/rpcwire"
+	"havencart/internal/platform/rpcframe"
 )
 
 // Call is one request as a client made it.
@@ -91,7 +91,7 @@
 )
 
 // parse checks a request whole.
-func (r *Rules) parse(m rpcwire.Message) (*Call, error) {
+func (r *Rules) parse(m rpcframe.Message) (*Call, error) {
 	c := &Call{ID: m.Fields["id"], Function: m.Fields["key"], Key: m.Fields["once"], Body: m.Body, Class: -1}
 	for i := range r.Classes {
 		if r.Classes[i].Name == m.Method {
--- a/internal/execlink/crossings_test.go
+++ b/internal/platform/workerclient/crossings_test.go
@@ -1,4 +1,4 @@
-package execlink
+package workerclient
 
 import (
 	"errors"
@@ -10,39 +10,39 @@
 	"testing"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/execwire"
-	"havencart/internal/workerlink"
-	"havencart/lab/executor"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/platform/workerframe"
+	"havencart/lab/platformworker"
+	"havencart/scheduler"
 )
 
 // TestASecondAnswerEndsNoLaterAttempt: a call that was turned away goes to the same worker again, under the same number,
 // and only then the answer that turned it away comes a second time.
 func TestASecondAnswerEndsNoLaterAttempt(t *testing.T) {
-	for _, first := range []execwire.Code{execwire.Full, execwire.Miss, execwire.Over, execwire.Error} {
+	for _, first := range []workerframe.Code{workerframe.Full, workerframe.Miss, workerframe.Over, workerframe.Error} {
 		t.Run(fmt.Sprint(first), func(t *testing.T) {
 			type seen struct {
-				c *executor.Conn
-				f execwire.Frame
+				c *platformworker.Conn
+				f workerframe.Frame
 			}
 			came := make(chan seen, 4)
-			l, h, _ := open(t, func(c *executor.Conn, f execwire.Frame) { came <- seen{c, f} })
+			l, h, _ := open(t, func(c *platformworker.Conn, f workerframe.Frame) { came <- seen{c, f} })
 			send(t, l, attempt(5))
 			one := <-came
-			one.c.Answer(execwire.Frame{Code: first, ID: one.f.ID})
+			one.c.Answer(workerframe.Frame{Code: first, ID: one.f.ID})
 			if r := <-h.ends; r.Status != statuses[first] {
 				t.Fatalf("ended as %+v", r)
 			}
 			send(t, l, attempt(5))
 			two := <-came
-			one.c.Answer(execwire.Frame{Code: first, ID: one.f.ID})
+			one.c.Answer(workerframe.Frame{Code: first, ID: one.f.ID})
 			select {
 			case <-h.late:
 			case r := <-h.ends:
 				t.Fatalf("a second answer with code %d ended the next attempt as %+v", first, r)
 			}
-			two.c.Answer(execwire.Frame{Code: execwire.OK, ID: two.f.ID})
-			if r := <-h.ends; r.Status != control.OK {
+			two.c.Answer(workerframe.Frame{Code: workerframe.OK, ID: two.f.ID})
+			if r := <-h.ends; r.Status != scheduler.OK {
 				t.Errorf("after a second answer with code %d the next attempt ended as %+v", first, r)
 			}
 			if two.c.Number == one.c.Number {
@@ -133,7 +133,7 @@
 	defer theirs.Close()
 	l, s := alone(t, ours)
 	send(t, l, attempt(5))
-	var b workerlink.Batch
+	var b muxclient.Batch
 	s.claim(ours, &b)
 	if attempts, _ := l.Drain(time.Millisecond); len(attempts) != 0 {
 		t.Error("what is leaving was taken back")
@@ -167,12 +167,12 @@
 
 // TestAnswersComeInPieces: cut at every byte, and many in one segment.
 func TestAnswersComeInPieces(t *testing.T) {
-	raw, err := execwire.Append(nil, execwire.FromExecutor, execwire.Frame{Code: execwire.OK, ID: 5, Fields: "peers_in=3", Body: []byte("answer")})
+	raw, err := workerframe.Append(nil, workerframe.FromExecutor, workerframe.Frame{Code: workerframe.OK, ID: 5, Fields: "peers_in=3", Body: []byte("answer")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	cut := make(chan int, 1)
-	l, h, _ := open(t, func(c *executor.Conn, _ execwire.Frame) {
+	l, h, _ := open(t, func(c *platformworker.Conn, _ workerframe.Frame) {
 		i := <-cut
 		c.Raw(raw[:i])
 		c.Raw(raw[i:])
@@ -180,7 +180,7 @@
 	for i := range raw {
 		cut <- i
 		send(t, l, attempt(5))
-		if r := <-h.ends; r.Status != control.OK || string(r.Answer.Body) != "answer" || r.Crowd != 3 {
+		if r := <-h.ends; r.Status != scheduler.OK || string(r.Answer.Body) != "answer" || r.Crowd != 3 {
 			t.Fatalf("cut at %d it ended as %+v", i, r)
 		}
 	}
@@ -189,10 +189,10 @@
 // TestACallThatWaitsOnADialIsTakenBack: by its client's leaving or by a give-up, and nothing is written once the
 // connection is up.
 func TestACallThatWaitsOnADialIsTakenBack(t *testing.T) {
-	for name, back := range map[string]func(l *Link, a *workerlink.Attempt) bool{
-		"withdrawn": func(l *Link, a *workerlink.Attempt) bool { return l.Withdraw(a) },
-		"given up":  func(l *Link, a *workerlink.Attempt) bool { return !l.Abandon(a) },
-		"drained": func(l *Link, a *workerlink.Attempt) bool {
+	for name, back := range map[string]func(l *Link, a *muxclient.Attempt) bool{
+		"withdrawn": func(l *Link, a *muxclient.Attempt) bool { return l.Withdraw(a) },
+		"given up":  func(l *Link, a *muxclient.Attempt) bool { return !l.Abandon(a) },
+		"drained": func(l *Link, a *muxclient.Attempt) bool {
 			attempts, _ := l.Drain(time.Second)
 			return len(attempts) == 1 && attempts[0] == a
 		},
@@ -209,7 +209,7 @@
 			t.Errorf("%s: taken back twice", name)
 		}
 		s.conn = ours // it comes up late
-		var b workerlink.Batch
+		var b muxclient.Batch
 		if s.claim(ours, &b); len(b.Bytes) > 0 {
 			t.Errorf("%s: %d bytes are written", name, len(b.Bytes))
 		}
@@ -236,7 +236,7 @@
 	a, other := attempt(5), attempt(6)
 	send(t, l, a)
 	send(t, l, other)
-	var b workerlink.Batch
+	var b muxclient.Batch
 	s.claim(c, &b)
 	began := time.Now()
 	if !l.Abandon(a) {
@@ -266,14 +266,14 @@
 		send(t, l, a)
 		served := make(chan error, 1)
 		l.tasks.Go(func() { served <- s.serve(ours) })
-		r := execwire.NewReader(theirs, execwire.FromFront, execwire.MaxBody)
+		r := workerframe.NewReader(theirs, workerframe.FromFront, workerframe.MaxBody)
 		if f, err := r.Next(); err != nil || f.ID != 5 {
 			t.Fatalf("read %+v, %v", f, err)
 		}
 		if givenUp {
 			l.Abandon(a)
 		} else {
-			raw, _ := execwire.Append(nil, execwire.FromExecutor, execwire.Frame{Code: execwire.OK, ID: 5})
+			raw, _ := workerframe.Append(nil, workerframe.FromExecutor, workerframe.Frame{Code: workerframe.OK, ID: 5})
 			if _, err := theirs.Write(raw); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/execlink/ended.go
+++ b/internal/platform/workerclient/ended.go
@@ -1,4 +1,4 @@
-package execlink
+package workerclient
 
 import (
 	"errors"
