--- a/internal/execlink/link.go
+++ b/internal/platform/workerclient/link.go
@@ -1,4 +1,4 @@
-// Package execlink is the way to one executor, as the users' platform calls its workers: as many connections as are
+// Package workerclient is the way to one executor, as the users' platform calls its workers: as many connections as are
 // wanted, each with many calls, in the platform's binary frames. It keeps its books with workerlink's Outbox, and
 // what the ends of attempts say is as told there. Beyond that:
 //
@@ -6,7 +6,7 @@
 //	a connection breaks, and the worker refuses the next    Reset          its process is gone; it may have run
 //	an answer cannot be read                                Error          it may have run
 //	the executor says that the call was over                Moot           it never ran
-package execlink
+package workerclient
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"sync/atomic"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/decide/strands"
-	"havencart/internal/execwire"
-	"havencart/internal/workerlink"
+	"havencart/internal/decide/connpool"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/platform/workerframe"
+	"havencart/scheduler"
 )
 
 // Config is what a Link needs to know.
@@ -49,12 +49,12 @@
 func (b *Budget) Used() int { return int(b.used.Load()) }
 
 // spare says whether a worker with own connections may have one more.
-func (b *Budget) spare(own int) bool { return strands.Spare(own, b.Used(), b.most) }
+func (b *Budget) spare(own int) bool { return connpool.Spare(own, b.Used(), b.most) }
 
 // Link is the way to one worker. Its methods never block on the network.
 type Link struct {
 	cfg    Config
-	events workerlink.Events
+	events muxclient.Events
 	ctx    context.Context
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
@@ -63,18 +63,18 @@
 	mu       sync.Mutex
 	rng      *rand.Rand
 	strands  []*strand
-	attempts map[*workerlink.Attempt]*strand // not ended; bounded by MaxQueue, as are the orders
-	orders   map[*workerlink.Order]*strand
+	attempts map[*muxclient.Attempt]*strand // not ended; bounded by MaxQueue, as are the orders
+	orders   map[*muxclient.Order]*strand
 	draining bool
 	closed   bool
 }
 
 // New returns a link without connections: they are made as calls want them.
-func New(cfg Config, events workerlink.Events) *Link {
+func New(cfg Config, events muxclient.Events) *Link {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Link{cfg: cfg, events: events, ctx: ctx, cancel: cancel, done: make(chan struct{}),
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 0x65786563)),
-		attempts: map[*workerlink.Attempt]*strand{}, orders: map[*workerlink.Order]*strand{}}
+		attempts: map[*muxclient.Attempt]*strand{}, orders: map[*muxclient.Order]*strand{}}
 	context.AfterFunc(ctx, func() {
 		l.mu.Lock()
 		l.closed = true
@@ -93,19 +93,19 @@
 
 // Send writes a as soon as it can and returns nil; its end is told by Events. What cannot be taken on returns
 // its end at once.
-func (l *Link) Send(a *workerlink.Attempt) *workerlink.Result {
+func (l *Link) Send(a *muxclient.Attempt) *muxclient.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	number, err := callNumber(a.Call.ID)
 	if err != nil {
-		return &workerlink.Result{Status: control.Moot, Why: err.Error(), Crowd: -1}
+		return &muxclient.Result{Status: scheduler.Moot, Why: err.Error(), Crowd: -1}
 	}
 	if l.draining {
-		return &workerlink.Result{Status: control.Moot, Why: "the worker drains", Crowd: -1}
+		return &muxclient.Result{Status: scheduler.Moot, Why: "the worker drains", Crowd: -1}
 	}
 	s := l.place(number)
 	if s == nil {
-		return &workerlink.Result{Status: control.Moot, Why: "no connection has room", Crowd: -1}
+		return &muxclient.Result{Status: scheduler.Moot, Why: "no connection has room", Crowd: -1}
 	}
 	l.attempts[a] = s
 	s.box.PushAttempt(number, a)
@@ -119,14 +119,14 @@
 	if l.closed || len(l.attempts)+len(l.orders) >= l.cfg.MaxQueue {
 		return nil
 	}
-	all := make([]strands.Strand, len(l.strands))
+	all := make([]connpool.Strand, len(l.strands))
 	for i, s := range l.strands {
-		all[i] = strands.Strand{Open: s.box.Open(), Retired: s.retired || s.box.Has(number) || s.was(number), Used: s.used}
+		all[i] = connpool.Strand{Open: s.box.Open(), Retired: s.retired || s.box.Has(number) || s.was(number), Used: s.used}
 	}
-	switch i := strands.Place(all, l.cfg.Streams, l.cfg.Budget.spare(len(all))); i {
-	case strands.None:
+	switch i := connpool.Place(all, l.cfg.Streams, l.cfg.Budget.spare(len(all))); i {
+	case connpool.None:
 		return nil
-	case strands.New:
+	case connpool.New:
 		s := newStrand(l)
 		l.strands = append(l.strands, s)
 		l.cfg.Budget.used.Add(1)
@@ -149,7 +149,7 @@
 }
 
 // forget drops what has ended; the lock is held.
-func (l *Link) forget(items []workerlink.Item) {
+func (l *Link) forget(items []muxclient.Item) {
 	for _, i := range items {
 		delete(l.attempts, i.Attempt)
 		delete(l.orders, i.Order)
@@ -157,7 +157,7 @@
 }
 
 // Withdraw takes back an attempt that has not begun to leave, and says whether it did: its end is then not told.
-func (l *Link) Withdraw(a *workerlink.Attempt) bool {
+func (l *Link) Withdraw(a *muxclient.Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.attempts[a]
@@ -171,7 +171,7 @@
 
 // Abandon gives an attempt up: its end is not told after this, unless it already was. It returns whether the
 // worker may have seen it; if so it is told that nobody waits.
-func (l *Link) Abandon(a *workerlink.Attempt) (mayHaveLeft bool) {
+func (l *Link) Abandon(a *muxclient.Attempt) (mayHaveLeft bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.attempts[a]
@@ -180,12 +180,12 @@
 	}
 	delete(l.attempts, a)
 	if s.box.Leaving(a) && s.conn != nil {
-		_ = s.conn.SetWriteDeadline(time.Now().Add(strands.GivenUpLimit())) // fails on a closed connection only
+		_ = s.conn.SetWriteDeadline(time.Now().Add(connpool.GivenUpLimit())) // fails on a closed connection only
 	}
 	underWay, mayHaveLeft := s.box.Abandon(a)
 	if underWay {
-		s.retired, s.givenUp = s.retired || strands.Retire(), true
-		s.box.Push(execwire.Frame{Code: execwire.GiveUp, ID: workerlink.Item{Attempt: a}.Number()})
+		s.retired, s.givenUp = s.retired || connpool.Retire(), true
+		s.box.Push(workerframe.Frame{Code: workerframe.GiveUp, ID: muxclient.Item{Attempt: a}.Number()})
 	}
 	s.wake()
 	return mayHaveLeft
@@ -193,16 +193,16 @@
 
 // Load gives an order and returns 0; its answer is told by Events. What cannot be taken on returns its status
 // at once.
-func (l *Link) Load(o *workerlink.Order) control.Status {
+func (l *Link) Load(o *muxclient.Order) scheduler.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.draining && o.Load.Copies > 0 {
-		return control.Full
+		return scheduler.Full
 	}
 	number := l.rng.Uint64()
 	s := l.place(number)
 	if s == nil {
-		return control.Moot
+		return scheduler.Moot
 	}
 	l.orders[o] = s
 	s.box.PushOrder(number, o)
@@ -211,13 +211,13 @@
 }
 
 // AbandonOrder gives an order up: its answer is not told after this.
-func (l *Link) AbandonOrder(o *workerlink.Order) {
+func (l *Link) AbandonOrder(o *muxclient.Order) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.orders[o]; s != nil {
 		delete(l.orders, o)
 		s.box.AbandonOrder(o)
-		s.retired = s.retired || strands.Retire()
+		s.retired = s.retired || connpool.Retire()
 		s.wake()
 	}
 }
@@ -225,19 +225,19 @@
 // Unload asks the worker to unload the idle copies of a function. Nothing tells whether it did.
 func (l *Link) Unload(function string) {
 	if id, err := callNumber(function); err == nil {
-		l.frame(execwire.Frame{Code: execwire.Unload, ID: id})
+		l.frame(workerframe.Frame{Code: workerframe.Unload, ID: id})
 	}
 }
 
 // Probe asks the worker for its load; the answer is told by Events.
 func (l *Link) Probe() {
-	if !l.frame(execwire.Frame{Code: execwire.Report}) {
-		go l.events.Probed(control.Moot, nil) // not within the caller's turn
+	if !l.frame(workerframe.Frame{Code: workerframe.Report}) {
+		go l.events.Probed(scheduler.Moot, nil) // not within the caller's turn
 	}
 }
 
 // frame sends one that is neither an attempt nor an order.
-func (l *Link) frame(f execwire.Frame) bool {
+func (l *Link) frame(f workerframe.Frame) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	number := l.rng.Uint64()
@@ -245,7 +245,7 @@
 	if s == nil {
 		return false
 	}
-	if f.Code == execwire.Report {
+	if f.Code == workerframe.Report {
 		f.ID = number
 		s.probes[number] = true
 	}
@@ -257,7 +257,7 @@
 // Drain takes back all new work that has not left, returns it, and takes on none from now: none of it ran.
 // What is being written has until the grace is half over, as it counts from when the drain was told, not from here.
 // What has left goes on. Resume ends it.
-func (l *Link) Drain(grace time.Duration) (attempts []*workerlink.Attempt, orders []*workerlink.Order) {
+func (l *Link) Drain(grace time.Duration) (attempts []*muxclient.Attempt, orders []*muxclient.Order) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
--- a/internal/execlink/strand.go
+++ b/internal/platform/workerclient/strand.go
@@ -1,4 +1,4 @@
-package execlink
+package workerclient
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"strconv"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/decide/strands"
-	"havencart/internal/execwire"
-	"havencart/internal/workerlink"
+	"havencart/internal/decide/connpool"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/platform/workerframe"
+	"havencart/scheduler"
 )
 
 // readBuffer is small: there are many connections, and memory is short.
@@ -26,7 +26,7 @@
 type strand struct {
 	l       *Link
 	kick    chan struct{} // something to write or to look at
-	box     workerlink.Outbox
+	box     muxclient.Outbox
 	probes  map[uint64]bool // asked, not answered; bounded by what the module asks
 	conn    net.Conn
 	retired bool // takes nothing new; closed once nothing is open on it
@@ -52,7 +52,7 @@
 }
 
 func newStrand(l *Link) *strand {
-	return &strand{l: l, kick: make(chan struct{}, 1), box: workerlink.NewOutbox(), probes: map[uint64]bool{}, used: l.cfg.Now()}
+	return &strand{l: l, kick: make(chan struct{}, 1), box: muxclient.NewOutbox(), probes: map[uint64]bool{}, used: l.cfg.Now()}
 }
 
 // callNumber is the number on the wire of a name in 16 hex digits.
@@ -81,7 +81,7 @@
 // run makes the connection, serves it, and makes it anew while something waits for it. What had left on one that
 // broke is told once it is known whether the next one can be had: that tells a lost connection from a lost worker.
 func (s *strand) run() {
-	var lost []workerlink.Item
+	var lost []muxclient.Item
 	var why error
 	for unheard := 0; ; {
 		conn, err := s.dial()
@@ -99,8 +99,8 @@
 			unheard = 0
 		}
 		s.conn, s.heard = nil, false
-		lives := errors.Is(why, execwire.ErrMalformed) || errors.Is(why, errDone) // it need not be asked
-		again := s.l.ctx.Err() == nil && strands.Again(unheard) && (s.box.Open() > 0 || len(lost) > 0 && !lives)
+		lives := errors.Is(why, workerframe.ErrMalformed) || errors.Is(why, errDone) // it need not be asked
+		again := s.l.ctx.Err() == nil && connpool.Again(unheard) && (s.box.Open() > 0 || len(lost) > 0 && !lives)
 		s.retired = s.retired || !again
 		s.l.mu.Unlock()
 		if lives || !again {
@@ -115,29 +115,29 @@
 }
 
 // tellLost tells the end of what had left on a connection that broke.
-func (s *strand) tellLost(lost []workerlink.Item, alive bool, why error) {
+func (s *strand) tellLost(lost []muxclient.Item, alive bool, why error) {
 	if len(lost) == 0 {
 		return
 	}
-	as := control.Reset
+	as := scheduler.Reset
 	if alive {
-		as = control.Error
+		as = scheduler.Error
 	}
-	workerlink.Tell(s.l.events, lost, as, as, fmt.Sprint(why))
+	muxclient.Tell(s.l.events, lost, as, as, fmt.Sprint(why))
 }
 
 // close leaves the link; what still waits never left.
 func (s *strand) close(why error) {
 	s.l.mu.Lock()
 	s.l.leave(s)
-	waiting := s.box.Unqueue(func(workerlink.Item) bool { return true })
+	waiting := s.box.Unqueue(func(muxclient.Item) bool { return true })
 	s.l.forget(waiting)
 	probes := len(s.probes)
 	clear(s.probes)
 	s.l.mu.Unlock()
-	workerlink.Tell(s.l.events, waiting, control.ConnectFailed, control.ConnectFailed, fmt.Sprint(why))
+	muxclient.Tell(s.l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprint(why))
 	for range probes {
-		s.l.events.Probed(control.ConnectFailed, nil)
+		s.l.events.Probed(scheduler.ConnectFailed, nil)
 	}
 	if len(waiting) > 0 {
 		s.l.events.Down(why)
@@ -176,7 +176,7 @@
 
 // write writes what is queued, until the connection breaks, gone is closed, or nothing needs the connection.
 func (s *strand) write(conn net.Conn, gone <-chan struct{}) error {
-	var b workerlink.Batch
+	var b muxclient.Batch
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -184,14 +184,14 @@
 			return fmt.Errorf("write to %s: %w", s.l.cfg.Worker, err)
 		}
 		left, done := s.claim(conn, &b)
-		workerlink.Tell(s.l.events, b.Faulty, control.Moot, control.Error, "its frame cannot be encoded")
+		muxclient.Tell(s.l.events, b.Faulty, scheduler.Moot, scheduler.Error, "its frame cannot be encoded")
 		if len(b.Bytes) > 0 {
 			n, err := conn.Write(b.Bytes)
 			s.l.mu.Lock()
 			never := s.box.Written(&b, n)
 			s.l.forget(never)
 			s.l.mu.Unlock()
-			workerlink.Tell(s.l.events, never, control.ConnectFailed, control.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
+			muxclient.Tell(s.l.events, never, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
 			if err != nil {
 				return fmt.Errorf("write to %s: %w", s.l.cfg.Worker, err)
 			}
@@ -239,18 +239,18 @@
 
 // claim encodes the next batch, and says whether nothing needs the connection any longer, or for how long it is
 // kept still. The limit of the write stands before a drain can shorten it.
-func (s *strand) claim(conn net.Conn, b *workerlink.Batch) (left time.Duration, done bool) {
+func (s *strand) claim(conn net.Conn, b *muxclient.Batch) (left time.Duration, done bool) {
 	s.l.mu.Lock()
 	defer s.l.mu.Unlock()
 	s.box.Claim(b, s.encode)
 	if len(b.Bytes) > 0 {
-		_ = conn.SetWriteDeadline(time.Now().Add(strands.WriteLimit())) // fails on a closed connection only
+		_ = conn.SetWriteDeadline(time.Now().Add(connpool.WriteLimit())) // fails on a closed connection only
 	}
 	s.l.forget(b.Faulty)
 	if s.box.Open() > 0 || len(s.probes) > 0 {
 		return time.Hour, false
 	}
-	left = s.used + strands.Idle(len(s.l.strands) == 1, s.l.cfg.Idle) - s.l.cfg.Now()
+	left = s.used + connpool.Idle(len(s.l.strands) == 1, s.l.cfg.Idle) - s.l.cfg.Now()
 	if done = len(b.Bytes) == 0 && (left <= 0 || s.retired); done {
 		s.retired = true
 	}
@@ -258,7 +258,7 @@
 }
 
 // encode appends the frame of i.
-func (s *strand) encode(buf []byte, i workerlink.Item) ([]byte, error) {
+func (s *strand) encode(buf []byte, i muxclient.Item) ([]byte, error) {
 	switch {
 	case i.Attempt != nil:
 		a := i.Attempt
@@ -267,19 +267,19 @@
 		if a.Call.Key != "" {
 			fields += ",dedupe=" + a.Call.Key
 		}
-		return execwire.Append(buf, execwire.FromFront, execwire.Frame{Code: execwire.Request, ID: i.Number(), Fields: fields, Body: a.Body})
+		return workerframe.Append(buf, workerframe.FromFront, workerframe.Frame{Code: workerframe.Request, ID: i.Number(), Fields: fields, Body: a.Body})
 	case i.Order != nil:
-		return execwire.Append(buf, execwire.FromFront, execwire.Frame{Code: execwire.Load, ID: i.Number(),
+		return workerframe.Append(buf, workerframe.FromFront, workerframe.Frame{Code: workerframe.Load, ID: i.Number(),
 			Fields: "name=" + i.Order.Load.Copy.Function + ",replicas=" + strconv.Itoa(i.Order.Load.Copies)})
 	}
-	return execwire.Append(buf, execwire.FromFront, i.Frame.(execwire.Frame))
+	return workerframe.Append(buf, workerframe.FromFront, i.Frame.(workerframe.Frame))
 }
 
 // read handles frames until the connection breaks.
 func (s *strand) read(conn net.Conn) error {
-	reader := execwire.NewReader(bufio.NewReaderSize(conn, readBuffer), execwire.FromExecutor, s.l.cfg.MaxAnswer)
+	reader := workerframe.NewReader(bufio.NewReaderSize(conn, readBuffer), workerframe.FromExecutor, s.l.cfg.MaxAnswer)
 	reader.Begun = func() {
-		_ = conn.SetReadDeadline(time.Now().Add(strands.FrameLimit())) // fails on a closed connection only
+		_ = conn.SetReadDeadline(time.Now().Add(connpool.FrameLimit())) // fails on a closed connection only
 	}
 	for {
 		f, err := reader.Next()
@@ -287,7 +287,7 @@
 			_ = conn.SetReadDeadline(time.Time{})
 			err = s.handle(f)
 		} else if timeout(err) {
-			err = fmt.Errorf("%w: an answer stopped short", execwire.ErrMalformed)
+			err = fmt.Errorf("%w: an answer stopped short", workerframe.ErrMalformed)
 		}
 		if err != nil {
 			return fmt.Errorf("read from %s: %w", s.l.cfg.Worker, err)
@@ -300,16 +300,16 @@
 	return errors.As(err, &network) && network.Timeout()
 }
 
-var statuses = map[execwire.Code]control.Status{execwire.OK: control.OK, execwire.Miss: control.Miss,
-	execwire.Full: control.Full, execwire.Error: control.Error, execwire.Over: control.Moot}
+var statuses = map[workerframe.Code]scheduler.Status{workerframe.OK: scheduler.OK, workerframe.Miss: scheduler.Miss,
+	workerframe.Full: scheduler.Full, workerframe.Error: scheduler.Error, workerframe.Over: scheduler.Moot}
 
 // handle takes one answer. One that nobody waits for is dropped.
-func (s *strand) handle(f execwire.Frame) error {
-	crowd, err := execwire.Count(f.Fields, "peers_in", 0)
+func (s *strand) handle(f workerframe.Frame) error {
+	crowd, err := workerframe.Count(f.Fields, "peers_in", 0)
 	if err != nil {
 		return err
 	}
-	copies, err := execwire.Count(f.Fields, "replicas", 0)
+	copies, err := workerframe.Count(f.Fields, "replicas", 0)
 	if err != nil {
 		return err
 	}
@@ -319,15 +319,15 @@
 	}
 	s.l.mu.Lock()
 	s.heard = true
-	var a *workerlink.Attempt
-	var o *workerlink.Order
+	var a *muxclient.Attempt
+	var o *muxclient.Order
 	probed := false
-	if f.Code == execwire.Well || f.Code == execwire.Unwell {
+	if f.Code == workerframe.Well || f.Code == workerframe.Unwell {
 		probed = s.probes[f.ID]
 		delete(s.probes, f.ID)
 	} else if a = s.box.Answered(f.ID); a != nil {
 		delete(s.l.attempts, a)
-		if f.Code != execwire.OK { // else nothing is sent under it again
+		if f.Code != workerframe.OK { // else nothing is sent under it again
 			s.answered(f.ID)
 		}
 	} else if o = s.box.OrderAnswered(f.ID); o != nil {
@@ -337,14 +337,14 @@
 	s.l.mu.Unlock()
 	switch {
 	case a != nil:
-		s.l.events.Ended(a, workerlink.Result{Status: statuses[f.Code], Crowd: crowd, Report: report, At: s.l.cfg.Now(),
-			Answer: &workerlink.Answer{Body: f.Body, Length: int64(len(f.Body))}})
+		s.l.events.Ended(a, muxclient.Result{Status: statuses[f.Code], Crowd: crowd, Report: report, At: s.l.cfg.Now(),
+			Answer: &muxclient.Answer{Body: f.Body, Length: int64(len(f.Body))}})
 	case o != nil:
 		s.l.events.OrderEnded(o, statuses[f.Code], copies)
-	case probed && f.Code == execwire.Well:
-		s.l.events.Probed(control.OK, report)
+	case probed && f.Code == workerframe.Well:
+		s.l.events.Probed(scheduler.OK, report)
 	case probed:
-		s.l.events.Probed(control.Error, report)
+		s.l.events.Probed(scheduler.Error, report)
 	default:
 		s.l.events.Late(0)
 	}
@@ -352,9 +352,9 @@
 }
 
 func (s *strand) report(fields string) ([]float64, error) {
-	text, found := execwire.Field(fields, "rep")
+	text, found := workerframe.Field(fields, "rep")
 	if !found || len(s.l.cfg.Reports) == 0 {
 		return nil, nil
 	}
-	return execwire.Values(text, s.l.cfg.Reports)
+	return workerframe.Values(text, s.l.cfg.Reports)
 }
--- a/internal/execwire/execwire.go
+++ b/internal/platform/workerframe/execwire.go
@@ -1,7 +1,7 @@
-// Package execwire reads and writes the binary frames that front ends and executors, as the users' platform calls
+// Package workerframe reads and writes the binary frames that front ends and executors, as the users' platform calls
 // its workers, exchange. It is strict: every length is checked before anything is allocated for it, and a frame
 // whose mark, code or check is wrong is an error.
-package execwire
+package workerframe
 
 import (
 	"encoding/binary"
--- a/internal/execwire/execwire_test.go
+++ b/internal/platform/workerframe/execwire_test.go
@@ -1,4 +1,4 @@
-package execwire
+package workerframe
 
 import (
 	"bytes"
--- a/internal/watch/watch.go
+++ b/internal/shadow/watch.go
@@ -1,13 +1,13 @@
-// Package watch tells where a front end would decide otherwise with other settings. The module that decides is left
+// Package shadow tells where a front end would decide otherwise with other settings. The module that decides is left
 // alone: for each event that is looked at, a copy of it that goes by the other settings is given the same event, and
 // what the two ask for is compared. The copy is then dropped, so that each comparison starts from what really
 // happened; what would follow from another decision is not seen, nor what would have been learned by it.
-package watch
+package shadow
 
 import (
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 // Counts are the decisions that would have been otherwise, by kind.
@@ -34,13 +34,13 @@
 
 // Settings are those that are watched.
 type Settings struct {
-	Control control.Settings // with as many classes and tenants as the module's own
-	Every   int              // one event in so many is looked at
+	Control scheduler.Settings // with as many classes and tenants as the module's own
+	Every   int                // one event in so many is looked at
 }
 
 // Module decides by its own settings and watches others. It takes the events of a control.Controller.
 type Module struct {
-	*control.Controller
+	*scheduler.Controller
 	set    Settings
 	asked  *recorder // of the module that decides
 	other  *recorder // of the copy
@@ -50,9 +50,9 @@
 }
 
 // New returns a Module that starts now; differ is told the kind of each difference.
-func New(now time.Duration, own control.Settings, other Settings, a control.Actions, differ func(kind string)) *Module {
+func New(now time.Duration, own scheduler.Settings, other Settings, a scheduler.Actions, differ func(kind string)) *Module {
 	m := &Module{set: other, differ: differ, asked: newRecorder(a), other: newRecorder(nothing{})}
-	m.Controller = control.New(now, own, m.asked)
+	m.Controller = scheduler.New(now, own, m.asked)
 	return m
 }
 
@@ -60,7 +60,7 @@
 func (m *Module) Counts() Counts { return m.counts }
 
 // look has an event taken by the module, and by a copy that goes by the other settings.
-func (m *Module) look(event func(*control.Controller)) {
+func (m *Module) look(event func(*scheduler.Controller)) {
 	m.asked.reset()
 	if m.events++; m.events%max(1, m.set.Every) != 0 {
 		event(m.Controller)
@@ -74,33 +74,33 @@
 }
 
 // Workers takes a change of the list of workers.
-func (m *Module) Workers(now time.Duration, list []control.WorkerInfo, whole bool) {
-	m.look(func(c *control.Controller) { c.Workers(now, list, whole) })
+func (m *Module) Workers(now time.Duration, list []scheduler.WorkerInfo, whole bool) {
+	m.look(func(c *scheduler.Controller) { c.Workers(now, list, whole) })
 }
 
 // Woke takes a wake-up.
 func (m *Module) Woke(now time.Duration, token uint64) {
-	m.look(func(c *control.Controller) { c.Woke(now, token) })
+	m.look(func(c *scheduler.Controller) { c.Woke(now, token) })
 }
 
 // Arrive takes a request.
-func (m *Module) Arrive(now time.Duration, r control.Request) {
-	m.look(func(c *control.Controller) { c.Arrive(now, r) })
+func (m *Module) Arrive(now time.Duration, r scheduler.Request) {
+	m.look(func(c *scheduler.Controller) { c.Arrive(now, r) })
 }
 
 // Outcome takes the end of an attempt.
-func (m *Module) Outcome(now time.Duration, o control.Outcome) {
-	m.look(func(c *control.Controller) { c.Outcome(now, o) })
+func (m *Module) Outcome(now time.Duration, o scheduler.Outcome) {
+	m.look(func(c *scheduler.Controller) { c.Outcome(now, o) })
 }
 
 // Gone takes the news that a client left.
-func (m *Module) Gone(now time.Duration, id control.RequestID) {
-	m.look(func(c *control.Controller) { c.Gone(now, id) })
+func (m *Module) Gone(now time.Duration, id scheduler.RequestID) {
+	m.look(func(c *scheduler.Controller) { c.Gone(now, id) })
 }
 
 // Loaded takes the answer to an order.
-func (m *Module) Loaded(now time.Duration, l control.Loaded) {
-	m.look(func(c *control.Controller) { c.Loaded(now, l) })
+func (m *Module) Loaded(now time.Duration, l scheduler.Loaded) {
+	m.look(func(c *scheduler.Controller) { c.Loaded(now, l) })
 }
 
 // compare counts the differences between what was asked for and what the other settings would have had asked.
--- a/internal/benchhost/host.go
+++ b/internal/simhost/host.go
@@ -1,7 +1,7 @@
-// Package benchhost keeps the instances that one bench process plays: it hands
+// Package simhost keeps the instances that one bench process plays: it hands
 // each its events and gathers its actions. Instances share nothing but the
 // process's numbered lists of workers.
-package benchhost
+package simhost
 
 import (
 	"bufio"
@@ -9,28 +9,28 @@
 	"fmt"
 	"io"
 
-	"havencart/control"
-	"havencart/internal/benchwire"
-	"havencart/internal/settings"
+	"havencart/internal/config/platformconfig"
+	"havencart/internal/simwire"
+	"havencart/scheduler"
 )
 
 const pages = 16
 
 // Host plays the instances of one process.
 type Host struct {
-	instances map[uint32]*control.Controller
-	lists     [pages][]control.WorkerInfo
-	reply     benchwire.Reply
+	instances map[uint32]*scheduler.Controller
+	lists     [pages][]scheduler.WorkerInfo
+	reply     simwire.Reply
 }
 
 // New returns a Host without instances.
-func New() *Host { return &Host{instances: map[uint32]*control.Controller{}} }
+func New() *Host { return &Host{instances: map[uint32]*scheduler.Controller{}} }
 
 // Run answers batches until the input ends.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	for {
-		batch, err := benchwire.ReadBatch(r)
+		batch, err := simwire.ReadBatch(r)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -50,21 +50,21 @@
 }
 
 // play hands a batch's events to their instances and fills the reply.
-func (h *Host) play(b *benchwire.Batch) error {
+func (h *Host) play(b *simwire.Batch) error {
 	h.reply.Reset()
 	current, named := uint32(0), false
 	for i := range b.Events {
 		e := &b.Events[i]
 		switch e.Code {
-		case benchwire.For:
+		case simwire.For:
 			current, named = e.Instance, true
 			continue
-		case benchwire.Directory:
+		case simwire.Directory:
 			h.lists[e.Page] = e.Workers
 			continue
 		}
 		if !named {
-			return fmt.Errorf("%w: event %d before any instance was named", benchwire.ErrMalformed, e.Code)
+			return fmt.Errorf("%w: event %d before any instance was named", simwire.ErrMalformed, e.Code)
 		}
 		if err := h.deliver(current, b, e); err != nil {
 			return fmt.Errorf("instance %d: %w", current, err)
@@ -74,7 +74,7 @@
 }
 
 // deliver hands one event to its instance. A panic of the decisions is told as the wire provides.
-func (h *Host) deliver(id uint32, b *benchwire.Batch, e *benchwire.Event) (err error) {
+func (h *Host) deliver(id uint32, b *simwire.Batch, e *simwire.Event) (err error) {
 	defer func() {
 		if trouble := recover(); trouble != nil {
 			h.reply.For(id)
@@ -83,14 +83,14 @@
 		}
 	}()
 	switch e.Code {
-	case benchwire.OpenInstance:
-		site, err := settings.Parse(e.Settings, e.Seed)
+	case simwire.OpenInstance:
+		site, err := platformconfig.Parse(e.Settings, e.Seed)
 		if err != nil {
-			return fmt.Errorf("%w: %w", benchwire.ErrMalformed, err)
+			return fmt.Errorf("%w: %w", simwire.ErrMalformed, err)
 		}
-		h.instances[id] = control.New(b.Clock, site.Control, actions{&h.reply, id})
+		h.instances[id] = scheduler.New(b.Clock, site.Control, actions{&h.reply, id})
 		return nil
-	case benchwire.Detach:
+	case simwire.Detach:
 		delete(h.instances, id)
 		return nil
 	}
@@ -99,25 +99,25 @@
 		return nil // an event that crossed with the instance's end
 	}
 	switch e.Code {
-	case benchwire.Members:
-		if e.List == benchwire.ListFailed {
+	case simwire.Members:
+		if e.List == simwire.ListFailed {
 			c.ListFailed(b.Clock)
 		} else {
-			c.Workers(b.Clock, h.lists[e.Page], e.List != benchwire.Delta)
+			c.Workers(b.Clock, h.lists[e.Page], e.List != simwire.Delta)
 		}
-	case benchwire.Arrival:
+	case simwire.Arrival:
 		c.Arrive(b.Clock, e.Request)
-	case benchwire.First:
+	case simwire.First:
 		c.Started(b.Clock, e.Request.ID)
-	case benchwire.Result:
+	case simwire.Result:
 		c.Outcome(b.Clock, e.Outcome)
-	case benchwire.Lapsed:
+	case simwire.Lapsed:
 		c.Gone(b.Clock, e.Request.ID)
-	case benchwire.Wake:
+	case simwire.Wake:
 		c.Woke(b.Clock, e.Token)
-	case benchwire.Pong:
+	case simwire.Pong:
 		c.Probed(b.Clock, e.Probed)
-	case benchwire.LoadDone:
+	case simwire.LoadDone:
 		c.Loaded(b.Clock, e.Loaded)
 	}
 	return nil
--- a/internal/benchhost/host_test.go
+++ b/internal/simhost/host_test.go
@@ -1,4 +1,4 @@
-package benchhost
+package simhost
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"math"
 	"testing"
 
-	"havencart/internal/benchwire"
+	"havencart/internal/simwire"
 )
 
 // Codes that the tests look for in a reply.
@@ -36,12 +36,12 @@
 	return b
 }
 
-func (b *batch) on(i uint32) *batch { return b.event(benchwire.For, i) }
+func (b *batch) on(i uint32) *batch { return b.event(simwire.For, i) }
 
 func (b *batch) open(settings string) *batch {
 	at := uint32(len(b.tail))
 	b.tail = append(b.tail, settings...)
-	return b.event(benchwire.OpenInstance, uint64(1), at, uint32(len(settings)))
+	return b.event(simwire.OpenInstance, uint64(1), at, uint32(len(settings)))
 }
 
 // list defines page 0 with one ready worker and gives it to the instance.
@@ -51,12 +51,12 @@
 	copy(entry[4:], []byte{10, 0, 0, addr, 0x40, 0x1f})
 	entry[19] = 1
 	b.tail = append(b.tail, entry...)
-	b.event(benchwire.Directory, uint16(0), at, uint32(1))
-	return b.event(benchwire.Members, uint8(1), uint32(1), uint16(0))
+	b.event(simwire.Directory, uint16(0), at, uint32(1))
+	return b.event(simwire.Members, uint8(1), uint32(1), uint16(0))
 }
 
 func (b *batch) arrival(id uint32, class uint16) *batch {
-	return b.event(benchwire.Arrival, id, class, uint32(0), uint64(7), float64(1000), float64(0), float32(100), float32(2))
+	return b.event(simwire.Arrival, id, class, uint32(0), uint64(7), float64(1000), float64(0), float32(100), float32(2))
 }
 
 func (b *batch) bytes(number uint32, clock float64) []byte {
@@ -140,9 +140,9 @@
 
 func TestRestartWithinOneBatchForgets(t *testing.T) {
 	first := new(batch).on(3).open(plain).list(1).bytes(1, 0)
-	second := new(batch).on(3).event(benchwire.Detach).open(plain).arrival(11, 0).bytes(2, 5)
-	third := new(batch).on(3).event(benchwire.Detach).bytes(3, 6)
-	late := new(batch).on(3).event(benchwire.Wake, uint64(0)).bytes(4, 30)
+	second := new(batch).on(3).event(simwire.Detach).open(plain).arrival(11, 0).bytes(2, 5)
+	third := new(batch).on(3).event(simwire.Detach).bytes(3, 6)
+	late := new(batch).on(3).event(simwire.Wake, uint64(0)).bytes(4, 30)
 	got, err := play(t, first, second, third, late)
 	if err != nil {
 		t.Fatal(err)
@@ -177,7 +177,7 @@
 		"truncated":                 new(batch).on(1).bytes(1, 0)[:30],
 	}
 	for name, raw := range tests {
-		if _, err := play(t, raw); !errors.Is(err, benchwire.ErrMalformed) {
+		if _, err := play(t, raw); !errors.Is(err, simwire.ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
--- a/internal/benchwire/frames.go
+++ b/internal/simwire/frames.go
@@ -1,6 +1,6 @@
-// Package benchwire reads and writes the frames and the settings of the
+// Package simwire reads and writes the frames and the settings of the
 // bench's wire. It is strict: a frame that the wire does not allow is an error.
-package benchwire
+package simwire
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 // Codes of events, as they stand in a batch.
@@ -76,12 +76,12 @@
 	Settings []byte // OPEN_INSTANCE
 	List     ListKind
 	Page     uint16 // MEMBERS, DIRECTORY
-	Workers  []control.WorkerInfo
-	Request  control.Request // ARRIVAL; ID alone for FIRST and LAPSED
-	Outcome  control.Outcome // RESULT
-	Probed   control.Probed  // PONG
-	Loaded   control.Loaded  // LOAD_DONE
-	Token    uint64          // WAKE
+	Workers  []scheduler.WorkerInfo
+	Request  scheduler.Request // ARRIVAL; ID alone for FIRST and LAPSED
+	Outcome  scheduler.Outcome // RESULT
+	Probed   scheduler.Probed  // PONG
+	Loaded   scheduler.Loaded  // LOAD_DONE
+	Token    uint64            // WAKE
 }
 
 // Batch is a decoded batch.
@@ -201,16 +201,16 @@
 	return f.tail[offset:end]
 }
 
-func (f *fields) worker() control.WorkerID {
+func (f *fields) worker() scheduler.WorkerID {
 	addr := binary.BigEndian.Uint32(f.take(4))
-	return control.WorkerID(addr)<<16 | control.WorkerID(f.u16())
+	return scheduler.WorkerID(addr)<<16 | scheduler.WorkerID(f.u16())
 }
 
-func (f *fields) function() control.FunctionID { return control.FunctionID(f.u64()) }
+func (f *fields) function() scheduler.FunctionID { return scheduler.FunctionID(f.u64()) }
 
-func (f *fields) status() control.Status {
-	s := control.Status(f.u8())
-	if s < control.OK || s > control.Miss {
+func (f *fields) status() scheduler.Status {
+	s := scheduler.Status(f.u8())
+	if s < scheduler.OK || s > scheduler.Miss {
 		f.fail("unknown outcome %d", s)
 	}
 	return s
@@ -233,18 +233,18 @@
 }
 
 // entries reads the workers of a DIRECTORY.
-func (f *fields) entries() []control.WorkerInfo {
+func (f *fields) entries() []scheduler.WorkerInfo {
 	raw := f.tailPart(entrySize)
-	workers := make([]control.WorkerInfo, 0, len(raw)/entrySize)
+	workers := make([]scheduler.WorkerInfo, 0, len(raw)/entrySize)
 	for ; len(raw) >= entrySize; raw = raw[entrySize:] {
 		e := fields{rec: raw[:entrySize]}
-		w := control.WorkerInfo{Scale: e.f32(), ID: e.worker(), Zone: int(e.u8()), Started: e.duration()}
+		w := scheduler.WorkerInfo{Scale: e.f32(), ID: e.worker(), Zone: int(e.u8()), Started: e.duration()}
 		if w.Started == 0 {
-			w.Started = control.LongAgo
+			w.Started = scheduler.LongAgo
 		}
-		w.State = control.WorkerState(e.u8())
+		w.State = scheduler.WorkerState(e.u8())
 		w.Kind, w.Cell = int(e.u16()), int(e.u16())
-		if w.State < control.Ready || w.State > control.Gone {
+		if w.State < scheduler.Ready || w.State > scheduler.Gone {
 			e.fail("unknown state %d", w.State)
 		}
 		if e.err != nil {
@@ -275,17 +275,17 @@
 	case Arrival:
 		e.Request = f.request()
 	case First:
-		e.Request.ID = control.RequestID(f.u32())
+		e.Request.ID = scheduler.RequestID(f.u32())
 	case Lapsed:
-		e.Request.ID = control.RequestID(f.u32())
+		e.Request.ID = scheduler.RequestID(f.u32())
 	case Result:
 		e.Outcome = f.outcome()
 	case Wake:
 		e.Token = f.u64()
 	case Pong:
-		e.Probed = control.Probed{Worker: f.worker(), Status: f.status(), Latency: f.duration(), Report: f.report()}
+		e.Probed = scheduler.Probed{Worker: f.worker(), Status: f.status(), Latency: f.duration(), Report: f.report()}
 	case LoadDone:
-		e.Loaded = control.Loaded{Worker: f.worker(), Status: f.status(), Latency: f.duration()}
+		e.Loaded = scheduler.Loaded{Worker: f.worker(), Status: f.status(), Latency: f.duration()}
 		e.Loaded.Function, e.Loaded.Copies = f.function(), int(f.u8())
 	case Datagram:
 		f.u16()
@@ -302,8 +302,8 @@
 	return e, f.err
 }
 
-func (f *fields) request() control.Request {
-	r := control.Request{ID: control.RequestID(f.u32()), Class: int(f.u16()), Tenant: int(f.u32())}
+func (f *fields) request() scheduler.Request {
+	r := scheduler.Request{ID: scheduler.RequestID(f.u32()), Class: int(f.u16()), Tenant: int(f.u32())}
 	r.Function, r.Budget, r.Cost = f.function(), f.duration(), f.duration()
 	r.MemoryMB, r.Lanes, r.LoadTime = f.f32(), max(1, int(f.f32())), millis(f.f32())
 	if f.u8()&1 == 0 {
@@ -312,13 +312,13 @@
 	return r
 }
 
-func (f *fields) outcome() control.Outcome {
-	o := control.Outcome{Request: control.RequestID(f.u32()), Attempt: int(f.u16()), Worker: f.worker()}
+func (f *fields) outcome() scheduler.Outcome {
+	o := scheduler.Outcome{Request: scheduler.RequestID(f.u32()), Attempt: int(f.u16()), Worker: f.worker()}
 	o.Status, o.Latency, o.Closed = f.status(), f.duration(), f.u8() != 0
 	note := f.u8()
-	o.Warmth, o.Crowd = control.Warmth(note%8), int(note/8)
+	o.Warmth, o.Crowd = scheduler.Warmth(note%8), int(note/8)
 	o.Report = f.report()
-	if o.Warmth > control.LoadFailed {
+	if o.Warmth > scheduler.LoadFailed {
 		f.fail("unknown note %d", note)
 	}
 	return o
@@ -353,7 +353,7 @@
 	}
 }
 
-func putWorker(b []byte, w control.WorkerID) {
+func putWorker(b []byte, w scheduler.WorkerID) {
 	binary.BigEndian.PutUint32(b, uint32(w>>16))
 	binary.LittleEndian.PutUint16(b[4:], uint16(w))
 }
@@ -363,7 +363,7 @@
 }
 
 // Send adds a CALL_OUT.
-func (p *Reply) Send(r control.RequestID, w control.WorkerID, until time.Duration) {
+func (p *Reply) Send(r scheduler.RequestID, w scheduler.WorkerID, until time.Duration) {
 	b := p.record(callOut)
 	binary.LittleEndian.PutUint32(b, uint32(r))
 	putMillis(b[4:], until)
@@ -371,19 +371,19 @@
 }
 
 // Refuse adds a TURN_AWAY.
-func (p *Reply) Refuse(r control.RequestID, retryAfter time.Duration) {
+func (p *Reply) Refuse(r scheduler.RequestID, retryAfter time.Duration) {
 	b := p.record(turnAway)
 	binary.LittleEndian.PutUint32(b, uint32(r))
 	putMillis(b[4:], retryAfter)
 }
 
 // Fail adds a RESPOND_ERROR.
-func (p *Reply) Fail(r control.RequestID) {
+func (p *Reply) Fail(r scheduler.RequestID) {
 	binary.LittleEndian.PutUint32(p.record(respondError), uint32(r))
 }
 
 // Cancel adds a RETRACT.
-func (p *Reply) Cancel(r control.RequestID, attempt int) {
+func (p *Reply) Cancel(r scheduler.RequestID, attempt int) {
 	b := p.record(retract)
 	binary.LittleEndian.PutUint32(b, uint32(r))
 	binary.LittleEndian.PutUint16(b[4:], uint16(attempt))
@@ -397,13 +397,13 @@
 }
 
 // Probe adds a PROBE.
-func (p *Reply) Probe(w control.WorkerID) { putWorker(p.record(probe), w) }
+func (p *Reply) Probe(w scheduler.WorkerID) { putWorker(p.record(probe), w) }
 
 // Follow adds a FOLLOW that subscribes.
 func (p *Reply) Follow() { p.record(follow)[0] = 1 }
 
 // Load adds a START_COPY.
-func (p *Reply) Load(w control.WorkerID, f control.FunctionID, copies int) {
+func (p *Reply) Load(w scheduler.WorkerID, f scheduler.FunctionID, copies int) {
 	b := p.record(startCopy)
 	putWorker(b, w)
 	binary.LittleEndian.PutUint64(b[6:], uint64(f))
@@ -411,7 +411,7 @@
 }
 
 // Unload adds a SHELVE.
-func (p *Reply) Unload(w control.WorkerID, f control.FunctionID) {
+func (p *Reply) Unload(w scheduler.WorkerID, f scheduler.FunctionID) {
 	b := p.record(shelve)
 	putWorker(b, w)
 	binary.LittleEndian.PutUint64(b[6:], uint64(f))
--- a/internal/benchwire/frames_test.go
+++ b/internal/simwire/frames_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simwire
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 // unhex reads hex digits; "+n" stands for n zero bytes.
@@ -55,7 +55,7 @@
 }
 
 func TestReadBatchExamples(t *testing.T) {
-	worker := control.WorkerID(0x0a124a07)<<16 | 0x1f43
+	worker := scheduler.WorkerID(0x0a124a07)<<16 | 0x1f43
 	entries := unhex(t, "0000803f 0a124a07 431f 00 0000000000000000 01 0000 0000"+
 		" 0000c03f 0a9011f2 6c1f 00 0000000000d4b740 02 0000 0300")
 	tests := map[string]struct {
@@ -73,8 +73,8 @@
 			nil, func(e Event) bool { return e.Request.Cost == 0 && e.Request.LoadTime == time.Second }},
 		"result": {"0401 c4913a5d 0200 0a124a07 431f 01 0000000000803240 01 1a 01 00004040", nil, func(e Event) bool {
 			o := e.Outcome
-			return o.Attempt == 2 && o.Worker == worker && o.Status == control.OK && o.Closed &&
-				o.Latency == 18500*time.Microsecond && o.Warmth == control.BeganLoad && o.Crowd == 3 &&
+			return o.Attempt == 2 && o.Worker == worker && o.Status == scheduler.OK && o.Closed &&
+				o.Latency == 18500*time.Microsecond && o.Warmth == scheduler.BeganLoad && o.Crowd == 3 &&
 				len(o.Report) == 1 && o.Report[0] == 3
 		}},
 		"lapsed": {"0501 192b6f0e", nil, func(e Event) bool { return e.Request.ID == 0x0e6f2b19 }},
@@ -85,14 +85,14 @@
 		}},
 		"load done": {"0a01 0a124a07 431f 03 0000000000008440 010ad2557c000000 02", nil, func(e Event) bool {
 			l := e.Loaded
-			return l.Worker == worker && l.Status == control.Full && l.Function == 0x7c55d20a01 && l.Copies == 2 &&
+			return l.Worker == worker && l.Status == scheduler.Full && l.Function == 0x7c55d20a01 && l.Copies == 2 &&
 				l.Latency == 640*time.Millisecond
 		}},
 		"members": {"0101 02 29000000 0300", nil, func(e Event) bool { return e.List == Cached && e.Page == 3 }},
 		"directory": {"0b01 0100 00000000 02000000", entries, func(e Event) bool {
 			w := e.Workers
-			return len(w) == 2 && w[0].Started == control.LongAgo && w[0].State == control.Ready &&
-				w[1].State == control.Draining && w[1].Started == 6100*time.Millisecond && w[1].Cell == 3 && w[1].Scale == 1.5
+			return len(w) == 2 && w[0].Started == scheduler.LongAgo && w[0].State == scheduler.Ready &&
+				w[1].State == scheduler.Draining && w[1].Started == 6100*time.Millisecond && w[1].Cell == 3 && w[1].Scale == 1.5
 		}},
 		"datagram": {"0801 0200 00000000 04000000", []byte("hi 7"), func(Event) bool { return true }},
 		"detach":   {"0901", nil, func(e Event) bool { return e.Code == Detach }},
@@ -167,7 +167,7 @@
 }
 
 func TestReplyRecords(t *testing.T) {
-	const w, f = control.WorkerID(0x0a124a07<<16 | 0x1f43), control.FunctionID(0x7c55d20a01)
+	const w, f = scheduler.WorkerID(0x0a124a07<<16 | 0x1f43), scheduler.FunctionID(0x7c55d20a01)
 	tests := map[string]struct {
 		act  func(*Reply)
 		want string
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -12,21 +12,21 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"havencart/control"
 	"havencart/internal/gateway"
+	"havencart/scheduler"
 )
 
 // Names are the policies that New makes.
 var Names = []string{"random", "round-robin", "least-out", "two-choices", "rendezvous"}
 
 // New returns what makes a policy by its name, nil for "module" and for a name that is none.
-func New(name string) func(time.Duration, control.Settings, control.Actions) gateway.Module {
+func New(name string) func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Module {
 	pick := map[string]picker{"random": random, "round-robin": roundRobin, "least-out": leastOut, "two-choices": twoChoices,
 		"rendezvous": rendezvous}[name]
 	if pick == nil {
 		return nil
 	}
-	return func(now time.Duration, set control.Settings, a control.Actions) gateway.Module {
+	return func(now time.Duration, set scheduler.Settings, a scheduler.Actions) gateway.Module {
 		return newPolicy(now, set, a, pick)
 	}
 }
@@ -35,31 +35,31 @@
 type picker func(p *policy, r *request, among []*worker) *worker
 
 type worker struct {
-	info control.WorkerInfo
+	info scheduler.WorkerInfo
 	out  int
 }
 
 type request struct {
-	control.Request
+	scheduler.Request
 	since    time.Duration
 	deadline time.Duration
 	attempts int
 	at       *worker
 	ran      bool
-	firstOn  control.WorkerInfo
+	firstOn  scheduler.WorkerInfo
 	first    time.Duration
 	over     bool
 }
 
 // policy sends each call at once to the worker that it picks, and again elsewhere where rule 2 allows it.
 type policy struct {
-	set      control.Settings
-	act      control.Actions
+	set      scheduler.Settings
+	act      scheduler.Actions
 	pick     picker
 	rng      *rand.Rand
 	now      time.Duration
 	workers  []*worker // by identifier
-	requests map[control.RequestID]*request
+	requests map[scheduler.RequestID]*request
 	held     []*request              // no worker could take them
 	first    func(a, b *request) int // order in which they are tried again; nil: as they came
 	turn     int
@@ -68,17 +68,17 @@
 // tick is how often what is held is tried again.
 const tick = 20 * time.Millisecond
 
-func newPolicy(now time.Duration, set control.Settings, a control.Actions, pick picker) *policy {
-	p := &policy{set: set, act: a, pick: pick, now: now, requests: map[control.RequestID]*request{},
+func newPolicy(now time.Duration, set scheduler.Settings, a scheduler.Actions, pick picker) *policy {
+	p := &policy{set: set, act: a, pick: pick, now: now, requests: map[scheduler.RequestID]*request{},
 		rng: rand.New(rand.NewPCG(set.Seed, 0x62617365))}
 	a.Wake(tick, 0)
 	return p
 }
 
 // Workers implements gateway.Module, as do the methods that follow.
-func (p *policy) Workers(now time.Duration, list []control.WorkerInfo, whole bool) {
+func (p *policy) Workers(now time.Duration, list []scheduler.WorkerInfo, whole bool) {
 	p.now = now
-	named := map[control.WorkerID]bool{}
+	named := map[scheduler.WorkerID]bool{}
 	for _, info := range list {
 		named[info.ID] = true
 		if w := p.worker(info.ID); w != nil {
@@ -90,13 +90,13 @@
 	sort.Slice(p.workers, func(i, j int) bool { return p.workers[i].info.ID < p.workers[j].info.ID })
 	for _, w := range p.workers {
 		if whole && !named[w.info.ID] {
-			w.info.State = control.Gone
+			w.info.State = scheduler.Gone
 		}
 	}
 	p.retry()
 }
 
-func (p *policy) worker(id control.WorkerID) *worker {
+func (p *policy) worker(id scheduler.WorkerID) *worker {
 	for _, w := range p.workers {
 		if w.info.ID == id {
 			return w
@@ -135,7 +135,7 @@
 	}
 }
 
-func (p *policy) Arrive(now time.Duration, in control.Request) {
+func (p *policy) Arrive(now time.Duration, in scheduler.Request) {
 	p.now = now
 	r := &request{Request: in, since: now, deadline: now + in.Budget}
 	p.requests[in.ID] = r
@@ -146,7 +146,7 @@
 func (p *policy) send(r *request) {
 	var among []*worker
 	for _, w := range p.workers {
-		if w.info.State == control.Ready && p.allowed(r, w) {
+		if w.info.State == scheduler.Ready && p.allowed(r, w) {
 			among = append(among, w)
 		}
 	}
@@ -169,19 +169,19 @@
 func (p *policy) allowed(r *request, w *worker) bool {
 	class := &p.set.Classes[r.Class]
 	switch {
-	case !r.ran || class.Repeat == control.Safe:
+	case !r.ran || class.Repeat == scheduler.Safe:
 		return true
-	case class.Repeat == control.Unsafe || p.now-r.first >= class.Memory-tick:
+	case class.Repeat == scheduler.Unsafe || p.now-r.first >= class.Memory-tick:
 		return false
-	case class.Scope == control.ScopeZone:
+	case class.Scope == scheduler.ScopeZone:
 		return w.info.Zone == r.firstOn.Zone
-	case class.Scope == control.ScopeCell:
+	case class.Scope == scheduler.ScopeCell:
 		return w.info.Cell == r.firstOn.Cell
 	}
 	return true
 }
 
-func (p *policy) Outcome(now time.Duration, o control.Outcome) {
+func (p *policy) Outcome(now time.Duration, o scheduler.Outcome) {
 	p.now = now
 	r := p.requests[o.Request]
 	if r == nil || r.at == nil {
@@ -195,14 +195,14 @@
 		delete(p.requests, r.ID)
 		return
 	}
-	if slices.Contains([]control.Status{control.Error, control.Timeout, control.Reset, control.Cancelled}, o.Status) && !r.ran {
+	if slices.Contains([]scheduler.Status{scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled}, o.Status) && !r.ran {
 		r.ran, r.first, r.firstOn = true, now, w.info
 	}
-	unsafe := r.ran && p.set.Classes[r.Class].Repeat == control.Unsafe
+	unsafe := r.ran && p.set.Classes[r.Class].Repeat == scheduler.Unsafe
 	switch {
 	case unsafe || r.attempts >= p.set.MaxAttempts || now+2*tick >= r.deadline:
 		p.finish(r)
-	case o.Status == control.Miss && p.set.MayOrder:
+	case o.Status == scheduler.Miss && p.set.MayOrder:
 		p.act.Load(w.info.ID, r.Function, 1)
 		p.held = append(p.held, r)
 	default:
@@ -215,14 +215,14 @@
 	r.over = true
 	delete(p.requests, r.ID)
 	class := &p.set.Classes[r.Class]
-	if !r.ran || class.Repeat == control.Safe || class.Repeat == control.Keyed && class.Scope == control.ScopeAll {
+	if !r.ran || class.Repeat == scheduler.Safe || class.Repeat == scheduler.Keyed && class.Scope == scheduler.ScopeAll {
 		p.act.Refuse(r.ID, p.set.MaxRetryAfter)
 		return
 	}
 	p.act.Fail(r.ID)
 }
 
-func (p *policy) Gone(now time.Duration, id control.RequestID) {
+func (p *policy) Gone(now time.Duration, id scheduler.RequestID) {
 	p.now = now
 	if r := p.requests[id]; r != nil {
 		r.over = true
@@ -234,11 +234,11 @@
 	}
 }
 
-func (p *policy) Loaded(now time.Duration, _ control.Loaded)     { p.now = now }
-func (p *policy) Started(now time.Duration, _ control.RequestID) { p.now = now }
-func (p *policy) Probed(now time.Duration, _ control.Probed)     { p.now = now }
-func random(p *policy, _ *request, among []*worker) *worker      { return among[p.rng.IntN(len(among))] }
-func leastOut(p *policy, _ *request, among []*worker) *worker    { p.turn++; return fewest(among, p.turn) }
+func (p *policy) Loaded(now time.Duration, _ scheduler.Loaded)     { p.now = now }
+func (p *policy) Started(now time.Duration, _ scheduler.RequestID) { p.now = now }
+func (p *policy) Probed(now time.Duration, _ scheduler.Probed)     { p.now = now }
+func random(p *policy, _ *request, among []*worker) *worker        { return among[p.rng.IntN(len(among))] }
+func leastOut(p *policy, _ *request, among []*worker) *worker      { p.turn++; return fewest(among, p.turn) }
 func roundRobin(p *policy, _ *request, among []*worker) *worker {
 	p.turn++
 	return among[p.turn%len(among)]
--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -4,15 +4,15 @@
 	"cmp"
 	"time"
 
-	"havencart/control"
 	"havencart/internal/gateway"
+	"havencart/scheduler"
 )
 
 // Truth is what an oracle sees: the true state of each worker.
 type Truth interface {
 	// Estimate is how long a call of a function would wait for a load, from now, and how long it would take beside
 	// that, for a lane and its run; false where it would not be answered, or must not be sent.
-	Estimate(w control.WorkerID, f control.FunctionID, r control.Request) (load, rest time.Duration, may bool)
+	Estimate(w scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, may bool)
 }
 
 // An oracle sees the truth and sends each call where it would be answered first, or holds it where that would be
@@ -59,12 +59,12 @@
 }
 
 // Oracle returns what makes an oracle by its name, nil for a name that is none.
-func Oracle(name string, truth Truth) func(time.Duration, control.Settings, control.Actions) gateway.Module {
+func Oracle(name string, truth Truth) func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Module {
 	for _, o := range oracles {
 		if o.name != name {
 			continue
 		}
-		return func(now time.Duration, set control.Settings, a control.Actions) gateway.Module {
+		return func(now time.Duration, set scheduler.Settings, a scheduler.Actions) gateway.Module {
 			p := newPolicy(now, set, a, func(p *policy, r *request, among []*worker) *worker {
 				var best *worker
 				soonest, bound := r.deadline-p.now, o.bound(p, r)
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"havencart/lab/audit"
-	"havencart/lab/load"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
 	"havencart/lab/worker"
 )
 
@@ -31,7 +31,7 @@
 type Pool struct {
 	Name    string // of the front end
 	Address string
-	Book    *audit.Book
+	Book    *invariant.Book
 	Grace   time.Duration // how much longer than its patience a client listens, to note a late answer
 
 	mu   sync.Mutex
@@ -45,12 +45,12 @@
 
 // Do makes one call and notes what came of it. An error says that no connection could be had: then nothing
 // was asked.
-func (p *Pool) Do(c load.Call) (Seen, error) {
+func (p *Pool) Do(c loadgen.Call) (Seen, error) {
 	n, err := p.get()
 	if err != nil {
 		return Seen{}, err
 	}
-	ask := p.Book.Ask(audit.Ask{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, FrontEnd: p.Name,
+	ask := p.Book.Ask(invariant.Ask{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, FrontEnd: p.Name,
 		Patience: c.Patience})
 	began := time.Now() // before the timer, so that a client that left took as long as it waits at least
 	if c.LeaveAfter > 0 {
@@ -124,7 +124,7 @@
 	p.free = nil
 }
 
-func (p *Pool) exchange(n *conn, ask *audit.Ask, c load.Call) (Seen, error) {
+func (p *Pool) exchange(n *conn, ask *invariant.Ask, c loadgen.Call) (Seen, error) {
 	_ = n.SetDeadline(time.Now().Add(c.Patience + p.Grace))
 	if _, err := n.Write(request(c)); err != nil {
 		return Seen{}, err
@@ -149,7 +149,7 @@
 	return seen, nil
 }
 
-func request(c load.Call) []byte {
+func request(c loadgen.Call) []byte {
 	body := append(worker.Body(c.Work, c.Reply), bytes.Repeat([]byte(" "), c.Pad)...)
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "POST /call/%s HTTP/1.1\r\nHost: lab\r\nContent-Length: %d\r\nCall-Id: %s\r\nCall-Patience: %d\r\n",
--- a/lab/client/run.go
+++ b/lab/client/run.go
@@ -6,12 +6,12 @@
 	"sync"
 	"time"
 
-	"havencart/lab/load"
+	"havencart/lab/loadgen"
 )
 
 // Observation is what became of one call of a client, its repeats counted as part of it.
 type Observation struct {
-	Call    load.Call
+	Call    loadgen.Call
 	Outcome string        // of the last try
 	Took    time.Duration // from when the call was due, not from when it could be sent
 	Late    time.Duration // how long after it was due its first try was sent
@@ -23,7 +23,7 @@
 // server is not spared, and what a call waits because the client could not send it in time is counted as the
 // call's (G. Tene's "coordinated omission").
 type Runner struct {
-	Next    func() (time.Duration, load.Call, bool)
+	Next    func() (time.Duration, loadgen.Call, bool)
 	Pools   func(i int) *Pool // of front end i
 	Fronts  int
 	Observe func(Observation)
@@ -45,7 +45,7 @@
 }
 
 // persist makes a call and repeats it by the clients' habit, each time through the next front end.
-func (r Runner) persist(ctx context.Context, c load.Call, front int, due time.Time) Observation {
+func (r Runner) persist(ctx context.Context, c loadgen.Call, front int, due time.Time) Observation {
 	id := c.ID
 	o := Observation{Call: c, Late: time.Since(due)}
 	for try := 0; ; try++ {
--- a/lab/directory/directory.go
+++ b/lab/discoveryserver/directory.go
@@ -1,7 +1,7 @@
-// Package directory is the emulated directory: a list of workers served on Consul's health endpoint with
+// Package discoveryserver is the emulated directory: a list of workers served on Consul's health endpoint with
 // blocking queries, and the troubles that such a service has. Each front end that asks is told what it is told
 // on its own, and the record of it is kept: when a notice reached whom.
-package directory
+package discoveryserver
 
 import (
 	"encoding/json"
@@ -12,23 +12,23 @@
 	"sync"
 	"time"
 
-	"havencart/control"
-	list "havencart/internal/directory"
+	list "havencart/internal/discovery"
+	"havencart/scheduler"
 )
 
 // Entry is one worker as the directory lists it.
 type Entry struct {
 	Name, Address, Zone, Cell string
 	Started                   time.Time
-	State                     control.WorkerState // Gone: left out, or listed as critical
-	Critical                  bool                // a worker that is gone is listed as critical in place of left out
+	State                     scheduler.WorkerState // Gone: left out, or listed as critical
+	Critical                  bool                  // a worker that is gone is listed as critical in place of left out
 }
 
 // Notice is one list as it was sent to one client.
 type Notice struct {
 	At     time.Time
 	Client string // as it calls itself (User-Agent)
-	States map[string]control.WorkerState
+	States map[string]scheduler.WorkerState
 }
 
 // Server is a running directory.
@@ -167,15 +167,15 @@
 // answer sends the list. What it tells counts as told once it is sent, so it is recorded last.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	index, instances, states := s.index, []list.Instance{}, map[string]control.WorkerState{}
+	index, instances, states := s.index, []list.Instance{}, map[string]scheduler.WorkerState{}
 	shown := int(s.partial*float64(len(s.order)) + 0.5)
 	for _, name := range s.order {
-		states[name] = control.Gone
+		states[name] = scheduler.Gone
 	}
 	for _, name := range s.order[:shown] {
 		e := s.entries[name]
 		states[name] = e.State
-		if e.State != control.Gone || e.Critical {
+		if e.State != scheduler.Gone || e.Critical {
 			instances = append(instances, e.instance())
 		}
 	}
@@ -200,9 +200,9 @@
 	}
 	status := list.Check{CheckID: "service:" + e.Name, Status: "passing"}
 	switch e.State {
-	case control.Draining:
+	case scheduler.Draining:
 		status = list.Check{CheckID: "_service_maintenance:" + e.Name, Status: "critical"}
-	case control.Gone:
+	case scheduler.Gone:
 		status.Status = "critical"
 	}
 	i.Checks = []list.Check{status}
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"havencart/lab/audit"
-	"havencart/lab/sim"
+	"havencart/lab/invariant"
+	"havencart/lab/simulation"
 )
 
 const short = `
@@ -119,7 +119,7 @@
 func made(s *Spec, service map[string][]float64) (list []Cell) {
 	for name, values := range service {
 		for i, v := range values {
-			r := sim.Result{Score: audit.Score{Course: audit.Course{Part: audit.Part{Asked: 1, Got: v}}}}
+			r := simulation.Result{Score: invariant.Score{Course: invariant.Course{Part: invariant.Part{Asked: 1, Got: v}}}}
 			list = append(list, Cell{Variant: name, Day: "quiet", Seed: uint64(s.First + i), Result: r})
 		}
 	}
@@ -174,7 +174,7 @@
 	cells := made(s, map[string][]float64{"module": {0.9, 0.9, 0.9}, "random": {0.9, 0.9, 0.9}})
 	for i := range cells {
 		if cells[i].Variant == "random" {
-			cells[i].Result.Breaks = []audit.Break{{Rule: "cold", What: "x"}}
+			cells[i].Result.Breaks = []invariant.Break{{Rule: "cold", What: "x"}}
 		}
 	}
 	c := s.CompareDay(cells, "quiet")[1]
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"havencart/lab/sim"
+	"havencart/lab/simulation"
 )
 
 // Cell is one run: a variant on a day with a seed.
@@ -25,7 +25,7 @@
 	Seed    uint64
 	Key     string // of all that the run depends on
 	Failed  string // why the variant could not be played to its end
-	Result  sim.Result
+	Result  simulation.Result
 }
 
 // Void is why the run counts for nothing, empty where it counts.
@@ -168,13 +168,13 @@
 }
 
 // here plays a run in this process; a panic of the variant is its failure.
-func here(cfg sim.Config) (r sim.Result, failed string) {
+func here(cfg simulation.Config) (r simulation.Result, failed string) {
 	defer func() {
 		if trouble := recover(); trouble != nil {
 			failed = fmt.Sprint("panic: ", trouble)
 		}
 	}()
-	r, err := sim.Run(cfg)
+	r, err := simulation.Run(cfg)
 	if err != nil {
 		return r, err.Error()
 	}
@@ -182,12 +182,12 @@
 }
 
 // Play plays one cell by name: what another program is asked for.
-func (s *Spec) Play(variant, day string, seed uint64) (sim.Result, error) {
+func (s *Spec) Play(variant, day string, seed uint64) (simulation.Result, error) {
 	v, d := s.find(variant, day)
 	if v.Name == "" || d.Name == "" {
-		return sim.Result{}, fmt.Errorf("%w: no variant %q or day %q", ErrSpec, variant, day)
+		return simulation.Result{}, fmt.Errorf("%w: no variant %q or day %q", ErrSpec, variant, day)
 	}
-	return sim.Run(s.config(v, d, seed))
+	return simulation.Run(s.config(v, d, seed))
 }
 
 func (s *Spec) find(variant, day string) (v Variant, d Day) {
--- a/lab/experiment/spec.go
+++ b/lab/experiment/spec.go
@@ -11,11 +11,11 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/internal/lines"
+	"havencart/internal/directive"
 	"havencart/lab/fleet"
-	"havencart/lab/load"
-	"havencart/lab/script"
-	"havencart/lab/sim"
+	"havencart/lab/loadgen"
+	"havencart/lab/scenario"
+	"havencart/lab/simulation"
 )
 
 // ErrSpec is wrapped by every error about an experiment's text.
@@ -37,7 +37,7 @@
 	Workers, Cells, FrontEnds int
 	Lasts                     time.Duration
 	Lag                       time.Duration
-	Mix                       load.Mix
+	Mix                       loadgen.Mix
 	Queue                     int
 	Memory                    float64
 	Cores                     float64
@@ -46,7 +46,7 @@
 	StoreLimit                int
 	Tenants                   int
 	Quota                     float64
-	Troubles                  []script.Trouble
+	Troubles                  []scenario.Trouble
 }
 
 // Variant is what is set beside others.
@@ -59,61 +59,61 @@
 
 const hour = time.Hour
 
-var specTable = []lines.Directive[Spec]{
-	lines.Text("title", "words in quotes", "", "what it is about", func(s *Spec) *string { return &s.Title }),
-	lines.Number("seeds", 1, 10000, "8", "runs of each variant on each day", func(s *Spec) *int { return &s.Seeds }),
-	lines.Number("first-seed", 0, 1<<30, "1", "the first seed", func(s *Spec) *int { return &s.First }),
+var specTable = []directive.Directive[Spec]{
+	directive.Text("title", "words in quotes", "", "what it is about", func(s *Spec) *string { return &s.Title }),
+	directive.Number("seeds", 1, 10000, "8", "runs of each variant on each day", func(s *Spec) *int { return &s.Seeds }),
+	directive.Number("first-seed", 0, 1<<30, "1", "the first seed", func(s *Spec) *int { return &s.First }),
 }
 
-var dayTable = []lines.Directive[Day]{
-	lines.Number("workers", 1, 10000, "12", "emulated workers", func(d *Day) *int { return &d.Workers }),
-	lines.Number("cells", 1, 1000, "3", "groups of workers that share keys", func(d *Day) *int { return &d.Cells }),
-	lines.Number("front-ends", 1, 10000, "3", "front ends", func(d *Day) *int { return &d.FrontEnds }),
-	lines.Duration("lasts", time.Second, hour, "30s", "how long clients call", func(d *Day) *time.Duration { return &d.Lasts }),
-	lines.Duration("list-lag", time.Millisecond, hour, "1s", "mean time until a front end hears of a change",
+var dayTable = []directive.Directive[Day]{
+	directive.Number("workers", 1, 10000, "12", "emulated workers", func(d *Day) *int { return &d.Workers }),
+	directive.Number("cells", 1, 1000, "3", "groups of workers that share keys", func(d *Day) *int { return &d.Cells }),
+	directive.Number("front-ends", 1, 10000, "3", "front ends", func(d *Day) *int { return &d.FrontEnds }),
+	directive.Duration("lasts", time.Second, hour, "30s", "how long clients call", func(d *Day) *time.Duration { return &d.Lasts }),
+	directive.Duration("list-lag", time.Millisecond, hour, "1s", "mean time until a front end hears of a change",
 		func(d *Day) *time.Duration { return &d.Lag }),
-	lines.Real("rate", 0.1, 1e6, "150", "calls a second", func(d *Day) *float64 { return &d.Mix.Rate }),
-	lines.Choice("shape", []string{"steady", "bursty", "ramp", "daily"}, []load.Shape{load.Steady, load.Bursty, load.Ramp, load.Daily},
-		"steady", "how the rate changes", func(d *Day) *load.Shape { return &d.Mix.Shape }),
-	lines.Number("functions", 1, 1e6, "12", "functions of each class", func(d *Day) *int { return &d.Mix.Functions }),
-	lines.Real("zipf", 1.01, 10, "1.3", "exponent of their popularity", func(d *Day) *float64 { return &d.Mix.Zipf }),
-	lines.Real("once", 0, 1, "0", "share of calls for functions wanted once", func(d *Day) *float64 { return &d.Mix.Once }),
-	lines.Duration("drift", 0, hour, "0s", "a fifth of the functions give way after each; 0s: never",
+	directive.Real("rate", 0.1, 1e6, "150", "calls a second", func(d *Day) *float64 { return &d.Mix.Rate }),
+	directive.Choice("shape", []string{"steady", "bursty", "ramp", "daily"}, []loadgen.Shape{loadgen.Steady, loadgen.Bursty, loadgen.Ramp, loadgen.Daily},
+		"steady", "how the rate changes", func(d *Day) *loadgen.Shape { return &d.Mix.Shape }),
+	directive.Number("functions", 1, 1e6, "12", "functions of each class", func(d *Day) *int { return &d.Mix.Functions }),
+	directive.Real("zipf", 1.01, 10, "1.3", "exponent of their popularity", func(d *Day) *float64 { return &d.Mix.Zipf }),
+	directive.Real("once", 0, 1, "0", "share of calls for functions wanted once", func(d *Day) *float64 { return &d.Mix.Once }),
+	directive.Duration("drift", 0, hour, "0s", "a fifth of the functions give way after each; 0s: never",
 		func(d *Day) *time.Duration { return &d.Mix.Drift }),
-	lines.Duration("work", 0, hour, "60ms", "mean work of a call", func(d *Day) *time.Duration { return &d.Mix.Work }),
-	lines.Real("sigma", 0, 3, "0.6", "of its lognormal distribution", func(d *Day) *float64 { return &d.Mix.WorkSigma }),
-	lines.Duration("load", 0, hour, "600ms", "time of a load", func(d *Day) *time.Duration { return &d.Mix.Load }),
-	lines.Real("size", 1, 1e6, "400", "megabytes of a copy", func(d *Day) *float64 { return &d.Mix.MemoryMB }),
-	lines.Duration("patience", time.Millisecond, hour, "2s", "of clients, at most", func(d *Day) *time.Duration { return &d.Mix.Patience }),
-	lines.Choice("habit", []string{"never", "at-once", "wait", "advised", "impolite"},
-		[]load.Habit{load.Never, load.AtOnce, load.Wait, load.Advised, load.Impolite}, "advised", "what clients do after a refusal",
-		func(d *Day) *load.Habit { return &d.Mix.Habit }),
-	lines.Number("retries", 0, 100, "1", "times at most", func(d *Day) *int { return &d.Mix.Retries }),
-	lines.Real("cores", 0.1, 1000, "4", "of a worker", func(d *Day) *float64 { return &d.Cores }),
-	lines.Real("memory", 1, 1e9, "4000", "megabytes of a worker", func(d *Day) *float64 { return &d.Memory }),
-	lines.Number("queue", 1, 1e6, "100", "calls that may wait at a worker", func(d *Day) *int { return &d.Queue }),
-	lines.OnOff("miss", "off", "workers answer miss in place of loading", func(d *Day) *bool { return &d.Miss }),
-	lines.Real("store-places", 0.1, 1e6, "8", "fetches that the store serves at full pace", func(d *Day) *float64 { return &d.StorePlaces }),
-	lines.Number("tenants", 0, 100000, "0", "t1, t2 and so on with equal shares, in place of the demo's two; 0: those",
+	directive.Duration("work", 0, hour, "60ms", "mean work of a call", func(d *Day) *time.Duration { return &d.Mix.Work }),
+	directive.Real("sigma", 0, 3, "0.6", "of its lognormal distribution", func(d *Day) *float64 { return &d.Mix.WorkSigma }),
+	directive.Duration("load", 0, hour, "600ms", "time of a load", func(d *Day) *time.Duration { return &d.Mix.Load }),
+	directive.Real("size", 1, 1e6, "400", "megabytes of a copy", func(d *Day) *float64 { return &d.Mix.MemoryMB }),
+	directive.Duration("patience", time.Millisecond, hour, "2s", "of clients, at most", func(d *Day) *time.Duration { return &d.Mix.Patience }),
+	directive.Choice("habit", []string{"never", "at-once", "wait", "advised", "impolite"},
+		[]loadgen.Habit{loadgen.Never, loadgen.AtOnce, loadgen.Wait, loadgen.Advised, loadgen.Impolite}, "advised", "what clients do after a refusal",
+		func(d *Day) *loadgen.Habit { return &d.Mix.Habit }),
+	directive.Number("retries", 0, 100, "1", "times at most", func(d *Day) *int { return &d.Mix.Retries }),
+	directive.Real("cores", 0.1, 1000, "4", "of a worker", func(d *Day) *float64 { return &d.Cores }),
+	directive.Real("memory", 1, 1e9, "4000", "megabytes of a worker", func(d *Day) *float64 { return &d.Memory }),
+	directive.Number("queue", 1, 1e6, "100", "calls that may wait at a worker", func(d *Day) *int { return &d.Queue }),
+	directive.OnOff("miss", "off", "workers answer miss in place of loading", func(d *Day) *bool { return &d.Miss }),
+	directive.Real("store-places", 0.1, 1e6, "8", "fetches that the store serves at full pace", func(d *Day) *float64 { return &d.StorePlaces }),
+	directive.Number("tenants", 0, 100000, "0", "t1, t2 and so on with equal shares, in place of the demo's two; 0: those",
 		func(d *Day) *int { return &d.Tenants }),
-	lines.Real("tenant-quota", 0, 1e9, "0", "calls a second that each of them may make; 0: no limit",
+	directive.Real("tenant-quota", 0, 1e9, "0", "calls a second that each of them may make; 0: no limit",
 		func(d *Day) *float64 { return &d.Quota }),
-	lines.OnOff("own-functions", "off", "each tenant calls functions of its own", func(d *Day) *bool { return &d.Mix.OwnFunctions }),
-	lines.Number("store-limit", 1, 1e6, "40", "fetches in hand beyond which it refuses", func(d *Day) *int { return &d.StoreLimit }),
+	directive.OnOff("own-functions", "off", "each tenant calls functions of its own", func(d *Day) *bool { return &d.Mix.OwnFunctions }),
+	directive.Number("store-limit", 1, 1e6, "40", "fetches in hand beyond which it refuses", func(d *Day) *int { return &d.StoreLimit }),
 }
 
-var variantTable = []lines.Directive[Variant]{
-	lines.Text("policy", "module, oracle, random, round-robin, least-out, two-choices or rendezvous", "module", "what decides",
+var variantTable = []directive.Directive[Variant]{
+	directive.Text("policy", "module, oracle, random, round-robin, least-out, two-choices or rendezvous", "module", "what decides",
 		func(v *Variant) *string { return &v.Policy }),
 	{Name: "set", Takes: "a line of settings", Help: "in place of the line of that directive", Words: -1, Many: true,
 		Set: func(v *Variant, words []string) error {
 			if len(words) < 2 {
-				return lines.ErrValue
+				return directive.ErrValue
 			}
 			v.Set = append(v.Set, strings.Join(words, " "))
 			return nil
 		}},
-	lines.Text("program", "a path", "", "another build of havencart, say of another commit", func(v *Variant) *string { return &v.Program }),
+	directive.Text("program", "a path", "", "another build of havencart, say of another commit", func(v *Variant) *string { return &v.Program }),
 }
 
 // Load reads an experiment's file.
@@ -127,28 +127,28 @@
 
 // Parse reads an experiment. All errors are told at once.
 func Parse(path, text string) (*Spec, error) {
-	s, p := &Spec{Path: path}, &lines.Parser{}
-	lines.Defaults(s, specTable)
-	p.Top = func(at lines.Place, words []lines.Word) {
+	s, p := &Spec{Path: path}, &directive.Parser{}
+	directive.Defaults(s, specTable)
+	p.Top = func(at directive.Place, words []directive.Word) {
 		switch words[0].Text {
 		case "day":
-			lines.Block(p, at, words, dayTable, func(d *Day) *string { return &d.Name }, &s.Days, func(d *Day, at lines.Place, w []lines.Word) bool {
+			directive.Block(p, at, words, dayTable, func(d *Day) *string { return &d.Name }, &s.Days, func(d *Day, at directive.Place, w []directive.Word) bool {
 				return d.trouble(p, at, w)
 			})
 		case "variant":
-			lines.Block(p, at, words, variantTable, func(v *Variant) *string { return &v.Name }, &s.Variants, nil)
+			directive.Block(p, at, words, variantTable, func(v *Variant) *string { return &v.Name }, &s.Variants, nil)
 		default:
-			lines.Apply(p, at, words, s, specTable, "day, variant, include")
+			directive.Apply(p, at, words, s, specTable, "day, variant, include")
 		}
 	}
 	p.Parse(path, text)
 	if len(s.Days) == 0 || len(s.Variants) == 0 {
-		p.Fail(lines.Place{File: path}, 0, "%d days and %d variants; at least one of each is needed", len(s.Days), len(s.Variants))
+		p.Fail(directive.Place{File: path}, 0, "%d days and %d variants; at least one of each is needed", len(s.Days), len(s.Variants))
 	}
 	for _, v := range s.Variants {
 		for _, d := range s.Days {
-			if _, err := sim.Check(s.config(v, d, 1)); err != nil {
-				p.Fail(lines.Place{File: path}, 0, "variant %q on day %q: %v", v.Name, d.Name, err)
+			if _, err := simulation.Check(s.config(v, d, 1)); err != nil {
+				p.Fail(directive.Place{File: path}, 0, "variant %q on day %q: %v", v.Name, d.Name, err)
 			}
 		}
 	}
@@ -159,11 +159,11 @@
 }
 
 // trouble takes the lines of a day that are a script's: troubles, and scripts by file.
-func (d *Day) trouble(p *lines.Parser, at lines.Place, words []lines.Word) bool {
+func (d *Day) trouble(p *directive.Parser, at directive.Place, words []directive.Word) bool {
 	switch words[0].Text {
 	case "at":
 		line, _, _ := strings.Cut(at.Text, "#")
-		t, column, err := script.ParseLine(line)
+		t, column, err := scenario.ParseLine(line)
 		if err != nil {
 			p.Fail(at, column, "%v", err)
 			return true
@@ -176,7 +176,7 @@
 			return true
 		}
 		path := filepath.Join(filepath.Dir(at.File), words[1].Text)
-		list, err := script.Load(path)
+		list, err := scenario.Load(path)
 		if err != nil {
 			p.Fail(at, words[1].Column, "%v", err)
 		}
@@ -188,7 +188,7 @@
 }
 
 // config is a variant on a day with a seed.
-func (s *Spec) config(v Variant, d Day, seed uint64) sim.Config {
+func (s *Spec) config(v Variant, d Day, seed uint64) simulation.Config {
 	worker := fleet.DemoWorker()
 	worker.Cores, worker.MemoryMB, worker.Queue, worker.MissAnswers = d.Cores, d.Memory, d.Queue, d.Miss
 	store := fleet.DemoStore()
@@ -197,7 +197,7 @@
 	if d.Miss {
 		set = append([]string{"on-miss miss"}, set...)
 	}
-	return sim.Config{Workers: d.Workers, Cells: d.Cells, FrontEnds: d.FrontEnds, Worker: worker, Settings: override(d.settings(), set),
+	return simulation.Config{Workers: d.Workers, Cells: d.Cells, FrontEnds: d.FrontEnds, Worker: worker, Settings: override(d.settings(), set),
 		Store: store, Mix: d.Mix, Lasts: d.Lasts, ListLag: d.Lag, Jitter: 0.3, Troubles: d.Troubles, Seed: seed, Policy: v.Policy, LogLevel: zerolog.InfoLevel}
 }
 
--- a/lab/hunt/hunt.go
+++ b/lab/faultsearch/hunt.go
@@ -1,7 +1,7 @@
-// Package hunt searches for bad days: scripts of troubles on which the module stands far below the oracle, or
+// Package faultsearch searches for bad days: scripts of troubles on which the module stands far below the oracle, or
 // on which a rule breaks. Scripts are drawn at random and mutated, the worst are kept, and each find is shrunk
 // to what matters. It is seeded: the same hunt finds the same days.
-package hunt
+package faultsearch
 
 import (
 	"cmp"
@@ -13,16 +13,16 @@
 	"sync"
 	"time"
 
-	"havencart/lab/script"
-	"havencart/lab/sim"
+	"havencart/lab/scenario"
+	"havencart/lab/simulation"
 )
 
 // Config says where to hunt.
 type Config struct {
-	Base     sim.Config // the installation, without troubles
-	Rounds   int        // of mutation
-	Width    int        // scripts tried in each round
-	Keep     int        // finds
+	Base     simulation.Config // the installation, without troubles
+	Rounds   int               // of mutation
+	Width    int               // scripts tried in each round
+	Keep     int               // finds
 	Seed     uint64
 	Parallel int
 	Tell     func(string)
@@ -30,7 +30,7 @@
 
 // Find is a bad day.
 type Find struct {
-	Troubles       []script.Trouble
+	Troubles       []scenario.Trouble
 	Module, Oracle float64 // service
 	Broken         string  // a rule that the module broke, and how
 }
@@ -51,7 +51,7 @@
 		fmt.Fprintf(&out, "# Broke a rule: %s\n", f.Broken)
 	}
 	for _, t := range f.Troubles {
-		out.WriteString(script.Format(t) + "\n")
+		out.WriteString(scenario.Format(t) + "\n")
 	}
 	return out.String()
 }
@@ -95,7 +95,7 @@
 
 // round tries new scripts, half of them mutations of what was found, and keeps the worst of different kinds.
 func (h *hunter) round() error {
-	var tries [][]script.Trouble
+	var tries [][]scenario.Trouble
 	for i := range h.cfg.Width {
 		if i%2 == 0 || len(h.best) == 0 {
 			tries = append(tries, h.draw())
@@ -121,7 +121,7 @@
 }
 
 // kind tells scripts apart by what they are made of, so that one trouble does not fill all places.
-func kind(list []script.Trouble) string {
+func kind(list []scenario.Trouble) string {
 	var verbs []string
 	for _, t := range list {
 		verbs = append(verbs, t.Verb)
@@ -131,7 +131,7 @@
 }
 
 // all judges scripts, several at a time; the order of the result is theirs.
-func (h *hunter) all(tries [][]script.Trouble) ([]Find, error) {
+func (h *hunter) all(tries [][]scenario.Trouble) ([]Find, error) {
 	finds, errs := make([]Find, len(tries)), make([]error, len(tries))
 	var tasks sync.WaitGroup
 	slots := make(chan struct{}, max(1, h.cfg.Parallel))
@@ -152,15 +152,15 @@
 }
 
 // judge plays a script with the module and with the oracle.
-func (h *hunter) judge(troubles []script.Trouble) (Find, error) {
+func (h *hunter) judge(troubles []scenario.Trouble) (Find, error) {
 	cfg := h.cfg.Base
 	cfg.Troubles = troubles
-	module, err := sim.Run(cfg)
+	module, err := simulation.Run(cfg)
 	if err != nil {
 		return Find{}, err
 	}
 	cfg.Policy = "oracle"
-	oracle, err := sim.Run(cfg)
+	oracle, err := simulation.Run(cfg)
 	if err != nil {
 		return Find{}, err
 	}
@@ -179,40 +179,40 @@
 	"re-release", "clock-jump", "ageing", "handshake", "heavy", "store-stop", "store-slow", "store-fail", "directory-lag", "directory-down", "net-delay",
 	"net-loss", "net-cut", "leave", "surge", "hot", "scan", "stall"}
 
-func (h *hunter) draw() (list []script.Trouble) {
+func (h *hunter) draw() (list []scenario.Trouble) {
 	for range 1 + h.rng.IntN(4) {
 		list = append(list, h.trouble())
 	}
-	script.Sort(list)
+	scenario.Sort(list)
 	return list
 }
 
 // trouble draws one trouble, in tenths of a second and whole percents.
-func (h *hunter) trouble() script.Trouble {
-	t := script.Trouble{Verb: verbs[h.rng.IntN(len(verbs))]}
+func (h *hunter) trouble() scenario.Trouble {
+	t := scenario.Trouble{Verb: verbs[h.rng.IntN(len(verbs))]}
 	lasts := int(h.cfg.Base.Lasts / (100 * time.Millisecond))
 	t.At = h.tenths(lasts/20, lasts*3/4)
 	draws := []struct {
-		word script.Word
+		word scenario.Word
 		draw func()
 	}{
-		{script.Share, func() { t.Share = float64(5+h.rng.IntN(46)) / 100 }},
-		{script.FrontEnd, func() { t.Number = 1 + h.rng.IntN(h.cfg.Base.FrontEnds) }},
-		{script.Zone, func() { t.Number = 1 + h.rng.IntN(zones) }},
-		{script.OtherZone, func() { t.To = 1 + h.rng.IntN(zones) }},
-		{script.Functions, func() { t.Number = 1 + h.rng.IntN(4) }},
-		{script.Rate, func() { t.Factor = float64(3+h.rng.IntN(8)) / 10 }},
-		{script.Factor, func() { t.Factor = float64(2 + h.rng.IntN(8)) }},
-		{script.By, func() { t.By = h.tenths(1, 50) }},
-		{script.Skew, func() { t.By = h.tenths(1, 50) }},
-		{script.Stop, func() { t.Stop = h.tenths(1, 6) }},
-		{script.Every, func() { t.Every = h.tenths(8, 30) }},
-		{script.Over, func() { t.Over = h.tenths(10, lasts/2) }},
-		{script.Drain, func() { t.Drain = h.tenths(2, 20) }},
-		{script.For, func() { t.For = h.tenths(3, lasts/3) }},
+		{scenario.Share, func() { t.Share = float64(5+h.rng.IntN(46)) / 100 }},
+		{scenario.FrontEnd, func() { t.Number = 1 + h.rng.IntN(h.cfg.Base.FrontEnds) }},
+		{scenario.Zone, func() { t.Number = 1 + h.rng.IntN(zones) }},
+		{scenario.OtherZone, func() { t.To = 1 + h.rng.IntN(zones) }},
+		{scenario.Functions, func() { t.Number = 1 + h.rng.IntN(4) }},
+		{scenario.Rate, func() { t.Factor = float64(3+h.rng.IntN(8)) / 10 }},
+		{scenario.Factor, func() { t.Factor = float64(2 + h.rng.IntN(8)) }},
+		{scenario.By, func() { t.By = h.tenths(1, 50) }},
+		{scenario.Skew, func() { t.By = h.tenths(1, 50) }},
+		{scenario.Stop, func() { t.Stop = h.tenths(1, 6) }},
+		{scenario.Every, func() { t.Every = h.tenths(8, 30) }},
+		{scenario.Over, func() { t.Over = h.tenths(10, lasts/2) }},
+		{scenario.Drain, func() { t.Drain = h.tenths(2, 20) }},
+		{scenario.For, func() { t.For = h.tenths(3, lasts/3) }},
 	}
 	for _, d := range draws {
-		if script.Takes(t.Verb, d.word) {
+		if scenario.Takes(t.Verb, d.word) {
 			d.draw()
 		}
 	}
@@ -237,7 +237,7 @@
 }
 
 // mutate changes, adds or takes away a trouble.
-func (h *hunter) mutate(list []script.Trouble) []script.Trouble {
+func (h *hunter) mutate(list []scenario.Trouble) []scenario.Trouble {
 	list = slices.Clone(list)
 	i := h.rng.IntN(len(list))
 	switch x := h.rng.IntN(4); {
@@ -254,7 +254,7 @@
 			list[i].For = list[i].For * time.Duration(5+h.rng.IntN(11)) / 10
 		}
 	}
-	script.Sort(list)
+	scenario.Sort(list)
 	return list
 }
 
@@ -265,7 +265,7 @@
 func (h *hunter) shrink(f Find) (Find, error) {
 	for again := true; again; {
 		again = false
-		var tries [][]script.Trouble
+		var tries [][]scenario.Trouble
 		for i := range f.Troubles {
 			if len(f.Troubles) > 1 {
 				tries = append(tries, slices.Delete(slices.Clone(f.Troubles), i, i+1))
--- a/lab/hunt/hunt_test.go
+++ b/lab/faultsearch/hunt_test.go
@@ -1,4 +1,4 @@
-package hunt
+package faultsearch
 
 import (
 	"context"
@@ -9,21 +9,21 @@
 
 	"pgregory.net/rapid"
 
-	"havencart/lab/script"
+	"havencart/lab/scenario"
 )
 
 func TestScriptsComeBackAsTheyWereWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &hunter{cfg: Config{Base: Base(30 * time.Second)}, rng: rng(rapid.Uint64().Draw(t, "seed"))}
 		want := h.mutate(h.draw())
-		got, err := script.Parse("found", Find{Troubles: want}.Text())
+		got, err := scenario.Parse("found", Find{Troubles: want}.Text())
 		if err != nil || len(got) != len(want) {
 			t.Fatalf("%v, %d of %d", err, len(got), len(want))
 		}
 		for i := range got {
 			got[i].Line = 0
 			want[i].Line = 0
-			if script.Format(got[i]) != script.Format(want[i]) {
+			if scenario.Format(got[i]) != scenario.Format(want[i]) {
 				t.Fatalf("%+v came back as %+v", want[i], got[i])
 			}
 		}
@@ -49,7 +49,7 @@
 
 // TestFoundDaysBreakNoRule plays the days that hunts found, which stay as regressions.
 func TestFoundDaysBreakNoRule(t *testing.T) {
-	files, err := filepath.Glob("../days/found/*.day")
+	files, err := filepath.Glob("../scenarios/found/*.day")
 	if err != nil || len(files) < 10 {
 		t.Fatalf("%d found days, %v", len(files), err)
 	}
@@ -58,7 +58,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		troubles, err := script.Parse(file, string(raw))
+		troubles, err := scenario.Parse(file, string(raw))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/fleet/badday_test.go
+++ b/lab/fleet/badday_test.go
@@ -21,7 +21,7 @@
 }
 
 func badDay(t *testing.T, name string, lasts time.Duration) {
-	text, err := os.ReadFile("../days/" + name + ".day")
+	text, err := os.ReadFile("../scenarios/" + name + ".day")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -7,10 +7,10 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/lab/audit"
-	"havencart/lab/load"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
-	"havencart/lab/script"
+	"havencart/lab/scenario"
 )
 
 // DemoDay is a short bad day.
@@ -73,7 +73,7 @@
 // Demo is a whole installation with a load and a script of troubles.
 type Demo struct {
 	Workers, FrontEnds int
-	Mix                load.Mix
+	Mix                loadgen.Mix
 	Lasts              time.Duration
 	Script             string
 	Set                []string // lines of settings put before DemoSettings
@@ -85,18 +85,18 @@
 // Result is how a Demo went.
 type Result struct {
 	Seen   map[string]int // clients' calls by how they ended, with their repeats counted as one
-	Tally  audit.Tally
-	Breaks []audit.Break
-	Score  audit.Score
+	Tally  invariant.Tally
+	Breaks []invariant.Break
+	Score  invariant.Score
 }
 
 // Run plays the demo until its time or ctx is over.
 func (d Demo) Run(ctx context.Context) (Result, error) {
-	troubles, err := script.Parse("script", d.Script)
+	troubles, err := scenario.Parse("script", d.Script)
 	if err != nil {
 		return Result{}, err
 	}
-	f, err := Start(Config{Workers: d.Workers, Cells: 3, FrontEnds: d.FrontEnds, Zones: script.Zones(troubles), Worker: DemoWorker(),
+	f, err := Start(Config{Workers: d.Workers, Cells: 3, FrontEnds: d.FrontEnds, Zones: scenario.Zones(troubles), Worker: DemoWorker(),
 		Store:    DemoStore(),
 		Settings: strings.Join(append(d.Set, DemoSettings), "\n"), Slack: time.Second, Log: d.Log})
 	if err != nil {
@@ -126,9 +126,9 @@
 }
 
 // DemoMix is what the demo's clients ask for.
-func DemoMix(rate float64) load.Mix {
-	return load.Mix{Rate: rate, Functions: 8, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 400 * time.Millisecond,
-		MemoryMB: 300, Reply: 2000, Patience: 2 * time.Second, Habit: load.Advised, Retries: 1}
+func DemoMix(rate float64) loadgen.Mix {
+	return loadgen.Mix{Rate: rate, Functions: 8, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 400 * time.Millisecond,
+		MemoryMB: 300, Reply: 2000, Patience: 2 * time.Second, Habit: loadgen.Advised, Retries: 1}
 }
 
 // watch tells the front ends' totals each second.
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -15,15 +15,15 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/config"
+	"havencart/internal/config/gatewayconfig"
 	"havencart/internal/gateway"
-	"havencart/lab/audit"
 	"havencart/lab/client"
-	"havencart/lab/directory"
+	"havencart/lab/discoveryserver"
+	"havencart/lab/functionstore"
+	"havencart/lab/invariant"
 	"havencart/lab/model"
-	"havencart/lab/origin"
 	"havencart/lab/worker"
+	"havencart/scheduler"
 )
 
 // Config describes an installation.
@@ -43,15 +43,15 @@
 // Fleet is a running installation.
 type Fleet struct {
 	cfg       Config
-	Settings  *config.Settings
+	Settings  *gatewayconfig.Settings
 	World     *model.World
-	Book      *audit.Book
-	Origin    *origin.Server
-	Directory *directory.Server
+	Book      *invariant.Book
+	Origin    *functionstore.Server
+	Directory *discoveryserver.Server
 	Workers   []*worker.Server
 	FrontEnds []*FrontEnd
 	Clients   Clients
-	fetcher   *origin.Client
+	fetcher   *functionstore.Client
 	network   *model.Network
 	skew      []time.Duration // of the workers' wall clocks, as a script sets it
 }
@@ -73,7 +73,7 @@
 
 // Start sets an installation up. Close ends it.
 func Start(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, World: model.NewWorld(), Book: audit.NewBook()}
+	f := &Fleet{cfg: cfg, World: model.NewWorld(), Book: invariant.NewBook()}
 	if err := f.start(); err != nil {
 		f.Close()
 		return nil, err
@@ -82,11 +82,11 @@
 }
 
 func (f *Fleet) start() (err error) {
-	if f.Origin, err = origin.Start(f.World, f.cfg.Store, "127.0.0.1:0"); err != nil {
+	if f.Origin, err = functionstore.Start(f.World, f.cfg.Store, "127.0.0.1:0"); err != nil {
 		return err
 	}
-	f.fetcher = origin.NewClient(f.World, f.Origin.Address())
-	if f.Directory, err = directory.Start("127.0.0.1:0"); err != nil {
+	f.fetcher = functionstore.NewClient(f.World, f.Origin.Address())
+	if f.Directory, err = discoveryserver.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
 	groups := model.Groups(f.cfg.Cells)
@@ -100,9 +100,9 @@
 			return err
 		}
 		f.Workers = append(f.Workers, w)
-		f.List(w, control.Ready)
+		f.List(w, scheduler.Ready)
 	}
-	if f.Settings, err = config.Parse("settings", "directory file none\n"+f.cfg.Settings); err != nil {
+	if f.Settings, err = gatewayconfig.Parse("settings", "directory file none\n"+f.cfg.Settings); err != nil {
 		return err
 	}
 	for i := range f.cfg.FrontEnds {
@@ -128,14 +128,14 @@
 }
 
 // List tells the directory of a worker as it is now.
-func (f *Fleet) List(w *worker.Server, state control.WorkerState) {
+func (f *Fleet) List(w *worker.Server, state scheduler.WorkerState) {
 	_, up, _ := w.Running()
 	if i := slices.Index(f.Workers, w); i >= 0 {
 		up -= f.skew[i]
 	}
 	cell := ""
 	w.Do(func(m *model.Worker) { cell = m.Config.Cell })
-	f.Directory.Set(directory.Entry{Name: w.Name(), Address: w.Address(), Cell: cell, Started: time.Now().Add(-up),
+	f.Directory.Set(discoveryserver.Entry{Name: w.Name(), Address: w.Address(), Cell: cell, Started: time.Now().Add(-up),
 		State: state})
 }
 
@@ -159,15 +159,17 @@
 }
 
 // Judge judges all that was seen. It is to be called when everything has ended.
-func (f *Fleet) Judge() ([]audit.Break, audit.Tally) {
+func (f *Fleet) Judge() ([]invariant.Break, invariant.Tally) {
 	for _, n := range f.Directory.Notices() {
-		f.Book.Notice(audit.Notice{At: f.Book.At(n.At), FrontEnd: n.Client, States: n.States})
+		f.Book.Notice(invariant.Notice{At: f.Book.At(n.At), FrontEnd: n.Client, States: n.States})
 	}
-	return f.Book.Judge(audit.TermsOf(f.Settings, f.cfg.Slack))
+	return f.Book.Judge(invariant.TermsOf(f.Settings, f.cfg.Slack))
 }
 
 // Score is the service that clients saw.
-func (f *Fleet) Score() audit.Score { return f.Book.Score(audit.TermsOf(f.Settings, 0).Classes) }
+func (f *Fleet) Score() invariant.Score {
+	return f.Book.Score(invariant.TermsOf(f.Settings, 0).Classes)
+}
 
 // Name is the front end's name, as workers and the directory hear it.
 func (e *FrontEnd) Name() string { return fmt.Sprintf("fe-%d", e.number) }
@@ -185,7 +187,7 @@
 	loops := max(1, f.cfg.Loops)
 	text := fmt.Sprintf("name fe\nlisten %s\ndirectory consul %s workers\nloops %d\nfirst %d\nfront-ends %d\n%s", e.address,
 		f.Directory.URL(), loops, e.number*loops, f.cfg.FrontEnds*loops, f.cfg.Settings)
-	set, err := config.Parse(e.Name(), text)
+	set, err := gatewayconfig.Parse(e.Name(), text)
 	if err != nil {
 		return err
 	}
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"havencart/lab/load"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
 )
 
@@ -71,7 +71,7 @@
 	for i := range 60 {
 		all.Go(func() {
 			class := []string{"quote", "log", "unlock"}[i%3]
-			seen, err := f.FrontEnds[i%2].Pool().Do(load.Call{ID: fmt.Sprint("call-", i), Class: class,
+			seen, err := f.FrontEnds[i%2].Pool().Do(loadgen.Call{ID: fmt.Sprint("call-", i), Class: class,
 				Function: class + "-f", Patience: 2 * time.Second, Work: 2 * time.Millisecond, Reply: 100000 * (i % 2),
 				Load: 50 * time.Millisecond, MemoryMB: 200, Lanes: 2})
 			if err != nil || seen.Outcome != "served" || seen.Bytes != 100000*(i%2) {
--- a/lab/fleet/hard_test.go
+++ b/lab/fleet/hard_test.go
@@ -11,18 +11,18 @@
 	"testing"
 	"time"
 
-	"havencart/control"
 	"havencart/internal/gateway"
-	"havencart/internal/workerwire"
+	"havencart/internal/native/muxframe"
 	"havencart/lab/client"
-	"havencart/lab/directory"
-	"havencart/lab/load"
+	"havencart/lab/discoveryserver"
+	"havencart/lab/loadgen"
+	"havencart/scheduler"
 )
 
 const patience = 2 * time.Second
 
-func ask(id, class string, work time.Duration) load.Call {
-	return load.Call{ID: id, Class: class, Function: class + "-f", Key: "key-" + id, Patience: patience, Work: work,
+func ask(id, class string, work time.Duration) loadgen.Call {
+	return loadgen.Call{ID: id, Class: class, Function: class + "-f", Key: "key-" + id, Patience: patience, Work: work,
 		Load: 10 * time.Millisecond, MemoryMB: 50, Lanes: 2}
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-func (f *Fleet) do(t *testing.T, front int, c load.Call) client.Seen {
+func (f *Fleet) do(t *testing.T, front int, c loadgen.Call) client.Seen {
 	t.Helper()
 	seen, err := f.FrontEnds[front].Pool().Do(c)
 	if err != nil {
@@ -313,8 +313,8 @@
 			}
 			conns.Go(func() {
 				defer c.Close()
-				raw, err := workerwire.Append(nil, workerwire.TypeWelcome, 0,
-					workerwire.Welcome{Version: workerwire.Version, Worker: "stuck", Life: 1, UpMillis: 3600_000}, nil)
+				raw, err := muxframe.Append(nil, muxframe.TypeWelcome, 0,
+					muxframe.Welcome{Version: muxframe.Version, Worker: "stuck", Life: 1, UpMillis: 3600_000}, nil)
 				if err != nil {
 					t.Error(err)
 				}
@@ -323,10 +323,10 @@
 			})
 		}
 	})
-	f.Directory.Set(directory.Entry{Name: "stuck", Address: stuck.Addr().String(), Cell: "cell-1", State: control.Ready})
+	f.Directory.Set(discoveryserver.Entry{Name: "stuck", Address: stuck.Addr().String(), Cell: "cell-1", State: scheduler.Ready})
 	until(t, "the list", func() bool {
 		for _, n := range f.Directory.Notices() {
-			if n.States["stuck"] == control.Ready {
+			if n.States["stuck"] == scheduler.Ready {
 				return true
 			}
 		}
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -5,20 +5,20 @@
 	"sync"
 	"time"
 
-	"havencart/control"
 	"havencart/lab/client"
-	"havencart/lab/load"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
-	"havencart/lab/script"
+	"havencart/lab/scenario"
+	"havencart/scheduler"
 )
 
 // Play carries out a script's troubles, each at its time, until ctx ends. Which workers are hit is drawn from
 // seed.
-func (f *Fleet) Play(ctx context.Context, troubles []script.Trouble, seed uint64, tell func(string)) error {
+func (f *Fleet) Play(ctx context.Context, troubles []scenario.Trouble, seed uint64, tell func(string)) error {
 	s := &stage{Fleet: f}
 	clock := model.NewWorld() // of its own: the troubles reach into the workers' world
-	var play *script.Play
-	clock.Do(func() { play = script.Begin(clock, s, troubles, seed, tell) })
+	var play *scenario.Play
+	clock.Do(func() { play = scenario.Begin(clock, s, troubles, seed, tell) })
 	<-ctx.Done()
 	clock.Do(func() { s.note(play.End()) })
 	s.tasks.Wait()
@@ -41,17 +41,17 @@
 	}
 }
 
-func (s *stage) Workers() int                          { return len(s.Fleet.Workers) }
-func (s *stage) Command(w int, line string) error      { return s.Fleet.Workers[w].Command(line) }
-func (s *stage) List(w int, state control.WorkerState) { s.Fleet.List(s.Fleet.Workers[w], state) }
-func (s *stage) StoreStop(d time.Duration)             { s.Origin.Stop(d) }
-func (s *stage) StoreSlow(factor float64)              { s.Origin.Slow(factor) }
-func (s *stage) DirectoryLag(d time.Duration)          { s.Directory.Lag(d) }
-func (s *stage) DirectoryDown(on bool)                 { s.Directory.Down(on) }
-func (s *stage) DirectoryPart(share float64)           { s.Directory.Partial(share) }
-func (s *stage) DirectoryBack()                        { s.Directory.Back() }
-func (s *stage) StoreFail(share float64)               { s.Origin.Fail(share) }
-func (s *stage) FrontEnds() int                        { return len(s.Fleet.FrontEnds) }
+func (s *stage) Workers() int                            { return len(s.Fleet.Workers) }
+func (s *stage) Command(w int, line string) error        { return s.Fleet.Workers[w].Command(line) }
+func (s *stage) List(w int, state scheduler.WorkerState) { s.Fleet.List(s.Fleet.Workers[w], state) }
+func (s *stage) StoreStop(d time.Duration)               { s.Origin.Stop(d) }
+func (s *stage) StoreSlow(factor float64)                { s.Origin.Slow(factor) }
+func (s *stage) DirectoryLag(d time.Duration)            { s.Directory.Lag(d) }
+func (s *stage) DirectoryDown(on bool)                   { s.Directory.Down(on) }
+func (s *stage) DirectoryPart(share float64)             { s.Directory.Partial(share) }
+func (s *stage) DirectoryBack()                          { s.Directory.Back() }
+func (s *stage) StoreFail(share float64)                 { s.Origin.Fail(share) }
+func (s *stage) FrontEnds() int                          { return len(s.Fleet.FrontEnds) }
 
 func (s *stage) Kill(i int) error {
 	s.Fleet.FrontEnds[i].Kill()
@@ -67,7 +67,7 @@
 
 func (s *stage) Clock(w int, by time.Duration) { s.Fleet.skew[w] = by }
 
-func (s *stage) Demand(change func(*load.Demand)) error { return s.Clients.change(change) }
+func (s *stage) Demand(change func(*loadgen.Demand)) error { return s.Clients.change(change) }
 
 func (s *stage) Network(t model.NetTrouble) (end func()) {
 	var over func()
@@ -93,11 +93,11 @@
 // Clients are the clients of a Fleet.
 type Clients struct {
 	mu     sync.Mutex
-	source *load.Source // of the run under way
+	source *loadgen.Source // of the run under way
 }
 
 // change changes what the clients of the run under way ask for.
-func (c *Clients) change(f func(*load.Demand)) error {
+func (c *Clients) change(f func(*loadgen.Demand)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.source == nil {
@@ -106,7 +106,7 @@
 	return c.source.Change(f)
 }
 
-func (c *Clients) begin(s *load.Source) {
+func (c *Clients) begin(s *loadgen.Source) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.source = s
@@ -114,8 +114,8 @@
 
 // Run makes calls as m says for d, arrivals drawn from seed whatever becomes of earlier ones, and returns when
 // all have ended. It returns the clients' calls by how they ended, repeats counted as one.
-func (f *Fleet) Run(ctx context.Context, m load.Mix, d time.Duration, seed uint64) map[string]int {
-	source := load.ForSettings(m, d, f.Settings, seed)
+func (f *Fleet) Run(ctx context.Context, m loadgen.Mix, d time.Duration, seed uint64) map[string]int {
+	source := loadgen.ForSettings(m, d, f.Settings, seed)
 	f.Clients.begin(source)
 	var mu sync.Mutex
 	seen := map[string]int{}
--- a/lab/fleet/rogue_test.go
+++ b/lab/fleet/rogue_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/workerwire"
-	"havencart/lab/audit"
+	"havencart/internal/native/muxframe"
 	"havencart/lab/client"
-	"havencart/lab/load"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
 	"havencart/lab/worker"
+	"havencart/scheduler"
 )
 
 // rogue is a front end that breaks rules: it says to clients what a test wants and sends to workers what it
@@ -74,7 +74,7 @@
 type link struct {
 	*rogue
 	conn net.Conn
-	in   *workerwire.Reader
+	in   *muxframe.Reader
 	last uint32
 }
 
@@ -86,15 +86,15 @@
 	}
 	r.Cleanup(func() { c.Close() })
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	l := &link{rogue: r, conn: c, in: workerwire.NewReader(bufio.NewReader(c), 0)}
-	l.write(workerwire.TypeHello, 0, workerwire.Hello{Version: workerwire.Version, FrontEnd: "rogue"}, nil)
-	l.next(workerwire.TypeWelcome)
+	l := &link{rogue: r, conn: c, in: muxframe.NewReader(bufio.NewReader(c), 0)}
+	l.write(muxframe.TypeHello, 0, muxframe.Hello{Version: muxframe.Version, FrontEnd: "rogue"}, nil)
+	l.next(muxframe.TypeWelcome)
 	return l
 }
 
-func (l *link) write(kind workerwire.Type, number uint32, header any, body []byte) {
+func (l *link) write(kind muxframe.Type, number uint32, header any, body []byte) {
 	l.Helper()
-	raw, err := workerwire.Append(nil, kind, number, header, body)
+	raw, err := muxframe.Append(nil, kind, number, header, body)
 	if err != nil {
 		l.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-func (l *link) next(kind workerwire.Type) workerwire.Frame {
+func (l *link) next(kind muxframe.Type) muxframe.Frame {
 	l.Helper()
 	f, err := l.in.Next()
 	if err != nil || f.Type != kind {
@@ -116,13 +116,13 @@
 func (l *link) run(id, class string, attempt int, work time.Duration) {
 	l.Helper()
 	l.send(id, class, attempt, work)
-	l.next(workerwire.TypeAnswer)
+	l.next(muxframe.TypeAnswer)
 }
 
 func (l *link) send(id, class string, attempt int, work time.Duration) {
 	l.Helper()
 	l.last++
-	l.write(workerwire.TypeCall, l.last, workerwire.Call{Copy: workerwire.Copy{Function: "f", MemoryMB: 10, Lanes: 9},
+	l.write(muxframe.TypeCall, l.last, muxframe.Call{Copy: muxframe.Copy{Function: "f", MemoryMB: 10, Lanes: 9},
 		ID: id, Class: class, Attempt: attempt, Patience: 5000, Key: map[string]string{"log": "key-" + id}[class]},
 		worker.Body(work, 0))
 }
@@ -130,14 +130,14 @@
 func (l *link) order(copies int) {
 	l.Helper()
 	l.last++
-	l.write(workerwire.TypeLoad, l.last, workerwire.Load{Copy: workerwire.Copy{Function: "f", MemoryMB: 10, Lanes: 1},
+	l.write(muxframe.TypeLoad, l.last, muxframe.Load{Copy: muxframe.Copy{Function: "f", MemoryMB: 10, Lanes: 1},
 		Copies: copies}, nil)
-	l.next(workerwire.TypeLoaded)
+	l.next(muxframe.TypeLoaded)
 }
 
 func (r *rogue) ask(id, class string) {
 	r.Helper()
-	if _, err := r.pool.Do(load.Call{ID: id, Function: "f", Class: class, Patience: 300 * time.Millisecond}); err != nil {
+	if _, err := r.pool.Do(loadgen.Call{ID: id, Function: "f", Class: class, Patience: 300 * time.Millisecond}); err != nil {
 		r.Fatal(err)
 	}
 }
@@ -253,19 +253,19 @@
 }
 
 func TestTheAuditorFindsWorkAfterADrain(t *testing.T) {
-	told := func(r *rogue, state control.WorkerState, ago time.Duration) {
-		r.f.Book.Notice(audit.Notice{At: r.f.Book.Now() - ago, FrontEnd: "rogue",
-			States: map[string]control.WorkerState{"worker-1": state}})
+	told := func(r *rogue, state scheduler.WorkerState, ago time.Duration) {
+		r.f.Book.Notice(invariant.Notice{At: r.f.Book.Now() - ago, FrontEnd: "rogue",
+			States: map[string]scheduler.WorkerState{"worker-1": state}})
 	}
 	t.Run("call", func(t *testing.T) {
 		r := startRogue(t, nil)
-		told(r, control.Draining, time.Minute)
+		told(r, scheduler.Draining, time.Minute)
 		r.link(r.f.Workers[0]).run("a", "quote", 0, time.Millisecond)
 		r.caught("drains", "call a")
 	})
 	t.Run("order to a worker that is listed no longer", func(t *testing.T) {
 		r := startRogue(t, nil)
-		r.f.Book.Notice(audit.Notice{At: 0, FrontEnd: "rogue"})
+		r.f.Book.Notice(invariant.Notice{At: 0, FrontEnd: "rogue"})
 		l := r.link(r.f.Workers[0])
 		r.f.Settings.DrainGrace, r.f.cfg.Slack = 0, 0
 		l.order(1)
@@ -274,7 +274,7 @@
 	t.Run("a question, and a call within the grace", func(t *testing.T) {
 		r := startRogue(t, nil)
 		r.f.Settings.DrainGrace = time.Hour
-		told(r, control.Draining, time.Minute)
+		told(r, scheduler.Draining, time.Minute)
 		l := r.link(r.f.Workers[0])
 		l.order(0)
 		l.run("a", "quote", 0, time.Millisecond)
@@ -282,8 +282,8 @@
 	})
 	t.Run("a call once it is ready again", func(t *testing.T) {
 		r := startRogue(t, nil)
-		told(r, control.Gone, time.Hour)
-		told(r, control.Ready, time.Minute)
+		told(r, scheduler.Gone, time.Hour)
+		told(r, scheduler.Ready, time.Minute)
 		r.link(r.f.Workers[0]).run("a", "quote", 0, time.Millisecond)
 		r.innocent()
 	})
--- a/lab/origin/origin.go
+++ b/lab/functionstore/origin.go
@@ -1,6 +1,6 @@
-// Package origin is the emulated function store: an HTTP server on loopback that all workers fetch from, and
+// Package functionstore is the emulated function store: an HTTP server on loopback that all workers fetch from, and
 // their client to it.
-package origin
+package functionstore
 
 import (
 	"context"
--- a/lab/audit/judge.go
+++ b/lab/invariant/judge.go
@@ -1,18 +1,18 @@
-package audit
+package invariant
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/config"
+	"havencart/internal/config/gatewayconfig"
 	"havencart/lab/model"
+	"havencart/scheduler"
 )
 
 // Terms are the rules in figures, as the front ends were told them.
 type Terms struct {
-	Classes    map[string]control.Class
+	Classes    map[string]scheduler.Class
 	DrainGrace time.Duration
 	LoadWindow time.Duration
 	LoadFree   float64
@@ -23,8 +23,8 @@
 }
 
 // TermsOf are the terms that settings tell the front ends.
-func TermsOf(s *config.Settings, slack time.Duration) Terms {
-	terms := Terms{Classes: map[string]control.Class{}, DrainGrace: s.DrainGrace, LoadWindow: s.LoadWindow,
+func TermsOf(s *gatewayconfig.Settings, slack time.Duration) Terms {
+	terms := Terms{Classes: map[string]scheduler.Class{}, DrainGrace: s.DrainGrace, LoadWindow: s.LoadWindow,
 		LoadFree: s.LoadFree, LoadShare: s.LoadShare, Slack: slack}
 	for _, c := range s.Classes {
 		terms.Classes[c.Name] = c.Control()
@@ -145,16 +145,16 @@
 		class := j.terms.Classes[list[0].Class]
 		slices.SortFunc(list, func(a, b *Receipt) int { return a.Attempt - b.Attempt })
 		switch class.Repeat {
-		case control.Unsafe:
+		case scheduler.Unsafe:
 			j.unsafe(id, list)
-		case control.Keyed:
+		case scheduler.Keyed:
 			j.keyed(id, list, class)
 		}
 	}
 	for _, a := range j.asks {
 		class := j.terms.Classes[a.Class]
-		if len(a.Answers) == 0 || a.Answers[0].Outcome != "refused" || class.Repeat == control.Safe ||
-			class.Repeat == control.Keyed && class.Scope == control.ScopeAll {
+		if len(a.Answers) == 0 || a.Answers[0].Outcome != "refused" || class.Repeat == scheduler.Safe ||
+			class.Repeat == scheduler.Keyed && class.Scope == scheduler.ScopeAll {
 			continue
 		}
 		if slices.ContainsFunc(calls[a.ID], mayHaveRun) {
@@ -179,14 +179,14 @@
 	}
 }
 
-func (j *judge) keyed(id string, list []*Receipt, class control.Class) {
+func (j *judge) keyed(id string, list []*Receipt, class scheduler.Class) {
 	runs := 0
 	var first *Receipt // that may have run
 	for _, r := range list {
 		runs += r.Ran
 		switch {
 		case first == nil:
-		case class.Scope == control.ScopeCell && r.Cell != first.Cell:
+		case class.Scope == scheduler.ScopeCell && r.Cell != first.Cell:
 			j.broke("twice", "keyed call %s: sent to cell %s after cell %s may have run it", id, r.Cell, first.Cell)
 		case r.At-first.At > class.Memory+j.terms.Slack:
 			j.broke("twice", "keyed call %s: sent again after %v, the memory is %v", id, r.At-first.At, class.Memory)
@@ -224,7 +224,7 @@
 			break
 		}
 		state, listed := n.States[worker]
-		open := listed && state == control.Ready
+		open := listed && state == scheduler.Ready
 		if !open && !shut {
 			since = n.At
 		}
--- a/lab/audit/record.go
+++ b/lab/invariant/record.go
@@ -1,13 +1,13 @@
-// Package audit judges the five rules from what the stand-ins and the test clients saw on their sockets. It
+// Package invariant judges the five rules from what the stand-ins and the test clients saw on their sockets. It
 // takes nothing from inside a front end.
-package audit
+package invariant
 
 import (
 	"sync"
 	"time"
 
-	"havencart/control"
 	"havencart/lab/model"
+	"havencart/scheduler"
 )
 
 // Ask is one try of a client's call, and what came of it.
@@ -52,7 +52,7 @@
 type Notice struct {
 	At       time.Duration
 	FrontEnd string
-	States   map[string]control.WorkerState
+	States   map[string]scheduler.WorkerState
 }
 
 // Fall is a worker that fell over.
--- a/lab/audit/score.go
+++ b/lab/invariant/score.go
@@ -1,10 +1,10 @@
-package audit
+package invariant
 
 import (
 	"strings"
 	"time"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 // Score is service: the worth answered in time over the worth asked, a client's repeats counted as part of its
@@ -61,7 +61,7 @@
 }
 
 // Score scores what clients saw. Tries are told by their ids: "call.try".
-func (b *Book) Score(classes map[string]control.Class) Score {
+func (b *Book) Score(classes map[string]scheduler.Class) Score {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := Score{ByClass: map[string]*Course{}, ByTenant: map[string]*Course{}}
@@ -84,7 +84,7 @@
 }
 
 // earned is the worth of what a try brought, counted from the first try.
-func earned(a *Ask, since time.Duration, class control.Class) float64 {
+func earned(a *Ask, since time.Duration, class scheduler.Class) float64 {
 	if len(a.Answers) == 0 || a.Answers[0].Outcome != "served" || !a.Answers[0].Whole {
 		return 0
 	}
--- a/lab/load/demand.go
+++ b/lab/loadgen/demand.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"fmt"
--- a/lab/load/load.go
+++ b/lab/loadgen/load.go
@@ -1,6 +1,6 @@
-// Package load decides what clients ask for and when: arrivals, mixes of functions, patience and the habit of
+// Package loadgen decides what clients ask for and when: arrivals, mixes of functions, patience and the habit of
 // repeating. It is pure and seeded, so that the same clients call in real and in virtual time.
-package load
+package loadgen
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"havencart/internal/config"
+	"havencart/internal/config/gatewayconfig"
 )
 
 // Call is what a client asks for.
@@ -96,7 +96,7 @@
 }
 
 // ForSettings returns the calls that a run draws for the classes and tenants of settings.
-func ForSettings(m Mix, lasts time.Duration, set *config.Settings, seed uint64) *Source {
+func ForSettings(m Mix, lasts time.Duration, set *gatewayconfig.Settings, seed uint64) *Source {
 	var classes, tenants []string
 	var shares []float64
 	for _, c := range set.Classes {
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -24,14 +24,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/rs/zerolog"
 
-	"havencart/internal/config"
+	"havencart/internal/config/gatewayconfig"
 	"havencart/internal/gateway"
-	"havencart/lab/directory"
+	"havencart/lab/discoveryserver"
+	"havencart/lab/functionstore"
 	"havencart/lab/model"
-	"havencart/lab/origin"
 	"havencart/lab/worker"
 
-	"havencart/control"
+	"havencart/scheduler"
 )
 
 // Config says what is measured.
@@ -116,7 +116,7 @@
 
 // start starts workers with both faces, a directory, the proxy and the gateway.
 func (r *rig) start() error {
-	dir, err := directory.Start("127.0.0.1:0")
+	dir, err := discoveryserver.Start("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 			return err
 		}
 		faces = append(faces, face)
-		dir.Set(directory.Entry{Name: w.Name(), Address: w.Address(), Cell: "c", State: control.Ready})
+		dir.Set(discoveryserver.Entry{Name: w.Name(), Address: w.Address(), Cell: "c", State: scheduler.Ready})
 	}
 	proxy, err := r.proxy(faces)
 	if err != nil {
@@ -156,12 +156,12 @@
 // worker starts one emulated worker in a world of its own, with an HTTP face beside its socket.
 func (r *rig) worker(i int) (*worker.Server, string, error) {
 	world := model.NewWorld()
-	store, err := origin.Start(world, model.StoreConfig{Places: 8, Limit: 40}, "127.0.0.1:0")
+	store, err := functionstore.Start(world, model.StoreConfig{Places: 8, Limit: 40}, "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
 	}
 	r.later(store.Close)
-	fetcher := origin.NewClient(world, store.Address())
+	fetcher := functionstore.NewClient(world, store.Address())
 	r.later(fetcher.Close)
 	w, err := worker.Start(world, worker.Config{Address: "127.0.0.1:0", Work: r.cfg.Work, WorkerConfig: model.WorkerConfig{
 		Name: fmt.Sprint("w", i), Cell: "c", Cores: 64, Speed: 1, MemoryMB: 1e6, Queue: 100000, LoadsAtOnce: 4,
@@ -230,7 +230,7 @@
 }
 
 func (r *rig) gateway(dir, settings string) (*gateway.Service, error) {
-	set, err := config.Parse("measure", fmt.Sprintf("listen 127.0.0.1:0\ndirectory consul %s workers\nloops %d\nfront-ends %d\n%s",
+	set, err := gatewayconfig.Parse("measure", fmt.Sprintf("listen 127.0.0.1:0\ndirectory consul %s workers\nloops %d\nfront-ends %d\n%s",
 		dir, r.cfg.Loops, r.cfg.Loops, settings))
 	if err != nil {
 		return nil, err
--- a/lab/measure/overload.go
+++ b/lab/measure/overload.go
@@ -6,9 +6,9 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/lab/audit"
 	"havencart/lab/fleet"
-	"havencart/lab/load"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
 )
 
@@ -17,8 +17,8 @@
 	Factor  float64
 	Offered float64 // calls a second
 	Worth   float64 // served in time, a second
-	Tally   audit.Tally
-	Breaks  []audit.Break
+	Tally   invariant.Tally
+	Breaks  []invariant.Break
 }
 
 // OverloadConfig says what is overloaded.
@@ -56,8 +56,8 @@
 		return Point{}, err
 	}
 	defer f.Close()
-	f.Run(ctx, load.Mix{Rate: rate, Functions: 4, Work: cfg.Work, WorkSigma: 0.5, Load: 300 * time.Millisecond, MemoryMB: 300,
-		Reply: 500, Patience: 2 * time.Second, Habit: load.Never}, cfg.Lasts, cfg.Seed)
+	f.Run(ctx, loadgen.Mix{Rate: rate, Functions: 4, Work: cfg.Work, WorkSigma: 0.5, Load: 300 * time.Millisecond, MemoryMB: 300,
+		Reply: 500, Patience: 2 * time.Second, Habit: loadgen.Never}, cfg.Lasts, cfg.Seed)
 	for _, e := range f.FrontEnds {
 		if err := e.Stop(); err != nil {
 			return Point{}, err
--- a/lab/bulletin/bulletin.go
+++ b/lab/platformdiscovery/bulletin.go
@@ -1,19 +1,19 @@
-// Package bulletin is a stand-in for the bulletin of the users' platform on loopback.
-package bulletin
+// Package platformdiscovery is a stand-in for the bulletin of the users' platform on loopback.
+package platformdiscovery
 
 import (
 	"fmt"
 	"net"
 	"sync"
 
-	"havencart/internal/bulletinwire"
+	"havencart/internal/platform/endpointstream"
 )
 
 // Server tells its events to each front end that connects, from the number on that it asks for.
 type Server struct {
 	listener net.Listener
 	mu       sync.Mutex
-	events   []bulletinwire.Event
+	events   []endpointstream.Event
 	conns    map[net.Conn]bool
 	asked    chan uint64
 	tasks    sync.WaitGroup
@@ -47,7 +47,7 @@
 }
 
 func (s *Server) serve(c net.Conn) {
-	last, err := bulletinwire.ReadHello(c)
+	last, err := endpointstream.ReadHello(c)
 	if err != nil {
 		c.Close()
 		return
@@ -57,7 +57,7 @@
 	s.conns[c] = true
 	for _, e := range s.events {
 		if e.Number > last {
-			write(c, bulletinwire.Append(nil, e))
+			write(c, endpointstream.Append(nil, e))
 		}
 	}
 	s.asked <- last
@@ -67,11 +67,11 @@
 func write(c net.Conn, raw []byte) { _, _ = c.Write(raw) }
 
 // Tell adds an event and tells it.
-func (s *Server) Tell(e bulletinwire.Event) {
+func (s *Server) Tell(e endpointstream.Event) {
 	s.mu.Lock()
 	s.events = append(s.events, e)
 	s.mu.Unlock()
-	s.Raw(bulletinwire.Append(nil, e))
+	s.Raw(endpointstream.Append(nil, e))
 }
 
 // Raw writes bytes to all that are connected.
--- a/lab/executor/executor.go
+++ b/lab/platformworker/executor.go
@@ -1,6 +1,6 @@
-// Package executor is a scripted stand-in for an executor of the users' platform: it speaks the frames of
-// internal/execwire on loopback and does with each command what its script says.
-package executor
+// Package platformworker is a scripted stand-in for an executor of the users' platform: it speaks the frames of
+// internal/platform/workerframe on loopback and does with each command what its script says.
+package platformworker
 
 import (
 	"bufio"
@@ -8,11 +8,11 @@
 	"net"
 	"sync"
 
-	"havencart/internal/execwire"
+	"havencart/internal/platform/workerframe"
 )
 
 // Script is told each command with the connection on which it came, in the order of that connection.
-type Script func(c *Conn, f execwire.Frame)
+type Script func(c *Conn, f workerframe.Frame)
 
 // Conn is one front end's connection.
 type Conn struct {
@@ -21,8 +21,8 @@
 }
 
 // Answer writes an answer.
-func (c *Conn) Answer(f execwire.Frame) {
-	raw, err := execwire.Append(nil, execwire.FromExecutor, f)
+func (c *Conn) Answer(f workerframe.Frame) {
+	raw, err := workerframe.Append(nil, workerframe.FromExecutor, f)
 	if err == nil {
 		c.Raw(raw)
 	}
@@ -87,7 +87,7 @@
 
 func (s *Server) serve(c *Conn) {
 	defer c.Close()
-	r := execwire.NewReader(bufio.NewReader(c), execwire.FromFront, execwire.MaxBody)
+	r := workerframe.NewReader(bufio.NewReader(c), workerframe.FromFront, workerframe.MaxBody)
 	for {
 		f, err := r.Next()
 		if err != nil {
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -17,9 +17,9 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"havencart/lab/audit"
 	"havencart/lab/experiment"
-	"havencart/lab/sim"
+	"havencart/lab/invariant"
+	"havencart/lab/simulation"
 )
 
 // Report is an experiment with its runs.
@@ -39,7 +39,7 @@
 }
 
 // Total adds the auditor's tallies of a variant's runs.
-func (r Report) Total(variant string) (t audit.Tally) {
+func (r Report) Total(variant string) (t invariant.Tally) {
 	for i := range r.Cells {
 		if c := &r.Cells[i]; c.Variant == variant {
 			t.Add(c.Result.Tally)
@@ -110,8 +110,8 @@
 }
 
 // byTenant adds what tenants asked and got on a day, over all seeds, those not named as "others".
-func (r Report) byTenant(variant, day string, named []string) map[string]audit.Part {
-	parts := map[string]audit.Part{}
+func (r Report) byTenant(variant, day string, named []string) map[string]invariant.Part {
+	parts := map[string]invariant.Part{}
 	for i := range r.Cells {
 		c := &r.Cells[i]
 		if c.Variant != variant || c.Day != day || c.Void() != "" {
@@ -122,7 +122,7 @@
 				name = "others"
 			}
 			p := parts[name]
-			parts[name] = audit.Part{Asked: p.Asked + course.Asked, Got: p.Got + course.Got}
+			parts[name] = invariant.Part{Asked: p.Asked + course.Asked, Got: p.Got + course.Got}
 		}
 	}
 	return parts
@@ -207,7 +207,7 @@
 	score := first.Result.Score
 	for _, by := range []struct {
 		kind  string
-		table map[string]*audit.Course
+		table map[string]*invariant.Course
 	}{{"class", score.ByClass}, {"tenant", score.ByTenant}} {
 		svg, err := draws(fmt.Sprintf("service of %s, by %s", first.Variant, by.kind), courses(by.table))
 		if err != nil {
@@ -221,14 +221,14 @@
 }
 
 // courses are the parts of a score over time.
-func courses(table map[string]*audit.Course) (list []curve) {
+func courses(table map[string]*invariant.Course) (list []curve) {
 	for _, name := range slices.Sorted(maps.Keys(table)) {
 		list = append(list, curve{name, service(table[name].Seconds)})
 	}
 	return list
 }
 
-func parts(kind string, table map[string]*audit.Course) (list []htmlPart) {
+func parts(kind string, table map[string]*invariant.Course) (list []htmlPart) {
 	for name, p := range table {
 		list = append(list, htmlPart{kind, name, p.Asked, p.Got, p.Share()})
 	}
@@ -236,7 +236,7 @@
 	return list
 }
 
-func service(seconds []audit.Part) (values []float64) {
+func service(seconds []invariant.Part) (values []float64) {
 	for _, p := range seconds {
 		values = append(values, p.Share())
 	}
@@ -246,16 +246,16 @@
 // series are the plots of a day beside service.
 var series = []struct {
 	name string
-	of   func([]sim.Sample) []float64
+	of   func([]simulation.Sample) []float64
 }{
-	{"calls in hand at front ends", now(func(s sim.Sample) int { return s.InHand })},
-	{"calls waiting at workers", now(func(s sim.Sample) int { return s.Waiting })},
-	{"copies loaded", now(func(s sim.Sample) int { return s.Copies })},
-	{"attempts a second", rate(func(s sim.Sample) uint64 { return s.Attempts })},
-	{"refusals a second", rate(func(s sim.Sample) uint64 { return s.Refused })},
-	{"failures a second", rate(func(s sim.Sample) uint64 { return s.Failed })},
-	{"orders to load a second", rate(func(s sim.Sample) uint64 { return s.Loads })},
-	{"store's fetches a second", rate(func(s sim.Sample) uint64 { return uint64(s.Fetches) })},
+	{"calls in hand at front ends", now(func(s simulation.Sample) int { return s.InHand })},
+	{"calls waiting at workers", now(func(s simulation.Sample) int { return s.Waiting })},
+	{"copies loaded", now(func(s simulation.Sample) int { return s.Copies })},
+	{"attempts a second", rate(func(s simulation.Sample) uint64 { return s.Attempts })},
+	{"refusals a second", rate(func(s simulation.Sample) uint64 { return s.Refused })},
+	{"failures a second", rate(func(s simulation.Sample) uint64 { return s.Failed })},
+	{"orders to load a second", rate(func(s simulation.Sample) uint64 { return s.Loads })},
+	{"store's fetches a second", rate(func(s simulation.Sample) uint64 { return uint64(s.Fetches) })},
 }
 
 func seriesNames() (names []string) {
@@ -265,8 +265,8 @@
 	return names
 }
 
-func now(of func(sim.Sample) int) func([]sim.Sample) []float64 {
-	return func(list []sim.Sample) (values []float64) {
+func now(of func(simulation.Sample) int) func([]simulation.Sample) []float64 {
+	return func(list []simulation.Sample) (values []float64) {
 		for _, s := range list {
 			values = append(values, float64(of(s)))
 		}
@@ -275,8 +275,8 @@
 }
 
 // rate is the growth from second to second; a front end that was killed begins anew, which is no growth.
-func rate(of func(sim.Sample) uint64) func([]sim.Sample) []float64 {
-	return func(list []sim.Sample) (values []float64) {
+func rate(of func(simulation.Sample) uint64) func([]simulation.Sample) []float64 {
+	return func(list []simulation.Sample) (values []float64) {
 		last := uint64(0)
 		for _, s := range list {
 			x := of(s)
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"havencart/lab/audit"
 	"havencart/lab/experiment"
+	"havencart/lab/invariant"
 )
 
 func made(t *testing.T) Report {
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	for _, variant := range []string{"module", "random"} {
-		var sum audit.Tally
+		var sum invariant.Tally
 		for _, c := range r.Cells {
 			if c.Variant == variant {
 				x := c.Result.Tally
@@ -73,10 +73,10 @@
 func TestThePartsAddUpToTheWhole(t *testing.T) {
 	for _, c := range made(t).Cells {
 		s := c.Result.Score
-		for _, table := range []map[string]*audit.Course{s.ByClass, s.ByTenant} {
-			var all audit.Course
+		for _, table := range []map[string]*invariant.Course{s.ByClass, s.ByTenant} {
+			var all invariant.Course
 			for _, part := range table {
-				var seconds audit.Part
+				var seconds invariant.Part
 				for _, x := range part.Seconds {
 					seconds.Asked, seconds.Got = seconds.Asked+x.Asked, seconds.Got+x.Got
 				}
@@ -94,7 +94,7 @@
 
 func TestBrokenRulesLeadTheReport(t *testing.T) {
 	r := made(t)
-	r.Cells[0].Result.Breaks = []audit.Break{{Rule: "twice", What: "an effect"}}
+	r.Cells[0].Result.Breaks = []invariant.Break{{Rule: "twice", What: "an effect"}}
 	var text bytes.Buffer
 	r.Text(&text)
 	broken, table := strings.Index(text.String(), "broke rule twice"), strings.Index(text.String(), "all days")
--- a/lab/transcript/course.go
+++ b/lab/reportimport/course.go
@@ -1,4 +1,4 @@
-package transcript
+package reportimport
 
 import (
 	"fmt"
@@ -6,29 +6,29 @@
 	"strings"
 	"time"
 
-	"havencart/lab/script"
+	"havencart/lab/scenario"
 )
 
 // named says how a trouble that a report names is written. A report tells when it was and how many it struck, not
 // how strong it was: that is assumed.
 var named = map[string]struct {
-	trouble script.Trouble
+	trouble scenario.Trouble
 	assumed string
 }{
-	"crash":          {script.Trouble{Verb: "crash"}, ""},
-	"hang":           {script.Trouble{Verb: "hang"}, ""},
-	"slow":           {script.Trouble{Verb: "slow", Factor: 4}, "factor assumed"},
-	"fast_errors":    {script.Trouble{Verb: "fail", Factor: 0.6}, "rate assumed"},
-	"pauses":         {script.Trouble{Verb: "pauses", Stop: 200 * time.Millisecond, Every: 2 * time.Second}, "pauses assumed"},
-	"neighbour":      {script.Trouble{Verb: "neighbour", Factor: 2, Every: 2 * time.Second}, "factor assumed"},
-	"ageing":         {script.Trouble{Verb: "ageing", Factor: 6}, "factor assumed"},
-	"handshake_slow": {script.Trouble{Verb: "handshake", By: 300 * time.Millisecond}, "time assumed"},
-	"give_up":        {script.Trouble{Verb: "patience", Factor: 0.5}, "factor assumed"},
-	"shift":          {script.Trouble{Verb: "heavy", Factor: 1.5}, "factor assumed"},
-	"origin_slow":    {script.Trouble{Verb: "store-slow", Factor: 4}, "factor assumed"},
-	"flush":          {script.Trouble{Verb: "re-release", Share: 0.6}, "share assumed"},
-	"scan":           {script.Trouble{Verb: "scan", Share: 0.1}, "share assumed"},
-	"hot_key":        {script.Trouble{Verb: "hot", Share: 0.1, Number: 2}, "share assumed"},
+	"crash":          {scenario.Trouble{Verb: "crash"}, ""},
+	"hang":           {scenario.Trouble{Verb: "hang"}, ""},
+	"slow":           {scenario.Trouble{Verb: "slow", Factor: 4}, "factor assumed"},
+	"fast_errors":    {scenario.Trouble{Verb: "fail", Factor: 0.6}, "rate assumed"},
+	"pauses":         {scenario.Trouble{Verb: "pauses", Stop: 200 * time.Millisecond, Every: 2 * time.Second}, "pauses assumed"},
+	"neighbour":      {scenario.Trouble{Verb: "neighbour", Factor: 2, Every: 2 * time.Second}, "factor assumed"},
+	"ageing":         {scenario.Trouble{Verb: "ageing", Factor: 6}, "factor assumed"},
+	"handshake_slow": {scenario.Trouble{Verb: "handshake", By: 300 * time.Millisecond}, "time assumed"},
+	"give_up":        {scenario.Trouble{Verb: "patience", Factor: 0.5}, "factor assumed"},
+	"shift":          {scenario.Trouble{Verb: "heavy", Factor: 1.5}, "factor assumed"},
+	"origin_slow":    {scenario.Trouble{Verb: "store-slow", Factor: 4}, "factor assumed"},
+	"flush":          {scenario.Trouble{Verb: "re-release", Share: 0.6}, "share assumed"},
+	"scan":           {scenario.Trouble{Verb: "scan", Share: 0.1}, "share assumed"},
+	"hot_key":        {scenario.Trouble{Verb: "hot", Share: 0.1, Number: 2}, "share assumed"},
 }
 
 // course makes troubles of the events.
@@ -45,14 +45,14 @@
 			f.changed(e.at, ready, draining, gone)
 		case scan(e.text, "%d balancer(s) stopped", &stopped):
 			for n := range min(stopped, r.day.FrontEnds) {
-				r.add(script.Trouble{At: e.at, Verb: "kill", Number: n + 1, For: downFor}, "which ones and how long assumed")
+				r.add(scenario.Trouble{At: e.at, Verb: "kill", Number: n + 1, For: downFor}, "which ones and how long assumed")
 			}
 		case strings.HasPrefix(e.text, "a release of the servers"): // told by the changes of the list
 		default:
 			r.day.Unread = append(r.day.Unread, fmt.Sprintf("%v %s", e.at, e.text))
 		}
 	}
-	crashes := slices.ContainsFunc(r.day.Troubles, func(t script.Trouble) bool { return t.Verb == "crash" })
+	crashes := slices.ContainsFunc(r.day.Troubles, func(t scenario.Trouble) bool { return t.Verb == "crash" })
 	for _, t := range f.troubles(r.day.Lasts, r.day.Workers) {
 		if t.Verb != "crash" || !crashes { // else the list tells of what was named
 			r.add(t, "")
@@ -95,7 +95,7 @@
 	switch {
 	case struck > 0:
 		t.Share = share(struck, r.day.Workers)
-	case t.Share == 0 && script.Takes(t.Verb, script.Share):
+	case t.Share == 0 && scenario.Takes(t.Verb, scenario.Share):
 		t.Share, assumed = 0.1, "share assumed"
 	}
 	r.add(t, assumed)
@@ -144,7 +144,7 @@
 }
 
 // troubles are the fates as troubles, those of one course together.
-func (f *fates) troubles(lasts time.Duration, workers int) (list []script.Trouble) {
+func (f *fates) troubles(lasts time.Duration, workers int) (list []scenario.Trouble) {
 	groups := map[fate]int{}
 	var order []fate
 	for _, x := range f.list {
@@ -159,7 +159,7 @@
 		}
 	}
 	for _, x := range order {
-		t := script.Trouble{At: x.drains, Verb: "crash", Share: share(groups[x], workers), For: max(0, x.back-x.drains)}
+		t := scenario.Trouble{At: x.drains, Verb: "crash", Share: share(groups[x], workers), For: max(0, x.back-x.drains)}
 		if x.drained {
 			t.Verb, t.Drain = "take-out", max(0, x.ends-x.drains)
 		}
--- a/lab/transcript/transcript.go
+++ b/lab/reportimport/transcript.go
@@ -1,7 +1,7 @@
-// Package transcript reads the report of a day that the users' bench prints and writes the day's course as a
+// Package reportimport reads the report of a day that the users' bench prints and writes the day's course as a
 // script of troubles and a load, to be played again with front ends of our own. It reads the report as text; what
 // a report does not tell is assumed, and the script says so.
-package transcript
+package reportimport
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"havencart/lab/load"
-	"havencart/lab/script"
+	"havencart/lab/loadgen"
+	"havencart/lab/scenario"
 )
 
 // ErrReport is wrapped by every error about a report.
@@ -24,7 +24,7 @@
 	Lasts              time.Duration
 	Requests           int
 	Tries              float64 // tries a request, at most
-	Troubles           []script.Trouble
+	Troubles           []scenario.Trouble
 	Notes              map[int]string // what was assumed, by the Line of a trouble
 	Unread             []string       // lines of the day's course that were not understood
 }
@@ -40,12 +40,12 @@
 func (d *Day) Rate() float64 { return float64(d.Requests) / d.Lasts.Seconds() }
 
 // Mix is a load like the day's. Calls do the work that fills used of the workers' cores; a report does not tell it.
-func (d *Day) Mix(base load.Mix, used float64) load.Mix {
+func (d *Day) Mix(base loadgen.Mix, used float64) loadgen.Mix {
 	base.Rate = d.Rate()
 	base.Work = time.Duration(used * cores * float64(d.Workers) / base.Rate * float64(time.Second)).Round(time.Millisecond)
-	base.Habit, base.Retries = load.Never, 0
+	base.Habit, base.Retries = loadgen.Never, 0
 	if d.Tries > 1.02 {
-		base.Habit, base.Retries = load.Wait, int(math.Ceil(d.Tries-1))
+		base.Habit, base.Retries = loadgen.Wait, int(math.Ceil(d.Tries-1))
 	}
 	return base
 }
@@ -56,7 +56,7 @@
 	fmt.Fprintf(&out, "# Transcribed from a report: %d front ends, %d workers, %d requests in %v, at most %.2f tries a request.\n",
 		d.FrontEnds, d.Workers, d.Requests, d.Lasts, d.Tries)
 	for _, t := range d.Troubles {
-		line := script.Format(t)
+		line := scenario.Format(t)
 		if note := d.Notes[t.Line]; note != "" {
 			line += "  # " + note
 		}
@@ -175,7 +175,7 @@
 }
 
 // add adds a trouble, with what was assumed of it.
-func (r *reader) add(t script.Trouble, assumed string) {
+func (r *reader) add(t scenario.Trouble, assumed string) {
 	r.lines++
 	t.Line = r.lines
 	r.day.Troubles = append(r.day.Troubles, t)
@@ -207,7 +207,7 @@
 	}
 	r.surges()
 	r.course()
-	script.Sort(d.Troubles)
+	scenario.Sort(d.Troubles)
 	return nil
 }
 
@@ -232,7 +232,7 @@
 		factor := float64(w.requests) / (end - w.from).Seconds() / r.day.Rate()
 		factor = math.Round(100*max(factor, 0.01)) / 100
 		if math.Abs(factor-1) > 0.02 && factor <= 1000 {
-			r.add(script.Trouble{At: w.from, Verb: "surge", Factor: factor, For: end - w.from}, "")
+			r.add(scenario.Trouble{At: w.from, Verb: "surge", Factor: factor, For: end - w.from}, "")
 		}
 	}
 }
--- a/lab/transcript/transcript_test.go
+++ b/lab/reportimport/transcript_test.go
@@ -1,4 +1,4 @@
-package transcript
+package reportimport
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"havencart/lab/load"
-	"havencart/lab/script"
+	"havencart/lab/loadgen"
+	"havencart/lab/scenario"
 )
 
 // onCall is a report of our own in the form of notes from on-call.
@@ -68,7 +68,7 @@
 	if got := d.Script(); got != want {
 		t.Errorf("got:\n%s\nwant:\n%s", got, want)
 	}
-	again, err := script.Parse("again", d.Script())
+	again, err := scenario.Parse("again", d.Script())
 	if err != nil || len(again) != len(d.Troubles) {
 		t.Errorf("%d of %d troubles are read again: %v", len(again), len(d.Troubles), err)
 	}
@@ -102,11 +102,11 @@
 }
 
 func TestTheLoadFillsThePartOfTheCoresThatIsAssumed(t *testing.T) {
-	m := parse(t, onCall).Mix(load.Mix{Functions: 7}, 0.5)
+	m := parse(t, onCall).Mix(loadgen.Mix{Functions: 7}, 0.5)
 	if used := m.Rate * m.Work.Seconds() / (10 * cores); math.Abs(used-0.5) > 0.01 || m.Rate != 150 || m.Functions != 7 {
 		t.Errorf("uses %.3f: %+v", used, m)
 	}
-	if m.Habit != load.Wait || m.Retries != 2 {
+	if m.Habit != loadgen.Wait || m.Retries != 2 {
 		t.Errorf("habit %v, %d retries", m.Habit, m.Retries)
 	}
 }
@@ -129,7 +129,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := script.Parse("again", d.Script()); err != nil {
+		if _, err := scenario.Parse("again", d.Script()); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/lab/script/play.go
+++ b/lab/scenario/play.go
@@ -1,13 +1,13 @@
-package script
+package scenario
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"havencart/control"
-	"havencart/lab/load"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
+	"havencart/scheduler"
 )
 
 // Stage is an installation on which troubles are played. Its methods return at once.
@@ -16,7 +16,7 @@
 	// Command gives a worker one of its commands.
 	Command(worker int, line string) error
 	// List tells the directory of a worker's state; it hears of a start by itself.
-	List(worker int, state control.WorkerState)
+	List(worker int, state scheduler.WorkerState)
 	// Clock sets how far a worker's wall clock is off.
 	Clock(worker int, by time.Duration)
 	StoreStop(d time.Duration)
@@ -29,7 +29,7 @@
 	// Network begins a trouble of the ways between zones; the returned function ends it.
 	Network(model.NetTrouble) (end func())
 	// Demand changes what clients ask for.
-	Demand(change func(*load.Demand)) error
+	Demand(change func(*loadgen.Demand)) error
 	FrontEnds() int
 	Kill(frontEnd int) error
 	Start(frontEnd int) error
--- a/lab/script/script.go
+++ b/lab/scenario/script.go
@@ -1,4 +1,4 @@
-// Package script reads the scripts of bad days: one trouble a line, each at its time.
+// Package scenario reads the scripts of bad days: one trouble a line, each at its time.
 //
 //	at 2s crash 25% for 3s
 //	at 6s deploy 75% over 4s drain 400ms
@@ -6,7 +6,7 @@
 //
 // A comment runs from # to the end of the line. Troubles may overlap. docs/troubles.md is the reference, made
 // from the table here.
-package script
+package scenario
 
 import (
 	"errors"
--- a/lab/script/script_test.go
+++ b/lab/scenario/script_test.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"errors"
--- a/lab/script/verbs.go
+++ b/lab/scenario/verbs.go
@@ -1,12 +1,12 @@
-package script
+package scenario
 
 import (
 	"fmt"
 	"time"
 
-	"havencart/control"
-	"havencart/lab/load"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
+	"havencart/scheduler"
 )
 
 // verb is one kind of trouble.
@@ -115,7 +115,7 @@
 		if err := p.stage.Command(w, "die"); err != nil {
 			return err
 		}
-		p.stage.List(w, control.Gone)
+		p.stage.List(w, scheduler.Gone)
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 		if err := p.stage.Command(w, "start"); err != nil {
 			return err
 		}
-		p.stage.List(w, control.Ready)
+		p.stage.List(w, scheduler.Ready)
 	}
 	return nil
 }
@@ -134,7 +134,7 @@
 	list := p.pick(t.Share)
 	for i, w := range list {
 		at := t.Over * time.Duration(i) / time.Duration(len(list))
-		p.after(at, func() error { p.stage.List(w, control.Draining); return nil })
+		p.after(at, func() error { p.stage.List(w, scheduler.Draining); return nil })
 		p.after(at+t.Drain, func() error {
 			if err := p.stage.Command(w, "die"); err != nil {
 				return err
@@ -148,7 +148,7 @@
 func (p *Play) takeOut(t Trouble) error {
 	list := p.pick(t.Share)
 	for _, w := range list {
-		p.stage.List(w, control.Draining)
+		p.stage.List(w, scheduler.Draining)
 	}
 	p.after(t.Drain, func() error { return p.die(list) })
 	p.after(max(t.For, t.Drain), func() error { return p.start(list) })
@@ -254,58 +254,58 @@
 }
 
 // demand changes what clients ask for and changes it back when the trouble is over.
-func (p *Play) demand(t Trouble, begin, end func(*load.Demand)) error {
+func (p *Play) demand(t Trouble, begin, end func(*loadgen.Demand)) error {
 	return p.lasting(t, func() error { return p.stage.Demand(begin) }, func() error { return p.stage.Demand(end) })
 }
 
 func (p *Play) leave(t Trouble) error {
-	return p.demand(t, func(d *load.Demand) { d.Leaving = t.Share }, func(d *load.Demand) { d.Leaving = 0 })
+	return p.demand(t, func(d *loadgen.Demand) { d.Leaving = t.Share }, func(d *loadgen.Demand) { d.Leaving = 0 })
 }
 
 func (p *Play) surge(t Trouble) error {
-	return p.demand(t, func(d *load.Demand) { d.Surge *= t.Factor }, func(d *load.Demand) { d.Surge /= t.Factor })
+	return p.demand(t, func(d *loadgen.Demand) { d.Surge *= t.Factor }, func(d *loadgen.Demand) { d.Surge /= t.Factor })
 }
 
 func (p *Play) flood(t Trouble) error {
-	return p.own(t, func(o *load.Own) { o.Flood = t.Factor }, func(o *load.Own) { o.Flood = 0 })
+	return p.own(t, func(o *loadgen.Own) { o.Flood = t.Factor }, func(o *loadgen.Own) { o.Flood = 0 })
 }
 
 func (p *Play) repeat(t Trouble) error {
-	return p.own(t, func(o *load.Own) { o.Repeats = t.Number }, func(o *load.Own) { o.Repeats = 0 })
+	return p.own(t, func(o *loadgen.Own) { o.Repeats = t.Number }, func(o *loadgen.Own) { o.Repeats = 0 })
 }
 
 // own changes what one tenant does and changes it back when the trouble is over.
-func (p *Play) own(t Trouble, begin, end func(*load.Own)) error {
-	return p.demand(t, func(d *load.Demand) { d.Of(t.Name, begin) }, func(d *load.Demand) { d.Of(t.Name, end) })
+func (p *Play) own(t Trouble, begin, end func(*loadgen.Own)) error {
+	return p.demand(t, func(d *loadgen.Demand) { d.Of(t.Name, begin) }, func(d *loadgen.Demand) { d.Of(t.Name, end) })
 }
 
 func (p *Play) silent(t Trouble) error {
-	return p.own(t, func(o *load.Own) { o.Silent = true }, func(o *load.Own) { o.Silent = false })
+	return p.own(t, func(o *loadgen.Own) { o.Silent = true }, func(o *loadgen.Own) { o.Silent = false })
 }
 
 func (p *Play) heavyOf(t Trouble) error {
-	return p.own(t, func(o *load.Own) { o.Work = t.Factor }, func(o *load.Own) { o.Work = 0 })
+	return p.own(t, func(o *loadgen.Own) { o.Work = t.Factor }, func(o *loadgen.Own) { o.Work = 0 })
 }
 
 func (p *Play) scanOf(t Trouble) error {
-	return p.own(t, func(o *load.Own) { o.Scan = t.Share }, func(o *load.Own) { o.Scan = 0 })
+	return p.own(t, func(o *loadgen.Own) { o.Scan = t.Share }, func(o *loadgen.Own) { o.Scan = 0 })
 }
 
 func (p *Play) patience(t Trouble) error {
-	return p.demand(t, func(d *load.Demand) { d.Patience *= t.Factor }, func(d *load.Demand) { d.Patience /= t.Factor })
+	return p.demand(t, func(d *loadgen.Demand) { d.Patience *= t.Factor }, func(d *loadgen.Demand) { d.Patience /= t.Factor })
 }
 
 func (p *Play) heavy(t Trouble) error {
-	return p.demand(t, func(d *load.Demand) { d.Work *= t.Factor }, func(d *load.Demand) { d.Work /= t.Factor })
+	return p.demand(t, func(d *loadgen.Demand) { d.Work *= t.Factor }, func(d *loadgen.Demand) { d.Work /= t.Factor })
 }
 
 func (p *Play) hot(t Trouble) error {
-	return p.demand(t, func(d *load.Demand) { d.Hot, d.HotFunctions, d.HotSpell = t.Share, t.Number, d.HotSpell+1 },
-		func(d *load.Demand) { d.Hot = 0 })
+	return p.demand(t, func(d *loadgen.Demand) { d.Hot, d.HotFunctions, d.HotSpell = t.Share, t.Number, d.HotSpell+1 },
+		func(d *loadgen.Demand) { d.Hot = 0 })
 }
 
 func (p *Play) scan(t Trouble) error {
-	return p.demand(t, func(d *load.Demand) { d.Scan = t.Share }, func(d *load.Demand) { d.Scan = 0 })
+	return p.demand(t, func(d *loadgen.Demand) { d.Scan = t.Share }, func(d *loadgen.Demand) { d.Scan = 0 })
 }
 
 func (p *Play) kill(t Trouble) error {
--- a/lab/sim/front.go
+++ b/lab/simulation/front.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"math/rand/v2"
@@ -8,12 +8,12 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/directory"
+	"havencart/internal/discovery"
 	"havencart/internal/gateway"
-	"havencart/lab/audit"
-	"havencart/lab/load"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
+	"havencart/scheduler"
 )
 
 // front is one front end: the real gateway.Front, with a loop in virtual time.
@@ -134,7 +134,7 @@
 }
 
 // Open implements gateway.Outside.
-func (f *front) Open(id control.WorkerID, _ directory.Worker) gateway.Link {
+func (f *front) Open(id scheduler.WorkerID, _ discovery.Worker) gateway.Link {
 	l := newLink(f, id)
 	f.links = append(slices.DeleteFunc(f.links, func(x *link) bool { return x.stopped }), l)
 	return l
@@ -157,11 +157,11 @@
 }
 
 // listed is the list as the directory tells it now.
-func (s *Sim) listed() []directory.Worker {
+func (s *Sim) listed() []discovery.Worker {
 	n := int(s.part*float64(len(s.entries)) + 0.5)
-	var list []directory.Worker
+	var list []discovery.Worker
 	for _, e := range s.entries[:n] {
-		if e.State != control.Gone {
+		if e.State != scheduler.Gone {
 			list = append(list, e)
 		}
 	}
@@ -188,13 +188,13 @@
 	})
 }
 
-func (s *Sim) deliver(f *front, list []directory.Worker, version int) {
+func (s *Sim) deliver(f *front, list []discovery.Worker, version int) {
 	f.version = version
-	states := map[string]control.WorkerState{}
+	states := map[string]scheduler.WorkerState{}
 	for _, e := range list {
 		states[e.Name] = e.State
 	}
-	s.book.Notice(audit.Notice{At: s.clock.Now(), FrontEnd: f.name, States: states})
+	s.book.Notice(invariant.Notice{At: s.clock.Now(), FrontEnd: f.name, States: states})
 	f.do(func(now time.Duration) { f.gate.Listed(now, list) })
 }
 
@@ -223,7 +223,7 @@
 }
 
 // List tells the directory of a worker.
-func (s *Sim) List(i int, state control.WorkerState) {
+func (s *Sim) List(i int, state scheduler.WorkerState) {
 	s.entries[i].State = state
 	s.entries[i].Started = epoch.Add(s.clock.Now() - s.workers[i].Uptime() + s.skew[i])
 	s.changed()
@@ -265,7 +265,7 @@
 func (s *Sim) StoreFail(share float64) { s.store.Fail(share) }
 
 // Demand changes what clients ask for.
-func (s *Sim) Demand(change func(*load.Demand)) error { return s.source.Change(change) }
+func (s *Sim) Demand(change func(*loadgen.Demand)) error { return s.source.Change(change) }
 
 // Network begins a trouble of the ways between zones.
 func (s *Sim) Network(t model.NetTrouble) (end func()) {
--- a/lab/sim/large_test.go
+++ b/lab/simulation/large_test.go
@@ -1,10 +1,10 @@
-package sim
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"havencart/lab/load"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
 )
 
@@ -14,8 +14,8 @@
 	base := small(&testing.T{}, "", lasts)
 	cfg.Worker, cfg.Settings, cfg.LogLevel = base.Worker, base.Settings, base.LogLevel
 	cfg.Store = model.StoreConfig{Places: 40, Limit: 200, FallMultiple: 3, FallAfter: 3 * time.Second, FallFor: 2 * time.Second}
-	cfg.Mix = load.Mix{Rate: 3000, Functions: 60, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 600 * time.Millisecond,
-		MemoryMB: 300, Patience: 2 * time.Second, Habit: load.Advised, Retries: 1}
+	cfg.Mix = loadgen.Mix{Rate: 3000, Functions: 60, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 600 * time.Millisecond,
+		MemoryMB: 300, Patience: 2 * time.Second, Habit: loadgen.Advised, Retries: 1}
 	return cfg
 }
 
--- a/lab/sim/link.go
+++ b/lab/simulation/link.go
@@ -1,17 +1,17 @@
-package sim
+package simulation
 
 import (
 	"errors"
 	"slices"
 	"time"
 
-	"havencart/control"
-	"havencart/internal/decide/linkcare"
+	"havencart/internal/decide/reconnect"
 	"havencart/internal/gateway"
-	"havencart/internal/workerlink"
-	"havencart/internal/workerwire"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
 	"havencart/lab/model"
 	"havencart/lab/worker"
+	"havencart/scheduler"
 )
 
 var (
@@ -27,9 +27,9 @@
 type link struct {
 	front  *front
 	sim    *Sim
-	id     control.WorkerID
+	id     scheduler.WorkerID
 	worker *model.Worker
-	redial *linkcare.Redial
+	redial *reconnect.Redial
 
 	connected bool
 	dialing   bool
@@ -37,21 +37,21 @@
 	breaking  bool   // it broke, and the front end does not know yet
 	stopped   bool
 	draining  bool
-	out, in   *model.Way      // of the connection
-	pulse     *linkcare.Pulse // kept while something ails the way
-	zone, far int             // of the front end and of the worker
-	index     int             // of the worker
-	queue     []any           // *workerlink.Attempt, *workerlink.Order, or func() to be sent
-	attempts  []*workerlink.Attempt
-	orders    []*workerlink.Order
-	ending    []*workerlink.Attempt // whose end the front end is still to hear
+	out, in   *model.Way       // of the connection
+	pulse     *reconnect.Pulse // kept while something ails the way
+	zone, far int              // of the front end and of the worker
+	index     int              // of the worker
+	queue     []any            // *workerlink.Attempt, *workerlink.Order, or func() to be sent
+	attempts  []*muxclient.Attempt
+	orders    []*muxclient.Order
+	ending    []*muxclient.Attempt // whose end the front end is still to hear
 }
 
-func newLink(f *front, id control.WorkerID) *link {
+func newLink(f *front, id scheduler.WorkerID) *link {
 	i := f.sim.byID[id]
 	l := &link{front: f, sim: f.sim, id: id, worker: f.sim.workers[i], index: i, zone: f.sim.net.Zone(f.number),
 		far: f.sim.net.Zone(i)}
-	l.redial = linkcare.NewRedial(f.drawn(uint64(id)).Uint64())
+	l.redial = reconnect.NewRedial(f.drawn(uint64(id)).Uint64())
 	l.dial()
 	return l
 }
@@ -123,7 +123,7 @@
 	l.redial.Up()
 	up := l.worker.Uptime()
 	l.front.do(func(now time.Duration) {
-		l.front.gate.Met(now, l.id, workerwire.Welcome{Version: workerwire.Version, Worker: l.worker.Config.Name,
+		l.front.gate.Met(now, l.id, muxframe.Welcome{Version: muxframe.Version, Worker: l.worker.Config.Name,
 			Life: uint64(l.worker.Life()), UpMillis: up.Milliseconds()})
 	})
 	l.watch()
@@ -133,21 +133,21 @@
 // watch takes the connection's pulse as long as something ails its way. On a sound way there is nothing to find.
 func (l *link) watch() {
 	if l.connected && l.pulse == nil && l.sim.net.Troubled(l.zone, l.far) {
-		l.pulse = linkcare.NewPulse(l.sim.clock.Now())
+		l.pulse = reconnect.NewPulse(l.sim.clock.Now())
 		l.check(l.pulse)
 	}
 }
 
-func (l *link) check(pulse *linkcare.Pulse) {
+func (l *link) check(pulse *reconnect.Pulse) {
 	if l.pulse != pulse || l.stopped {
 		return
 	}
 	verdict, next := pulse.Check(l.sim.clock.Now())
 	switch {
-	case verdict == linkcare.Dead:
+	case verdict == reconnect.Dead:
 		l.broken(errSilent)
 		return
-	case verdict == linkcare.Ping:
+	case verdict == reconnect.Ping:
 		l.to(func() { l.from(func() {}) })
 	case !l.sim.net.Troubled(l.zone, l.far):
 		l.pulse = nil
@@ -201,18 +201,18 @@
 		g := l.front.gate
 		for _, x := range queue {
 			switch x := x.(type) {
-			case *workerlink.Attempt:
-				g.Ended(now, x, workerlink.Result{Status: control.ConnectFailed, Why: why.Error(), Crowd: -1})
-			case *workerlink.Order:
-				g.OrderEnded(now, x, control.ConnectFailed, 0)
+			case *muxclient.Attempt:
+				g.Ended(now, x, muxclient.Result{Status: scheduler.ConnectFailed, Why: why.Error(), Crowd: -1})
+			case *muxclient.Order:
+				g.OrderEnded(now, x, scheduler.ConnectFailed, 0)
 			}
 		}
 		for _, a := range attempts {
 			l.heard(a)
-			g.Ended(now, a, workerlink.Result{Status: control.Reset, Why: why.Error(), Crowd: -1})
+			g.Ended(now, a, muxclient.Result{Status: scheduler.Reset, Why: why.Error(), Crowd: -1})
 		}
 		for _, o := range orders {
-			g.OrderEnded(now, o, control.Reset, 0)
+			g.OrderEnded(now, o, scheduler.Reset, 0)
 		}
 		g.Down(now, l.id, why)
 	})
@@ -241,10 +241,10 @@
 // leave sends x: from now on the worker may have it.
 func (l *link) leave(x any) {
 	switch x := x.(type) {
-	case *workerlink.Attempt:
+	case *muxclient.Attempt:
 		l.attempts = append(l.attempts, x)
 		l.to(func() { l.handle(x) })
-	case *workerlink.Order:
+	case *muxclient.Order:
 		l.orders = append(l.orders, x)
 		l.to(func() { l.order(x) })
 	case func():
@@ -252,14 +252,14 @@
 	}
 }
 
-var statuses = map[model.Outcome]control.Status{model.OK: control.OK, model.Failed: control.Error, model.Full: control.Full,
-	model.Miss: control.Miss}
+var statuses = map[model.Outcome]scheduler.Status{model.OK: scheduler.OK, model.Failed: scheduler.Error, model.Full: scheduler.Full,
+	model.Miss: scheduler.Miss}
 
-var warmths = map[model.Warmth]control.Warmth{model.Warm: control.FoundWarm, model.Began: control.BeganLoad,
-	model.Waited: control.WaitedForLoad, model.LoadBroke: control.LoadFailed}
+var warmths = map[model.Warmth]scheduler.Warmth{model.Warm: scheduler.FoundWarm, model.Began: scheduler.BeganLoad,
+	model.Waited: scheduler.WaitedForLoad, model.LoadBroke: scheduler.LoadFailed}
 
 // handle gives an attempt to the worker.
-func (l *link) handle(a *workerlink.Attempt) {
+func (l *link) handle(a *muxclient.Attempt) {
 	c := &a.Call
 	work, _ := worker.ParseBody(string(a.Body), 0)
 	l.worker.Handle(&model.Call{ID: c.ID, Attempt: c.Attempt, FrontEnd: l.front.name, Class: c.Class, Key: c.Key,
@@ -269,14 +269,14 @@
 	})
 }
 
-func (l *link) answered(a *workerlink.Attempt, r model.Answer) {
+func (l *link) answered(a *muxclient.Attempt, r model.Answer) {
 	if !slices.Contains(l.attempts, a) {
 		l.front.do(l.front.gate.Late)
 		return
 	}
 	l.drop(a)
-	result := workerlink.Result{Status: statuses[r.Outcome], Warmth: warmths[r.Warmth], Crowd: r.Crowd,
-		Report: []float64{float64(r.Waiting)}, Ran: r.Ran, Answer: &workerlink.Answer{}}
+	result := muxclient.Result{Status: statuses[r.Outcome], Warmth: warmths[r.Warmth], Crowd: r.Crowd,
+		Report: []float64{float64(r.Waiting)}, Ran: r.Ran, Answer: &muxclient.Answer{}}
 	l.ending = append(l.ending, a)
 	l.front.do(func(now time.Duration) {
 		l.heard(a)
@@ -285,16 +285,16 @@
 }
 
 // heard notes that the front end hears of an attempt's end.
-func (l *link) heard(a *workerlink.Attempt) {
-	l.ending = slices.DeleteFunc(l.ending, func(x *workerlink.Attempt) bool { return x == a })
+func (l *link) heard(a *muxclient.Attempt) {
+	l.ending = slices.DeleteFunc(l.ending, func(x *muxclient.Attempt) bool { return x == a })
 }
 
-func (l *link) drop(a *workerlink.Attempt) {
-	l.attempts = slices.DeleteFunc(l.attempts, func(x *workerlink.Attempt) bool { return x == a })
+func (l *link) drop(a *muxclient.Attempt) {
+	l.attempts = slices.DeleteFunc(l.attempts, func(x *muxclient.Attempt) bool { return x == a })
 }
 
 // order gives an order to the worker.
-func (l *link) order(o *workerlink.Order) {
+func (l *link) order(o *muxclient.Order) {
 	c := o.Load.Copy
 	l.worker.Order(l.front.name, c.Function, o.Load.Copies, c.MemoryMB, max(1, c.Lanes),
 		c.LoadTime(), func(r model.Outcome, copies int) {
@@ -311,27 +311,27 @@
 var _ gateway.Link = (*link)(nil)
 
 // Send implements gateway.Link, as do the methods below.
-func (l *link) Send(a *workerlink.Attempt) *workerlink.Result {
+func (l *link) Send(a *muxclient.Attempt) *muxclient.Result {
 	l.sim.note("send"+l.front.name+a.Call.ID, uint64(l.id), uint64(a.Call.Attempt))
 	switch {
 	case l.draining:
-		return &workerlink.Result{Status: control.Moot, Why: "the worker drains", Crowd: -1}
+		return &muxclient.Result{Status: scheduler.Moot, Why: "the worker drains", Crowd: -1}
 	case l.stopped:
-		return &workerlink.Result{Status: control.ConnectFailed, Crowd: -1}
+		return &muxclient.Result{Status: scheduler.ConnectFailed, Crowd: -1}
 	}
 	l.push(a)
 	return nil
 }
 
 // Withdraw takes back an attempt that has not left.
-func (l *link) Withdraw(a *workerlink.Attempt) bool {
+func (l *link) Withdraw(a *muxclient.Attempt) bool {
 	n := len(l.queue)
 	l.queue = slices.DeleteFunc(l.queue, func(x any) bool { return x == any(a) })
 	return len(l.queue) < n
 }
 
 // Abandon gives an attempt up and says whether it may have left.
-func (l *link) Abandon(a *workerlink.Attempt) bool {
+func (l *link) Abandon(a *muxclient.Attempt) bool {
 	if slices.Contains(l.attempts, a) {
 		l.drop(a)
 		if l.connected {
@@ -344,21 +344,21 @@
 }
 
 // Load gives an order.
-func (l *link) Load(o *workerlink.Order) control.Status {
+func (l *link) Load(o *muxclient.Order) scheduler.Status {
 	l.sim.note("load"+l.front.name+o.Load.Copy.Function, uint64(l.id), uint64(o.Load.Copies))
 	switch {
 	case l.draining && o.Load.Copies > 0:
-		return control.Full
+		return scheduler.Full
 	case l.stopped:
-		return control.ConnectFailed
+		return scheduler.ConnectFailed
 	}
 	l.push(o)
 	return 0
 }
 
 // AbandonOrder gives an order up.
-func (l *link) AbandonOrder(o *workerlink.Order) {
-	l.orders = slices.DeleteFunc(l.orders, func(x *workerlink.Order) bool { return x == o })
+func (l *link) AbandonOrder(o *muxclient.Order) {
+	l.orders = slices.DeleteFunc(l.orders, func(x *muxclient.Order) bool { return x == o })
 	l.queue = slices.DeleteFunc(l.queue, func(x any) bool { return x == any(o) })
 }
 
@@ -370,20 +370,20 @@
 	l.push(func() {
 		report := []float64{float64(l.worker.Waiting())}
 		l.from(func() {
-			l.front.do(func(now time.Duration) { l.front.gate.Probed(now, l.id, control.OK, report) })
+			l.front.do(func(now time.Duration) { l.front.gate.Probed(now, l.id, scheduler.OK, report) })
 		})
 	})
 }
 
 // Drain takes back what waits for a connection; in virtual time a frame leaves at once when there is one.
-func (l *link) Drain(time.Duration) (attempts []*workerlink.Attempt, orders []*workerlink.Order) {
+func (l *link) Drain(time.Duration) (attempts []*muxclient.Attempt, orders []*muxclient.Order) {
 	l.draining = true
 	l.queue = slices.DeleteFunc(l.queue, func(x any) bool {
 		switch x := x.(type) {
-		case *workerlink.Attempt:
+		case *muxclient.Attempt:
 			attempts = append(attempts, x)
 			return true
-		case *workerlink.Order:
+		case *muxclient.Order:
 			if x.Load.Copies > 0 {
 				orders = append(orders, x)
 				return true
--- a/lab/sim/link_test.go
+++ b/lab/simulation/link_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"runtime"
--- a/lab/sim/sim.go
+++ b/lab/simulation/sim.go
@@ -1,8 +1,8 @@
-// Package sim plays a whole installation in virtual time: the real gateway.Front of each front end with the
+// Package simulation plays a whole installation in virtual time: the real gateway.Front of each front end with the
 // real decision module, over an in-memory transport, against the models of workers and store that run behind
-// sockets in lab/worker and lab/origin, with the clients of lab/load and the scripts of lab/script. It is one
+// sockets in lab/worker and lab/functionstore, with the clients of lab/loadgen and the scripts of lab/scenario. It is one
 // goroutine; the same seed gives the same run, action for action.
-package sim
+package simulation
 
 import (
 	"cmp"
@@ -15,17 +15,17 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/rs/zerolog"
 
-	"havencart/control"
-	"havencart/internal/callhttp"
-	"havencart/internal/config"
-	"havencart/internal/directory"
+	"havencart/internal/config/gatewayconfig"
+	"havencart/internal/discovery"
 	"havencart/internal/gateway"
-	"havencart/lab/audit"
+	"havencart/internal/native/httpserver"
 	"havencart/lab/baseline"
-	"havencart/lab/load"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
 	"havencart/lab/model"
-	"havencart/lab/script"
+	"havencart/lab/scenario"
 	"havencart/lab/worker"
+	"havencart/scheduler"
 )
 
 // Config describes an installation in virtual time.
@@ -41,9 +41,9 @@
 	Handshake time.Duration // of a worker's connection, beside the round trips
 	Zones     int           // in which machines stand, dealt out one by one; as many as Troubles name at the least
 	ListLag   time.Duration // mean time from a change to a front end's knowing it; 0: 1 s
-	Mix       load.Mix
+	Mix       loadgen.Mix
 	Lasts     time.Duration
-	Troubles  []script.Trouble
+	Troubles  []scenario.Trouble
 	Seed      uint64
 	LogLevel  zerolog.Level // of the front ends' lines in Result.Told; the zero value is debug
 	Policy    string        // "" or "module", "oracle", or one of baseline.Names
@@ -51,9 +51,9 @@
 
 // Result is how a run went.
 type Result struct {
-	Tally  audit.Tally
-	Breaks []audit.Break
-	Score  audit.Score
+	Tally  invariant.Tally
+	Breaks []invariant.Break
+	Score  invariant.Score
 	Counts gateway.Counts
 	Store  model.StoreTotals
 	Trace  uint64 // a hash of every action, answer and time: equal for equal runs
@@ -110,17 +110,17 @@
 // Sim is a run under way.
 type Sim struct {
 	cfg     Config
-	set     *config.Settings
+	set     *gatewayconfig.Settings
 	clock   *model.Sim
 	rng     *rand.Rand
 	trace   *xxhash.Digest
-	book    *audit.Book
+	book    *invariant.Book
 	store   *model.Store
 	workers []*model.Worker
 	fronts  []*front
 	catalog *gateway.Catalog
-	source  *load.Source
-	entries []directory.Worker
+	source  *loadgen.Source
+	entries []discovery.Worker
 	version int // of entries
 	part    float64
 	down    bool
@@ -131,10 +131,10 @@
 	seen    map[string]int
 	series  []Sample
 	told    []string
-	policy  func(time.Duration, control.Settings, control.Actions) gateway.Module
+	policy  func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Module
 
-	byID      map[control.WorkerID]int      // in workers
-	functions map[control.FunctionID]string // for the oracle
+	byID      map[scheduler.WorkerID]int      // in workers
+	functions map[scheduler.FunctionID]string // for the oracle
 }
 
 var epoch = time.Unix(0, 0)
@@ -180,7 +180,7 @@
 
 // play plays clients and troubles for the time that the day lasts.
 func (s *Sim) play() error {
-	play := script.Begin(s.clock, s, s.cfg.Troubles, s.cfg.Seed, s.say)
+	play := scenario.Begin(s.clock, s, s.cfg.Troubles, s.cfg.Seed, s.say)
 	s.clock.After(time.Second, s.sample)
 	s.nextCall()
 	s.clock.Run(s.cfg.Lasts)
@@ -188,7 +188,7 @@
 }
 
 // Check says what of cfg cannot be played.
-func Check(cfg Config) (*config.Settings, error) {
+func Check(cfg Config) (*gatewayconfig.Settings, error) {
 	s, err := newSim(cfg)
 	if err != nil {
 		return nil, err
@@ -198,16 +198,16 @@
 
 func newSim(cfg Config) (*Sim, error) {
 	cfg.Net, cfg.ListLag = cmp.Or(cfg.Net, 200*time.Microsecond), cmp.Or(cfg.ListLag, time.Second)
-	set, err := config.Parse("settings", "name fe\ndirectory file none\n"+cfg.Settings)
+	set, err := gatewayconfig.Parse("settings", "name fe\ndirectory file none\n"+cfg.Settings)
 	if err != nil {
 		return nil, err
 	}
 	set.FrontEnds = cfg.FrontEnds
 	s := &Sim{cfg: cfg, set: set, clock: &model.Sim{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x73696d)), trace: xxhash.New(),
 		catalog: gateway.CatalogOf(set), part: 1, seen: map[string]int{},
-		byID: map[control.WorkerID]int{}, functions: map[control.FunctionID]string{}}
-	s.book = audit.NewBookOn(epoch, s.clock.Now)
-	s.net = model.NewNetwork(s.clock, model.NetworkConfig{Zones: max(cfg.Zones, script.Zones(cfg.Troubles)), Net: cfg.Net,
+		byID: map[scheduler.WorkerID]int{}, functions: map[scheduler.FunctionID]string{}}
+	s.book = invariant.NewBookOn(epoch, s.clock.Now)
+	s.net = model.NewNetwork(s.clock, model.NetworkConfig{Zones: max(cfg.Zones, scenario.Zones(cfg.Troubles)), Net: cfg.Net,
 		Jitter: cfg.Jitter}, s.rng)
 	s.skew, s.shakes = make([]time.Duration, cfg.Workers), make([]time.Duration, cfg.Workers)
 	s.store = model.NewStore(s.clock, cfg.Store)
@@ -217,8 +217,8 @@
 		w := model.NewWorker(s.clock, wc, fetcher{s}, groups[cell], observer{s.book, s})
 		s.workers = append(s.workers, w)
 		s.byID[gateway.WorkerID(wc.Name)] = i
-		s.entries = append(s.entries, directory.Worker{Name: wc.Name, Address: wc.Name + ":1", Cell: wc.Cell, Scale: 1,
-			Started: epoch.Add(-w.Uptime()), State: control.Ready})
+		s.entries = append(s.entries, discovery.Worker{Name: wc.Name, Address: wc.Name + ":1", Cell: wc.Cell, Scale: 1,
+			Started: epoch.Add(-w.Uptime()), State: scheduler.Ready})
 	}
 	if s.policy, err = s.decide(); err != nil {
 		return nil, err
@@ -227,12 +227,12 @@
 		s.fronts = append(s.fronts, &front{sim: s, number: i, name: fmt.Sprintf("fe-%d", i)})
 		s.fronts[i].start()
 	}
-	s.source = load.ForSettings(cfg.Mix, cfg.Lasts, set, cfg.Seed)
+	s.source = loadgen.ForSettings(cfg.Mix, cfg.Lasts, set, cfg.Seed)
 	return s, nil
 }
 
 // decide makes the front ends' modules.
-func (s *Sim) decide() (func(time.Duration, control.Settings, control.Actions) gateway.Module, error) {
+func (s *Sim) decide() (func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Module, error) {
 	switch s.cfg.Policy {
 	case "", "module", "oracle": // top runs each oracle by its name
 		return nil, nil
@@ -250,7 +250,7 @@
 type truth struct{ s *Sim }
 
 // Estimate implements baseline.Truth.
-func (t truth) Estimate(id control.WorkerID, f control.FunctionID, r control.Request) (load, rest time.Duration, may bool) {
+func (t truth) Estimate(id scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, may bool) {
 	w := t.s.workers[t.s.byID[id]]
 	return w.Estimate(t.s.functions[f], r.MemoryMB, r.Lanes, r.LoadTime, t.s.cfg.Mix.Work, t.s.store)
 }
@@ -270,7 +270,7 @@
 func (s *Sim) delay() time.Duration { return s.net.Delay() }
 
 func (s *Sim) result() Result {
-	terms := audit.TermsOf(s.set, 2*s.cfg.Net)
+	terms := invariant.TermsOf(s.set, 2*s.cfg.Net)
 	r := Result{Score: s.book.Score(terms.Classes), Store: s.store.StoreTotals, Seen: s.seen, Series: s.series, Told: s.told}
 	r.Breaks, r.Tally = s.book.Judge(terms)
 	for _, f := range s.fronts {
@@ -291,7 +291,7 @@
 
 // observer puts what workers see into the book and the trace, and tells links of a fall.
 type observer struct {
-	*audit.Book
+	*invariant.Book
 	s *Sim
 }
 
@@ -342,24 +342,24 @@
 // client is one try of a client's call.
 type client struct {
 	s     *Sim
-	call  load.Call
+	call  loadgen.Call
 	id    string // of the first try, without the try's number
 	try   int
 	front *front
-	ask   *audit.Ask
+	ask   *invariant.Ask
 	gate  *gateway.Call
 	over  bool
 }
 
 // try sends one try of a call to front end n.
-func (s *Sim) try(c load.Call, id string, n, try int) {
+func (s *Sim) try(c loadgen.Call, id string, n, try int) {
 	t := &client{s: s, call: c, id: id, try: try, front: s.fronts[n%len(s.fronts)]}
 	t.call.ID = fmt.Sprintf("%s.%d", id, try)
 	if !t.front.alive {
 		t.end("unreachable", 0)
 		return
 	}
-	t.ask = s.book.Ask(audit.Ask{ID: t.call.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, FrontEnd: t.front.name,
+	t.ask = s.book.Ask(invariant.Ask{ID: t.call.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, FrontEnd: t.front.name,
 		Patience: c.Patience})
 	since, life := s.clock.Now(), t.front.life
 	s.clock.After(s.delay(), func() { t.arrive(since, life) })
@@ -380,7 +380,7 @@
 	c := gateway.NewCallTo(t.answered)
 	c.ID, c.Key, c.Since = t.call.ID, t.call.Key, since
 	c.Body = worker.Body(t.call.Work, t.call.Reply)
-	err := t.s.catalog.Resolve(&callhttp.Call{Function: t.call.Function, Class: t.call.Class, Tenant: t.call.Tenant,
+	err := t.s.catalog.Resolve(&httpserver.Call{Function: t.call.Function, Class: t.call.Class, Tenant: t.call.Tenant,
 		Patience: t.call.Patience, MemoryMB: t.call.MemoryMB, Lanes: t.call.Lanes, Load: t.call.Load}, c)
 	if err != nil {
 		panic(err) // the mix is made from the settings
--- a/lab/sim/sim_test.go
+++ b/lab/simulation/sim_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"context"
@@ -10,16 +10,16 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/lab/audit"
 	"havencart/lab/baseline"
 	"havencart/lab/fleet"
-	"havencart/lab/script"
+	"havencart/lab/invariant"
+	"havencart/lab/scenario"
 )
 
 // small is the demo's installation in virtual time.
 func small(t *testing.T, day string, lasts time.Duration) Config {
 	t.Helper()
-	troubles, err := script.Parse("day", day)
+	troubles, err := scenario.Parse("day", day)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 
 func day(t *testing.T, name string) string {
 	t.Helper()
-	text, err := os.ReadFile("../days/" + name + ".day")
+	text, err := os.ReadFile("../scenarios/" + name + ".day")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +163,7 @@
 		cfg.Settings = "shares work\n" + strings.NewReplacer("share 0.8", "share 0.5", "share 0.2", "share 0.5").Replace(cfg.Settings)
 		cfg.Mix.Rate, cfg.Mix.Functions, cfg.Mix.OwnFunctions = 400, 6, true
 		cfg.Mix.Work, cfg.Mix.MemoryMB = 30*time.Millisecond, 200
-		var sum audit.Part
+		var sum invariant.Part
 		for _, p := range play(t, cfg).Score.ByTenant["catania"].Seconds[from:] {
 			sum.Asked += p.Asked
 			sum.Got += p.Got
--- a/lab/worker/conn.go
+++ b/lab/worker/conn.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"havencart/internal/workerwire"
+	"havencart/internal/native/muxframe"
 	"havencart/lab/model"
 )
 
@@ -84,15 +84,15 @@
 	}
 }
 
-func (c *conn) send(kind workerwire.Type, number uint32, header any, body []byte) {
+func (c *conn) send(kind muxframe.Type, number uint32, header any, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.append(kind, number, header, body)
 }
 
 // append queues a frame; the lock is held.
-func (c *conn) append(kind workerwire.Type, number uint32, header any, body []byte) {
-	out, err := workerwire.Append(c.out, kind, number, header, body)
+func (c *conn) append(kind muxframe.Type, number uint32, header any, body []byte) {
+	out, err := muxframe.Append(c.out, kind, number, header, body)
 	if err != nil {
 		panic(err) // the emulator's own messages are short
 	}
@@ -104,7 +104,7 @@
 }
 
 func (c *conn) read() error {
-	in := workerwire.NewReader(bufio.NewReader(c.net), 0)
+	in := muxframe.NewReader(bufio.NewReader(c.net), 0)
 	if err := c.greet(in); err != nil {
 		return err
 	}
@@ -119,13 +119,13 @@
 	}
 }
 
-func (c *conn) greet(in *workerwire.Reader) error {
+func (c *conn) greet(in *muxframe.Reader) error {
 	f, err := in.Next()
 	if err != nil {
 		return err
 	}
-	var hello workerwire.Hello
-	if f.Type != workerwire.TypeHello || f.Decode(&hello) != nil {
+	var hello muxframe.Hello
+	if f.Type != muxframe.TypeHello || f.Decode(&hello) != nil {
 		return fmt.Errorf("%v in place of hello", f.Type)
 	}
 	if wait := c.s.troubles().handshake; wait != 0 {
@@ -145,43 +145,43 @@
 		ways.take(c.s.cfg.Ways(c.frontEnd))
 	}
 	_, up, life := c.s.Running()
-	welcome := workerwire.Welcome{Version: workerwire.Version, Worker: c.s.cfg.Name, Life: uint64(life),
+	welcome := muxframe.Welcome{Version: muxframe.Version, Worker: c.s.cfg.Name, Life: uint64(life),
 		UpMillis: up.Milliseconds(), Reports: []string{"queue"}}
-	if hello.Version != workerwire.Version {
+	if hello.Version != muxframe.Version {
 		welcome.Refused = fmt.Sprintf("version %d is not spoken here", hello.Version)
 	}
-	c.send(workerwire.TypeWelcome, 0, welcome, nil)
+	c.send(muxframe.TypeWelcome, 0, welcome, nil)
 	return nil
 }
 
-func (c *conn) handle(f workerwire.Frame) error {
+func (c *conn) handle(f muxframe.Frame) error {
 	switch f.Type {
-	case workerwire.TypeCall:
+	case muxframe.TypeCall:
 		return c.call(f)
-	case workerwire.TypeCancel:
+	case muxframe.TypeCancel:
 		c.cancel(f.Call)
-	case workerwire.TypeCredit:
-		var in workerwire.Credit
+	case muxframe.TypeCredit:
+		var in muxframe.Credit
 		if err := f.Decode(&in); err != nil {
 			return err
 		}
 		c.credit(f.Call, int(in.Bytes))
-	case workerwire.TypeLoad:
+	case muxframe.TypeLoad:
 		return c.load(f)
-	case workerwire.TypeUnload:
-		var in workerwire.Unload
+	case muxframe.TypeUnload:
+		var in muxframe.Unload
 		if err := f.Decode(&in); err != nil {
 			return err
 		}
 		c.s.Do(func(w *model.Worker) { w.Unload(in.Function) })
-	case workerwire.TypeProbe:
+	case muxframe.TypeProbe:
 		c.s.Do(func(w *model.Worker) {
-			c.send(workerwire.TypeProbed, 0, workerwire.Probed{Status: workerwire.StatusOK,
+			c.send(muxframe.TypeProbed, 0, muxframe.Probed{Status: muxframe.StatusOK,
 				Report: []float64{float64(w.Waiting())}}, nil)
 		})
-	case workerwire.TypePing:
-		c.send(workerwire.TypePong, 0, nil, nil)
-	case workerwire.TypePong:
+	case muxframe.TypePing:
+		c.send(muxframe.TypePong, 0, nil, nil)
+	case muxframe.TypePong:
 	default:
 		return fmt.Errorf("%v from a front end", f.Type)
 	}
@@ -211,8 +211,8 @@
 	return work, reply
 }
 
-func (c *conn) call(f workerwire.Frame) error {
-	var in workerwire.Call
+func (c *conn) call(f muxframe.Frame) error {
+	var in muxframe.Call
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
@@ -247,11 +247,11 @@
 	delete(c.calls, number)
 	if t.garbage {
 		c.out = append(c.out, "\x00\x00\x00\x03garbage, no frame"...)
-		c.append(workerwire.TypePong, 0, nil, nil)
+		c.append(muxframe.TypePong, 0, nil, nil)
 		return
 	}
 	crowd := a.Crowd
-	head := workerwire.Answer{Status: workerwire.Status(a.Outcome), Warmth: workerwire.Warmth(a.Warmth), Crowd: &crowd,
+	head := muxframe.Answer{Status: muxframe.Status(a.Outcome), Warmth: muxframe.Warmth(a.Warmth), Crowd: &crowd,
 		Report: []float64{float64(a.Waiting)}, Type: "text/plain", Ran: float64(a.Ran) / float64(time.Millisecond)}
 	if a.Outcome != model.OK {
 		head.Problem, size = "emulated", 0
@@ -262,11 +262,11 @@
 	}
 	for range times {
 		if size <= partBytes {
-			c.append(workerwire.TypeAnswer, number, head, make([]byte, size))
+			c.append(muxframe.TypeAnswer, number, head, make([]byte, size))
 			continue
 		}
 		head.More, head.Length = true, int64(size)
-		c.append(workerwire.TypeAnswer, number, head, nil)
+		c.append(muxframe.TypeAnswer, number, head, nil)
 		c.streams[number] = &outgoing{left: size, credit: window}
 		c.pump(number)
 	}
@@ -280,12 +280,12 @@
 	}
 	for o.left > 0 && o.credit > 0 {
 		n := min(partBytes, o.left, o.credit)
-		c.append(workerwire.TypeData, number, nil, make([]byte, n))
+		c.append(muxframe.TypeData, number, nil, make([]byte, n))
 		o.left, o.credit = o.left-n, o.credit-n
 	}
 	if o.left == 0 {
 		delete(c.streams, number)
-		c.append(workerwire.TypeEnd, number, workerwire.End{}, nil)
+		c.append(muxframe.TypeEnd, number, muxframe.End{}, nil)
 	}
 }
 
@@ -309,8 +309,8 @@
 	}
 }
 
-func (c *conn) load(f workerwire.Frame) error {
-	var in workerwire.Load
+func (c *conn) load(f muxframe.Frame) error {
+	var in muxframe.Load
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
@@ -318,7 +318,7 @@
 	c.s.Do(func(w *model.Worker) {
 		w.Order(c.frontEnd, in.Copy.Function, in.Copies, in.Copy.MemoryMB, in.Copy.Lanes, in.Copy.LoadTime(),
 			func(o model.Outcome, copies int) {
-				c.send(workerwire.TypeLoaded, number, workerwire.Loaded{Status: workerwire.Status(o), Copies: copies}, nil)
+				c.send(muxframe.TypeLoaded, number, muxframe.Loaded{Status: muxframe.Status(o), Copies: copies}, nil)
 			})
 	})
 	return nil
--- a/control/control.go
+++ b/scheduler/control.go
@@ -1,4 +1,4 @@
-package control
+package scheduler
 
 // Every decision of havencart is in this file; its interface (settings, events, actions) is types.go.
 //
--- a/control/rules_test.go
+++ b/scheduler/rules_test.go
@@ -1,4 +1,4 @@
-package control
+package scheduler
 
 import (
 	"fmt"
--- a/control/types.go
+++ b/scheduler/types.go
@@ -1,7 +1,7 @@
-// Package control decides where a front end sends its calls, what it holds,
+// Package scheduler decides where a front end sends its calls, what it holds,
 // what it loads and what it gives up on. It knows no wire: a front end feeds a
 // Controller its events and carries out what the Controller asks of Actions.
-package control
+package scheduler
 
 import "time"
 
