--- a/cmd/havencart/relay.go
+++ b/cmd/havencart/relay.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := gateway.NewRelay(set, log)
+			r, err := gateway.NewPlatformServer(set, log)
 			if err != nil {
 				return err
 			}
@@ -60,7 +60,7 @@
 }
 
 // reload reads the configuration anew each time it is told to. One that cannot be read changes nothing.
-func reload(ctx context.Context, again <-chan os.Signal, path string, r *gateway.Relay, log zerolog.Logger) {
+func reload(ctx context.Context, again <-chan os.Signal, path string, r *gateway.PlatformServer, log zerolog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -72,6 +72,6 @@
 			log.Error().Err(err).Msg("the configuration stays as it was")
 			continue
 		}
-		r.Follow(set)
+		r.Reload(set)
 	}
 }
--- a/internal/config/gatewayconfig/config_test.go
+++ b/internal/config/gatewayconfig/config_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if s.Directory != (Directory{"consul", "http://127.0.0.1:8500", "my workers"}) || s.MaxBody != 2<<20 ||
-		len(s.Classes) != 2 || s.Classes[0].Aim != 500*time.Millisecond || s.Classes[0].Repeat != scheduler.Unsafe ||
+		len(s.Classes) != 2 || s.Classes[0].Aim != 500*time.Millisecond || s.Classes[0].Repeat != scheduler.NonIdempotent ||
 		s.Classes[1].Scope != scheduler.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].Lanes != 4 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/config/gatewayconfig/settings.go
+++ b/internal/config/gatewayconfig/settings.go
@@ -76,8 +76,8 @@
 	GiveUp time.Duration
 	Worth  float64
 	Late   float64
-	Repeat scheduler.Repeat
-	Scope  scheduler.Scope
+	Repeat scheduler.Idempotency
+	Scope  scheduler.KeyScope
 	Memory time.Duration
 	Size   int // MB of a copy
 	Lanes  int
@@ -86,8 +86,8 @@
 
 // Control is the class as the module has it.
 func (c Class) Control() scheduler.Class {
-	return scheduler.Class{Aim: c.Aim, Deadline: c.GiveUp, Worth: c.Worth, LateWorth: c.Late, Repeat: c.Repeat, Scope: c.Scope,
-		Memory: c.Memory}
+	return scheduler.Class{LatencyObjective: c.Aim, Timeout: c.GiveUp, PriorityWeight: c.Worth, LateWeight: c.Late, Idempotency: c.Repeat, KeyScope: c.Scope,
+		KeyRetention: c.Memory}
 }
 
 // Tenant is one customer.
@@ -215,10 +215,10 @@
 		func(c *Class) *time.Duration { return &c.GiveUp }),
 	directive.Real("worth", 0, 1e6, "1", "of an answer in time", func(c *Class) *float64 { return &c.Worth }),
 	directive.Real("late", 0, 1, "0.3", "share of the worth that a late answer keeps", func(c *Class) *float64 { return &c.Late }),
-	directive.Choice("repeat", []string{"safe", "keyed", "unsafe"}, []scheduler.Repeat{scheduler.Safe, scheduler.Keyed, scheduler.Unsafe},
-		"unsafe", "what another attempt may do", func(c *Class) *scheduler.Repeat { return &c.Repeat }),
-	directive.Choice("scope", []string{"all", "zone", "cell"}, []scheduler.Scope{scheduler.ScopeAll, scheduler.ScopeZone, scheduler.ScopeCell},
-		"cell", "workers that drop each other's repeats of a keyed call", func(c *Class) *scheduler.Scope { return &c.Scope }),
+	directive.Choice("repeat", []string{"safe", "keyed", "unsafe"}, []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentByKey, scheduler.NonIdempotent},
+		"unsafe", "what another attempt may do", func(c *Class) *scheduler.Idempotency { return &c.Repeat }),
+	directive.Choice("scope", []string{"all", "zone", "cell"}, []scheduler.KeyScope{scheduler.ScopeAll, scheduler.ScopeZone, scheduler.ScopeCell},
+		"cell", "workers that drop each other's repeats of a keyed call", func(c *Class) *scheduler.KeyScope { return &c.Scope }),
 	directive.Duration("memory", 0, 24*hour, "5s", "how long they remember a key", func(c *Class) *time.Duration { return &c.Memory }),
 	directive.Number("size", 1, 1<<20, "256", "megabytes of a loaded copy, where nothing tells it", func(c *Class) *int { return &c.Size }),
 	directive.Number("lanes", 1, 1000, "2", "calls that a copy runs at a time, where nothing tells it", func(c *Class) *int { return &c.Lanes }),
--- a/internal/config/platformconfig/relay.go
+++ b/internal/config/platformconfig/relay.go
@@ -110,16 +110,16 @@
 	if s.ConnIdle == 0 {
 		s.ConnIdle = math.MaxInt64 // workers keep idle connections
 	}
-	if c.OrderTimeout == 0 {
-		c.OrderTimeout = s.Longest() // an order speaks for no call that is not over by then
+	if c.LoadOrderTimeout == 0 {
+		c.LoadOrderTimeout = s.Longest() // an order speaks for no call that is not over by then
 	}
-	if c.TipMultiple == 0 {
-		c.TipWindow = 0 // cold workers do not fall
+	if c.OverloadFactor == 0 {
+		c.OverloadWindow = 0 // cold workers do not fall
 	}
 	c.MaxAttempts = max(1, c.MaxAttempts)
 	for i := range c.Classes {
-		if c.Classes[i].Aim == 0 {
-			c.Classes[i].Aim = c.Classes[i].Deadline
+		if c.Classes[i].LatencyObjective == 0 {
+			c.Classes[i].LatencyObjective = c.Classes[i].Timeout
 		}
 	}
 }
@@ -135,14 +135,14 @@
 		switch {
 		case s.Classes[i] == "" || slices.Index(s.Classes, s.Classes[i]) < i:
 			return wrong(at+"name", strconv.Quote(s.Classes[i]), "a name of its own")
-		case class.Deadline <= 0:
-			return wrong(at+"deadline", class.Deadline, "above 0")
-		case class.Aim < 0:
-			return wrong(at+"onTime", class.Aim, "0 or more")
-		case class.Memory < 0:
-			return wrong(at+"memorySpan", class.Memory, "0 or more")
-		case class.Worth < 0:
-			return wrong(at+"worth", class.Worth, "0 or more")
+		case class.Timeout <= 0:
+			return wrong(at+"deadline", class.Timeout, "above 0")
+		case class.LatencyObjective < 0:
+			return wrong(at+"onTime", class.LatencyObjective, "0 or more")
+		case class.KeyRetention < 0:
+			return wrong(at+"memorySpan", class.KeyRetention, "0 or more")
+		case class.PriorityWeight < 0:
+			return wrong(at+"worth", class.PriorityWeight, "0 or more")
 		}
 	}
 	for i, t := range c.Tenants {
@@ -167,14 +167,14 @@
 		{"settings.limits.connIdle", s.ConnIdle > 0, s.ConnIdle, "0 or more"},
 		{"settings.limits.openCap", s.MaxCalls > 0, s.MaxCalls, "0 or more"},
 		{"settings.limits.maxRetryAfter", c.MaxRetryAfter >= 0, c.MaxRetryAfter, "0 or more"},
-		{"settings.familyInfo.keep", c.KeepAlive >= 0, c.KeepAlive, "0 or more"},
-		{"settings.familyInfo.loadWait", c.OrderTimeout > 0, c.OrderTimeout, "0 or more"},
-		{"settings.familyInfo.loadPeriod", c.LoadWindow >= 0, c.LoadWindow, "0 or more"},
+		{"settings.familyInfo.keep", c.ReplicaIdleTimeout >= 0, c.ReplicaIdleTimeout, "0 or more"},
+		{"settings.familyInfo.loadWait", c.LoadOrderTimeout > 0, c.LoadOrderTimeout, "0 or more"},
+		{"settings.familyInfo.loadPeriod", c.LoadRateWindow >= 0, c.LoadRateWindow, "0 or more"},
 		{"settings.rules.stopSendingWithin", c.DrainGrace >= 0, c.DrainGrace, "0 or more"},
-		{"settings.rules.cold", c.ColdTime >= 0, c.ColdTime, "0 or more"},
-		{"settings.rules.coldFrom", c.ColdFrom >= 0 && c.ColdFrom <= 1, c.ColdFrom, "from 0 to 1"},
-		{"settings.rules.fall", c.TipWindow >= 0, c.TipWindow, "0 or more"},
-		{"settings.rules.tipMultiple", c.TipMultiple >= 0, c.TipMultiple, "0 or more"},
+		{"settings.rules.cold", c.SlowStartDuration >= 0, c.SlowStartDuration, "0 or more"},
+		{"settings.rules.coldFrom", c.SlowStartFraction >= 0 && c.SlowStartFraction <= 1, c.SlowStartFraction, "from 0 to 1"},
+		{"settings.rules.fall", c.OverloadWindow >= 0, c.OverloadWindow, "0 or more"},
+		{"settings.rules.tipMultiple", c.OverloadFactor >= 0, c.OverloadFactor, "0 or more"},
 	} {
 		if !f.good {
 			return wrong(f.field, f.got, f.wanted)
@@ -206,7 +206,7 @@
 // Longest is the longest that a client waits.
 func (s Site) Longest() (most time.Duration) {
 	for _, c := range s.Control.Classes {
-		most = max(most, c.Deadline)
+		most = max(most, c.Timeout)
 	}
 	return most
 }
--- a/internal/config/platformconfig/relay_test.go
+++ b/internal/config/platformconfig/relay_test.go
@@ -76,9 +76,9 @@
 	if len(s.Zones) != 1 || s.Zones[0] != "" || len(s.Kinds) != 1 || s.Kinds[0] != "" || len(s.Tenants) != 0 {
 		t.Errorf("places %q, kinds %q, tenants %q", s.Zones, s.Kinds, s.Tenants)
 	}
-	if s.MaxCalls < 1<<30 || s.ConnIdle < time.Hour || c.OrderTimeout != 800*time.Millisecond || c.MaxAttempts != 1 ||
-		c.TipWindow != 0 || c.MaxRetryAfter != 0 || c.MayOrder || c.MissAnswered || c.FrontEnds != 1 ||
-		c.Classes[0].Aim != 800*time.Millisecond || len(r.Known) != 0 {
+	if s.MaxCalls < 1<<30 || s.ConnIdle < time.Hour || c.LoadOrderTimeout != 800*time.Millisecond || c.MaxAttempts != 1 ||
+		c.OverloadWindow != 0 || c.MaxRetryAfter != 0 || c.LoadOrdersAllowed || c.AnswersNotLoaded || c.FrontEndCount != 1 ||
+		c.Classes[0].LatencyObjective != 800*time.Millisecond || len(r.Known) != 0 {
 		t.Errorf("parsed %+v", s)
 	}
 }
--- a/internal/config/platformconfig/settings.go
+++ b/internal/config/platformconfig/settings.go
@@ -96,10 +96,10 @@
 }
 
 func (c class) control() (scheduler.Class, error) {
-	repeats := map[string]scheduler.Repeat{
-		"retryable": scheduler.Safe, "dedup": scheduler.Keyed, "fragile": scheduler.Unsafe,
+	repeats := map[string]scheduler.Idempotency{
+		"retryable": scheduler.Idempotent, "dedup": scheduler.IdempotentByKey, "fragile": scheduler.NonIdempotent,
 	}
-	scopes := map[string]scheduler.Scope{
+	scopes := map[string]scheduler.KeyScope{
 		"": scheduler.ScopeAll, "all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeCell,
 	}
 	repeat, known := repeats[c.Repeat]
@@ -111,8 +111,8 @@
 		return scheduler.Class{}, fmt.Errorf("keyScope is %q", c.KeyScope)
 	}
 	return scheduler.Class{
-		Aim: c.OnTime.duration(), Deadline: c.Deadline.duration(), Worth: c.Worth, LateWorth: c.LateWorth,
-		Repeat: repeat, Scope: scope, Memory: c.MemorySpan.duration(),
+		LatencyObjective: c.OnTime.duration(), Timeout: c.Deadline.duration(), PriorityWeight: c.Worth, LateWeight: c.LateWorth,
+		Idempotency: repeat, KeyScope: scope, KeyRetention: c.MemorySpan.duration(),
 	}, nil
 }
 
@@ -145,17 +145,17 @@
 // control is what the module is told, but for classes and tenants.
 func (in *object) control(seed uint64) scheduler.Settings {
 	out := scheduler.Settings{
-		Seed: seed, Self: in.Ordinal, FrontEnds: max(1, in.Balancers), Zone: in.Zone,
-		MissAnswered: in.Family.WhenAbsent == "miss", MayOrder: in.Family.MayLoad,
-		TellsWarm: in.Family.WarmNotes, TellsCrowd: in.Family.PeersInHand,
-		KeepAlive: in.Family.Keep.duration(), OrderTimeout: in.Family.LoadWait.duration(),
-		LoadWindow: in.Family.LoadPeriod.duration(), LoadFree: in.Family.FreeLoads, LoadShare: in.Family.LoadPart,
-		MayProbe: in.Limits.Probes, MayCancel: in.Limits.MayCancel, SecondCopies: in.Limits.SecondCopies,
+		Seed: seed, FrontEndIndex: in.Ordinal, FrontEndCount: max(1, in.Balancers), Zone: in.Zone,
+		AnswersNotLoaded: in.Family.WhenAbsent == "miss", LoadOrdersAllowed: in.Family.MayLoad,
+		ReportsColdStart: in.Family.WarmNotes, ReportsQueueDepth: in.Family.PeersInHand,
+		ReplicaIdleTimeout: in.Family.Keep.duration(), LoadOrderTimeout: in.Family.LoadWait.duration(),
+		LoadRateWindow: in.Family.LoadPeriod.duration(), LoadRateBurst: in.Family.FreeLoads, LoadRatePerRequest: in.Family.LoadPart,
+		HealthChecksAllowed: in.Limits.Probes, CancelAllowed: in.Limits.MayCancel, HedgingAllowed: in.Limits.SecondCopies,
 		MaxAttempts: in.Limits.MaxAttempts, ConnectTimeout: in.Limits.ConnectTimeout.duration(),
-		AskForWorkers: in.Registry == "ask", DrainGrace: in.Rules.StopSending.duration(),
-		ColdFrom: in.Rules.ColdFrom, ColdTime: in.Rules.Cold.duration(), TipMultiple: in.Rules.TipMultiple,
-		TipWindow: in.Rules.Fall.duration(), Resolution: in.Tick.duration(), Reports: in.Report.Fields,
-		Sized: in.Weights == "nominal" || in.Weights == "rough",
+		WatchOnStart: in.Registry == "ask", DrainGrace: in.Rules.StopSending.duration(),
+		SlowStartFraction: in.Rules.ColdFrom, SlowStartDuration: in.Rules.Cold.duration(), OverloadFactor: in.Rules.TipMultiple,
+		OverloadWindow: in.Rules.Fall.duration(), Resolution: in.Tick.duration(), LoadReportFields: in.Report.Fields,
+		ScaleIsCapacity: in.Weights == "nominal" || in.Weights == "rough",
 	}
 	if in.Limits.RetryAfter {
 		out.MaxRetryAfter = in.Limits.MaxRetryAfter.duration()
--- a/internal/config/platformconfig/settings_test.go
+++ b/internal/config/platformconfig/settings_test.go
@@ -21,9 +21,9 @@
 	}
 	s := site.Control
 	c := s.Classes[0]
-	if s.Seed != 9 || s.FrontEnds != 3 || !s.AskForWorkers || !s.MissAnswered || s.KeepAlive != 8600*time.Millisecond ||
-		s.MaxRetryAfter != 500*time.Millisecond || s.TipWindow != 2*time.Second || s.SecondCopies ||
-		c.Repeat != scheduler.Keyed || c.Scope != scheduler.ScopeCell || c.Memory != 6*time.Second || s.Tenants[0].Share != 0.82 {
+	if s.Seed != 9 || s.FrontEndCount != 3 || !s.WatchOnStart || !s.AnswersNotLoaded || s.ReplicaIdleTimeout != 8600*time.Millisecond ||
+		s.MaxRetryAfter != 500*time.Millisecond || s.OverloadWindow != 2*time.Second || s.HedgingAllowed ||
+		c.Idempotency != scheduler.IdempotentByKey || c.KeyScope != scheduler.ScopeCell || c.KeyRetention != 6*time.Second || s.Tenants[0].Share != 0.82 {
 		t.Errorf("parsed %+v", s)
 	}
 	if site.Streams != 32 || site.ConnIdle != 30*time.Second || site.MaxCalls != 20000 || len(site.Zones) != 2 ||
--- a/internal/decide/connadmission/doorkeep.go
+++ b/internal/decide/connadmission/doorkeep.go
@@ -16,49 +16,53 @@
 
 // Parts divides the descriptors of a process between connections of clients and of workers. What clients do never
 // takes the workers' part.
-func Parts(descriptors int) (clients, workers int) {
+func SplitDescriptors(descriptors int) (clients, workers int) {
 	rest := max(8, descriptors-apart)
 	clients = int(part * float64(rest))
 	return clients, rest - clients
 }
 
 // Conn is what counts of one client's connection.
-type Conn struct {
-	Open  int           // requests owed an answer
-	Asked bool          // it has sent a whole request
-	Half  bool          // it has sent a part of a message, and not the rest
-	Since time.Duration // how long it stands so
+type Connection struct {
+	InFlight       int           // requests owed an answer
+	HasSentRequest bool          // it has sent a whole request
+	PartialMessage bool          // it has sent a part of a message, and not the rest
+	StateAge       time.Duration // how long it stands so
 }
 
 // Over says whether a connection that stands so is to be closed. It guards against clients that say nothing, stop
 // in the middle, or keep a connection for good. It would harm a client whose next request meets the close.
-func Over(c Conn) bool {
+func ShouldClose(c Connection) bool {
 	switch {
-	case c.Open > 0:
+	case c.InFlight > 0:
 		return false
-	case c.Half:
-		return c.Since >= halfFor
-	case !c.Asked:
-		return c.Since >= silentFor
+	case c.PartialMessage:
+		return c.StateAge >= halfFor
+	case !c.HasSentRequest:
+		return c.StateAge >= silentFor
 	}
-	return c.Since >= idleFor
+	return c.StateAge >= idleFor
 }
 
 // OverAtStop says the same while the front end stops: what is idle goes, what is in the middle of a message may end it.
-func OverAtStop(c Conn) bool { return c.Open == 0 && (!c.Half || Over(c)) }
+func ShouldCloseInShutdown(c Connection) bool {
+	return c.InFlight == 0 && (!c.PartialMessage || ShouldClose(c))
+}
 
 // MayEvict says whether a connection may go to make room.
-func MayEvict(c Conn) bool { return c.Open == 0 && !(c.Half && c.Since < comingFor) }
+func Evictable(c Connection) bool {
+	return c.InFlight == 0 && !(c.PartialMessage && c.StateAge < comingFor)
+}
 
 // Evict chooses the connection that goes where one more is wanted than there may be, -1 if none may go: those that
 // have asked nothing first, then those that ask nothing now, the longest so of each first.
-func Evict(all []Conn) int {
+func SelectEviction(all []Connection) int {
 	best := -1
 	for i, c := range all {
-		if !MayEvict(c) {
+		if !Evictable(c) {
 			continue
 		}
-		if best < 0 || all[best].Asked && !c.Asked || all[best].Asked == c.Asked && c.Since > all[best].Since {
+		if best < 0 || all[best].HasSentRequest && !c.HasSentRequest || all[best].HasSentRequest == c.HasSentRequest && c.StateAge > all[best].StateAge {
 			best = i
 		}
 	}
--- a/internal/decide/connadmission/doorkeep_test.go
+++ b/internal/decide/connadmission/doorkeep_test.go
@@ -7,7 +7,7 @@
 
 func TestClientsNeverTakeTheWorkersPart(t *testing.T) {
 	for _, descriptors := range []int{1, 64, 256, 1024} {
-		clients, workers := Parts(descriptors)
+		clients, workers := SplitDescriptors(descriptors)
 		if clients < 1 || workers < 1 || descriptors > 2*apart && clients+workers+apart > descriptors {
 			t.Errorf("of %d descriptors %d are for clients, %d for workers", descriptors, clients, workers)
 		}
@@ -20,37 +20,37 @@
 func TestOver(t *testing.T) {
 	long := time.Minute
 	for name, test := range map[string]struct {
-		c    Conn
+		c    Connection
 		over bool
 	}{
-		"asks":             {Conn{Open: 1, Asked: true, Since: long}, false},
-		"silent":           {Conn{Since: long}, true},
-		"just came":        {Conn{}, false},
-		"half a message":   {Conn{Asked: true, Half: true, Since: 2 * time.Second}, true},
-		"kept":             {Conn{Asked: true, Since: long}, true},
-		"asked lately":     {Conn{Asked: true, Since: 4 * time.Second}, false},
-		"half, asks still": {Conn{Open: 1, Half: true, Since: long}, false},
+		"asks":             {Connection{InFlight: 1, HasSentRequest: true, StateAge: long}, false},
+		"silent":           {Connection{StateAge: long}, true},
+		"just came":        {Connection{}, false},
+		"half a message":   {Connection{HasSentRequest: true, PartialMessage: true, StateAge: 2 * time.Second}, true},
+		"kept":             {Connection{HasSentRequest: true, StateAge: long}, true},
+		"asked lately":     {Connection{HasSentRequest: true, StateAge: 4 * time.Second}, false},
+		"half, asks still": {Connection{InFlight: 1, PartialMessage: true, StateAge: long}, false},
 	} {
-		if got := Over(test.c); got != test.over {
+		if got := ShouldClose(test.c); got != test.over {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
 func TestEvict(t *testing.T) {
-	asks := Conn{Open: 1, Asked: true, Since: time.Hour}
-	idle, fresh := Conn{Asked: true, Since: 5 * time.Second}, Conn{Asked: true, Since: time.Second}
-	silent, coming := Conn{Since: time.Millisecond}, Conn{Half: true, Since: time.Millisecond}
+	asks := Connection{InFlight: 1, HasSentRequest: true, StateAge: time.Hour}
+	idle, fresh := Connection{HasSentRequest: true, StateAge: 5 * time.Second}, Connection{HasSentRequest: true, StateAge: time.Second}
+	silent, coming := Connection{StateAge: time.Millisecond}, Connection{PartialMessage: true, StateAge: time.Millisecond}
 	for name, test := range map[string]struct {
-		all  []Conn
+		all  []Connection
 		want int
 	}{
-		"silent first":         {[]Conn{asks, idle, silent}, 2},
-		"then the longest":     {[]Conn{fresh, idle, asks}, 1},
-		"none that asks":       {[]Conn{asks}, -1},
-		"none that just comes": {[]Conn{coming}, -1},
+		"silent first":         {[]Connection{asks, idle, silent}, 2},
+		"then the longest":     {[]Connection{fresh, idle, asks}, 1},
+		"none that asks":       {[]Connection{asks}, -1},
+		"none that just comes": {[]Connection{coming}, -1},
 	} {
-		if got := Evict(test.all); got != test.want {
+		if got := SelectEviction(test.all); got != test.want {
 			t.Errorf("%s: %d", name, got)
 		}
 	}
--- a/internal/decide/connpool/strands.go
+++ b/internal/decide/connpool/strands.go
@@ -16,10 +16,10 @@
 )
 
 // Strand is what counts of one connection.
-type Strand struct {
-	Open    int           // calls and orders on it, waiting ones too
-	Retired bool          // it takes nothing new
-	Used    time.Duration // last
+type Connection struct {
+	InFlight int           // calls and orders on it, waiting ones too
+	Draining bool          // it takes nothing new
+	LastUsed time.Duration // last
 }
 
 // Choice says where a call goes.
@@ -27,8 +27,8 @@
 
 // None means that there is no room; New that another connection is to be opened.
 const (
-	None Choice = -1 - iota
-	New
+	NoConnection Choice = -1 - iota
+	OpenConnection
 )
 
 // Place chooses the connection to a worker for a call: one that carries nothing, the last one used first; else a
@@ -37,29 +37,29 @@
 // One call a connection, as long as there are connections enough, guards against what one spoilt answer, or one
 // break, takes with it: all that is open on that connection, and calls that must not run twice are then lost. It
 // would harm where connections are dear: each costs the worker a handshake, once.
-func Place(all []Strand, streams int, spare bool) Choice {
-	idle, least := None, None
+func Select(all []Connection, streams int, spare bool) Choice {
+	idle, least := NoConnection, NoConnection
 	for i, s := range all {
 		switch {
-		case s.Retired || s.Open >= streams:
-		case s.Open == 0 && (idle == None || s.Used > all[idle].Used):
+		case s.Draining || s.InFlight >= streams:
+		case s.InFlight == 0 && (idle == NoConnection || s.LastUsed > all[idle].LastUsed):
 			idle = Choice(i)
-		case s.Open > 0 && (least == None || s.Open < all[least].Open):
+		case s.InFlight > 0 && (least == NoConnection || s.InFlight < all[least].InFlight):
 			least = Choice(i)
 		}
 	}
 	switch {
-	case idle != None:
+	case idle != NoConnection:
 		return idle
 	case spare:
-		return New
+		return OpenConnection
 	}
 	return least
 }
 
 // Spare says whether a worker that has own connections may be given one more, of most in all, where used are. The
 // last ones are kept for workers that have none, so that a crowd at one leaves no other out of reach.
-func Spare(own, used, most int) bool {
+func MayOpen(own, used, most int) bool {
 	if own > 0 {
 		return used < most-most/kept
 	}
@@ -68,16 +68,16 @@
 
 // Again says whether a connection that broke after so many in a row on which nothing was heard is made anew for
 // what waits for it. It guards against connections that are reset when new.
-func Again(unheard int) bool { return unheard < dialTries }
+func RetryAfterReset(unheard int) bool { return unheard < dialTries }
 
 // Retire says whether a connection on which a call was given up that the worker had seen takes nothing new. Its
 // answer may have broken off halfway, and what follows it would never be read. It would harm where many calls are
 // called back: each costs a connection.
-func Retire() bool { return true }
+func DrainOnCancel() bool { return true }
 
 // Idle is for how long a connection that carries nothing is kept, the only one to its worker or not, where the
 // worker closes it after limit: we are to be first, as a call that meets a close may have run for all we know.
-func Idle(only bool, limit time.Duration) time.Duration {
+func IdleTimeout(only bool, limit time.Duration) time.Duration {
 	most := time.Duration(idlePart * float64(limit))
 	if only {
 		return most
@@ -87,12 +87,12 @@
 
 // FrameLimit is within what time the rest of an answer follows its head. It guards against answers that stop
 // short on a connection that stays open.
-func FrameLimit() time.Duration { return frameLimit }
+func FrameTimeout() time.Duration { return frameLimit }
 
 // GivenUpLimit is how long the write under way may go on once a call in it was given up. It guards against a call that
 // reaches a worker long after its client left, as that worker reads nothing for a while. It would harm the other calls
 // of that write: those that were not written whole go elsewhere.
-func GivenUpLimit() time.Duration { return givenUp }
+func CancelledWriteTimeout() time.Duration { return givenUp }
 
 // WriteLimit is how long a write may stand still before the connection is given up.
-func WriteLimit() time.Duration { return writeLimit }
+func WriteTimeout() time.Duration { return writeLimit }
--- a/internal/decide/incarnation/roster.go
+++ b/internal/decide/incarnation/roster.go
@@ -18,7 +18,7 @@
 const spare = 256
 
 // Roster remembers what was said of each worker.
-type Roster struct {
+type Tracker struct {
 	workers map[scheduler.WorkerID]*entry
 }
 
@@ -29,7 +29,7 @@
 }
 
 // New returns a Roster that knows nobody.
-func New() *Roster { return &Roster{workers: map[scheduler.WorkerID]*entry{}} }
+func New() *Tracker { return &Tracker{workers: map[scheduler.WorkerID]*entry{}} }
 
 // Listed takes a list at now, whose Started fields are the list's own, and returns it with the times that
 // count. Workers that a whole list lacks are kept in mind, as they may come back with the same process.
@@ -37,7 +37,7 @@
 // A start told in the future is now: it guards against a worker's clock that is ahead, which would leave it
 // cold for good. A start is corrected once, when the list first tells it, so that it does not move with each
 // list. A start earlier than the one that counts changes nothing: a list may be older than a connection.
-func (r *Roster) Listed(now time.Duration, list []scheduler.WorkerInfo) []scheduler.WorkerInfo {
+func (r *Tracker) ObserveList(now time.Duration, list []scheduler.WorkerInfo) []scheduler.WorkerInfo {
 	out := make([]scheduler.WorkerInfo, len(list))
 	for i, info := range list {
 		e := r.workers[info.ID]
@@ -60,7 +60,7 @@
 }
 
 // bound forgets workers that a whole list lacks where there are too many of them.
-func (r *Roster) bound(list []scheduler.WorkerInfo) {
+func (r *Tracker) bound(list []scheduler.WorkerInfo) {
 	if len(r.workers) <= len(list)+spare {
 		return
 	}
@@ -75,7 +75,7 @@
 // long its process runs by its own monotonic clock. It returns the worker's entry and whether it is news.
 //
 // It guards against a list that tells a restart late or, its clock being wrong, not at all.
-func (r *Roster) Met(now time.Duration, id scheduler.WorkerID, life uint64, up time.Duration) (scheduler.WorkerInfo, bool) {
+func (r *Tracker) ObserveConnection(now time.Duration, id scheduler.WorkerID, life uint64, up time.Duration) (scheduler.WorkerInfo, bool) {
 	e := r.workers[id]
 	if e == nil {
 		return scheduler.WorkerInfo{}, false // nobody may be sent to that no list named
--- a/internal/decide/incarnation/roster_test.go
+++ b/internal/decide/incarnation/roster_test.go
@@ -7,8 +7,8 @@
 	"havencart/scheduler"
 )
 
-func one(r *Roster, now, started time.Duration) time.Duration {
-	return r.Listed(now, []scheduler.WorkerInfo{{ID: 1, Started: started, State: scheduler.Ready}})[0].Started
+func one(r *Tracker, now, started time.Duration) time.Duration {
+	return r.ObserveList(now, []scheduler.WorkerInfo{{ID: 1, Started: started, State: scheduler.Ready}})[0].Started
 }
 
 func TestAStartInTheFutureIsNowAndStays(t *testing.T) {
@@ -23,14 +23,14 @@
 func TestAnOlderListChangesNothing(t *testing.T) {
 	r := New()
 	one(r, time.Minute, 30*time.Second)
-	if got := one(r, time.Minute, scheduler.LongAgo); got != 30*time.Second {
+	if got := one(r, time.Minute, scheduler.UnknownStart); got != 30*time.Second {
 		t.Errorf("started %v", got)
 	}
 }
 
 func TestARestartByTheListCounts(t *testing.T) {
 	r := New()
-	one(r, time.Minute, scheduler.LongAgo)
+	one(r, time.Minute, scheduler.UnknownStart)
 	if got := one(r, time.Minute, 50*time.Second); got != 50*time.Second {
 		t.Errorf("started %v", got)
 	}
@@ -38,15 +38,15 @@
 
 func TestTheWorkersOwnWordComesBeforeTheList(t *testing.T) {
 	r := New()
-	one(r, time.Minute, scheduler.LongAgo) // its clock was set back: the list knows of no start
-	info, news := r.Met(time.Minute, 1, 7, time.Second)
+	one(r, time.Minute, scheduler.UnknownStart) // its clock was set back: the list knows of no start
+	info, news := r.ObserveConnection(time.Minute, 1, 7, time.Second)
 	if !news || info.Started != 59*time.Second {
 		t.Fatalf("started %v, news %t", info.Started, news)
 	}
-	if got := one(r, 2*time.Minute, scheduler.LongAgo); got != 59*time.Second {
+	if got := one(r, 2*time.Minute, scheduler.UnknownStart); got != 59*time.Second {
 		t.Errorf("the list undid it: %v", got)
 	}
-	if _, news := r.Met(2*time.Minute, 1, 7, 61*time.Second); news {
+	if _, news := r.ObserveConnection(2*time.Minute, 1, 7, 61*time.Second); news {
 		t.Error("another connection to the same process is news")
 	}
 }
@@ -54,8 +54,8 @@
 func TestAnotherLifeIsAlwaysNews(t *testing.T) {
 	r := New()
 	one(r, time.Minute, 59*time.Second)
-	r.Met(time.Minute, 1, 7, time.Second)
-	info, news := r.Met(time.Minute+time.Second, 1, 8, time.Hour)
+	r.ObserveConnection(time.Minute, 1, 7, time.Second)
+	info, news := r.ObserveConnection(time.Minute+time.Second, 1, 8, time.Hour)
 	if !news || info.Started <= 59*time.Second {
 		t.Errorf("started %v, news %t: a new life with a wrong clock", info.Started, news)
 	}
@@ -64,13 +64,13 @@
 func TestOneStartToldTwiceIsOneStart(t *testing.T) {
 	r := New()
 	one(r, time.Minute, 58*time.Second)
-	if _, news := r.Met(time.Minute, 1, 7, time.Second); news {
+	if _, news := r.ObserveConnection(time.Minute, 1, 7, time.Second); news {
 		t.Error("a second of difference between two clocks is news")
 	}
 }
 
 func TestAStrangerIsNotTakenOn(t *testing.T) {
-	if _, news := New().Met(0, 5, 1, 0); news {
+	if _, news := New().ObserveConnection(0, 5, 1, 0); news {
 		t.Error("a worker that no list named is news")
 	}
 }
@@ -78,7 +78,7 @@
 func TestWorkersOfLongAgoAreForgotten(t *testing.T) {
 	r := New()
 	for i := range 10 * spare {
-		r.Listed(time.Duration(i)*time.Second, []scheduler.WorkerInfo{{ID: scheduler.WorkerID(i), State: scheduler.Ready}})
+		r.ObserveList(time.Duration(i)*time.Second, []scheduler.WorkerInfo{{ID: scheduler.WorkerID(i), State: scheduler.Ready}})
 	}
 	if n := len(r.workers); n > 1+spare {
 		t.Errorf("%d workers are remembered, one is listed", n)
--- a/internal/decide/loadshed/shed.go
+++ b/internal/decide/loadshed/shed.go
@@ -27,7 +27,7 @@
 // It guards against a loop that spends its time on calls whose clients have nearly given up. It could harm
 // where the loop is stopped for longer than interval now and then, by the machine: one interval's calls are
 // then refused though there is room.
-type Shed struct {
+type Shedder struct {
 	above    bool          // the last wait was above target
 	since    time.Duration // and so were all from this time on, or below it
 	standing bool
@@ -39,7 +39,7 @@
 }
 
 // Arrived takes at now a call that waited so long in the queue, and says whether to refuse it.
-func (s *Shed) Arrived(now, waited time.Duration) (refuse bool) {
+func (s *Shedder) ShouldReject(now, waited time.Duration) (refuse bool) {
 	if above := waited >= target; above != s.above {
 		s.above, s.since = above, now
 	}
@@ -53,7 +53,7 @@
 
 // counted counts the pace: the best one lately, so that a loop which stood still for another reason, say to
 // collect garbage, does not shut the door.
-func (s *Shed) counted(now time.Duration, refused bool) {
+func (s *Shedder) counted(now time.Duration, refused bool) {
 	if !s.counting {
 		s.counting, s.from, s.count = true, now, 0
 	}
@@ -68,7 +68,7 @@
 
 // Empty takes the news that nothing waits at now. It guards against a door that is still narrow long after the
 // overload, as no call came that could have shown it.
-func (s *Shed) Empty(now time.Duration) {
+func (s *Shedder) QueueEmptied(now time.Duration) {
 	if s.above {
 		s.above, s.since = false, now
 	}
@@ -77,7 +77,7 @@
 }
 
 // Room is how many calls may wait in the queue; one that finds as many there is refused at once.
-func (s *Shed) Room() int {
+func (s *Shedder) QueueLimit() int {
 	if !s.standing {
 		return math.MaxInt
 	}
--- a/internal/decide/loadshed/shed_test.go
+++ b/internal/decide/loadshed/shed_test.go
@@ -8,50 +8,50 @@
 const ms = time.Millisecond
 
 func TestABurstIsTaken(t *testing.T) {
-	var s Shed
+	var s Shedder
 	for i := range 90 {
-		if s.Arrived(time.Duration(i)*ms, 90*ms-time.Duration(i)*ms) || s.Room() < 1e6 {
+		if s.ShouldReject(time.Duration(i)*ms, 90*ms-time.Duration(i)*ms) || s.QueueLimit() < 1e6 {
 			t.Fatalf("refused %d ms into a burst that passes", i)
 		}
 	}
 }
 
 func TestAStandingQueueIsShedUntilItIsShort(t *testing.T) {
-	var s Shed
+	var s Shedder
 	refused := 0
 	for i := range 300 {
-		if s.Arrived(time.Duration(i)*ms, 50*ms) {
+		if s.ShouldReject(time.Duration(i)*ms, 50*ms) {
 			refused++
 		}
 	}
 	if refused != 200 {
 		t.Errorf("%d of 300 refused, want all after the first interval", refused)
 	}
-	if got := s.Room(); got < 2 || got > 10 {
+	if got := s.QueueLimit(); got < 2 || got > 10 {
 		t.Errorf("room for %d at a millisecond each, want 10 ms of them, or less as none was decided lately", got)
 	}
-	if s.Arrived(300*ms, 4*ms) || s.Room() > 10 {
+	if s.ShouldReject(300*ms, 4*ms) || s.QueueLimit() > 10 {
 		t.Error("refused a call that did not wait, or took the queue for one that does not stand after one short wait")
 	}
-	if s.Arrived(400*ms, 4*ms) || s.Room() < 1e6 {
+	if s.ShouldReject(400*ms, 4*ms) || s.QueueLimit() < 1e6 {
 		t.Error("still standing after a hundred milliseconds of short waits")
 	}
-	if s.Arrived(401*ms, 50*ms) {
+	if s.ShouldReject(401*ms, 50*ms) {
 		t.Error("refused at once after the queue was short")
 	}
 }
 
 func TestTheDoorOpensWhereNobodyComes(t *testing.T) {
-	var s Shed
+	var s Shedder
 	for i := range 300 {
-		s.Arrived(time.Duration(i)*ms, 50*ms)
+		s.ShouldReject(time.Duration(i)*ms, 50*ms)
 	}
-	s.Empty(300 * ms)
-	if s.Room() > 10 {
+	s.QueueEmptied(300 * ms)
+	if s.QueueLimit() > 10 {
 		t.Error("open after one moment without calls")
 	}
-	s.Empty(400 * ms)
-	if s.Room() < 1e6 {
+	s.QueueEmptied(400 * ms)
+	if s.QueueLimit() < 1e6 {
 		t.Error("still narrow after a hundred milliseconds without calls")
 	}
 }
@@ -60,13 +60,13 @@
 // for ten seconds. It returns how many it decided and the longest wait of one, both after the first second.
 func loop(factor float64, doors bool) (decided int, worst time.Duration) {
 	const decide, refuse = ms, ms / 5
-	var s Shed
+	var s Shedder
 	var queue []time.Duration // when they came
 	every := time.Duration(float64(ms) / factor)
 	next, now := time.Duration(0), time.Duration(0)
 	for now < 10*time.Second {
 		for ; next <= now; next += every {
-			if !doors || len(queue) < s.Room() {
+			if !doors || len(queue) < s.QueueLimit() {
 				queue = append(queue, next)
 			}
 		}
@@ -76,7 +76,7 @@
 		}
 		due := queue[0]
 		queue = queue[1:]
-		if s.Arrived(now, now-due) {
+		if s.ShouldReject(now, now-due) {
 			now += refuse
 			continue
 		}
--- a/internal/decide/looplag/lateness.go
+++ b/internal/decide/looplag/lateness.go
@@ -18,22 +18,22 @@
 // milliseconds at a time, requests are read late, and answers that were given in time by its own clock are written when
 // their clients have given up. It would harm where one long stall is all there was: for a while calls are given up
 // that could still have been served.
-type Lateness struct {
+type Estimator struct {
 	span          time.Duration
 	since         time.Duration // when the present span began
 	worst, before time.Duration // in the present span, and in the one before
 }
 
 // New returns a Lateness that has seen nothing, of a front end whose clients wait for so long at most.
-func New(longest time.Duration) Lateness { return Lateness{span: max(longest, time.Second)} }
+func New(longest time.Duration) Estimator { return Estimator{span: max(longest, time.Second)} }
 
 // Came takes the news that what was due so long ago is done at now.
-func (l *Lateness) Came(now, late time.Duration) {
+func (l *Estimator) Observe(now, late time.Duration) {
 	l.pass(now)
 	l.worst = max(l.worst, late)
 }
 
-func (l *Lateness) pass(now time.Duration) {
+func (l *Estimator) pass(now time.Duration) {
 	switch age := now - l.since; {
 	case age >= 2*l.span:
 		l.before, l.worst, l.since = 0, 0, now
@@ -43,7 +43,7 @@
 }
 
 // Lead is how much sooner than usual final answers are given at now.
-func (l *Lateness) Lead(now time.Duration) time.Duration {
+func (l *Estimator) DeadlineMargin(now time.Duration) time.Duration {
 	l.pass(now)
 	late := max(l.worst, l.before)
 	if late <= heed {
--- a/internal/decide/reconnect/linkcare.go
+++ b/internal/decide/reconnect/linkcare.go
@@ -18,7 +18,7 @@
 // Redial spaces the attempts to connect to one worker: waits grow with each failure and are drawn at random,
 // so that front ends which lost a worker together do not come back to it together. The rule is "decorrelated
 // jitter" (M. Brooker, "Exponential Backoff And Jitter", 2015).
-type Redial struct {
+type Backoff struct {
 	rng    *rand.Rand
 	wait   time.Duration
 	failed time.Duration
@@ -26,10 +26,10 @@
 }
 
 // NewRedial returns a Redial that may dial at once.
-func NewRedial(seed uint64) *Redial { return &Redial{rng: rand.New(rand.NewPCG(seed, 0x6c696e6b))} }
+func NewBackoff(seed uint64) *Backoff { return &Backoff{rng: rand.New(rand.NewPCG(seed, 0x6c696e6b))} }
 
 // Failed takes a failed attempt, or a connection lost, at now.
-func (r *Redial) Failed(now time.Duration) {
+func (r *Backoff) Failed(now time.Duration) {
 	span := max(redialLeast, redialRise*r.wait) - redialLeast
 	r.wait = min(redialMost, redialLeast+time.Duration(r.rng.Int64N(int64(span)+1)))
 	r.failed, r.next = now, now+r.wait
@@ -37,13 +37,13 @@
 
 // Wanted takes the news that a call waits for the connection. It is then dialled as soon as a worker that came
 // back could be reached, not before: an attempt each redialLeast.
-func (r *Redial) Wanted() { r.next = min(r.next, r.failed+redialLeast) }
+func (r *Backoff) Requested() { r.next = min(r.next, r.failed+redialLeast) }
 
 // Up takes the news that a connection stands.
-func (r *Redial) Up() { r.wait = 0 }
+func (r *Backoff) Connected() { r.wait = 0 }
 
 // Next is the time from which the next attempt may be made.
-func (r *Redial) Next() time.Duration { return r.next }
+func (r *Backoff) NextDial() time.Duration { return r.next }
 
 // Verdict says what to do with a connection.
 type Verdict int
@@ -57,18 +57,20 @@
 
 // Pulse judges one connection by when it was last heard from. It guards against connections that are half
 // open: the peer's machine died or a path was cut, and nothing ever says so.
-type Pulse struct {
+type Keepalive struct {
 	heard, pinged time.Duration
 }
 
 // NewPulse returns the Pulse of a connection that was set up at now.
-func NewPulse(now time.Duration) *Pulse { return &Pulse{heard: now, pinged: now - pingAfter} }
+func NewKeepalive(now time.Duration) *Keepalive {
+	return &Keepalive{heard: now, pinged: now - pingAfter}
+}
 
 // Heard takes the news that the peer sent something at now.
-func (p *Pulse) Heard(now time.Duration) { p.heard = max(p.heard, now) }
+func (p *Keepalive) Received(now time.Duration) { p.heard = max(p.heard, now) }
 
 // Check says what to do at now, and when to check again.
-func (p *Pulse) Check(now time.Duration) (Verdict, time.Duration) {
+func (p *Keepalive) Check(now time.Duration) (Verdict, time.Duration) {
 	switch {
 	case now-p.heard >= deadAfter:
 		return Dead, now
@@ -80,4 +82,4 @@
 }
 
 // WriteLimit is how long one write may stand still before the connection is given up.
-func WriteLimit() time.Duration { return deadAfter }
+func WriteTimeout() time.Duration { return deadAfter }
--- a/internal/decide/reconnect/list.go
+++ b/internal/decide/reconnect/list.go
@@ -16,15 +16,15 @@
 
 // ListSilence is after how long without a word the connection on which the list of workers comes is made anew. It
 // guards against a service that has stopped and left its connections open.
-func ListSilence(chance float64) time.Duration { return listSilence + part(listSpread, chance) }
+func WatchSilenceTimeout(chance float64) time.Duration { return listSilence + part(listSpread, chance) }
 
 // ListDial is how long a connection to that service may take.
-func ListDial() time.Duration { return listDial }
+func WatchDialTimeout() time.Duration { return listDial }
 
 // ListAgain is how long to wait before that service is asked again after so many failures in a row: after a
 // connection that had told something, or when the service has moved, there is none. The waits are those of "full
 // jitter", later ones half of that (M. Brooker, "Exponential Backoff And Jitter", 2015).
-func ListAgain(failures int, chance float64) time.Duration {
+func WatchRetryDelay(failures int, chance float64) time.Duration {
 	if failures < 2 {
 		return part(listFirst, chance)
 	}
--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -62,7 +62,7 @@
 
 // The verdicts.
 const (
-	Take Verdict = iota
+	Admit Verdict = iota
 	OverQuota
 	OverShare
 )
@@ -105,15 +105,15 @@
 }
 
 // Arrived takes an arrival at now and says whether it is taken.
-func (t *Tenancy) Arrived(now time.Duration, n int) Verdict {
+func (t *Tenancy) RequestReceived(now time.Duration, n int) Verdict {
 	if n >= len(t.tenants) {
-		return Take
+		return Admit
 	}
 	if t.set.By == Nothing {
 		if !t.inQuota(now, n) {
 			return OverQuota
 		}
-		return Take
+		return Admit
 	}
 	if t.looked == 0 {
 		t.began, t.looked = now, now
@@ -134,7 +134,7 @@
 		return OverShare
 	}
 	x.credit--
-	return Take
+	return Admit
 }
 
 // weight is what a call counts for that takes so many seconds, 0 where that is not known.
@@ -159,14 +159,14 @@
 }
 
 // End is how a call ended that was taken.
-type End struct {
-	Work   time.Duration // that its function's calls make, 0 where that is not known
-	Served bool
-	Bad    bool // for want of room: refused, timed out or late
+type RequestEnd struct {
+	Work            time.Duration // that its function's calls make, 0 where that is not known
+	Served          bool
+	MissedObjective bool // for want of room: refused, timed out or late
 }
 
 // Ended takes the end of a call that was taken.
-func (t *Tenancy) Ended(now time.Duration, n int, e End) {
+func (t *Tenancy) RequestEnded(now time.Duration, n int, e RequestEnd) {
 	if n >= len(t.tenants) || t.set.By == Nothing {
 		return
 	}
@@ -181,8 +181,8 @@
 		return
 	}
 	t.heard = now
-	t.soon.add(now, soon, e.Bad)
-	t.late.add(now, late, e.Bad)
+	t.soon.add(now, soon, e.MissedObjective)
+	t.late.add(now, late, e.MissedObjective)
 }
 
 // short says whether those within their shares suffer.
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -41,13 +41,13 @@
 	type end struct {
 		at time.Duration
 		n  int
-		e  End
+		e  RequestEnd
 	}
 	var ends []end
 	free, done := time.Duration(0), time.Duration(0)
 	for _, c := range calls {
 		for len(ends) > 0 && ends[0].at <= c.at {
-			t.Ended(ends[0].at, ends[0].n, ends[0].e)
+			t.RequestEnded(ends[0].at, ends[0].n, ends[0].e)
 			ends = ends[1:]
 		}
 		p := &parts[c.r.tenant]
@@ -55,7 +55,7 @@
 		if counts {
 			p.asked++
 		}
-		if t.Arrived(c.at, c.r.tenant) != Take {
+		if t.RequestReceived(c.at, c.r.tenant) != Admit {
 			continue
 		}
 		if counts {
@@ -63,12 +63,12 @@
 		}
 		begin := max(c.at, free)
 		if begin-c.at > time.Second {
-			ends = append(ends, end{begin, c.r.tenant, End{Work: c.r.work, Bad: true}})
+			ends = append(ends, end{begin, c.r.tenant, RequestEnd{Work: c.r.work, MissedObjective: true}})
 			continue
 		}
 		free = begin + c.r.work
 		bad := begin-c.at > 200*ms
-		ends = append(ends, end{free, c.r.tenant, End{Work: c.r.work, Served: true, Bad: bad}})
+		ends = append(ends, end{free, c.r.tenant, RequestEnd{Work: c.r.work, Served: true, MissedObjective: bad}})
 		if counts {
 			done += c.r.work
 			if !bad {
@@ -133,7 +133,7 @@
 	x := New(Settings{Shares: []float64{1}, Quotas: []float64{10}})
 	took := 0
 	for i := range 200 {
-		if x.Arrived(time.Second+time.Duration(i), 0) == Take {
+		if x.RequestReceived(time.Second+time.Duration(i), 0) == Admit {
 			took++
 		}
 	}
@@ -141,7 +141,7 @@
 		t.Errorf("%d of 200 calls at once taken, want a second's 10", took)
 	}
 	for i := range 1000 {
-		if x.Arrived(2*time.Second+time.Duration(i)*10*ms, 0) == Take {
+		if x.RequestReceived(2*time.Second+time.Duration(i)*10*ms, 0) == Admit {
 			took++
 		}
 	}
@@ -154,10 +154,10 @@
 	x := two()
 	for i := range 400 { // all load what they need, and are late for that; one asks three times what the other does
 		now := time.Second + time.Duration(i)*10*ms
-		if x.Arrived(now, min(1, i%4)) != Take {
+		if x.RequestReceived(now, min(1, i%4)) != Admit {
 			t.Fatalf("refused %v after the first call", now-time.Second)
 		}
-		x.Ended(now, min(1, i%4), End{Work: 10 * ms, Served: true, Bad: true})
+		x.RequestEnded(now, min(1, i%4), RequestEnd{Work: 10 * ms, Served: true, MissedObjective: true})
 	}
 }
 
@@ -165,8 +165,8 @@
 	x := two()
 	for i := range 3000 {
 		now := time.Second + time.Duration(i)*10*ms
-		x.Arrived(now, min(1, i%4))
-		x.Ended(now, min(1, i%4), End{Work: 10 * ms, Served: true, Bad: i%400 == 0})
+		x.RequestReceived(now, min(1, i%4))
+		x.RequestEnded(now, min(1, i%4), RequestEnd{Work: 10 * ms, Served: true, MissedObjective: i%400 == 0})
 	}
 	if x.Restraint() != 0 {
 		t.Errorf("restraint %.2f for a bad call every four seconds", x.Restraint())
@@ -177,13 +177,13 @@
 	x := two()
 	for i := range 3000 {
 		now := time.Second + time.Duration(i)*5*ms
-		x.Arrived(now, min(1, i%8))
-		x.Ended(now, min(1, i%8), End{Work: 10 * ms, Served: true, Bad: true})
+		x.RequestReceived(now, min(1, i%8))
+		x.RequestEnded(now, min(1, i%8), RequestEnd{Work: 10 * ms, Served: true, MissedObjective: true})
 	}
 	if x.Restraint() < strict {
 		t.Fatalf("restraint %.2f while all ends badly", x.Restraint())
 	}
-	if x.Arrived(time.Hour, 1); x.Restraint() != 0 {
+	if x.RequestReceived(time.Hour, 1); x.Restraint() != 0 {
 		t.Errorf("restraint %.2f an hour later", x.Restraint())
 	}
 }
@@ -198,10 +198,10 @@
 		if now > 8*time.Second {
 			n = 0
 		}
-		if x.Arrived(now, n) != Take && now > 12*time.Second {
+		if x.RequestReceived(now, n) != Admit && now > 12*time.Second {
 			refused++
 		}
-		x.Ended(now, n, End{Work: 10 * ms, Served: true, Bad: n == 1})
+		x.RequestEnded(now, n, RequestEnd{Work: 10 * ms, Served: true, MissedObjective: n == 1})
 	}
 	if refused > 0 {
 		t.Errorf("%d calls refused of the only tenant that calls", refused)
@@ -222,7 +222,7 @@
 			t.Errorf("shares %v: nothing is taken at all", shares)
 		}
 	}
-	if two().Arrived(0, 7) != Take {
+	if two().RequestReceived(0, 7) != Admit {
 		t.Error("a call of no known tenant was refused")
 	}
 }
@@ -257,8 +257,8 @@
 			x := New(Settings{Shares: shares})
 			for i := range b.N { // 10,000 calls a second, of twenty tenants
 				now := time.Duration(i) * 100 * time.Microsecond
-				x.Arrived(now, i%20%n)
-				x.Ended(now, i%20%n, End{Work: ms, Served: true, Bad: i%7 == 0})
+				x.RequestReceived(now, i%20%n)
+				x.RequestEnded(now, i%20%n, RequestEnd{Work: ms, Served: true, MissedObjective: i%7 == 0})
 			}
 		})
 	}
--- a/internal/discovery/bulletin_test.go
+++ b/internal/discovery/bulletin_test.go
@@ -15,8 +15,8 @@
 // lists is a Sink that hands lists to the test and drops failures, which may come as often as they like.
 type lists chan []Worker
 
-func (l lists) Listed(list []Worker) { l <- list }
-func (lists) ListFailed(error)       {}
+func (l lists) EndpointsChanged(list []Worker) { l <- list }
+func (lists) WatchFailed(error)                {}
 
 func entry(id uint32, port uint16, s endpointstream.State) endpointstream.Entry {
 	return endpointstream.Entry{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), State: s, Weight: 1.5}
@@ -39,9 +39,9 @@
 	return s
 }
 
-func follow(t *testing.T, address string) (*Bulletin, lists) {
+func follow(t *testing.T, address string) (*EndpointStream, lists) {
 	t.Helper()
-	b, err := NewBulletin(address, []byte(known), []string{"room"}, []string{"std"}, 1)
+	b, err := NewEndpointStream(address, []byte(known), []string{"room"}, []string{"std"}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,14 +82,14 @@
 	if last := <-s.Asked(); last != 3 {
 		t.Errorf("asked from %d", last)
 	}
-	s.Tell(event(4, endpointstream.Changes, entry(2, 9002, endpointstream.Ready)))
+	s.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	want(t, told, "1 2 ")
-	s.Tell(event(5, endpointstream.Changes, entry(1, 9001, endpointstream.Draining)))
+	s.Tell(event(5, endpointstream.Delta, entry(1, 9001, endpointstream.Draining)))
 	want(t, told, "1d 2 ")
-	s.Tell(event(6, endpointstream.Changes, entry(1, 9001, endpointstream.Gone), entry(3, 9001, endpointstream.Ready)))
-	want(t, told, "2 3 ")                                                                                     // another worker at the address of one that has gone
-	s.Raw(endpointstream.Append(nil, event(6, endpointstream.Changes, entry(1, 9001, endpointstream.Ready)))) // told twice
-	s.Tell(event(7, endpointstream.Whole, entry(9, 9009, endpointstream.Ready)))
+	s.Tell(event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Removed), entry(3, 9001, endpointstream.Ready)))
+	want(t, told, "2 3 ")                                                                                   // another worker at the address of one that has gone
+	s.Raw(endpointstream.Append(nil, event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Ready)))) // told twice
+	s.Tell(event(7, endpointstream.Snapshot, entry(9, 9009, endpointstream.Ready)))
 	want(t, told, "9 ")
 }
 
@@ -99,12 +99,12 @@
 	_, told := follow(t, s.Address())
 	<-told
 	<-s.Asked()
-	s.Raw(endpointstream.Append(nil, event(4, endpointstream.Changes, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
+	s.Raw(endpointstream.Append(nil, event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
 	s.Break()
 	if last := <-s.Asked(); last != 3 {
 		t.Errorf("after half an event asked from %d", last)
 	}
-	s.Tell(event(4, endpointstream.Changes, entry(2, 9002, endpointstream.Ready)))
+	s.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	want(t, told, "1 2 ")
 	s.Raw([]byte("noise that is no event"))
 	if last := <-s.Asked(); last != 4 {
@@ -118,12 +118,12 @@
 	b, told := follow(t, old.Address())
 	<-told
 	<-old.Asked()
-	old.Tell(event(4, endpointstream.Changes, entry(2, 9002, endpointstream.Ready)))
+	old.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	want(t, told, "1 2 ")
-	b.Move(other.Address())
+	b.SetAddress(other.Address())
 	if last := <-other.Asked(); last != 4 {
 		t.Errorf("at the other address asked from %d", last)
 	}
-	other.Tell(event(5, endpointstream.Changes, entry(3, 9003, endpointstream.Ready)))
+	other.Tell(event(5, endpointstream.Delta, entry(3, 9003, endpointstream.Ready)))
 	want(t, told, "1 2 3 ")
 }
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -53,7 +53,7 @@
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			sink.ListFailed(err)
+			sink.WatchFailed(err)
 			index = 0 // whatever was missed, the next answer is whole
 			if !c.wait(ctx) {
 				return
@@ -62,7 +62,7 @@
 			index = 0 // it went back: the service lost its state; ask for what it has now, without waiting
 		case next > index:
 			index = next
-			sink.Listed(list)
+			sink.EndpointsChanged(list)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 			return scheduler.Draining
 		}
 		if c.Status == "critical" {
-			state = scheduler.Gone
+			state = scheduler.Removed
 		}
 	}
 	return state
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -20,9 +20,9 @@
 }
 
 // scripted follows a bulletin whose connections the test stands behind; refuse, where set, fails dials to an address.
-func scripted(t *testing.T, seed uint64, refuse func(address string) error) (*Bulletin, lists, <-chan asked) {
+func scripted(t *testing.T, seed uint64, refuse func(address string) error) (*EndpointStream, lists, <-chan asked) {
 	t.Helper()
-	b, err := NewBulletin("one", []byte(known), []string{"room"}, []string{"std"}, seed)
+	b, err := NewEndpointStream("one", []byte(known), []string{"room"}, []string{"std"}, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-var second = event(4, endpointstream.Changes, entry(2, 9002, 0))
+var second = event(4, endpointstream.Delta, entry(2, 9002, 0))
 
 // spread has 8 front ends lose their list in the same way, and says how many came back in which instants: within most,
 // and from the last event on.
@@ -103,28 +103,28 @@
 // TestTheBulletinMovesAtAnyMoment: the numbers go on, nothing counts twice, and an old connection says nothing more.
 func TestTheBulletinMovesAtAnyMoment(t *testing.T) {
 	raw := endpointstream.Append(nil, second)
-	for name, moment := range map[string]func(t *testing.T, b *Bulletin, first asked) (last uint64){
-		"in the middle of an event": func(t *testing.T, _ *Bulletin, first asked) uint64 {
+	for name, moment := range map[string]func(t *testing.T, b *EndpointStream, first asked) (last uint64){
+		"in the middle of an event": func(t *testing.T, _ *EndpointStream, first asked) uint64 {
 			if _, err := first.Write(raw[:len(raw)-1]); err != nil {
 				t.Fatal(err)
 			}
 			return 3
 		},
-		"behind an event": func(t *testing.T, _ *Bulletin, first asked) uint64 {
+		"behind an event": func(t *testing.T, _ *EndpointStream, first asked) uint64 {
 			first.tell(t, second)
 			return 4
 		},
-		"while a connection is being made": func(t *testing.T, b *Bulletin, _ asked) uint64 {
-			b.Move("silent")
+		"while a connection is being made": func(t *testing.T, b *EndpointStream, _ asked) uint64 {
+			b.SetAddress("silent")
 			time.Sleep(time.Second) // of the bubble's clock
 			return 3
 		},
-		"twice at once": func(_ *testing.T, b *Bulletin, _ asked) uint64 {
-			b.Move("down")
+		"twice at once": func(_ *testing.T, b *EndpointStream, _ asked) uint64 {
+			b.SetAddress("down")
 			return 3
 		},
-		"while it waits for one that is down": func(_ *testing.T, b *Bulletin, _ asked) uint64 {
-			b.Move("down")
+		"while it waits for one that is down": func(_ *testing.T, b *EndpointStream, _ asked) uint64 {
+			b.SetAddress("down")
 			time.Sleep(5 * time.Second)
 			return 3
 		},
@@ -141,7 +141,7 @@
 				last := moment(t, b, first)
 				synctest.Wait()
 				began := time.Now()
-				b.Move("two")
+				b.SetAddress("two")
 				again := <-came
 				if took := time.Since(began); again.address != "two" || again.last != last || took > 500*time.Millisecond {
 					t.Errorf("asked %q from %d after %v", again.address, again.last, took)
@@ -150,7 +150,7 @@
 					t.Error("the old connection is still read")
 				}
 				again.tell(t, second) // told anew where it was taken before
-				again.tell(t, event(5, endpointstream.Changes, entry(3, 9003, 0)))
+				again.tell(t, event(5, endpointstream.Delta, entry(3, 9003, 0)))
 				want(t, told, "1 2 ")
 				want(t, told, "1 2 3 ")
 				if len(told) > 0 {
@@ -182,7 +182,7 @@
 // TestEventsOfTheBulletinComeInPieces: cut at every byte, and all in one.
 func TestEventsOfTheBulletinComeInPieces(t *testing.T) {
 	raw := endpointstream.Append(endpointstream.Append(endpointstream.Append(nil, second), endpointstream.Event{Number: 4}),
-		event(5, endpointstream.Whole, entry(3, 9003, 0), entry(1, 9001, 1)))
+		event(5, endpointstream.Snapshot, entry(3, 9003, 0), entry(1, 9001, 1)))
 	for cut := range raw {
 		synctest.Test(t, func(t *testing.T) {
 			_, told, came := scripted(t, 1, nil)
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -30,20 +30,20 @@
 
 // Sink is told each whole list, and each time that it could not be had.
 type Sink interface {
-	Listed(list []Worker)
-	ListFailed(err error)
+	EndpointsChanged(list []Worker)
+	WatchFailed(err error)
 }
 
 // Source follows a list until its context ends. After a failure it waits until Follow is called.
 type Source interface {
 	Run(ctx context.Context, sink Sink)
-	Follow()
+	Refresh()
 }
 
 // poke wakes a source that waits after a failure.
 type poke chan struct{}
 
-func (p poke) Follow() {
+func (p poke) Refresh() {
 	select {
 	case p <- struct{}{}:
 	default:
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -28,8 +28,8 @@
 	fails chan error
 }
 
-func (s sink) Listed(l []discovery.Worker) { s.lists <- l }
-func (s sink) ListFailed(err error)        { s.fails <- err }
+func (s sink) EndpointsChanged(l []discovery.Worker) { s.lists <- l }
+func (s sink) WatchFailed(err error)                 { s.fails <- err }
 
 func (s sink) list(t *testing.T) []discovery.Worker {
 	t.Helper()
@@ -100,11 +100,11 @@
 	if got := names(s.list(t)); got != "w1:2 w2:1" {
 		t.Error(got)
 	}
-	d.Set(entry(1, scheduler.Gone))
+	d.Set(entry(1, scheduler.Removed))
 	if got := names(s.list(t)); got != "w2:1" {
 		t.Error(got)
 	}
-	critical := entry(2, scheduler.Gone)
+	critical := entry(2, scheduler.Removed)
 	critical.Critical = true
 	d.Set(critical)
 	if got := names(s.list(t)); got != "w2:3" {
@@ -130,10 +130,10 @@
 	s.list(t)
 	d.Down(true)
 	s.failure(t)
-	c.Follow()
+	c.Refresh()
 	s.failure(t)
 	d.Down(false)
-	c.Follow()
+	c.Refresh()
 	if got := names(s.list(t)); got != "w1:1" {
 		t.Error(got)
 	}
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -31,7 +31,7 @@
 func (f *File) Run(ctx context.Context, sink Sink) {
 	for ctx.Err() == nil {
 		if err := f.watch(ctx, sink); err != nil && ctx.Err() == nil {
-			sink.ListFailed(err)
+			sink.WatchFailed(err)
 			f.wait(ctx)
 		}
 	}
@@ -71,18 +71,18 @@
 func (f *File) read(sink Sink) {
 	raw, err := os.ReadFile(f.path)
 	if err != nil {
-		sink.ListFailed(fmt.Errorf("list of workers: %w", err))
+		sink.WatchFailed(fmt.Errorf("list of workers: %w", err))
 		return
 	}
 	list, err := ParseFile(f.path, string(raw))
 	if err != nil {
-		sink.ListFailed(err)
+		sink.WatchFailed(err)
 		return
 	}
-	sink.Listed(list)
+	sink.EndpointsChanged(list)
 }
 
-var states = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Gone}
+var states = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Removed}
 
 // ParseFile reads the text of a list; name is what errors call it. They name line and wrap ErrMalformed.
 func ParseFile(name, text string) ([]Worker, error) {
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -12,7 +12,7 @@
 // to the module after its turn, never within it.
 
 // Send starts an attempt.
-func (f *Front) Send(id scheduler.RequestID, to scheduler.WorkerID, until time.Duration) {
+func (f *FrontEnd) Send(id scheduler.RequestID, to scheduler.WorkerID, until time.Duration) {
 	c, w := f.calls[id], f.workers[to]
 	if c == nil {
 		f.log.Error().Uint32("request", uint32(id)).Msg("send of a call that is not in hand")
@@ -21,14 +21,14 @@
 	if until <= 0 || until > c.deadline {
 		until = c.deadline
 	}
-	a := &attempt{Attempt: muxclient.Attempt{Body: c.Body, Deadline: until, Call: muxframe.Call{Copy: c.Copy, ID: c.ID,
-		Attempt: c.attempts, Class: f.set.Classes[c.Class], Tenant: f.tenant(c.Tenant), Key: c.Key}},
+	a := &attempt{Attempt: muxclient.Attempt{Body: c.Body, Deadline: until, Request: muxframe.Request{Replica: c.Replica, ID: c.ID,
+		Attempt: c.attempts, Class: f.set.Classes[c.Class], Tenant: f.tenant(c.Tenant), IdempotencyKey: c.IdempotencyKey}},
 		call: c, number: c.attempts, worker: w, sent: f.now}
 	c.attempts++
 	c.out = a
 	f.counts.Attempts++
 	if w == nil || c.state != waiting || until <= f.now {
-		f.later = append(f.later, func() { f.ended(a, muxclient.Result{Status: scheduler.Moot, Crowd: -1}) })
+		f.later = append(f.later, func() { f.ended(a, muxclient.Result{Status: scheduler.NotSent, QueueDepth: -1}) })
 		return
 	}
 	f.attempts[&a.Attempt] = a
@@ -39,7 +39,7 @@
 	}
 }
 
-func (f *Front) tenant(n int) string {
+func (f *FrontEnd) tenant(n int) string {
 	if n < len(f.set.Tenants) {
 		return f.set.Tenants[n]
 	}
@@ -47,25 +47,25 @@
 }
 
 // Refuse gives the final answer that promises that a repeat does no harm.
-func (f *Front) Refuse(id scheduler.RequestID, retryAfter time.Duration) {
+func (f *FrontEnd) Reject(id scheduler.RequestID, retryAfter time.Duration) {
 	if c := f.calls[id]; c != nil {
 		why := "no worker could answer in time"
 		if c.why != "" {
 			why += "; last: " + c.why
 		}
-		f.final(c, Final{Kind: Refused, Why: why, RetryAfter: retryAfter})
+		f.final(c, FinalResponse{Kind: Rejected, Reason: why, RetryAfter: retryAfter})
 	}
 }
 
 // Fail gives the final answer that promises nothing.
-func (f *Front) Fail(id scheduler.RequestID) {
+func (f *FrontEnd) Fail(id scheduler.RequestID) {
 	if c := f.calls[id]; c != nil {
-		f.final(c, Final{Kind: Failed, Why: c.why, TimedOut: c.last == scheduler.Timeout || c.last == scheduler.Cancelled})
+		f.final(c, FinalResponse{Kind: Failed, Reason: c.why, TimedOut: c.last == scheduler.Timeout || c.last == scheduler.Cancelled})
 	}
 }
 
 // Cancel stops waiting for an attempt.
-func (f *Front) Cancel(id scheduler.RequestID, number int) {
+func (f *FrontEnd) Cancel(id scheduler.RequestID, number int) {
 	c := f.calls[id]
 	if c == nil || c.out == nil || c.out.number != number || c.out.begun {
 		return
@@ -75,52 +75,52 @@
 }
 
 // Load orders copies held, or asks how many stand.
-func (f *Front) Load(to scheduler.WorkerID, id scheduler.FunctionID, copies int) {
+func (f *FrontEnd) Load(to scheduler.WorkerID, id scheduler.FunctionID, copies int) {
 	w, fn := f.workers[to], f.functions[id]
 	o := &order{worker: w, function: id, given: f.now}
 	if w == nil || fn == nil {
 		f.later = append(f.later, func() {
-			f.module.Loaded(f.now, scheduler.Loaded{Worker: to, Function: id, Status: scheduler.ConnectFailed})
+			f.module.LoadEnded(f.now, scheduler.LoadResult{Worker: to, Function: id, Status: scheduler.ConnectFailed})
 		})
 		return
 	}
 	if copies > 0 {
-		f.counts.Loads++
+		f.counts.LoadOrders++
 	} else {
-		f.counts.Asks++
+		f.counts.ResidencyQueries++
 	}
-	o.Order.Load = muxframe.Load{Copy: fn.copy, Copies: copies}
-	f.orders[&o.Order] = o
-	o.timer = timer{at: f.now + f.set.Control.OrderTimeout, order: o}
+	o.LoadOrder.Load = muxframe.LoadOrder{Replica: fn.copy, Replicas: copies}
+	f.orders[&o.LoadOrder] = o
+	o.timer = timer{at: f.now + f.set.Scheduler.LoadOrderTimeout, order: o}
 	f.timers.set(&o.timer)
-	if status := w.link.Load(&o.Order); status != 0 {
+	if status := w.link.Load(&o.LoadOrder); status != 0 {
 		f.later = append(f.later, func() { f.orderEnded(o, status, 0) })
 	}
 }
 
 // Unload has the idle copies of a function unloaded.
-func (f *Front) Unload(to scheduler.WorkerID, id scheduler.FunctionID) {
+func (f *FrontEnd) Unload(to scheduler.WorkerID, id scheduler.FunctionID) {
 	if w, fn := f.workers[to], f.functions[id]; w != nil && fn != nil {
 		w.link.Unload(fn.copy.Function)
 	}
 }
 
 // Probe asks a worker for its load.
-func (f *Front) Probe(to scheduler.WorkerID) {
+func (f *FrontEnd) CheckHealth(to scheduler.WorkerID) {
 	if w := f.workers[to]; w != nil {
-		f.counts.Probes++
+		f.counts.HealthChecks++
 		w.probes = append(w.probes, f.now)
-		w.link.Probe()
+		w.link.CheckHealth()
 	}
 }
 
 // Wake sets a timer of the module's.
-func (f *Front) Wake(after time.Duration, token uint64) {
-	f.timers.set(&timer{at: f.now + max(after, f.set.Control.Resolution), wake: true, token: token})
+func (f *FrontEnd) SetTimer(after time.Duration, token uint64) {
+	f.timers.set(&timer{at: f.now + max(after, f.set.Scheduler.Resolution), wake: true, token: token})
 }
 
 // Follow asks the directory anew.
-func (f *Front) Follow() { f.outside.Follow() }
+func (f *FrontEnd) WatchEndpoints() { f.outside.WatchEndpoints() }
 
 // Log writes a line of the module's.
-func (f *Front) Log(text string) { f.log.Info().Str("from", "module").Msg(text) }
+func (f *FrontEnd) Log(text string) { f.log.Info().Str("from", "module").Msg(text) }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -14,19 +14,19 @@
 func BenchmarkFront(b *testing.B) {
 	t := &testing.T{}
 	f := newBench(t, 8, nil)
-	answer := &muxclient.Answer{}
+	answer := &muxclient.Response{}
 	b.ReportAllocs()
 	for b.Loop() {
-		c := NewCall()
-		c.Since, c.Patience, c.Copy = f.at, 2e9, muxframe.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
+		c := NewRequest()
+		c.StartedAt, c.Timeout, c.Replica = f.at, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 		f.at += 20000 // 50,000 calls a second
-		f.Tick(f.at)
-		f.Arrive(f.at, c)
+		f.FireTimers(f.at)
+		f.RequestReceived(f.at, c)
 		for _, l := range f.links {
 			if len(l.left) > 0 {
 				a := l.left[0]
 				l.left = l.left[:0]
-				f.Ended(f.at, a, muxclient.Result{Status: scheduler.OK, Warmth: scheduler.FoundWarm, Crowd: -1, Answer: answer})
+				f.AttemptEnded(f.at, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 			}
 		}
 	}
@@ -38,19 +38,19 @@
 	at := f.at
 	b.ReportAllocs()
 	for b.Loop() {
-		c := NewCall()
-		c.Since, c.queued, c.Patience, c.Copy = at-50*ms, at-50*ms, 2e9, muxframe.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
+		c := NewRequest()
+		c.StartedAt, c.queued, c.Timeout, c.Replica = at-50*ms, at-50*ms, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 		at += 20000
-		f.Arrive(at, c)
+		f.RequestReceived(at, c)
 	}
 }
 
 // BenchmarkDoor is what a call costs that is refused before it joins the queue; none of it is the loop's.
 func BenchmarkDoor(b *testing.B) {
-	l := NewLoop(LoopConfig{Queue: 1}, zerolog.Nop())
+	l := NewEventLoop(EventLoopConfig{RequestQueue: 1}, zerolog.Nop())
 	l.door.set(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Submit(NewCall())
+		l.Submit(NewRequest())
 	}
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -13,45 +13,45 @@
 )
 
 // Kind is the kind of a final answer.
-type Kind int
+type ResponseKind int
 
 // The kinds of final answers.
 const (
-	Served  Kind = iota + 1 // a worker's answer
-	Refused                 // with a promise: the call did not run, or repeating it does no harm
-	Failed                  // no promise: it may have run
+	Served   ResponseKind = iota + 1 // a worker's answer
+	Rejected                         // with a promise: the call did not run, or repeating it does no harm
+	Failed                           // no promise: it may have run
 )
 
 // String is the kind as clients read it.
-func (k Kind) String() string { return [...]string{"none", "served", "refused", "failed"}[k] }
+func (k ResponseKind) String() string { return [...]string{"none", "served", "refused", "failed"}[k] }
 
 // Final is the one final answer of a call.
-type Final struct {
-	Kind       Kind
-	Why        string            // for people
-	RetryAfter time.Duration     // advice with Refused; 0 is none
-	TimedOut   bool              // with Failed: nothing was heard in time
-	Answer     *muxclient.Answer // with Served
-	Worker     string            // with Served
+type FinalResponse struct {
+	Kind       ResponseKind
+	Reason     string              // for people
+	RetryAfter time.Duration       // advice with Refused; 0 is none
+	TimedOut   bool                // with Failed: nothing was heard in time
+	Response   *muxclient.Response // with Served
+	Worker     string              // with Served
 	Attempts   int
 }
 
 // Call is one call of one client. The exported fields are the client edge's and stay as they are from Submit
 // on; the others belong to the Front that took it.
-type Call struct {
-	ID       string // the client's name for it, for records; empty: one is made
-	Class    int
-	Tenant   int
-	Key      string
-	Copy     muxframe.Copy
-	Cost     time.Duration // rough work, 0 if not told
-	Body     []byte
-	Patience time.Duration // until the client gives up, counted from Since
-	Since    time.Duration // when the client began, on the loop's clock
+type Request struct {
+	ID             string // the client's name for it, for records; empty: one is made
+	Class          int
+	Tenant         int
+	IdempotencyKey string
+	Replica        muxframe.ReplicaSpec
+	WorkEstimate   time.Duration // rough work, 0 if not told
+	Body           []byte
+	Timeout        time.Duration // until the client gives up, counted from Since
+	StartedAt      time.Duration // when the client began, on the loop's clock
 
 	queued   time.Duration // when it came into the loop's queue; 0: it waited in none
-	answer   chan Final
-	deliver  func(Final)
+	answer   chan FinalResponse
+	deliver  func(FinalResponse)
 	state    callState
 	id       scheduler.RequestID
 	deadline time.Duration // final answer due
@@ -76,20 +76,20 @@
 )
 
 // NewCall returns a call whose final answer comes on Answer.
-func NewCall() *Call {
-	c := &Call{answer: make(chan Final, 1)}
-	c.deliver = func(f Final) { c.answer <- f }
+func NewRequest() *Request {
+	c := &Request{answer: make(chan FinalResponse, 1)}
+	c.deliver = func(f FinalResponse) { c.answer <- f }
 	return c
 }
 
 // NewCallTo returns a call whose final answer is given to deliver, within the Front's turn.
-func NewCallTo(deliver func(Final)) *Call { return &Call{deliver: deliver} }
+func NewRequestTo(deliver func(FinalResponse)) *Request { return &Request{deliver: deliver} }
 
 // Answer gives the final answer, once.
-func (c *Call) Answer() <-chan Final { return c.answer }
+func (c *Request) Response() <-chan FinalResponse { return c.answer }
 
 // settle gives the final answer, if none was given and the client is there. All final answers go through here.
-func (c *Call) settle(f Final) bool {
+func (c *Request) settle(f FinalResponse) bool {
 	if c.state >= answered {
 		return false
 	}
@@ -100,7 +100,7 @@
 }
 
 // mayHaveRun notes how an attempt ended, for what may be promised.
-func (c *Call) mayHaveRun(s scheduler.Status) {
+func (c *Request) mayHaveRun(s scheduler.Status) {
 	switch s {
 	case scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled:
 		c.ran = true
--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -13,10 +13,10 @@
 func TestAClientThatLeftBeforeItsArrivalIsSentNowhere(t *testing.T) {
 	for _, leftFirst := range []bool{true, false} {
 		b := newBench(t, 1, nil)
-		c := NewCall()
-		c.Since, c.Patience = b.at, classes().Classes[safe].Deadline
-		c.Copy.Function = "f"
-		left, arrived := func() { b.Left(b.at, c) }, func() { b.Arrive(b.at, c) }
+		c := NewRequest()
+		c.StartedAt, c.Timeout = b.at, classes().Classes[safe].Timeout
+		c.Replica.Function = "f"
+		left, arrived := func() { b.ClientDisconnected(b.at, c) }, func() { b.RequestReceived(b.at, c) }
 		if leftFirst {
 			left()
 			arrived()
@@ -28,11 +28,11 @@
 		if n := len(l.left) + len(l.queued); n > 0 || b.isOut(c) || !b.Idle() {
 			t.Errorf("left first %v: %d attempts are out for a client that left", leftFirst, n)
 		}
-		if counts := b.Counts(); leftFirst && counts.Attempts != 0 || counts.Left != 1 || counts.TurnedAway != 0 {
+		if counts := b.Counts(); leftFirst && counts.Attempts != 0 || counts.Disconnected != 1 || counts.Shed != 0 {
 			t.Errorf("left first %v: counts %+v", leftFirst, counts)
 		}
 		select {
-		case f := <-c.Answer():
+		case f := <-c.Response():
 			t.Errorf("left first %v: answered %+v", leftFirst, f)
 		default:
 		}
@@ -43,12 +43,12 @@
 func TestWhatWaitsAtALinkIsTakenBackWhenItsClientLeaves(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		for _, hasLeft := range []bool{true, false} {
-			b := newBench(t, 1, func(s *Settings) { s.Control.MayCancel = mayCancel })
+			b := newBench(t, 1, func(s *Settings) { s.Scheduler.CancelAllowed = mayCancel })
 			l := b.links["w0"]
 			l.holds = !hasLeft
 			c := b.call(safe)
 			b.out(c)
-			b.Left(b.at, c)
+			b.ClientDisconnected(b.at, c)
 			if got := len(l.left) + len(l.queued); got != 0 && !(hasLeft && !mayCancel) {
 				t.Errorf("may cancel %v, has left %v: %d are with the link", mayCancel, hasLeft, got)
 			}
@@ -73,14 +73,14 @@
 
 // TestAClientThatLeavesBetweenAttemptsIsSentNowhere: its attempt was turned away, and the next one would go out.
 func TestAClientThatLeavesBetweenAttemptsIsSentNowhere(t *testing.T) {
-	for _, end := range []scheduler.Status{scheduler.Full, scheduler.Miss, scheduler.ConnectFailed, scheduler.Error, scheduler.Timeout, scheduler.Reset} {
+	for _, end := range []scheduler.Status{scheduler.Overloaded, scheduler.NotLoaded, scheduler.ConnectFailed, scheduler.Error, scheduler.Timeout, scheduler.Reset} {
 		crossed(t, "left", "ended", func(t *testing.T, leftFirst bool) {
 			b := newBench(t, 3, nil)
 			c := b.call(safe)
 			_, a := b.out(c)
-			ended := func() { b.Ended(b.at, a, muxclient.Result{Status: end, Crowd: -1}) }
+			ended := func() { b.AttemptEnded(b.at, a, muxclient.Result{Status: end, QueueDepth: -1}) }
 			if leftFirst {
-				b.Left(b.at, c)
+				b.ClientDisconnected(b.at, c)
 				before := b.Counts().Attempts
 				ended()
 				if n := b.Counts().Attempts; n != before {
@@ -88,7 +88,7 @@
 				}
 			} else {
 				ended()
-				b.Left(b.at, c)
+				b.ClientDisconnected(b.at, c)
 			}
 			before := b.Counts().Attempts
 			b.pass(3 * time.Second)
@@ -103,23 +103,23 @@
 // TestAClientThatLeavesWhileItsCallWaitsForAnOrderIsSentNowhere: the order goes on, it may serve others.
 func TestAClientThatLeavesWhileItsCallWaitsForAnOrderIsSentNowhere(t *testing.T) {
 	crossed(t, "left", "loaded", func(t *testing.T, leftFirst bool) {
-		b := newBench(t, 1, func(s *Settings) { s.Control.MissAnswered, s.Control.MayOrder = true, true })
+		b := newBench(t, 1, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
 		c := b.call(safe)
 		l := b.links["w0"]
 		for len(l.orders) > 0 { // questions for standing copies, then the order
 			o := l.orders[0]
 			l.orders = l.orders[1:]
-			if o.Load.Copies == 0 {
-				b.OrderEnded(b.at, o, scheduler.OK, 0)
+			if o.Load.Replicas == 0 {
+				b.LoadEnded(b.at, o, scheduler.OK, 0)
 				continue
 			}
 			if leftFirst {
-				b.Left(b.at, c)
+				b.ClientDisconnected(b.at, c)
 			}
-			b.OrderEnded(b.at, o, scheduler.OK, 1)
+			b.LoadEnded(b.at, o, scheduler.OK, 1)
 			if !leftFirst {
 				b.out(c)
-				b.Left(b.at, c)
+				b.ClientDisconnected(b.at, c)
 			}
 		}
 		if n := b.Counts().Attempts; leftFirst && n != 0 || len(l.left)+len(l.queued) > 0 || !b.Idle() {
@@ -176,7 +176,7 @@
 		l, a := b.out(c)
 		answer := func() {
 			l.drop(a)
-			b.Ended(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{Body: []byte("x")}})
+			b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
 		}
 		if answerFirst {
 			answer()
@@ -201,11 +201,11 @@
 		c := b.call(unsafe)
 		b.out(c) // and is never answered
 		began := b.at
-		for kind := Kind(0); kind == 0; kind = b.final(c) {
-			b.at = max(b.at, b.Next()) + late
-			b.Tick(b.at)
+		for kind := ResponseKind(0); kind == 0; kind = b.final(c) {
+			b.at = max(b.at, b.NextTimer()) + late
+			b.FireTimers(b.at)
 		}
-		left := began + c.Patience - b.at
+		left := began + c.Timeout - b.at
 		if left < late || late == 0 && left > 30*ms {
 			t.Errorf("late by %v it answered %v before its client gives up", late, left)
 		}
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -11,42 +11,42 @@
 
 // Catalog is what is known of classes, tenants and functions by name.
 type Catalog struct {
-	Classes   []CatalogClass // in the module's order
-	Tenants   []string       // in the module's order
-	Functions map[string]CatalogFunction
-	Listed    bool // only listed functions are called
+	Classes    []CatalogClass // in the module's order
+	Tenants    []string       // in the module's order
+	Functions  map[string]CatalogFunction
+	ListedOnly bool // only listed functions are called
 }
 
 // CatalogClass is a class as clients name it, with what its functions take where nothing tells it.
 type CatalogClass struct {
-	Name     string
-	Patience time.Duration // where a call tells none, and at most
-	Copy     muxframe.Copy
+	Name       string
+	MaxTimeout time.Duration // where a call tells none, and at most
+	Replica    muxframe.ReplicaSpec
 }
 
 // CatalogFunction is a function that the settings list.
 type CatalogFunction struct {
-	Class int
-	Copy  muxframe.Copy
+	Class   int
+	Replica muxframe.ReplicaSpec
 }
 
 // edge hands a connection's calls to one loop: it is the callhttp.Handler.
 type edge struct {
-	loop    *Loop
+	loop    *EventLoop
 	catalog *Catalog
 }
 
 // pending is a call in the loop's hands.
 type pending struct {
-	loop *Loop
-	call *Call
+	loop *EventLoop
+	call *Request
 }
 
 // Take implements callhttp.Handler.
-func (e edge) Take(in *httpserver.Call) (httpserver.Pending, error) {
-	c := NewCall()
-	c.ID, c.Key, c.Body, c.Cost = in.ID, in.Key, in.Body, in.Cost
-	c.Since = in.Began.Sub(e.loop.cfg.Began)
+func (e edge) Take(in *httpserver.Request) (httpserver.Pending, error) {
+	c := NewRequest()
+	c.ID, c.IdempotencyKey, c.Body, c.WorkEstimate = in.ID, in.IdempotencyKey, in.Body, in.WorkEstimate
+	c.StartedAt = in.ReceivedAt.Sub(e.loop.cfg.ClockStart)
 	if err := e.catalog.Resolve(in, c); err != nil {
 		return nil, err
 	}
@@ -55,9 +55,9 @@
 }
 
 // Resolve finds a call's class, tenant and function.
-func (k *Catalog) Resolve(in *httpserver.Call, c *Call) error {
+func (k *Catalog) Resolve(in *httpserver.Request, c *Request) error {
 	listed, known := k.Functions[in.Function]
-	if !known && k.Listed {
+	if !known && k.ListedOnly {
 		return fmt.Errorf("no function %q", in.Function)
 	}
 	c.Class = listed.Class
@@ -79,14 +79,14 @@
 		c.Tenant = n
 	}
 	class := k.Classes[c.Class]
-	c.Patience = class.Patience
-	if in.Patience > 0 {
-		c.Patience = min(c.Patience, in.Patience)
+	c.Timeout = class.MaxTimeout
+	if in.Timeout > 0 {
+		c.Timeout = min(c.Timeout, in.Timeout)
 	}
-	c.Copy = muxframe.Copy{Function: in.Function,
-		MemoryMB:   cmp.Or(listed.Copy.MemoryMB, in.MemoryMB, class.Copy.MemoryMB),
-		Lanes:      cmp.Or(listed.Copy.Lanes, in.Lanes, class.Copy.Lanes),
-		LoadMillis: cmp.Or(listed.Copy.LoadMillis, float64(in.Load)/float64(time.Millisecond), class.Copy.LoadMillis)}
+	c.Replica = muxframe.ReplicaSpec{Function: in.Function,
+		MemoryMB:    cmp.Or(listed.Replica.MemoryMB, in.MemoryMB, class.Replica.MemoryMB),
+		Concurrency: cmp.Or(listed.Replica.Concurrency, in.Concurrency, class.Replica.Concurrency),
+		LoadMillis:  cmp.Or(listed.Replica.LoadMillis, float64(in.LoadTime)/float64(time.Millisecond), class.Replica.LoadMillis)}
 	return nil
 }
 
@@ -100,28 +100,28 @@
 }
 
 // Wait implements callhttp.Pending.
-func (p pending) Wait(gone <-chan struct{}) (httpserver.Answer, bool) {
+func (p pending) Wait(gone <-chan struct{}) (httpserver.Response, bool) {
 	select {
-	case f := <-p.call.Answer():
+	case f := <-p.call.Response():
 		return f.answer(p.call.ID), true
 	case <-gone:
-		return httpserver.Answer{}, false
+		return httpserver.Response{}, false
 	}
 }
 
 // Leave implements callhttp.Pending.
-func (p pending) Leave() { p.loop.Leave(p.call) }
+func (p pending) Leave() { p.loop.Disconnect(p.call) }
 
-var outcomes = map[Kind]httpserver.Outcome{Served: httpserver.Served, Refused: httpserver.Refused, Failed: httpserver.Failed}
+var outcomes = map[ResponseKind]httpserver.Outcome{Served: httpserver.Served, Rejected: httpserver.Rejected, Failed: httpserver.Failed}
 
 // answer is a final answer as the client edge has it.
-func (f Final) answer(id string) httpserver.Answer {
-	out := httpserver.Answer{Outcome: outcomes[f.Kind], Why: f.Why, RetryAfter: f.RetryAfter, TimedOut: f.TimedOut,
+func (f FinalResponse) answer(id string) httpserver.Response {
+	out := httpserver.Response{Outcome: outcomes[f.Kind], Reason: f.Reason, RetryAfter: f.RetryAfter, TimedOut: f.TimedOut,
 		Worker: f.Worker, Attempts: f.Attempts, ID: id}
-	if f.Answer != nil {
-		out.Type, out.Body, out.Length = f.Answer.Type, f.Answer.Body, f.Answer.Length
-		if f.Answer.Stream != nil {
-			out.Stream = f.Answer.Stream
+	if f.Response != nil {
+		out.ContentType, out.Body, out.Length = f.Response.Type, f.Response.Body, f.Response.Length
+		if f.Response.Stream != nil {
+			out.Stream = f.Response.Stream
 		}
 	}
 	return out
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -21,9 +21,9 @@
 type world struct {
 	*bench
 	classes  [2]int
-	calls    [2]*Call
+	calls    [2]*Request
 	finals   [2]int
-	kind     [2]Kind
+	kind     [2]ResponseKind
 	arrivals int
 	leftBy   [2]bool
 	late     []*muxclient.Attempt // given up here after they had left
@@ -63,7 +63,7 @@
 	return left
 }
 
-func (s spy) Drain(d time.Duration) ([]*muxclient.Attempt, []*muxclient.Order) {
+func (s spy) Drain(d time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder) {
 	taken, orders := s.fakeLink.Drain(d)
 	for _, a := range taken {
 		s.w.note(a).never = true
@@ -71,14 +71,14 @@
 	return taken, orders
 }
 
-func (w *world) Open(id scheduler.WorkerID, info discovery.Worker) Link {
-	l := w.bench.Open(id, info).(*fakeLink)
+func (w *world) OpenWorker(id scheduler.WorkerID, info discovery.Worker) WorkerClient {
+	l := w.bench.OpenWorker(id, info).(*fakeLink)
 	l.holds = true
 	return spy{l, w}
 }
 
 func (w *world) note(a *muxclient.Attempt) *send {
-	list := w.sends[a.Call.ID]
+	list := w.sends[a.Request.ID]
 	for i := range list {
 		if list[i].attempt == a {
 			return &list[i]
@@ -95,7 +95,7 @@
 
 // sent holds rules 2 and 3 at the moment at which an attempt is handed to a link.
 func (w *world) sent(l *fakeLink, a *muxclient.Attempt) {
-	id := a.Call.ID
+	id := a.Request.ID
 	i := int(id[0] - '0')
 	cell := int(l.name[1]-'0') % 2
 	if w.finals[i] > 0 || w.leftBy[i] {
@@ -121,7 +121,7 @@
 }
 
 // answered holds rule 1, and that no refusal is given to what may have run.
-func (w *world) answered(i int, f Final) {
+func (w *world) answered(i int, f FinalResponse) {
 	w.finals[i]++
 	w.kind[i] = f.Kind
 	if w.finals[i] > 1 {
@@ -130,10 +130,10 @@
 	if w.leftBy[i] {
 		w.fail("call %d is answered after its client left", i)
 	}
-	if w.at >= w.calls[i].Since+w.calls[i].Patience {
+	if w.at >= w.calls[i].StartedAt+w.calls[i].Timeout {
 		w.fail("call %d is answered after its client's patience", i)
 	}
-	if f.Kind != Refused || w.classes[i] == safe {
+	if f.Kind != Rejected || w.classes[i] == safe {
 		return
 	}
 	for _, s := range w.sends[w.calls[i].ID] {
@@ -146,9 +146,9 @@
 func newWorld(t *testing.T, of [2]int) *world {
 	w := &world{classes: of, sends: map[string][]send{}}
 	w.bench = &bench{T: t, at: time.Minute, links: map[string]*fakeLink{}}
-	set := Settings{Control: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, Margin: 20 * ms, MaxCalls: 100,
-		Began: time.Unix(0, 0)}
-	w.Front = New(w.at, set, w, zerolog.Nop())
+	set := Settings{Scheduler: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
+		ClockStart: time.Unix(0, 0)}
+	w.FrontEnd = New(w.at, set, w, zerolog.Nop())
 	w.list(2, nil)
 	return w
 }
@@ -170,31 +170,31 @@
 	for _, name := range []string{"w0", "w1"} {
 		l := w.links[name]
 		for _, a := range l.queued {
-			add(func() { w.leaves(l, a) }, "%s leaves for %s", a.Call.ID, name)
-			add(func() { w.ends(l, a, scheduler.ConnectFailed) }, "%s finds no connection to %s", a.Call.ID, name)
+			add(func() { w.leaves(l, a) }, "%s leaves for %s", a.Request.ID, name)
+			add(func() { w.ends(l, a, scheduler.ConnectFailed) }, "%s finds no connection to %s", a.Request.ID, name)
 		}
 		for _, a := range l.left {
 			if mine := w.attempts[a]; mine != nil && mine.begun {
-				add(func() { w.ends(l, a, scheduler.OK) }, "%s ends", a.Call.ID)
-				add(func() { w.ends(l, a, scheduler.Reset) }, "%s breaks off", a.Call.ID)
+				add(func() { w.ends(l, a, scheduler.OK) }, "%s ends", a.Request.ID)
+				add(func() { w.ends(l, a, scheduler.Reset) }, "%s breaks off", a.Request.ID)
 				continue
 			}
-			for _, s := range []scheduler.Status{scheduler.OK, scheduler.Error, scheduler.Full, scheduler.Reset} {
-				add(func() { w.ends(l, a, s) }, "%s at %s ends with status %d", a.Call.ID, name, s)
+			for _, s := range []scheduler.Status{scheduler.OK, scheduler.Error, scheduler.Overloaded, scheduler.Reset} {
+				add(func() { w.ends(l, a, s) }, "%s at %s ends with status %d", a.Request.ID, name, s)
 			}
 			add(func() {
-				w.Began(w.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
-			}, "%s begins", a.Call.ID)
+				w.ResponseStarted(w.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+			}, "%s begins", a.Request.ID)
 		}
 	}
 	for _, a := range w.late {
 		add(func() {
-			w.Ended(w.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
-		}, "%s late", a.Call.ID)
+			w.AttemptEnded(w.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+		}, "%s late", a.Request.ID)
 	}
 	for i := range w.arrivals {
 		if w.finals[i] == 0 && !w.leftBy[i] {
-			add(func() { w.leftBy[i] = true; w.Left(w.at, w.calls[i]) }, "client %d leaves", i)
+			add(func() { w.leftBy[i] = true; w.ClientDisconnected(w.at, w.calls[i]) }, "client %d leaves", i)
 		}
 	}
 	if w.drained {
@@ -209,16 +209,16 @@
 func (w *world) arrive() {
 	i := w.arrivals
 	w.arrivals++
-	c := NewCallTo(func(f Final) { w.answered(i, f) })
-	c.ID, c.Class, c.Since, c.Patience = fmt.Sprint(i), w.classes[i], w.at, 2*time.Second
-	c.Copy.Function, c.Copy.MemoryMB, c.Copy.Lanes = "f", 100, 2
+	c := NewRequestTo(func(f FinalResponse) { w.answered(i, f) })
+	c.ID, c.Class, c.StartedAt, c.Timeout = fmt.Sprint(i), w.classes[i], w.at, 2*time.Second
+	c.Replica.Function, c.Replica.MemoryMB, c.Replica.Concurrency = "f", 100, 2
 	w.calls[i] = c
-	w.Arrive(w.at, c)
+	w.RequestReceived(w.at, c)
 }
 
 func (w *world) leaves(l *fakeLink, a *muxclient.Attempt) {
 	if w.drained && l.name == "w0" {
-		w.fail("call %s leaves for a worker that drains", a.Call.ID)
+		w.fail("call %s leaves for a worker that drains", a.Request.ID)
 	}
 	l.drop(a)
 	l.left = append(l.left, a)
@@ -227,8 +227,8 @@
 
 func (w *world) ends(l *fakeLink, a *muxclient.Attempt, s scheduler.Status) {
 	l.drop(a)
-	w.note(a).never = s == scheduler.ConnectFailed || s == scheduler.Full
-	w.Ended(w.at, a, muxclient.Result{Status: s, Crowd: -1, Answer: &muxclient.Answer{}})
+	w.note(a).never = s == scheduler.ConnectFailed || s == scheduler.Overloaded
+	w.AttemptEnded(w.at, a, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{}})
 }
 
 // finish lets all time pass: each call whose client stayed must have its answer.
@@ -239,7 +239,7 @@
 			w.fail("call %d has no answer", i)
 		}
 	}
-	if w.Counts().Overdue > 0 {
+	if w.Counts().PastDeadline > 0 {
 		w.fail("the module left a call overdue")
 	}
 }
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -22,7 +22,7 @@
 	name     string
 	queued   []*muxclient.Attempt // not left
 	left     []*muxclient.Attempt
-	orders   []*muxclient.Order
+	orders   []*muxclient.LoadOrder
 	canceled []*muxclient.Attempt
 	drained  bool
 	stopped  bool
@@ -37,7 +37,7 @@
 	case l.turns != nil:
 		return l.turns
 	case l.drained:
-		return &muxclient.Result{Status: scheduler.Moot, Crowd: -1}
+		return &muxclient.Result{Status: scheduler.NotSent, QueueDepth: -1}
 	case l.holds:
 		l.queued = append(l.queued, a)
 	default:
@@ -55,7 +55,7 @@
 	return was
 }
 
-func (l *fakeLink) Withdraw(a *muxclient.Attempt) bool {
+func (l *fakeLink) CancelUnsent(a *muxclient.Attempt) bool {
 	was := slices.Contains(l.queued, a)
 	if was {
 		l.drop(a)
@@ -68,17 +68,17 @@
 	l.queued, l.left = slices.DeleteFunc(l.queued, match), slices.DeleteFunc(l.left, match)
 }
 
-func (l *fakeLink) Load(o *muxclient.Order) scheduler.Status {
+func (l *fakeLink) Load(o *muxclient.LoadOrder) scheduler.Status {
 	l.orders = append(l.orders, o)
 	return 0
 }
-func (l *fakeLink) AbandonOrder(*muxclient.Order) {}
-func (l *fakeLink) Unload(string)                 { l.unloads++ }
-func (l *fakeLink) Probe()                        { l.probes++ }
-func (l *fakeLink) Resume()                       { l.drained = false }
-func (l *fakeLink) Busy() bool                    { return len(l.queued)+len(l.left) > 0 }
-func (l *fakeLink) Stop()                         { l.stopped = true }
-func (l *fakeLink) Drain(time.Duration) ([]*muxclient.Attempt, []*muxclient.Order) {
+func (l *fakeLink) AbandonLoad(*muxclient.LoadOrder) {}
+func (l *fakeLink) Unload(string)                    { l.unloads++ }
+func (l *fakeLink) CheckHealth()                     { l.probes++ }
+func (l *fakeLink) Resume()                          { l.drained = false }
+func (l *fakeLink) Busy() bool                       { return len(l.queued)+len(l.left) > 0 }
+func (l *fakeLink) Stop()                            { l.stopped = true }
+func (l *fakeLink) Drain(time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder) {
 	l.drained = true
 	taken := l.queued
 	l.queued = nil
@@ -88,28 +88,28 @@
 // bench plays events to a Front.
 type bench struct {
 	*testing.T
-	*Front
+	*FrontEnd
 	at      time.Duration
 	links   map[string]*fakeLink
 	opened  int
 	follows int
 }
 
-func (b *bench) Open(_ scheduler.WorkerID, w discovery.Worker) Link {
+func (b *bench) OpenWorker(_ scheduler.WorkerID, w discovery.Worker) WorkerClient {
 	b.opened++
 	l := &fakeLink{name: w.Name}
 	b.links[w.Name] = l
 	return l
 }
 
-func (b *bench) Follow() { b.follows++ }
+func (b *bench) WatchEndpoints() { b.follows++ }
 
 func classes() scheduler.Settings {
-	return scheduler.Settings{Seed: 1, FrontEnds: 1, KeepAlive: 10 * time.Second, TellsWarm: true, MayCancel: true, MaxAttempts: 4,
-		OrderTimeout: time.Second, MaxRetryAfter: 500 * ms, DrainGrace: 500 * ms, Resolution: ms, Classes: []scheduler.Class{
-			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: scheduler.Safe},
-			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: scheduler.Keyed, Scope: scheduler.ScopeCell, Memory: time.Second},
-			{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Repeat: scheduler.Unsafe}}}
+	return scheduler.Settings{Seed: 1, FrontEndCount: 1, ReplicaIdleTimeout: 10 * time.Second, ReportsColdStart: true, CancelAllowed: true, MaxAttempts: 4,
+		LoadOrderTimeout: time.Second, MaxRetryAfter: 500 * ms, DrainGrace: 500 * ms, Resolution: ms, Classes: []scheduler.Class{
+			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.Idempotent},
+			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.IdempotentByKey, KeyScope: scheduler.ScopeCell, KeyRetention: time.Second},
+			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.NonIdempotent}}}
 }
 
 const (
@@ -120,12 +120,12 @@
 
 func newBench(t *testing.T, workers int, change func(*Settings)) *bench {
 	b := &bench{T: t, at: time.Minute, links: map[string]*fakeLink{}}
-	set := Settings{Control: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, Margin: 20 * ms, MaxCalls: 100,
-		Began: time.Unix(0, 0)}
+	set := Settings{Scheduler: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
+		ClockStart: time.Unix(0, 0)}
 	if change != nil {
 		change(&set)
 	}
-	b.Front = New(b.at, set, b, zerolog.Nop())
+	b.FrontEnd = New(b.at, set, b, zerolog.Nop())
 	b.list(workers, nil)
 	return b
 }
@@ -140,30 +140,30 @@
 		}
 		list = append(list, w)
 	}
-	b.Listed(b.at, list)
+	b.EndpointsChanged(b.at, list)
 }
 
-func (b *bench) call(class int) *Call {
-	c := NewCall()
-	c.Class, c.Since, c.Patience = class, b.at, 2*time.Second
-	c.Copy = muxframe.Copy{Function: "f", MemoryMB: 100, Lanes: 2}
-	b.Arrive(b.at, c)
+func (b *bench) call(class int) *Request {
+	c := NewRequest()
+	c.Class, c.StartedAt, c.Timeout = class, b.at, 2*time.Second
+	c.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 2}
+	b.RequestReceived(b.at, c)
 	return c
 }
 
 func (b *bench) pass(d time.Duration) {
 	for end := b.at + d; b.at < end; {
-		b.at = min(end, max(b.at, b.Next()))
-		b.Tick(b.at)
+		b.at = min(end, max(b.at, b.NextTimer()))
+		b.FireTimers(b.at)
 	}
 }
 
 // out is the link and the attempt that is out for c.
-func (b *bench) out(c *Call) (*fakeLink, *muxclient.Attempt) {
+func (b *bench) out(c *Request) (*fakeLink, *muxclient.Attempt) {
 	b.Helper()
 	for _, l := range b.links {
 		for _, a := range slices.Concat(l.left, l.queued) {
-			if a.Call.ID == c.ID {
+			if a.Request.ID == c.ID {
 				return l, a
 			}
 		}
@@ -172,26 +172,26 @@
 	return nil, nil
 }
 
-func (b *bench) isOut(c *Call) bool { return c.out != nil }
+func (b *bench) isOut(c *Request) bool { return c.out != nil }
 
-func (b *bench) end(c *Call, s scheduler.Status) *fakeLink {
+func (b *bench) end(c *Request, s scheduler.Status) *fakeLink {
 	b.Helper()
 	l, a := b.out(c)
 	l.drop(a)
-	b.Ended(b.at, a, muxclient.Result{Status: s, Crowd: -1, Answer: &muxclient.Answer{Body: []byte("x")}})
+	b.AttemptEnded(b.at, a, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
 	return l
 }
 
-func (b *bench) final(c *Call) Kind {
+func (b *bench) final(c *Request) ResponseKind {
 	select {
-	case f := <-c.Answer():
+	case f := <-c.Response():
 		return f.Kind
 	default:
 		return 0
 	}
 }
 
-func (b *bench) want(c *Call, k Kind) {
+func (b *bench) want(c *Request, k ResponseKind) {
 	b.Helper()
 	if got := b.final(c); got != k {
 		b.Errorf("final answer %v, want %v", got, k)
@@ -222,7 +222,7 @@
 			t.Errorf("status %d: %d attempts", s, c.attempts)
 		}
 	}
-	for _, s := range []scheduler.Status{scheduler.ConnectFailed, scheduler.Full, scheduler.Miss, scheduler.Moot} {
+	for _, s := range []scheduler.Status{scheduler.ConnectFailed, scheduler.Overloaded, scheduler.NotLoaded, scheduler.NotSent} {
 		b := newBench(t, 3, nil)
 		c := b.call(unsafe)
 		b.end(c, s)
@@ -244,8 +244,8 @@
 	b.list(2, map[string]scheduler.WorkerState{l.name: scheduler.Draining})
 	b.pass(100 * ms)
 	next, a := b.out(c)
-	if next == l || a.Call.Attempt != 1 {
-		t.Errorf("attempt %d at %s after the notice", a.Call.Attempt, next.name)
+	if next == l || a.Request.Attempt != 1 {
+		t.Errorf("attempt %d at %s after the notice", a.Request.Attempt, next.name)
 	}
 	b.end(c, scheduler.OK)
 	b.want(c, Served)
@@ -255,7 +255,7 @@
 	b := newBench(t, 2, nil)
 	c := b.call(unsafe)
 	l, _ := b.out(c)
-	b.list(2, map[string]scheduler.WorkerState{l.name: scheduler.Gone})
+	b.list(2, map[string]scheduler.WorkerState{l.name: scheduler.Removed})
 	b.pass(3 * sweepEvery / 2)
 	if l.stopped {
 		t.Fatal("the link was stopped with a call under way")
@@ -272,13 +272,13 @@
 	b := newBench(t, 1, nil)
 	old := b.links["w0"]
 	c := b.call(safe)
-	b.Listed(b.at, []discovery.Worker{{Name: "w0", Address: "elsewhere:1", Scale: 1, State: scheduler.Ready}})
+	b.EndpointsChanged(b.at, []discovery.Worker{{Name: "w0", Address: "elsewhere:1", Scale: 1, State: scheduler.Ready}})
 	if b.opened != 2 || !old.drained || old.stopped {
 		t.Fatalf("opened %d, old link drained %t, stopped %t", b.opened, old.drained, old.stopped)
 	}
 	a := old.left[0]
 	old.drop(a)
-	b.Ended(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
+	b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
 	b.want(c, Served)
 	b.pass(2 * sweepEvery)
 	if !old.stopped {
@@ -288,10 +288,10 @@
 
 // TestTheFinalAnswerLeavesBeforeTheClientGivesUp: silence of all workers, every class.
 func TestTheFinalAnswerLeavesBeforeTheClientGivesUp(t *testing.T) {
-	for class, want := range []Kind{safe: Refused, keyed: Failed, unsafe: Failed} {
+	for class, want := range []ResponseKind{safe: Rejected, keyed: Failed, unsafe: Failed} {
 		b := newBench(t, 2, nil)
 		c := b.call(class)
-		end := b.at + c.Patience
+		end := b.at + c.Timeout
 		for b.at < end && c.state == waiting {
 			b.pass(ms)
 		}
@@ -299,7 +299,7 @@
 			t.Errorf("class %d: no answer in time", class)
 		}
 		b.want(c, want)
-		if b.Counts().Overdue != 0 {
+		if b.Counts().PastDeadline != 0 {
 			t.Errorf("class %d: the module gave none", class)
 		}
 	}
@@ -311,7 +311,7 @@
 	b.links["w0"].holds = true
 	c := b.call(unsafe)
 	b.pass(2 * time.Second)
-	b.want(c, Refused)
+	b.want(c, Rejected)
 }
 
 func TestALateAnswerAfterATimeOutChangesNothing(t *testing.T) {
@@ -320,7 +320,7 @@
 	_, a := b.out(c)
 	b.pass(2 * time.Second)
 	b.want(c, Failed)
-	b.Ended(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
+	b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
 	b.want(c, 0)
 }
 
@@ -329,7 +329,7 @@
 		b := newBench(t, 1, nil)
 		c := b.call(safe)
 		l, _ := b.out(c)
-		b.Left(b.at, c)
+		b.ClientDisconnected(b.at, c)
 		if len(l.canceled) != 1 || !b.Idle() {
 			t.Errorf("called back %d, idle %t", len(l.canceled), b.Idle())
 		}
@@ -338,7 +338,7 @@
 	t.Run("while its call is held", func(t *testing.T) {
 		b := newBench(t, 0, nil)
 		c := b.call(safe)
-		b.Left(b.at, c)
+		b.ClientDisconnected(b.at, c)
 		if !b.Idle() {
 			t.Error("it is kept")
 		}
@@ -349,13 +349,13 @@
 		b := newBench(t, 1, nil)
 		c := b.call(unsafe)
 		l, a := b.out(c)
-		b.Began(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{Stream: &muxclient.Stream{}}})
+		b.ResponseStarted(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{Stream: &muxclient.Stream{}}})
 		b.want(c, Served)
 		b.pass(3 * time.Second) // neither time-out nor deadline holds for it
 		if len(l.canceled) != 0 {
 			t.Fatal("a running answer was cut off")
 		}
-		b.Left(b.at, c)
+		b.ClientDisconnected(b.at, c)
 		if len(l.canceled) != 1 || !b.Idle() {
 			t.Errorf("called back %d, idle %t", len(l.canceled), b.Idle())
 		}
@@ -366,8 +366,8 @@
 	b := newBench(t, 2, nil)
 	c := b.call(safe)
 	_, a := b.out(c)
-	b.Began(b.at, a, muxclient.Result{Status: scheduler.OK, Crowd: -1, Answer: &muxclient.Answer{}})
-	b.Ended(b.at, a, muxclient.Result{Status: scheduler.Reset, Crowd: -1})
+	b.ResponseStarted(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+	b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.Reset, QueueDepth: -1})
 	b.pass(100 * ms)
 	b.want(c, Served)
 	if c.attempts != 1 || !b.Idle() {
@@ -376,22 +376,22 @@
 }
 
 func TestTooManyCallsAreRefusedAtOnce(t *testing.T) {
-	b := newBench(t, 0, func(s *Settings) { s.MaxCalls = 3 })
+	b := newBench(t, 0, func(s *Settings) { s.MaxInFlight = 3 })
 	for range 3 {
 		b.call(safe)
 	}
-	b.want(b.call(safe), Refused)
-	if n := b.Counts().TurnedAway; n != 1 || b.InHand() != 3 {
-		t.Errorf("turned away %d, in hand %d", n, b.InHand())
+	b.want(b.call(safe), Rejected)
+	if n := b.Counts().Shed; n != 1 || b.InFlight() != 3 {
+		t.Errorf("turned away %d, in hand %d", n, b.InFlight())
 	}
 }
 
 func TestACallWithoutTimeIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t, 1, nil)
-	c := NewCall()
-	c.Since, c.Patience, c.Copy = b.at-2*time.Second, 2*time.Second, muxframe.Copy{Function: "f"}
-	b.Arrive(b.at, c)
-	b.want(c, Refused)
+	c := NewRequest()
+	c.StartedAt, c.Timeout, c.Replica = b.at-2*time.Second, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
+	b.RequestReceived(b.at, c)
+	b.want(c, Rejected)
 }
 
 // TestAnAbortAnswersAll: what never ran is refused, what may have run fails, and nothing is sent again.
@@ -403,12 +403,12 @@
 		l.holds = true
 	}
 	queued := b.call(unsafe)
-	b.Close(b.at)
+	b.StopAdmitting(b.at)
 	late := b.call(safe)
-	b.want(late, Refused)
+	b.want(late, Rejected)
 	b.Abort(b.at)
 	b.want(out, Failed)
-	b.want(queued, Refused)
+	b.want(queued, Rejected)
 	if !b.Idle() || out.attempts != 1 || queued.attempts > 1 {
 		t.Errorf("idle %t, attempts %d and %d", b.Idle(), out.attempts, queued.attempts)
 	}
@@ -417,18 +417,18 @@
 func TestARestartByTheWorkersOwnWordEndsBeliefs(t *testing.T) {
 	b := newBench(t, 1, nil)
 	id := WorkerID("w0")
-	b.Met(b.at, id, muxframe.Welcome{Worker: "w0", Life: 1, UpMillis: 3600_000})
+	b.WorkerConnected(b.at, id, muxframe.Welcome{Worker: "w0", Incarnation: 1, UptimeMillis: 3600_000})
 	c := b.call(safe)
 	b.end(c, scheduler.OK)
-	b.Met(b.at, id, muxframe.Welcome{Worker: "w0", Life: 2, UpMillis: 5})
-	if info, news := b.roster.Met(b.at, id, 2, 5*ms); news || info.Started < b.at-10*ms {
+	b.WorkerConnected(b.at, id, muxframe.Welcome{Worker: "w0", Incarnation: 2, UptimeMillis: 5})
+	if info, news := b.roster.ObserveConnection(b.at, id, 2, 5*ms); news || info.Started < b.at-10*ms {
 		t.Errorf("started %v, news %t", info.Started, news)
 	}
 }
 
 func TestAFailedListIsAskedForAgainBySchedule(t *testing.T) {
 	b := newBench(t, 1, nil)
-	b.ListFailed(b.at, errors.New("down"))
+	b.WatchFailed(b.at, errors.New("down"))
 	if b.follows != 0 {
 		t.Error("asked at once")
 	}
@@ -445,7 +445,7 @@
 	for _, f := range b.functions {
 		f.copy.Function = "another"
 	}
-	b.want(b.call(safe), Refused)
+	b.want(b.call(safe), Rejected)
 	b.end(c, scheduler.OK)
 }
 
@@ -453,7 +453,7 @@
 	b := newBench(t, 2, nil)
 	first := b.call(unsafe)
 	l, _ := b.out(first)
-	l.turns = &muxclient.Result{Status: scheduler.ConnectFailed, Crowd: -1}
+	l.turns = &muxclient.Result{Status: scheduler.ConnectFailed, QueueDepth: -1}
 	b.end(first, scheduler.ConnectFailed)
 	b.pass(100 * ms)
 	if next, _ := b.out(first); next == l {
@@ -462,7 +462,7 @@
 }
 
 func TestOrdersGoOutAndTimeOut(t *testing.T) {
-	b := newBench(t, 2, func(s *Settings) { s.Control.MissAnswered, s.Control.MayOrder = true, true })
+	b := newBench(t, 2, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
 	c := b.call(safe)
 	orders := 0
 	for _, l := range b.links {
@@ -472,7 +472,7 @@
 		t.Fatal("no worker was asked or told to load")
 	}
 	b.pass(2 * time.Second)
-	b.want(c, Refused)
+	b.want(c, Rejected)
 	if len(b.orders) != 0 {
 		t.Errorf("%d orders are still awaited", len(b.orders))
 	}
@@ -481,17 +481,17 @@
 // TestALoopThatIsBehindRefusesWhatWaited: the module is not asked, so that the queue empties.
 func TestALoopThatIsBehindRefusesWhatWaited(t *testing.T) {
 	b := newBench(t, 1, nil)
-	behind := func() *Call {
-		c := NewCall()
-		c.Since, c.queued, c.Patience, c.Copy = b.at-50*ms, b.at-50*ms, 2*time.Second, muxframe.Copy{Function: "f"}
-		b.Arrive(b.at, c)
+	behind := func() *Request {
+		c := NewRequest()
+		c.StartedAt, c.queued, c.Timeout, c.Replica = b.at-50*ms, b.at-50*ms, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
+		b.RequestReceived(b.at, c)
 		return c
 	}
 	b.want(behind(), 0) // a burst
 	b.pass(200 * ms)
-	taken := b.Counts().Taken
-	b.want(behind(), Refused)
-	if b.Counts().Taken != taken {
+	taken := b.Counts().Admitted
+	b.want(behind(), Rejected)
+	if b.Counts().Admitted != taken {
 		t.Error("it was taken")
 	}
 	b.want(b.call(safe), 0) // waited in no queue
@@ -502,13 +502,13 @@
 	b := newBench(t, 1, nil)
 	c := b.call(safe)
 	id, l := WorkerID("w0"), b.links["w0"]
-	b.Probe(id)
+	b.CheckHealth(id)
 	b.Unload(id, FunctionID("f"))
-	if l.probes != 1 || l.unloads != 1 || b.Counts().Probes != 1 {
+	if l.probes != 1 || l.unloads != 1 || b.Counts().HealthChecks != 1 {
 		t.Errorf("%d probes, %d unloads", l.probes, l.unloads)
 	}
-	b.Probed(b.at, id, scheduler.OK, nil)
-	b.Probed(b.at, id, scheduler.OK, nil) // one that was not asked for
+	b.HealthChecked(b.at, id, scheduler.OK, nil)
+	b.HealthChecked(b.at, id, scheduler.OK, nil) // one that was not asked for
 	b.end(c, scheduler.OK)
 }
 
@@ -518,7 +518,7 @@
 	c := b.call(safe)
 	a := c.out
 	b.pass(100 * time.Millisecond)
-	if took := b.took(a, muxclient.Result{At: a.sent + 30*time.Millisecond}); took != 30*time.Millisecond {
+	if took := b.took(a, muxclient.Result{ReceivedAt: a.sent + 30*time.Millisecond}); took != 30*time.Millisecond {
 		t.Errorf("an answer read after 30ms, seen after 100ms, counts as one of %v", took)
 	}
 	if took := b.took(a, muxclient.Result{}); took != 100*time.Millisecond {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -16,34 +16,34 @@
 )
 
 // LoopConfig is what a Loop needs beside its Front's settings.
-type LoopConfig struct {
+type EventLoopConfig struct {
 	Settings
-	Link     muxclient.Config // Worker, Address, Seed and Now are set for each link
-	Dial     Dial             // in place of Link, where workers speak another protocol
-	Source   discovery.Source
-	Queue    int           // arrivals that may wait for the loop; more are refused at once
-	Events   int           // events from links that may wait; beyond, the links stop reading
-	StopWait time.Duration // how long a stop waits for what is in hand
+	WorkerClient    muxclient.Config // Worker, Address, Seed and Now are set for each link
+	Dial            Dial             // in place of Link, where workers speak another protocol
+	Source          discovery.Source
+	RequestQueue    int           // arrivals that may wait for the loop; more are refused at once
+	EventQueue      int           // events from links that may wait; beyond, the links stop reading
+	ShutdownTimeout time.Duration // how long a stop waits for what is in hand
 }
 
 // Dial begins a link to a worker; what happens on it is told to events.
-type Dial func(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) OwnLink
+type Dial func(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) ClosableWorkerClient
 
 // OwnLink is a Link whose goroutines are waited for.
-type OwnLink interface {
-	Link
+type ClosableWorkerClient interface {
+	WorkerClient
 	Done() <-chan struct{}
 }
 
 // Loop owns a Front: one goroutine tells it everything, in the order in which it came.
-type Loop struct {
-	cfg      LoopConfig
+type EventLoop struct {
+	cfg      EventLoopConfig
 	log      zerolog.Logger
-	front    *Front
-	arrivals chan *Call
+	front    *FrontEnd
+	arrivals chan *Request
 	events   chan func(now time.Duration)
-	links    []OwnLink        // begun and not known to have ended; the loop's alone
-	open     func(*Loop) Link // in place of a worker's link, where loops are measured alone
+	links    []ClosableWorkerClient        // begun and not known to have ended; the loop's alone
+	open     func(*EventLoop) WorkerClient // in place of a worker's link, where loops are measured alone
 	kill     chan struct{}
 	done     chan struct{}
 	door     door
@@ -69,19 +69,19 @@
 }
 
 // NewLoop returns a Loop that begins with Run.
-func NewLoop(cfg LoopConfig, log zerolog.Logger) *Loop {
-	l := &Loop{cfg: cfg, log: log, arrivals: make(chan *Call, cfg.Queue), done: make(chan struct{}), kill: make(chan struct{}),
-		events: make(chan func(time.Duration), cfg.Events)}
+func NewEventLoop(cfg EventLoopConfig, log zerolog.Logger) *EventLoop {
+	l := &EventLoop{cfg: cfg, log: log, arrivals: make(chan *Request, cfg.RequestQueue), done: make(chan struct{}), kill: make(chan struct{}),
+		events: make(chan func(time.Duration), cfg.EventQueue)}
 	l.door.set(math.MaxInt)
 	return l
 }
 
 // Now is the loop's clock: the time since Settings.Began, monotonic.
-func (l *Loop) Now() time.Duration { return time.Since(l.cfg.Began) }
+func (l *EventLoop) Now() time.Duration { return time.Since(l.cfg.ClockStart) }
 
 // Submit hands a call over; its final answer comes on c.Answer. A loop that is behind, whose queue is full, or
 // that has ended, refuses at once, at no cost to the loop's own goroutine.
-func (l *Loop) Submit(c *Call) {
+func (l *EventLoop) Submit(c *Request) {
 	c.queued = l.Now()
 	why := "this front end is behind"
 	if int64(len(l.arrivals)) < l.door.room.Load() {
@@ -98,11 +98,11 @@
 		}
 	}
 	l.door.turned.Add(1)
-	c.settle(Final{Kind: Refused, Why: why, RetryAfter: l.cfg.Control.MaxRetryAfter})
+	c.settle(FinalResponse{Kind: Rejected, Reason: why, RetryAfter: l.cfg.Scheduler.MaxRetryAfter})
 }
 
 // Behind tells that an edge came so late to what was due.
-func (l *Loop) Behind(late time.Duration) {
+func (l *EventLoop) ObserveLag(late time.Duration) {
 	for {
 		worst := l.door.late.Load()
 		if int64(late) <= worst || l.door.late.CompareAndSwap(worst, int64(late)) {
@@ -112,10 +112,12 @@
 }
 
 // Leave tells that a call's client is gone.
-func (l *Loop) Leave(c *Call) { l.post(func(now time.Duration) { l.front.Left(now, c) }) }
+func (l *EventLoop) Disconnect(c *Request) {
+	l.post(func(now time.Duration) { l.front.ClientDisconnected(now, c) })
+}
 
 // Counts returns the Front's totals, zero once the loop has ended.
-func (l *Loop) Counts() (c Counts) {
+func (l *EventLoop) Counts() (c Counts) {
 	answer := make(chan Counts, 1)
 	l.post(func(time.Duration) { answer <- l.counts() })
 	select {
@@ -126,20 +128,20 @@
 }
 
 // counts are the Front's totals, with what was refused without it.
-func (l *Loop) counts() Counts {
+func (l *EventLoop) counts() Counts {
 	c := l.front.Counts()
-	c.TurnedAway += l.door.turned.Load()
+	c.Shed += l.door.turned.Load()
 	return c
 }
 
 // Kill ends Run at once, once.
-func (l *Loop) Kill() { close(l.kill) }
+func (l *EventLoop) Kill() { close(l.kill) }
 
 // Stall makes the loop stand still for d, as a pause of the process does; it is for laboratories.
-func (l *Loop) Stall(d time.Duration) { l.post(func(time.Duration) { time.Sleep(d) }) }
+func (l *EventLoop) Stall(d time.Duration) { l.post(func(time.Duration) { time.Sleep(d) }) }
 
 // post queues an event. It waits where the queue is full: who posts stops reading meanwhile.
-func (l *Loop) post(event func(now time.Duration)) {
+func (l *EventLoop) post(event func(now time.Duration)) {
 	select {
 	case l.events <- event:
 	case <-l.done:
@@ -148,7 +150,7 @@
 
 // Run serves until ctx ends; then it refuses what arrives, waits for what is in hand, StopWait at most, and
 // gives the rest its final answers. It returns the totals, and whether all ended in time.
-func (l *Loop) Run(ctx context.Context) (Counts, bool) {
+func (l *EventLoop) Run(ctx context.Context) (Counts, bool) {
 	l.front = New(l.Now(), l.cfg.Settings, l, l.log)
 	follow, stop := context.WithCancel(context.Background())
 	followed := make(chan struct{})
@@ -165,7 +167,7 @@
 }
 
 // serve is the loop. It returns whether nothing was left in hand.
-func (l *Loop) serve(ctx context.Context) bool {
+func (l *EventLoop) serve(ctx context.Context) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var bound <-chan time.Time
@@ -174,23 +176,23 @@
 		l.catchUp()
 		now := l.Now()
 		if l.door.late.Load() > 0 {
-			l.front.Behind(now, time.Duration(l.door.late.Swap(0)))
+			l.front.ObserveLag(now, time.Duration(l.door.late.Swap(0)))
 		}
-		l.front.Tick(now)
-		l.door.set(l.front.Room(now, len(l.arrivals)))
+		l.front.FireTimers(now)
+		l.door.set(l.front.QueueLimit(now, len(l.arrivals)))
 		if ending == nil && l.front.Idle() && len(l.arrivals) == 0 {
 			return true
 		}
-		timer.Reset(max(0, l.front.Next()-now))
+		timer.Reset(max(0, l.front.NextTimer()-now))
 		select {
 		case c := <-l.arrivals:
-			l.front.Arrive(l.Now(), c)
+			l.front.RequestReceived(l.Now(), c)
 		case event := <-l.events:
 			event(l.Now())
 		case <-timer.C:
 		case <-ending:
-			l.front.Close(l.Now())
-			ending, bound = nil, time.After(l.cfg.StopWait)
+			l.front.StopAdmitting(l.Now())
+			ending, bound = nil, time.After(l.cfg.ShutdownTimeout)
 		case <-bound:
 			return false
 		case <-l.kill:
@@ -202,7 +204,7 @@
 // catchUp takes the events that are there before timers and arrivals. It guards against a loop that comes late: an
 // answer that came while it stood still would find its attempt timed out, and its call failed. And in an overload
 // what is taken in before the answers that free its place only lengthens the module's backlog.
-func (l *Loop) catchUp() {
+func (l *EventLoop) catchUp() {
 	for range len(l.events) {
 		event := <-l.events
 		event(l.Now())
@@ -210,12 +212,12 @@
 }
 
 // refuseRest answers what was submitted and never seen by the Front, and lets go of who posts.
-func (l *Loop) refuseRest() {
+func (l *EventLoop) refuseRest() {
 	close(l.done)
 	for {
 		select {
 		case c := <-l.arrivals:
-			l.front.Arrive(l.Now(), c) // it is closing: refused
+			l.front.RequestReceived(l.Now(), c) // it is closing: refused
 		default:
 			return
 		}
@@ -223,7 +225,7 @@
 }
 
 // Open implements Outside.
-func (l *Loop) Open(id scheduler.WorkerID, w discovery.Worker) Link {
+func (l *EventLoop) OpenWorker(id scheduler.WorkerID, w discovery.Worker) WorkerClient {
 	if l.open != nil {
 		return l.open(l)
 	}
@@ -240,58 +242,60 @@
 	return link
 }
 
-func (l *Loop) dial(id scheduler.WorkerID, w discovery.Worker) OwnLink {
+func (l *EventLoop) dial(id scheduler.WorkerID, w discovery.Worker) ClosableWorkerClient {
 	if l.cfg.Dial != nil {
 		return l.cfg.Dial(id, w, l.Now, linkEvents{l, id})
 	}
-	cfg := l.cfg.Link
+	cfg := l.cfg.WorkerClient
 	cfg.Worker, cfg.Address, cfg.Now = w.Name, w.Address, l.Now
-	cfg.FrontEnd, cfg.Seed = l.cfg.Name, l.cfg.Control.Seed^uint64(id)
+	cfg.FrontEnd, cfg.Seed = l.cfg.Name, l.cfg.Scheduler.Seed^uint64(id)
 	return muxclient.New(cfg, linkEvents{l, id})
 }
 
 // Follow implements Outside.
-func (l *Loop) Follow() { l.cfg.Source.Follow() }
+func (l *EventLoop) WatchEndpoints() { l.cfg.Source.Refresh() }
 
 // listSink posts what a directory tells.
-type listSink struct{ l *Loop }
+type listSink struct{ l *EventLoop }
 
-func (s listSink) Listed(list []discovery.Worker) {
-	s.l.post(func(now time.Duration) { s.l.front.Listed(now, list) })
+func (s listSink) EndpointsChanged(list []discovery.Worker) {
+	s.l.post(func(now time.Duration) { s.l.front.EndpointsChanged(now, list) })
 }
 
-func (s listSink) ListFailed(err error) {
-	s.l.post(func(now time.Duration) { s.l.front.ListFailed(now, err) })
+func (s listSink) WatchFailed(err error) {
+	s.l.post(func(now time.Duration) { s.l.front.WatchFailed(now, err) })
 }
 
 // linkEvents posts what happens on the link to one worker.
 type linkEvents struct {
-	l  *Loop
+	l  *EventLoop
 	id scheduler.WorkerID
 }
 
-func (e linkEvents) Began(a *muxclient.Attempt, r muxclient.Result) {
-	e.l.post(func(now time.Duration) { e.l.front.Began(now, a, r) })
+func (e linkEvents) ResponseStarted(a *muxclient.Attempt, r muxclient.Result) {
+	e.l.post(func(now time.Duration) { e.l.front.ResponseStarted(now, a, r) })
 }
 
-func (e linkEvents) Ended(a *muxclient.Attempt, r muxclient.Result) {
-	e.l.post(func(now time.Duration) { e.l.front.Ended(now, a, r) })
+func (e linkEvents) AttemptEnded(a *muxclient.Attempt, r muxclient.Result) {
+	e.l.post(func(now time.Duration) { e.l.front.AttemptEnded(now, a, r) })
 }
 
-func (e linkEvents) OrderEnded(o *muxclient.Order, s scheduler.Status, copies int) {
-	e.l.post(func(now time.Duration) { e.l.front.OrderEnded(now, o, s, copies) })
+func (e linkEvents) LoadEnded(o *muxclient.LoadOrder, s scheduler.Status, copies int) {
+	e.l.post(func(now time.Duration) { e.l.front.LoadEnded(now, o, s, copies) })
 }
 
-func (e linkEvents) Probed(s scheduler.Status, report []float64) {
-	e.l.post(func(now time.Duration) { e.l.front.Probed(now, e.id, s, report) })
+func (e linkEvents) HealthChecked(s scheduler.Status, report []float64) {
+	e.l.post(func(now time.Duration) { e.l.front.HealthChecked(now, e.id, s, report) })
 }
 
-func (e linkEvents) Up(w muxframe.Welcome) {
-	e.l.post(func(now time.Duration) { e.l.front.Met(now, e.id, w) })
+func (e linkEvents) Connected(w muxframe.Welcome) {
+	e.l.post(func(now time.Duration) { e.l.front.WorkerConnected(now, e.id, w) })
 }
 
-func (e linkEvents) Down(why error) {
-	e.l.post(func(now time.Duration) { e.l.front.Down(now, e.id, why) })
+func (e linkEvents) Disconnected(why error) {
+	e.l.post(func(now time.Duration) { e.l.front.WorkerDisconnected(now, e.id, why) })
 }
 
-func (e linkEvents) Late(uint32) { e.l.post(func(now time.Duration) { e.l.front.Late(now) }) }
+func (e linkEvents) LateResponse(uint32) {
+	e.l.post(func(now time.Duration) { e.l.front.LateResponse(now) })
+}
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -11,15 +11,15 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestAFullQueueRefusesAtOnce(t *testing.T) {
-	l := NewLoop(LoopConfig{Settings: Settings{Began: time.Now()}, Queue: 2, Events: 1}, zerolog.Nop())
+	l := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now()}, RequestQueue: 2, EventQueue: 1}, zerolog.Nop())
 	for range 2 {
-		l.Submit(NewCall())
+		l.Submit(NewRequest())
 	}
-	c := NewCall()
+	c := NewRequest()
 	l.Submit(c)
 	select {
-	case f := <-c.Answer():
-		if f.Kind != Refused {
+	case f := <-c.Response():
+		if f.Kind != Rejected {
 			t.Errorf("%+v", f)
 		}
 	default:
@@ -35,22 +35,22 @@
 	l.post(func(time.Duration) { close(stands); <-goOn }) // the loop takes nothing meanwhile
 	<-stands
 	l.door.set(1)
-	taken := NewCall()
-	taken.Since, taken.Patience, taken.Copy.Function = l.Now(), time.Second, "f"
+	taken := NewRequest()
+	taken.StartedAt, taken.Timeout, taken.Replica.Function = l.Now(), time.Second, "f"
 	l.Submit(taken)
-	turned := NewCall()
+	turned := NewRequest()
 	l.Submit(turned)
 	select {
-	case f := <-turned.Answer():
-		if f.Kind != Refused || f.RetryAfter == 0 {
+	case f := <-turned.Response():
+		if f.Kind != Rejected || f.RetryAfter == 0 {
 			t.Errorf("%+v", f)
 		}
 	default:
 		t.Error("no answer at once")
 	}
 	close(goOn)
-	<-taken.Answer()
-	if c := l.Counts(); c.TurnedAway != 1 || c.Taken != 1 {
+	<-taken.Response()
+	if c := l.Counts(); c.Shed != 1 || c.Admitted != 1 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -28,11 +28,11 @@
 func (l *instant) Abandon(*muxclient.Attempt) bool { return true }
 
 // answers answers until the link is stopped for good.
-func (l *instant) answers(loop *Loop) {
-	answer := &muxclient.Answer{}
+func (l *instant) answers(loop *EventLoop) {
+	answer := &muxclient.Response{}
 	for a := range l.sent {
 		loop.post(func(now time.Duration) {
-			loop.front.Ended(now, a, muxclient.Result{Status: scheduler.OK, Warmth: scheduler.FoundWarm, Crowd: -1, Answer: answer})
+			loop.front.AttemptEnded(now, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 		})
 	}
 }
@@ -40,21 +40,21 @@
 // fixed is a directory that tells one list.
 type fixed []discovery.Worker
 
-func (f fixed) Run(ctx context.Context, sink discovery.Sink) { sink.Listed(f); <-ctx.Done() }
-func (f fixed) Follow()                                      {}
+func (f fixed) Run(ctx context.Context, sink discovery.Sink) { sink.EndpointsChanged(f); <-ctx.Done() }
+func (f fixed) Refresh()                                     {}
 
 // alone runs a loop with workers that answer at once and returns what ends it.
-func alone(workers int) (*Loop, func()) {
-	set := Settings{Control: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxCalls: 1 << 20, Began: time.Now()}
+func alone(workers int) (*EventLoop, func()) {
+	set := Settings{Scheduler: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1 << 20, ClockStart: time.Now()}
 	var list fixed
 	for i := range workers {
 		list = append(list, discovery.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Scale: 1, State: scheduler.Ready})
 	}
-	l := NewLoop(LoopConfig{Settings: set, Source: list, Queue: 1 << 20, Events: 1 << 14, StopWait: time.Second}, zerolog.Nop())
+	l := NewEventLoop(EventLoopConfig{Settings: set, Source: list, RequestQueue: 1 << 20, EventQueue: 1 << 14, ShutdownTimeout: time.Second}, zerolog.Nop())
 	var mu sync.Mutex
 	var links []*instant
 	var tasks sync.WaitGroup
-	l.open = func(loop *Loop) Link {
+	l.open = func(loop *EventLoop) WorkerClient {
 		link := &instant{sent: make(chan *muxclient.Attempt, 1<<20)}
 		mu.Lock()
 		defer mu.Unlock()
@@ -83,25 +83,25 @@
 	waits           []time.Duration // of the served ones
 }
 
-func (o *outcome) call(l *Loop) *Call {
-	var c *Call
-	c = NewCallTo(func(f Final) {
+func (o *outcome) call(l *EventLoop) *Request {
+	var c *Request
+	c = NewRequestTo(func(f FinalResponse) {
 		if f.Kind != Served {
 			o.refused.Add(1)
 			return
 		}
 		if o.served.Add(1)%64 == 0 {
 			o.mu.Lock()
-			o.waits = append(o.waits, l.Now()-c.Since)
+			o.waits = append(o.waits, l.Now()-c.StartedAt)
 			o.mu.Unlock()
 		}
 	})
-	c.Since, c.Patience, c.Copy = l.Now(), 2*time.Second, muxframe.Copy{Function: "f", MemoryMB: 100, Lanes: 64}
+	c.StartedAt, c.Timeout, c.Replica = l.Now(), 2*time.Second, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 	return c
 }
 
 // most is what the loop serves in a second, with a hundred calls in hand at any time.
-func most(l *Loop) float64 {
+func most(l *EventLoop) float64 {
 	var o outcome
 	began, sent := time.Now(), int64(0)
 	for time.Since(began) < time.Second {
@@ -114,7 +114,7 @@
 }
 
 // offer offers calls at a rate that waits for nothing.
-func offer(l *Loop, rate float64, lasts time.Duration, submit func(*Call)) *outcome {
+func offer(l *EventLoop, rate float64, lasts time.Duration, submit func(*Request)) *outcome {
 	o := &outcome{}
 	began := time.Now()
 	c := o.call(l)
@@ -127,7 +127,7 @@
 			before := l.door.turned.Load()
 			submit(c)
 			if l.door.turned.Load() > before { // refused at the door: nobody has it, and it is used again
-				c.state, c.Since = fresh, l.Now()
+				c.state, c.StartedAt = fresh, l.Now()
 				continue
 			}
 			c = o.call(l)
@@ -136,13 +136,13 @@
 }
 
 // queueAnyway hands a call over as if there were no door.
-func queueAnyway(l *Loop) func(*Call) {
-	return func(c *Call) {
+func queueAnyway(l *EventLoop) func(*Request) {
+	return func(c *Request) {
 		c.queued = l.Now()
 		select {
 		case l.arrivals <- c:
 		default:
-			c.settle(Final{Kind: Refused})
+			c.settle(FinalResponse{Kind: Rejected})
 		}
 	}
 }
@@ -156,11 +156,11 @@
 				l, stop := alone(8)
 				defer stop()
 				for !func() bool {
-					c := NewCall()
-					c.Since, c.Patience = l.Now(), time.Second
-					c.Copy.Function = "f"
+					c := NewRequest()
+					c.StartedAt, c.Timeout = l.Now(), time.Second
+					c.Replica.Function = "f"
 					l.Submit(c)
-					return (<-c.Answer()).Kind == Served
+					return (<-c.Response()).Kind == Served
 				}() {
 				}
 				top := most(l)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -24,7 +24,7 @@
 
 // Listed takes a whole list of workers. Links of workers that drain or are gone take back what has not left
 // before the module is told, so that nothing new can leave from here on.
-func (f *Front) Listed(now time.Duration, list []discovery.Worker) {
+func (f *FrontEnd) EndpointsChanged(now time.Duration, list []discovery.Worker) {
 	f.now = now
 	infos := make([]scheduler.WorkerInfo, 0, len(list))
 	named := map[scheduler.WorkerID]bool{}
@@ -41,26 +41,26 @@
 	}
 	for _, id := range sortedKeys(f.workers) {
 		if !named[id] {
-			f.turn(f.workers[id], scheduler.Gone)
+			f.turn(f.workers[id], scheduler.Removed)
 		}
 	}
-	f.module.Workers(now, f.roster.Listed(now, infos), true)
+	f.module.WorkersChanged(now, f.roster.ObserveList(now, infos), true)
 	f.settleLater()
 }
 
 // started turns a wall time into one of the clock.
-func (f *Front) started(at time.Time) time.Duration {
+func (f *FrontEnd) started(at time.Time) time.Duration {
 	if at.IsZero() {
-		return scheduler.LongAgo
+		return scheduler.UnknownStart
 	}
-	return at.Sub(f.set.Began)
+	return at.Sub(f.set.ClockStart)
 }
 
 // meet takes an entry of the list: it opens a link to a new worker, or to one at a new address.
-func (f *Front) meet(id scheduler.WorkerID, in discovery.Worker) {
+func (f *FrontEnd) meet(id scheduler.WorkerID, in discovery.Worker) {
 	w := f.workers[id]
 	if w == nil {
-		if in.State == scheduler.Gone {
+		if in.State == scheduler.Removed {
 			return // nothing goes there
 		}
 		w = &worker{id: id}
@@ -71,7 +71,7 @@
 			f.takeBack(w)
 			w.retired = append(w.retired, w.link)
 		}
-		w.link = f.outside.Open(id, in)
+		w.link = f.outside.OpenWorker(id, in)
 		w.state = scheduler.Ready
 	}
 	w.Worker = in
@@ -79,7 +79,7 @@
 }
 
 // turn notes a worker's state and shuts or opens its link for new work.
-func (f *Front) turn(w *worker, state scheduler.WorkerState) {
+func (f *FrontEnd) turn(w *worker, state scheduler.WorkerState) {
 	if w.state == state {
 		return
 	}
@@ -95,24 +95,24 @@
 }
 
 // takeBack shuts a link for new work; what had not left ends as never sent.
-func (f *Front) takeBack(w *worker) {
-	attempts, orders := w.link.Drain(f.set.Control.DrainGrace)
+func (f *FrontEnd) takeBack(w *worker) {
+	attempts, orders := w.link.Drain(f.set.Scheduler.DrainGrace)
 	for _, x := range attempts {
 		if a := f.attempts[x]; a != nil {
 			f.later = append(f.later, func() {
-				f.ended(a, muxclient.Result{Status: scheduler.Moot, Why: "the worker drains", Crowd: -1})
+				f.ended(a, muxclient.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1})
 			})
 		}
 	}
 	for _, x := range orders {
 		if o := f.orders[x]; o != nil {
-			f.later = append(f.later, func() { f.orderEnded(o, scheduler.Full, 0) })
+			f.later = append(f.later, func() { f.orderEnded(o, scheduler.Overloaded, 0) })
 		}
 	}
 }
 
 // sweep stops links that nothing needs any longer and forgets functions that nobody calls.
-func (f *Front) sweep() {
+func (f *FrontEnd) sweep() {
 	for _, id := range sortedKeys(f.workers) {
 		w := f.workers[id]
 		keep := w.retired[:0]
@@ -124,7 +124,7 @@
 			}
 		}
 		w.retired = keep
-		if w.state == scheduler.Gone && len(keep) == 0 && !w.link.Busy() {
+		if w.state == scheduler.Removed && len(keep) == 0 && !w.link.Busy() {
 			w.link.Stop()
 			delete(f.workers, id)
 		}
@@ -137,32 +137,32 @@
 }
 
 // ListFailed takes the news that the list could not be had.
-func (f *Front) ListFailed(now time.Duration, err error) {
+func (f *FrontEnd) WatchFailed(now time.Duration, err error) {
 	f.now = now
 	f.log.Warn().Err(err).Msg("no list of workers; the one of before stays in force")
-	f.module.ListFailed(now)
+	f.module.WatchFailed(now)
 	f.settleLater()
 }
 
 // Met takes what a worker said on a new connection.
-func (f *Front) Met(now time.Duration, id scheduler.WorkerID, in muxframe.Welcome) {
+func (f *FrontEnd) WorkerConnected(now time.Duration, id scheduler.WorkerID, in muxframe.Welcome) {
 	f.now = now
 	w := f.workers[id]
 	if w == nil {
 		return
 	}
 	w.down = false
-	up := time.Duration(in.UpMillis) * time.Millisecond
+	up := time.Duration(in.UptimeMillis) * time.Millisecond
 	f.log.Debug().Str("worker", w.Name).Dur("up", up).Msg("connected")
-	if info, news := f.roster.Met(now, id, in.Life, up); news && w.state == scheduler.Ready {
+	if info, news := f.roster.ObserveConnection(now, id, in.Incarnation, up); news && w.state == scheduler.Ready {
 		f.log.Info().Str("worker", w.Name).Dur("up", up).Msg("started anew, by its own word")
-		f.module.Workers(now, []scheduler.WorkerInfo{info}, false)
+		f.module.WorkersChanged(now, []scheduler.WorkerInfo{info}, false)
 	}
 	f.settleLater()
 }
 
 // Down takes the news that there is no connection to a worker.
-func (f *Front) Down(now time.Duration, id scheduler.WorkerID, why error) {
+func (f *FrontEnd) WorkerDisconnected(now time.Duration, id scheduler.WorkerID, why error) {
 	f.now = now
 	if w := f.workers[id]; w != nil && !w.down {
 		w.down = true
@@ -171,10 +171,10 @@
 }
 
 // Late takes the news of an answer that nobody waits for.
-func (f *Front) Late(time.Duration) { f.counts.Late++ }
+func (f *FrontEnd) LateResponse(time.Duration) { f.counts.LateResponses++ }
 
 // Began takes the beginning of a long answer: it is the final answer, and goes on from here to the client.
-func (f *Front) Began(now time.Duration, x *muxclient.Attempt, r muxclient.Result) {
+func (f *FrontEnd) ResponseStarted(now time.Duration, x *muxclient.Attempt, r muxclient.Result) {
 	f.now = now
 	a := f.attempts[x]
 	if a == nil {
@@ -185,14 +185,14 @@
 	} else {
 		a.begun = true
 		f.timers.stop(&a.timer) // a running answer has no time-out; the edge judges its standstill
-		f.module.Started(now, a.call.id)
-		f.final(a.call, Final{Kind: Served, Answer: r.Answer, Worker: a.worker.Name})
+		f.module.ResponseStarted(now, a.call.id)
+		f.final(a.call, FinalResponse{Kind: Served, Response: r.Response, Worker: a.worker.Name})
 	}
 	f.settleLater()
 }
 
 // Ended takes the end of an attempt from its link.
-func (f *Front) Ended(now time.Duration, x *muxclient.Attempt, r muxclient.Result) {
+func (f *FrontEnd) AttemptEnded(now time.Duration, x *muxclient.Attempt, r muxclient.Result) {
 	f.now = now
 	if a := f.attempts[x]; a != nil {
 		f.ended(a, r)
@@ -202,7 +202,7 @@
 
 // giveUp ends an attempt from this side. One that never left ends as that: called back it is moot, and if its
 // time passed in the queue there was no connection that took it.
-func (f *Front) giveUp(a *attempt, as scheduler.Status, why string) {
+func (f *FrontEnd) giveUp(a *attempt, as scheduler.Status, why string) {
 	if a.settled {
 		return
 	}
@@ -210,16 +210,16 @@
 		if as == scheduler.Timeout {
 			as, why = scheduler.ConnectFailed, "not sent in time"
 		} else {
-			as = scheduler.Moot
+			as = scheduler.NotSent
 		}
 	}
-	f.ended(a, muxclient.Result{Status: as, Why: why, Crowd: -1})
+	f.ended(a, muxclient.Result{Status: as, Reason: why, QueueDepth: -1})
 }
 
 // withdraw takes an attempt back from the link that has it, if it has not begun to leave.
 func (w *worker) withdraw(a *attempt) bool {
-	return w.link.Withdraw(&a.Attempt) ||
-		slices.ContainsFunc(w.retired, func(l Link) bool { return l.Withdraw(&a.Attempt) })
+	return w.link.CancelUnsent(&a.Attempt) ||
+		slices.ContainsFunc(w.retired, func(l WorkerClient) bool { return l.CancelUnsent(&a.Attempt) })
 }
 
 // abandon gives an attempt up on the link that has it.
@@ -232,7 +232,7 @@
 }
 
 // ended tells the module the outcome of an attempt, once.
-func (f *Front) ended(a *attempt, r muxclient.Result) {
+func (f *FrontEnd) ended(a *attempt, r muxclient.Result) {
 	if a.settled {
 		return
 	}
@@ -240,38 +240,38 @@
 	f.timers.stop(&a.timer)
 	delete(f.attempts, &a.Attempt)
 	c := a.call
-	c.out, c.last, c.why = nil, r.Status, r.Why
+	c.out, c.last, c.why = nil, r.Status, r.Reason
 	c.mayHaveRun(r.Status)
 	f.learnCost(a, r)
 	if r.Status == scheduler.OK && c.state == waiting {
-		f.final(c, Final{Kind: Served, Answer: r.Answer, Worker: a.worker.Name})
+		f.final(c, FinalResponse{Kind: Served, Response: r.Response, Worker: a.worker.Name})
 	}
 	out := scheduler.Outcome{Request: c.id, Attempt: a.number, Status: r.Status, Latency: f.took(a, r),
-		Closed: c.state != waiting, Warmth: r.Warmth, Crowd: r.Crowd, Report: r.Report}
+		RequestClosed: c.state != waiting, ColdStart: r.ColdStart, QueueDepth: r.QueueDepth, LoadReport: r.LoadReport}
 	if a.worker != nil {
 		out.Worker = a.worker.id
 	}
-	f.module.Outcome(f.now, out)
+	f.module.AttemptEnded(f.now, out)
 	f.forget(c)
 }
 
 // took is how long an attempt took until its answer was read. What the answer then waited for the loop is not the
 // worker's: taken for that, a loop that is late would hold back calls from workers that are not.
-func (f *Front) took(a *attempt, r muxclient.Result) time.Duration {
-	if r.At > a.sent && r.At < f.now {
-		return r.At - a.sent
+func (f *FrontEnd) took(a *attempt, r muxclient.Result) time.Duration {
+	if r.ReceivedAt > a.sent && r.ReceivedAt < f.now {
+		return r.ReceivedAt - a.sent
 	}
 	return f.now - a.sent
 }
 
 // learnCost learns from an attempt what its function's calls take, without the loads in it.
-func (f *Front) learnCost(a *attempt, r muxclient.Result) {
+func (f *FrontEnd) learnCost(a *attempt, r muxclient.Result) {
 	fn := a.call.fn
-	loaded := r.Warmth == scheduler.BeganLoad || r.Warmth == scheduler.WaitedForLoad
+	loaded := r.ColdStart == scheduler.ColdStartTriggered || r.ColdStart == scheduler.ColdStartAwaited
 	switch {
-	case r.Ran > 0:
-		a.call.work = r.Ran
-		fn.cost.Told(r.Ran)
+	case r.RunTime > 0:
+		a.call.work = r.RunTime
+		fn.cost.Told(r.RunTime)
 	case r.Status == scheduler.OK && !loaded:
 		fn.cost.Seen(f.now - a.sent)
 	case r.Status == scheduler.Timeout, r.Status == scheduler.Cancelled:
@@ -280,7 +280,7 @@
 }
 
 // OrderEnded takes the answer to an order from its link.
-func (f *Front) OrderEnded(now time.Duration, x *muxclient.Order, s scheduler.Status, copies int) {
+func (f *FrontEnd) LoadEnded(now time.Duration, x *muxclient.LoadOrder, s scheduler.Status, copies int) {
 	f.now = now
 	if o := f.orders[x]; o != nil {
 		f.orderEnded(o, s, copies)
@@ -288,19 +288,19 @@
 	f.settleLater()
 }
 
-func (f *Front) orderEnded(o *order, s scheduler.Status, copies int) {
+func (f *FrontEnd) orderEnded(o *order, s scheduler.Status, copies int) {
 	if o.settled {
 		return
 	}
 	o.settled = true
 	f.timers.stop(&o.timer)
-	delete(f.orders, &o.Order)
-	f.module.Loaded(f.now, scheduler.Loaded{Worker: o.worker.id, Function: o.function, Status: s, Latency: f.now - o.given,
-		Copies: copies})
+	delete(f.orders, &o.LoadOrder)
+	f.module.LoadEnded(f.now, scheduler.LoadResult{Worker: o.worker.id, Function: o.function, Status: s, Latency: f.now - o.given,
+		Replicas: copies})
 }
 
 // Probed takes the answer to a probe.
-func (f *Front) Probed(now time.Duration, id scheduler.WorkerID, s scheduler.Status, report []float64) {
+func (f *FrontEnd) HealthChecked(now time.Duration, id scheduler.WorkerID, s scheduler.Status, report []float64) {
 	f.now = now
 	w := f.workers[id]
 	if w == nil || len(w.probes) == 0 {
@@ -308,6 +308,6 @@
 	}
 	asked := w.probes[0]
 	w.probes = w.probes[1:]
-	f.module.Probed(now, scheduler.Probed{Worker: id, Status: s, Latency: now - asked, Report: report})
+	f.module.HealthChecked(now, scheduler.HealthCheckResult{Worker: id, Status: s, Latency: now - asked, LoadReport: report})
 	f.settleLater()
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -23,14 +23,14 @@
 )
 
 // Relay is a front end on the users' platform: one Loop, their protocol before and behind it.
-type Relay struct {
+type PlatformServer struct {
 	set      *platformconfig.Relay
 	log      zerolog.Logger
-	loop     *Loop
+	loop     *EventLoop
 	listener net.Listener
 	clients  *rpcserver.Server
-	bulletin *discovery.Bulletin
-	budget   *workerclient.Budget
+	bulletin *discovery.EndpointStream
+	budget   *workerclient.ConnectionBudget
 	leaving  atomic.Bool
 	after    func(time.Duration, func()) // calls a function later; tests do so by hand
 
@@ -57,16 +57,16 @@
 )
 
 // NewRelay prepares a front end and begins to listen; Run serves.
-func NewRelay(set *platformconfig.Relay, log zerolog.Logger) (*Relay, error) {
+func NewPlatformServer(set *platformconfig.Relay, log zerolog.Logger) (*PlatformServer, error) {
 	runtime.GOMAXPROCS(max(1, int(set.Cores+0.5)))
 	debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryMB) * (1 << 20)))
 	log = sampled(log)
-	clients, workers := connadmission.Parts(set.Sockets)
-	r := &Relay{set: set, log: log, budget: workerclient.NewBudget(workers),
+	clients, workers := connadmission.SplitDescriptors(set.Sockets)
+	r := &PlatformServer{set: set, log: log, budget: workerclient.NewConnectionBudget(workers),
 		after: func(d time.Duration, f func()) { time.AfterFunc(d, f) }}
 	var err error
 	site := set.Site
-	if r.bulletin, err = discovery.NewBulletin(set.Bulletin, set.Known, site.Zones, site.Kinds, set.Seed); err != nil {
+	if r.bulletin, err = discovery.NewEndpointStream(set.Bulletin, set.Known, site.Zones, site.Kinds, set.Seed); err != nil {
 		return nil, err
 	}
 	if r.listener, err = net.Listen("tcp", set.Listen); err != nil {
@@ -74,87 +74,87 @@
 	}
 	rules := rpcserver.Rules{Tenants: site.Tenants, MemoryMB: site.MemoryMB}
 	for i, c := range site.Control.Classes {
-		rules.Classes = append(rules.Classes, rpcserver.Class{Name: site.Classes[i], Longest: c.Deadline,
-			Keyed: c.Repeat == scheduler.Keyed})
+		rules.Classes = append(rules.Classes, rpcserver.Class{Name: site.Classes[i], MaxTimeout: c.Timeout,
+			RequiresKey: c.Idempotency == scheduler.IdempotentByKey})
 	}
 	r.clients = rpcserver.New(rpcserver.Config{Rules: rules, MaxConns: clients, MaxOpen: relayOpen, MaxOut: relayOut,
-		Write: relayWrite, Rest: relayRest, Wrote: func(took time.Duration) { r.loop.Behind(took) }}, r, log)
-	r.loop = NewLoop(r.loopConfig(), log)
+		Write: relayWrite, Rest: relayRest, Wrote: func(took time.Duration) { r.loop.ObserveLag(took) }}, r, log)
+	r.loop = NewEventLoop(r.loopConfig(), log)
 	return r, nil
 }
 
-func (r *Relay) loopConfig() LoopConfig {
+func (r *PlatformServer) loopConfig() EventLoopConfig {
 	site := r.set.Site
-	return LoopConfig{Source: r.bulletin, Queue: relayQueue, Events: relayEvents, Dial: r.dial,
-		StopWait: max(relayRest, min(site.Longest(), relayMostEnd)-relayRest),
+	return EventLoopConfig{Source: r.bulletin, RequestQueue: relayQueue, EventQueue: relayEvents, Dial: r.dial,
+		ShutdownTimeout: max(relayRest, min(site.Longest(), relayMostEnd)-relayRest),
 		Settings: Settings{Name: r.set.Name, Classes: site.Classes, Tenants: site.Tenants, Zones: site.Zones,
-			Control: site.Control, Margin: relayMargin, MaxCalls: min(relayCalls, site.MaxCalls), Began: time.Now()}}
+			Scheduler: site.Control, DeadlineMargin: relayMargin, MaxInFlight: min(relayCalls, site.MaxCalls), ClockStart: time.Now()}}
 }
 
 // dial is the way to a worker in the platform's protocol.
-func (r *Relay) dial(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) OwnLink {
+func (r *PlatformServer) dial(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) ClosableWorkerClient {
 	site := r.set.Site
 	return workerclient.New(workerclient.Config{Worker: w.Name, Address: w.Address, ConnectTimeout: site.Control.ConnectTimeout,
-		Streams: site.Streams, Idle: site.ConnIdle, MaxQueue: linkQueue, MaxAnswer: relayAnswer, Reports: site.Control.Reports,
+		StreamsPerConnection: site.Streams, IdleTimeout: site.ConnIdle, MaxQueue: linkQueue, MaxResponse: relayAnswer, LoadReportFields: site.Control.LoadReportFields,
 		Budget: r.budget, Seed: site.Control.Seed ^ uint64(id), Now: now}, events)
 }
 
 // Address is where clients connect.
-func (r *Relay) Address() string { return r.listener.Addr().String() }
+func (r *PlatformServer) Address() string { return r.listener.Addr().String() }
 
 // Ready implements callrpc.Handler.
-func (r *Relay) Ready() bool { return !r.leaving.Load() }
+func (r *PlatformServer) Ready() bool { return !r.leaving.Load() }
 
 // Take implements callrpc.Handler.
-func (r *Relay) Take(in *rpcserver.Call, answer func(rpcserver.Answer)) (leave func(), err error) {
+func (r *PlatformServer) Handle(in *rpcserver.Request, answer func(rpcserver.Response)) (leave func(), err error) {
 	if !r.ids.take(in.ID) {
-		return nil, fmt.Errorf("%w: id %s was used before", rpcserver.ErrBroken, in.ID)
+		return nil, fmt.Errorf("%w: id %s was used before", rpcserver.ErrProtocol, in.ID)
 	}
 	size := int64(len(in.Body))
 	over := sync.OnceFunc(func() { // its final answer, or its client's leaving, whichever comes first
 		r.ids.end(in.ID)
 		r.bodies.Add(-size)
 	})
-	c := NewCallTo(func(f Final) {
+	c := NewRequestTo(func(f FinalResponse) {
 		over()
 		answer(f.rpc())
 	})
-	c.ID, c.Class, c.Tenant, c.Key, c.Cost, c.Body = in.ID, in.Class, in.Tenant, in.Key, in.Cost, in.Body
-	c.Patience, c.Since = in.Patience, in.Came.Sub(r.loop.cfg.Began)
-	c.Copy = muxframe.Copy{Function: in.Function, MemoryMB: in.MemoryMB, Lanes: in.Lanes, LoadMillis: millis(in.Load)}
+	c.ID, c.Class, c.Tenant, c.IdempotencyKey, c.WorkEstimate, c.Body = in.ID, in.Class, in.Tenant, in.IdempotencyKey, in.WorkEstimate, in.Body
+	c.Timeout, c.StartedAt = in.Timeout, in.ReceivedAt.Sub(r.loop.cfg.ClockStart)
+	c.Replica = muxframe.ReplicaSpec{Function: in.Function, MemoryMB: in.MemoryMB, Concurrency: in.Concurrency, LoadMillis: millis(in.LoadTime)}
 	if r.bodies.Add(size) > int64(bodiesPart*float64(r.set.MemoryMB)*(1<<20)) {
-		c.settle(Final{Kind: Refused, Why: "too much in hand", RetryAfter: r.set.Site.Control.MaxRetryAfter})
+		c.settle(FinalResponse{Kind: Rejected, Reason: "too much in hand", RetryAfter: r.set.Site.Control.MaxRetryAfter})
 		return func() {}, nil
 	}
 	r.loop.Submit(c)
-	return func() { over(); r.loop.Leave(c) }, nil
+	return func() { over(); r.loop.Disconnect(c) }, nil
 }
 
-var rpcKinds = map[Kind]rpcserver.Kind{Served: rpcserver.Served, Refused: rpcserver.Refused, Failed: rpcserver.Failed}
+var rpcKinds = map[ResponseKind]rpcserver.ResponseKind{Served: rpcserver.Served, Rejected: rpcserver.Rejected, Failed: rpcserver.Failed}
 
 // rpc is a final answer as the platform's clients have it.
-func (f Final) rpc() rpcserver.Answer {
-	out := rpcserver.Answer{Kind: rpcKinds[f.Kind], After: f.RetryAfter}
-	if f.Answer != nil {
-		out.Body = f.Answer.Body
+func (f FinalResponse) rpc() rpcserver.Response {
+	out := rpcserver.Response{Kind: rpcKinds[f.Kind], RetryAfter: f.RetryAfter}
+	if f.Response != nil {
+		out.Body = f.Response.Body
 	}
 	return out
 }
 
 // Follow makes the relay go by a configuration read anew. Only the bulletin's address can change while it runs; a
 // configuration of another deployment changes nothing.
-func (r *Relay) Follow(set *platformconfig.Relay) {
+func (r *PlatformServer) Reload(set *platformconfig.Relay) {
 	if field := r.set.Differs(set); field != "" {
 		r.log.Error().Str("field", field).Msg("the configuration stays as it was: the new one is of another front end")
 		return
 	}
 	r.log.Info().Str("bulletin", set.Bulletin).Msg("configuration read anew")
-	r.bulletin.Move(set.Bulletin)
+	r.bulletin.SetAddress(set.Bulletin)
 }
 
 // Run serves until ctx ends. Then clients that still come are served for a while, and after that nothing new is
 // taken, what is in hand gets its final answer, and Run returns the totals.
-func (r *Relay) Run(ctx context.Context) (Counts, error) {
+func (r *PlatformServer) Run(ctx context.Context) (Counts, error) {
 	serving, stop := context.WithCancel(context.Background())
 	defer stop()
 	defer context.AfterFunc(ctx, func() {
@@ -189,7 +189,7 @@
 }
 
 // tell logs now and then how the front end stands.
-func (r *Relay) tell(ctx context.Context) {
+func (r *PlatformServer) tell(ctx context.Context) {
 	ticker := time.NewTicker(relayTell)
 	defer ticker.Stop()
 	for {
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -35,7 +35,7 @@
 
 // relayed is a front end between stand-ins.
 type relayed struct {
-	*Relay
+	*PlatformServer
 	t     *testing.T
 	board *platformdiscovery.Server
 	stop  context.CancelFunc
@@ -71,12 +71,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay, err := NewRelay(set, zerolog.Nop())
+	relay, err := NewPlatformServer(set, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r = &relayed{Relay: relay, t: t, stop: cancel, waits: make(chan func(), 1), ended: make(chan error, 1)}
+	r = &relayed{PlatformServer: relay, t: t, stop: cancel, waits: make(chan func(), 1), ended: make(chan error, 1)}
 	relay.after = func(_ time.Duration, f func()) { r.waits <- f }
 	return r, func() { go func() { _, err := relay.Run(ctx); r.ended <- err }() }
 }
@@ -253,7 +253,7 @@
 	t.Cleanup(other.Close)
 	moved := *r.set
 	moved.Bulletin = other.Address()
-	r.Relay.Follow(&moved)
+	r.PlatformServer.Reload(&moved)
 	if last := <-other.Asked(); last != 1 {
 		t.Errorf("asked from %d", last)
 	}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -26,7 +26,7 @@
 type Service struct {
 	set      *gatewayconfig.Settings
 	log      zerolog.Logger
-	loops    []*Loop
+	loops    []*EventLoop
 	listener net.Listener
 	clients  *httpserver.Server
 	next     atomic.Uint64
@@ -53,10 +53,10 @@
 	}
 	log = sampled(log)
 	s := &Service{set: set, log: log, listener: l}
-	catalog := CatalogOf(set)
+	catalog := NewCatalog(set)
 	began := time.Now()
 	for i := range set.Loops {
-		s.loops = append(s.loops, NewLoop(loopConfig(set, i, began), log.With().Int("front-end", set.First+i).Logger()))
+		s.loops = append(s.loops, NewEventLoop(loopConfig(set, i, began), log.With().Int("front-end", set.First+i).Logger()))
 	}
 	s.clients = httpserver.New(httpserver.Config{Idle: set.IdleTime, Header: set.HeaderTime, Body: set.BodyTime,
 		Write: set.WriteTime, Stall: set.StallTime, MaxHeader: set.MaxHeader, MaxBody: set.MaxBody, Pipeline: set.Pipeline,
@@ -94,19 +94,19 @@
 
 // Add adds the totals of another Front.
 func (c *Counts) Add(x Counts) {
-	c.Taken += x.Taken
+	c.Admitted += x.Admitted
 	c.Served += x.Served
-	c.Refused += x.Refused
+	c.Rejected += x.Rejected
 	c.Failed += x.Failed
-	c.Left += x.Left
-	c.TurnedAway += x.TurnedAway
+	c.Disconnected += x.Disconnected
+	c.Shed += x.Shed
 	c.Attempts += x.Attempts
-	c.Loads += x.Loads
-	c.Asks += x.Asks
-	c.Probes += x.Probes
-	c.Late += x.Late
-	c.Overdue += x.Overdue
-	c.Otherwise.Add(x.Otherwise)
+	c.LoadOrders += x.LoadOrders
+	c.ResidencyQueries += x.ResidencyQueries
+	c.HealthChecks += x.HealthChecks
+	c.LateResponses += x.LateResponses
+	c.PastDeadline += x.PastDeadline
+	c.ShadowDifferences.Add(x.ShadowDifferences)
 }
 
 // Run serves until ctx ends, then stops: no new connections; what is in hand gets its final answer, and what
@@ -149,9 +149,9 @@
 	}
 }
 
-func loopConfig(set *gatewayconfig.Settings, i int, began time.Time) LoopConfig {
-	cfg := LoopConfig{Settings: FrontSettings(set, i, began, rand.Uint64()), Queue: set.Queue, Events: eventQueue, StopWait: set.StopWait,
-		Link: muxclient.Config{ConnectTimeout: set.ConnectTimeout, Window: set.Window, MaxQueue: linkQueue}}
+func loopConfig(set *gatewayconfig.Settings, i int, began time.Time) EventLoopConfig {
+	cfg := EventLoopConfig{Settings: FrontEndSettings(set, i, began, rand.Uint64()), RequestQueue: set.Queue, EventQueue: eventQueue, ShutdownTimeout: set.StopWait,
+		WorkerClient: muxclient.Config{ConnectTimeout: set.ConnectTimeout, Window: set.Window, MaxQueue: linkQueue}}
 	if set.Directory.Kind == "file" {
 		cfg.Source = discovery.NewFile(set.Directory.Where)
 	} else {
@@ -161,9 +161,9 @@
 }
 
 // FrontSettings are the settings of the process's front end i, which began at a wall time and draws from seed.
-func FrontSettings(set *gatewayconfig.Settings, i int, began time.Time, seed uint64) Settings {
-	out := Settings{Name: fmt.Sprintf("%s-%d", set.Name, set.First+i), Margin: set.AnswerMargin, MaxCalls: set.MaxCalls,
-		Began: began, Zones: append([]string{set.Zone}, set.Zones...), Control: moduleSettings(set, i, seed)}
+func FrontEndSettings(set *gatewayconfig.Settings, i int, began time.Time, seed uint64) Settings {
+	out := Settings{Name: fmt.Sprintf("%s-%d", set.Name, set.First+i), DeadlineMargin: set.AnswerMargin, MaxInFlight: set.MaxCalls,
+		ClockStart: began, Zones: append([]string{set.Zone}, set.Zones...), Scheduler: moduleSettings(set, i, seed)}
 	for _, c := range set.Classes {
 		out.Classes = append(out.Classes, c.Name)
 	}
@@ -172,7 +172,7 @@
 	}
 	out.Tenancy = tenancySettings(set)
 	if other, every := set.Watched(); other != nil {
-		out.Watch = &shadow.Settings{Control: moduleSettings(other, i, seed), Every: every}
+		out.Shadow = &shadow.Settings{Scheduler: moduleSettings(other, i, seed), SampleInterval: every}
 	}
 	return out
 }
@@ -189,13 +189,13 @@
 
 // moduleSettings are the module's own for the process's front end i.
 func moduleSettings(set *gatewayconfig.Settings, i int, seed uint64) scheduler.Settings {
-	out := scheduler.Settings{Seed: seed, Self: set.First + i, FrontEnds: set.FrontEnds,
-		MissAnswered: set.MissAnswered, MayOrder: set.Orders, TellsWarm: set.TellsWarm, TellsCrowd: set.TellsCrowd,
-		KeepAlive: set.KeepAlive, OrderTimeout: set.OrderTimeout, LoadWindow: set.LoadWindow, LoadFree: set.LoadFree,
-		LoadShare: set.LoadShare, MayProbe: set.Probes, MayCancel: set.Cancel, MaxAttempts: set.MaxAttempts,
+	out := scheduler.Settings{Seed: seed, FrontEndIndex: set.First + i, FrontEndCount: set.FrontEnds,
+		AnswersNotLoaded: set.MissAnswered, LoadOrdersAllowed: set.Orders, ReportsColdStart: set.TellsWarm, ReportsQueueDepth: set.TellsCrowd,
+		ReplicaIdleTimeout: set.KeepAlive, LoadOrderTimeout: set.OrderTimeout, LoadRateWindow: set.LoadWindow, LoadRateBurst: set.LoadFree,
+		LoadRatePerRequest: set.LoadShare, HealthChecksAllowed: set.Probes, CancelAllowed: set.Cancel, MaxAttempts: set.MaxAttempts,
 		MaxRetryAfter: set.Advice(), ConnectTimeout: set.ConnectTimeout, DrainGrace: set.DrainGrace,
-		ColdFrom: set.ColdFrom, ColdTime: set.ColdTime, TipMultiple: set.TipMultiple, TipWindow: set.TipWindow,
-		Resolution: time.Millisecond, Reports: reportNames, Sized: set.Sized}
+		SlowStartFraction: set.ColdFrom, SlowStartDuration: set.ColdTime, OverloadFactor: set.TipMultiple, OverloadWindow: set.TipWindow,
+		Resolution: time.Millisecond, LoadReportFields: reportNames, ScaleIsCapacity: set.Sized}
 	for _, c := range set.Classes {
 		out.Classes = append(out.Classes, c.Control())
 	}
@@ -206,18 +206,18 @@
 }
 
 // CatalogOf is what settings tell of classes, tenants and functions.
-func CatalogOf(set *gatewayconfig.Settings) *Catalog {
-	k := &Catalog{Functions: map[string]CatalogFunction{}, Listed: set.FunctionsOnly}
+func NewCatalog(set *gatewayconfig.Settings) *Catalog {
+	k := &Catalog{Functions: map[string]CatalogFunction{}, ListedOnly: set.FunctionsOnly}
 	for _, c := range set.Classes {
-		k.Classes = append(k.Classes, CatalogClass{Name: c.Name, Patience: c.GiveUp, Copy: muxframe.Copy{
-			MemoryMB: float64(c.Size), Lanes: c.Lanes, LoadMillis: millis(c.Load)}})
+		k.Classes = append(k.Classes, CatalogClass{Name: c.Name, MaxTimeout: c.GiveUp, Replica: muxframe.ReplicaSpec{
+			MemoryMB: float64(c.Size), Concurrency: c.Lanes, LoadMillis: millis(c.Load)}})
 	}
 	for _, t := range set.Tenants {
 		k.Tenants = append(k.Tenants, t.Name)
 	}
 	for _, f := range set.Functions {
-		k.Functions[f.Name] = CatalogFunction{Class: max(0, set.Class(f.Class)), Copy: muxframe.Copy{
-			MemoryMB: float64(f.Size), Lanes: f.Lanes, LoadMillis: millis(f.Load)}}
+		k.Functions[f.Name] = CatalogFunction{Class: max(0, set.Class(f.Class)), Replica: muxframe.ReplicaSpec{
+			MemoryMB: float64(f.Size), Concurrency: f.Lanes, LoadMillis: millis(f.Load)}}
 	}
 	return k
 }
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -15,15 +15,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := FrontSettings(set, 0, time.Time{}, 3)
-	want := scheduler.Settings{Seed: 3, FrontEnds: 1, MayOrder: true, TellsWarm: true, TellsCrowd: true, KeepAlive: 10 * time.Second,
-		OrderTimeout: 10 * time.Second, LoadFree: 4, LoadShare: 0.1, MayProbe: true, MayCancel: true, MaxAttempts: 5,
-		MaxRetryAfter: time.Second, ConnectTimeout: 250 * ms, DrainGrace: 500 * ms, ColdFrom: 0.2, ColdTime: 15 * time.Second,
-		TipMultiple: 3, TipWindow: 2 * time.Second, Resolution: ms, Reports: reportNames,
-		Classes: []scheduler.Class{{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.3, Repeat: scheduler.Unsafe,
-			Scope: scheduler.ScopeCell, Memory: 5 * time.Second}}}
-	if !reflect.DeepEqual(got.Control, want) || got.Watch != nil {
-		t.Errorf("the module is told\n%+v\nwant\n%+v", got.Control, want)
+	got := FrontEndSettings(set, 0, time.Time{}, 3)
+	want := scheduler.Settings{Seed: 3, FrontEndCount: 1, LoadOrdersAllowed: true, ReportsColdStart: true, ReportsQueueDepth: true, ReplicaIdleTimeout: 10 * time.Second,
+		LoadOrderTimeout: 10 * time.Second, LoadRateBurst: 4, LoadRatePerRequest: 0.1, HealthChecksAllowed: true, CancelAllowed: true, MaxAttempts: 5,
+		MaxRetryAfter: time.Second, ConnectTimeout: 250 * ms, DrainGrace: 500 * ms, SlowStartFraction: 0.2, SlowStartDuration: 15 * time.Second,
+		OverloadFactor: 3, OverloadWindow: 2 * time.Second, Resolution: ms, LoadReportFields: reportNames,
+		Classes: []scheduler.Class{{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.3, Idempotency: scheduler.NonIdempotent,
+			KeyScope: scheduler.ScopeCell, KeyRetention: 5 * time.Second}}}
+	if !reflect.DeepEqual(got.Scheduler, want) || got.Shadow != nil {
+		t.Errorf("the module is told\n%+v\nwant\n%+v", got.Scheduler, want)
 	}
 }
 
@@ -32,10 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := FrontSettings(set, 0, time.Time{}, 3)
-	if got.Control.MayProbe || !got.Control.Sized || got.Control.MaxRetryAfter != 0 || got.Watch == nil || got.Watch.Control.Sized ||
-		!got.Watch.Control.MayProbe ||
-		got.Watch.Control.MaxRetryAfter != 0 || got.Watch.Every != 1 {
-		t.Errorf("told %+v, watched %+v", got.Control, got.Watch)
+	got := FrontEndSettings(set, 0, time.Time{}, 3)
+	if got.Scheduler.HealthChecksAllowed || !got.Scheduler.ScaleIsCapacity || got.Scheduler.MaxRetryAfter != 0 || got.Shadow == nil || got.Shadow.Scheduler.ScaleIsCapacity ||
+		!got.Shadow.Scheduler.HealthChecksAllowed ||
+		got.Shadow.Scheduler.MaxRetryAfter != 0 || got.Shadow.SampleInterval != 1 {
+		t.Errorf("told %+v, watched %+v", got.Scheduler, got.Shadow)
 	}
 }
--- a/internal/gateway/tenancy_test.go
+++ b/internal/gateway/tenancy_test.go
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		want := tenancy.Settings{Shares: []float64{0.7, 0.3}, Quotas: []float64{25, 0}, By: by}
-		if got := FrontSettings(set, 0, time.Time{}, 3).Tenancy; !reflect.DeepEqual(got, want) {
+		if got := FrontEndSettings(set, 0, time.Time{}, 3).Tenancy; !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %+v, want %+v", add, got, want)
 		}
 	}
@@ -33,14 +33,14 @@
 	b.call(safe)
 	second := b.call(safe)
 	select {
-	case f := <-second.Answer():
-		if f.Kind != Refused || f.RetryAfter != 500*ms || f.Why != tenancy.OverQuota.String() {
+	case f := <-second.Response():
+		if f.Kind != Rejected || f.RetryAfter != 500*ms || f.Reason != tenancy.OverQuota.String() {
 			t.Errorf("%+v", f)
 		}
 	default:
 		t.Error("the second call in a second is held")
 	}
-	if c := b.Counts(); c.Taken != 1 || c.TurnedAway != 1 {
+	if c := b.Counts(); c.Admitted != 1 || c.Shed != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -52,7 +52,7 @@
 		l, a := b.out(b.call(safe))
 		l.drop(a)
 		b.at += 400 * ms
-		b.Ended(b.at, a, muxclient.Result{Status: scheduler.OK, Warmth: scheduler.FoundWarm, Crowd: -1, Ran: ran, Answer: &muxclient.Answer{}})
+		b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, RunTime: ran, Response: &muxclient.Response{}})
 		if got := b.functions[FunctionID("f")].cost.Expect(); got != cmp.Or(ran, 400*ms) {
 			t.Errorf("a run of %v within 400 ms counts as %v", ran, got)
 		}
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -13,7 +13,7 @@
 	place   int // in the heap, from 1; 0: not set
 	attempt *attempt
 	order   *order
-	call    *Call
+	call    *Request
 	token   uint64
 	wake    bool
 	sweep   bool
--- a/internal/native/httpserver/answer.go
+++ b/internal/native/httpserver/answer.go
@@ -11,11 +11,11 @@
 )
 
 // status is the answer's status code.
-func (a Answer) status() int {
+func (a Response) status() int {
 	switch {
 	case a.Outcome == Served:
 		return http.StatusOK
-	case a.Outcome == Refused:
+	case a.Outcome == Rejected:
 		return http.StatusServiceUnavailable
 	case a.Outcome == Failed && a.TimedOut:
 		return http.StatusGatewayTimeout
@@ -36,14 +36,14 @@
 	Attempts     int     `json:"attempts"`
 }
 
-func writeProblem(out *bufio.Writer, status int, a Answer, last bool) error {
-	body, err := json.Marshal(Details{Type: "about:blank", Title: http.StatusText(status), Status: status, Detail: a.Why,
+func writeProblem(out *bufio.Writer, status int, a Response, last bool) error {
+	body, err := json.Marshal(Details{Type: "about:blank", Title: http.StatusText(status), Status: status, Detail: a.Reason,
 		Outcome: a.Outcome, RetryAfterMs: a.RetryAfter.Milliseconds(), Attempts: a.Attempts})
 	if err != nil {
 		return fmt.Errorf("encode problem: %w", err)
 	}
 	startHead(out, status, a, last)
-	if a.Outcome == Refused && a.RetryAfter > 0 {
+	if a.Outcome == Rejected && a.RetryAfter > 0 {
 		seconds := (a.RetryAfter + time.Second - 1) / time.Second
 		fmt.Fprintf(out, "Retry-After: %d\r\nRetry-After-Ms: %d\r\n", seconds, a.RetryAfter.Milliseconds())
 	}
@@ -53,7 +53,7 @@
 }
 
 // startHead writes the status line and the fields that all answers have. Errors stick to out.
-func startHead(out *bufio.Writer, status int, a Answer, last bool) {
+func startHead(out *bufio.Writer, status int, a Response, last bool) {
 	head := out.AvailableBuffer()
 	head = append(head, "HTTP/1.1 "...)
 	head = strconv.AppendInt(head, int64(status), 10)
@@ -76,11 +76,11 @@
 	return append(append(append(head, name...), plain(value)...), "\r\n"...)
 }
 
-func writeHead(out *bufio.Writer, a Answer, last, chunked bool) error {
+func writeHead(out *bufio.Writer, a Response, last, chunked bool) error {
 	startHead(out, http.StatusOK, a, last)
 	head := appendField(out.AvailableBuffer(), "Call-Worker: ", a.Worker)
-	if a.Type != "" {
-		head = appendField(head, "Content-Type: ", a.Type)
+	if a.ContentType != "" {
+		head = appendField(head, "Content-Type: ", a.ContentType)
 	}
 	switch {
 	case chunked:
--- a/internal/native/httpserver/conn.go
+++ b/internal/native/httpserver/conn.go
@@ -35,7 +35,7 @@
 // exchange is one call and its answer on a connection.
 type exchange struct {
 	pending Pending // nil where the answer is known
-	answer  Answer
+	answer  Response
 	status  int // where the answer is known
 	close   bool
 	http10  bool
@@ -67,7 +67,7 @@
 	defer c.net.Close()
 	_ = c.net.SetWriteDeadline(deadline(c.s.cfg.Write))
 	out := bufio.NewWriter(c.net)
-	if writeProblem(out, http.StatusServiceUnavailable, Answer{Outcome: Refused, Why: "too many connections"}, true) == nil {
+	if writeProblem(out, http.StatusServiceUnavailable, Response{Outcome: Rejected, Reason: "too many connections"}, true) == nil {
 		_ = out.Flush()
 	}
 }
@@ -178,14 +178,14 @@
 	var p *problem
 	switch {
 	case errors.As(err, &p):
-		x.status, x.answer = p.status, Answer{Outcome: Invalid, Why: p.why}
+		x.status, x.answer = p.status, Response{Outcome: Invalid, Reason: p.why}
 	case isTimeout(err):
-		x.status, x.answer = http.StatusRequestTimeout, Answer{Outcome: Invalid, Why: "too slow"}
+		x.status, x.answer = http.StatusRequestTimeout, Response{Outcome: Invalid, Reason: "too slow"}
 	case err != nil:
 		return true, err
 	default:
 		if x.pending, err = c.handler.Take(call); err != nil {
-			x.status, x.answer = http.StatusBadRequest, Answer{Outcome: Invalid, Why: err.Error()}
+			x.status, x.answer = http.StatusBadRequest, Response{Outcome: Invalid, Reason: err.Error()}
 		}
 	}
 	c.push(x)
@@ -197,12 +197,12 @@
 	if c.limit.err != nil {
 		err = c.limit.err
 	}
-	x := &exchange{status: http.StatusBadRequest, close: true, answer: Answer{Outcome: Invalid, Why: "no HTTP request"}}
+	x := &exchange{status: http.StatusBadRequest, close: true, answer: Response{Outcome: Invalid, Reason: "no HTTP request"}}
 	switch {
 	case errors.Is(err, errHeaderTooLong):
-		x.status, x.answer.Why = http.StatusRequestHeaderFieldsTooLarge, "header too long"
+		x.status, x.answer.Reason = http.StatusRequestHeaderFieldsTooLarge, "header too long"
 	case isTimeout(err):
-		x.status, x.answer.Why = http.StatusRequestTimeout, "too slow"
+		x.status, x.answer.Reason = http.StatusRequestTimeout, "too slow"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed):
 		return err
 	}
--- a/internal/native/httpserver/parse.go
+++ b/internal/native/httpserver/parse.go
@@ -30,7 +30,7 @@
 }
 
 // parse reads a call out of a request, without its body.
-func parse(r *http.Request, began time.Time) (*Call, error) {
+func parse(r *http.Request, began time.Time) (*Request, error) {
 	name, isCall := strings.CutPrefix(r.URL.EscapedPath(), "/call/")
 	if !isCall {
 		return nil, &problem{http.StatusNotFound, "calls go to /call/FUNCTION"}
@@ -42,18 +42,18 @@
 	if err != nil || function == "" || len(function) > nameBytes || strings.ContainsAny(function, "/\x00") {
 		return nil, bad("%q names no function: 1 to %d bytes without a slash", name, nameBytes)
 	}
-	c := &Call{Function: function, Began: began}
+	c := &Request{Function: function, ReceivedAt: began}
 	if err := c.headers(r.Header); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Call) headers(h http.Header) error {
+func (c *Request) headers(h http.Header) error {
 	for _, field := range []struct {
 		name string
 		into *string
-	}{{"Call-Class", &c.Class}, {"Call-Tenant", &c.Tenant}, {"Call-Id", &c.ID}, {"Idempotency-Key", &c.Key}} {
+	}{{"Call-Class", &c.Class}, {"Call-Tenant", &c.Tenant}, {"Call-Id", &c.ID}, {"Idempotency-Key", &c.IdempotencyKey}} {
 		text, err := one(h, field.name)
 		if err != nil {
 			return err
@@ -63,11 +63,11 @@
 		}
 		*field.into = text
 	}
-	c.Key = unquote(c.Key)
+	c.IdempotencyKey = unquote(c.IdempotencyKey)
 	for _, field := range []struct {
 		name string
 		into *time.Duration
-	}{{"Call-Patience", &c.Patience}, {"Call-Cost", &c.Cost}, {"Call-Load", &c.Load}} {
+	}{{"Call-Patience", &c.Timeout}, {"Call-Cost", &c.WorkEstimate}, {"Call-Load", &c.LoadTime}} {
 		text, err := one(h, field.name)
 		if err != nil {
 			return err
@@ -80,7 +80,7 @@
 }
 
 // size reads what a loaded copy takes.
-func (c *Call) size(h http.Header) error {
+func (c *Request) size(h http.Header) error {
 	if text, err := one(h, "Call-Memory"); err != nil {
 		return err
 	} else if text != "" {
@@ -97,7 +97,7 @@
 		if err != nil || n < 1 || n > 1000 {
 			return bad("Call-Lanes: found %q, allowed are 1 to 1000", text)
 		}
-		c.Lanes = n
+		c.Concurrency = n
 	}
 	return nil
 }
@@ -181,7 +181,7 @@
 }
 
 // ParseRequest reads one call with its body from in, as a connection does: for tests of outside bytes.
-func ParseRequest(in io.Reader, maxHeader, maxBody int) (*Call, error) {
+func ParseRequest(in io.Reader, maxHeader, maxBody int) (*Request, error) {
 	r, err := http.ReadRequest(bufio.NewReader(&limited{in: in, left: maxHeader}))
 	if err != nil {
 		return nil, err
--- a/internal/native/httpserver/server_test.go
+++ b/internal/native/httpserver/server_test.go
@@ -29,27 +29,27 @@
 }
 
 type held struct {
-	call   *Call
-	answer chan Answer
+	call   *Request
+	answer chan Response
 	left   chan struct{}
 	once   sync.Once
 }
 
-func (s *stub) Take(c *Call) (Pending, error) {
+func (s *stub) Take(c *Request) (Pending, error) {
 	if c.Class == "none" {
 		return nil, errors.New("no class \"none\"")
 	}
-	h := &held{call: c, answer: make(chan Answer, 1), left: make(chan struct{})}
+	h := &held{call: c, answer: make(chan Response, 1), left: make(chan struct{})}
 	s.taken <- h
 	return h, nil
 }
 
-func (h *held) Wait(gone <-chan struct{}) (Answer, bool) {
+func (h *held) Wait(gone <-chan struct{}) (Response, bool) {
 	select {
 	case a := <-h.answer:
 		return a, true
 	case <-gone:
-		return Answer{}, false
+		return Response{}, false
 	}
 }
 
@@ -162,16 +162,16 @@
 		"Idempotency-Key: \"a \\\"b\"\r\nCall-Id: x\r\nCall-Memory: 300\r\nCall-Lanes: 2\r\nCall-Load: 1s\r\n", "hello"))
 	h := await(t, "the call", r.stub.taken)
 	got := *h.call
-	if got.Began.IsZero() {
+	if got.ReceivedAt.IsZero() {
 		t.Error("no time of arrival")
 	}
-	got.Began = time.Time{}
-	want := Call{Function: "fare quote", Class: "fare", Tenant: "t", Key: `a "b`, ID: "x", Patience: 1500 * time.Millisecond,
-		Cost: 20 * time.Millisecond, MemoryMB: 300, Lanes: 2, Load: time.Second, Body: []byte("hello")}
+	got.ReceivedAt = time.Time{}
+	want := Request{Function: "fare quote", Class: "fare", Tenant: "t", IdempotencyKey: `a "b`, ID: "x", Timeout: 1500 * time.Millisecond,
+		WorkEstimate: 20 * time.Millisecond, MemoryMB: 300, Concurrency: 2, LoadTime: time.Second, Body: []byte("hello")}
 	if fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
 		t.Errorf("%+v", got)
 	}
-	h.answer <- Answer{Outcome: Served, Type: "text/x", Body: []byte("out"), Worker: "w\r\nX: y", Attempts: 1}
+	h.answer <- Response{Outcome: Served, ContentType: "text/x", Body: []byte("out"), Worker: "w\r\nX: y", Attempts: 1}
 	resp, body := c.read()
 	if resp.StatusCode != 200 || body != "out" || resp.Header.Get("Call-Outcome") != "served" || resp.Header.Get("X") != "" {
 		t.Errorf("%v %q", resp, body)
@@ -181,14 +181,14 @@
 func TestOutcomesCanBeToldApart(t *testing.T) {
 	r := start(t, nil)
 	for _, x := range []struct {
-		answer  Answer
+		answer  Response
 		status  int
 		seconds string
 		ms      string
 	}{
-		{Answer{Outcome: Refused, Why: "full", RetryAfter: 1200 * time.Millisecond, Attempts: 2}, 503, "2", "1200"},
-		{Answer{Outcome: Failed, Why: "reset", Attempts: 1}, 502, "", ""},
-		{Answer{Outcome: Failed, TimedOut: true, Attempts: 1}, 504, "", ""},
+		{Response{Outcome: Rejected, Reason: "full", RetryAfter: 1200 * time.Millisecond, Attempts: 2}, 503, "2", "1200"},
+		{Response{Outcome: Failed, Reason: "reset", Attempts: 1}, 502, "", ""},
+		{Response{Outcome: Failed, TimedOut: true, Attempts: 1}, 504, "", ""},
 	} {
 		c := r.dial()
 		c.say(post("f", "", ""))
@@ -199,7 +199,7 @@
 			t.Fatal(err)
 		}
 		if resp.StatusCode != x.status || resp.Header.Get("Call-Outcome") != string(x.answer.Outcome) ||
-			d.Outcome != x.answer.Outcome || d.Status != x.status || d.Detail != x.answer.Why ||
+			d.Outcome != x.answer.Outcome || d.Status != x.status || d.Detail != x.answer.Reason ||
 			resp.Header.Get("Retry-After") != x.seconds || resp.Header.Get("Retry-After-Ms") != x.ms {
 			t.Errorf("%+v: %v %s", x.answer, resp, body)
 		}
@@ -215,7 +215,7 @@
 		calls = append(calls, await(t, "a call", r.stub.taken))
 	}
 	for i := 2; i >= 0; i-- {
-		calls[i].answer <- Answer{Outcome: Served, Body: []byte(calls[i].call.Function)}
+		calls[i].answer <- Response{Outcome: Served, Body: []byte(calls[i].call.Function)}
 	}
 	for _, want := range []string{"a", "b", "c"} {
 		if _, body := c.read(); body != want {
@@ -234,7 +234,7 @@
 		if len(r.stub.taken) > 0 {
 			t.Fatal("more calls in hand than allowed")
 		}
-		hand[0].answer <- Answer{Outcome: Served}
+		hand[0].answer <- Response{Outcome: Served}
 		hand = hand[1:]
 		c.read()
 		if taken < 5 {
@@ -253,7 +253,7 @@
 		calls = append(calls, await(t, "a call", r.stub.taken))
 	}
 	for i := range 3 {
-		calls[i].answer <- Answer{Outcome: Served}
+		calls[i].answer <- Response{Outcome: Served}
 		c.read()
 	}
 	c.Close()
@@ -280,7 +280,7 @@
 			await(t, "the client to be missed", h.left)
 			continue
 		}
-		h.answer <- Answer{Outcome: Served, Body: []byte("x")}
+		h.answer <- Response{Outcome: Served, Body: []byte("x")}
 		if _, body := c.read(); body != "x" {
 			t.Errorf("answer %q", body)
 		}
@@ -294,7 +294,7 @@
 	c.say(post("a", "", ""))
 	first := await(t, "the call", r.stub.taken)
 	c.say("POST /call/b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-	first.answer <- Answer{Outcome: Served, Body: []byte("one")}
+	first.answer <- Response{Outcome: Served, Body: []byte("one")}
 	if _, body := c.read(); body != "one" {
 		t.Fatalf("%q", body)
 	}
@@ -305,7 +305,7 @@
 	if h := await(t, "the call", r.stub.taken); string(h.call.Body) != "hi" {
 		t.Errorf("body %q", h.call.Body)
 	} else {
-		h.answer <- Answer{Outcome: Served}
+		h.answer <- Response{Outcome: Served}
 	}
 }
 
@@ -316,7 +316,7 @@
 	if h := await(t, "the call", r.stub.taken); string(h.call.Body) != "abcde" {
 		t.Errorf("body %q", h.call.Body)
 	} else {
-		h.answer <- Answer{Outcome: Served}
+		h.answer <- Response{Outcome: Served}
 	}
 	c.read()
 }
@@ -358,7 +358,7 @@
 				return
 			}
 			c.say(post("f", "", ""))
-			await(t, "the next call", r.stub.taken).answer <- Answer{Outcome: Served}
+			await(t, "the next call", r.stub.taken).answer <- Response{Outcome: Served}
 			c.read()
 		})
 	}
@@ -397,7 +397,7 @@
 		c.say(post("f", "", ""))
 		h := await(t, "the call", r.stub.taken)
 		time.Sleep(3 * short) // the idle time must pass; later is as good
-		h.answer <- Answer{Outcome: Served, Body: []byte("x")}
+		h.answer <- Response{Outcome: Served, Body: []byte("x")}
 		if _, body := c.read(); body != "x" {
 			t.Error(body)
 		}
@@ -424,7 +424,7 @@
 	c := r.dial()
 	c.say(post("f", "", ""))
 	p := make(parts, 10)
-	await(t, "the call", r.stub.taken).answer <- Answer{Outcome: Served, Stream: p, Length: -1}
+	await(t, "the call", r.stub.taken).answer <- Response{Outcome: Served, Stream: p, Length: -1}
 	p <- []byte("first")
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil || resp.TransferEncoding[0] != "chunked" {
@@ -449,7 +449,7 @@
 		c.say(post("f", "", ""))
 		h := await(t, "the call", r.stub.taken)
 		p := make(parts, 10)
-		h.answer <- Answer{Outcome: Served, Stream: p, Length: length}
+		h.answer <- Response{Outcome: Served, Stream: p, Length: length}
 		p <- []byte("first")
 		close(p)
 		resp, err := http.ReadResponse(c.in, nil)
@@ -472,7 +472,7 @@
 	if resp.StatusCode != 503 || resp.Header.Get("Call-Outcome") != "refused" {
 		t.Error(resp)
 	}
-	h.answer <- Answer{Outcome: Served}
+	h.answer <- Response{Outcome: Served}
 	first.read()
 }
 
@@ -486,8 +486,8 @@
 	defer cancel()
 	go func() { defer close(done); r.server.Shutdown(ctx) }()
 	idle.closed()
-	a.answer <- Answer{Outcome: Served, Body: []byte("a")}
-	b.answer <- Answer{Outcome: Served, Body: []byte("b")}
+	a.answer <- Response{Outcome: Served, Body: []byte("a")}
+	b.answer <- Response{Outcome: Served, Body: []byte("b")}
 	if resp, body := busy.read(); body != "a" || resp.Close {
 		t.Error(resp, body)
 	}
@@ -507,7 +507,7 @@
 		if err != nil {
 			return
 		}
-		if c.Function == "" || len(c.Body) > 100 || c.Patience < 0 || c.Lanes < 0 || !(c.MemoryMB >= 0) {
+		if c.Function == "" || len(c.Body) > 100 || c.Timeout < 0 || c.Concurrency < 0 || !(c.MemoryMB >= 0) {
 			t.Fatalf("accepted %+v", c)
 		}
 	})
--- a/internal/native/httpserver/types.go
+++ b/internal/native/httpserver/types.go
@@ -9,19 +9,19 @@
 )
 
 // Call is one call as a client made it.
-type Call struct {
-	Function string
-	Class    string // empty: the function's own
-	Tenant   string
-	Key      string        // Idempotency-Key
-	ID       string        // the client's name for the call, for records
-	Patience time.Duration // 0: the class's
-	Cost     time.Duration // rough work, 0 if not told
-	MemoryMB float64       // of one loaded copy, 0 if not told
-	Lanes    int           // 0 if not told
-	Load     time.Duration // usual time of a load, 0 if not told
-	Body     []byte
-	Began    time.Time // when its first byte was seen
+type Request struct {
+	Function       string
+	Class          string // empty: the function's own
+	Tenant         string
+	IdempotencyKey string        // Idempotency-Key
+	ID             string        // the client's name for the call, for records
+	Timeout        time.Duration // 0: the class's
+	WorkEstimate   time.Duration // rough work, 0 if not told
+	MemoryMB       float64       // of one loaded copy, 0 if not told
+	Concurrency    int           // 0 if not told
+	LoadTime       time.Duration // usual time of a load, 0 if not told
+	Body           []byte
+	ReceivedAt     time.Time // when its first byte was seen
 }
 
 // Outcome is the kind of a final answer.
@@ -29,25 +29,25 @@
 
 // The outcomes, as the header Call-Outcome tells them.
 const (
-	Served  Outcome = "served"
-	Refused Outcome = "refused" // a repeat does no harm
-	Failed  Outcome = "failed"  // no promise
-	Invalid Outcome = "invalid" // the call was none: it never ran, and a repeat is as useless
+	Served   Outcome = "served"
+	Rejected Outcome = "refused" // a repeat does no harm
+	Failed   Outcome = "failed"  // no promise
+	Invalid  Outcome = "invalid" // the call was none: it never ran, and a repeat is as useless
 )
 
 // Answer is the final answer of a call.
-type Answer struct {
-	Outcome    Outcome
-	Why        string
-	RetryAfter time.Duration // with Refused; 0 is no advice
-	TimedOut   bool          // with Failed
-	Type       string        // content type, with Served
-	Body       []byte
-	Stream     Stream // in place of Body
-	Length     int64  // of Stream, -1 if not known
-	Worker     string
-	Attempts   int
-	ID         string // the call's, empty where there was none
+type Response struct {
+	Outcome     Outcome
+	Reason      string
+	RetryAfter  time.Duration // with Refused; 0 is no advice
+	TimedOut    bool          // with Failed
+	ContentType string        // content type, with Served
+	Body        []byte
+	Stream      Stream // in place of Body
+	Length      int64  // of Stream, -1 if not known
+	Worker      string
+	Attempts    int
+	ID          string // the call's, empty where there was none
 }
 
 // Stream is an answer that comes in parts: nil and no error at its end.
@@ -58,14 +58,14 @@
 // Pending is a call that was taken.
 type Pending interface {
 	// Wait returns the final answer, or false if gone is closed before it.
-	Wait(gone <-chan struct{}) (Answer, bool)
+	Wait(gone <-chan struct{}) (Response, bool)
 	// Leave tells that the client is gone, or that its answer could not be sent to the end.
 	Leave()
 }
 
 // Handler takes calls. Where a call is none, for a class that does not exist say, it says why.
 type Handler interface {
-	Take(c *Call) (Pending, error)
+	Take(c *Request) (Pending, error)
 }
 
 // Config bounds what clients may do. All times and sizes are above 0.
--- a/internal/native/muxclient/io.go
+++ b/internal/native/muxclient/io.go
@@ -20,11 +20,11 @@
 func newBuffered(conn net.Conn) io.Reader { return bufio.NewReaderSize(conn, 32<<10) }
 
 // write writes what is queued until the connection breaks or gone is closed, and keeps its pulse.
-func (l *Link) write(conn net.Conn, gone <-chan struct{}) error {
-	var b Batch
+func (l *Client) write(conn net.Conn, gone <-chan struct{}) error {
+	var b WriteBatch
 	for {
 		l.claim(&b)
-		Tell(l.events, b.Faulty, scheduler.Moot, scheduler.Error, "its frame cannot be encoded")
+		NotifyEnded(l.events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
 		if len(b.Bytes) > 0 {
 			n, err := conn.Write(b.Bytes)
 			l.written(&b, n, err)
@@ -55,7 +55,7 @@
 var errHalfOpen = errors.New("no sign of life")
 
 // check asks the pulse of the connection and queues the ping that it wants.
-func (l *Link) check() (reconnect.Verdict, time.Duration) {
+func (l *Client) check() (reconnect.Verdict, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	verdict, next := l.pulse.Check(l.cfg.Now())
@@ -66,47 +66,47 @@
 }
 
 // claim encodes the next batch.
-func (l *Link) claim(b *Batch) {
+func (l *Client) claim(b *WriteBatch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.box.Claim(b, l.encode)
 	if len(b.Bytes) > 0 && l.conn != nil {
-		l.setWriteDeadline(reconnect.WriteLimit())
+		l.setWriteDeadline(reconnect.WriteTimeout())
 	}
 }
 
 // encode appends the frame of i.
-func (l *Link) encode(buf []byte, i Item) ([]byte, error) {
+func (l *Client) encode(buf []byte, i QueueItem) ([]byte, error) {
 	switch {
 	case i.Attempt != nil:
-		call := i.Attempt.Call
-		call.Patience = max(0, (i.Attempt.Deadline - l.cfg.Now()).Milliseconds())
+		call := i.Attempt.Request
+		call.TimeoutMillis = max(0, (i.Attempt.Deadline - l.cfg.Now()).Milliseconds())
 		call.Window = uint32(l.cfg.Window)
-		return muxframe.Append(buf, muxframe.TypeCall, uint32(i.Attempt.number), call, i.Attempt.Body)
-	case i.Order != nil:
-		return muxframe.Append(buf, muxframe.TypeLoad, uint32(i.Order.number), i.Order.Load, nil)
+		return muxframe.Append(buf, muxframe.TypeRequest, uint32(i.Attempt.number), call, i.Attempt.Body)
+	case i.Load != nil:
+		return muxframe.Append(buf, muxframe.TypeLoadOrder, uint32(i.Load.number), i.Load.Load, nil)
 	}
 	f := i.Frame.(frame)
 	return muxframe.Append(buf, f.kind, f.number, f.header, nil)
 }
 
 // written takes the result of a write.
-func (l *Link) written(b *Batch, n int, err error) {
+func (l *Client) written(b *WriteBatch, n int, err error) {
 	l.mu.Lock()
 	never := l.box.Written(b, n)
 	l.mu.Unlock()
 	if len(never) > 0 {
-		Tell(l.events, never, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
+		NotifyEnded(l.events, never, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
 	}
 }
 
 // read handles frames until the connection breaks.
-func (l *Link) read(conn net.Conn, reader *muxframe.Reader) error {
+func (l *Client) read(conn net.Conn, reader *muxframe.Reader) error {
 	for {
 		f, err := reader.Next()
 		if err == nil {
 			l.mu.Lock()
-			l.pulse.Heard(l.cfg.Now())
+			l.pulse.Received(l.cfg.Now())
 			l.mu.Unlock()
 			err = l.handle(f)
 		}
@@ -116,17 +116,17 @@
 	}
 }
 
-func (l *Link) handle(f muxframe.Frame) error {
+func (l *Client) handle(f muxframe.Frame) error {
 	switch f.Type {
-	case muxframe.TypeAnswer:
+	case muxframe.TypeResponse:
 		return l.answer(f)
 	case muxframe.TypeData:
 		return l.data(f)
 	case muxframe.TypeEnd:
 		return l.finish(f)
-	case muxframe.TypeLoaded:
+	case muxframe.TypeLoadResult:
 		return l.loaded(f)
-	case muxframe.TypeProbed:
+	case muxframe.TypeHealthReport:
 		return l.probed(f)
 	case muxframe.TypePing:
 		l.mu.Lock()
@@ -141,17 +141,17 @@
 
 var statuses = map[muxframe.Status]scheduler.Status{
 	muxframe.StatusOK: scheduler.OK, muxframe.StatusError: scheduler.Error,
-	muxframe.StatusFull: scheduler.Full, muxframe.StatusMiss: scheduler.Miss,
+	muxframe.StatusOverloaded: scheduler.Overloaded, muxframe.StatusNotLoaded: scheduler.NotLoaded,
 }
 
-var warmths = map[muxframe.Warmth]scheduler.Warmth{
-	muxframe.FoundWarm: scheduler.FoundWarm, muxframe.BeganLoad: scheduler.BeganLoad,
-	muxframe.WaitedForLoad: scheduler.WaitedForLoad, muxframe.LoadFailed: scheduler.LoadFailed,
+var warmths = map[muxframe.ColdStart]scheduler.ColdStart{
+	muxframe.WarmStart: scheduler.WarmStart, muxframe.ColdStartTriggered: scheduler.ColdStartTriggered,
+	muxframe.ColdStartAwaited: scheduler.ColdStartAwaited, muxframe.ColdStartFailed: scheduler.ColdStartFailed,
 }
 
 // answer takes the end of an attempt, or the beginning of a long answer.
-func (l *Link) answer(f muxframe.Frame) error {
-	var in muxframe.Answer
+func (l *Client) answer(f muxframe.Frame) error {
+	var in muxframe.Response
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
@@ -159,54 +159,54 @@
 	if !known || in.More && status != scheduler.OK {
 		return fmt.Errorf("%w: answer with status %d, more %t", muxframe.ErrMalformed, in.Status, in.More)
 	}
-	r := Result{Status: status, Why: in.Problem, Warmth: warmths[in.Warmth], Crowd: -1, Report: in.Report}
-	if in.Ran > 0 && in.Ran < float64(math.MaxInt64/time.Millisecond) {
-		r.Ran = time.Duration(in.Ran * float64(time.Millisecond))
+	r := Result{Status: status, Reason: in.Problem, ColdStart: warmths[in.ColdStart], QueueDepth: -1, LoadReport: in.LoadReport}
+	if in.RunMillis > 0 && in.RunMillis < float64(math.MaxInt64/time.Millisecond) {
+		r.RunTime = time.Duration(in.RunMillis * float64(time.Millisecond))
 	}
-	if in.Crowd != nil {
-		r.Crowd = max(0, *in.Crowd)
+	if in.QueueDepth != nil {
+		r.QueueDepth = max(0, *in.QueueDepth)
 	}
 	l.mu.Lock()
-	a := l.box.Attempt(uint64(f.Call))
-	issued := f.Call != 0 && f.Call-1 < l.last
+	a := l.box.Attempt(uint64(f.StreamID))
+	issued := f.StreamID != 0 && f.StreamID-1 < l.last
 	if a == nil || a.stream != nil {
 		l.mu.Unlock()
 		if !issued || a != nil {
-			return fmt.Errorf("%w: answer to call %d, which is not under way", muxframe.ErrMalformed, f.Call)
+			return fmt.Errorf("%w: answer to call %d, which is not under way", muxframe.ErrMalformed, f.StreamID)
 		}
-		l.events.Late(f.Call)
+		l.events.LateResponse(f.StreamID)
 		return nil
 	}
-	r.Answer = &Answer{Type: in.Type, Length: int64(len(f.Body))}
+	r.Response = &Response{Type: in.ContentType, Length: int64(len(f.Body))}
 	if !in.More {
-		l.box.Answered(uint64(f.Call))
+		l.box.Answered(uint64(f.StreamID))
 		l.mu.Unlock()
-		r.Answer.Body = append([]byte(nil), f.Body...)
-		l.events.Ended(a, r)
+		r.Response.Body = append([]byte(nil), f.Body...)
+		l.events.AttemptEnded(a, r)
 		return nil
 	}
-	number := f.Call
+	number := f.StreamID
 	a.stream = newStream(l.cfg.Window, func(n int) { l.allow(number, n) })
 	a.begun = &r
-	r.Answer.Stream, r.Answer.Length = a.stream, -1
+	r.Response.Stream, r.Response.Length = a.stream, -1
 	if in.Length > 0 {
-		r.Answer.Length = in.Length
+		r.Response.Length = in.Length
 	}
 	fits := a.stream.add(f.Body)
 	l.mu.Unlock()
 	if !fits {
 		return l.overrun(number)
 	}
-	l.events.Began(a, r)
+	l.events.ResponseStarted(a, r)
 	return nil
 }
 
-func (l *Link) overrun(number uint32) error {
+func (l *Client) overrun(number uint32) error {
 	return fmt.Errorf("%w: more of the answer to call %d than was allowed", muxframe.ErrMalformed, number)
 }
 
 // allow gives the worker credit for n more bytes of an answer.
-func (l *Link) allow(number uint32, n int) {
+func (l *Client) allow(number uint32, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.box.Attempt(uint64(number)) != nil {
@@ -215,53 +215,53 @@
 }
 
 // data takes the next part of an answer; parts of an answer that nobody waits for are dropped.
-func (l *Link) data(f muxframe.Frame) error {
+func (l *Client) data(f muxframe.Frame) error {
 	l.mu.Lock()
-	a := l.box.Attempt(uint64(f.Call))
+	a := l.box.Attempt(uint64(f.StreamID))
 	l.mu.Unlock()
 	if a == nil {
 		return nil
 	}
 	if a.stream == nil {
-		return fmt.Errorf("%w: data for call %d before its answer", muxframe.ErrMalformed, f.Call)
+		return fmt.Errorf("%w: data for call %d before its answer", muxframe.ErrMalformed, f.StreamID)
 	}
 	if !a.stream.add(f.Body) {
-		return l.overrun(f.Call)
+		return l.overrun(f.StreamID)
 	}
 	return nil
 }
 
 // finish takes the end of an answer that came in parts.
-func (l *Link) finish(f muxframe.Frame) error {
+func (l *Client) finish(f muxframe.Frame) error {
 	var in muxframe.End
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
 	l.mu.Lock()
-	a := l.box.Attempt(uint64(f.Call))
+	a := l.box.Attempt(uint64(f.StreamID))
 	if a == nil {
 		l.mu.Unlock()
 		return nil
 	}
 	if a.stream == nil {
 		l.mu.Unlock()
-		return fmt.Errorf("%w: end of call %d before its answer", muxframe.ErrMalformed, f.Call)
+		return fmt.Errorf("%w: end of call %d before its answer", muxframe.ErrMalformed, f.StreamID)
 	}
-	l.box.Answered(uint64(f.Call))
+	l.box.Answered(uint64(f.StreamID))
 	l.mu.Unlock()
 	r := *a.begun
-	if in.Broken != "" {
-		r.Status, r.Why = scheduler.Error, in.Broken
-		a.stream.end(fmt.Errorf("%w: %s", ErrBroken, in.Broken))
+	if in.Error != "" {
+		r.Status, r.Reason = scheduler.Error, in.Error
+		a.stream.end(fmt.Errorf("%w: %s", ErrBroken, in.Error))
 	} else {
 		a.stream.end(nil)
 	}
-	l.events.Ended(a, r)
+	l.events.AttemptEnded(a, r)
 	return nil
 }
 
-func (l *Link) loaded(f muxframe.Frame) error {
-	var in muxframe.Loaded
+func (l *Client) loaded(f muxframe.Frame) error {
+	var in muxframe.LoadResult
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
@@ -270,16 +270,16 @@
 		return fmt.Errorf("%w: order answered with status %d", muxframe.ErrMalformed, in.Status)
 	}
 	l.mu.Lock()
-	o := l.box.OrderAnswered(uint64(f.Call))
+	o := l.box.LoadAnswered(uint64(f.StreamID))
 	l.mu.Unlock()
 	if o != nil {
-		l.events.OrderEnded(o, status, max(0, in.Copies))
+		l.events.LoadEnded(o, status, max(0, in.Replicas))
 	}
 	return nil
 }
 
-func (l *Link) probed(f muxframe.Frame) error {
-	var in muxframe.Probed
+func (l *Client) probed(f muxframe.Frame) error {
+	var in muxframe.HealthReport
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
@@ -290,7 +290,7 @@
 	}
 	l.mu.Unlock()
 	if asked {
-		l.events.Probed(statuses[in.Status], in.Report)
+		l.events.HealthChecked(statuses[in.Status], in.LoadReport)
 	}
 	return nil
 }
--- a/internal/native/muxclient/link.go
+++ b/internal/native/muxclient/link.go
@@ -17,7 +17,7 @@
 var errClosed = errors.New("link closed")
 
 // Link is the way to one worker. Its methods never block on the network.
-type Link struct {
+type Client struct {
 	cfg    Config
 	events Events
 	cancel context.CancelFunc
@@ -26,11 +26,11 @@
 	wanted chan struct{} // something waits for a connection
 
 	mu       sync.Mutex
-	box      Outbox
+	box      SendQueue
 	probes   int    // asked, not answered
 	last     uint32 // number given last
 	conn     net.Conn
-	pulse    *reconnect.Pulse
+	pulse    *reconnect.Keepalive
 	draining bool
 	closed   bool
 }
@@ -43,32 +43,32 @@
 }
 
 // New starts a link; Close ends it.
-func New(cfg Config, events Events) *Link {
+func New(cfg Config, events Events) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Link{cfg: cfg, events: events, cancel: cancel, done: make(chan struct{}), kick: make(chan struct{}, 1),
-		wanted: make(chan struct{}, 1), box: NewOutbox()}
+	l := &Client{cfg: cfg, events: events, cancel: cancel, done: make(chan struct{}), kick: make(chan struct{}, 1),
+		wanted: make(chan struct{}, 1), box: NewSendQueue()}
 	go l.run(ctx)
 	return l
 }
 
 // Stop ends the link. What was under way ends as on a broken connection; Done tells when all is told.
-func (l *Link) Stop() { l.cancel() }
+func (l *Client) Stop() { l.cancel() }
 
 // Done is closed when the link's goroutines have ended, after Stop.
-func (l *Link) Done() <-chan struct{} { return l.done }
+func (l *Client) Done() <-chan struct{} { return l.done }
 
 // Send writes a as soon as it can and returns nil; its end is told by Events. What cannot be taken on returns
 // its end at once.
-func (l *Link) Send(a *Attempt) *Result {
+func (l *Client) Send(a *Attempt) *Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.draining:
 		a.state = unsent
-		return &Result{Status: scheduler.Moot, Why: "the worker drains", Crowd: -1}
+		return &Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
 	case l.closed || l.box.Waiting() >= l.cfg.MaxQueue:
 		a.state = unsent
-		return &Result{Status: scheduler.ConnectFailed, Why: "the link's queue is full or closed", Crowd: -1}
+		return &Result{Status: scheduler.ConnectFailed, Reason: "the link's queue is full or closed", QueueDepth: -1}
 	}
 	l.box.PushAttempt(l.number(), a)
 	l.wake()
@@ -76,15 +76,15 @@
 }
 
 // Withdraw takes back an attempt that has not begun to leave, and says whether it did: its end is then not told.
-func (l *Link) Withdraw(a *Attempt) bool {
+func (l *Client) CancelUnsent(a *Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.box.Withdraw(a)
+	return l.box.CancelUnsent(a)
 }
 
 // Abandon gives an attempt up: its end is not told after this, unless it already was. It returns whether the
 // worker may have seen it; if so it is told that nobody waits.
-func (l *Link) Abandon(a *Attempt) (mayHaveLeft bool) {
+func (l *Client) Abandon(a *Attempt) (mayHaveLeft bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	underWay, mayHaveLeft := l.box.Abandon(a)
@@ -99,23 +99,23 @@
 
 // Load gives an order and returns 0; its answer is told by Events. What cannot be taken on returns its status
 // at once.
-func (l *Link) Load(o *Order) scheduler.Status {
+func (l *Client) Load(o *LoadOrder) scheduler.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if status := l.orderable(o); status != 0 {
 		o.state = ended
 		return status
 	}
-	l.box.PushOrder(l.number(), o)
+	l.box.PushLoad(l.number(), o)
 	l.wake()
 	return 0
 }
 
 // orderable says why an order cannot be written, 0 if it can.
-func (l *Link) orderable(o *Order) scheduler.Status {
+func (l *Client) orderable(o *LoadOrder) scheduler.Status {
 	switch {
-	case l.draining && o.Load.Copies > 0:
-		return scheduler.Full
+	case l.draining && o.Load.Replicas > 0:
+		return scheduler.Overloaded
 	case l.closed || l.box.Waiting() >= l.cfg.MaxQueue:
 		return scheduler.ConnectFailed
 	}
@@ -123,30 +123,30 @@
 }
 
 // AbandonOrder gives an order up: its answer is not told after this.
-func (l *Link) AbandonOrder(o *Order) {
+func (l *Client) AbandonLoad(o *LoadOrder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.box.AbandonOrder(o)
+	l.box.AbandonLoad(o)
 }
 
 // Unload asks the worker to unload the idle copies of a function. Nothing tells whether it did.
-func (l *Link) Unload(function string) {
+func (l *Client) Unload(function string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.push(frame{kind: muxframe.TypeUnload, header: muxframe.Unload{Function: function}})
 }
 
 // Probe asks the worker for its load; the answer is told by Events.
-func (l *Link) Probe() {
+func (l *Client) CheckHealth() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.probes++
-	l.push(frame{kind: muxframe.TypeProbe})
+	l.push(frame{kind: muxframe.TypeHealthCheck})
 }
 
 // Drain takes back all new work that has not left, returns it, and takes on none from now: none of it ran.
 // What is being written has until the grace is over. What has left goes on. Resume ends it.
-func (l *Link) Drain(grace time.Duration) (attempts []*Attempt, orders []*Order) {
+func (l *Client) Drain(grace time.Duration) (attempts []*Attempt, orders []*LoadOrder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
@@ -157,21 +157,21 @@
 }
 
 // Resume lets new work through again.
-func (l *Link) Resume() {
+func (l *Client) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = false
 }
 
 // Busy says whether attempts or orders are under way, with all that waits here.
-func (l *Link) Busy() bool {
+func (l *Client) Busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.box.Waiting()+l.box.Open() > 0
 }
 
 // number gives the next call number; 0 is never one.
-func (l *Link) number() uint64 {
+func (l *Client) number() uint64 {
 	if l.last++; l.last == 0 {
 		l.last++
 	}
@@ -179,13 +179,13 @@
 }
 
 // push adds a frame; the lock is held.
-func (l *Link) push(f frame) {
+func (l *Client) push(f frame) {
 	l.box.Push(f)
 	l.wake()
 }
 
 // wake tells who writes, or dials, that something waits; the lock is held.
-func (l *Link) wake() {
+func (l *Client) wake() {
 	wake := l.kick
 	if l.conn == nil {
 		wake = l.wanted
@@ -196,14 +196,14 @@
 	}
 }
 
-func (l *Link) setWriteDeadline(after time.Duration) {
+func (l *Client) setWriteDeadline(after time.Duration) {
 	_ = l.conn.SetWriteDeadline(time.Now().Add(after)) // fails on a closed connection only, whose writes fail too
 }
 
 // run dials, serves and dials again until the link is closed.
-func (l *Link) run(ctx context.Context) {
+func (l *Client) run(ctx context.Context) {
 	defer close(l.done)
-	redial := reconnect.NewRedial(l.cfg.Seed)
+	redial := reconnect.NewBackoff(l.cfg.Seed)
 	for {
 		err := l.connect(ctx, redial)
 		redial.Failed(l.cfg.Now())
@@ -225,9 +225,9 @@
 }
 
 // pause waits until the next attempt to connect is due. A call that waits makes it due sooner.
-func (l *Link) pause(ctx context.Context, redial *reconnect.Redial) bool {
+func (l *Client) pause(ctx context.Context, redial *reconnect.Backoff) bool {
 	for {
-		wait := redial.Next() - l.cfg.Now()
+		wait := redial.NextDial() - l.cfg.Now()
 		if wait <= 0 {
 			return true
 		}
@@ -237,7 +237,7 @@
 			timer.Stop()
 			return false
 		case <-l.wanted:
-			redial.Wanted()
+			redial.Requested()
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -245,16 +245,16 @@
 }
 
 // connect makes one connection and serves it until it breaks; it returns why it did.
-func (l *Link) connect(ctx context.Context, redial *reconnect.Redial) error {
+func (l *Client) connect(ctx context.Context, redial *reconnect.Backoff) error {
 	conn, reader, welcome, err := l.greet(ctx)
 	if err != nil {
 		return err
 	}
-	redial.Up()
+	redial.Connected()
 	l.mu.Lock()
-	l.conn, l.pulse = conn, reconnect.NewPulse(l.cfg.Now())
+	l.conn, l.pulse = conn, reconnect.NewKeepalive(l.cfg.Now())
 	l.mu.Unlock()
-	l.events.Up(welcome)
+	l.events.Connected(welcome)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	wrote, gone := make(chan error, 1), make(chan struct{})
@@ -276,7 +276,7 @@
 }
 
 // greet dials and exchanges Hello and Welcome, all within ConnectTimeout.
-func (l *Link) greet(ctx context.Context) (net.Conn, *muxframe.Reader, muxframe.Welcome, error) {
+func (l *Client) greet(ctx context.Context) (net.Conn, *muxframe.Reader, muxframe.Welcome, error) {
 	var welcome muxframe.Welcome
 	dialCtx, cancel := context.WithTimeout(ctx, l.cfg.ConnectTimeout)
 	defer cancel()
@@ -296,7 +296,7 @@
 	return conn, reader, welcome, nil
 }
 
-func (l *Link) handshake(conn net.Conn) (*muxframe.Reader, muxframe.Welcome, error) {
+func (l *Client) handshake(conn net.Conn) (*muxframe.Reader, muxframe.Welcome, error) {
 	var welcome muxframe.Welcome
 	hello, err := muxframe.Append(nil, muxframe.TypeHello, 0,
 		muxframe.Hello{Version: muxframe.Version, FrontEnd: l.cfg.FrontEnd}, nil)
@@ -318,8 +318,8 @@
 		return nil, welcome, err
 	}
 	switch {
-	case welcome.Refused != "":
-		return nil, welcome, fmt.Errorf("refused: %s", welcome.Refused)
+	case welcome.Rejection != "":
+		return nil, welcome, fmt.Errorf("refused: %s", welcome.Rejection)
 	case welcome.Version != muxframe.Version:
 		return nil, welcome, fmt.Errorf("it speaks version %d, this is %d", welcome.Version, muxframe.Version)
 	case welcome.Worker != l.cfg.Worker:
@@ -329,9 +329,9 @@
 }
 
 // lost ends all that was under way on a connection that broke, or waited for one that cannot be had.
-func (l *Link) lost(why error) {
+func (l *Client) lost(why error) {
 	l.mu.Lock()
-	waiting := l.box.Unqueue(func(Item) bool { return true })
+	waiting := l.box.Unqueue(func(QueueItem) bool { return true })
 	out := l.box.Lost()
 	probes := l.probes
 	l.probes = 0
@@ -341,10 +341,10 @@
 			i.Attempt.stream.end(fmt.Errorf("%w: %w", ErrBroken, why))
 		}
 	}
-	Tell(l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, why.Error())
-	Tell(l.events, out, scheduler.Reset, scheduler.Reset, why.Error())
+	NotifyEnded(l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, why.Error())
+	NotifyEnded(l.events, out, scheduler.Reset, scheduler.Reset, why.Error())
 	for range probes {
-		l.events.Probed(scheduler.ConnectFailed, nil)
+		l.events.HealthChecked(scheduler.ConnectFailed, nil)
 	}
-	l.events.Down(why)
+	l.events.Disconnected(why)
 }
