--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -13,7 +13,7 @@
 type referee struct {
 	t       *testing.T
 	set     Settings
-	c       *Controller
+	c       *Scheduler
 	rng     *rand.Rand
 	now     time.Duration
 	workers map[WorkerID]WorkerInfo
@@ -67,20 +67,20 @@
 		f.breaks("limits", "attempt %d of %d", r.attempts+1, id)
 	case info.State != Ready:
 		f.breaks("rule 3", "request %d sent to worker %d in state %d", id, w, info.State)
-	case r.ran && r.class.Repeat == Unsafe:
+	case r.ran && r.class.Idempotency == NonIdempotent:
 		f.breaks("rule 2", "unsafe request %d sent again", id)
-	case r.ran && r.class.Repeat == Keyed:
-		same := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && info.Zone == r.firstOn.Zone ||
-			r.class.Scope == ScopeCell && info.Cell == r.firstOn.Cell
-		if !same || f.now-r.firstAt > r.class.Memory {
+	case r.ran && r.class.Idempotency == IdempotentByKey:
+		same := r.class.KeyScope == ScopeAll || r.class.KeyScope == ScopeZone && info.Zone == r.firstOn.Zone ||
+			r.class.KeyScope == ScopeCell && info.Cell == r.firstOn.Cell
+		if !same || f.now-r.firstAt > r.class.KeyRetention {
 			f.breaks("rule 2", "keyed request %d sent outside its group or past its memory", id)
 		}
 	}
-	if age := f.now - info.Started; info.Started != LongAgo && age < f.set.ColdTime {
+	if age := f.now - info.Started; info.Started != UnknownStart && age < f.set.SlowStartDuration {
 		// Answers come no faster here than one a millisecond: far under this part of one worker's capacity.
-		part := f.set.ColdFrom + (1-f.set.ColdFrom)*float64(age)/float64(f.set.ColdTime)
-		most := max(1, f.set.TipMultiple*part*1000*f.set.TipWindow.Seconds()/float64(len(f.ids)))
-		f.sends[w] = append(recent(f.sends[w], f.now-f.set.TipWindow), f.now)
+		part := f.set.SlowStartFraction + (1-f.set.SlowStartFraction)*float64(age)/float64(f.set.SlowStartDuration)
+		most := max(1, f.set.OverloadFactor*part*1000*f.set.OverloadWindow.Seconds()/float64(len(f.ids)))
+		f.sends[w] = append(recent(f.sends[w], f.now-f.set.OverloadWindow), f.now)
 		if float64(len(f.sends[w])) > most {
 			f.breaks("rule 4", "%d calls to a cold worker, %.0f at most", len(f.sends[w]), most)
 		}
@@ -96,15 +96,15 @@
 		f.breaks("rule 1", "a second answer for %d", id)
 	case f.now > r.deadline+8*ms:
 		f.breaks("rule 1", "answer for %d comes %v late", id, f.now-r.deadline)
-	case refused && r.ran && (r.class.Repeat == Unsafe || r.class.Repeat == Keyed && r.class.Scope != ScopeAll):
+	case refused && r.ran && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != ScopeAll):
 		f.breaks("rule 2", "request %d refused though it may have run", id)
-	case refused && r.out != 0 && r.class.Repeat != Safe:
+	case refused && r.out != 0 && r.class.Idempotency != Idempotent:
 		f.breaks("rule 2", "request %d refused with an attempt out", id)
 	}
 	r.answered = true
 }
 
-func (f *referee) Refuse(id RequestID, _ time.Duration) {
+func (f *referee) Reject(id RequestID, _ time.Duration) {
 	f.note("refuse %d", id)
 	f.answer(id, true)
 }
@@ -120,9 +120,9 @@
 		if f.workers[w].State != Ready {
 			f.breaks("rule 3", "order to load to worker %d in state %d", w, f.workers[w].State)
 		}
-		from := f.now - f.set.LoadWindow
+		from := f.now - f.set.LoadRateWindow
 		f.loads, f.taken = append(recent(f.loads, from), f.now), recent(f.taken, from)
-		if most := f.set.LoadFree + f.set.LoadShare*float64(len(f.taken)); f.set.LoadWindow > 0 && float64(len(f.loads)) > most {
+		if most := f.set.LoadRateBurst + f.set.LoadRatePerRequest*float64(len(f.taken)); f.set.LoadRateWindow > 0 && float64(len(f.loads)) > most {
 			f.breaks("rule 5", "%d orders in the window, %.1f at most", len(f.loads), most)
 		}
 	}
@@ -131,10 +131,10 @@
 
 func (f *referee) Cancel(id RequestID, attempt int) { f.note("cancel %d %d", id, attempt) }
 func (f *referee) Unload(w WorkerID, fn FunctionID) { f.note("unload %d %d", w, fn) }
-func (f *referee) Probe(w WorkerID)                 { f.note("probe %d", w) }
-func (f *referee) Follow()                          { f.note("follow") }
+func (f *referee) CheckHealth(w WorkerID)           { f.note("probe %d", w) }
+func (f *referee) WatchEndpoints()                  { f.note("follow") }
 func (f *referee) Log(string)                       {}
-func (f *referee) Wake(after time.Duration, token uint64) {
+func (f *referee) SetTimer(after time.Duration, token uint64) {
 	f.wakes = append(f.wakes, wake{f.now + max(after, ms), token})
 }
 
@@ -144,13 +144,13 @@
 	case 0:
 		w.State = Draining
 	case 1:
-		w.State = Gone
+		w.State = Removed
 	default:
 		w.State = Ready
 		w.Started = f.now - time.Duration(f.rng.IntN(3000))*ms
 	}
 	f.workers[w.ID] = w
-	f.c.Workers(f.now, []WorkerInfo{w}, false)
+	f.c.WorkersChanged(f.now, []WorkerInfo{w}, false)
 }
 
 func (f *referee) arrive() {
@@ -160,8 +160,8 @@
 	f.open[f.nextID] = &watched{class: f.set.Classes[class], deadline: f.now + budget}
 	f.order = append(f.order, f.nextID)
 	f.taken = append(f.taken, f.now)
-	f.c.Arrive(f.now, Request{ID: f.nextID, Class: class, Tenant: f.rng.IntN(2),
-		Function: FunctionID(f.rng.IntN(12)), Budget: budget, Lanes: 1 + f.rng.IntN(4)})
+	f.c.RequestReceived(f.now, Request{ID: f.nextID, Class: class, Tenant: f.rng.IntN(2),
+		Function: FunctionID(f.rng.IntN(12)), Timeout: budget, ReplicaConcurrency: 1 + f.rng.IntN(4)})
 }
 
 func (f *referee) outcome(id RequestID, status Status) {
@@ -172,13 +172,13 @@
 		}
 	}
 	o := Outcome{Request: id, Attempt: r.attempts - 1, Worker: r.out, Status: status, Latency: f.now - r.outAt,
-		Warmth: Warmth(f.rng.IntN(4)), Crowd: f.rng.IntN(5)}
+		ColdStart: ColdStart(f.rng.IntN(4)), QueueDepth: f.rng.IntN(5)}
 	r.out = 0
 	if status == OK {
 		r.answered = true
 	}
-	o.Closed = r.answered
-	f.c.Outcome(f.now, o)
+	o.RequestClosed = r.answered
+	f.c.AttemptEnded(f.now, o)
 }
 
 // step lets a millisecond pass and plays what falls due and what the dice say.
@@ -188,7 +188,7 @@
 		if w := f.wakes[i]; w.at <= f.now {
 			f.wakes = slices.Delete(f.wakes, i, i+1)
 			i--
-			f.c.Woke(f.now, w.token)
+			f.c.TimerFired(f.now, w.token)
 		}
 	}
 	if f.rng.IntN(5) == 0 {
@@ -200,8 +200,8 @@
 	for len(f.asked) > 0 && f.rng.IntN(2) == 0 {
 		a, count := f.asked[0], f.counts[0]
 		f.asked, f.counts = f.asked[1:], f.counts[1:]
-		status := []Status{OK, OK, OK, Full, Error, Reset, Timeout}[f.rng.IntN(7)]
-		f.c.Loaded(f.now, Loaded{Worker: a.w, Function: a.f, Status: status, Copies: max(count, f.rng.IntN(2))})
+		status := []Status{OK, OK, OK, Overloaded, Error, Reset, Timeout}[f.rng.IntN(7)]
+		f.c.LoadEnded(f.now, LoadResult{Worker: a.w, Function: a.f, Status: status, Replicas: max(count, f.rng.IntN(2))})
 	}
 	var still []RequestID
 	for _, id := range f.order {
@@ -210,10 +210,10 @@
 		case r.out != 0 && f.now >= r.deadline:
 			f.outcome(id, Timeout)
 		case r.out != 0 && f.rng.IntN(150) == 0:
-			f.outcome(id, []Status{OK, OK, OK, Error, Full, ConnectFailed, Reset, Cancelled, Miss}[f.rng.IntN(9)])
+			f.outcome(id, []Status{OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, Cancelled, NotLoaded}[f.rng.IntN(9)])
 		case !r.answered && r.out == 0 && f.rng.IntN(2000) == 0:
 			r.answered = true
-			f.c.Gone(f.now, id)
+			f.c.ClientDisconnected(f.now, id)
 		}
 		if !r.answered && f.now > r.deadline+8*ms {
 			f.breaks("rule 1", "no answer for %d", id)
@@ -233,20 +233,20 @@
 	f.c = New(f.now, set, f)
 	var list []WorkerInfo
 	for i := range 6 {
-		w := WorkerInfo{ID: WorkerID(i + 1), Zone: i % 2, Cell: i % 3, Started: LongAgo, State: Ready}
+		w := WorkerInfo{ID: WorkerID(i + 1), Zone: i % 2, Cell: i % 3, Started: UnknownStart, State: Ready}
 		f.workers[w.ID], f.ids, list = w, append(f.ids, w.ID), append(list, w)
 	}
-	f.c.Workers(f.now, list, true)
+	f.c.WorkersChanged(f.now, list, true)
 	return f
 }
 
 func ruleSettings(seed uint64) Settings {
 	set := settings()
-	set.Classes[1].Scope = Scope(seed % 3)
-	set.MissAnswered = seed%2 == 0
-	set.TellsCrowd = seed%3 == 0
+	set.Classes[1].KeyScope = KeyScope(seed % 3)
+	set.AnswersNotLoaded = seed%2 == 0
+	set.ReportsQueueDepth = seed%3 == 0
 	if seed%4 == 0 {
-		set.LoadWindow, set.LoadFree, set.LoadShare = time.Second, 2, 0.05
+		set.LoadRateWindow, set.LoadRateBurst, set.LoadRatePerRequest = time.Second, 2, 0.05
 	}
 	return set
 }
--- a/scheduler/script_test.go
+++ b/scheduler/script_test.go
@@ -14,7 +14,7 @@
 // answer is written in each test.
 type script struct {
 	t       *testing.T
-	c       *Controller
+	c       *Scheduler
 	now     time.Duration
 	actions []string
 	sentTo  map[RequestID][]WorkerID
@@ -32,16 +32,16 @@
 	s.sentTo[r] = append(s.sentTo[r], w)
 	s.note("send %d", r)
 }
-func (s *script) Refuse(r RequestID, after time.Duration) {
+func (s *script) Reject(r RequestID, after time.Duration) {
 	s.answers[r] = "refused"
 	s.note("refuse %d", r)
 }
 func (s *script) Fail(r RequestID)                { s.answers[r] = "failed"; s.note("fail %d", r) }
 func (s *script) Cancel(r RequestID, attempt int) { s.note("cancel %d", r) }
 func (s *script) Unload(w WorkerID, f FunctionID) { s.note("unload") }
-func (s *script) Probe(w WorkerID)                { s.note("probe %d", w) }
-func (s *script) Wake(time.Duration, uint64)      {}
-func (s *script) Follow()                         { s.note("follow") }
+func (s *script) CheckHealth(w WorkerID)          { s.note("probe %d", w) }
+func (s *script) SetTimer(time.Duration, uint64)  {}
+func (s *script) WatchEndpoints()                 { s.note("follow") }
 func (s *script) Log(string)                      {}
 func (s *script) Load(w WorkerID, f FunctionID, copies int) {
 	if copies == 0 {
@@ -54,12 +54,12 @@
 
 // settings are those of three front ends whose workers load what they lack.
 func settings() Settings {
-	return Settings{Seed: 1, FrontEnds: 3, KeepAlive: 10 * time.Second, MayOrder: true, MayProbe: true, MayCancel: true,
-		TellsWarm: true, MaxAttempts: 4, MaxRetryAfter: 500 * ms, ColdFrom: 0.2, ColdTime: 10 * time.Second, TipMultiple: 2,
-		TipWindow: 2 * time.Second, Resolution: 2 * ms, Classes: []Class{
-			{Aim: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Repeat: Safe},
-			{Aim: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Repeat: Keyed, Scope: ScopeCell, Memory: time.Second},
-			{Aim: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Repeat: Unsafe},
+	return Settings{Seed: 1, FrontEndCount: 3, ReplicaIdleTimeout: 10 * time.Second, LoadOrdersAllowed: true, HealthChecksAllowed: true, CancelAllowed: true,
+		ReportsColdStart: true, MaxAttempts: 4, MaxRetryAfter: 500 * ms, SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2,
+		OverloadWindow: 2 * time.Second, Resolution: 2 * ms, Classes: []Class{
+			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: Idempotent},
+			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: IdempotentByKey, KeyScope: ScopeCell, KeyRetention: time.Second},
+			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: NonIdempotent},
 		}, Tenants: []Tenant{{Share: 0.5}, {Share: 0.5}}}
 }
 
@@ -68,17 +68,17 @@
 	s.c = New(s.now, set, s)
 	var list []WorkerInfo
 	for i := range workers {
-		list = append(list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: LongAgo, State: Ready})
+		list = append(list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready})
 	}
-	s.c.Workers(s.now, list, true)
+	s.c.WorkersChanged(s.now, list, true)
 	return s
 }
 
-func (s *script) change(info WorkerInfo) { s.c.Workers(s.now, []WorkerInfo{info}, false) }
+func (s *script) change(info WorkerInfo) { s.c.WorkersChanged(s.now, []WorkerInfo{info}, false) }
 
 func (s *script) arrive(f FunctionID, class int) RequestID {
 	s.nextID++
-	s.c.Arrive(s.now, Request{ID: s.nextID, Class: class, Function: f, Budget: 3 * time.Second, Lanes: 2})
+	s.c.RequestReceived(s.now, Request{ID: s.nextID, Class: class, Function: f, Timeout: 3 * time.Second, ReplicaConcurrency: 2})
 	return s.nextID
 }
 
@@ -86,7 +86,7 @@
 func (s *script) pass(d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		s.now = min(end, s.now+tick)
-		s.c.Woke(s.now, 0)
+		s.c.TimerFired(s.now, 0)
 	}
 }
 
@@ -99,7 +99,7 @@
 		if slices.Contains(holders, a.w) {
 			copies = 1
 		}
-		s.c.Loaded(s.now, Loaded{Worker: a.w, Function: a.f, Status: OK, Latency: ms, Copies: copies})
+		s.c.LoadEnded(s.now, LoadResult{Worker: a.w, Function: a.f, Status: OK, Latency: ms, Replicas: copies})
 	}
 }
 
@@ -120,11 +120,11 @@
 	return 0
 }
 
-func (s *script) end(r RequestID, status Status, warmth Warmth) {
+func (s *script) end(r RequestID, status Status, warmth ColdStart) {
 	s.t.Helper()
 	w, n := s.at(r), len(s.sentTo[r])
-	s.c.Outcome(s.now, Outcome{Request: r, Attempt: n - 1, Worker: w, Status: status, Latency: s.since(r),
-		Closed: status == OK, Warmth: warmth})
+	s.c.AttemptEnded(s.now, Outcome{Request: r, Attempt: n - 1, Worker: w, Status: status, Latency: s.since(r),
+		RequestClosed: status == OK, ColdStart: warmth})
 }
 
 // avoids says whether a new call of f, with copies found standing at every worker, goes elsewhere than to w.
@@ -143,11 +143,11 @@
 	s.answerAsks()
 	w := s.at(r)
 	s.pass(600 * ms)
-	s.end(r, OK, BeganLoad)
+	s.end(r, OK, ColdStartTriggered)
 	for range 4 {
 		r = s.arrive(f, 0)
 		s.pass(100 * ms)
-		s.end(r, OK, FoundWarm)
+		s.end(r, OK, WarmStart)
 	}
 	return w
 }
@@ -191,7 +191,7 @@
 		t.Fatal("the request after a full pipe was not held")
 	}
 	s.now += 50 * ms
-	s.end(first, OK, FoundWarm)
+	s.end(first, OK, WarmStart)
 	s.at(last)
 }
 
@@ -226,11 +226,11 @@
 		},
 		"with a miss": func(s *script, w WorkerID) {
 			r := s.arrive(7, 0)
-			s.end(r, Miss, WarmthUnknown)
+			s.end(r, NotLoaded, ColdStartUnknown)
 		},
 		"with a lost connection": func(s *script, w WorkerID) {
 			r := s.arrive(7, 0)
-			s.end(r, Reset, WarmthUnknown)
+			s.end(r, Reset, ColdStartUnknown)
 		},
 	}
 	for name, end := range tests {
@@ -260,7 +260,7 @@
 
 func TestMissingWorkersWantAnOrder(t *testing.T) {
 	set := settings()
-	set.MissAnswered = true
+	set.AnswersNotLoaded = true
 	s := start(t, set, 4)
 	r := s.arrive(7, 0)
 	s.answerAsks()
@@ -270,7 +270,7 @@
 		t.Fatalf("%d orders, request sent to %v before the copy stands", len(s.orders), s.sentTo[r])
 	}
 	s.now += 400 * ms
-	s.c.Loaded(s.now, Loaded{Worker: s.orders[0].w, Function: 7, Status: OK, Latency: 400 * ms, Copies: 1})
+	s.c.LoadEnded(s.now, LoadResult{Worker: s.orders[0].w, Function: 7, Status: OK, Latency: 400 * ms, Replicas: 1})
 	if s.at(r) != s.orders[0].w {
 		t.Error("the request did not follow its order")
 	}
@@ -278,7 +278,7 @@
 
 func TestRationOfOrders(t *testing.T) {
 	set := settings()
-	set.MissAnswered, set.LoadWindow, set.LoadFree, set.LoadShare = true, 5*time.Second, 2, 0
+	set.AnswersNotLoaded, set.LoadRateWindow, set.LoadRateBurst, set.LoadRatePerRequest = true, 5*time.Second, 2, 0
 	s := start(t, set, 4)
 	for f := range FunctionID(6) {
 		s.arrive(f, 0)
@@ -302,7 +302,7 @@
 		{"unsafe that may have run fails", 2, Error, "failed"},
 		{"unsafe cut off fails", 2, Reset, "failed"},
 		{"unsafe timed out fails", 2, Timeout, "failed"},
-		{"unsafe that never ran goes on", 2, Full, ""},
+		{"unsafe that never ran goes on", 2, Overloaded, ""},
 		{"keyed goes on in its group", 1, Error, ""},
 	}
 	for _, test := range tests {
@@ -312,7 +312,7 @@
 			r := s.arrive(7, test.class)
 			first := s.at(r)
 			s.now += 50 * ms
-			s.end(r, test.status, WarmthUnknown)
+			s.end(r, test.status, ColdStartUnknown)
 			s.answerAsks()
 			s.answerAsks()
 			s.pass(300 * ms)
@@ -330,8 +330,8 @@
 	s := start(t, settings(), 2) // one worker a group
 	s.warm(7)
 	r := s.arrive(7, 1)
-	s.change(WorkerInfo{ID: s.at(r), Cell: int(s.at(r)+1) % 2, Started: LongAgo, State: Draining})
-	s.end(r, Error, WarmthUnknown)
+	s.change(WorkerInfo{ID: s.at(r), Cell: int(s.at(r)+1) % 2, Started: UnknownStart, State: Draining})
+	s.end(r, Error, ColdStartUnknown)
 	s.pass(1100 * ms)
 	if s.answers[r] != "failed" || len(s.sentTo[r]) != 1 {
 		t.Errorf("answer %q after %d attempts, want failed after 1", s.answers[r], len(s.sentTo[r]))
@@ -339,10 +339,10 @@
 }
 
 func TestDrainingWorkerGetsNothing(t *testing.T) {
-	for _, state := range []WorkerState{Draining, Gone} {
+	for _, state := range []WorkerState{Draining, Removed} {
 		s := start(t, settings(), 4)
 		w := s.warm(7)
-		s.change(WorkerInfo{ID: w, Started: LongAgo, State: state})
+		s.change(WorkerInfo{ID: w, Started: UnknownStart, State: state})
 		s.asks = nil
 		for range 8 {
 			r := s.arrive(7, 0)
@@ -351,7 +351,7 @@
 				t.Fatalf("sent to a worker in state %d", state)
 			}
 			s.now += 50 * ms
-			s.end(r, OK, FoundWarm)
+			s.end(r, OK, WarmStart)
 		}
 	}
 }
@@ -361,7 +361,7 @@
 		sent := 0
 		for seed := range uint64(400) { // each stands for one of as many front ends
 			set := settings()
-			set.Seed, set.FrontEnds = seed, frontEnds
+			set.Seed, set.FrontEndCount = seed, frontEnds
 			s := start(t, set, 1)
 			s.change(WorkerInfo{ID: 1, Started: s.now, State: Ready})
 			for f := range FunctionID(6) {
@@ -406,7 +406,7 @@
 		if len(s.sentTo[r]) == 0 || s.at(r) != w {
 			break
 		}
-		s.end(r, Error, WarmthUnknown)
+		s.end(r, Error, ColdStartUnknown)
 	}
 	if !s.avoids(w, 7) {
 		t.Error("a worker that failed its last calls is still the first choice")
@@ -419,13 +419,13 @@
 	for range 6 {
 		slow, quick := s.arrive(7, 0), s.arrive(7, 0)
 		s.now += 100 * ms
-		s.end(quick, OK, FoundWarm)
-		s.end(slow, Timeout, WarmthUnknown)
+		s.end(quick, OK, WarmStart)
+		s.end(slow, Timeout, ColdStartUnknown)
 		s.now += 100 * ms
 		s.answerAsks(w)
 		for r := slow; r <= s.nextID; r++ {
 			if s.answers[r] == "" && s.c.requests[r] != nil && s.c.requests[r].at != nil {
-				s.end(r, OK, FoundWarm)
+				s.end(r, OK, WarmStart)
 			}
 		}
 	}
@@ -440,10 +440,10 @@
 	w.wait = fading{float64(400 * ms), s.now, s.now}
 	for range 6 {
 		s.nextID++
-		s.c.Arrive(s.now, Request{ID: s.nextID, Class: 2, Function: 7, Budget: 700 * ms, Lanes: 2})
+		s.c.RequestReceived(s.now, Request{ID: s.nextID, Class: 2, Function: 7, Timeout: 700 * ms, ReplicaConcurrency: 2})
 		s.answerAsks(w.ID)
 		s.now += 100 * ms
-		s.end(s.nextID, Timeout, WarmthUnknown)
+		s.end(s.nextID, Timeout, ColdStartUnknown)
 	}
 	if w.health[0].suspect || s.c.waitOf(w) < 280*ms {
 		t.Errorf("suspect %v, wait of 400 ms counts as %v after calls given up within 100 ms", w.health[0].suspect, s.c.waitOf(w))
@@ -456,7 +456,7 @@
 	before := w.limit
 	s.arrive(7, 0)
 	s.now += 200 * ms
-	s.end(s.nextID, Full, WarmthUnknown)
+	s.end(s.nextID, Overloaded, ColdStartUnknown)
 	if w.limit >= before {
 		t.Errorf("limit %.1f after a call was turned away, %.1f before", w.limit, before)
 	}
@@ -469,7 +469,7 @@
 	for range 10 {
 		r := s.arrive(7, 0)
 		s.pass(time.Second)
-		s.end(r, OK, FoundWarm)
+		s.end(r, OK, WarmStart)
 		s.answerAsks()
 		for _, w := range s.c.list {
 			w.wait = fading{} // long forgotten when the next one comes
@@ -486,7 +486,7 @@
 	for f := range FunctionID(3 * loadsMost) {
 		s.warm(f)
 	}
-	s.pass(2 * s.c.set.KeepAlive) // nothing is believed any more
+	s.pass(2 * s.c.set.ReplicaIdleTimeout) // nothing is believed any more
 	before := s.count("send")
 	for f := range FunctionID(3 * loadsMost) {
 		s.arrive(f, 0)
@@ -502,7 +502,7 @@
 // failed loads are kept back and tried one at a time; the first that works ends that.
 func TestAStoppedStoreIsLeftAlone(t *testing.T) {
 	s := start(t, settings(), 20)
-	tried := func(as Status, warmth Warmth) (loads int) {
+	tried := func(as Status, warmth ColdStart) (loads int) {
 		for range 100 {
 			r := s.arrive(7, 0)
 			s.answerAsks()
@@ -517,11 +517,11 @@
 		}
 		return loads
 	}
-	if loads := tried(Miss, LoadFailed); loads < 4 || loads > 12 {
+	if loads := tried(NotLoaded, ColdStartFailed); loads < 4 || loads > 12 {
 		t.Errorf("%d loads were tried in 2 s of a stopped store", loads)
 	}
 	s.pass(2 * barMost)
-	if loads := tried(OK, BeganLoad); loads < 80 {
+	if loads := tried(OK, ColdStartTriggered); loads < 80 {
 		t.Errorf("%d calls of 100 were sent once the store was back", loads)
 	}
 }
@@ -537,7 +537,7 @@
 
 func TestShortBudgetIsAnsweredAtOnce(t *testing.T) {
 	s := start(t, settings(), 0)
-	s.c.Arrive(s.now, Request{ID: 1, Function: 7, Budget: 5 * ms, Lanes: 1})
+	s.c.RequestReceived(s.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
 	if s.answers[1] != "refused" {
 		t.Errorf("answer %q to a request that no tick will see in time", s.answers[1])
 	}
@@ -596,12 +596,12 @@
 
 func TestFreedRoomGoesToTheMostWorth(t *testing.T) {
 	set := settings()
-	set.Classes[2].Worth = 6
+	set.Classes[2].PriorityWeight = 6
 	s := start(t, set, 1)
 	s.warm(7)
 	dear := s.arrive(8, 2)
 	s.answerAsks(1)
-	s.end(dear, OK, FoundWarm)
+	s.end(dear, OK, WarmStart)
 	s.c.workers[1].limit = 1
 	out := s.arrive(7, 0)
 	cheap, dear := s.arrive(7, 0), s.arrive(8, 2)
@@ -609,7 +609,7 @@
 		t.Fatal("sent beyond the worker's limit")
 	}
 	s.now += 50 * ms
-	s.end(out, OK, FoundWarm)
+	s.end(out, OK, WarmStart)
 	sent := func(r RequestID) int { return slices.Index(s.actions, fmt.Sprintf("send %d", r)) }
 	if sent(dear) < 0 || sent(cheap) >= 0 && sent(cheap) < sent(dear) {
 		t.Errorf("the room that came free went to worth 1 before worth 6: %v", s.actions)
@@ -619,7 +619,7 @@
 func TestLostWorkerIsLeftThenTried(t *testing.T) {
 	s := start(t, settings(), 2)
 	w := s.warm(7)
-	s.end(s.arrive(7, 0), ConnectFailed, WarmthUnknown)
+	s.end(s.arrive(7, 0), ConnectFailed, ColdStartUnknown)
 	if s.avoids(w, 8); !s.c.workers[w].health[0].suspect || s.c.usable(s.c.workers[w], 0) {
 		t.Error("a worker that took no connection is still sent calls")
 	}
@@ -631,10 +631,10 @@
 
 func TestListIsAskedForAgain(t *testing.T) {
 	set := settings()
-	set.AskForWorkers = true
+	set.WatchOnStart = true
 	s := start(t, set, 0)
-	s.c.ListFailed(s.now)
-	s.c.Woke(s.now+time.Second, 1)
+	s.c.WatchFailed(s.now)
+	s.c.TimerFired(s.now+time.Second, 1)
 	if s.count("follow") != 2 {
 		t.Errorf("%d times asked for the list, want 2", s.count("follow"))
 	}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -107,7 +107,7 @@
 }
 
 // Controller decides for one front end.
-type Controller struct {
+type Scheduler struct {
 	set        Settings
 	act        Actions
 	now        time.Duration
@@ -184,7 +184,7 @@
 }
 
 // forget drops every belief about what w holds.
-func (c *Controller) forget(w *worker) {
+func (c *Scheduler) forget(w *worker) {
 	for _, f := range c.active {
 		if p := f.at(w); p != nil {
 			f.drop(p)
@@ -219,7 +219,7 @@
 }
 
 // ranked lists the workers in the order in which every front end would load f.
-func (c *Controller) ranked(f *function) []*worker {
+func (c *Scheduler) ranked(f *function) []*worker {
 	if f.epoch != c.epoch {
 		f.epoch = c.epoch
 		f.order = slices.Clone(c.list)
@@ -230,35 +230,35 @@
 
 // rankOf is lower for workers that come sooner in the order of f: by weighted rendezvous hashing, so that a worker
 // comes first for as large a part of the functions as it has of the size that the list tells.
-func (c *Controller) rankOf(f *function, w *worker) float64 {
+func (c *Scheduler) rankOf(f *function, w *worker) float64 {
 	draw := chance(mix(uint64(f.id), uint64(w.ID))) + 0.5/(1<<53)
 	return -math.Log1p(-draw) / c.size(w)
 }
 
 // size is a worker's size beside the mean one, where the list tells it.
-func (c *Controller) size(w *worker) float64 {
-	if !c.set.Sized || w.Scale <= 0 || c.scales <= 0 {
+func (c *Scheduler) size(w *worker) float64 {
+	if !c.set.ScaleIsCapacity || w.Scale <= 0 || c.scales <= 0 {
 		return 1
 	}
 	return w.Scale / c.scales
 }
 
 // waiting says whether some believed copy may take r once it has room.
-func (f *function) waiting(c *Controller, r *request) bool {
+func (f *function) waiting(c *Scheduler, r *request) bool {
 	return slices.ContainsFunc(f.replicas, func(p *replica) bool { return c.usable(p.w, f.class) && c.allowed(r, p.w) })
 }
 
 // Started takes the news that a streamed answer began: neither time-out nor deadline holds any longer.
-func (c *Controller) Started(now time.Duration, id RequestID) {
+func (c *Scheduler) ResponseStarted(now time.Duration, id RequestID) {
 	if r := c.requests[id]; r != nil {
 		r.streamed = true
 	}
 }
 
 // Probed takes the answer to a probe; the module sends none, as a call that may be repeated tells as much.
-func (c *Controller) Probed(now time.Duration, _ Probed) { c.now = now }
+func (c *Scheduler) HealthChecked(now time.Duration, _ HealthCheckResult) { c.now = now }
 
-func (c *Controller) end(r *request) {
+func (c *Scheduler) end(r *request) {
 	r.over = true
 	if r.at == nil {
 		r.f.held = without(r.f.held, r)
@@ -267,19 +267,19 @@
 }
 
 // runOf is the expected time of one run of f.
-func (c *Controller) runOf(f *function) time.Duration {
+func (c *Scheduler) runOf(f *function) time.Duration {
 	return f.run.duration(c.runOfClass(f.class))
 }
 
 // runOfClass is the expected time of one run of a function of a class. A class whose calls wait for less than a
 // run is guessed to take would else never be called, and never be known.
-func (c *Controller) runOfClass(class int) time.Duration {
-	return c.runs[class].duration(min(runPrior, c.set.Classes[class].Aim/runPart))
+func (c *Scheduler) runOfClass(class int) time.Duration {
+	return c.runs[class].duration(min(runPrior, c.set.Classes[class].LatencyObjective/runPart))
 }
 
 // merge takes a change of the list of workers, or the whole list, and returns the workers whose process is
 // not the one that was listed before, or that are not to be sent anything new.
-func (c *Controller) merge(list []WorkerInfo, whole bool) (changed []*worker) {
+func (c *Scheduler) merge(list []WorkerInfo, whole bool) (changed []*worker) {
 	named := map[WorkerID]bool{}
 	for _, info := range list {
 		named[info.ID] = true
@@ -298,12 +298,12 @@
 	}
 	for _, w := range c.list {
 		if whole && !named[w.ID] {
-			w.State = Gone
+			w.State = Removed
 		}
 		if w.State != Ready {
 			changed = append(changed, w)
 		}
-		if w.State != Gone {
+		if w.State != Removed {
 			w.gone = 0
 		} else if w.gone == 0 {
 			w.gone = c.now
@@ -320,8 +320,8 @@
 }
 
 // past forgets a worker that is gone for so long that another process under its name would be warm.
-func (c *Controller) past(w *worker) bool {
-	if w.State != Gone || len(w.out) > 0 || c.now-w.gone < c.set.ColdTime {
+func (c *Scheduler) past(w *worker) bool {
+	if w.State != Removed || len(w.out) > 0 || c.now-w.gone < c.set.SlowStartDuration {
 		return false
 	}
 	delete(c.workers, w.ID)
@@ -362,7 +362,7 @@
 
 // perSecond is the rate of what x counts with a memory. A front end that started lately has counted for as long as it
 // stands, and a second more, so that its first few say little.
-func (c *Controller) perSecond(x *fading, memory time.Duration) float64 {
+func (c *Scheduler) perSecond(x *fading, memory time.Duration) float64 {
 	counted := 1 - math.Exp(-float64(c.now-c.began+lately)/float64(memory))
 	return x.now(c.now, memory) / (counted * memory.Seconds())
 }
@@ -378,7 +378,7 @@
 }
 
 // healthy counts the ready workers that are not suspect for a class.
-func (c *Controller) healthy(class int) (n int) {
+func (c *Scheduler) healthy(class int) (n int) {
 	for _, w := range c.list {
 		if w.State == Ready && !w.health[class].suspect {
 			n++
@@ -388,15 +388,15 @@
 }
 
 // partOf is the part of its capacity that a worker has so soon after its start.
-func (c *Controller) partOf(w *worker) float64 {
-	if age := c.now - w.Started; w.Started != LongAgo && age < c.set.ColdTime {
-		return c.set.ColdFrom + (1-c.set.ColdFrom)*max(0, float64(age))/float64(c.set.ColdTime)
+func (c *Scheduler) partOf(w *worker) float64 {
+	if age := c.now - w.Started; w.Started != UnknownStart && age < c.set.SlowStartDuration {
+		return c.set.SlowStartFraction + (1-c.set.SlowStartFraction)*max(0, float64(age))/float64(c.set.SlowStartDuration)
 	}
 	return 1
 }
 
 // warmth is how many warm workers the healthy ones of a class amount to.
-func (c *Controller) warmth(class int) (sum float64) {
+func (c *Scheduler) warmth(class int) (sum float64) {
 	for _, w := range c.list {
 		if w.State == Ready && !w.health[class].suspect {
 			sum += c.partOf(w)
@@ -406,7 +406,7 @@
 }
 
 // takes counts an arrival of a tenant and returns its share of what this front end took lately.
-func (c *Controller) takes(tenant int) float64 {
+func (c *Scheduler) takes(tenant int) float64 {
 	const kept = 1 - 1.0/shareMemory
 	c.arrived++
 	c.all = kept*c.all + 1
@@ -424,8 +424,8 @@
 	at    uint64
 }
 
-func newController(now time.Duration, s Settings, a Actions) *Controller {
-	return &Controller{set: s, act: a, now: now, began: now, ticked: now, waitFade: waitMost, workers: map[WorkerID]*worker{},
+func newController(now time.Duration, s Settings, a Actions) *Scheduler {
+	return &Scheduler{set: s, act: a, now: now, began: now, ticked: now, waitFade: waitMost, workers: map[WorkerID]*worker{},
 		functions: map[FunctionID]*function{}, requests: map[RequestID]*request{}, orders: map[pair]int{},
 		runs: make([]mean, len(s.Classes)), quietRun: make([]time.Duration, len(s.Classes)),
 		quietAt: make([]time.Duration, len(s.Classes)), taken: make([]taken, len(s.Tenants)),
@@ -433,7 +433,7 @@
 }
 
 // send gives r to the worker of p and keeps the books of it.
-func (c *Controller) send(r *request, p *replica) {
+func (c *Scheduler) send(r *request, p *replica) {
 	f, w := r.f, p.w
 	f.held = without(f.held, r)
 	r.at, r.sent, r.began, r.behind = p, c.now, p.loading, p.out >= f.lanes
@@ -441,12 +441,12 @@
 	p.out++
 	p.used, w.seen = c.now, c.now
 	w.out = append(w.out, r)
-	w.sends = append(recent(w.sends, c.now-c.set.TipWindow), c.now)
+	w.sends = append(recent(w.sends, c.now-c.set.OverloadWindow), c.now)
 	c.act.Send(r.ID, w.ID, 0)
 }
 
 // loadOf is the expected time of one load of f.
-func (c *Controller) loadOf(f *function) time.Duration {
+func (c *Scheduler) loadOf(f *function) time.Duration {
 	if f.told > 0 {
 		if c.ratio.n == 0 {
 			return f.told
@@ -457,11 +457,11 @@
 }
 
 // bound says whether only the group that drops its repeats may be sent the request.
-func (r *request) bound() bool { return r.ran && r.class.Repeat == Keyed }
+func (r *request) bound() bool { return r.ran && r.class.Idempotency == IdempotentByKey }
 
 // quietest is the run time of a class that one in part of the workers with enough answers stays under, 0 if none
 // has them.
-func (c *Controller) quietest(class, part, enough int) time.Duration {
+func (c *Scheduler) quietest(class, part, enough int) time.Duration {
 	var runs []float64
 	for _, w := range c.list {
 		if w.State == Ready && w.runs[class].n >= enough {
@@ -488,7 +488,7 @@
 }
 
 // underWay counts the loads of ours that are.
-func (c *Controller) underWay() (n int) {
+func (c *Scheduler) underWay() (n int) {
 	for _, f := range c.active {
 		for _, p := range f.replicas {
 			if p.loading {
@@ -500,33 +500,35 @@
 }
 
 // bareRun is the expected time of one run of f, without what calls wait.
-func (c *Controller) bareRun(f *function) time.Duration { return min(c.runOf(f), c.quiet(f.class)) }
+func (c *Scheduler) bareRun(f *function) time.Duration { return min(c.runOf(f), c.quiet(f.class)) }
 
 // workOf is what r takes of a worker, as far as its aim lets that count.
-func (c *Controller) workOf(r *request) time.Duration { return min(c.bareRun(r.f), r.class.Aim/2) }
+func (c *Scheduler) workOf(r *request) time.Duration {
+	return min(c.bareRun(r.f), r.class.LatencyObjective/2)
+}
 
 // count counts an arrival.
-func (c *Controller) count(r *request) {
+func (c *Scheduler) count(r *request) {
 	run := float64(c.runOf(r.f))
 	r.f.work.add(c.now, shareFade, run)
 	c.work.add(c.now, shareFade, run)
 	c.asked.add(c.now, shareFade, float64(c.workOf(r)))
-	c.worth.add(c.now, shareFade, r.class.Worth)
+	c.worth.add(c.now, shareFade, r.class.PriorityWeight)
 	c.calls.add(c.now, shareFade, 1)
 }
 
 // meets is how often this front end has a call for a worker, if its calls go to all of them alike.
-func (c *Controller) meets() time.Duration {
+func (c *Scheduler) meets() time.Duration {
 	return time.Duration(float64(shareFade) * float64(len(c.list)) / (1 + c.calls.now(c.now, shareFade)))
 }
 
 // waitOf is how long calls at a worker last waited beyond a quiet run, forgotten as it ages.
-func (c *Controller) waitOf(w *worker) time.Duration {
+func (c *Scheduler) waitOf(w *worker) time.Duration {
 	return time.Duration(w.wait.now(c.now, c.waitFade))
 }
 
 // crosses is 1 for a worker in another zone, else 0.
-func (c *Controller) crosses(w *worker) int {
+func (c *Scheduler) crosses(w *worker) int {
 	if w.Zone != c.set.Zone {
 		return 1
 	}
@@ -535,7 +537,7 @@
 
 // met is the wait that one in metPart of the ready workers met last stays under, as it was seen there: of the latest
 // metLatest within waitFade, and of all within the last second.
-func (c *Controller) met() float64 {
+func (c *Scheduler) met() float64 {
 	var met []*worker
 	for _, w := range c.list {
 		if w.State == Ready && w.wait.last > 0 && c.now-w.wait.last < c.waitFade {
@@ -561,7 +563,7 @@
 }
 
 // meet returns the function, made known if it was not; functions stand in the order of before.
-func (c *Controller) meet(id FunctionID, class int) *function {
+func (c *Scheduler) meet(id FunctionID, class int) *function {
 	f := c.functions[id]
 	if f == nil {
 		f = &function{id: id, class: class, asked: -never}
@@ -573,7 +575,7 @@
 }
 
 // middle is the wait at the middle one of the ready workers.
-func (c *Controller) middle() time.Duration {
+func (c *Scheduler) middle() time.Duration {
 	var waits []float64
 	for _, w := range c.list {
 		if w.State == Ready {
@@ -582,3 +584,13 @@
 	}
 	return time.Duration(oneIn(2, waits))
 }
+
+// waitedForLoad says whether the attempt waited for a load, its own or another request's.
+func (o *Outcome) waitedForLoad() bool {
+	return o.ColdStart == ColdStartTriggered || o.ColdStart == ColdStartAwaited
+}
+
+// mayRunAnywhereAgain says whether a repeat at any worker does no harm.
+func (cl *Class) mayRunAnywhereAgain() bool {
+	return cl.Idempotency == Idempotent || cl.Idempotency == IdempotentByKey && cl.KeyScope == ScopeAll
+}
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -16,32 +16,32 @@
 )
 
 // Repeat says what another attempt of a request may do.
-type Repeat int
+type Idempotency int
 
 // The kinds of class.
 const (
-	Safe   Repeat = iota // may run any number of times
-	Keyed                // a group of workers drops repeats for a while
-	Unsafe               // must never run twice
+	Idempotent      Idempotency = iota // may run any number of times
+	IdempotentByKey                    // a group of workers drops repeats for a while
+	NonIdempotent                      // must never run twice
 )
 
 // Scope is the group of workers that drops the repeats of a keyed request.
-type Scope int
+type KeyScope int
 
 // The scopes of a key.
 const (
-	ScopeAll Scope = iota
+	ScopeAll KeyScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class describes one class of request.
 type Class struct {
-	Aim, Deadline    time.Duration // wanted within, given up after
-	Worth, LateWorth float64       // of an answer in time; share of it left when late
-	Repeat           Repeat
-	Scope            Scope         // for Keyed
-	Memory           time.Duration // for Keyed: how long the group remembers
+	LatencyObjective, Timeout  time.Duration // wanted within, given up after
+	PriorityWeight, LateWeight float64       // of an answer in time; share of it left when late
+	Idempotency                Idempotency
+	KeyScope                   KeyScope      // for Keyed
+	KeyRetention               time.Duration // for Keyed: how long the group remembers
 }
 
 // Tenant describes one customer.
@@ -52,36 +52,36 @@
 
 // Settings are what a front end is told at its start.
 type Settings struct {
-	Seed      uint64
-	Self      int // this front end's number
-	FrontEnds int // how many there are
-	Zone      int // where this front end stands
-	Classes   []Class
-	Tenants   []Tenant
-
-	MissAnswered bool          // a worker without the function answers Miss instead of loading it
-	MayOrder     bool          // Load and Unload may be used
-	TellsWarm    bool          // answers say whether a copy stood loaded
-	TellsCrowd   bool          // answers say how many calls of the function the worker held
-	KeepAlive    time.Duration // an idle copy stays at least this long
-	OrderTimeout time.Duration // a Load order without an answer ends after this
-	LoadWindow   time.Duration // ration of orders: within this window (0: no ration) at most
-	LoadFree     float64       // this many, and
-	LoadShare    float64       // this share of the requests taken in the window
-
-	MayProbe, MayCancel, SecondCopies bool
-	MaxAttempts                       int
-	MaxRetryAfter, ConnectTimeout     time.Duration
-	AskForWorkers                     bool // the list of workers comes only when followed
-
-	DrainGrace  time.Duration // nothing new to a worker later than this after a notice
-	ColdFrom    float64       // a started worker has at least this share of its capacity
-	ColdTime    time.Duration // and is warm within this
-	TipMultiple float64       // sent more than this many times its capacity
-	TipWindow   time.Duration // for this long, it falls over
-	Resolution  time.Duration // shortest gap between events
-	Reports     []string      // names of the values of a load report
-	Sized       bool          // the Scale of a worker tells its size, and stays
+	Seed          uint64
+	FrontEndIndex int // this front end's number
+	FrontEndCount int // how many there are
+	Zone          int // where this front end stands
+	Classes       []Class
+	Tenants       []Tenant
+
+	AnswersNotLoaded   bool          // a worker without the function answers Miss instead of loading it
+	LoadOrdersAllowed  bool          // Load and Unload may be used
+	ReportsColdStart   bool          // answers say whether a copy stood loaded
+	ReportsQueueDepth  bool          // answers say how many calls of the function the worker held
+	ReplicaIdleTimeout time.Duration // an idle copy stays at least this long
+	LoadOrderTimeout   time.Duration // a Load order without an answer ends after this
+	LoadRateWindow     time.Duration // ration of orders: within this window (0: no ration) at most
+	LoadRateBurst      float64       // this many, and
+	LoadRatePerRequest float64       // this share of the requests taken in the window
+
+	HealthChecksAllowed, CancelAllowed, HedgingAllowed bool
+	MaxAttempts                                        int
+	MaxRetryAfter, ConnectTimeout                      time.Duration
+	WatchOnStart                                       bool // the list of workers comes only when followed
+
+	DrainGrace        time.Duration // nothing new to a worker later than this after a notice
+	SlowStartFraction float64       // a started worker has at least this share of its capacity
+	SlowStartDuration time.Duration // and is warm within this
+	OverloadFactor    float64       // sent more than this many times its capacity
+	OverloadWindow    time.Duration // for this long, it falls over
+	Resolution        time.Duration // shortest gap between events
+	LoadReportFields  []string      // names of the values of a load report
+	ScaleIsCapacity   bool          // the Scale of a worker tells its size, and stays
 }
 
 // WorkerState is what the list of workers says of a worker's process.
@@ -91,7 +91,7 @@
 const (
 	Ready WorkerState = iota + 1
 	Draining
-	Gone
+	Removed
 )
 
 // WorkerInfo is one entry of the list of workers.
@@ -105,19 +105,19 @@
 }
 
 // LongAgo stands for a start before anyone remembers.
-const LongAgo = time.Duration(-1 << 62)
+const UnknownStart = time.Duration(-1 << 62)
 
 // Request is one client try that this front end took on.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Tenant   int
-	Function FunctionID
-	Budget   time.Duration // until the client gives up, from now
-	Cost     time.Duration // rough work, 0 if not told
-	MemoryMB float64       // of one loaded copy
-	Lanes    int           // calls that one copy runs at a time
-	LoadTime time.Duration // usual time of a load, 0 if not told
+	ID                 RequestID
+	Class              int
+	Tenant             int
+	Function           FunctionID
+	Timeout            time.Duration // until the client gives up, from now
+	WorkEstimate       time.Duration // rough work, 0 if not told
+	ReplicaMemoryMB    float64       // of one loaded copy
+	ReplicaConcurrency int           // calls that one copy runs at a time
+	LoadTimeEstimate   time.Duration // usual time of a load, 0 if not told
 }
 
 // Status is how an attempt, a probe or an order ended.
@@ -127,68 +127,68 @@
 const (
 	OK            Status = iota + 1
 	Error                // answered with an error; it may have run
-	Full                 // turned away unseen
+	Overloaded           // turned away unseen
 	Timeout              // nothing heard in time; it may have run or still run
 	ConnectFailed        // no connection; it never ran
 	Reset                // connection lost; it may have run
 	Cancelled            // withdrawn; it may have run
-	Moot                 // never sent
-	Miss                 // the function is not loaded there; it never ran
+	NotSent              // never sent
+	NotLoaded            // the function is not loaded there; it never ran
 )
 
 // Warmth is what an answer says of the copy that served it.
-type Warmth int
+type ColdStart int
 
 // The notes on an answer.
 const (
-	WarmthUnknown Warmth = iota
-	FoundWarm
-	BeganLoad
-	WaitedForLoad
-	LoadFailed
+	ColdStartUnknown ColdStart = iota
+	WarmStart
+	ColdStartTriggered
+	ColdStartAwaited
+	ColdStartFailed
 )
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	Request RequestID
-	Attempt int
-	Worker  WorkerID
-	Status  Status
-	Latency time.Duration
-	Closed  bool // the request is over; no answer is owed
-	Warmth  Warmth
-	Crowd   int       // calls of the function held there on arrival, -1 if not told
-	Report  []float64 // load report, nil if none
+	Request       RequestID
+	Attempt       int
+	Worker        WorkerID
+	Status        Status
+	Latency       time.Duration
+	RequestClosed bool // the request is over; no answer is owed
+	ColdStart     ColdStart
+	QueueDepth    int       // calls of the function held there on arrival, -1 if not told
+	LoadReport    []float64 // load report, nil if none
 }
 
 // Probed is the answer to a probe.
-type Probed struct {
-	Worker  WorkerID
-	Status  Status
-	Latency time.Duration
-	Report  []float64
+type HealthCheckResult struct {
+	Worker     WorkerID
+	Status     Status
+	Latency    time.Duration
+	LoadReport []float64
 }
 
 // Loaded is the answer to a Load order.
-type Loaded struct {
+type LoadResult struct {
 	Worker   WorkerID
 	Function FunctionID
 	Status   Status
 	Latency  time.Duration
-	Copies   int // that stand loaded now
+	Replicas int // that stand loaded now
 }
 
 // Actions is what a Controller asks of its front end. Each takes effect at the
 // time of the event being handled, in the order of the calls.
 type Actions interface {
 	Send(r RequestID, w WorkerID, until time.Duration) // until 0: as long as the client waits
-	Refuse(r RequestID, retryAfter time.Duration)
+	Reject(r RequestID, retryAfter time.Duration)
 	Fail(r RequestID)
 	Cancel(r RequestID, attempt int)
 	Load(w WorkerID, f FunctionID, copies int) // copies 0 only asks
 	Unload(w WorkerID, f FunctionID)
-	Probe(w WorkerID)
-	Wake(after time.Duration, token uint64)
-	Follow() // asks for the list of workers and its changes
+	CheckHealth(w WorkerID)
+	SetTimer(after time.Duration, token uint64)
+	WatchEndpoints() // asks for the list of workers and its changes
 	Log(text string)
 }
