--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command benchlink speaks the bench's wire on standard input and output and
-// plays every instance that it is given.
+// Command simhost runs the scheduler on the simulator. It speaks the simulator's wire protocol on standard input and
+// output, and plays all instances that it is given. It exits with status 1 on input that is not as the protocol
+// requires.
 package main
 
 import (
@@ -11,7 +12,7 @@
 
 func main() {
 	if err := simhost.New().Run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/simhost/actions.go
+++ b/internal/simhost/actions.go
@@ -7,30 +7,44 @@
 	"havencart/scheduler"
 )
 
-// actions writes one instance's actions into the process's reply.
-type actions struct {
+// instanceActions implements scheduler.Actions for one instance: it adds each action to the process's reply.
+type instanceActions struct {
 	reply    *simwire.Reply
 	instance uint32
 }
 
-func (a actions) on() *simwire.Reply {
-	a.reply.For(a.instance)
+// selected returns the reply after it has selected the instance in it.
+func (a instanceActions) selected() *simwire.Reply {
+	a.reply.SelectInstance(a.instance)
 	return a.reply
 }
 
-func (a actions) Send(r scheduler.RequestID, w scheduler.WorkerID, until time.Duration) {
-	a.on().Send(r, w, until)
+func (a instanceActions) Send(r scheduler.RequestID, w scheduler.WorkerID, deadline time.Duration) {
+	a.selected().Send(r, w, deadline)
 }
-func (a actions) Reject(r scheduler.RequestID, retryAfter time.Duration) {
-	a.on().Reject(r, retryAfter)
+
+func (a instanceActions) Reject(r scheduler.RequestID, retryAfter time.Duration) {
+	a.selected().Reject(r, retryAfter)
+}
+
+func (a instanceActions) Fail(r scheduler.RequestID) { a.selected().Fail(r) }
+
+func (a instanceActions) Cancel(r scheduler.RequestID, attempt int) { a.selected().Cancel(r, attempt) }
+
+func (a instanceActions) Load(w scheduler.WorkerID, f scheduler.FunctionID, replicas int) {
+	a.selected().Load(w, f, replicas)
 }
-func (a actions) Fail(r scheduler.RequestID)                          { a.on().Fail(r) }
-func (a actions) Cancel(r scheduler.RequestID, attempt int)           { a.on().Cancel(r, attempt) }
-func (a actions) Unload(w scheduler.WorkerID, f scheduler.FunctionID) { a.on().Unload(w, f) }
-func (a actions) CheckHealth(w scheduler.WorkerID)                    { a.on().CheckHealth(w) }
-func (a actions) SetTimer(after time.Duration, token uint64)          { a.on().SetTimer(after, token) }
-func (a actions) WatchEndpoints()                                     { a.on().WatchEndpoints() }
-func (a actions) Log(text string)                                     { a.on().Log(text) }
-func (a actions) Load(w scheduler.WorkerID, f scheduler.FunctionID, copies int) {
-	a.on().Load(w, f, copies)
+
+func (a instanceActions) Unload(w scheduler.WorkerID, f scheduler.FunctionID) {
+	a.selected().Unload(w, f)
 }
+
+func (a instanceActions) CheckHealth(w scheduler.WorkerID) { a.selected().CheckHealth(w) }
+
+func (a instanceActions) SetTimer(after time.Duration, token uint64) {
+	a.selected().SetTimer(after, token)
+}
+
+func (a instanceActions) WatchEndpoints() { a.selected().WatchEndpoints() }
+
+func (a instanceActions) Log(text string) { a.selected().Log(text) }
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,6 +1,6 @@
-// Package simhost keeps the instances that one bench process plays: it hands
-// each its events and gathers its actions. Instances share nothing but the
-// process's numbered lists of workers.
+// Package simhost runs schedulers on the simulator: it gives the events of each batch to the instances that they are
+// for, and returns the actions of all in one reply. An instance stands for one front end. Instances share nothing but
+// the process's numbered endpoint lists.
 package simhost
 
 import (
@@ -8,117 +8,135 @@
 	"errors"
 	"fmt"
 	"io"
+	"time"
 
 	"havencart/internal/config/platformconfig"
 	"havencart/internal/simwire"
 	"havencart/scheduler"
 )
 
-const pages = 16
+// bufferSize is the size in bytes of the input's and the output's buffer; most batches fit.
+const bufferSize = 1 << 20
 
-// Host plays the instances of one process.
+// Host holds the instances of one process. It is not safe for concurrent use.
 type Host struct {
-	instances map[uint32]*scheduler.Scheduler
-	lists     [pages][]scheduler.WorkerInfo
-	reply     simwire.Reply
+	instances     map[uint32]*scheduler.Scheduler
+	endpointLists [simwire.MaxLists][]scheduler.WorkerInfo
+	reply         simwire.Reply
 }
 
 // New returns a Host without instances.
 func New() *Host { return &Host{instances: map[uint32]*scheduler.Scheduler{}} }
 
-// Run answers batches until the input ends.
+// Run reads batches from in and writes one reply to each to out, until the input ends. Its error wraps
+// simwire.ErrMalformed if the input is not as the protocol requires. A panic of a scheduler is no error: it is
+// reported in the reply, and the instance is gone.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
+	reader := bufio.NewReaderSize(in, bufferSize)
+	writer := bufio.NewWriterSize(out, bufferSize)
 	for {
-		batch, err := simwire.ReadBatch(r)
+		batch, err := simwire.ReadBatch(reader)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("read batch: %w", err)
 		}
-		if err := h.play(batch); err != nil {
+		if err := h.process(batch); err != nil {
 			return fmt.Errorf("batch %d: %w", batch.Number, err)
 		}
-		if err := h.reply.WriteTo(w, batch.Number); err != nil {
+		if err := h.reply.WriteTo(writer, batch.Number); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("flush reply %d: %w", batch.Number, err)
 		}
 	}
 }
 
-// play hands a batch's events to their instances and fills the reply.
-func (h *Host) play(b *simwire.Batch) error {
+// process delivers a batch's events and fills the reply.
+func (h *Host) process(batch *simwire.Batch) error {
 	h.reply.Reset()
-	current, named := uint32(0), false
-	for i := range b.Events {
-		e := &b.Events[i]
-		switch e.Code {
-		case simwire.For:
-			current, named = e.Instance, true
+	instance, selected := uint32(0), false
+	for i := range batch.Events {
+		event := &batch.Events[i]
+		switch event.Code {
+		case simwire.SelectInstance:
+			instance, selected = event.Instance, true
 			continue
-		case simwire.Directory:
-			h.lists[e.Page] = e.Workers
+		case simwire.EndpointList:
+			h.endpointLists[event.ListNumber] = event.Workers
 			continue
 		}
-		if !named {
-			return fmt.Errorf("%w: event %d before any instance was named", simwire.ErrMalformed, e.Code)
+		if !selected {
+			return fmt.Errorf("%w: event %d before an instance was selected", simwire.ErrMalformed, event.Code)
 		}
-		if err := h.deliver(current, b, e); err != nil {
-			return fmt.Errorf("instance %d: %w", current, err)
+		if err := h.deliver(instance, batch.Clock, event); err != nil {
+			return fmt.Errorf("instance %d: %w", instance, err)
 		}
 	}
 	return nil
 }
 
-// deliver hands one event to its instance. A panic of the decisions is told as the wire provides.
-func (h *Host) deliver(id uint32, b *simwire.Batch, e *simwire.Event) (err error) {
+// deliver gives one event to its instance. A panic is reported as the protocol provides, and ends the instance.
+func (h *Host) deliver(instance uint32, now time.Duration, event *simwire.Event) (err error) {
 	defer func() {
-		if trouble := recover(); trouble != nil {
-			h.reply.For(id)
-			h.reply.InternalError(fmt.Sprint(trouble))
-			delete(h.instances, id)
+		if cause := recover(); cause != nil {
+			h.reply.SelectInstance(instance)
+			h.reply.InternalError(fmt.Sprint(cause))
+			delete(h.instances, instance)
 		}
 	}()
-	switch e.Code {
+	switch event.Code {
 	case simwire.OpenInstance:
-		site, err := platformconfig.Parse(e.Settings, e.Seed)
-		if err != nil {
-			return fmt.Errorf("%w: %w", simwire.ErrMalformed, err)
-		}
-		h.instances[id] = scheduler.New(b.Clock, site.Control, actions{&h.reply, id})
-		return nil
-	case simwire.Detach:
-		delete(h.instances, id)
+		return h.open(instance, now, event)
+	case simwire.CloseInstance:
+		delete(h.instances, instance)
 		return nil
 	}
-	c := h.instances[id]
-	if c == nil {
-		return nil // an event that crossed with the instance's end
+	if s, exists := h.instances[instance]; exists {
+		h.dispatch(s, now, event)
 	}
-	switch e.Code {
-	case simwire.Members:
-		if e.List == simwire.ListFailed {
-			c.WatchFailed(b.Clock)
-		} else {
-			c.WorkersChanged(b.Clock, h.lists[e.Page], e.List != simwire.Delta)
-		}
-	case simwire.Arrival:
-		c.RequestReceived(b.Clock, e.Request)
-	case simwire.First:
-		c.ResponseStarted(b.Clock, e.Request.ID)
-	case simwire.Result:
-		c.AttemptEnded(b.Clock, e.Outcome)
-	case simwire.Lapsed:
-		c.ClientDisconnected(b.Clock, e.Request.ID)
-	case simwire.Wake:
-		c.TimerFired(b.Clock, e.Token)
-	case simwire.Pong:
-		c.HealthChecked(b.Clock, e.Probed)
-	case simwire.LoadDone:
-		c.LoadEnded(b.Clock, e.Loaded)
+	return nil // without an instance: the event crossed the instance's end on its way
+}
+
+// open starts an instance, in place of one with the same number if there is any.
+func (h *Host) open(instance uint32, now time.Duration, event *simwire.Event) error {
+	site, err := platformconfig.Parse(event.Settings, event.Seed)
+	if err != nil {
+		return fmt.Errorf("%w: %w", simwire.ErrMalformed, err)
 	}
+	h.instances[instance] = scheduler.New(now, site.Control, instanceActions{&h.reply, instance})
 	return nil
 }
+
+// dispatch calls the method of the scheduler that an event stands for.
+func (h *Host) dispatch(s *scheduler.Scheduler, now time.Duration, event *simwire.Event) {
+	switch event.Code {
+	case simwire.EndpointsChanged:
+		h.endpointsChanged(s, now, event)
+	case simwire.RequestReceived:
+		s.RequestReceived(now, event.Request)
+	case simwire.ResponseStarted:
+		s.ResponseStarted(now, event.Request.ID)
+	case simwire.AttemptEnded:
+		s.AttemptEnded(now, event.Outcome)
+	case simwire.ClientDisconnected:
+		s.ClientDisconnected(now, event.Request.ID)
+	case simwire.TimerFired:
+		s.TimerFired(now, event.TimerToken)
+	case simwire.HealthChecked:
+		s.HealthChecked(now, event.HealthCheck)
+	case simwire.LoadEnded:
+		s.LoadEnded(now, event.Load)
+	}
+}
+
+func (h *Host) endpointsChanged(s *scheduler.Scheduler, now time.Duration, event *simwire.Event) {
+	if event.ListKind == simwire.WatchFailed {
+		s.WatchFailed(now)
+		return
+	}
+	whole := event.ListKind != simwire.DeltaList
+	s.WorkersChanged(now, h.endpointLists[event.ListNumber], whole)
+}
