--- a/internal/shadow/recorder.go
+++ b/internal/shadow/recorder.go
@@ -6,55 +6,75 @@
 	"havencart/scheduler"
 )
 
-// answer is a final answer: refused with an advice, or failed.
-type answer struct {
-	failed     bool
-	retryAfter time.Duration
+// answerKind is the kind of a final answer that a scheduler gives itself.
+type answerKind int
+
+const (
+	rejected answerKind = iota
+	failed
+)
+
+// finalAnswer is a request's final answer.
+type finalAnswer struct {
+	kind       answerKind
+	retryAfter time.Duration // advice with a rejection
 }
 
-type order struct {
+// loadOrder is an order to load replicas, or a residency query.
+type loadOrder struct {
 	worker   scheduler.WorkerID
 	function scheduler.FunctionID
-	copies   int
+	replicas int // 0: a residency query
 }
 
+func (o loadOrder) isResidencyQuery() bool { return o.replicas <= 0 }
+
+// attempt identifies one attempt of a request.
 type attempt struct {
 	request scheduler.RequestID
 	number  int
 }
 
-// recorder notes what is asked of it in one event, and passes it on.
+// recorder records the actions of one event that are compared, and passes all actions on. Timers, lines of the log,
+// health checks, watching endpoints and unloading are not compared.
 type recorder struct {
 	scheduler.Actions
 	sent     map[scheduler.RequestID]scheduler.WorkerID
-	answered map[scheduler.RequestID]answer
-	orders   map[order]bool
+	answers  map[scheduler.RequestID]finalAnswer
+	orders   map[loadOrder]bool
 	canceled map[attempt]bool
 }
 
-func newRecorder(a scheduler.Actions) *recorder {
-	return &recorder{a, map[scheduler.RequestID]scheduler.WorkerID{}, map[scheduler.RequestID]answer{}, map[order]bool{}, map[attempt]bool{}}
+func newRecorder(actions scheduler.Actions) *recorder {
+	return &recorder{
+		Actions:  actions,
+		sent:     map[scheduler.RequestID]scheduler.WorkerID{},
+		answers:  map[scheduler.RequestID]finalAnswer{},
+		orders:   map[loadOrder]bool{},
+		canceled: map[attempt]bool{},
+	}
 }
 
+// reset drops the record; the maps are reused, as there are many events.
 func (r *recorder) reset() {
 	clear(r.sent)
-	clear(r.answered)
+	clear(r.answers)
 	clear(r.orders)
 	clear(r.canceled)
 }
 
-func (r *recorder) Send(id scheduler.RequestID, w scheduler.WorkerID, until time.Duration) {
+func (r *recorder) Send(id scheduler.RequestID, w scheduler.WorkerID, deadline time.Duration) {
 	r.sent[id] = w
-	r.Actions.Send(id, w, until)
+	r.Actions.Send(id, w, deadline)
 }
 
 func (r *recorder) Reject(id scheduler.RequestID, retryAfter time.Duration) {
-	r.answered[id] = answer{retryAfter: retryAfter}
+	r.answers[id] = finalAnswer{kind: rejected, retryAfter: retryAfter}
 	r.Actions.Reject(id, retryAfter)
 }
 
 func (r *recorder) Fail(id scheduler.RequestID) {
-	r.answered[id] = answer{failed: true}
+	r.answers[id] = finalAnswer{kind: failed}
 	r.Actions.Fail(id)
 }
 
@@ -63,21 +83,21 @@
 	r.Actions.Cancel(id, number)
 }
 
-func (r *recorder) Load(w scheduler.WorkerID, f scheduler.FunctionID, copies int) {
-	r.orders[order{w, f, copies}] = true
-	r.Actions.Load(w, f, copies)
+func (r *recorder) Load(w scheduler.WorkerID, f scheduler.FunctionID, replicas int) {
+	r.orders[loadOrder{w, f, replicas}] = true
+	r.Actions.Load(w, f, replicas)
 }
 
-// nothing carries out nothing.
-type nothing struct{}
-
-func (nothing) Send(scheduler.RequestID, scheduler.WorkerID, time.Duration) {}
-func (nothing) Reject(scheduler.RequestID, time.Duration)                   {}
-func (nothing) Fail(scheduler.RequestID)                                    {}
-func (nothing) Cancel(scheduler.RequestID, int)                             {}
-func (nothing) Load(scheduler.WorkerID, scheduler.FunctionID, int)          {}
-func (nothing) Unload(scheduler.WorkerID, scheduler.FunctionID)             {}
-func (nothing) CheckHealth(scheduler.WorkerID)                              {}
-func (nothing) SetTimer(time.Duration, uint64)                              {}
-func (nothing) WatchEndpoints()                                             {}
-func (nothing) Log(string)                                                  {}
+// discardActions carries out no action: those of the copy have no effect.
+type discardActions struct{}
+
+func (discardActions) Send(scheduler.RequestID, scheduler.WorkerID, time.Duration) {}
+func (discardActions) Reject(scheduler.RequestID, time.Duration)                   {}
+func (discardActions) Fail(scheduler.RequestID)                                    {}
+func (discardActions) Cancel(scheduler.RequestID, int)                             {}
+func (discardActions) Load(scheduler.WorkerID, scheduler.FunctionID, int)          {}
+func (discardActions) Unload(scheduler.WorkerID, scheduler.FunctionID)             {}
+func (discardActions) CheckHealth(scheduler.WorkerID)                              {}
+func (discardActions) SetTimer(time.Duration, uint64)                              {}
+func (discardActions) WatchEndpoints()                                             {}
+func (discardActions) Log(string)                                                  {}
