--- a/internal/decide/connadmission/connadmission.go
+++ b/internal/decide/connadmission/connadmission.go
@@ -61,7 +61,10 @@
 // ShouldCloseInShutdown is ShouldClose during graceful shutdown: an idle connection is closed at once, and one that
 // has sent a part of a message may finish it within the usual timeout.
 func ShouldCloseInShutdown(c Connection) bool {
-	return c.InFlight == 0 && (!c.PartialMessage || ShouldClose(c))
+	if c.InFlight > 0 {
+		return false
+	}
+	return !c.PartialMessage || ShouldClose(c)
 }
 
 // Evictable reports whether the connection may be closed to make room for another: nothing is in flight on it, and
--- a/internal/decide/incarnation/incarnation.go
+++ b/internal/decide/incarnation/incarnation.go
@@ -90,18 +90,20 @@
 // whether that is a new incarnation; a worker that was never listed returns false, as no request may be sent to it.
 //
 // It guards against a list that shows a restart late or, its clock being wrong, not at all.
-func (t *Tracker) ObserveConnection(now time.Duration, id scheduler.WorkerID, incarnationID uint64, uptime time.Duration) (scheduler.WorkerInfo, bool) {
+func (t *Tracker) ObserveConnection(
+	now time.Duration, id scheduler.WorkerID, incarnationID uint64, uptime time.Duration,
+) (info scheduler.WorkerInfo, restarted bool) {
 	w := t.workers[id]
 	if w == nil {
 		return scheduler.WorkerInfo{}, false
 	}
-	restarted := w.incarnationID != 0 && w.incarnationID != incarnationID
+	otherIncarnation := w.incarnationID != 0 && w.incarnationID != incarnationID
 	w.incarnationID = incarnationID
 	started := now - max(0, uptime)
-	if restarted {
+	if otherIncarnation {
 		started = max(started, w.info.Started+1) // whatever its clock says, it is not the process of before
 	}
-	if !restarted && started <= w.info.Started+startTolerance {
+	if !otherIncarnation && started <= w.info.Started+startTolerance {
 		return w.info, false
 	}
 	w.info.Started = started
--- a/internal/decide/loadshed/loadshed_test.go
+++ b/internal/decide/loadshed/loadshed_test.go
@@ -8,50 +8,50 @@
 const ms = time.Millisecond
 
 func TestShedder_BurstThatPasses_IsAdmitted(t *testing.T) {
-	var s Shedder
+	var shedder Shedder
 	for i := range 90 {
-		if s.ShouldReject(time.Duration(i)*ms, 90*ms-time.Duration(i)*ms) || s.QueueLimit() < 1e6 {
+		if shedder.ShouldReject(time.Duration(i)*ms, 90*ms-time.Duration(i)*ms) || shedder.QueueLimit() < 1e6 {
 			t.Fatalf("rejected %d ms into a burst that passes", i)
 		}
 	}
 }
 
 func TestShedder_StandingQueue_IsShedUntilShort(t *testing.T) {
-	var s Shedder
+	var shedder Shedder
 	rejected := 0
 	for i := range 300 {
-		if s.ShouldReject(time.Duration(i)*ms, 50*ms) {
+		if shedder.ShouldReject(time.Duration(i)*ms, 50*ms) {
 			rejected++
 		}
 	}
 	if rejected != 200 {
 		t.Errorf("%d of 300 rejected, want all after the first interval", rejected)
 	}
-	if got := s.QueueLimit(); got < 2 || got > 10 {
+	if got := shedder.QueueLimit(); got < 2 || got > 10 {
 		t.Errorf("room for %d at a millisecond each, want 10 ms of them, or less as none was decided lately", got)
 	}
-	if s.ShouldReject(300*ms, 4*ms) || s.QueueLimit() > 10 {
+	if shedder.ShouldReject(300*ms, 4*ms) || shedder.QueueLimit() > 10 {
 		t.Error("rejected a request that did not wait, or took the queue for one that does not stand after one short wait")
 	}
-	if s.ShouldReject(400*ms, 4*ms) || s.QueueLimit() < 1e6 {
+	if shedder.ShouldReject(400*ms, 4*ms) || shedder.QueueLimit() < 1e6 {
 		t.Error("still standing after a hundred milliseconds of short waits")
 	}
-	if s.ShouldReject(401*ms, 50*ms) {
+	if shedder.ShouldReject(401*ms, 50*ms) {
 		t.Error("rejected at once after the queue was short")
 	}
 }
 
 func TestQueueEmptied_ForAnInterval_LiftsTheLimit(t *testing.T) {
-	var s Shedder
+	var shedder Shedder
 	for i := range 300 {
-		s.ShouldReject(time.Duration(i)*ms, 50*ms)
+		shedder.ShouldReject(time.Duration(i)*ms, 50*ms)
 	}
-	s.QueueEmptied(300 * ms)
-	if s.QueueLimit() > 10 {
+	shedder.QueueEmptied(300 * ms)
+	if shedder.QueueLimit() > 10 {
 		t.Error("no limit after one moment without requests")
 	}
-	s.QueueEmptied(400 * ms)
-	if s.QueueLimit() < 1e6 {
+	shedder.QueueEmptied(400 * ms)
+	if shedder.QueueLimit() < 1e6 {
 		t.Error("still limited after a hundred milliseconds without requests")
 	}
 }
@@ -60,13 +60,13 @@
 // times that for ten seconds. It returns how many it decided and the longest wait of one, both after the first second.
 func simulateLoop(factor float64, limited bool) (decided int, worst time.Duration) {
 	const decide, reject = ms, ms / 5
-	var s Shedder
+	var shedder Shedder
 	var queue []time.Duration // when each was received
 	every := time.Duration(float64(ms) / factor)
 	next, now := time.Duration(0), time.Duration(0)
 	for now < 10*time.Second {
 		for ; next <= now; next += every {
-			if !limited || len(queue) < s.QueueLimit() {
+			if !limited || len(queue) < shedder.QueueLimit() {
 				queue = append(queue, next)
 			}
 		}
@@ -76,7 +76,7 @@
 		}
 		received := queue[0]
 		queue = queue[1:]
-		if s.ShouldReject(now, now-received) {
+		if shedder.ShouldReject(now, now-received) {
 			now += reject
 			continue
 		}
--- a/internal/decide/reconnect/endpointwatch_test.go
+++ b/internal/decide/reconnect/endpointwatch_test.go
@@ -20,7 +20,8 @@
 // An empty event arrives each second, and what changes in a silence counts as known after 4 s: the connection is
 // replaced before that, and not for two events that arrive late.
 func TestWatchSilenceTimeout_AnyDraw_IsShorterThanTheListsGrace(t *testing.T) {
-	if least, most := WatchSilenceTimeout(0), WatchSilenceTimeout(1); least <= 2*time.Second || most+WatchDialTimeout() > 4*time.Second || most-least < 500*time.Millisecond {
+	if least, most := WatchSilenceTimeout(0), WatchSilenceTimeout(1); least <= 2*time.Second ||
+		most+WatchDialTimeout() > 4*time.Second || most-least < 500*time.Millisecond {
 		t.Errorf("noticed after %v to %v", least, most)
 	}
 }
--- a/internal/decide/tenancy/restraint_test.go
+++ b/internal/decide/tenancy/restraint_test.go
@@ -7,7 +7,8 @@
 
 func TestRestraint_DuringStartup_StaysZero(t *testing.T) {
 	limiter := newEvenlyShared()
-	for i := range 400 { // all functions are loaded, and requests are late for that; one tenant demands three times what the other does
+	// All functions are loaded, and requests are late for that; one tenant demands three times what the other does.
+	for i := range 400 {
 		now := time.Second + time.Duration(i)*10*ms
 		if limiter.RequestReceived(now, min(1, i%4)) != Admit {
 			t.Fatalf("rejected %v after the first request", now-time.Second)
--- a/internal/decide/tenancy/shares_test.go
+++ b/internal/decide/tenancy/shares_test.go
@@ -7,11 +7,12 @@
 
 func TestShares_OtherTenantsBurst_LeavesSteadyTenantsGoodput(t *testing.T) {
 	steady := offeredLoad{0, 20, 10 * ms, 0}
-	if off, _ := simulate(New(Settings{Shares: []float64{0, 0}}), steady, offeredLoad{1, 400, 10 * ms, 8 * time.Second}); off[0].goodput() > 0.2 {
+	burst := offeredLoad{1, 400, 10 * ms, 8 * time.Second}
+	if off, _ := simulate(New(Settings{Shares: []float64{0, 0}}), steady, burst); off[0].goodput() > 0.2 {
 		t.Fatalf("the steady tenant got %+v where nobody has a share: no overload", off[0])
 	}
 	for name, other := range map[string]offeredLoad{
-		"many requests": {1, 400, 10 * ms, 8 * time.Second},
+		"many requests": burst,
 		"long requests": {1, 20, 200 * ms, 8 * time.Second},
 		"many and long": {1, 100, 100 * ms, 8 * time.Second},
 	} {
@@ -26,7 +27,8 @@
 }
 
 func TestShares_ByRequestCount_IgnoresWork(t *testing.T) {
-	results, _ := simulate(New(Settings{Shares: []float64{0.5, 0.5}, By: Calls}), offeredLoad{0, 20, 10 * ms, 0}, offeredLoad{1, 20, 200 * ms, 8 * time.Second})
+	results, _ := simulate(New(Settings{Shares: []float64{0.5, 0.5}, By: Calls}),
+		offeredLoad{0, 20, 10 * ms, 0}, offeredLoad{1, 20, 200 * ms, 8 * time.Second})
 	if results[0].goodput() > 0.5 {
 		t.Errorf("%+v: the number of requests tells nothing of work; is the option still what it says?", results[0])
 	}
@@ -44,7 +46,8 @@
 }
 
 func TestShares_SeveralOverShare_DivideByShare(t *testing.T) {
-	results, _ := simulate(New(Settings{Shares: []float64{0.2, 0.6, 0.2}}), offeredLoad{0, 10, 10 * ms, 0}, offeredLoad{1, 400, 10 * ms, 0}, offeredLoad{2, 400, 10 * ms, 0})
+	results, _ := simulate(New(Settings{Shares: []float64{0.2, 0.6, 0.2}}),
+		offeredLoad{0, 10, 10 * ms, 0}, offeredLoad{1, 400, 10 * ms, 0}, offeredLoad{2, 400, 10 * ms, 0})
 	if r := float64(results[1].admitted) / float64(results[2].admitted); r < 2.2 || r > 4 {
 		t.Errorf("%+v: %.1f to 1, shares are 3 to 1", results, r)
 	}
@@ -53,8 +56,9 @@
 	}
 }
 
-func TestShares_LargeShare_CannotTakeAll(t *testing.T) {
-	results, _ := simulate(New(Settings{Shares: []float64{0.2, 0.8}}), offeredLoad{0, 5, 10 * ms, 0}, offeredLoad{1, 20, 200 * ms, 8 * time.Second})
+func TestShares_LargeShare_CannotUseAllCapacity(t *testing.T) {
+	results, _ := simulate(New(Settings{Shares: []float64{0.2, 0.8}}),
+		offeredLoad{0, 5, 10 * ms, 0}, offeredLoad{1, 20, 200 * ms, 8 * time.Second})
 	if results[0].goodput() < 0.6 {
 		t.Errorf("%+v: the small tenant demands a quarter of its share", results[0])
 	}
--- a/internal/shadow/shadow.go
+++ b/internal/shadow/shadow.go
@@ -33,7 +33,9 @@
 
 // New returns a Scheduler that starts at now with its own settings, evaluates other, and carries out its actions on
 // actions. It calls report for each difference with its kind, in words for a log.
-func New(now time.Duration, own scheduler.Settings, other Settings, actions scheduler.Actions, report func(difference string)) *Scheduler {
+func New(
+	now time.Duration, own scheduler.Settings, other Settings, actions scheduler.Actions, report func(difference string),
+) *Scheduler {
 	s := &Scheduler{
 		settings:    other,
 		decided:     newRecorder(actions),
@@ -87,7 +89,7 @@
 		return
 	}
 	s.alternative.reset()
-	handle(s.Scheduler.Clone(s.settings.Scheduler, s.alternative))
+	handle(s.Clone(s.settings.Scheduler, s.alternative))
 	handle(s.Scheduler)
 	s.counts.Compared++
 	s.compare()
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -111,32 +111,32 @@
 }
 
 // dispatch calls the method of the scheduler that an event stands for.
-func (h *Host) dispatch(s *scheduler.Scheduler, now time.Duration, event *simwire.Event) {
+func (h *Host) dispatch(target *scheduler.Scheduler, now time.Duration, event *simwire.Event) {
 	switch event.Code {
 	case simwire.EndpointsChanged:
-		h.endpointsChanged(s, now, event)
+		h.endpointsChanged(target, now, event)
 	case simwire.RequestReceived:
-		s.RequestReceived(now, event.Request)
+		target.RequestReceived(now, event.Request)
 	case simwire.ResponseStarted:
-		s.ResponseStarted(now, event.Request.ID)
+		target.ResponseStarted(now, event.Request.ID)
 	case simwire.AttemptEnded:
-		s.AttemptEnded(now, event.Outcome)
+		target.AttemptEnded(now, event.Outcome)
 	case simwire.ClientDisconnected:
-		s.ClientDisconnected(now, event.Request.ID)
+		target.ClientDisconnected(now, event.Request.ID)
 	case simwire.TimerFired:
-		s.TimerFired(now, event.TimerToken)
+		target.TimerFired(now, event.TimerToken)
 	case simwire.HealthChecked:
-		s.HealthChecked(now, event.HealthCheck)
+		target.HealthChecked(now, event.HealthCheck)
 	case simwire.LoadEnded:
-		s.LoadEnded(now, event.Load)
+		target.LoadEnded(now, event.Load)
 	}
 }
 
-func (h *Host) endpointsChanged(s *scheduler.Scheduler, now time.Duration, event *simwire.Event) {
+func (h *Host) endpointsChanged(target *scheduler.Scheduler, now time.Duration, event *simwire.Event) {
 	if event.ListKind == simwire.WatchFailed {
-		s.WatchFailed(now)
+		target.WatchFailed(now)
 		return
 	}
 	whole := event.ListKind != simwire.DeltaList
-	s.WorkersChanged(now, h.endpointLists[event.ListNumber], whole)
+	target.WorkersChanged(now, h.endpointLists[event.ListNumber], whole)
 }
--- a/internal/simhost/host_test.go
+++ b/internal/simhost/host_test.go
@@ -165,7 +165,9 @@
 }
 
 func TestRun_SchedulerPanic_IsReported(t *testing.T) {
-	got, err := runHost(t, new(batchBuilder).selectInstance(3).open(simpleSettings).request(11, 9).bytes(1, 0), new(batchBuilder).selectInstance(3).request(12, 0).bytes(2, 1))
+	panics := new(batchBuilder).selectInstance(3).open(simpleSettings).request(11, 9).bytes(1, 0)
+	after := new(batchBuilder).selectInstance(3).request(12, 0).bytes(2, 1)
+	got, err := runHost(t, panics, after)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -39,40 +39,40 @@
 }
 
 func decodeEvent(record, tail []byte) (Event, error) {
-	f := fieldReader{record: record, tail: tail}
-	e := Event{Code: EventCode(f.u16())}
-	switch e.Code {
+	reader := fieldReader{record: record, tail: tail}
+	event := Event{Code: EventCode(reader.u16())}
+	switch event.Code {
 	case OpenInstance:
-		e.Seed = f.u64()
-		e.Settings = f.tailSlice(1)
+		event.Seed = reader.u64()
+		event.Settings = reader.tailSlice(1)
 	case EndpointsChanged:
-		e.ListKind = f.listKind()
-		f.skip(4) // version: lists arrive in order and without gaps
-		e.ListNumber = f.u16()
+		event.ListKind = reader.listKind()
+		reader.skip(4) // version: lists arrive in order and without gaps
+		event.ListNumber = reader.u16()
 	case EndpointList:
-		e.ListNumber = f.u16()
-		e.Workers = f.endpoints()
+		event.ListNumber = reader.u16()
+		event.Workers = reader.endpoints()
 	case RequestReceived:
-		e.Request = f.request()
+		event.Request = reader.request()
 	case ResponseStarted, ClientDisconnected:
-		e.Request.ID = f.requestID()
+		event.Request.ID = reader.requestID()
 	case AttemptEnded:
-		e.Outcome = f.outcome()
+		event.Outcome = reader.outcome()
 	case TimerFired:
-		e.TimerToken = f.u64()
+		event.TimerToken = reader.u64()
 	case HealthChecked:
-		e.HealthCheck = f.healthCheck()
+		event.HealthCheck = reader.healthCheck()
 	case LoadEnded:
-		e.Load = f.load()
+		event.Load = reader.load()
 	case Datagram:
-		f.skip(2) // sender
-		f.tailSlice(1)
+		reader.skip(2) // sender
+		reader.tailSlice(1)
 	case SelectInstance:
-		e.Instance = f.u32()
+		event.Instance = reader.u32()
 	case CloseInstance:
 	default:
-		return e, malformed("unknown event code %d", e.Code)
+		return event, malformed("unknown event code %d", event.Code)
 	}
-	f.checkListNumber(e.ListNumber)
-	return e, f.err
+	reader.checkListNumber(event.ListNumber)
+	return event, reader.err
 }
--- a/internal/simwire/requests.go
+++ b/internal/simwire/requests.go
@@ -13,55 +13,55 @@
 func (f *fieldReader) requestID() scheduler.RequestID { return scheduler.RequestID(f.u32()) }
 
 func (f *fieldReader) request() scheduler.Request {
-	var r scheduler.Request
-	r.ID = f.requestID()
-	r.Class = int(f.u16())
-	r.Tenant = int(f.u32())
-	r.Function = f.function()
-	r.Timeout = f.duration()
-	r.WorkEstimate = f.duration()
-	r.ReplicaMemoryMB = f.f32()
-	r.ReplicaConcurrency = max(1, int(f.f32()))
-	r.LoadTimeEstimate = millis(f.f32())
+	var request scheduler.Request
+	request.ID = f.requestID()
+	request.Class = int(f.u16())
+	request.Tenant = int(f.u32())
+	request.Function = f.function()
+	request.Timeout = f.duration()
+	request.WorkEstimate = f.duration()
+	request.ReplicaMemoryMB = f.f32()
+	request.ReplicaConcurrency = max(1, int(f.f32()))
+	request.LoadTimeEstimate = millis(f.f32())
 	if f.u8()&workEstimateFlag == 0 {
-		r.WorkEstimate = 0
+		request.WorkEstimate = 0
 	}
-	return r
+	return request
 }
 
 func (f *fieldReader) outcome() scheduler.Outcome {
-	var o scheduler.Outcome
-	o.Request = f.requestID()
-	o.Attempt = int(f.u16())
-	o.Worker = f.worker()
-	o.Status = f.status()
-	o.Latency = f.duration()
-	o.RequestClosed = f.u8() != 0
+	var outcome scheduler.Outcome
+	outcome.Request = f.requestID()
+	outcome.Attempt = int(f.u16())
+	outcome.Worker = f.worker()
+	outcome.Status = f.status()
+	outcome.Latency = f.duration()
+	outcome.RequestClosed = f.u8() != 0
 	note := f.u8()
-	o.ColdStart = scheduler.ColdStart(note % coldStartValues)
-	o.QueueDepth = int(note / coldStartValues)
-	o.LoadReport = f.loadReport()
-	if o.ColdStart > scheduler.ColdStartFailed {
+	outcome.ColdStart = scheduler.ColdStart(note % coldStartValues)
+	outcome.QueueDepth = int(note / coldStartValues)
+	outcome.LoadReport = f.loadReport()
+	if outcome.ColdStart > scheduler.ColdStartFailed {
 		f.fail("unknown note %d", note)
 	}
-	return o
+	return outcome
 }
 
 func (f *fieldReader) healthCheck() scheduler.HealthCheckResult {
-	var h scheduler.HealthCheckResult
-	h.Worker = f.worker()
-	h.Status = f.status()
-	h.Latency = f.duration()
-	h.LoadReport = f.loadReport()
-	return h
+	var result scheduler.HealthCheckResult
+	result.Worker = f.worker()
+	result.Status = f.status()
+	result.Latency = f.duration()
+	result.LoadReport = f.loadReport()
+	return result
 }
 
 func (f *fieldReader) load() scheduler.LoadResult {
-	var l scheduler.LoadResult
-	l.Worker = f.worker()
-	l.Status = f.status()
-	l.Latency = f.duration()
-	l.Function = f.function()
-	l.Replicas = int(f.u8())
-	return l
+	var result scheduler.LoadResult
+	result.Worker = f.worker()
+	result.Status = f.status()
+	result.Latency = f.duration()
+	result.Function = f.function()
+	result.Replicas = int(f.u8())
+	return result
 }
