--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -13,74 +13,74 @@
 
 // Send starts an attempt.
 func (f *FrontEnd) Send(id scheduler.RequestID, to scheduler.WorkerID, until time.Duration) {
-	c, w := f.calls[id], f.workers[to]
-	if c == nil {
+	request, w := f.requests[id], f.workers[to]
+	if request == nil {
 		f.log.Error().Uint32("request", uint32(id)).Msg("send of a call that is not in hand")
 		return
 	}
-	if until <= 0 || until > c.deadline {
-		until = c.deadline
+	if until <= 0 || until > request.deadline {
+		until = request.deadline
 	}
-	a := &attempt{Attempt: muxclient.Attempt{Body: c.Body, Deadline: until, Request: muxframe.Request{Replica: c.Replica, ID: c.ID,
-		Attempt: c.attempts, Class: f.set.Classes[c.Class], Tenant: f.tenant(c.Tenant), IdempotencyKey: c.IdempotencyKey}},
-		call: c, number: c.attempts, worker: w, sent: f.now}
-	c.attempts++
-	c.out = a
+	a := &attempt{Attempt: muxclient.Attempt{Body: request.Body, Deadline: until, Request: muxframe.Request{Replica: request.Replica, ID: request.ID,
+		Attempt: request.attempts, Class: f.settings.Classes[request.Class], Tenant: f.tenantName(request.Tenant), IdempotencyKey: request.IdempotencyKey}},
+		request: request, number: request.attempts, worker: w, sentAt: f.now}
+	request.attempts++
+	request.current = a
 	f.counts.Attempts++
-	if w == nil || c.state != waiting || until <= f.now {
-		f.later = append(f.later, func() { f.ended(a, muxclient.Result{Status: scheduler.NotSent, QueueDepth: -1}) })
+	if w == nil || request.state != requestInFlight || until <= f.now {
+		f.deferred = append(f.deferred, func() { f.endAttempt(a, muxclient.Result{Status: scheduler.NotSent, QueueDepth: -1}) })
 		return
 	}
 	f.attempts[&a.Attempt] = a
-	a.timer = timer{at: until, attempt: a}
-	f.timers.set(&a.timer)
-	if r := w.link.Send(&a.Attempt); r != nil {
-		f.later = append(f.later, func() { f.ended(a, *r) })
+	a.timer = timer{due: until, attempt: a}
+	f.timers.add(&a.timer)
+	if r := w.client.Send(&a.Attempt); r != nil {
+		f.deferred = append(f.deferred, func() { f.endAttempt(a, *r) })
 	}
 }
 
-func (f *FrontEnd) tenant(n int) string {
-	if n < len(f.set.Tenants) {
-		return f.set.Tenants[n]
+func (f *FrontEnd) tenantName(n int) string {
+	if n < len(f.settings.Tenants) {
+		return f.settings.Tenants[n]
 	}
 	return ""
 }
 
 // Refuse gives the final answer that promises that a repeat does no harm.
 func (f *FrontEnd) Reject(id scheduler.RequestID, retryAfter time.Duration) {
-	if c := f.calls[id]; c != nil {
+	if request := f.requests[id]; request != nil {
 		why := "no worker could answer in time"
-		if c.why != "" {
-			why += "; last: " + c.why
+		if request.lastReason != "" {
+			why += "; last: " + request.lastReason
 		}
-		f.final(c, FinalResponse{Kind: Rejected, Reason: why, RetryAfter: retryAfter})
+		f.respond(request, FinalResponse{Kind: Rejected, Reason: why, RetryAfter: retryAfter})
 	}
 }
 
 // Fail gives the final answer that promises nothing.
 func (f *FrontEnd) Fail(id scheduler.RequestID) {
-	if c := f.calls[id]; c != nil {
-		f.final(c, FinalResponse{Kind: Failed, Reason: c.why, TimedOut: c.last == scheduler.Timeout || c.last == scheduler.Cancelled})
+	if request := f.requests[id]; request != nil {
+		f.respond(request, FinalResponse{Kind: Failed, Reason: request.lastReason, TimedOut: request.lastStatus == scheduler.Timeout || request.lastStatus == scheduler.Cancelled})
 	}
 }
 
 // Cancel stops waiting for an attempt.
 func (f *FrontEnd) Cancel(id scheduler.RequestID, number int) {
-	c := f.calls[id]
-	if c == nil || c.out == nil || c.out.number != number || c.out.begun {
+	request := f.requests[id]
+	if request == nil || request.current == nil || request.current.number != number || request.current.begun {
 		return
 	}
-	a := c.out
-	f.later = append(f.later, func() { f.giveUp(a, scheduler.Cancelled, "called back") })
+	a := request.current
+	f.deferred = append(f.deferred, func() { f.abandonAttempt(a, scheduler.Cancelled, "called back") })
 }
 
 // Load orders copies held, or asks how many stand.
 func (f *FrontEnd) Load(to scheduler.WorkerID, id scheduler.FunctionID, copies int) {
 	w, fn := f.workers[to], f.functions[id]
-	o := &order{worker: w, function: id, given: f.now}
+	o := &loadOrder{worker: w, function: id, sentAt: f.now}
 	if w == nil || fn == nil {
-		f.later = append(f.later, func() {
-			f.module.LoadEnded(f.now, scheduler.LoadResult{Worker: to, Function: id, Status: scheduler.ConnectFailed})
+		f.deferred = append(f.deferred, func() {
+			f.scheduler.LoadEnded(f.now, scheduler.LoadResult{Worker: to, Function: id, Status: scheduler.ConnectFailed})
 		})
 		return
 	}
@@ -89,19 +89,19 @@
 	} else {
 		f.counts.ResidencyQueries++
 	}
-	o.LoadOrder.Load = muxframe.LoadOrder{Replica: fn.copy, Replicas: copies}
-	f.orders[&o.LoadOrder] = o
-	o.timer = timer{at: f.now + f.set.Scheduler.LoadOrderTimeout, order: o}
-	f.timers.set(&o.timer)
-	if status := w.link.Load(&o.LoadOrder); status != 0 {
-		f.later = append(f.later, func() { f.orderEnded(o, status, 0) })
+	o.LoadOrder.Load = muxframe.LoadOrder{Replica: fn.replica, Replicas: copies}
+	f.loadOrders[&o.LoadOrder] = o
+	o.timer = timer{due: f.now + f.settings.Scheduler.LoadOrderTimeout, loadOrder: o}
+	f.timers.add(&o.timer)
+	if status := w.client.Load(&o.LoadOrder); status != 0 {
+		f.deferred = append(f.deferred, func() { f.endLoadOrder(o, status, 0) })
 	}
 }
 
 // Unload has the idle copies of a function unloaded.
 func (f *FrontEnd) Unload(to scheduler.WorkerID, id scheduler.FunctionID) {
 	if w, fn := f.workers[to], f.functions[id]; w != nil && fn != nil {
-		w.link.Unload(fn.copy.Function)
+		w.client.Unload(fn.replica.Function)
 	}
 }
 
@@ -109,18 +109,18 @@
 func (f *FrontEnd) CheckHealth(to scheduler.WorkerID) {
 	if w := f.workers[to]; w != nil {
 		f.counts.HealthChecks++
-		w.probes = append(w.probes, f.now)
-		w.link.CheckHealth()
+		w.healthChecks = append(w.healthChecks, f.now)
+		w.client.CheckHealth()
 	}
 }
 
 // Wake sets a timer of the module's.
 func (f *FrontEnd) SetTimer(after time.Duration, token uint64) {
-	f.timers.set(&timer{at: f.now + max(after, f.set.Scheduler.Resolution), wake: true, token: token})
+	f.timers.add(&timer{due: f.now + max(after, f.settings.Scheduler.Resolution), wake: true, schedulerToken: token})
 }
 
 // Follow asks the directory anew.
-func (f *FrontEnd) WatchEndpoints() { f.outside.WatchEndpoints() }
+func (f *FrontEnd) WatchEndpoints() { f.dependencies.WatchEndpoints() }
 
 // Log writes a line of the module's.
 func (f *FrontEnd) Log(text string) { f.log.Info().Str("from", "module").Msg(text) }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -49,60 +49,60 @@
 	Timeout        time.Duration // until the client gives up, counted from Since
 	StartedAt      time.Duration // when the client began, on the loop's clock
 
-	queued   time.Duration // when it came into the loop's queue; 0: it waited in none
-	answer   chan FinalResponse
+	queuedAt   time.Duration // when it came into the loop's queue; 0: it waited in none
+	response   chan FinalResponse
 	deliver  func(FinalResponse)
-	state    callState
+	state    requestState
 	id       scheduler.RequestID
 	deadline time.Duration // final answer due
 	attempts int
-	out      *attempt
+	current      *attempt
 	timer    timer         // for an answer that is overdue
-	ran      bool          // an attempt may have run
-	fn       *function     // that it calls
-	work     time.Duration // that its run took, where the worker told it
-	last     scheduler.Status
-	why      string
+	mayHaveExecuted      bool          // an attempt may have run
+	function       *function     // that it calls
+	runTime     time.Duration // that its run took, where the worker told it
+	lastStatus     scheduler.Status
+	lastReason      string
 }
 
 // callState is where a call stands. It moves forward only; answered and left are entered once.
-type callState uint8
+type requestState uint8
 
 const (
-	fresh    callState = iota // with the client edge
-	waiting                   // taken: one final answer is owed
-	answered                  // the final answer was given
-	left                      // the client left before it
+	requestSubmitted    requestState = iota // with the client edge
+	requestInFlight                   // taken: one final answer is owed
+	requestCompleted                  // the final answer was given
+	requestDisconnected                      // the client left before it
 )
 
 // NewCall returns a call whose final answer comes on Answer.
 func NewRequest() *Request {
-	c := &Request{answer: make(chan FinalResponse, 1)}
-	c.deliver = func(f FinalResponse) { c.answer <- f }
-	return c
+	request := &Request{response: make(chan FinalResponse, 1)}
+	request.deliver = func(f FinalResponse) { request.response <- f }
+	return request
 }
 
 // NewCallTo returns a call whose final answer is given to deliver, within the Front's turn.
 func NewRequestTo(deliver func(FinalResponse)) *Request { return &Request{deliver: deliver} }
 
 // Answer gives the final answer, once.
-func (c *Request) Response() <-chan FinalResponse { return c.answer }
+func (request *Request) Response() <-chan FinalResponse { return request.response }
 
 // settle gives the final answer, if none was given and the client is there. All final answers go through here.
-func (c *Request) settle(f FinalResponse) bool {
-	if c.state >= answered {
+func (request *Request) complete(f FinalResponse) bool {
+	if request.state >= requestCompleted {
 		return false
 	}
-	c.state = answered
-	f.Attempts = c.attempts
-	c.deliver(f)
+	request.state = requestCompleted
+	f.Attempts = request.attempts
+	request.deliver(f)
 	return true
 }
 
 // mayHaveRun notes how an attempt ended, for what may be promised.
-func (c *Request) mayHaveRun(s scheduler.Status) {
+func (request *Request) recordStatus(s scheduler.Status) {
 	switch s {
 	case scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled:
-		c.ran = true
+		request.mayHaveExecuted = true
 	}
 }
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -31,36 +31,36 @@
 }
 
 // edge hands a connection's calls to one loop: it is the callhttp.Handler.
-type edge struct {
+type httpHandler struct {
 	loop    *EventLoop
 	catalog *Catalog
 }
 
 // pending is a call in the loop's hands.
-type pending struct {
+type pendingRequest struct {
 	loop *EventLoop
-	call *Request
+	request *Request
 }
 
 // Take implements callhttp.Handler.
-func (e edge) Take(in *httpserver.Request) (httpserver.Pending, error) {
-	c := NewRequest()
-	c.ID, c.IdempotencyKey, c.Body, c.WorkEstimate = in.ID, in.IdempotencyKey, in.Body, in.WorkEstimate
-	c.StartedAt = in.ReceivedAt.Sub(e.loop.cfg.ClockStart)
-	if err := e.catalog.Resolve(in, c); err != nil {
+func (e httpHandler) Take(in *httpserver.Request) (httpserver.Pending, error) {
+	request := NewRequest()
+	request.ID, request.IdempotencyKey, request.Body, request.WorkEstimate = in.ID, in.IdempotencyKey, in.Body, in.WorkEstimate
+	request.StartedAt = in.ReceivedAt.Sub(e.loop.cfg.ClockStart)
+	if err := e.catalog.Resolve(in, request); err != nil {
 		return nil, err
 	}
-	e.loop.Submit(c)
-	return pending{e.loop, c}, nil
+	e.loop.Submit(request)
+	return pendingRequest{e.loop, request}, nil
 }
 
 // Resolve finds a call's class, tenant and function.
-func (k *Catalog) Resolve(in *httpserver.Request, c *Request) error {
+func (k *Catalog) Resolve(in *httpserver.Request, request *Request) error {
 	listed, known := k.Functions[in.Function]
 	if !known && k.ListedOnly {
 		return fmt.Errorf("no function %q", in.Function)
 	}
-	c.Class = listed.Class
+	request.Class = listed.Class
 	if in.Class != "" {
 		n, found := indexOf(k.Classes, func(x CatalogClass) bool { return x.Name == in.Class })
 		if !found {
@@ -69,21 +69,21 @@
 		if known && n != listed.Class {
 			return fmt.Errorf("function %q is not of class %q", in.Function, in.Class)
 		}
-		c.Class = n
+		request.Class = n
 	}
 	if in.Tenant != "" {
 		n, found := indexOf(k.Tenants, func(x string) bool { return x == in.Tenant })
 		if !found {
 			return fmt.Errorf("no tenant %q", in.Tenant)
 		}
-		c.Tenant = n
+		request.Tenant = n
 	}
-	class := k.Classes[c.Class]
-	c.Timeout = class.MaxTimeout
+	class := k.Classes[request.Class]
+	request.Timeout = class.MaxTimeout
 	if in.Timeout > 0 {
-		c.Timeout = min(c.Timeout, in.Timeout)
+		request.Timeout = min(request.Timeout, in.Timeout)
 	}
-	c.Replica = muxframe.ReplicaSpec{Function: in.Function,
+	request.Replica = muxframe.ReplicaSpec{Function: in.Function,
 		MemoryMB:    cmp.Or(listed.Replica.MemoryMB, in.MemoryMB, class.Replica.MemoryMB),
 		Concurrency: cmp.Or(listed.Replica.Concurrency, in.Concurrency, class.Replica.Concurrency),
 		LoadMillis:  cmp.Or(listed.Replica.LoadMillis, float64(in.LoadTime)/float64(time.Millisecond), class.Replica.LoadMillis)}
@@ -100,23 +100,23 @@
 }
 
 // Wait implements callhttp.Pending.
-func (p pending) Wait(gone <-chan struct{}) (httpserver.Response, bool) {
+func (p pendingRequest) Wait(gone <-chan struct{}) (httpserver.Response, bool) {
 	select {
-	case f := <-p.call.Response():
-		return f.answer(p.call.ID), true
+	case f := <-p.request.Response():
+		return f.httpResponse(p.request.ID), true
 	case <-gone:
 		return httpserver.Response{}, false
 	}
 }
 
 // Leave implements callhttp.Pending.
-func (p pending) Leave() { p.loop.Disconnect(p.call) }
+func (p pendingRequest) Leave() { p.loop.Disconnect(p.request) }
 
-var outcomes = map[ResponseKind]httpserver.Outcome{Served: httpserver.Served, Rejected: httpserver.Rejected, Failed: httpserver.Failed}
+var httpOutcomes = map[ResponseKind]httpserver.Outcome{Served: httpserver.Served, Rejected: httpserver.Rejected, Failed: httpserver.Failed}
 
 // answer is a final answer as the client edge has it.
-func (f FinalResponse) answer(id string) httpserver.Response {
-	out := httpserver.Response{Outcome: outcomes[f.Kind], Reason: f.Reason, RetryAfter: f.RetryAfter, TimedOut: f.TimedOut,
+func (f FinalResponse) httpResponse(id string) httpserver.Response {
+	out := httpserver.Response{Outcome: httpOutcomes[f.Kind], Reason: f.Reason, RetryAfter: f.RetryAfter, TimedOut: f.TimedOut,
 		Worker: f.Worker, Attempts: f.Attempts, ID: id}
 	if f.Response != nil {
 		out.ContentType, out.Body, out.Length = f.Response.Type, f.Response.Body, f.Response.Length
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -87,74 +87,74 @@
 // Front is the state machine of one front end. Its methods are called one at a time, with times that never go
 // back.
 type FrontEnd struct {
-	set     Settings
-	outside Dependencies
+	settings     Settings
+	dependencies Dependencies
 	log     zerolog.Logger
-	module  Scheduler
-	watched *shadow.Scheduler // the module, where other settings are watched
-	roster  *incarnation.Tracker
-	shed    loadshed.Shedder
+	scheduler  Scheduler
+	shadow *shadow.Scheduler // the module, where other settings are watched
+	incarnations  *incarnation.Tracker
+	shedder    loadshed.Shedder
 	tenancy *tenancy.Tenancy
-	late    looplag.Estimator
+	lag    looplag.Estimator
 	now     time.Duration
-	timers  timers
-	ends    timers   // of calls: fired sooner where the loop is late
-	later   []func() // what came back at once; told after the module's turn
+	timers  timerHeap
+	requestTimers    timerHeap   // of calls: fired sooner where the loop is late
+	deferred   []func() // what came back at once; told after the module's turn
 
-	calls     map[scheduler.RequestID]*Request
-	lastID    scheduler.RequestID
+	requests     map[scheduler.RequestID]*Request
+	lastRequestID    scheduler.RequestID
 	attempts  map[*muxclient.Attempt]*attempt
-	orders    map[*muxclient.LoadOrder]*order
+	loadOrders    map[*muxclient.LoadOrder]*loadOrder
 	workers   map[scheduler.WorkerID]*worker
 	functions map[scheduler.FunctionID]*function
 	zones     map[string]int
 	cells     map[string]int
 	kinds     map[string]int
-	closing   bool
+	shuttingDown   bool
 	counts    Counts
 }
 
 type attempt struct {
 	muxclient.Attempt
-	call    *Request
+	request    *Request
 	number  int
 	worker  *worker
-	sent    time.Duration
+	sentAt    time.Duration
 	timer   timer
 	begun   bool // its answer is on the way to the client
 	settled bool // its outcome was told to the module
 }
 
-type order struct {
+type loadOrder struct {
 	muxclient.LoadOrder
 	worker   *worker
 	function scheduler.FunctionID
-	given    time.Duration
+	sentAt    time.Duration
 	timer    timer
-	settled  bool
+	ended  bool
 }
 
 type worker struct {
 	discovery.Worker
 	id      scheduler.WorkerID
-	link    WorkerClient
+	client    WorkerClient
 	state   scheduler.WorkerState
-	probes  []time.Duration // asked, oldest first
-	down    bool
-	retired []WorkerClient // of addresses of before, with calls still under way
+	healthChecks  []time.Duration // asked, oldest first
+	disconnected    bool
+	previousClients []WorkerClient // of addresses of before, with calls still under way
 }
 
 type function struct {
-	copy muxframe.ReplicaSpec
-	used time.Duration
+	replica muxframe.ReplicaSpec
+	lastUsed time.Duration
 	cost tenancy.Cost
 }
 
 // nameKept is how long the name of a function is kept after its last call. The module forgets a function
 // sooner.
-const nameKept = 10 * time.Minute
+const functionRetention = 10 * time.Minute
 
-const sweepEvery = time.Second
+const sweepInterval = time.Second
 
 // New returns a Front that starts at now and knows no workers.
 func New(now time.Duration, set Settings, outside Dependencies, log zerolog.Logger) *FrontEnd {
@@ -162,10 +162,10 @@
 	for _, c := range set.Scheduler.Classes {
 		longest = max(longest, c.Timeout)
 	}
-	f := &FrontEnd{set: set, outside: outside, late: looplag.New(longest), log: log, roster: incarnation.New(), now: now,
+	f := &FrontEnd{settings: set, dependencies: outside, lag: looplag.New(longest), log: log, incarnations: incarnation.New(), now: now,
 		tenancy: tenancy.New(set.Tenancy),
-		calls:   map[scheduler.RequestID]*Request{}, attempts: map[*muxclient.Attempt]*attempt{},
-		orders: map[*muxclient.LoadOrder]*order{}, workers: map[scheduler.WorkerID]*worker{},
+		requests:   map[scheduler.RequestID]*Request{}, attempts: map[*muxclient.Attempt]*attempt{},
+		loadOrders: map[*muxclient.LoadOrder]*loadOrder{}, workers: map[scheduler.WorkerID]*worker{},
 		functions: map[scheduler.FunctionID]*function{}, zones: map[string]int{}, cells: map[string]int{},
 		kinds: map[string]int{}}
 	for _, z := range set.Zones {
@@ -173,14 +173,14 @@
 	}
 	switch {
 	case set.NewScheduler != nil:
-		f.module = set.NewScheduler(now, set.Scheduler, f)
+		f.scheduler = set.NewScheduler(now, set.Scheduler, f)
 	case set.Shadow != nil:
-		f.watched = shadow.New(now, set.Scheduler, *set.Shadow, f, f.wouldDiffer)
-		f.module = f.watched
+		f.shadow = shadow.New(now, set.Scheduler, *set.Shadow, f, f.logShadowDifference)
+		f.scheduler = f.shadow
 	default:
-		f.module = scheduler.New(now, set.Scheduler, f)
+		f.scheduler = scheduler.New(now, set.Scheduler, f)
 	}
-	f.timers.set(&timer{at: now + sweepEvery, sweep: true})
+	f.timers.add(&timer{due: now + sweepInterval, sweep: true})
 	return f
 }
 
@@ -199,21 +199,21 @@
 
 // Counts returns the totals.
 func (f *FrontEnd) Counts() Counts {
-	if f.watched != nil {
-		f.counts.ShadowDifferences = f.watched.Counts()
+	if f.shadow != nil {
+		f.counts.ShadowDifferences = f.shadow.Counts()
 	}
 	return f.counts
 }
 
 // wouldDiffer notes that the watched settings would have decided otherwise.
-func (f *FrontEnd) wouldDiffer(kind string) {
+func (f *FrontEnd) logShadowDifference(kind string) {
 	f.log.Info().Str("otherwise", kind).Msg("the watched settings would have decided otherwise")
 }
 
 // InHand is the number of calls that are owed a final answer.
 func (f *FrontEnd) InFlight() (n int) {
-	for _, c := range f.calls {
-		if c.state == waiting {
+	for _, request := range f.requests {
+		if request.state == requestInFlight {
 			n++
 		}
 	}
@@ -221,259 +221,259 @@
 }
 
 // Idle says whether nothing is under way: neither calls nor answers on their way to clients.
-func (f *FrontEnd) Idle() bool { return len(f.calls) == 0 && len(f.attempts) == 0 }
+func (f *FrontEnd) Idle() bool { return len(f.requests) == 0 && len(f.attempts) == 0 }
 
 // settleLater tells the module what came back within its own turn.
-func (f *FrontEnd) settleLater() {
-	for len(f.later) > 0 {
-		next := f.later[0]
-		f.later = f.later[1:]
+func (f *FrontEnd) runDeferred() {
+	for len(f.deferred) > 0 {
+		next := f.deferred[0]
+		f.deferred = f.deferred[1:]
 		next()
 	}
 }
 
 // Arrive takes a call from the client edge, or refuses it at once. One whose client left while it waited in the
 // loop's queue is dropped.
-func (f *FrontEnd) RequestReceived(now time.Duration, c *Request) {
+func (f *FrontEnd) RequestReceived(now time.Duration, request *Request) {
 	f.now = now
-	if c.state != fresh {
+	if request.state != requestSubmitted {
 		return
 	}
-	c.deadline = c.StartedAt + c.Timeout - f.set.DeadlineMargin - f.late.DeadlineMargin(now)
-	behind := c.queued > 0 && f.shed.ShouldReject(now, now-c.queued)
+	request.deadline = request.StartedAt + request.Timeout - f.settings.DeadlineMargin - f.lag.DeadlineMargin(now)
+	behind := request.queuedAt > 0 && f.shedder.ShouldReject(now, now-request.queuedAt)
 	switch {
-	case f.closing:
-		f.turnAway(c, "this front end is closing")
+	case f.shuttingDown:
+		f.reject(request, "this front end is closing")
 	case behind:
-		f.turnAway(c, "this front end is behind")
-	case len(f.calls) >= f.set.MaxInFlight:
-		f.turnAway(c, "too many calls in hand")
-	case c.deadline <= now:
-		f.turnAway(c, "no time is left")
+		f.reject(request, "this front end is behind")
+	case len(f.requests) >= f.settings.MaxInFlight:
+		f.reject(request, "too many calls in hand")
+	case request.deadline <= now:
+		f.reject(request, "no time is left")
 	default:
-		f.take(c)
+		f.admit(request)
 	}
-	f.settleLater()
+	f.runDeferred()
 }
 
 // Room is how many arrivals may wait for the Front, of which so many wait at now; what finds as many as may is to
 // be refused without it.
 func (f *FrontEnd) QueueLimit(now time.Duration, waiting int) int {
 	if waiting == 0 {
-		f.shed.QueueEmptied(now)
+		f.shedder.QueueEmptied(now)
 	}
-	return f.shed.QueueLimit()
+	return f.shedder.QueueLimit()
 }
 
-func (f *FrontEnd) turnAway(c *Request, why string) {
+func (f *FrontEnd) reject(request *Request, why string) {
 	f.counts.Shed++
-	c.settle(FinalResponse{Kind: Rejected, Reason: why, RetryAfter: f.set.Scheduler.MaxRetryAfter})
+	request.complete(FinalResponse{Kind: Rejected, Reason: why, RetryAfter: f.settings.Scheduler.MaxRetryAfter})
 }
 
-func (f *FrontEnd) take(c *Request) {
-	id := FunctionID(c.Replica.Function)
+func (f *FrontEnd) admit(request *Request) {
+	id := FunctionID(request.Replica.Function)
 	known := f.functions[id]
-	if v := f.tenancy.RequestReceived(f.now, c.Tenant); v != tenancy.Admit {
-		f.turnAway(c, v.String())
+	if v := f.tenancy.RequestReceived(f.now, request.Tenant); v != tenancy.Admit {
+		f.reject(request, v.String())
 		return
 	}
 	switch {
 	case known == nil:
-		known = &function{copy: c.Replica, used: f.now}
+		known = &function{replica: request.Replica, lastUsed: f.now}
 		f.functions[id] = known
-	case known.copy.Function != c.Replica.Function: // two names with one hash: made on purpose, or a great chance
-		f.turnAway(c, "this function's name cannot be told from another's")
+	case known.replica.Function != request.Replica.Function: // two names with one hash: made on purpose, or a great chance
+		f.reject(request, "this function's name cannot be told from another's")
 		return
 	default:
-		known.copy, known.used = c.Replica, f.now
+		known.replica, known.lastUsed = request.Replica, f.now
 	}
-	for f.lastID++; f.calls[f.lastID] != nil || f.lastID == 0; f.lastID++ {
+	for f.lastRequestID++; f.requests[f.lastRequestID] != nil || f.lastRequestID == 0; f.lastRequestID++ {
 	}
-	c.id, c.state, c.fn = f.lastID, waiting, known
-	if c.ID == "" {
-		c.ID = fmt.Sprintf("%s-%x-%d", f.set.Name, f.set.ClockStart.UnixNano(), c.id)
+	request.id, request.state, request.function = f.lastRequestID, requestInFlight, known
+	if request.ID == "" {
+		request.ID = fmt.Sprintf("%s-%x-%d", f.settings.Name, f.settings.ClockStart.UnixNano(), request.id)
 	}
-	if c.IdempotencyKey == "" && f.set.Scheduler.Classes[c.Class].Idempotency == scheduler.IdempotentByKey {
-		c.IdempotencyKey = c.ID // so that at least our own repeats are dropped
+	if request.IdempotencyKey == "" && f.settings.Scheduler.Classes[request.Class].Idempotency == scheduler.IdempotentByKey {
+		request.IdempotencyKey = request.ID // so that at least our own repeats are dropped
 	}
-	f.calls[c.id] = c
+	f.requests[request.id] = request
 	f.counts.Admitted++
-	c.timer = timer{at: c.StartedAt + c.Timeout - f.set.DeadlineMargin/2, call: c}
-	f.ends.set(&c.timer)
-	f.module.RequestReceived(f.now, scheduler.Request{ID: c.id, Class: c.Class, Tenant: c.Tenant, Function: id,
-		Timeout: c.deadline - f.now, WorkEstimate: c.WorkEstimate, ReplicaMemoryMB: c.Replica.MemoryMB, ReplicaConcurrency: c.Replica.Concurrency,
-		LoadTimeEstimate: c.Replica.LoadTime()})
+	request.timer = timer{due: request.StartedAt + request.Timeout - f.settings.DeadlineMargin/2, request: request}
+	f.requestTimers.add(&request.timer)
+	f.scheduler.RequestReceived(f.now, scheduler.Request{ID: request.id, Class: request.Class, Tenant: request.Tenant, Function: id,
+		Timeout: request.deadline - f.now, WorkEstimate: request.WorkEstimate, ReplicaMemoryMB: request.Replica.MemoryMB, ReplicaConcurrency: request.Replica.Concurrency,
+		LoadTimeEstimate: request.Replica.LoadTime()})
 }
 
 // Left takes the news that a call's client is gone. It may come at any time: before the call's own arrival, as the
 // loop takes events before arrivals; and after the final answer, when an answer that is still on its way is given
 // up. Where the module may not call an attempt back, one that has not left its link is still taken back here.
-func (f *FrontEnd) ClientDisconnected(now time.Duration, c *Request) {
+func (f *FrontEnd) ClientDisconnected(now time.Duration, request *Request) {
 	f.now = now
-	was := c.state
-	if was < answered {
-		c.state = left
+	was := request.state
+	if was < requestCompleted {
+		request.state = requestDisconnected
 		f.counts.Disconnected++
 	}
-	if was == waiting {
-		f.module.ClientDisconnected(now, c.id)
+	if was == requestInFlight {
+		f.scheduler.ClientDisconnected(now, request.id)
 	}
-	f.settleLater()
-	switch a := c.out; {
+	f.runDeferred()
+	switch a := request.current; {
 	case a == nil:
 	case a.begun:
-		f.giveUp(a, scheduler.Cancelled, "the client left")
-	case c.state == left && a.worker.withdraw(a):
-		f.ended(a, muxclient.Result{Status: scheduler.NotSent, Reason: "the client left", QueueDepth: -1})
+		f.abandonAttempt(a, scheduler.Cancelled, "the client left")
+	case request.state == requestDisconnected && a.worker.cancelUnsent(a):
+		f.endAttempt(a, muxclient.Result{Status: scheduler.NotSent, Reason: "the client left", QueueDepth: -1})
 	}
-	f.forget(c)
-	f.settleLater()
+	f.forget(request)
+	f.runDeferred()
 }
 
 // forget drops a call once nothing of it is under way.
-func (f *FrontEnd) forget(c *Request) {
-	if c.state >= answered && c.out == nil {
-		delete(f.calls, c.id)
-		f.ends.stop(&c.timer)
+func (f *FrontEnd) forget(request *Request) {
+	if request.state >= requestCompleted && request.current == nil {
+		delete(f.requests, request.id)
+		f.requestTimers.remove(&request.timer)
 	}
 }
 
 // Next is when the next timer is due.
 func (f *FrontEnd) NextTimer() time.Duration {
-	next := f.timers.list[0].at
-	if f.ends.Len() > 0 {
-		next = min(next, f.ends.list[0].at-f.late.DeadlineMargin(f.now))
+	next := f.timers.timers[0].due
+	if f.requestTimers.Len() > 0 {
+		next = min(next, f.requestTimers.timers[0].due-f.lag.DeadlineMargin(f.now))
 	}
 	return next
 }
 
 // Behind takes the news that something else of the front end's process came so late to what was due.
-func (f *FrontEnd) ObserveLag(now, late time.Duration) { f.late.Observe(now, late) }
+func (f *FrontEnd) ObserveLag(now, late time.Duration) { f.lag.Observe(now, late) }
 
 // Tick fires the timers that are due at now.
 func (f *FrontEnd) FireTimers(now time.Duration) {
 	f.now = now
-	if due := f.timers.list[0].at; due < now {
-		f.late.Observe(now, now-due)
+	if due := f.timers.timers[0].due; due < now {
+		f.lag.Observe(now, now-due)
 	}
 	for {
-		t := f.timers.due(now)
+		t := f.timers.popDue(now)
 		if t == nil {
-			t = f.ends.due(now + f.late.DeadlineMargin(now))
+			t = f.requestTimers.popDue(now + f.lag.DeadlineMargin(now))
 		}
 		if t == nil {
 			return
 		}
 		f.fire(t)
-		f.settleLater()
+		f.runDeferred()
 	}
 }
 
 func (f *FrontEnd) fire(t *timer) {
 	switch {
 	case t.wake:
-		f.module.TimerFired(f.now, t.token)
+		f.scheduler.TimerFired(f.now, t.schedulerToken)
 	case t.sweep:
 		f.sweep()
-		f.timers.set(&timer{at: f.now + sweepEvery, sweep: true})
+		f.timers.add(&timer{due: f.now + sweepInterval, sweep: true})
 	case t.attempt != nil:
 		if !t.attempt.settled && !t.attempt.begun {
-			f.giveUp(t.attempt, scheduler.Timeout, "nothing heard in time")
+			f.abandonAttempt(t.attempt, scheduler.Timeout, "nothing heard in time")
 		}
-	case t.order != nil:
-		if !t.order.settled {
-			t.order.worker.link.AbandonLoad(&t.order.LoadOrder)
-			f.orderEnded(t.order, scheduler.Timeout, 0)
+	case t.loadOrder != nil:
+		if !t.loadOrder.ended {
+			t.loadOrder.worker.client.AbandonLoad(&t.loadOrder.LoadOrder)
+			f.endLoadOrder(t.loadOrder, scheduler.Timeout, 0)
 		}
-	case t.call != nil && t.call.state == waiting:
-		f.overdue(t.call)
+	case t.request != nil && t.request.state == requestInFlight:
+		f.answerPastDeadline(t.request)
 	}
 }
 
 // overdue gives the final answer that the module has not given, as it counts on more time than a loop that is late has
 // left. It must never be needed by one that is not.
-func (f *FrontEnd) overdue(c *Request) {
+func (f *FrontEnd) answerPastDeadline(request *Request) {
 	f.counts.PastDeadline++
-	f.log.Warn().Str("call", c.ID).Str("function", c.Replica.Function).Int("attempts", c.attempts).Msg("answer overdue")
-	f.abort(c, "no answer in time")
+	f.log.Warn().Str("call", request.ID).Str("function", request.Replica.Function).Int("attempts", request.attempts).Msg("answer overdue")
+	f.abort(request, "no answer in time")
 }
 
 // abort ends a call against the module's will: refused only where no attempt can have run. The call is over
 // before the module is told of its attempt, so that it is not sent again.
-func (f *FrontEnd) abort(c *Request, why string) {
-	if c.state != waiting {
+func (f *FrontEnd) abort(request *Request, why string) {
+	if request.state != requestInFlight {
 		return
 	}
-	a, as := c.out, scheduler.NotSent
+	a, as := request.current, scheduler.NotSent
 	if a != nil && a.worker.abandon(a) {
 		as = scheduler.Cancelled
 	}
-	c.mayHaveRun(as)
+	request.recordStatus(as)
 	kind := Rejected
-	if c.ran {
+	if request.mayHaveExecuted {
 		kind = Failed
 	}
-	f.final(c, FinalResponse{Kind: kind, Reason: why, TimedOut: true, RetryAfter: f.set.Scheduler.MaxRetryAfter})
-	f.module.ClientDisconnected(f.now, c.id)
+	f.respond(request, FinalResponse{Kind: kind, Reason: why, TimedOut: true, RetryAfter: f.settings.Scheduler.MaxRetryAfter})
+	f.scheduler.ClientDisconnected(f.now, request.id)
 	if a != nil {
-		f.ended(a, muxclient.Result{Status: as, Reason: why, QueueDepth: -1})
+		f.endAttempt(a, muxclient.Result{Status: as, Reason: why, QueueDepth: -1})
 	}
 }
 
 // Close makes the Front refuse what arrives from now on; what it has goes on.
-func (f *FrontEnd) StopAdmitting(now time.Duration) { f.now, f.closing = now, true }
+func (f *FrontEnd) StopAdmitting(now time.Duration) { f.now, f.shuttingDown = now, true }
 
 // Abort ends all that is under way at once, each with its final answer.
 func (f *FrontEnd) Abort(now time.Duration) {
 	f.now = now
-	for _, id := range sortedKeys(f.calls) {
-		f.abort(f.calls[id], "this front end stops")
-		f.settleLater()
+	for _, id := range sortedKeys(f.requests) {
+		f.abort(f.requests[id], "this front end stops")
+		f.runDeferred()
 	}
 	for _, id := range sortedKeys(f.workers) {
 		w := f.workers[id]
-		for _, l := range append(w.retired, w.link) {
+		for _, l := range append(w.previousClients, w.client) {
 			l.Stop()
 		}
 	}
 }
 
 // final gives a call its final answer and counts it.
-func (f *FrontEnd) final(c *Request, answer FinalResponse) {
-	if !c.settle(answer) {
+func (f *FrontEnd) respond(request *Request, answer FinalResponse) {
+	if !request.complete(answer) {
 		return
 	}
-	f.account(c, answer.Kind)
+	f.recordTenantUse(request, answer.Kind)
 	switch answer.Kind {
 	case Served:
 		f.counts.Served++
 	case Rejected:
 		f.counts.Rejected++
-		f.tell(f.log.Debug(), c, answer)
+		f.logResponse(f.log.Debug(), request, answer)
 	case Failed:
 		f.counts.Failed++
-		f.tell(f.log.Info(), c, answer)
+		f.logResponse(f.log.Info(), request, answer)
 	}
-	f.forget(c)
+	f.forget(request)
 }
 
 // account tells how a call ended that its tenant was let make.
-func (f *FrontEnd) account(c *Request, kind ResponseKind) {
+func (f *FrontEnd) recordTenantUse(request *Request, kind ResponseKind) {
 	end := tenancy.RequestEnd{Served: kind == Served, MissedObjective: true}
-	if c.attempts > 0 {
-		end.Work = cmp.Or(c.work, c.fn.cost.Expect())
+	if request.attempts > 0 {
+		end.Work = cmp.Or(request.runTime, request.function.cost.Expect())
 	}
 	switch kind {
 	case Served:
-		end.MissedObjective = f.now-c.StartedAt > f.set.Scheduler.Classes[c.Class].LatencyObjective
+		end.MissedObjective = f.now-request.StartedAt > f.settings.Scheduler.Classes[request.Class].LatencyObjective
 	case Failed:
-		end.MissedObjective = c.last == scheduler.Timeout || c.last == scheduler.Cancelled // else it is the function's or worker's own fault
+		end.MissedObjective = request.lastStatus == scheduler.Timeout || request.lastStatus == scheduler.Cancelled // else it is the function's or worker's own fault
 	}
-	f.tenancy.RequestEnded(f.now, c.Tenant, end)
+	f.tenancy.RequestEnded(f.now, request.Tenant, end)
 }
 
 // tell logs a final answer that is not a worker's.
-func (f *FrontEnd) tell(line *zerolog.Event, c *Request, answer FinalResponse) {
-	line.Str("call", c.ID).Str("function", c.Replica.Function).Str("class", f.set.Classes[c.Class]).Int("attempts", c.attempts).
+func (f *FrontEnd) logResponse(line *zerolog.Event, request *Request, answer FinalResponse) {
+	line.Str("call", request.ID).Str("function", request.Replica.Function).Str("class", f.settings.Classes[request.Class]).Int("attempts", request.attempts).
 		Str("why", answer.Reason).Msg(answer.Kind.String())
 }
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -18,93 +18,93 @@
 const ms = time.Millisecond
 
 // fakeLink stands for a link: it keeps what the Front gave it until a test says what became of it.
-type fakeLink struct {
+type fakeWorkerClient struct {
 	name     string
 	queued   []*muxclient.Attempt // not left
-	left     []*muxclient.Attempt
+	sent     []*muxclient.Attempt
 	orders   []*muxclient.LoadOrder
 	canceled []*muxclient.Attempt
 	drained  bool
 	stopped  bool
-	probes   int
+	healthChecks   int
 	unloads  int
-	holds    bool // what is sent stays in the write buffer
-	turns    *muxclient.Result
+	holdsWrites    bool // what is sent stays in the write buffer
+	rejection    *muxclient.Result
 }
 
-func (l *fakeLink) Send(a *muxclient.Attempt) *muxclient.Result {
+func (worker *fakeWorkerClient) Send(a *muxclient.Attempt) *muxclient.Result {
 	switch {
-	case l.turns != nil:
-		return l.turns
-	case l.drained:
+	case worker.rejection != nil:
+		return worker.rejection
+	case worker.drained:
 		return &muxclient.Result{Status: scheduler.NotSent, QueueDepth: -1}
-	case l.holds:
-		l.queued = append(l.queued, a)
+	case worker.holdsWrites:
+		worker.queued = append(worker.queued, a)
 	default:
-		l.left = append(l.left, a)
+		worker.sent = append(worker.sent, a)
 	}
 	return nil
 }
 
-func (l *fakeLink) Abandon(a *muxclient.Attempt) bool {
-	was := slices.Contains(l.left, a)
+func (worker *fakeWorkerClient) Abandon(a *muxclient.Attempt) bool {
+	was := slices.Contains(worker.sent, a)
 	if was {
-		l.canceled = append(l.canceled, a)
+		worker.canceled = append(worker.canceled, a)
 	}
-	l.drop(a)
+	worker.remove(a)
 	return was
 }
 
-func (l *fakeLink) CancelUnsent(a *muxclient.Attempt) bool {
-	was := slices.Contains(l.queued, a)
+func (worker *fakeWorkerClient) CancelUnsent(a *muxclient.Attempt) bool {
+	was := slices.Contains(worker.queued, a)
 	if was {
-		l.drop(a)
+		worker.remove(a)
 	}
 	return was
 }
 
-func (l *fakeLink) drop(a *muxclient.Attempt) {
+func (worker *fakeWorkerClient) remove(a *muxclient.Attempt) {
 	match := func(x *muxclient.Attempt) bool { return x == a }
-	l.queued, l.left = slices.DeleteFunc(l.queued, match), slices.DeleteFunc(l.left, match)
+	worker.queued, worker.sent = slices.DeleteFunc(worker.queued, match), slices.DeleteFunc(worker.sent, match)
 }
 
-func (l *fakeLink) Load(o *muxclient.LoadOrder) scheduler.Status {
-	l.orders = append(l.orders, o)
+func (worker *fakeWorkerClient) Load(o *muxclient.LoadOrder) scheduler.Status {
+	worker.orders = append(worker.orders, o)
 	return 0
 }
-func (l *fakeLink) AbandonLoad(*muxclient.LoadOrder) {}
-func (l *fakeLink) Unload(string)                    { l.unloads++ }
-func (l *fakeLink) CheckHealth()                     { l.probes++ }
-func (l *fakeLink) Resume()                          { l.drained = false }
-func (l *fakeLink) Busy() bool                       { return len(l.queued)+len(l.left) > 0 }
-func (l *fakeLink) Stop()                            { l.stopped = true }
-func (l *fakeLink) Drain(time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder) {
-	l.drained = true
-	taken := l.queued
-	l.queued = nil
+func (worker *fakeWorkerClient) AbandonLoad(*muxclient.LoadOrder) {}
+func (worker *fakeWorkerClient) Unload(string)                    { worker.unloads++ }
+func (worker *fakeWorkerClient) CheckHealth()                     { worker.healthChecks++ }
+func (worker *fakeWorkerClient) Resume()                          { worker.drained = false }
+func (worker *fakeWorkerClient) Busy() bool                       { return len(worker.queued)+len(worker.sent) > 0 }
+func (worker *fakeWorkerClient) Stop()                            { worker.stopped = true }
+func (worker *fakeWorkerClient) Drain(time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder) {
+	worker.drained = true
+	taken := worker.queued
+	worker.queued = nil
 	return taken, nil
 }
 
 // bench plays events to a Front.
-type bench struct {
+type harness struct {
 	*testing.T
 	*FrontEnd
-	at      time.Duration
-	links   map[string]*fakeLink
+	now      time.Duration
+	workers   map[string]*fakeWorkerClient
 	opened  int
-	follows int
+	watches int
 }
 
-func (b *bench) OpenWorker(_ scheduler.WorkerID, w discovery.Worker) WorkerClient {
-	b.opened++
-	l := &fakeLink{name: w.Name}
-	b.links[w.Name] = l
-	return l
+func (h *harness) OpenWorker(_ scheduler.WorkerID, w discovery.Worker) WorkerClient {
+	h.opened++
+	worker := &fakeWorkerClient{name: w.Name}
+	h.workers[w.Name] = worker
+	return worker
 }
 
-func (b *bench) WatchEndpoints() { b.follows++ }
+func (h *harness) WatchEndpoints() { h.watches++ }
 
-func classes() scheduler.Settings {
+func testScheduler() scheduler.Settings {
 	return scheduler.Settings{Seed: 1, FrontEndCount: 1, ReplicaIdleTimeout: 10 * time.Second, ReportsColdStart: true, CancelAllowed: true, MaxAttempts: 4,
 		LoadOrderTimeout: time.Second, MaxRetryAfter: 500 * ms, DrainGrace: 500 * ms, Resolution: ms, Classes: []scheduler.Class{
 			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.Idempotent},
@@ -113,25 +113,25 @@
 }
 
 const (
-	safe = iota
-	keyed
-	unsafe
+	idempotentClass = iota
+	keyedClass
+	nonIdempotentClass
 )
 
-func newBench(t *testing.T, workers int, change func(*Settings)) *bench {
-	b := &bench{T: t, at: time.Minute, links: map[string]*fakeLink{}}
-	set := Settings{Scheduler: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
+func newHarness(t *testing.T, workers int, change func(*Settings)) *harness {
+	h := &harness{T: t, now: time.Minute, workers: map[string]*fakeWorkerClient{}}
+	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0)}
 	if change != nil {
 		change(&set)
 	}
-	b.FrontEnd = New(b.at, set, b, zerolog.Nop())
-	b.list(workers, nil)
-	return b
+	h.FrontEnd = New(h.now, set, h, zerolog.Nop())
+	h.listWorkers(workers, nil)
+	return h
 }
 
 // list tells a list of workers, all ready but those in states.
-func (b *bench) list(n int, states map[string]scheduler.WorkerState) {
+func (h *harness) listWorkers(n int, states map[string]scheduler.WorkerState) {
 	var list []discovery.Worker
 	for i := range n {
 		w := discovery.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Cell: fmt.Sprint(i % 2), Scale: 1, State: scheduler.Ready}
@@ -140,147 +140,147 @@
 		}
 		list = append(list, w)
 	}
-	b.EndpointsChanged(b.at, list)
+	h.EndpointsChanged(h.now, list)
 }
 
-func (b *bench) call(class int) *Request {
-	c := NewRequest()
-	c.Class, c.StartedAt, c.Timeout = class, b.at, 2*time.Second
-	c.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 2}
-	b.RequestReceived(b.at, c)
-	return c
+func (h *harness) submit(class int) *Request {
+	request := NewRequest()
+	request.Class, request.StartedAt, request.Timeout = class, h.now, 2*time.Second
+	request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 2}
+	h.RequestReceived(h.now, request)
+	return request
 }
 
-func (b *bench) pass(d time.Duration) {
-	for end := b.at + d; b.at < end; {
-		b.at = min(end, max(b.at, b.NextTimer()))
-		b.FireTimers(b.at)
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(end, max(h.now, h.NextTimer()))
+		h.FireTimers(h.now)
 	}
 }
 
 // out is the link and the attempt that is out for c.
-func (b *bench) out(c *Request) (*fakeLink, *muxclient.Attempt) {
-	b.Helper()
-	for _, l := range b.links {
-		for _, a := range slices.Concat(l.left, l.queued) {
-			if a.Request.ID == c.ID {
-				return l, a
+func (h *harness) sentAttempt(request *Request) (*fakeWorkerClient, *muxclient.Attempt) {
+	h.Helper()
+	for _, worker := range h.workers {
+		for _, a := range slices.Concat(worker.sent, worker.queued) {
+			if a.Request.ID == request.ID {
+				return worker, a
 			}
 		}
 	}
-	b.Fatalf("call %s is not out", c.ID)
+	h.Fatalf("call %s is not out", request.ID)
 	return nil, nil
 }
 
-func (b *bench) isOut(c *Request) bool { return c.out != nil }
+func (h *harness) inFlight(request *Request) bool { return request.current != nil }
 
-func (b *bench) end(c *Request, s scheduler.Status) *fakeLink {
-	b.Helper()
-	l, a := b.out(c)
-	l.drop(a)
-	b.AttemptEnded(b.at, a, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
-	return l
+func (h *harness) endWith(request *Request, s scheduler.Status) *fakeWorkerClient {
+	h.Helper()
+	worker, a := h.sentAttempt(request)
+	worker.remove(a)
+	h.AttemptEnded(h.now, a, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
+	return worker
 }
 
-func (b *bench) final(c *Request) ResponseKind {
+func (h *harness) responseKind(request *Request) ResponseKind {
 	select {
-	case f := <-c.Response():
+	case f := <-request.Response():
 		return f.Kind
 	default:
 		return 0
 	}
 }
 
-func (b *bench) want(c *Request, k ResponseKind) {
-	b.Helper()
-	if got := b.final(c); got != k {
-		b.Errorf("final answer %v, want %v", got, k)
+func (h *harness) wantResponse(request *Request, k ResponseKind) {
+	h.Helper()
+	if got := h.responseKind(request); got != k {
+		h.Errorf("final answer %v, want %v", got, k)
 	}
-	if got := b.final(c); got != 0 {
-		b.Errorf("a second final answer: %v", got)
+	if got := h.responseKind(request); got != 0 {
+		h.Errorf("a second final answer: %v", got)
 	}
 }
 
 func TestACallIsServedAndForgotten(t *testing.T) {
-	b := newBench(t, 2, nil)
-	c := b.call(safe)
-	b.end(c, scheduler.OK)
-	b.want(c, Served)
-	if !b.Idle() || b.Counts().Served != 1 {
-		t.Errorf("%+v", b.Counts())
+	h := newHarness(t, 2, nil)
+	request := h.submit(idempotentClass)
+	h.endWith(request, scheduler.OK)
+	h.wantResponse(request, Served)
+	if !h.Idle() || h.Counts().Served != 1 {
+		t.Errorf("%+v", h.Counts())
 	}
 }
 
 // TestAnUnsafeCallIsNeverSentAgainOnceItMayHaveRun is rule 2 through the links' statuses.
 func TestAnUnsafeCallIsNeverSentAgainOnceItMayHaveRun(t *testing.T) {
 	for _, s := range []scheduler.Status{scheduler.Reset, scheduler.Error, scheduler.Timeout, scheduler.Cancelled} {
-		b := newBench(t, 3, nil)
-		c := b.call(unsafe)
-		b.end(c, s)
-		b.want(c, Failed)
-		if c.attempts != 1 {
-			t.Errorf("status %d: %d attempts", s, c.attempts)
+		h := newHarness(t, 3, nil)
+		request := h.submit(nonIdempotentClass)
+		h.endWith(request, s)
+		h.wantResponse(request, Failed)
+		if request.attempts != 1 {
+			t.Errorf("status %d: %d attempts", s, request.attempts)
 		}
 	}
 	for _, s := range []scheduler.Status{scheduler.ConnectFailed, scheduler.Overloaded, scheduler.NotLoaded, scheduler.NotSent} {
-		b := newBench(t, 3, nil)
-		c := b.call(unsafe)
-		b.end(c, s)
-		b.pass(100 * ms)
-		if c.attempts < 2 || !b.isOut(c) {
-			t.Errorf("status %d: %d attempts, out %t: it never ran", s, c.attempts, b.isOut(c))
+		h := newHarness(t, 3, nil)
+		request := h.submit(nonIdempotentClass)
+		h.endWith(request, s)
+		h.advance(100 * ms)
+		if request.attempts < 2 || !h.inFlight(request) {
+			t.Errorf("status %d: %d attempts, out %t: it never ran", s, request.attempts, h.inFlight(request))
 		}
 	}
 }
 
 // TestADrainTakesBackWhatStandsInTheWriteBuffer: it goes elsewhere, even when it is unsafe.
 func TestADrainTakesBackWhatStandsInTheWriteBuffer(t *testing.T) {
-	b := newBench(t, 2, nil)
-	for _, l := range b.links {
-		l.holds = true
-	}
-	c := b.call(unsafe)
-	l, _ := b.out(c)
-	b.list(2, map[string]scheduler.WorkerState{l.name: scheduler.Draining})
-	b.pass(100 * ms)
-	next, a := b.out(c)
-	if next == l || a.Request.Attempt != 1 {
+	h := newHarness(t, 2, nil)
+	for _, worker := range h.workers {
+		worker.holdsWrites = true
+	}
+	request := h.submit(nonIdempotentClass)
+	worker, _ := h.sentAttempt(request)
+	h.listWorkers(2, map[string]scheduler.WorkerState{worker.name: scheduler.Draining})
+	h.advance(100 * ms)
+	next, a := h.sentAttempt(request)
+	if next == worker || a.Request.Attempt != 1 {
 		t.Errorf("attempt %d at %s after the notice", a.Request.Attempt, next.name)
 	}
-	b.end(c, scheduler.OK)
-	b.want(c, Served)
+	h.endWith(request, scheduler.OK)
+	h.wantResponse(request, Served)
 }
 
 func TestWhatHasLeftADrainingWorkerIsWaitedFor(t *testing.T) {
-	b := newBench(t, 2, nil)
-	c := b.call(unsafe)
-	l, _ := b.out(c)
-	b.list(2, map[string]scheduler.WorkerState{l.name: scheduler.Removed})
-	b.pass(3 * sweepEvery / 2)
-	if l.stopped {
+	h := newHarness(t, 2, nil)
+	request := h.submit(nonIdempotentClass)
+	worker, _ := h.sentAttempt(request)
+	h.listWorkers(2, map[string]scheduler.WorkerState{worker.name: scheduler.Removed})
+	h.advance(3 * sweepInterval / 2)
+	if worker.stopped {
 		t.Fatal("the link was stopped with a call under way")
 	}
-	b.end(c, scheduler.OK)
-	b.want(c, Served)
-	b.pass(2 * sweepEvery)
-	if !l.stopped {
+	h.endWith(request, scheduler.OK)
+	h.wantResponse(request, Served)
+	h.advance(2 * sweepInterval)
+	if !worker.stopped {
 		t.Error("the link of a worker that is gone stays")
 	}
 }
 
 func TestAWorkerAtANewAddressGetsANewLink(t *testing.T) {
-	b := newBench(t, 1, nil)
-	old := b.links["w0"]
-	c := b.call(safe)
-	b.EndpointsChanged(b.at, []discovery.Worker{{Name: "w0", Address: "elsewhere:1", Scale: 1, State: scheduler.Ready}})
-	if b.opened != 2 || !old.drained || old.stopped {
-		t.Fatalf("opened %d, old link drained %t, stopped %t", b.opened, old.drained, old.stopped)
-	}
-	a := old.left[0]
-	old.drop(a)
-	b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
-	b.want(c, Served)
-	b.pass(2 * sweepEvery)
+	h := newHarness(t, 1, nil)
+	old := h.workers["w0"]
+	request := h.submit(idempotentClass)
+	h.EndpointsChanged(h.now, []discovery.Worker{{Name: "w0", Address: "elsewhere:1", Scale: 1, State: scheduler.Ready}})
+	if h.opened != 2 || !old.drained || old.stopped {
+		t.Fatalf("opened %d, old link drained %t, stopped %t", h.opened, old.drained, old.stopped)
+	}
+	a := old.sent[0]
+	old.remove(a)
+	h.AttemptEnded(h.now, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+	h.wantResponse(request, Served)
+	h.advance(2 * sweepInterval)
 	if !old.stopped {
 		t.Error("the old link stays")
 	}
@@ -288,18 +288,18 @@
 
 // TestTheFinalAnswerLeavesBeforeTheClientGivesUp: silence of all workers, every class.
 func TestTheFinalAnswerLeavesBeforeTheClientGivesUp(t *testing.T) {
-	for class, want := range []ResponseKind{safe: Rejected, keyed: Failed, unsafe: Failed} {
-		b := newBench(t, 2, nil)
-		c := b.call(class)
-		end := b.at + c.Timeout
-		for b.at < end && c.state == waiting {
-			b.pass(ms)
+	for class, want := range []ResponseKind{idempotentClass: Rejected, keyedClass: Failed, nonIdempotentClass: Failed} {
+		h := newHarness(t, 2, nil)
+		request := h.submit(class)
+		end := h.now + request.Timeout
+		for h.now < end && request.state == requestInFlight {
+			h.advance(ms)
 		}
-		if b.at >= end {
+		if h.now >= end {
 			t.Errorf("class %d: no answer in time", class)
 		}
-		b.want(c, want)
-		if b.Counts().PastDeadline != 0 {
+		h.wantResponse(request, want)
+		if h.Counts().PastDeadline != 0 {
 			t.Errorf("class %d: the module gave none", class)
 		}
 	}
@@ -307,221 +307,221 @@
 
 // TestACallThatNeverLeftIsRefused: its time passed in the write buffer; the promise can be given.
 func TestACallThatNeverLeftIsRefused(t *testing.T) {
-	b := newBench(t, 1, nil)
-	b.links["w0"].holds = true
-	c := b.call(unsafe)
-	b.pass(2 * time.Second)
-	b.want(c, Rejected)
+	h := newHarness(t, 1, nil)
+	h.workers["w0"].holdsWrites = true
+	request := h.submit(nonIdempotentClass)
+	h.advance(2 * time.Second)
+	h.wantResponse(request, Rejected)
 }
 
 func TestALateAnswerAfterATimeOutChangesNothing(t *testing.T) {
-	b := newBench(t, 1, nil)
-	c := b.call(unsafe)
-	_, a := b.out(c)
-	b.pass(2 * time.Second)
-	b.want(c, Failed)
-	b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
-	b.want(c, 0)
+	h := newHarness(t, 1, nil)
+	request := h.submit(nonIdempotentClass)
+	_, a := h.sentAttempt(request)
+	h.advance(2 * time.Second)
+	h.wantResponse(request, Failed)
+	h.AttemptEnded(h.now, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+	h.wantResponse(request, 0)
 }
 
 func TestAClientThatLeavesIsOwedNothing(t *testing.T) {
 	t.Run("while its call is out", func(t *testing.T) {
-		b := newBench(t, 1, nil)
-		c := b.call(safe)
-		l, _ := b.out(c)
-		b.ClientDisconnected(b.at, c)
-		if len(l.canceled) != 1 || !b.Idle() {
-			t.Errorf("called back %d, idle %t", len(l.canceled), b.Idle())
+		h := newHarness(t, 1, nil)
+		request := h.submit(idempotentClass)
+		worker, _ := h.sentAttempt(request)
+		h.ClientDisconnected(h.now, request)
+		if len(worker.canceled) != 1 || !h.Idle() {
+			t.Errorf("called back %d, idle %t", len(worker.canceled), h.Idle())
 		}
-		b.want(c, 0)
+		h.wantResponse(request, 0)
 	})
 	t.Run("while its call is held", func(t *testing.T) {
-		b := newBench(t, 0, nil)
-		c := b.call(safe)
-		b.ClientDisconnected(b.at, c)
-		if !b.Idle() {
+		h := newHarness(t, 0, nil)
+		request := h.submit(idempotentClass)
+		h.ClientDisconnected(h.now, request)
+		if !h.Idle() {
 			t.Error("it is kept")
 		}
-		b.pass(3 * time.Second)
-		b.want(c, 0)
+		h.advance(3 * time.Second)
+		h.wantResponse(request, 0)
 	})
 	t.Run("while its answer comes", func(t *testing.T) {
-		b := newBench(t, 1, nil)
-		c := b.call(unsafe)
-		l, a := b.out(c)
-		b.ResponseStarted(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{Stream: &muxclient.Stream{}}})
-		b.want(c, Served)
-		b.pass(3 * time.Second) // neither time-out nor deadline holds for it
-		if len(l.canceled) != 0 {
+		h := newHarness(t, 1, nil)
+		request := h.submit(nonIdempotentClass)
+		worker, a := h.sentAttempt(request)
+		h.ResponseStarted(h.now, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{Stream: &muxclient.Stream{}}})
+		h.wantResponse(request, Served)
+		h.advance(3 * time.Second) // neither time-out nor deadline holds for it
+		if len(worker.canceled) != 0 {
 			t.Fatal("a running answer was cut off")
 		}
-		b.ClientDisconnected(b.at, c)
-		if len(l.canceled) != 1 || !b.Idle() {
-			t.Errorf("called back %d, idle %t", len(l.canceled), b.Idle())
+		h.ClientDisconnected(h.now, request)
+		if len(worker.canceled) != 1 || !h.Idle() {
+			t.Errorf("called back %d, idle %t", len(worker.canceled), h.Idle())
 		}
 	})
 }
 
 func TestAnswersThatBreakOffEndTheCall(t *testing.T) {
-	b := newBench(t, 2, nil)
-	c := b.call(safe)
-	_, a := b.out(c)
-	b.ResponseStarted(b.at, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
-	b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.Reset, QueueDepth: -1})
-	b.pass(100 * ms)
-	b.want(c, Served)
-	if c.attempts != 1 || !b.Idle() {
-		t.Errorf("%d attempts, idle %t: part of an answer is out, it must not be begun anew", c.attempts, b.Idle())
+	h := newHarness(t, 2, nil)
+	request := h.submit(idempotentClass)
+	_, a := h.sentAttempt(request)
+	h.ResponseStarted(h.now, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+	h.AttemptEnded(h.now, a, muxclient.Result{Status: scheduler.Reset, QueueDepth: -1})
+	h.advance(100 * ms)
+	h.wantResponse(request, Served)
+	if request.attempts != 1 || !h.Idle() {
+		t.Errorf("%d attempts, idle %t: part of an answer is out, it must not be begun anew", request.attempts, h.Idle())
 	}
 }
 
 func TestTooManyCallsAreRefusedAtOnce(t *testing.T) {
-	b := newBench(t, 0, func(s *Settings) { s.MaxInFlight = 3 })
+	h := newHarness(t, 0, func(s *Settings) { s.MaxInFlight = 3 })
 	for range 3 {
-		b.call(safe)
+		h.submit(idempotentClass)
 	}
-	b.want(b.call(safe), Rejected)
-	if n := b.Counts().Shed; n != 1 || b.InFlight() != 3 {
-		t.Errorf("turned away %d, in hand %d", n, b.InFlight())
+	h.wantResponse(h.submit(idempotentClass), Rejected)
+	if n := h.Counts().Shed; n != 1 || h.InFlight() != 3 {
+		t.Errorf("turned away %d, in hand %d", n, h.InFlight())
 	}
 }
 
 func TestACallWithoutTimeIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, 1, nil)
-	c := NewRequest()
-	c.StartedAt, c.Timeout, c.Replica = b.at-2*time.Second, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
-	b.RequestReceived(b.at, c)
-	b.want(c, Rejected)
+	h := newHarness(t, 1, nil)
+	request := NewRequest()
+	request.StartedAt, request.Timeout, request.Replica = h.now-2*time.Second, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
+	h.RequestReceived(h.now, request)
+	h.wantResponse(request, Rejected)
 }
 
 // TestAnAbortAnswersAll: what never ran is refused, what may have run fails, and nothing is sent again.
 func TestAnAbortAnswersAll(t *testing.T) {
-	b := newBench(t, 2, nil)
-	out := b.call(unsafe)
-	_, _ = b.out(out)
-	for _, l := range b.links {
-		l.holds = true
+	h := newHarness(t, 2, nil)
+	out := h.submit(nonIdempotentClass)
+	_, _ = h.sentAttempt(out)
+	for _, worker := range h.workers {
+		worker.holdsWrites = true
 	}
-	queued := b.call(unsafe)
-	b.StopAdmitting(b.at)
-	late := b.call(safe)
-	b.want(late, Rejected)
-	b.Abort(b.at)
-	b.want(out, Failed)
-	b.want(queued, Rejected)
-	if !b.Idle() || out.attempts != 1 || queued.attempts > 1 {
-		t.Errorf("idle %t, attempts %d and %d", b.Idle(), out.attempts, queued.attempts)
+	queued := h.submit(nonIdempotentClass)
+	h.StopAdmitting(h.now)
+	late := h.submit(idempotentClass)
+	h.wantResponse(late, Rejected)
+	h.Abort(h.now)
+	h.wantResponse(out, Failed)
+	h.wantResponse(queued, Rejected)
+	if !h.Idle() || out.attempts != 1 || queued.attempts > 1 {
+		t.Errorf("idle %t, attempts %d and %d", h.Idle(), out.attempts, queued.attempts)
 	}
 }
 
 func TestARestartByTheWorkersOwnWordEndsBeliefs(t *testing.T) {
-	b := newBench(t, 1, nil)
+	h := newHarness(t, 1, nil)
 	id := WorkerID("w0")
-	b.WorkerConnected(b.at, id, muxframe.Welcome{Worker: "w0", Incarnation: 1, UptimeMillis: 3600_000})
-	c := b.call(safe)
-	b.end(c, scheduler.OK)
-	b.WorkerConnected(b.at, id, muxframe.Welcome{Worker: "w0", Incarnation: 2, UptimeMillis: 5})
-	if info, news := b.roster.ObserveConnection(b.at, id, 2, 5*ms); news || info.Started < b.at-10*ms {
+	h.WorkerConnected(h.now, id, muxframe.Welcome{Worker: "w0", Incarnation: 1, UptimeMillis: 3600_000})
+	request := h.submit(idempotentClass)
+	h.endWith(request, scheduler.OK)
+	h.WorkerConnected(h.now, id, muxframe.Welcome{Worker: "w0", Incarnation: 2, UptimeMillis: 5})
+	if info, news := h.incarnations.ObserveConnection(h.now, id, 2, 5*ms); news || info.Started < h.now-10*ms {
 		t.Errorf("started %v, news %t", info.Started, news)
 	}
 }
 
 func TestAFailedListIsAskedForAgainBySchedule(t *testing.T) {
-	b := newBench(t, 1, nil)
-	b.WatchFailed(b.at, errors.New("down"))
-	if b.follows != 0 {
+	h := newHarness(t, 1, nil)
+	h.WatchFailed(h.now, errors.New("down"))
+	if h.watches != 0 {
 		t.Error("asked at once")
 	}
-	b.pass(1100 * ms)
-	if b.follows != 1 {
-		t.Errorf("asked %d times", b.follows)
+	h.advance(1100 * ms)
+	if h.watches != 1 {
+		t.Errorf("asked %d times", h.watches)
 	}
 }
 
 // TestNamesWithOneHashAreKeptApart: the second is refused, as copies of one would be taken for the other's.
 func TestNamesWithOneHashAreKeptApart(t *testing.T) {
-	b := newBench(t, 1, nil)
-	c := b.call(safe)
-	for _, f := range b.functions {
-		f.copy.Function = "another"
+	h := newHarness(t, 1, nil)
+	request := h.submit(idempotentClass)
+	for _, f := range h.functions {
+		f.replica.Function = "another"
 	}
-	b.want(b.call(safe), Rejected)
-	b.end(c, scheduler.OK)
+	h.wantResponse(h.submit(idempotentClass), Rejected)
+	h.endWith(request, scheduler.OK)
 }
 
 func TestWhatTheLinkTurnsAwayGoesElsewhere(t *testing.T) {
-	b := newBench(t, 2, nil)
-	first := b.call(unsafe)
-	l, _ := b.out(first)
-	l.turns = &muxclient.Result{Status: scheduler.ConnectFailed, QueueDepth: -1}
-	b.end(first, scheduler.ConnectFailed)
-	b.pass(100 * ms)
-	if next, _ := b.out(first); next == l {
+	h := newHarness(t, 2, nil)
+	first := h.submit(nonIdempotentClass)
+	worker, _ := h.sentAttempt(first)
+	worker.rejection = &muxclient.Result{Status: scheduler.ConnectFailed, QueueDepth: -1}
+	h.endWith(first, scheduler.ConnectFailed)
+	h.advance(100 * ms)
+	if next, _ := h.sentAttempt(first); next == worker {
 		t.Error("sent to the same worker")
 	}
 }
 
 func TestOrdersGoOutAndTimeOut(t *testing.T) {
-	b := newBench(t, 2, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
-	c := b.call(safe)
+	h := newHarness(t, 2, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
+	request := h.submit(idempotentClass)
 	orders := 0
-	for _, l := range b.links {
-		orders += len(l.orders)
+	for _, worker := range h.workers {
+		orders += len(worker.orders)
 	}
 	if orders == 0 {
 		t.Fatal("no worker was asked or told to load")
 	}
-	b.pass(2 * time.Second)
-	b.want(c, Rejected)
-	if len(b.orders) != 0 {
-		t.Errorf("%d orders are still awaited", len(b.orders))
+	h.advance(2 * time.Second)
+	h.wantResponse(request, Rejected)
+	if len(h.loadOrders) != 0 {
+		t.Errorf("%d orders are still awaited", len(h.loadOrders))
 	}
 }
 
 // TestALoopThatIsBehindRefusesWhatWaited: the module is not asked, so that the queue empties.
 func TestALoopThatIsBehindRefusesWhatWaited(t *testing.T) {
-	b := newBench(t, 1, nil)
+	h := newHarness(t, 1, nil)
 	behind := func() *Request {
-		c := NewRequest()
-		c.StartedAt, c.queued, c.Timeout, c.Replica = b.at-50*ms, b.at-50*ms, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
-		b.RequestReceived(b.at, c)
-		return c
-	}
-	b.want(behind(), 0) // a burst
-	b.pass(200 * ms)
-	taken := b.Counts().Admitted
-	b.want(behind(), Rejected)
-	if b.Counts().Admitted != taken {
+		request := NewRequest()
+		request.StartedAt, request.queuedAt, request.Timeout, request.Replica = h.now-50*ms, h.now-50*ms, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
+		h.RequestReceived(h.now, request)
+		return request
+	}
+	h.wantResponse(behind(), 0) // a burst
+	h.advance(200 * ms)
+	taken := h.Counts().Admitted
+	h.wantResponse(behind(), Rejected)
+	if h.Counts().Admitted != taken {
 		t.Error("it was taken")
 	}
-	b.want(b.call(safe), 0) // waited in no queue
+	h.wantResponse(h.submit(idempotentClass), 0) // waited in no queue
 }
 
 // TestProbesAndUnloadsAreCarriedOut: the module asks for none today, a later one may.
 func TestProbesAndUnloadsAreCarriedOut(t *testing.T) {
-	b := newBench(t, 1, nil)
-	c := b.call(safe)
-	id, l := WorkerID("w0"), b.links["w0"]
-	b.CheckHealth(id)
-	b.Unload(id, FunctionID("f"))
-	if l.probes != 1 || l.unloads != 1 || b.Counts().HealthChecks != 1 {
-		t.Errorf("%d probes, %d unloads", l.probes, l.unloads)
+	h := newHarness(t, 1, nil)
+	request := h.submit(idempotentClass)
+	id, worker := WorkerID("w0"), h.workers["w0"]
+	h.CheckHealth(id)
+	h.Unload(id, FunctionID("f"))
+	if worker.healthChecks != 1 || worker.unloads != 1 || h.Counts().HealthChecks != 1 {
+		t.Errorf("%d probes, %d unloads", worker.healthChecks, worker.unloads)
 	}
-	b.HealthChecked(b.at, id, scheduler.OK, nil)
-	b.HealthChecked(b.at, id, scheduler.OK, nil) // one that was not asked for
-	b.end(c, scheduler.OK)
+	h.HealthChecked(h.now, id, scheduler.OK, nil)
+	h.HealthChecked(h.now, id, scheduler.OK, nil) // one that was not asked for
+	h.endWith(request, scheduler.OK)
 }
 
 // TestAnAnswersWaitForTheLoopIsNotTheWorkers holds that a loop that is late tells the module no slow workers.
 func TestAnAnswersWaitForTheLoopIsNotTheWorkers(t *testing.T) {
-	b := newBench(t, 1, nil)
-	c := b.call(safe)
-	a := c.out
-	b.pass(100 * time.Millisecond)
-	if took := b.took(a, muxclient.Result{ReceivedAt: a.sent + 30*time.Millisecond}); took != 30*time.Millisecond {
+	h := newHarness(t, 1, nil)
+	request := h.submit(idempotentClass)
+	a := request.current
+	h.advance(100 * time.Millisecond)
+	if took := h.latency(a, muxclient.Result{ReceivedAt: a.sentAt + 30*time.Millisecond}); took != 30*time.Millisecond {
 		t.Errorf("an answer read after 30ms, seen after 100ms, counts as one of %v", took)
 	}
-	if took := b.took(a, muxclient.Result{}); took != 100*time.Millisecond {
+	if took := h.latency(a, muxclient.Result{}); took != 100*time.Millisecond {
 		t.Errorf("an answer that tells no time, seen after 100ms, counts as one of %v", took)
 	}
 }
--- a/internal/gateway/ids_test.go
+++ b/internal/gateway/ids_test.go
@@ -6,25 +6,25 @@
 )
 
 func TestIDIsTakenOnceAndForgottenInTime(t *testing.T) {
-	var x ids
-	if !x.take("a") || x.take("a") {
+	var x recentIDs
+	if !x.admit("a") || x.admit("a") {
 		t.Fatal("an id in hand must be taken once")
 	}
-	x.end("a")
-	if x.take("a") {
+	x.release("a")
+	if x.admit("a") {
 		t.Error("an id that was answered is taken again")
 	}
-	for i := range 3 * idsKept {
+	for i := range 3 * idsPerGeneration {
 		id := fmt.Sprint(i)
-		if !x.take(id) {
+		if !x.admit(id) {
 			t.Fatalf("id %s is new", id)
 		}
-		x.end(id)
+		x.release(id)
 	}
-	if len(x.now)+len(x.before) > 2*idsKept || len(x.open) != 0 {
-		t.Errorf("%d and %d ids are kept, %d open", len(x.now), len(x.before), len(x.open))
+	if len(x.current)+len(x.previous) > 2*idsPerGeneration || len(x.inFlight) != 0 {
+		t.Errorf("%d and %d ids are kept, %d open", len(x.current), len(x.previous), len(x.inFlight))
 	}
-	if !x.take("a") {
+	if !x.admit("a") {
 		t.Error("an id is remembered for ever")
 	}
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -39,163 +39,163 @@
 type EventLoop struct {
 	cfg      EventLoopConfig
 	log      zerolog.Logger
-	front    *FrontEnd
-	arrivals chan *Request
+	frontEnd    *FrontEnd
+	requests chan *Request
 	events   chan func(now time.Duration)
-	links    []ClosableWorkerClient        // begun and not known to have ended; the loop's alone
-	open     func(*EventLoop) WorkerClient // in place of a worker's link, where loops are measured alone
+	workerClients    []ClosableWorkerClient        // begun and not known to have ended; the loop's alone
+	newTestClient     func(*EventLoop) WorkerClient // in place of a worker's link, where loops are measured alone
 	kill     chan struct{}
 	done     chan struct{}
-	door     door
+	gate     queueGate
 }
 
 // door is what the edges' goroutines share with the loop's, each value in a cache line of its own: in an overload
 // the edges touch both at each call.
-type door struct {
+type queueGate struct {
 	_      cpu.CacheLinePad
-	room   atomic.Int64 // arrivals that may wait, as the Front says
+	limit   atomic.Int64 // arrivals that may wait, as the Front says
 	_      cpu.CacheLinePad
-	turned atomic.Uint64 // calls that were refused without the Front
+	rejected atomic.Uint64 // calls that were refused without the Front
 	_      cpu.CacheLinePad
-	late   atomic.Int64 // the latest that an edge came to what was due, since the loop asked last
+	worstLag   atomic.Int64 // the latest that an edge came to what was due, since the loop asked last
 	_      cpu.CacheLinePad
 }
 
 // set sets the room where it has changed.
-func (d *door) set(room int) {
-	if int64(room) != d.room.Load() {
-		d.room.Store(int64(room))
+func (d *queueGate) setLimit(room int) {
+	if int64(room) != d.limit.Load() {
+		d.limit.Store(int64(room))
 	}
 }
 
 // NewLoop returns a Loop that begins with Run.
 func NewEventLoop(cfg EventLoopConfig, log zerolog.Logger) *EventLoop {
-	l := &EventLoop{cfg: cfg, log: log, arrivals: make(chan *Request, cfg.RequestQueue), done: make(chan struct{}), kill: make(chan struct{}),
+	loop := &EventLoop{cfg: cfg, log: log, requests: make(chan *Request, cfg.RequestQueue), done: make(chan struct{}), kill: make(chan struct{}),
 		events: make(chan func(time.Duration), cfg.EventQueue)}
-	l.door.set(math.MaxInt)
-	return l
+	loop.gate.setLimit(math.MaxInt)
+	return loop
 }
 
 // Now is the loop's clock: the time since Settings.Began, monotonic.
-func (l *EventLoop) Now() time.Duration { return time.Since(l.cfg.ClockStart) }
+func (loop *EventLoop) Now() time.Duration { return time.Since(loop.cfg.ClockStart) }
 
 // Submit hands a call over; its final answer comes on c.Answer. A loop that is behind, whose queue is full, or
 // that has ended, refuses at once, at no cost to the loop's own goroutine.
-func (l *EventLoop) Submit(c *Request) {
-	c.queued = l.Now()
+func (loop *EventLoop) Submit(request *Request) {
+	request.queuedAt = loop.Now()
 	why := "this front end is behind"
-	if int64(len(l.arrivals)) < l.door.room.Load() {
+	if int64(len(loop.requests)) < loop.gate.limit.Load() {
 		select {
-		case <-l.done:
+		case <-loop.done:
 			why = "this front end has stopped"
 		default:
 			select {
-			case l.arrivals <- c:
+			case loop.requests <- request:
 				return
 			default:
 				why = "the front end's queue is full"
 			}
 		}
 	}
-	l.door.turned.Add(1)
-	c.settle(FinalResponse{Kind: Rejected, Reason: why, RetryAfter: l.cfg.Scheduler.MaxRetryAfter})
+	loop.gate.rejected.Add(1)
+	request.complete(FinalResponse{Kind: Rejected, Reason: why, RetryAfter: loop.cfg.Scheduler.MaxRetryAfter})
 }
 
 // Behind tells that an edge came so late to what was due.
-func (l *EventLoop) ObserveLag(late time.Duration) {
+func (loop *EventLoop) ObserveLag(late time.Duration) {
 	for {
-		worst := l.door.late.Load()
-		if int64(late) <= worst || l.door.late.CompareAndSwap(worst, int64(late)) {
+		worst := loop.gate.worstLag.Load()
+		if int64(late) <= worst || loop.gate.worstLag.CompareAndSwap(worst, int64(late)) {
 			return
 		}
 	}
 }
 
 // Leave tells that a call's client is gone.
-func (l *EventLoop) Disconnect(c *Request) {
-	l.post(func(now time.Duration) { l.front.ClientDisconnected(now, c) })
+func (loop *EventLoop) Disconnect(request *Request) {
+	loop.post(func(now time.Duration) { loop.frontEnd.ClientDisconnected(now, request) })
 }
 
 // Counts returns the Front's totals, zero once the loop has ended.
-func (l *EventLoop) Counts() (c Counts) {
+func (loop *EventLoop) Counts() (c Counts) {
 	answer := make(chan Counts, 1)
-	l.post(func(time.Duration) { answer <- l.counts() })
+	loop.post(func(time.Duration) { answer <- loop.counts() })
 	select {
 	case c = <-answer:
-	case <-l.done:
+	case <-loop.done:
 	}
 	return c
 }
 
 // counts are the Front's totals, with what was refused without it.
-func (l *EventLoop) counts() Counts {
-	c := l.front.Counts()
-	c.Shed += l.door.turned.Load()
+func (loop *EventLoop) counts() Counts {
+	c := loop.frontEnd.Counts()
+	c.Shed += loop.gate.rejected.Load()
 	return c
 }
 
 // Kill ends Run at once, once.
-func (l *EventLoop) Kill() { close(l.kill) }
+func (loop *EventLoop) Kill() { close(loop.kill) }
 
 // Stall makes the loop stand still for d, as a pause of the process does; it is for laboratories.
-func (l *EventLoop) Stall(d time.Duration) { l.post(func(time.Duration) { time.Sleep(d) }) }
+func (loop *EventLoop) Stall(d time.Duration) { loop.post(func(time.Duration) { time.Sleep(d) }) }
 
 // post queues an event. It waits where the queue is full: who posts stops reading meanwhile.
-func (l *EventLoop) post(event func(now time.Duration)) {
+func (loop *EventLoop) post(event func(now time.Duration)) {
 	select {
-	case l.events <- event:
-	case <-l.done:
+	case loop.events <- event:
+	case <-loop.done:
 	}
 }
 
 // Run serves until ctx ends; then it refuses what arrives, waits for what is in hand, StopWait at most, and
 // gives the rest its final answers. It returns the totals, and whether all ended in time.
-func (l *EventLoop) Run(ctx context.Context) (Counts, bool) {
-	l.front = New(l.Now(), l.cfg.Settings, l, l.log)
+func (loop *EventLoop) Run(ctx context.Context) (Counts, bool) {
+	loop.frontEnd = New(loop.Now(), loop.cfg.Settings, loop, loop.log)
 	follow, stop := context.WithCancel(context.Background())
 	followed := make(chan struct{})
-	go func() { defer close(followed); l.cfg.Source.Run(follow, listSink{l}) }()
-	clean := l.serve(ctx)
-	l.front.Abort(l.Now())
+	go func() { defer close(followed); loop.cfg.Source.Run(follow, discoveryEvents{loop}) }()
+	clean := loop.serve(ctx)
+	loop.frontEnd.Abort(loop.Now())
 	stop()
-	l.refuseRest()
+	loop.rejectQueued()
 	<-followed
-	for _, link := range l.links {
+	for _, link := range loop.workerClients {
 		<-link.Done()
 	}
-	return l.counts(), clean
+	return loop.counts(), clean
 }
 
 // serve is the loop. It returns whether nothing was left in hand.
-func (l *EventLoop) serve(ctx context.Context) bool {
+func (loop *EventLoop) serve(ctx context.Context) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var bound <-chan time.Time
 	ending := ctx.Done()
 	for {
-		l.catchUp()
-		now := l.Now()
-		if l.door.late.Load() > 0 {
-			l.front.ObserveLag(now, time.Duration(l.door.late.Swap(0)))
+		loop.drainEvents()
+		now := loop.Now()
+		if loop.gate.worstLag.Load() > 0 {
+			loop.frontEnd.ObserveLag(now, time.Duration(loop.gate.worstLag.Swap(0)))
 		}
-		l.front.FireTimers(now)
-		l.door.set(l.front.QueueLimit(now, len(l.arrivals)))
-		if ending == nil && l.front.Idle() && len(l.arrivals) == 0 {
+		loop.frontEnd.FireTimers(now)
+		loop.gate.setLimit(loop.frontEnd.QueueLimit(now, len(loop.requests)))
+		if ending == nil && loop.frontEnd.Idle() && len(loop.requests) == 0 {
 			return true
 		}
-		timer.Reset(max(0, l.front.NextTimer()-now))
+		timer.Reset(max(0, loop.frontEnd.NextTimer()-now))
 		select {
-		case c := <-l.arrivals:
-			l.front.RequestReceived(l.Now(), c)
-		case event := <-l.events:
-			event(l.Now())
+		case request := <-loop.requests:
+			loop.frontEnd.RequestReceived(loop.Now(), request)
+		case event := <-loop.events:
+			event(loop.Now())
 		case <-timer.C:
 		case <-ending:
-			l.front.StopAdmitting(l.Now())
-			ending, bound = nil, time.After(l.cfg.ShutdownTimeout)
+			loop.frontEnd.StopAdmitting(loop.Now())
+			ending, bound = nil, time.After(loop.cfg.ShutdownTimeout)
 		case <-bound:
 			return false
-		case <-l.kill:
+		case <-loop.kill:
 			return false
 		}
 	}
@@ -204,20 +204,20 @@
 // catchUp takes the events that are there before timers and arrivals. It guards against a loop that comes late: an
 // answer that came while it stood still would find its attempt timed out, and its call failed. And in an overload
 // what is taken in before the answers that free its place only lengthens the module's backlog.
-func (l *EventLoop) catchUp() {
-	for range len(l.events) {
-		event := <-l.events
-		event(l.Now())
+func (loop *EventLoop) drainEvents() {
+	for range len(loop.events) {
+		event := <-loop.events
+		event(loop.Now())
 	}
 }
 
 // refuseRest answers what was submitted and never seen by the Front, and lets go of who posts.
-func (l *EventLoop) refuseRest() {
-	close(l.done)
+func (loop *EventLoop) rejectQueued() {
+	close(loop.done)
 	for {
 		select {
-		case c := <-l.arrivals:
-			l.front.RequestReceived(l.Now(), c) // it is closing: refused
+		case request := <-loop.requests:
+			loop.frontEnd.RequestReceived(loop.Now(), request) // it is closing: refused
 		default:
 			return
 		}
@@ -225,77 +225,77 @@
 }
 
 // Open implements Outside.
-func (l *EventLoop) OpenWorker(id scheduler.WorkerID, w discovery.Worker) WorkerClient {
-	if l.open != nil {
-		return l.open(l)
+func (loop *EventLoop) OpenWorker(id scheduler.WorkerID, w discovery.Worker) WorkerClient {
+	if loop.newTestClient != nil {
+		return loop.newTestClient(loop)
 	}
-	link := l.dial(id, w)
-	keep := l.links[:0]
-	for _, old := range l.links {
+	link := loop.newWorkerClient(id, w)
+	keep := loop.workerClients[:0]
+	for _, old := range loop.workerClients {
 		select {
 		case <-old.Done():
 		default:
 			keep = append(keep, old)
 		}
 	}
-	l.links = append(keep, link)
+	loop.workerClients = append(keep, link)
 	return link
 }
 
-func (l *EventLoop) dial(id scheduler.WorkerID, w discovery.Worker) ClosableWorkerClient {
-	if l.cfg.Dial != nil {
-		return l.cfg.Dial(id, w, l.Now, linkEvents{l, id})
+func (loop *EventLoop) newWorkerClient(id scheduler.WorkerID, w discovery.Worker) ClosableWorkerClient {
+	if loop.cfg.Dial != nil {
+		return loop.cfg.Dial(id, w, loop.Now, workerEvents{loop, id})
 	}
-	cfg := l.cfg.WorkerClient
-	cfg.Worker, cfg.Address, cfg.Now = w.Name, w.Address, l.Now
-	cfg.FrontEnd, cfg.Seed = l.cfg.Name, l.cfg.Scheduler.Seed^uint64(id)
-	return muxclient.New(cfg, linkEvents{l, id})
+	cfg := loop.cfg.WorkerClient
+	cfg.Worker, cfg.Address, cfg.Now = w.Name, w.Address, loop.Now
+	cfg.FrontEnd, cfg.Seed = loop.cfg.Name, loop.cfg.Scheduler.Seed^uint64(id)
+	return muxclient.New(cfg, workerEvents{loop, id})
 }
 
 // Follow implements Outside.
-func (l *EventLoop) WatchEndpoints() { l.cfg.Source.Refresh() }
+func (loop *EventLoop) WatchEndpoints() { loop.cfg.Source.Refresh() }
 
 // listSink posts what a directory tells.
-type listSink struct{ l *EventLoop }
+type discoveryEvents struct{ loop *EventLoop }
 
-func (s listSink) EndpointsChanged(list []discovery.Worker) {
-	s.l.post(func(now time.Duration) { s.l.front.EndpointsChanged(now, list) })
+func (s discoveryEvents) EndpointsChanged(list []discovery.Worker) {
+	s.loop.post(func(now time.Duration) { s.loop.frontEnd.EndpointsChanged(now, list) })
 }
 
-func (s listSink) WatchFailed(err error) {
-	s.l.post(func(now time.Duration) { s.l.front.WatchFailed(now, err) })
+func (s discoveryEvents) WatchFailed(err error) {
+	s.loop.post(func(now time.Duration) { s.loop.frontEnd.WatchFailed(now, err) })
 }
 
 // linkEvents posts what happens on the link to one worker.
-type linkEvents struct {
-	l  *EventLoop
-	id scheduler.WorkerID
+type workerEvents struct {
+	loop  *EventLoop
+	worker scheduler.WorkerID
 }
 
-func (e linkEvents) ResponseStarted(a *muxclient.Attempt, r muxclient.Result) {
-	e.l.post(func(now time.Duration) { e.l.front.ResponseStarted(now, a, r) })
+func (e workerEvents) ResponseStarted(a *muxclient.Attempt, r muxclient.Result) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.ResponseStarted(now, a, r) })
 }
 
-func (e linkEvents) AttemptEnded(a *muxclient.Attempt, r muxclient.Result) {
-	e.l.post(func(now time.Duration) { e.l.front.AttemptEnded(now, a, r) })
+func (e workerEvents) AttemptEnded(a *muxclient.Attempt, r muxclient.Result) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.AttemptEnded(now, a, r) })
 }
 
-func (e linkEvents) LoadEnded(o *muxclient.LoadOrder, s scheduler.Status, copies int) {
-	e.l.post(func(now time.Duration) { e.l.front.LoadEnded(now, o, s, copies) })
+func (e workerEvents) LoadEnded(o *muxclient.LoadOrder, s scheduler.Status, copies int) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.LoadEnded(now, o, s, copies) })
 }
 
-func (e linkEvents) HealthChecked(s scheduler.Status, report []float64) {
-	e.l.post(func(now time.Duration) { e.l.front.HealthChecked(now, e.id, s, report) })
+func (e workerEvents) HealthChecked(s scheduler.Status, report []float64) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.HealthChecked(now, e.worker, s, report) })
 }
 
-func (e linkEvents) Connected(w muxframe.Welcome) {
-	e.l.post(func(now time.Duration) { e.l.front.WorkerConnected(now, e.id, w) })
+func (e workerEvents) Connected(w muxframe.Welcome) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.WorkerConnected(now, e.worker, w) })
 }
 
-func (e linkEvents) Disconnected(why error) {
-	e.l.post(func(now time.Duration) { e.l.front.WorkerDisconnected(now, e.id, why) })
+func (e workerEvents) Disconnected(why error) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.WorkerDisconnected(now, e.worker, why) })
 }
 
-func (e linkEvents) LateResponse(uint32) {
-	e.l.post(func(now time.Duration) { e.l.front.LateResponse(now) })
+func (e workerEvents) LateResponse(uint32) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.LateResponse(now) })
 }
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -11,14 +11,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestAFullQueueRefusesAtOnce(t *testing.T) {
-	l := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now()}, RequestQueue: 2, EventQueue: 1}, zerolog.Nop())
+	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now()}, RequestQueue: 2, EventQueue: 1}, zerolog.Nop())
 	for range 2 {
-		l.Submit(NewRequest())
+		loop.Submit(NewRequest())
 	}
-	c := NewRequest()
-	l.Submit(c)
+	request := NewRequest()
+	loop.Submit(request)
 	select {
-	case f := <-c.Response():
+	case f := <-request.Response():
 		if f.Kind != Rejected {
 			t.Errorf("%+v", f)
 		}
@@ -29,17 +29,17 @@
 
 // TestANarrowDoorRefusesAtOnce: what is refused there is counted, and never seen by the loop.
 func TestANarrowDoorRefusesAtOnce(t *testing.T) {
-	l, stop := alone(1)
+	loop, stop := startLoop(1)
 	defer stop()
 	stands, goOn := make(chan struct{}), make(chan struct{})
-	l.post(func(time.Duration) { close(stands); <-goOn }) // the loop takes nothing meanwhile
+	loop.post(func(time.Duration) { close(stands); <-goOn }) // the loop takes nothing meanwhile
 	<-stands
-	l.door.set(1)
+	loop.gate.setLimit(1)
 	taken := NewRequest()
-	taken.StartedAt, taken.Timeout, taken.Replica.Function = l.Now(), time.Second, "f"
-	l.Submit(taken)
+	taken.StartedAt, taken.Timeout, taken.Replica.Function = loop.Now(), time.Second, "f"
+	loop.Submit(taken)
 	turned := NewRequest()
-	l.Submit(turned)
+	loop.Submit(turned)
 	select {
 	case f := <-turned.Response():
 		if f.Kind != Rejected || f.RetryAfter == 0 {
@@ -50,7 +50,7 @@
 	}
 	close(goOn)
 	<-taken.Response()
-	if c := l.Counts(); c.Shed != 1 || c.Admitted != 1 {
+	if c := loop.Counts(); c.Shed != 1 || c.Admitted != 1 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -35,29 +35,29 @@
 			continue
 		}
 		named[id] = true
-		f.meet(id, in)
+		f.updateWorker(id, in)
 		infos = append(infos, scheduler.WorkerInfo{ID: id, Zone: intern(f.zones, in.Zone), Cell: intern(f.cells, in.Cell),
-			Kind: intern(f.kinds, in.Kind), Scale: in.Scale, Started: f.started(in.Started), State: in.State})
+			Kind: intern(f.kinds, in.Kind), Scale: in.Scale, Started: f.startTime(in.Started), State: in.State})
 	}
 	for _, id := range sortedKeys(f.workers) {
 		if !named[id] {
-			f.turn(f.workers[id], scheduler.Removed)
+			f.setWorkerState(f.workers[id], scheduler.Removed)
 		}
 	}
-	f.module.WorkersChanged(now, f.roster.ObserveList(now, infos), true)
-	f.settleLater()
+	f.scheduler.WorkersChanged(now, f.incarnations.ObserveList(now, infos), true)
+	f.runDeferred()
 }
 
 // started turns a wall time into one of the clock.
-func (f *FrontEnd) started(at time.Time) time.Duration {
+func (f *FrontEnd) startTime(at time.Time) time.Duration {
 	if at.IsZero() {
 		return scheduler.UnknownStart
 	}
-	return at.Sub(f.set.ClockStart)
+	return at.Sub(f.settings.ClockStart)
 }
 
 // meet takes an entry of the list: it opens a link to a new worker, or to one at a new address.
-func (f *FrontEnd) meet(id scheduler.WorkerID, in discovery.Worker) {
+func (f *FrontEnd) updateWorker(id scheduler.WorkerID, in discovery.Worker) {
 	w := f.workers[id]
 	if w == nil {
 		if in.State == scheduler.Removed {
@@ -66,20 +66,20 @@
 		w = &worker{id: id}
 		f.workers[id] = w
 	}
-	if w.link == nil || w.Address != in.Address {
-		if w.link != nil {
-			f.takeBack(w)
-			w.retired = append(w.retired, w.link)
+	if w.client == nil || w.Address != in.Address {
+		if w.client != nil {
+			f.drainClient(w)
+			w.previousClients = append(w.previousClients, w.client)
 		}
-		w.link = f.outside.OpenWorker(id, in)
+		w.client = f.dependencies.OpenWorker(id, in)
 		w.state = scheduler.Ready
 	}
 	w.Worker = in
-	f.turn(w, in.State)
+	f.setWorkerState(w, in.State)
 }
 
 // turn notes a worker's state and shuts or opens its link for new work.
-func (f *FrontEnd) turn(w *worker, state scheduler.WorkerState) {
+func (f *FrontEnd) setWorkerState(w *worker, state scheduler.WorkerState) {
 	if w.state == state {
 		return
 	}
@@ -88,25 +88,25 @@
 	w.state = state
 	switch {
 	case state == scheduler.Ready:
-		w.link.Resume()
+		w.client.Resume()
 	case was == scheduler.Ready:
-		f.takeBack(w)
+		f.drainClient(w)
 	}
 }
 
 // takeBack shuts a link for new work; what had not left ends as never sent.
-func (f *FrontEnd) takeBack(w *worker) {
-	attempts, orders := w.link.Drain(f.set.Scheduler.DrainGrace)
+func (f *FrontEnd) drainClient(w *worker) {
+	attempts, orders := w.client.Drain(f.settings.Scheduler.DrainGrace)
 	for _, x := range attempts {
 		if a := f.attempts[x]; a != nil {
-			f.later = append(f.later, func() {
-				f.ended(a, muxclient.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1})
+			f.deferred = append(f.deferred, func() {
+				f.endAttempt(a, muxclient.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1})
 			})
 		}
 	}
 	for _, x := range orders {
-		if o := f.orders[x]; o != nil {
-			f.later = append(f.later, func() { f.orderEnded(o, scheduler.Overloaded, 0) })
+		if o := f.loadOrders[x]; o != nil {
+			f.deferred = append(f.deferred, func() { f.endLoadOrder(o, scheduler.Overloaded, 0) })
 		}
 	}
 }
@@ -115,22 +115,22 @@
 func (f *FrontEnd) sweep() {
 	for _, id := range sortedKeys(f.workers) {
 		w := f.workers[id]
-		keep := w.retired[:0]
-		for _, l := range w.retired {
+		keep := w.previousClients[:0]
+		for _, l := range w.previousClients {
 			if l.Busy() {
 				keep = append(keep, l)
 			} else {
 				l.Stop()
 			}
 		}
-		w.retired = keep
-		if w.state == scheduler.Removed && len(keep) == 0 && !w.link.Busy() {
-			w.link.Stop()
+		w.previousClients = keep
+		if w.state == scheduler.Removed && len(keep) == 0 && !w.client.Busy() {
+			w.client.Stop()
 			delete(f.workers, id)
 		}
 	}
 	for id, fn := range f.functions {
-		if f.now-fn.used > nameKept {
+		if f.now-fn.lastUsed > functionRetention {
 			delete(f.functions, id)
 		}
 	}
@@ -140,8 +140,8 @@
 func (f *FrontEnd) WatchFailed(now time.Duration, err error) {
 	f.now = now
 	f.log.Warn().Err(err).Msg("no list of workers; the one of before stays in force")
-	f.module.WatchFailed(now)
-	f.settleLater()
+	f.scheduler.WatchFailed(now)
+	f.runDeferred()
 }
 
 // Met takes what a worker said on a new connection.
@@ -151,21 +151,21 @@
 	if w == nil {
 		return
 	}
-	w.down = false
+	w.disconnected = false
 	up := time.Duration(in.UptimeMillis) * time.Millisecond
 	f.log.Debug().Str("worker", w.Name).Dur("up", up).Msg("connected")
-	if info, news := f.roster.ObserveConnection(now, id, in.Incarnation, up); news && w.state == scheduler.Ready {
+	if info, news := f.incarnations.ObserveConnection(now, id, in.Incarnation, up); news && w.state == scheduler.Ready {
 		f.log.Info().Str("worker", w.Name).Dur("up", up).Msg("started anew, by its own word")
-		f.module.WorkersChanged(now, []scheduler.WorkerInfo{info}, false)
+		f.scheduler.WorkersChanged(now, []scheduler.WorkerInfo{info}, false)
 	}
-	f.settleLater()
+	f.runDeferred()
 }
 
 // Down takes the news that there is no connection to a worker.
 func (f *FrontEnd) WorkerDisconnected(now time.Duration, id scheduler.WorkerID, why error) {
 	f.now = now
-	if w := f.workers[id]; w != nil && !w.down {
-		w.down = true
+	if w := f.workers[id]; w != nil && !w.disconnected {
+		w.disconnected = true
 		f.log.Warn().Str("worker", w.Name).Err(why).Msg("no connection")
 	}
 }
@@ -180,29 +180,29 @@
 	if a == nil {
 		return
 	}
-	if a.call.state != waiting {
-		f.giveUp(a, scheduler.Cancelled, "nobody waits")
+	if a.request.state != requestInFlight {
+		f.abandonAttempt(a, scheduler.Cancelled, "nobody waits")
 	} else {
 		a.begun = true
-		f.timers.stop(&a.timer) // a running answer has no time-out; the edge judges its standstill
-		f.module.ResponseStarted(now, a.call.id)
-		f.final(a.call, FinalResponse{Kind: Served, Response: r.Response, Worker: a.worker.Name})
+		f.timers.remove(&a.timer) // a running answer has no time-out; the edge judges its standstill
+		f.scheduler.ResponseStarted(now, a.request.id)
+		f.respond(a.request, FinalResponse{Kind: Served, Response: r.Response, Worker: a.worker.Name})
 	}
-	f.settleLater()
+	f.runDeferred()
 }
 
 // Ended takes the end of an attempt from its link.
 func (f *FrontEnd) AttemptEnded(now time.Duration, x *muxclient.Attempt, r muxclient.Result) {
 	f.now = now
 	if a := f.attempts[x]; a != nil {
-		f.ended(a, r)
+		f.endAttempt(a, r)
 	}
-	f.settleLater()
+	f.runDeferred()
 }
 
 // giveUp ends an attempt from this side. One that never left ends as that: called back it is moot, and if its
 // time passed in the queue there was no connection that took it.
-func (f *FrontEnd) giveUp(a *attempt, as scheduler.Status, why string) {
+func (f *FrontEnd) abandonAttempt(a *attempt, as scheduler.Status, why string) {
 	if a.settled {
 		return
 	}
@@ -213,89 +213,89 @@
 			as = scheduler.NotSent
 		}
 	}
-	f.ended(a, muxclient.Result{Status: as, Reason: why, QueueDepth: -1})
+	f.endAttempt(a, muxclient.Result{Status: as, Reason: why, QueueDepth: -1})
 }
 
 // withdraw takes an attempt back from the link that has it, if it has not begun to leave.
-func (w *worker) withdraw(a *attempt) bool {
-	return w.link.CancelUnsent(&a.Attempt) ||
-		slices.ContainsFunc(w.retired, func(l WorkerClient) bool { return l.CancelUnsent(&a.Attempt) })
+func (w *worker) cancelUnsent(a *attempt) bool {
+	return w.client.CancelUnsent(&a.Attempt) ||
+		slices.ContainsFunc(w.previousClients, func(l WorkerClient) bool { return l.CancelUnsent(&a.Attempt) })
 }
 
 // abandon gives an attempt up on the link that has it.
 func (w *worker) abandon(a *attempt) bool {
-	left := w.link.Abandon(&a.Attempt)
-	for _, l := range w.retired {
+	left := w.client.Abandon(&a.Attempt)
+	for _, l := range w.previousClients {
 		left = l.Abandon(&a.Attempt) || left
 	}
 	return left
 }
 
 // ended tells the module the outcome of an attempt, once.
-func (f *FrontEnd) ended(a *attempt, r muxclient.Result) {
+func (f *FrontEnd) endAttempt(a *attempt, r muxclient.Result) {
 	if a.settled {
 		return
 	}
 	a.settled = true
-	f.timers.stop(&a.timer)
+	f.timers.remove(&a.timer)
 	delete(f.attempts, &a.Attempt)
-	c := a.call
-	c.out, c.last, c.why = nil, r.Status, r.Reason
-	c.mayHaveRun(r.Status)
+	request := a.request
+	request.current, request.lastStatus, request.lastReason = nil, r.Status, r.Reason
+	request.recordStatus(r.Status)
 	f.learnCost(a, r)
-	if r.Status == scheduler.OK && c.state == waiting {
-		f.final(c, FinalResponse{Kind: Served, Response: r.Response, Worker: a.worker.Name})
+	if r.Status == scheduler.OK && request.state == requestInFlight {
+		f.respond(request, FinalResponse{Kind: Served, Response: r.Response, Worker: a.worker.Name})
 	}
-	out := scheduler.Outcome{Request: c.id, Attempt: a.number, Status: r.Status, Latency: f.took(a, r),
-		RequestClosed: c.state != waiting, ColdStart: r.ColdStart, QueueDepth: r.QueueDepth, LoadReport: r.LoadReport}
+	out := scheduler.Outcome{Request: request.id, Attempt: a.number, Status: r.Status, Latency: f.latency(a, r),
+		RequestClosed: request.state != requestInFlight, ColdStart: r.ColdStart, QueueDepth: r.QueueDepth, LoadReport: r.LoadReport}
 	if a.worker != nil {
 		out.Worker = a.worker.id
 	}
-	f.module.AttemptEnded(f.now, out)
-	f.forget(c)
+	f.scheduler.AttemptEnded(f.now, out)
+	f.forget(request)
 }
 
 // took is how long an attempt took until its answer was read. What the answer then waited for the loop is not the
 // worker's: taken for that, a loop that is late would hold back calls from workers that are not.
-func (f *FrontEnd) took(a *attempt, r muxclient.Result) time.Duration {
-	if r.ReceivedAt > a.sent && r.ReceivedAt < f.now {
-		return r.ReceivedAt - a.sent
+func (f *FrontEnd) latency(a *attempt, r muxclient.Result) time.Duration {
+	if r.ReceivedAt > a.sentAt && r.ReceivedAt < f.now {
+		return r.ReceivedAt - a.sentAt
 	}
-	return f.now - a.sent
+	return f.now - a.sentAt
 }
 
 // learnCost learns from an attempt what its function's calls take, without the loads in it.
 func (f *FrontEnd) learnCost(a *attempt, r muxclient.Result) {
-	fn := a.call.fn
+	fn := a.request.function
 	loaded := r.ColdStart == scheduler.ColdStartTriggered || r.ColdStart == scheduler.ColdStartAwaited
 	switch {
 	case r.RunTime > 0:
-		a.call.work = r.RunTime
+		a.request.runTime = r.RunTime
 		fn.cost.Told(r.RunTime)
 	case r.Status == scheduler.OK && !loaded:
-		fn.cost.Seen(f.now - a.sent)
+		fn.cost.Seen(f.now - a.sentAt)
 	case r.Status == scheduler.Timeout, r.Status == scheduler.Cancelled:
-		fn.cost.AtLeast(f.now - a.sent)
+		fn.cost.AtLeast(f.now - a.sentAt)
 	}
 }
 
 // OrderEnded takes the answer to an order from its link.
 func (f *FrontEnd) LoadEnded(now time.Duration, x *muxclient.LoadOrder, s scheduler.Status, copies int) {
 	f.now = now
-	if o := f.orders[x]; o != nil {
-		f.orderEnded(o, s, copies)
+	if o := f.loadOrders[x]; o != nil {
+		f.endLoadOrder(o, s, copies)
 	}
-	f.settleLater()
+	f.runDeferred()
 }
 
-func (f *FrontEnd) orderEnded(o *order, s scheduler.Status, copies int) {
-	if o.settled {
+func (f *FrontEnd) endLoadOrder(o *loadOrder, s scheduler.Status, copies int) {
+	if o.ended {
 		return
 	}
-	o.settled = true
-	f.timers.stop(&o.timer)
-	delete(f.orders, &o.LoadOrder)
-	f.module.LoadEnded(f.now, scheduler.LoadResult{Worker: o.worker.id, Function: o.function, Status: s, Latency: f.now - o.given,
+	o.ended = true
+	f.timers.remove(&o.timer)
+	delete(f.loadOrders, &o.LoadOrder)
+	f.scheduler.LoadEnded(f.now, scheduler.LoadResult{Worker: o.worker.id, Function: o.function, Status: s, Latency: f.now - o.sentAt,
 		Replicas: copies})
 }
 
@@ -303,11 +303,11 @@
 func (f *FrontEnd) HealthChecked(now time.Duration, id scheduler.WorkerID, s scheduler.Status, report []float64) {
 	f.now = now
 	w := f.workers[id]
-	if w == nil || len(w.probes) == 0 {
+	if w == nil || len(w.healthChecks) == 0 {
 		return
 	}
-	asked := w.probes[0]
-	w.probes = w.probes[1:]
-	f.module.HealthChecked(now, scheduler.HealthCheckResult{Worker: id, Status: s, Latency: now - asked, LoadReport: report})
-	f.settleLater()
+	asked := w.healthChecks[0]
+	w.healthChecks = w.healthChecks[1:]
+	f.scheduler.HealthChecked(now, scheduler.HealthCheckResult{Worker: id, Status: s, Latency: now - asked, LoadReport: report})
+	f.runDeferred()
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -21,7 +21,7 @@
 )
 
 // relayText is a configuration; the places are for the bulletin's address and an executor's.
-const relayText = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
+const relayConfig = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1,"memory_mb":256,"sockets":256},"bulletin":"%s",
 	"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[
 	{"host":"s-00000001","dial":"%s","site":"room","class":"std","block":0,"health":"up","share":1,"born_ms":0}]}}]},
@@ -34,16 +34,16 @@
 	{"name":"unlock","deadline":20000.0,"onTime":10000.0,"repeat":"fragile","worth":6.0}]}}`
 
 // relayed is a front end between stand-ins.
-type relayed struct {
+type platformHarness struct {
 	*PlatformServer
 	t     *testing.T
-	board *platformdiscovery.Server
+	discovery *platformdiscovery.Server
 	stop  context.CancelFunc
-	waits chan func() // ends the time for which clients come after a stop
+	delayed chan func() // ends the time for which clients come after a stop
 	ended chan error
 }
 
-func startRelay(t *testing.T, script platformworker.Script) *relayed {
+func startPlatform(t *testing.T, script platformworker.Script) *platformHarness {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	board, err := platformdiscovery.Start()
@@ -56,8 +56,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	r, run := newRelayed(t, board.Address(), e.Address())
-	r.board = board
+	r, run := newPlatformHarness(t, board.Address(), e.Address())
+	r.discovery = board
 	run()
 	t.Cleanup(r.stop)
 	<-board.Asked()
@@ -65,9 +65,9 @@
 }
 
 // newRelayed prepares a front end, which listens; run begins its Run.
-func newRelayed(t *testing.T, board, worker string) (r *relayed, run func()) {
+func newPlatformHarness(t *testing.T, board, worker string) (r *platformHarness, run func()) {
 	t.Helper()
-	set, err := platformconfig.ParseRelay(fmt.Appendf(nil, relayText, board, worker))
+	set, err := platformconfig.ParseRelay(fmt.Appendf(nil, relayConfig, board, worker))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,12 +76,12 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r = &relayed{PlatformServer: relay, t: t, stop: cancel, waits: make(chan func(), 1), ended: make(chan error, 1)}
-	relay.after = func(_ time.Duration, f func()) { r.waits <- f }
+	r = &platformHarness{PlatformServer: relay, t: t, stop: cancel, delayed: make(chan func(), 1), ended: make(chan error, 1)}
+	relay.after = func(_ time.Duration, f func()) { r.delayed <- f }
 	return r, func() { go func() { _, err := relay.Run(ctx); r.ended <- err }() }
 }
 
-func (r *relayed) connect() net.Conn {
+func (r *platformHarness) connect() net.Conn {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.Address())
 	if err != nil {
@@ -91,12 +91,12 @@
 	return c
 }
 
-func (r *relayed) ask(c net.Conn, number int, class string, id int) {
+func (r *platformHarness) sendRequest(c net.Conn, number int, class string, id int) {
 	r.t.Helper()
-	r.askWith(c, number, class, id, []byte("body"))
+	r.sendRequestWithBody(c, number, class, id, []byte("body"))
 }
 
-func (r *relayed) askWith(c net.Conn, number int, class string, id int, body []byte) {
+func (r *platformHarness) sendRequestWithBody(c net.Conn, number int, class string, id int, body []byte) {
 	r.t.Helper()
 	raw, err := msgpack.Marshal([]any{0, number, class, []any{map[string]string{"id": fmt.Sprintf("%016x", id), "wait": "20000",
 		"tenant": "acme", "key": "7f3a9c21e0b4d655", "attrs": "memory_mb:100;lanes:2"}, body}})
@@ -108,7 +108,7 @@
 	}
 }
 
-func (r *relayed) expect(c net.Conn, want []byte) {
+func (r *platformHarness) expect(c net.Conn, want []byte) {
 	r.t.Helper()
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
@@ -117,7 +117,7 @@
 }
 
 // beat asks whether the front end is well.
-func (r *relayed) beat(c net.Conn, number int, well bool) {
+func (r *platformHarness) checkHeartbeat(c net.Conn, number int, well bool) {
 	r.t.Helper()
 	raw, err := msgpack.Marshal([]any{0, number, "heartbeat", []any{map[string]string{}}})
 	if err != nil {
@@ -132,73 +132,73 @@
 // TestARelayServesFromWhatIsKnownWhileTheListIsDown and is ready at once.
 func TestARelayServesFromWhatIsKnownWhileTheListIsDown(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	e, err := platformworker.Start(served)
+	e, err := platformworker.Start(respondServed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	r, run := newRelayed(t, "127.0.0.1:1", e.Address())
+	r, run := newPlatformHarness(t, "127.0.0.1:1", e.Address())
 	c := r.connect() // before it runs: the machine takes it
 	run()
-	r.beat(c, 1, true)
+	r.checkHeartbeat(c, 1, true)
 	if n := e.Made(); n != 0 {
 		t.Errorf("%d connections to workers before any call: hundreds that start together would all dial", n)
 	}
-	r.ask(c, 2, "quote", 1)
+	r.sendRequest(c, 2, "quote", 1)
 	r.expect(c, rpcframe.AppendServed(nil, 2, []byte("did body")))
-	r.end()
+	r.shutDown()
 }
 
 // TestAStopBeforeTheStartIsOver ends by itself, and answers what the machine took meanwhile.
 func TestAStopBeforeTheStartIsOver(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	r, run := newRelayed(t, "127.0.0.1:1", "127.0.0.1:1")
+	r, run := newPlatformHarness(t, "127.0.0.1:1", "127.0.0.1:1")
 	r.stop() // SIGTERM, before the list and before anything is served
 	c := r.connect()
 	run()
-	r.beat(c, 1, false)
-	r.end()
+	r.checkHeartbeat(c, 1, false)
+	r.shutDown()
 }
 
-func (r *relayed) end() {
+func (r *platformHarness) shutDown() {
 	r.t.Helper()
 	r.stop()
-	(<-r.waits)()
+	(<-r.delayed)()
 	if err := <-r.ended; err != nil {
 		r.t.Errorf("stopped: %v", err)
 	}
 }
 
-func served(c *platformworker.Conn, f workerframe.Frame) {
+func respondServed(c *platformworker.Conn, f workerframe.Frame) {
 	c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: append([]byte("did "), f.Body...)})
 }
 
 func TestRelayServesACallFromClientToWorkerAndBack(t *testing.T) {
-	r := startRelay(t, served)
+	r := startPlatform(t, respondServed)
 	c := r.connect()
-	r.ask(c, 1, "quote", 1)
+	r.sendRequest(c, 1, "quote", 1)
 	r.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
-	r.end()
+	r.shutDown()
 }
 
 // TestRelayGivesASpoiltUnsafeCallNoSecondRun holds rule 2 on sockets: what cannot be read may have run.
 func TestRelayGivesASpoiltUnsafeCallNoSecondRun(t *testing.T) {
 	runs := map[uint64]int{}
 	seen := make(chan uint64, 16)
-	r := startRelay(t, func(c *platformworker.Conn, f workerframe.Frame) {
+	r := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		if f.Code == workerframe.Request {
 			seen <- f.ID
 			c.Raw([]byte("noise that is no frame"))
 		}
 	})
 	c := r.connect()
-	r.ask(c, 1, "unlock", 1)
+	r.sendRequest(c, 1, "unlock", 1)
 	r.expect(c, rpcframe.AppendError(nil, 1, "Lost", "", ""))
-	r.ask(c, 2, "quote", 2) // may be sent again, and is
+	r.sendRequest(c, 2, "quote", 2) // may be sent again, and is
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	r.end()
+	r.shutDown()
 	close(seen)
 	for id := range seen {
 		runs[id]++
@@ -210,30 +210,30 @@
 
 func TestRelayTurnsAnIDAwayThatIsInUse(t *testing.T) {
 	come, answer := make(chan bool, 1), make(chan bool)
-	r := startRelay(t, func(c *platformworker.Conn, f workerframe.Frame) { come <- true; <-answer; served(c, f) })
+	r := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { come <- true; <-answer; respondServed(c, f) })
 	first, second := r.connect(), r.connect()
-	r.ask(first, 1, "quote", 1)
+	r.sendRequest(first, 1, "quote", 1)
 	<-come
-	r.ask(second, 1, "quote", 1)
+	r.sendRequest(second, 1, "quote", 1)
 	r.expect(second, rpcframe.AppendError(nil, 1, "Malformed", "", ""))
 	close(answer)
 	r.expect(first, rpcframe.AppendServed(nil, 1, []byte("did body")))
-	r.end()
+	r.shutDown()
 }
 
 // TestRelayAnswersWhatItHasBeforeItStops holds that a stop loses nothing: neither what is out nor what still comes.
 func TestRelayAnswersWhatItHasBeforeItStops(t *testing.T) {
 	come, answer := make(chan bool, 4), make(chan bool)
-	r := startRelay(t, func(c *platformworker.Conn, f workerframe.Frame) { come <- true; <-answer; served(c, f) })
+	r := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { come <- true; <-answer; respondServed(c, f) })
 	c := r.connect()
-	r.ask(c, 1, "quote", 1)
+	r.sendRequest(c, 1, "quote", 1)
 	<-come
 	r.stop()
-	over := <-r.waits // nobody comes any longer once this is called
-	r.beat(c, 2, false)
+	over := <-r.delayed // nobody comes any longer once this is called
+	r.checkHeartbeat(c, 2, false)
 	late := r.connect()
-	r.beat(late, 1, false)
-	r.ask(late, 2, "quote", 2)
+	r.checkHeartbeat(late, 1, false)
+	r.sendRequest(late, 2, "quote", 2)
 	<-come
 	over()
 	close(answer)
@@ -245,46 +245,46 @@
 }
 
 func TestRelayFollowsTheBulletinToAnotherAddress(t *testing.T) {
-	r := startRelay(t, served)
+	r := startPlatform(t, respondServed)
 	other, err := platformdiscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(other.Close)
-	moved := *r.set
+	moved := *r.config
 	moved.Bulletin = other.Address()
 	r.PlatformServer.Reload(&moved)
 	if last := <-other.Asked(); last != 1 {
 		t.Errorf("asked from %d", last)
 	}
-	r.end()
+	r.shutDown()
 }
 
 // TestRequestsInHandStayWithinTheMemory: what would go beyond is refused at once, and what ends or leaves makes room.
 func TestRequestsInHandStayWithinTheMemory(t *testing.T) {
 	come, answer := make(chan bool, 64), make(chan bool)
-	r := startRelay(t, func(c *platformworker.Conn, f workerframe.Frame) {
+	r := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		if f.Code == workerframe.Request {
 			come <- true
 			<-answer
-			served(c, workerframe.Frame{ID: f.ID})
+			respondServed(c, workerframe.Frame{ID: f.ID})
 		}
 	})
-	r.set.MemoryMB = 1 // of which a quarter is for bodies
+	r.config.MemoryMB = 1 // of which a quarter is for bodies
 	large := make([]byte, rpcframe.MaxBody)
 	c := r.connect()
 	for i := range 16 {
-		r.askWith(c, 1+i, "quote", 1+i, large)
+		r.sendRequestWithBody(c, 1+i, "quote", 1+i, large)
 	}
 	<-come
-	r.askWith(c, 17, "quote", 17, large)
+	r.sendRequestWithBody(c, 17, "quote", 17, large)
 	r.expect(c, rpcframe.AppendError(nil, 17, "Backoff", "after", "500"))
 	c.Close()
 	close(answer)
-	for r.bodies.Load() > 0 { // until it is heard that the client left
+	for r.bodyBytes.Load() > 0 { // until it is heard that the client left
 	}
 	next := r.connect()
-	r.askWith(next, 1, "quote", 18, large)
+	r.sendRequestWithBody(next, 1, "quote", 18, large)
 	r.expect(next, rpcframe.AppendServed(nil, 1, []byte("did ")))
-	r.end()
+	r.shutDown()
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -24,7 +24,7 @@
 
 // Service is a gateway process: its loops, and the clients' listener before them.
 type Service struct {
-	set      *gatewayconfig.Settings
+	settings      *gatewayconfig.Settings
 	log      zerolog.Logger
 	loops    []*EventLoop
 	listener net.Listener
@@ -37,13 +37,13 @@
 var ErrUnclean = errors.New("calls were in hand when the stop's time was over")
 
 // reportNames are the values of a load report that workers are asked for.
-var reportNames = []string{"queue"}
+var loadReportFields = []string{"queue"}
 
 // eventQueue bounds the events that wait for a loop; beyond, links stop reading.
 const eventQueue = 4096
 
 // linkQueue bounds what waits for one worker's connection.
-const linkQueue = 4096
+const workerQueue = 4096
 
 // NewService prepares a gateway and begins to listen; Run serves.
 func NewService(set *gatewayconfig.Settings, log zerolog.Logger) (*Service, error) {
@@ -52,7 +52,7 @@
 		return nil, fmt.Errorf("clients' listener: %w", err)
 	}
 	log = sampled(log)
-	s := &Service{set: set, log: log, listener: l}
+	s := &Service{settings: set, log: log, listener: l}
 	catalog := NewCatalog(set)
 	began := time.Now()
 	for i := range set.Loops {
@@ -61,7 +61,7 @@
 	s.clients = httpserver.New(httpserver.Config{Idle: set.IdleTime, Header: set.HeaderTime, Body: set.BodyTime,
 		Write: set.WriteTime, Stall: set.StallTime, MaxHeader: set.MaxHeader, MaxBody: set.MaxBody, Pipeline: set.Pipeline,
 		MaxConns: set.MaxConns, KeepHalves: set.HalfClosed}, func() httpserver.Handler {
-		return edge{s.loops[s.next.Add(1)%uint64(len(s.loops))], catalog}
+		return httpHandler{s.loops[s.next.Add(1)%uint64(len(s.loops))], catalog}
 	}, log)
 	return s, nil
 }
@@ -79,15 +79,15 @@
 
 // Stall makes all loops stand still for d, as a pause of the process does; it is for laboratories.
 func (s *Service) Stall(d time.Duration) {
-	for _, l := range s.loops {
-		l.Stall(d)
+	for _, loop := range s.loops {
+		loop.Stall(d)
 	}
 }
 
 // Counts are the totals of all loops.
 func (s *Service) Counts() (all Counts) {
-	for _, l := range s.loops {
-		all.Add(l.Counts())
+	for _, loop := range s.loops {
+		all.Add(loop.Counts())
 	}
 	return all
 }
@@ -116,9 +116,9 @@
 	var all Counts
 	clean := true
 	var loops sync.WaitGroup
-	for _, l := range s.loops {
+	for _, loop := range s.loops {
 		loops.Go(func() {
-			counts, ok := l.Run(ctx)
+			counts, ok := loop.Run(ctx)
 			mu.Lock()
 			defer mu.Unlock()
 			all.Add(counts)
@@ -129,7 +129,7 @@
 	defer stop()
 	err := s.clients.Serve(s.listener)
 	s.listener.Close()
-	bound, cancel := context.WithTimeout(context.Background(), s.set.StopWait+s.set.WriteTime)
+	bound, cancel := context.WithTimeout(context.Background(), s.settings.StopWait+s.settings.WriteTime)
 	defer cancel()
 	s.clients.Shutdown(bound)
 	loops.Wait()
@@ -144,14 +144,14 @@
 func (s *Service) Kill() {
 	s.listener.Close()
 	s.clients.Kill()
-	for _, l := range s.loops {
-		l.Kill()
+	for _, loop := range s.loops {
+		loop.Kill()
 	}
 }
 
 func loopConfig(set *gatewayconfig.Settings, i int, began time.Time) EventLoopConfig {
 	cfg := EventLoopConfig{Settings: FrontEndSettings(set, i, began, rand.Uint64()), RequestQueue: set.Queue, EventQueue: eventQueue, ShutdownTimeout: set.StopWait,
-		WorkerClient: muxclient.Config{ConnectTimeout: set.ConnectTimeout, Window: set.Window, MaxQueue: linkQueue}}
+		WorkerClient: muxclient.Config{ConnectTimeout: set.ConnectTimeout, Window: set.Window, MaxQueue: workerQueue}}
 	if set.Directory.Kind == "file" {
 		cfg.Source = discovery.NewFile(set.Directory.Where)
 	} else {
@@ -163,7 +163,7 @@
 // FrontSettings are the settings of the process's front end i, which began at a wall time and draws from seed.
 func FrontEndSettings(set *gatewayconfig.Settings, i int, began time.Time, seed uint64) Settings {
 	out := Settings{Name: fmt.Sprintf("%s-%d", set.Name, set.First+i), DeadlineMargin: set.AnswerMargin, MaxInFlight: set.MaxCalls,
-		ClockStart: began, Zones: append([]string{set.Zone}, set.Zones...), Scheduler: moduleSettings(set, i, seed)}
+		ClockStart: began, Zones: append([]string{set.Zone}, set.Zones...), Scheduler: schedulerSettings(set, i, seed)}
 	for _, c := range set.Classes {
 		out.Classes = append(out.Classes, c.Name)
 	}
@@ -172,7 +172,7 @@
 	}
 	out.Tenancy = tenancySettings(set)
 	if other, every := set.Watched(); other != nil {
-		out.Shadow = &shadow.Settings{Scheduler: moduleSettings(other, i, seed), SampleInterval: every}
+		out.Shadow = &shadow.Settings{Scheduler: schedulerSettings(other, i, seed), SampleInterval: every}
 	}
 	return out
 }
@@ -188,14 +188,14 @@
 }
 
 // moduleSettings are the module's own for the process's front end i.
-func moduleSettings(set *gatewayconfig.Settings, i int, seed uint64) scheduler.Settings {
+func schedulerSettings(set *gatewayconfig.Settings, i int, seed uint64) scheduler.Settings {
 	out := scheduler.Settings{Seed: seed, FrontEndIndex: set.First + i, FrontEndCount: set.FrontEnds,
 		AnswersNotLoaded: set.MissAnswered, LoadOrdersAllowed: set.Orders, ReportsColdStart: set.TellsWarm, ReportsQueueDepth: set.TellsCrowd,
 		ReplicaIdleTimeout: set.KeepAlive, LoadOrderTimeout: set.OrderTimeout, LoadRateWindow: set.LoadWindow, LoadRateBurst: set.LoadFree,
 		LoadRatePerRequest: set.LoadShare, HealthChecksAllowed: set.Probes, CancelAllowed: set.Cancel, MaxAttempts: set.MaxAttempts,
 		MaxRetryAfter: set.Advice(), ConnectTimeout: set.ConnectTimeout, DrainGrace: set.DrainGrace,
 		SlowStartFraction: set.ColdFrom, SlowStartDuration: set.ColdTime, OverloadFactor: set.TipMultiple, OverloadWindow: set.TipWindow,
-		Resolution: time.Millisecond, LoadReportFields: reportNames, ScaleIsCapacity: set.Sized}
+		Resolution: time.Millisecond, LoadReportFields: loadReportFields, ScaleIsCapacity: set.Sized}
 	for _, c := range set.Classes {
 		out.Classes = append(out.Classes, c.Control())
 	}
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -19,7 +19,7 @@
 	want := scheduler.Settings{Seed: 3, FrontEndCount: 1, LoadOrdersAllowed: true, ReportsColdStart: true, ReportsQueueDepth: true, ReplicaIdleTimeout: 10 * time.Second,
 		LoadOrderTimeout: 10 * time.Second, LoadRateBurst: 4, LoadRatePerRequest: 0.1, HealthChecksAllowed: true, CancelAllowed: true, MaxAttempts: 5,
 		MaxRetryAfter: time.Second, ConnectTimeout: 250 * ms, DrainGrace: 500 * ms, SlowStartFraction: 0.2, SlowStartDuration: 15 * time.Second,
-		OverloadFactor: 3, OverloadWindow: 2 * time.Second, Resolution: ms, LoadReportFields: reportNames,
+		OverloadFactor: 3, OverloadWindow: 2 * time.Second, Resolution: ms, LoadReportFields: loadReportFields,
 		Classes: []scheduler.Class{{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.3, Idempotency: scheduler.NonIdempotent,
 			KeyScope: scheduler.ScopeCell, KeyRetention: 5 * time.Second}}}
 	if !reflect.DeepEqual(got.Scheduler, want) || got.Shadow != nil {
--- a/internal/gateway/tenancy_test.go
+++ b/internal/gateway/tenancy_test.go
@@ -29,9 +29,9 @@
 
 // TestACallBeyondItsQuotaIsRefusedAtOnce: with advice, and without a word to the module.
 func TestACallBeyondItsQuotaIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, 1, func(s *Settings) { s.Tenancy = tenancy.Settings{Shares: []float64{1}, Quotas: []float64{1}} })
-	b.call(safe)
-	second := b.call(safe)
+	h := newHarness(t, 1, func(s *Settings) { s.Tenancy = tenancy.Settings{Shares: []float64{1}, Quotas: []float64{1}} })
+	h.submit(idempotentClass)
+	second := h.submit(idempotentClass)
 	select {
 	case f := <-second.Response():
 		if f.Kind != Rejected || f.RetryAfter != 500*ms || f.Reason != tenancy.OverQuota.String() {
@@ -40,7 +40,7 @@
 	default:
 		t.Error("the second call in a second is held")
 	}
-	if c := b.Counts(); c.Admitted != 1 || c.Shed != 1 {
+	if c := h.Counts(); c.Admitted != 1 || c.Shed != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -48,12 +48,12 @@
 // TestTheWorkersWordOfARunCounts: what a call waited at the worker is not its tenant's work.
 func TestTheWorkersWordOfARunCounts(t *testing.T) {
 	for _, ran := range []time.Duration{30 * ms, 0} {
-		b := newBench(t, 1, nil)
-		l, a := b.out(b.call(safe))
-		l.drop(a)
-		b.at += 400 * ms
-		b.AttemptEnded(b.at, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, RunTime: ran, Response: &muxclient.Response{}})
-		if got := b.functions[FunctionID("f")].cost.Expect(); got != cmp.Or(ran, 400*ms) {
+		h := newHarness(t, 1, nil)
+		worker, a := h.sentAttempt(h.submit(idempotentClass))
+		worker.remove(a)
+		h.now += 400 * ms
+		h.AttemptEnded(h.now, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, RunTime: ran, Response: &muxclient.Response{}})
+		if got := h.functions[FunctionID("f")].cost.Expect(); got != cmp.Or(ran, 400*ms) {
 			t.Errorf("a run of %v within 400 ms counts as %v", ran, got)
 		}
 	}
