--- /dev/null
+++ b/internal/gateway/attempts.go
@@ -0,0 +1,233 @@
+package gateway
+
+import (
+	"time"
+
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+// unknownQueueDepth stands in a result for a worker that reported no queue depth.
+const unknownQueueDepth = -1
+
+// attempt is one attempt of a request at one worker.
+type attempt struct {
+	muxclient.Attempt
+	request *Request
+	number  int     // of the request's attempts, from 0
+	worker  *worker // nil: the scheduler named a worker that is not known
+	sentAt  time.Duration
+	timer   timer // its response timeout
+	state   attemptState
+}
+
+// attemptState is where an attempt stands. See attempt.enter for the transitions.
+type attemptState uint8
+
+const (
+	attemptPending   attemptState = iota // queued, or sent and without a response
+	attemptStreaming                     // its response has started and is passed on to the client
+	attemptEnded                         // final: its outcome was reported to the scheduler
+)
+
+// enter moves the attempt to its next state and reports whether it did. The state only moves forward, so that the
+// first end of an attempt is the one that counts.
+func (a *attempt) enter(next attemptState) bool {
+	if next <= a.state {
+		return false
+	}
+	a.state = next
+	return true
+}
+
+// Send implements scheduler.Actions: it starts an attempt, which times out at until.
+func (f *FrontEnd) Send(id scheduler.RequestID, to scheduler.WorkerID, until time.Duration) {
+	request := f.requests[id]
+	if request == nil {
+		f.log.Error().Uint32("request", uint32(id)).Msg("send of a call that is not in hand")
+		return
+	}
+	if until <= 0 || until > request.deadline {
+		until = request.deadline
+	}
+	a := f.newAttempt(request, f.workers[to], until)
+	request.attempts++
+	request.current = a
+	f.counts.Attempts++
+	if !f.sendable(a) {
+		f.deferred = append(f.deferred, func() {
+			f.endAttempt(a, muxclient.Result{Status: scheduler.NotSent, QueueDepth: unknownQueueDepth})
+		})
+		return
+	}
+	f.attempts[&a.Attempt] = a
+	a.timer = timer{kind: attemptTimer, due: until, attempt: a}
+	f.timers.add(&a.timer)
+	if result := a.worker.client.Send(&a.Attempt); result != nil {
+		f.deferred = append(f.deferred, func() { f.endAttempt(a, *result) })
+	}
+}
+
+// newAttempt returns a request's next attempt.
+func (f *FrontEnd) newAttempt(request *Request, to *worker, until time.Duration) *attempt {
+	return &attempt{
+		Attempt: muxclient.Attempt{
+			Body:     request.Body,
+			Deadline: until,
+			Request: muxframe.Request{
+				Replica:        request.Replica,
+				ID:             request.ID,
+				Attempt:        request.attempts,
+				Class:          f.settings.Classes[request.Class],
+				Tenant:         f.tenantName(request.Tenant),
+				IdempotencyKey: request.IdempotencyKey,
+			},
+		},
+		request: request,
+		number:  request.attempts,
+		worker:  to,
+		sentAt:  f.now,
+	}
+}
+
+// sendable reports whether a worker is known, a response is owed and time is left.
+func (f *FrontEnd) sendable(a *attempt) bool {
+	if a.worker == nil || a.request.state != requestInFlight {
+		return false
+	}
+	return a.Deadline > f.now
+}
+
+// tenantName is the name of a tenant, empty where the settings list none.
+func (f *FrontEnd) tenantName(tenant int) string {
+	if tenant < len(f.settings.Tenants) {
+		return f.settings.Tenants[tenant]
+	}
+	return ""
+}
+
+// Cancel implements scheduler.Actions: it gives up a pending attempt.
+func (f *FrontEnd) Cancel(id scheduler.RequestID, number int) {
+	request := f.requests[id]
+	if request == nil || request.current == nil {
+		return
+	}
+	a := request.current
+	if a.number != number || a.state == attemptStreaming {
+		return
+	}
+	f.deferred = append(f.deferred, func() { f.abandonAttempt(a, scheduler.Cancelled, attemptCancelled) })
+}
+
+// ResponseStarted takes the start of a streamed response: it is the final response, and is passed on to the client
+// while it is received.
+func (f *FrontEnd) ResponseStarted(now time.Duration, sent *muxclient.Attempt, result muxclient.Result) {
+	f.now = now
+	a := f.attempts[sent]
+	if a == nil {
+		return
+	}
+	if a.request.state != requestInFlight {
+		f.abandonAttempt(a, scheduler.Cancelled, attemptUnwanted)
+	} else {
+		a.enter(attemptStreaming)
+		f.timers.remove(&a.timer) // the client's connection bounds how long a response may stall
+		f.scheduler.ResponseStarted(now, a.request.id)
+		f.respond(a.request, FinalResponse{Kind: Served, Response: result.Response, Worker: a.worker.Name})
+	}
+	f.runDeferred()
+}
+
+// AttemptEnded takes the outcome of an attempt from its worker client. An attempt that has ended already is ignored.
+func (f *FrontEnd) AttemptEnded(now time.Duration, sent *muxclient.Attempt, result muxclient.Result) {
+	f.now = now
+	if a := f.attempts[sent]; a != nil {
+		f.endAttempt(a, result)
+	}
+	f.runDeferred()
+}
+
+// LateResponse counts a response that nothing waited for any longer.
+func (f *FrontEnd) LateResponse(time.Duration) { f.counts.LateResponses++ }
+
+// abandonAttempt ends an attempt from this side. One that was not sent ends as that: NotSent where it was cancelled,
+// and ConnectFailed where it timed out in the send queue, as there was no connection that took it.
+func (f *FrontEnd) abandonAttempt(a *attempt, status scheduler.Status, reason Reason) {
+	if a.state == attemptEnded {
+		return
+	}
+	sent := a.worker.abandon(a)
+	switch {
+	case sent:
+	case status == scheduler.Timeout:
+		status = scheduler.ConnectFailed
+		reason = attemptNotSentInTime
+	default:
+		status = scheduler.NotSent
+	}
+	f.endAttempt(a, abandonedResult(status, reason))
+}
+
+// abandonedResult is the result of an attempt that was ended from this side.
+func abandonedResult(status scheduler.Status, reason Reason) muxclient.Result {
+	return muxclient.Result{Status: status, Reason: reason.String(), QueueDepth: unknownQueueDepth}
+}
+
+// endAttempt reports the outcome of an attempt to the scheduler, once. The request gets its final response before,
+// where the worker served it.
+func (f *FrontEnd) endAttempt(a *attempt, result muxclient.Result) {
+	if !a.enter(attemptEnded) {
+		return
+	}
+	f.timers.remove(&a.timer)
+	delete(f.attempts, &a.Attempt)
+	request := a.request
+	request.current = nil
+	request.lastStatus = result.Status
+	request.lastReason = result.Reason
+	request.recordStatus(result.Status)
+	f.learnCost(a, result)
+	if result.Status == scheduler.OK && request.state == requestInFlight {
+		f.respond(request, FinalResponse{Kind: Served, Response: result.Response, Worker: a.worker.Name})
+	}
+	outcome := scheduler.Outcome{
+		Request:       request.id,
+		Attempt:       a.number,
+		Status:        result.Status,
+		Latency:       f.latency(a, result),
+		RequestClosed: request.state != requestInFlight,
+		ColdStart:     result.ColdStart,
+		QueueDepth:    result.QueueDepth,
+		LoadReport:    result.LoadReport,
+	}
+	if a.worker != nil {
+		outcome.Worker = a.worker.id
+	}
+	f.scheduler.AttemptEnded(f.now, outcome)
+	f.forget(request)
+}
+
+// latency is how long an attempt took until its response was read. What the response then waited for the event loop
+// is left out: counted as the worker's, a loop that lags would hold back requests from workers that are fast.
+func (f *FrontEnd) latency(a *attempt, result muxclient.Result) time.Duration {
+	if result.ReceivedAt > a.sentAt && result.ReceivedAt < f.now {
+		return result.ReceivedAt - a.sentAt
+	}
+	return f.now - a.sentAt
+}
+
+// learnCost learns from an attempt how long requests of its function execute, without the cold starts in it.
+func (f *FrontEnd) learnCost(a *attempt, result muxclient.Result) {
+	cost := &a.request.function.cost
+	coldStart := result.ColdStart == scheduler.ColdStartTriggered || result.ColdStart == scheduler.ColdStartAwaited
+	switch {
+	case result.RunTime > 0:
+		a.request.runTime = result.RunTime
+		cost.Told(result.RunTime)
+	case result.Status == scheduler.OK && !coldStart:
+		cost.Seen(f.now - a.sentAt)
+	case result.Status == scheduler.Timeout, result.Status == scheduler.Cancelled:
+		cost.AtLeast(f.now - a.sentAt)
+	}
+}
--- /dev/null
+++ b/internal/gateway/counts.go
@@ -0,0 +1,58 @@
+package gateway
+
+import "havencart/internal/shadow"
+
+// Counts are the totals of a FrontEnd since its start. All but ShadowDifferences count requests, attempts or orders.
+type Counts struct {
+	// Admitted requests, and how they ended; Disconnected counts those whose client disconnected before the response,
+	// admitted or not.
+	Admitted, Served, Rejected, Failed, Disconnected uint64
+	// Shed requests were rejected without being admitted.
+	Shed                                                 uint64
+	Attempts, LoadOrders, ResidencyQueries, HealthChecks uint64
+	// LateResponses of workers were received when nothing waited for them any longer.
+	LateResponses uint64
+	// PastDeadline counts final responses given by the FrontEnd because the scheduler did not decide in time.
+	PastDeadline uint64
+	// ShadowDifferences are decisions in which the shadow settings diverge.
+	ShadowDifferences shadow.Counts
+}
+
+// Add adds the totals of another FrontEnd.
+func (c *Counts) Add(other Counts) {
+	c.Admitted += other.Admitted
+	c.Served += other.Served
+	c.Rejected += other.Rejected
+	c.Failed += other.Failed
+	c.Disconnected += other.Disconnected
+	c.Shed += other.Shed
+	c.Attempts += other.Attempts
+	c.LoadOrders += other.LoadOrders
+	c.ResidencyQueries += other.ResidencyQueries
+	c.HealthChecks += other.HealthChecks
+	c.LateResponses += other.LateResponses
+	c.PastDeadline += other.PastDeadline
+	c.ShadowDifferences.Add(other.ShadowDifferences)
+}
+
+// Counts returns the totals.
+func (f *FrontEnd) Counts() Counts {
+	if f.shadow != nil {
+		f.counts.ShadowDifferences = f.shadow.Counts()
+	}
+	return f.counts
+}
+
+// InFlight returns the number of requests that are owed a final response.
+func (f *FrontEnd) InFlight() int {
+	inFlight := 0
+	for _, request := range f.requests {
+		if request.state == requestInFlight {
+			inFlight++
+		}
+	}
+	return inFlight
+}
+
+// Idle reports whether nothing is in flight: neither requests nor responses on their way to clients.
+func (f *FrontEnd) Idle() bool { return len(f.requests) == 0 && len(f.attempts) == 0 }
--- /dev/null
+++ b/internal/gateway/deadlines.go
@@ -0,0 +1,117 @@
+package gateway
+
+import (
+	"time"
+
+	"havencart/scheduler"
+)
+
+// SetTimer implements scheduler.Actions: it sets a timer of the scheduler's.
+func (f *FrontEnd) SetTimer(after time.Duration, token uint64) {
+	f.timers.add(&timer{
+		kind:           schedulerTimer,
+		due:            f.now + max(after, f.settings.Scheduler.Resolution),
+		schedulerToken: token,
+	})
+}
+
+// setRequestTimer sets the timer for the final response that the scheduler does not give in time. It is due after the
+// request's deadline and before the client gives up.
+func (f *FrontEnd) setRequestTimer(request *Request) {
+	due := request.StartedAt + request.Timeout - f.settings.DeadlineMargin/2
+	request.timer = timer{kind: requestTimer, due: due, request: request}
+	f.requestTimers.add(&request.timer)
+}
+
+// NextTimer returns when the next timer is due.
+func (f *FrontEnd) NextTimer() time.Duration {
+	next := f.timers.first().due
+	if f.requestTimers.Len() > 0 {
+		next = min(next, f.requestTimers.first().due-f.lag.DeadlineMargin(f.now))
+	}
+	return next
+}
+
+// ObserveLag notes that something else of the front end's process came late to what was due.
+func (f *FrontEnd) ObserveLag(now, late time.Duration) { f.lag.Observe(now, late) }
+
+// FireTimers fires the timers that are due at now.
+func (f *FrontEnd) FireTimers(now time.Duration) {
+	f.now = now
+	if due := f.timers.first().due; due < now {
+		f.lag.Observe(now, now-due)
+	}
+	for t := f.nextDue(); t != nil; t = f.nextDue() {
+		f.fire(t)
+		f.runDeferred()
+	}
+}
+
+// nextDue takes the next timer that is due out of its heap; nil: there is none.
+func (f *FrontEnd) nextDue() *timer {
+	if t := f.timers.popDue(f.now); t != nil {
+		return t
+	}
+	return f.requestTimers.popDue(f.now + f.lag.DeadlineMargin(f.now))
+}
+
+// fire does what a timer was set for.
+func (f *FrontEnd) fire(t *timer) {
+	switch t.kind {
+	case schedulerTimer:
+		f.scheduler.TimerFired(f.now, t.schedulerToken)
+	case sweepTimer:
+		f.sweep()
+		f.timers.add(&timer{kind: sweepTimer, due: f.now + sweepInterval})
+	case attemptTimer:
+		if t.attempt.state == attemptPending {
+			f.abandonAttempt(t.attempt, scheduler.Timeout, attemptTimedOut)
+		}
+	case loadOrderTimer:
+		if !t.loadOrder.ended {
+			t.loadOrder.worker.client.AbandonLoad(&t.loadOrder.LoadOrder)
+			f.endLoadOrder(t.loadOrder, scheduler.Timeout, 0)
+		}
+	case requestTimer:
+		if t.request.state == requestInFlight {
+			f.answerPastDeadline(t.request)
+		}
+	}
+}
+
+// answerPastDeadline gives the final response that the scheduler has not given, as it counts on more time than an
+// event loop that lags has left. One that does not lag never needs it.
+func (f *FrontEnd) answerPastDeadline(request *Request) {
+	f.counts.PastDeadline++
+	f.log.Warn().Str("call", request.ID).Str("function", request.Replica.Function).Int("attempts", request.attempts).
+		Msg("answer overdue")
+	f.abort(request, NoResponse)
+}
+
+// abort ends a request against the scheduler's will: rejected only where no attempt can have executed. The request has
+// its final state before the scheduler is notified of its attempt, so that it is not sent again.
+func (f *FrontEnd) abort(request *Request, reason Reason) {
+	if request.state != requestInFlight {
+		return
+	}
+	a := request.current
+	status := scheduler.NotSent
+	if a != nil && a.worker.abandon(a) {
+		status = scheduler.Cancelled
+	}
+	request.recordStatus(status)
+	kind := Rejected
+	if request.mayHaveExecuted {
+		kind = Failed
+	}
+	f.respond(request, FinalResponse{
+		Kind:       kind,
+		Reason:     reason.String(),
+		TimedOut:   true,
+		RetryAfter: f.settings.Scheduler.MaxRetryAfter,
+	})
+	f.scheduler.ClientDisconnected(f.now, request.id)
+	if a != nil {
+		f.endAttempt(a, abandonedResult(status, reason))
+	}
+}
--- /dev/null
+++ b/internal/gateway/endpoints.go
@@ -0,0 +1,158 @@
+package gateway
+
+import (
+	"time"
+
+	"havencart/internal/discovery"
+	"havencart/scheduler"
+)
+
+// sweepInterval is the time between two sweeps of what nothing needs any longer.
+const sweepInterval = time.Second
+
+// functionRetention is how long the name of a function is kept after its last request. The scheduler forgets a
+// function sooner.
+const functionRetention = 10 * time.Minute
+
+// EndpointsChanged takes a whole list of workers. Clients of workers that drain or are removed give back what was not
+// sent before the scheduler is notified, so that nothing new can be sent from here on.
+func (f *FrontEnd) EndpointsChanged(now time.Duration, list []discovery.Worker) {
+	f.now = now
+	infos := make([]scheduler.WorkerInfo, 0, len(list))
+	listed := map[scheduler.WorkerID]bool{}
+	for _, entry := range list {
+		id := WorkerID(entry.Name)
+		if listed[id] {
+			f.log.Error().Str("worker", entry.Name).Msg("two workers' names have one hash; this one is left out")
+			continue
+		}
+		listed[id] = true
+		f.updateWorker(id, entry)
+		infos = append(infos, f.workerInfo(id, entry))
+	}
+	for _, id := range sortedKeys(f.workers) {
+		if !listed[id] {
+			f.setWorkerState(f.workers[id], scheduler.Removed)
+		}
+	}
+	f.scheduler.WorkersChanged(now, f.incarnations.ObserveList(now, infos), true)
+	f.runDeferred()
+}
+
+// workerInfo is an entry of the list as the scheduler receives it.
+func (f *FrontEnd) workerInfo(id scheduler.WorkerID, entry discovery.Worker) scheduler.WorkerInfo {
+	return scheduler.WorkerInfo{
+		ID:      id,
+		Zone:    intern(f.zones, entry.Zone),
+		Cell:    intern(f.cells, entry.Cell),
+		Kind:    intern(f.kinds, entry.Kind),
+		Scale:   entry.Scale,
+		Started: f.startTime(entry.Started),
+		State:   entry.State,
+	}
+}
+
+// startTime turns a wall time into one of the event loop's clock.
+func (f *FrontEnd) startTime(wall time.Time) time.Duration {
+	if wall.IsZero() {
+		return scheduler.UnknownStart
+	}
+	return wall.Sub(f.settings.ClockStart)
+}
+
+// updateWorker takes an entry of the list: it opens a client for a new worker, or for one at a new address.
+func (f *FrontEnd) updateWorker(id scheduler.WorkerID, entry discovery.Worker) {
+	w := f.workers[id]
+	if w == nil {
+		if entry.State == scheduler.Removed {
+			return // nothing is sent there
+		}
+		w = &worker{id: id}
+		f.workers[id] = w
+	}
+	if w.client == nil || w.Address != entry.Address {
+		if w.client != nil {
+			f.drainClient(w)
+			w.previousClients = append(w.previousClients, w.client)
+		}
+		w.client = f.dependencies.OpenWorker(id, entry)
+		w.state = scheduler.Ready
+	}
+	w.Worker = entry
+	f.setWorkerState(w, entry.State)
+}
+
+// setWorkerState notes a worker's state and closes or opens its client for new work.
+func (f *FrontEnd) setWorkerState(w *worker, state scheduler.WorkerState) {
+	if w.state == state {
+		return
+	}
+	f.log.Info().Str("worker", w.Name).Int("state", int(state)).Msg("listed anew")
+	previous := w.state
+	w.state = state
+	switch {
+	case state == scheduler.Ready:
+		w.client.Resume()
+	case previous == scheduler.Ready:
+		f.drainClient(w)
+	}
+}
+
+// drainClient closes a worker's client for new work; what was not sent yet ends as that.
+func (f *FrontEnd) drainClient(w *worker) {
+	attempts, orders := w.client.Drain(f.settings.Scheduler.DrainGrace)
+	for _, unsent := range attempts {
+		if a := f.attempts[unsent]; a != nil {
+			f.deferred = append(f.deferred, func() { f.endAttempt(a, abandonedResult(scheduler.NotSent, attemptDrained)) })
+		}
+	}
+	for _, unsent := range orders {
+		if order := f.loadOrders[unsent]; order != nil {
+			f.deferred = append(f.deferred, func() { f.endLoadOrder(order, scheduler.Overloaded, 0) })
+		}
+	}
+}
+
+// sweep stops clients that nothing needs any longer and forgets functions without requests.
+func (f *FrontEnd) sweep() {
+	for _, id := range sortedKeys(f.workers) {
+		w := f.workers[id]
+		w.stopIdlePrevious()
+		if w.state == scheduler.Removed && w.idle() {
+			w.client.Stop()
+			delete(f.workers, id)
+		}
+	}
+	for id, function := range f.functions {
+		if f.now-function.lastUsed > functionRetention {
+			delete(f.functions, id)
+		}
+	}
+}
+
+// stopIdlePrevious stops the clients of previous addresses once nothing is in flight there.
+func (w *worker) stopIdlePrevious() {
+	busy := w.previousClients[:0]
+	for _, client := range w.previousClients {
+		if client.Busy() {
+			busy = append(busy, client)
+		} else {
+			client.Stop()
+		}
+	}
+	w.previousClients = busy
+}
+
+// idle reports whether nothing is in flight at the worker.
+func (w *worker) idle() bool { return len(w.previousClients) == 0 && !w.client.Busy() }
+
+// WatchFailed takes the failure to receive the list: the previous one stays in force.
+func (f *FrontEnd) WatchFailed(now time.Duration, cause error) {
+	f.now = now
+	f.log.Warn().Err(cause).Msg("no list of workers; the one of before stays in force")
+	f.scheduler.WatchFailed(now)
+	f.runDeferred()
+}
+
+// WatchEndpoints implements scheduler.Actions: it requests the endpoint list anew.
+func (f *FrontEnd) WatchEndpoints() { f.dependencies.WatchEndpoints() }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/event_loop.go
@@ -37,28 +37,28 @@
 
 // Loop owns a Front: one goroutine tells it everything, in the order in which it came.
 type EventLoop struct {
-	cfg      EventLoopConfig
-	log      zerolog.Logger
-	frontEnd    *FrontEnd
-	requests chan *Request
-	events   chan func(now time.Duration)
-	workerClients    []ClosableWorkerClient        // begun and not known to have ended; the loop's alone
-	newTestClient     func(*EventLoop) WorkerClient // in place of a worker's link, where loops are measured alone
-	kill     chan struct{}
-	done     chan struct{}
-	gate     queueGate
+	cfg           EventLoopConfig
+	log           zerolog.Logger
+	frontEnd      *FrontEnd
+	requests      chan *Request
+	events        chan func(now time.Duration)
+	workerClients []ClosableWorkerClient        // begun and not known to have ended; the loop's alone
+	newTestClient func(*EventLoop) WorkerClient // in place of a worker's link, where loops are measured alone
+	kill          chan struct{}
+	done          chan struct{}
+	gate          queueGate
 }
 
 // door is what the edges' goroutines share with the loop's, each value in a cache line of its own: in an overload
 // the edges touch both at each call.
 type queueGate struct {
-	_      cpu.CacheLinePad
-	limit   atomic.Int64 // arrivals that may wait, as the Front says
-	_      cpu.CacheLinePad
+	_        cpu.CacheLinePad
+	limit    atomic.Int64 // arrivals that may wait, as the Front says
+	_        cpu.CacheLinePad
 	rejected atomic.Uint64 // calls that were refused without the Front
-	_      cpu.CacheLinePad
-	worstLag   atomic.Int64 // the latest that an edge came to what was due, since the loop asked last
-	_      cpu.CacheLinePad
+	_        cpu.CacheLinePad
+	worstLag atomic.Int64 // the latest that an edge came to what was due, since the loop asked last
+	_        cpu.CacheLinePad
 }
 
 // set sets the room where it has changed.
@@ -268,7 +268,7 @@
 
 // linkEvents posts what happens on the link to one worker.
 type workerEvents struct {
-	loop  *EventLoop
+	loop   *EventLoop
 	worker scheduler.WorkerID
 }
 
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -20,26 +20,26 @@
 // world is one path: a Front and what links and clients saw.
 type simulation struct {
 	*harness
-	classes  [2]int
-	submitted    [2]*Request
-	responses   [2]int
-	kinds     [2]ResponseKind
-	received int
-	clientLeft   [2]bool
+	classes       [2]int
+	submitted     [2]*Request
+	responses     [2]int
+	kinds         [2]ResponseKind
+	received      int
+	clientLeft    [2]bool
 	abandoned     []*muxclient.Attempt // given up here after they had left
-	draining  bool
-	sentByRequest    map[string][]sentRecord
-	path     []string
-	violation    string
+	draining      bool
+	sentByRequest map[string][]sentRecord
+	path          []string
+	violation     string
 }
 
 // send is one attempt as a worker could know of it.
 type sentRecord struct {
-	attempt *muxclient.Attempt
-	cell    int
-	sentAt      time.Duration
-	neverExecuted   bool // it is known not to have run
-	written    bool
+	attempt       *muxclient.Attempt
+	cell          int
+	sentAt        time.Duration
+	neverExecuted bool // it is known not to have run
+	written       bool
 }
 
 // spy is a link that notes each attempt and keeps it in the write buffer until it is told to write.
@@ -146,8 +146,10 @@
 func newSimulation(t *testing.T, of [2]int) *simulation {
 	sim := &simulation{classes: of, sentByRequest: map[string][]sentRecord{}}
 	sim.harness = &harness{T: t, now: time.Minute, workers: map[string]*fakeWorkerClient{}}
-	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
-		ClockStart: time.Unix(0, 0)}
+	set := Settings{
+		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
+		ClockStart: time.Unix(0, 0),
+	}
 	sim.FrontEnd = New(sim.now, set, sim, zerolog.Nop())
 	sim.listWorkers(2, nil)
 	return sim
@@ -156,7 +158,7 @@
 // step is something that can happen now.
 type step struct {
 	name string
-	run   func()
+	run  func()
 }
 
 // steps lists all that can happen now, in an order that is always the same.
@@ -174,7 +176,7 @@
 			add(func() { sim.endAttemptWith(worker, a, scheduler.ConnectFailed) }, "%s finds no connection to %s", a.Request.ID, name)
 		}
 		for _, a := range worker.sent {
-			if mine := sim.attempts[a]; mine != nil && mine.begun {
+			if mine := sim.attempts[a]; mine != nil && mine.state == attemptStreaming {
 				add(func() { sim.endAttemptWith(worker, a, scheduler.OK) }, "%s ends", a.Request.ID)
 				add(func() { sim.endAttemptWith(worker, a, scheduler.Reset) }, "%s breaks off", a.Request.ID)
 				continue
@@ -200,7 +202,10 @@
 	if sim.draining {
 		add(func() { sim.draining = false; sim.listWorkers(2, nil) }, "w0 is ready")
 	} else {
-		add(func() { sim.draining = true; sim.listWorkers(2, map[string]scheduler.WorkerState{"w0": scheduler.Draining}) }, "w0 drains")
+		add(func() {
+			sim.draining = true
+			sim.listWorkers(2, map[string]scheduler.WorkerState{"w0": scheduler.Draining})
+		}, "w0 drains")
 	}
 	add(func() { sim.advance(900 * ms) }, "900ms pass")
 	return list
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -19,16 +19,16 @@
 
 // fakeLink stands for a link: it keeps what the Front gave it until a test says what became of it.
 type fakeWorkerClient struct {
-	name     string
-	queued   []*muxclient.Attempt // not left
-	sent     []*muxclient.Attempt
-	orders   []*muxclient.LoadOrder
-	canceled []*muxclient.Attempt
-	drained  bool
-	stopped  bool
-	healthChecks   int
-	unloads  int
-	holdsWrites    bool // what is sent stays in the write buffer
+	name         string
+	queued       []*muxclient.Attempt // not left
+	sent         []*muxclient.Attempt
+	orders       []*muxclient.LoadOrder
+	canceled     []*muxclient.Attempt
+	drained      bool
+	stopped      bool
+	healthChecks int
+	unloads      int
+	holdsWrites  bool // what is sent stays in the write buffer
 	rejection    *muxclient.Result
 }
 
@@ -89,8 +89,8 @@
 type harness struct {
 	*testing.T
 	*FrontEnd
-	now      time.Duration
-	workers   map[string]*fakeWorkerClient
+	now     time.Duration
+	workers map[string]*fakeWorkerClient
 	opened  int
 	watches int
 }
@@ -105,11 +105,14 @@
 func (h *harness) WatchEndpoints() { h.watches++ }
 
 func testScheduler() scheduler.Settings {
-	return scheduler.Settings{Seed: 1, FrontEndCount: 1, ReplicaIdleTimeout: 10 * time.Second, ReportsColdStart: true, CancelAllowed: true, MaxAttempts: 4,
+	return scheduler.Settings{
+		Seed: 1, FrontEndCount: 1, ReplicaIdleTimeout: 10 * time.Second, ReportsColdStart: true, CancelAllowed: true, MaxAttempts: 4,
 		LoadOrderTimeout: time.Second, MaxRetryAfter: 500 * ms, DrainGrace: 500 * ms, Resolution: ms, Classes: []scheduler.Class{
 			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.Idempotent},
 			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.IdempotentByKey, KeyScope: scheduler.ScopeCell, KeyRetention: time.Second},
-			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.NonIdempotent}}}
+			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.NonIdempotent},
+		},
+	}
 }
 
 const (
@@ -120,8 +123,10 @@
 
 func newHarness(t *testing.T, workers int, change func(*Settings)) *harness {
 	h := &harness{T: t, now: time.Minute, workers: map[string]*fakeWorkerClient{}}
-	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
-		ClockStart: time.Unix(0, 0)}
+	set := Settings{
+		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
+		ClockStart: time.Unix(0, 0),
+	}
 	if change != nil {
 		change(&set)
 	}
--- /dev/null
+++ b/internal/gateway/frontend.go
@@ -0,0 +1,182 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"havencart/internal/decide/incarnation"
+	"havencart/internal/decide/loadshed"
+	"havencart/internal/decide/looplag"
+	"havencart/internal/decide/tenancy"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/internal/shadow"
+	"havencart/scheduler"
+)
+
+// Settings are what a FrontEnd needs beside the scheduler's own settings.
+type Settings struct {
+	Scheduler      scheduler.Settings
+	Name           string   // of this front end, unique among all
+	Classes        []string // names, in the order of Scheduler.Classes
+	Tenants        []string // names, in the order of Scheduler.Tenants
+	Zones          []string // names; Scheduler.Zone is an index into them
+	Tenancy        tenancy.Settings
+	DeadlineMargin time.Duration // the final response is due this long before the client gives up
+	MaxInFlight    int           // requests in flight; more are rejected at once
+	ClockStart     time.Time     // wall time at 0 of the clock
+
+	// NewScheduler makes the scheduler; nil stands for scheduler.New.
+	NewScheduler func(now time.Duration, set scheduler.Settings, a scheduler.Actions) Scheduler
+	// Shadow, where not nil, are settings that decide nothing: the decisions in which they diverge are counted.
+	Shadow *shadow.Settings
+}
+
+// Scheduler decides: it is a scheduler.Scheduler, or in the laboratory a baseline compared with it. The FrontEnd calls
+// it from its own goroutine, and reports what its actions led to after the call that asked for them has returned.
+type Scheduler interface {
+	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool)
+	WatchFailed(now time.Duration)
+	TimerFired(now time.Duration, token uint64)
+	RequestReceived(now time.Duration, r scheduler.Request)
+	AttemptEnded(now time.Duration, o scheduler.Outcome)
+	ClientDisconnected(now time.Duration, id scheduler.RequestID)
+	LoadEnded(now time.Duration, l scheduler.LoadResult)
+	ResponseStarted(now time.Duration, id scheduler.RequestID)
+	HealthChecked(now time.Duration, p scheduler.HealthCheckResult)
+}
+
+// WorkerClient is the client of one worker, as muxclient.Client is. None of its methods waits for the worker; what
+// happens later is reported by events.
+type WorkerClient interface {
+	// Send queues an attempt. A result that is not nil is its outcome: no event follows.
+	Send(*muxclient.Attempt) *muxclient.Result
+	// CancelUnsent takes an attempt back if none of it was written, and reports whether it did.
+	CancelUnsent(*muxclient.Attempt) (unsent bool)
+	// Abandon gives an attempt up and reports whether the worker may have received it.
+	Abandon(*muxclient.Attempt) (mayBeReceived bool)
+	// Load sends a load order, or a residency query. A status other than 0 is its outcome: no event follows.
+	Load(*muxclient.LoadOrder) scheduler.Status
+	AbandonLoad(*muxclient.LoadOrder)
+	Unload(function string)
+	CheckHealth()
+	// Drain admits nothing new until Resume, and returns what was not sent yet.
+	Drain(grace time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder)
+	Resume()
+	// Busy reports whether anything is in flight.
+	Busy() bool
+	Stop()
+}
+
+// Dependencies are what a FrontEnd reaches beside its worker clients.
+type Dependencies interface {
+	// OpenWorker starts a client; what happens on it is reported to the FrontEnd with this worker's identifier.
+	OpenWorker(id scheduler.WorkerID, w discovery.Worker) WorkerClient
+	// WatchEndpoints requests the endpoint list anew.
+	WatchEndpoints()
+}
+
+// FrontEnd is the state machine of one front end. It has no lock: one goroutine owns it and calls all its methods,
+// with times that never go back. It is also the scheduler.Actions of its scheduler.
+type FrontEnd struct {
+	settings     Settings
+	dependencies Dependencies
+	log          zerolog.Logger
+	scheduler    Scheduler
+	shadow       *shadow.Scheduler // the scheduler, where shadow settings are evaluated; else nil
+	incarnations *incarnation.Tracker
+	shedder      loadshed.Shedder
+	tenancy      *tenancy.Tenancy
+	lag          looplag.Estimator
+	now          time.Duration // of the event that is handled
+
+	timers        timerHeap
+	requestTimers timerHeap // fire sooner, by the margin for the event loop's lag
+	deferred      []func()  // outcomes deferred until the scheduler returns
+
+	requests      map[scheduler.RequestID]*Request
+	lastRequestID scheduler.RequestID
+	attempts      map[*muxclient.Attempt]*attempt
+	loadOrders    map[*muxclient.LoadOrder]*loadOrder
+	workers       map[scheduler.WorkerID]*worker
+	functions     map[scheduler.FunctionID]*function
+
+	// Numbers of names for the scheduler, in the order in which they were first seen.
+	zones map[string]int
+	cells map[string]int
+	kinds map[string]int
+
+	shuttingDown bool // nothing is admitted any longer
+	counts       Counts
+}
+
+// function is what is known of a function from its requests.
+type function struct {
+	replica  muxframe.ReplicaSpec
+	lastUsed time.Duration
+	cost     tenancy.Cost
+}
+
+// New returns a FrontEnd that starts at now and knows no workers.
+func New(now time.Duration, settings Settings, dependencies Dependencies, log zerolog.Logger) *FrontEnd {
+	f := &FrontEnd{
+		settings:     settings,
+		dependencies: dependencies,
+		log:          log,
+		incarnations: incarnation.New(),
+		tenancy:      tenancy.New(settings.Tenancy),
+		lag:          looplag.New(longestTimeout(settings.Scheduler.Classes)),
+		now:          now,
+		requests:     map[scheduler.RequestID]*Request{},
+		attempts:     map[*muxclient.Attempt]*attempt{},
+		loadOrders:   map[*muxclient.LoadOrder]*loadOrder{},
+		workers:      map[scheduler.WorkerID]*worker{},
+		functions:    map[scheduler.FunctionID]*function{},
+		zones:        map[string]int{},
+		cells:        map[string]int{},
+		kinds:        map[string]int{},
+	}
+	for _, zone := range settings.Zones {
+		intern(f.zones, zone)
+	}
+	switch {
+	case settings.NewScheduler != nil:
+		f.scheduler = settings.NewScheduler(now, settings.Scheduler, f)
+	case settings.Shadow != nil:
+		f.shadow = shadow.New(now, settings.Scheduler, *settings.Shadow, f, f.logShadowDifference)
+		f.scheduler = f.shadow
+	default:
+		f.scheduler = scheduler.New(now, settings.Scheduler, f)
+	}
+	f.timers.add(&timer{kind: sweepTimer, due: now + sweepInterval})
+	return f
+}
+
+// longestTimeout is the longest that a client of any class waits.
+func longestTimeout(classes []scheduler.Class) time.Duration {
+	longest := time.Duration(0)
+	for _, class := range classes {
+		longest = max(longest, class.Timeout)
+	}
+	return longest
+}
+
+// runDeferred reports to the scheduler what its own actions led to at once, after it has returned. Outcomes may be
+// deferred meanwhile.
+func (f *FrontEnd) runDeferred() {
+	for len(f.deferred) > 0 {
+		next := f.deferred[0]
+		f.deferred = f.deferred[1:]
+		next()
+	}
+}
+
+// logShadowDifference logs a decision in which the shadow settings diverge.
+func (f *FrontEnd) logShadowDifference(kind string) {
+	f.log.Info().Str("otherwise", kind).Msg("the watched settings would have decided otherwise")
+}
+
+// Log implements scheduler.Actions: it logs a line of the scheduler's.
+func (f *FrontEnd) Log(text string) { f.log.Info().Str("from", "module").Msg(text) }
--- a/internal/gateway/edge.go
+++ b/internal/gateway/http_handler.go
@@ -38,7 +38,7 @@
 
 // pending is a call in the loop's hands.
 type pendingRequest struct {
-	loop *EventLoop
+	loop    *EventLoop
 	request *Request
 }
 
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -40,8 +40,11 @@
 // fixed is a directory that tells one list.
 type fixedEndpoints []discovery.Worker
 
-func (f fixedEndpoints) Run(ctx context.Context, sink discovery.Sink) { sink.EndpointsChanged(f); <-ctx.Done() }
-func (f fixedEndpoints) Refresh()                                     {}
+func (f fixedEndpoints) Run(ctx context.Context, sink discovery.Sink) {
+	sink.EndpointsChanged(f)
+	<-ctx.Done()
+}
+func (f fixedEndpoints) Refresh() {}
 
 // alone runs a loop with workers that answer at once and returns what ends it.
 func startLoop(workers int) (*EventLoop, func()) {
@@ -79,8 +82,8 @@
 // outcome is what became of calls.
 type tally struct {
 	served, rejected atomic.Int64
-	mu              sync.Mutex
-	latencies           []time.Duration // of the served ones
+	mu               sync.Mutex
+	latencies        []time.Duration // of the served ones
 }
 
 func (o *tally) newRequest(loop *EventLoop) *Request {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/platform_server.go
@@ -24,36 +24,36 @@
 
 // Relay is a front end on the users' platform: one Loop, their protocol before and behind it.
 type PlatformServer struct {
-	config      *platformconfig.Relay
-	log      zerolog.Logger
-	loop     *EventLoop
-	listener net.Listener
-	clients  *rpcserver.Server
+	config    *platformconfig.Relay
+	log       zerolog.Logger
+	loop      *EventLoop
+	listener  net.Listener
+	clients   *rpcserver.Server
 	endpoints *discovery.EndpointStream
-	budget   *workerclient.ConnectionBudget
+	budget    *workerclient.ConnectionBudget
 	draining  atomic.Bool
-	after    func(time.Duration, func()) // calls a function later; tests do so by hand
+	after     func(time.Duration, func()) // calls a function later; tests do so by hand
 
-	recentIDs    recentIDs
+	recentIDs recentIDs
 	bodyBytes atomic.Int64 // bytes of the requests in hand
 }
 
 // The bounds of a relay, beside those of its settings.
 const (
 	platformRequestQueue   = 1024                   // arrivals that wait for the loop; more are refused at once
-	platformEventQueue  = 1024                   // events from links that wait; beyond, links stop reading
-	platformMaxInFlight   = 4096                   // calls in hand; more are refused at once
-	platformDeadlineMargin  = 15 * time.Millisecond  // the final answer is due this long before the client gives up
-	platformMaxResponse  = 64 << 10               // bytes of a worker's answer
-	platformMaxUnsent     = 256 << 10              // bytes of answers that a client has not taken
+	platformEventQueue     = 1024                   // events from links that wait; beyond, links stop reading
+	platformMaxInFlight    = 4096                   // calls in hand; more are refused at once
+	platformDeadlineMargin = 15 * time.Millisecond  // the final answer is due this long before the client gives up
+	platformMaxResponse    = 64 << 10               // bytes of a worker's answer
+	platformMaxUnsent      = 256 << 10              // bytes of answers that a client has not taken
 	platformWriteTimeout   = 2 * time.Second        // that a client may stand still while it is answered
-	platformMaxOpen    = 32                     // requests of one connection, by the platform's page
-	platformAcceptGrace  = 700 * time.Millisecond // that clients go on coming after a stop was asked for
-	platformMaxShutdown = 3 * time.Second        // that the longest deadline counts for at a stop, from when the last clients came
-	platformAcceptRest    = 100 * time.Millisecond // before the end of relayComing clients came last; for as long they may be late
+	platformMaxOpen        = 32                     // requests of one connection, by the platform's page
+	platformAcceptGrace    = 700 * time.Millisecond // that clients go on coming after a stop was asked for
+	platformMaxShutdown    = 3 * time.Second        // that the longest deadline counts for at a stop, from when the last clients came
+	platformAcceptRest     = 100 * time.Millisecond // before the end of relayComing clients came last; for as long they may be late
 	platformLogInterval    = 5 * time.Second        // between two lines of the totals
-	memoryLimitFraction   = 0.7                    // of the limit, from which the runtime collects harder
-	bodyMemoryFraction   = 0.25                   // of the limit, for bodies of requests in hand; more are refused at once
+	memoryLimitFraction    = 0.7                    // of the limit, from which the runtime collects harder
+	bodyMemoryFraction     = 0.25                   // of the limit, for bodies of requests in hand; more are refused at once
 )
 
 // NewRelay prepares a front end and begins to listen; Run serves.
--- a/internal/gateway/ids.go
+++ b/internal/gateway/recent_ids.go
@@ -11,8 +11,8 @@
 // again as soon as it is turned away, whose calls would count as demand. It would harm a client whose request came
 // whole on a connection that was closed on it, and that sends it anew.
 type recentIDs struct {
-	mu          sync.Mutex
-	inFlight        map[string]bool // bounded by MaxCalls of the Front and the loop's queue
+	mu                sync.Mutex
+	inFlight          map[string]bool // bounded by MaxCalls of the Front and the loop's queue
 	current, previous map[string]bool // taken last, bounded by idsKept each
 }
 
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -36,11 +36,11 @@
 // relayed is a front end between stand-ins.
 type platformHarness struct {
 	*PlatformServer
-	t     *testing.T
+	t         *testing.T
 	discovery *platformdiscovery.Server
-	stop  context.CancelFunc
-	delayed chan func() // ends the time for which clients come after a stop
-	ended chan error
+	stop      context.CancelFunc
+	delayed   chan func() // ends the time for which clients come after a stop
+	ended     chan error
 }
 
 func startPlatform(t *testing.T, script platformworker.Script) *platformHarness {
@@ -98,8 +98,10 @@
 
 func (r *platformHarness) sendRequestWithBody(c net.Conn, number int, class string, id int, body []byte) {
 	r.t.Helper()
-	raw, err := msgpack.Marshal([]any{0, number, class, []any{map[string]string{"id": fmt.Sprintf("%016x", id), "wait": "20000",
-		"tenant": "acme", "key": "7f3a9c21e0b4d655", "attrs": "memory_mb:100;lanes:2"}, body}})
+	raw, err := msgpack.Marshal([]any{0, number, class, []any{map[string]string{
+		"id": fmt.Sprintf("%016x", id), "wait": "20000",
+		"tenant": "acme", "key": "7f3a9c21e0b4d655", "attrs": "memory_mb:100;lanes:2",
+	}, body}})
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/gateway/responses.go
@@ -0,0 +1,117 @@
+package gateway
+
+import (
+	"cmp"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"havencart/internal/decide/tenancy"
+	"havencart/scheduler"
+)
+
+// Reject implements scheduler.Actions: it gives the final response that promises that a retry does no harm.
+func (f *FrontEnd) Reject(id scheduler.RequestID, retryAfter time.Duration) {
+	request := f.requests[id]
+	if request == nil {
+		return
+	}
+	reason := NoWorkerInTime.String()
+	if request.lastReason != "" {
+		reason += "; last: " + request.lastReason
+	}
+	f.respond(request, FinalResponse{Kind: Rejected, Reason: reason, RetryAfter: retryAfter})
+}
+
+// Fail implements scheduler.Actions: it gives the final response that promises nothing.
+func (f *FrontEnd) Fail(id scheduler.RequestID) {
+	if request := f.requests[id]; request != nil {
+		f.respond(request, FinalResponse{Kind: Failed, Reason: request.lastReason, TimedOut: timedOut(request.lastStatus)})
+	}
+}
+
+// timedOut reports whether no response was received in time for an attempt that ended with status.
+func timedOut(status scheduler.Status) bool {
+	return status == scheduler.Timeout || status == scheduler.Cancelled
+}
+
+// respond gives an admitted request its final response, and counts and logs it. It does nothing where none is owed.
+func (f *FrontEnd) respond(request *Request, response FinalResponse) {
+	if !request.complete(response) {
+		return
+	}
+	f.recordTenantUse(request, response.Kind)
+	switch response.Kind {
+	case Served:
+		f.counts.Served++
+	case Rejected:
+		f.counts.Rejected++
+		f.logResponse(f.log.Debug(), request, response)
+	case Failed:
+		f.counts.Failed++
+		f.logResponse(f.log.Info(), request, response)
+	}
+	f.forget(request)
+}
+
+// recordTenantUse reports to the tenancy how an admitted request ended.
+func (f *FrontEnd) recordTenantUse(request *Request, kind ResponseKind) {
+	end := tenancy.RequestEnd{Served: kind == Served, MissedObjective: true}
+	if request.attempts > 0 {
+		end.Work = cmp.Or(request.runTime, request.function.cost.Expect())
+	}
+	switch kind {
+	case Served:
+		objective := f.settings.Scheduler.Classes[request.Class].LatencyObjective
+		end.MissedObjective = f.now-request.StartedAt > objective
+	case Failed:
+		// Other failures are the function's or the worker's, and no sign of a tenant that gets too little.
+		end.MissedObjective = timedOut(request.lastStatus)
+	}
+	f.tenancy.RequestEnded(f.now, request.Tenant, end)
+}
+
+// logResponse logs a final response that is not a worker's.
+func (f *FrontEnd) logResponse(line *zerolog.Event, request *Request, response FinalResponse) {
+	line.Str("call", request.ID).Str("function", request.Replica.Function).Str("class", f.settings.Classes[request.Class]).
+		Int("attempts", request.attempts).Str("why", response.Reason).Msg(response.Kind.String())
+}
+
+// ClientDisconnected ends what a request's client no longer waits for. It may come at any time: before the request
+// itself, as the event loop takes events before requests; and after the final response, where one that is still
+// streamed is given up. Where the scheduler may not cancel an attempt, one that was not sent is still taken back.
+func (f *FrontEnd) ClientDisconnected(now time.Duration, request *Request) {
+	f.now = now
+	wasInFlight := request.state == requestInFlight
+	if request.enter(requestDisconnected) {
+		f.counts.Disconnected++
+	}
+	if wasInFlight {
+		f.scheduler.ClientDisconnected(now, request.id)
+	}
+	f.runDeferred()
+	if request.current != nil {
+		f.dropAttempt(request.current)
+	}
+	f.forget(request)
+	f.runDeferred()
+}
+
+// dropAttempt ends an attempt whose client disconnected, where it streams a response or was not sent yet.
+func (f *FrontEnd) dropAttempt(a *attempt) {
+	if a.state == attemptStreaming {
+		f.abandonAttempt(a, scheduler.Cancelled, attemptDisconnected)
+		return
+	}
+	if a.request.state == requestDisconnected && a.worker.cancelUnsent(a) {
+		f.endAttempt(a, abandonedResult(scheduler.NotSent, attemptDisconnected))
+	}
+}
+
+// forget drops a request once nothing of it is in flight.
+func (f *FrontEnd) forget(request *Request) {
+	if request.state.isFinal() && request.current == nil {
+		delete(f.requests, request.id)
+		f.requestTimers.remove(&request.timer)
+	}
+}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -24,7 +24,7 @@
 
 // Service is a gateway process: its loops, and the clients' listener before them.
 type Service struct {
-	settings      *gatewayconfig.Settings
+	settings *gatewayconfig.Settings
 	log      zerolog.Logger
 	loops    []*EventLoop
 	listener net.Listener
@@ -92,23 +92,6 @@
 	return all
 }
 
-// Add adds the totals of another Front.
-func (c *Counts) Add(x Counts) {
-	c.Admitted += x.Admitted
-	c.Served += x.Served
-	c.Rejected += x.Rejected
-	c.Failed += x.Failed
-	c.Disconnected += x.Disconnected
-	c.Shed += x.Shed
-	c.Attempts += x.Attempts
-	c.LoadOrders += x.LoadOrders
-	c.ResidencyQueries += x.ResidencyQueries
-	c.HealthChecks += x.HealthChecks
-	c.LateResponses += x.LateResponses
-	c.PastDeadline += x.PastDeadline
-	c.ShadowDifferences.Add(x.ShadowDifferences)
-}
-
 // Run serves until ctx ends, then stops: no new connections; what is in hand gets its final answer, and what
 // has none when StopWait is over gets it then. It returns the totals.
 func (s *Service) Run(ctx context.Context) (Counts, error) {
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -16,12 +16,16 @@
 		t.Fatal(err)
 	}
 	got := FrontEndSettings(set, 0, time.Time{}, 3)
-	want := scheduler.Settings{Seed: 3, FrontEndCount: 1, LoadOrdersAllowed: true, ReportsColdStart: true, ReportsQueueDepth: true, ReplicaIdleTimeout: 10 * time.Second,
+	want := scheduler.Settings{
+		Seed: 3, FrontEndCount: 1, LoadOrdersAllowed: true, ReportsColdStart: true, ReportsQueueDepth: true, ReplicaIdleTimeout: 10 * time.Second,
 		LoadOrderTimeout: 10 * time.Second, LoadRateBurst: 4, LoadRatePerRequest: 0.1, HealthChecksAllowed: true, CancelAllowed: true, MaxAttempts: 5,
 		MaxRetryAfter: time.Second, ConnectTimeout: 250 * ms, DrainGrace: 500 * ms, SlowStartFraction: 0.2, SlowStartDuration: 15 * time.Second,
 		OverloadFactor: 3, OverloadWindow: 2 * time.Second, Resolution: ms, LoadReportFields: loadReportFields,
-		Classes: []scheduler.Class{{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.3, Idempotency: scheduler.NonIdempotent,
-			KeyScope: scheduler.ScopeCell, KeyRetention: 5 * time.Second}}}
+		Classes: []scheduler.Class{{
+			LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.3, Idempotency: scheduler.NonIdempotent,
+			KeyScope: scheduler.ScopeCell, KeyRetention: 5 * time.Second,
+		}},
+	}
 	if !reflect.DeepEqual(got.Scheduler, want) || got.Shadow != nil {
 		t.Errorf("the module is told\n%+v\nwant\n%+v", got.Scheduler, want)
 	}
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -5,73 +5,92 @@
 	"time"
 )
 
-// timer is something that is due at a time; what it is for is told by the one field that is set. A timer that
-// is set is not copied.
+// timerKind is what a timer is for.
+type timerKind uint8
+
+const (
+	schedulerTimer timerKind = iota + 1 // the scheduler's, with schedulerToken
+	sweepTimer                          // the next sweep
+	attemptTimer                        // the response timeout of attempt
+	loadOrderTimer                      // the timeout of loadOrder
+	requestTimer                        // the final response of request is past its deadline
+)
+
+// timer is something that is due at a time. It is not copied while it is in a heap.
 type timer struct {
-	due      time.Duration
-	seq     uint64
-	position   int // in the heap, from 1; 0: not set
-	attempt *attempt
-	loadOrder   *loadOrder
-	request    *Request
-	schedulerToken   uint64
-	wake    bool
-	sweep   bool
+	kind           timerKind
+	due            time.Duration
+	seq            uint64 // in the order in which timers were added
+	position       int    // in the heap, from 1; 0: in none
+	attempt        *attempt
+	loadOrder      *loadOrder
+	request        *Request
+	schedulerToken uint64
 }
 
-// timers is a heap by time; those of one time are in the order in which they were set.
+// timerHeap is a heap by time; timers due at one time are in the order in which they were added.
 type timerHeap struct {
 	timers []*timer
-	seq  uint64
+	seq    uint64
 }
 
-func (t *timerHeap) add(x *timer) {
-	t.seq++
-	x.seq = t.seq
-	heap.Push(t, x)
+// add puts a timer into the heap.
+func (h *timerHeap) add(t *timer) {
+	h.seq++
+	t.seq = h.seq
+	heap.Push(h, t)
 }
 
-// stop takes a timer out, if it is set.
-func (t *timerHeap) remove(x *timer) {
-	if x.position > 0 {
-		heap.Remove(t, x.position-1)
+// remove takes a timer out of the heap, if it is in it.
+func (h *timerHeap) remove(t *timer) {
+	if t.position > 0 {
+		heap.Remove(h, t.position-1)
 	}
 }
 
-// due takes the first timer that is due at now, nil if there is none.
-func (t *timerHeap) popDue(now time.Duration) *timer {
-	if len(t.timers) == 0 || t.timers[0].due > now {
+// first returns the timer that is due first. The heap must not be empty.
+func (h *timerHeap) first() *timer { return h.timers[0] }
+
+// popDue takes out the first timer that is due at now; nil: none is.
+func (h *timerHeap) popDue(now time.Duration) *timer {
+	if len(h.timers) == 0 || h.first().due > now {
 		return nil
 	}
-	return heap.Pop(t).(*timer)
+	return heap.Pop(h).(*timer)
 }
 
-// Len is part of heap.Interface, as are the others.
-func (t *timerHeap) Len() int { return len(t.timers) }
+// Len implements heap.Interface.
+func (h *timerHeap) Len() int { return len(h.timers) }
 
-// Less orders by time, then by when the timer was set.
-func (t *timerHeap) Less(i, j int) bool {
-	a, b := t.timers[i], t.timers[j]
-	return a.due < b.due || a.due == b.due && a.seq < b.seq
+// Less implements heap.Interface: by time, then by when the timer was added.
+func (h *timerHeap) Less(i, j int) bool {
+	a, b := h.timers[i], h.timers[j]
+	if a.due != b.due {
+		return a.due < b.due
+	}
+	return a.seq < b.seq
 }
 
-// Swap swaps two timers.
-func (t *timerHeap) Swap(i, j int) {
-	t.timers[i], t.timers[j] = t.timers[j], t.timers[i]
-	t.timers[i].position, t.timers[j].position = i+1, j+1
+// Swap implements heap.Interface.
+func (h *timerHeap) Swap(i, j int) {
+	h.timers[i], h.timers[j] = h.timers[j], h.timers[i]
+	h.timers[i].position = i + 1
+	h.timers[j].position = j + 1
 }
 
-// Push adds a timer.
-func (t *timerHeap) Push(x any) {
-	t.timers = append(t.timers, x.(*timer))
-	t.timers[len(t.timers)-1].position = len(t.timers)
+// Push implements heap.Interface.
+func (h *timerHeap) Push(x any) {
+	t := x.(*timer)
+	h.timers = append(h.timers, t)
+	t.position = len(h.timers)
 }
 
-// Pop takes the last timer off.
-func (t *timerHeap) Pop() any {
-	last := len(t.timers) - 1
-	x := t.timers[last]
-	t.timers[last], t.timers = nil, t.timers[:last]
-	x.position = 0
-	return x
+// Pop implements heap.Interface: it takes the last timer off.
+func (h *timerHeap) Pop() any {
+	last := len(h.timers) - 1
+	t := h.timers[last]
+	h.timers[last] = nil
+	h.timers = h.timers[:last]
+	t.position = 0
+	return t
 }
--- /dev/null
+++ b/internal/gateway/workers.go
@@ -0,0 +1,97 @@
+package gateway
+
+import (
+	"slices"
+	"time"
+
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+// worker is a worker of the endpoint list, or one removed from it with something in flight.
+type worker struct {
+	discovery.Worker
+	id              scheduler.WorkerID
+	client          WorkerClient
+	previousClients []WorkerClient // of its previous addresses, with something in flight
+	state           scheduler.WorkerState
+	healthChecks    []time.Duration // when those in flight were sent, oldest first
+	disconnected    bool            // reported since it was last connected
+}
+
+// cancelUnsent takes an attempt back from the client that has it, if none of it was written, and reports whether it
+// did.
+func (w *worker) cancelUnsent(a *attempt) bool {
+	cancel := func(client WorkerClient) bool { return client.CancelUnsent(&a.Attempt) }
+	return cancel(w.client) || slices.ContainsFunc(w.previousClients, cancel)
+}
+
+// abandon gives an attempt up at the client that has it, and reports whether the worker may have received it.
+func (w *worker) abandon(a *attempt) bool {
+	mayBeReceived := w.client.Abandon(&a.Attempt)
+	for _, client := range w.previousClients {
+		if client.Abandon(&a.Attempt) {
+			mayBeReceived = true
+		}
+	}
+	return mayBeReceived
+}
+
+// WorkerConnected takes what a worker reported of itself on a new connection.
+func (f *FrontEnd) WorkerConnected(now time.Duration, id scheduler.WorkerID, welcome muxframe.Welcome) {
+	f.now = now
+	w := f.workers[id]
+	if w == nil {
+		return
+	}
+	w.disconnected = false
+	uptime := time.Duration(welcome.UptimeMillis) * time.Millisecond
+	f.log.Debug().Str("worker", w.Name).Dur("up", uptime).Msg("connected")
+	info, restarted := f.incarnations.ObserveConnection(now, id, welcome.Incarnation, uptime)
+	if restarted && w.state == scheduler.Ready {
+		f.log.Info().Str("worker", w.Name).Dur("up", uptime).Msg("started anew, by its own word")
+		f.scheduler.WorkersChanged(now, []scheduler.WorkerInfo{info}, false)
+	}
+	f.runDeferred()
+}
+
+// WorkerDisconnected notes that there is no connection to a worker. The scheduler learns it from the attempts.
+func (f *FrontEnd) WorkerDisconnected(now time.Duration, id scheduler.WorkerID, cause error) {
+	f.now = now
+	w := f.workers[id]
+	if w == nil || w.disconnected {
+		return
+	}
+	w.disconnected = true
+	f.log.Warn().Str("worker", w.Name).Err(cause).Msg("no connection")
+}
+
+// CheckHealth implements scheduler.Actions: it asks a worker for its load.
+func (f *FrontEnd) CheckHealth(id scheduler.WorkerID) {
+	w := f.workers[id]
+	if w == nil {
+		return
+	}
+	f.counts.HealthChecks++
+	w.healthChecks = append(w.healthChecks, f.now)
+	w.client.CheckHealth()
+}
+
+// HealthChecked takes the response to a worker's oldest health check.
+func (f *FrontEnd) HealthChecked(now time.Duration, id scheduler.WorkerID, status scheduler.Status, loadReport []float64) {
+	f.now = now
+	w := f.workers[id]
+	if w == nil || len(w.healthChecks) == 0 {
+		return
+	}
+	sentAt := w.healthChecks[0]
+	w.healthChecks = w.healthChecks[1:]
+	f.scheduler.HealthChecked(now, scheduler.HealthCheckResult{
+		Worker:     id,
+		Status:     status,
+		Latency:    now - sentAt,
+		LoadReport: loadReport,
+	})
+	f.runDeferred()
+}
