--- /dev/null
+++ b/internal/gateway/catalog.go
@@ -0,0 +1,120 @@
+package gateway
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"havencart/internal/config/gatewayconfig"
+	"havencart/internal/native/httpserver"
+	"havencart/internal/native/muxframe"
+)
+
+// Catalog is what the settings say of classes, tenants and functions, by name. It does not change: its methods may be
+// called from any goroutine.
+type Catalog struct {
+	Classes    []CatalogClass // in the order of Settings.Classes
+	Tenants    []string       // in the order of Settings.Tenants
+	Functions  map[string]CatalogFunction
+	ListedOnly bool // requests for other functions are invalid
+}
+
+// CatalogClass is a class as clients name it, with defaults for its functions.
+type CatalogClass struct {
+	Name       string
+	MaxTimeout time.Duration // where a request gives none, and at most
+	Replica    muxframe.ReplicaSpec
+}
+
+// CatalogFunction is a function that the settings list.
+type CatalogFunction struct {
+	Class   int // index into Catalog.Classes
+	Replica muxframe.ReplicaSpec
+}
+
+// UnknownNameError is returned for a request that names something that the settings do not list. Clients receive its
+// text.
+type UnknownNameError struct {
+	Kind string // "function", "class" or "tenant"
+	Name string
+}
+
+// Error implements error.
+func (e *UnknownNameError) Error() string { return fmt.Sprintf("no %s %q", e.Kind, e.Name) }
+
+// ClassMismatchError is returned for a request that gives a listed function another class. Clients receive its text.
+type ClassMismatchError struct{ Function, Class string }
+
+// Error implements error.
+func (e *ClassMismatchError) Error() string {
+	return fmt.Sprintf("function %q is not of class %q", e.Function, e.Class)
+}
+
+// NewCatalog returns what the settings say of classes, tenants and functions.
+func NewCatalog(set *gatewayconfig.Settings) *Catalog {
+	catalog := &Catalog{Functions: map[string]CatalogFunction{}, ListedOnly: set.FunctionsOnly}
+	for _, class := range set.Classes {
+		catalog.Classes = append(catalog.Classes, CatalogClass{
+			Name: class.Name, MaxTimeout: class.GiveUp,
+			Replica: replicaSpec(class.Size, class.Lanes, class.Load),
+		})
+	}
+	for _, tenant := range set.Tenants {
+		catalog.Tenants = append(catalog.Tenants, tenant.Name)
+	}
+	for _, function := range set.Functions {
+		catalog.Functions[function.Name] = CatalogFunction{
+			Class:   max(0, set.Class(function.Class)),
+			Replica: replicaSpec(function.Size, function.Lanes, function.Load),
+		}
+	}
+	return catalog
+}
+
+// Resolve fills in a request's class, tenant, timeout and replica specification. An error means that the request is
+// invalid; it is an *UnknownNameError or a *ClassMismatchError.
+func (k *Catalog) Resolve(in *httpserver.Request, request *Request) error {
+	function, listed := k.Functions[in.Function]
+	if !listed && k.ListedOnly {
+		return &UnknownNameError{Kind: "function", Name: in.Function}
+	}
+	request.Class = function.Class
+	if in.Class != "" {
+		class := slices.IndexFunc(k.Classes, func(c CatalogClass) bool { return c.Name == in.Class })
+		if class < 0 {
+			return &UnknownNameError{Kind: "class", Name: in.Class}
+		}
+		if listed && class != function.Class {
+			return &ClassMismatchError{Function: in.Function, Class: in.Class}
+		}
+		request.Class = class
+	}
+	if in.Tenant != "" {
+		tenant := slices.Index(k.Tenants, in.Tenant)
+		if tenant < 0 {
+			return &UnknownNameError{Kind: "tenant", Name: in.Tenant}
+		}
+		request.Tenant = tenant
+	}
+	class := k.Classes[request.Class]
+	request.Timeout = class.MaxTimeout
+	if in.Timeout > 0 {
+		request.Timeout = min(request.Timeout, in.Timeout)
+	}
+	request.Replica = muxframe.ReplicaSpec{
+		Function:    in.Function,
+		MemoryMB:    cmp.Or(function.Replica.MemoryMB, in.MemoryMB, class.Replica.MemoryMB),
+		Concurrency: cmp.Or(function.Replica.Concurrency, in.Concurrency, class.Replica.Concurrency),
+		LoadMillis:  cmp.Or(function.Replica.LoadMillis, millis(in.LoadTime), class.Replica.LoadMillis),
+	}
+	return nil
+}
+
+// millis is a duration in milliseconds.
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+// replicaSpec is the specification of a replica without its function.
+func replicaSpec(memoryMB, concurrency int, loadTime time.Duration) muxframe.ReplicaSpec {
+	return muxframe.ReplicaSpec{MemoryMB: float64(memoryMB), Concurrency: concurrency, LoadMillis: millis(loadTime)}
+}
--- /dev/null
+++ b/internal/gateway/events.go
@@ -0,0 +1,64 @@
+package gateway
+
+import (
+	"time"
+
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+// discoveryEvents posts what endpoint discovery reports. It is a discovery.Sink.
+type discoveryEvents struct{ loop *EventLoop }
+
+// EndpointsChanged implements discovery.Sink.
+func (e discoveryEvents) EndpointsChanged(list []discovery.Worker) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.EndpointsChanged(now, list) })
+}
+
+// WatchFailed implements discovery.Sink.
+func (e discoveryEvents) WatchFailed(err error) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.WatchFailed(now, err) })
+}
+
+// workerEvents posts what one worker client reports. It is a muxclient.Events, called from the client's goroutines.
+type workerEvents struct {
+	loop   *EventLoop
+	worker scheduler.WorkerID
+}
+
+// ResponseStarted implements muxclient.Events.
+func (e workerEvents) ResponseStarted(a *muxclient.Attempt, r muxclient.Result) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.ResponseStarted(now, a, r) })
+}
+
+// AttemptEnded implements muxclient.Events.
+func (e workerEvents) AttemptEnded(a *muxclient.Attempt, r muxclient.Result) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.AttemptEnded(now, a, r) })
+}
+
+// LoadEnded implements muxclient.Events.
+func (e workerEvents) LoadEnded(o *muxclient.LoadOrder, status scheduler.Status, replicas int) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.LoadEnded(now, o, status, replicas) })
+}
+
+// HealthChecked implements muxclient.Events.
+func (e workerEvents) HealthChecked(status scheduler.Status, loadReport []float64) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.HealthChecked(now, e.worker, status, loadReport) })
+}
+
+// Connected implements muxclient.Events.
+func (e workerEvents) Connected(welcome muxframe.Welcome) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.WorkerConnected(now, e.worker, welcome) })
+}
+
+// Disconnected implements muxclient.Events.
+func (e workerEvents) Disconnected(cause error) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.WorkerDisconnected(now, e.worker, cause) })
+}
+
+// LateResponse implements muxclient.Events.
+func (e workerEvents) LateResponse(uint32) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.LateResponse(now) })
+}
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -22,7 +22,27 @@
 	"havencart/scheduler"
 )
 
-// Relay is a front end on the users' platform: one Loop, their protocol before and behind it.
+// The bounds of a platform server, beside those of its configuration.
+const (
+	platformRequestQueue   = 1024                   // requests that wait for the event loop; more are rejected at once
+	platformEventQueue     = 1024                   // events that wait for it; beyond, worker clients stop reading
+	platformMaxInFlight    = 4096                   // requests; more are rejected at once
+	platformDeadlineMargin = 15 * time.Millisecond  // the final response is due this long before the client gives up
+	platformMaxResponse    = 64 << 10               // bytes of a worker's response
+	platformMaxUnsent      = 256 << 10              // bytes of responses that a client has not read
+	platformWriteTimeout   = 2 * time.Second        // that a client may stall while a response is written to it
+	platformMaxOpen        = 32                     // requests of one connection in flight, by the platform's rules
+	platformAcceptGrace    = 700 * time.Millisecond // after a shutdown has begun, clients are still accepted for this long
+	platformMaxShutdown    = 3 * time.Second        // bounds the longest deadline at a shutdown, counted from the last accept
+	platformAcceptRest     = 100 * time.Millisecond // by which the last clients within platformAcceptGrace may be late
+	platformLogInterval    = 5 * time.Second        // between two log lines of the totals
+	memoryLimitFraction    = 0.7                    // of the memory, from which the runtime collects harder
+	bodyMemoryFraction     = 0.25                   // of the memory, for bodies of requests in flight
+	bytesPerMB             = 1 << 20
+)
+
+// PlatformServer is a front end on the users' platform: one event loop, with the platform's protocols towards clients,
+// workers and endpoint discovery. Its methods may be called from any goroutine; Run once.
 type PlatformServer struct {
 	config    *platformconfig.Relay
 	log       zerolog.Logger
@@ -31,108 +51,167 @@
 	clients   *rpcserver.Server
 	endpoints *discovery.EndpointStream
 	budget    *workerclient.ConnectionBudget
-	draining  atomic.Bool
+	draining  atomic.Bool                 // the shutdown has begun
 	after     func(time.Duration, func()) // calls a function later; tests do so by hand
-
 	recentIDs recentIDs
-	bodyBytes atomic.Int64 // bytes of the requests in hand
+	bodyBytes atomic.Int64 // of the requests in flight
 }
 
-// The bounds of a relay, beside those of its settings.
-const (
-	platformRequestQueue   = 1024                   // arrivals that wait for the loop; more are refused at once
-	platformEventQueue     = 1024                   // events from links that wait; beyond, links stop reading
-	platformMaxInFlight    = 4096                   // calls in hand; more are refused at once
-	platformDeadlineMargin = 15 * time.Millisecond  // the final answer is due this long before the client gives up
-	platformMaxResponse    = 64 << 10               // bytes of a worker's answer
-	platformMaxUnsent      = 256 << 10              // bytes of answers that a client has not taken
-	platformWriteTimeout   = 2 * time.Second        // that a client may stand still while it is answered
-	platformMaxOpen        = 32                     // requests of one connection, by the platform's page
-	platformAcceptGrace    = 700 * time.Millisecond // that clients go on coming after a stop was asked for
-	platformMaxShutdown    = 3 * time.Second        // that the longest deadline counts for at a stop, from when the last clients came
-	platformAcceptRest     = 100 * time.Millisecond // before the end of relayComing clients came last; for as long they may be late
-	platformLogInterval    = 5 * time.Second        // between two lines of the totals
-	memoryLimitFraction    = 0.7                    // of the limit, from which the runtime collects harder
-	bodyMemoryFraction     = 0.25                   // of the limit, for bodies of requests in hand; more are refused at once
-)
-
-// NewRelay prepares a front end and begins to listen; Run serves.
-func NewPlatformServer(set *platformconfig.Relay, log zerolog.Logger) (*PlatformServer, error) {
-	runtime.GOMAXPROCS(max(1, int(set.Cores+0.5)))
-	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(set.MemoryMB) * (1 << 20)))
+// NewPlatformServer prepares a front end and opens its listener, which Run closes. It sets limits of the whole
+// process: the processors and the memory that the runtime uses.
+func NewPlatformServer(config *platformconfig.Relay, log zerolog.Logger) (*PlatformServer, error) {
+	runtime.GOMAXPROCS(max(1, int(config.Cores+0.5)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(config.MemoryMB) * bytesPerMB))
 	log = sampled(log)
-	clients, workers := connadmission.SplitDescriptors(set.Sockets)
-	r := &PlatformServer{config: set, log: log, budget: workerclient.NewConnectionBudget(workers),
-		after: func(d time.Duration, f func()) { time.AfterFunc(d, f) }}
+	clientConns, workerConns := connadmission.SplitDescriptors(config.Sockets)
+	p := &PlatformServer{
+		config: config,
+		log:    log,
+		budget: workerclient.NewConnectionBudget(workerConns),
+		after:  func(d time.Duration, f func()) { time.AfterFunc(d, f) },
+	}
+	site := config.Site
 	var err error
-	site := set.Site
-	if r.endpoints, err = discovery.NewEndpointStream(set.Bulletin, set.Known, site.Zones, site.Kinds, set.Seed); err != nil {
+	p.endpoints, err = discovery.NewEndpointStream(config.Bulletin, config.Known, site.Zones, site.Kinds, config.Seed)
+	if err != nil {
 		return nil, err
 	}
-	if r.listener, err = net.Listen("tcp", set.Listen); err != nil {
+	p.listener, err = net.Listen("tcp", config.Listen)
+	if err != nil {
 		return nil, fmt.Errorf("clients' listener: %w", err)
 	}
+	p.clients = rpcserver.New(rpcserver.Config{
+		Rules:    clientRules(config.Site),
+		MaxConns: clientConns,
+		MaxOpen:  platformMaxOpen,
+		MaxOut:   platformMaxUnsent,
+		Write:    platformWriteTimeout,
+		Rest:     platformAcceptRest,
+		Wrote:    func(took time.Duration) { p.loop.ObserveLag(took) },
+	}, p, log)
+	p.loop = NewEventLoop(p.loopConfig(), log)
+	return p, nil
+}
+
+// clientRules are the names and bounds of what clients may ask.
+func clientRules(site platformconfig.Site) rpcserver.Rules {
 	rules := rpcserver.Rules{Tenants: site.Tenants, MemoryMB: site.MemoryMB}
-	for i, c := range site.Control.Classes {
-		rules.Classes = append(rules.Classes, rpcserver.Class{Name: site.Classes[i], MaxTimeout: c.Timeout,
-			RequiresKey: c.Idempotency == scheduler.IdempotentByKey})
+	for i, class := range site.Control.Classes {
+		rules.Classes = append(rules.Classes, rpcserver.Class{
+			Name:        site.Classes[i],
+			MaxTimeout:  class.Timeout,
+			RequiresKey: class.Idempotency == scheduler.IdempotentByKey,
+		})
 	}
-	r.clients = rpcserver.New(rpcserver.Config{Rules: rules, MaxConns: clients, MaxOpen: platformMaxOpen, MaxOut: platformMaxUnsent,
-		Write: platformWriteTimeout, Rest: platformAcceptRest, Wrote: func(took time.Duration) { r.loop.ObserveLag(took) }}, r, log)
-	r.loop = NewEventLoop(r.loopConfig(), log)
-	return r, nil
+	return rules
 }
 
-func (r *PlatformServer) loopConfig() EventLoopConfig {
-	site := r.config.Site
-	return EventLoopConfig{Source: r.endpoints, RequestQueue: platformRequestQueue, EventQueue: platformEventQueue, Dial: r.newWorkerClient,
+func (p *PlatformServer) loopConfig() EventLoopConfig {
+	site := p.config.Site
+	return EventLoopConfig{
+		Source:          p.endpoints,
+		RequestQueue:    platformRequestQueue,
+		EventQueue:      platformEventQueue,
+		Dial:            p.newWorkerClient,
 		ShutdownTimeout: max(platformAcceptRest, min(site.Longest(), platformMaxShutdown)-platformAcceptRest),
-		Settings: Settings{Name: r.config.Name, Classes: site.Classes, Tenants: site.Tenants, Zones: site.Zones,
-			Scheduler: site.Control, DeadlineMargin: platformDeadlineMargin, MaxInFlight: min(platformMaxInFlight, site.MaxCalls), ClockStart: time.Now()}}
+		Settings: Settings{
+			Name:           p.config.Name,
+			Classes:        site.Classes,
+			Tenants:        site.Tenants,
+			Zones:          site.Zones,
+			Scheduler:      site.Control,
+			DeadlineMargin: platformDeadlineMargin,
+			MaxInFlight:    min(platformMaxInFlight, site.MaxCalls),
+			ClockStart:     time.Now(),
+		},
+	}
 }
 
-// dial is the way to a worker in the platform's protocol.
-func (r *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) ClosableWorkerClient {
-	site := r.config.Site
-	return workerclient.New(workerclient.Config{Worker: w.Name, Address: w.Address, ConnectTimeout: site.Control.ConnectTimeout,
-		StreamsPerConnection: site.Streams, IdleTimeout: site.ConnIdle, MaxQueue: workerQueue, MaxResponse: platformMaxResponse, LoadReportFields: site.Control.LoadReportFields,
-		Budget: r.budget, Seed: site.Control.Seed ^ uint64(id), Now: now}, events)
+// newWorkerClient starts a client of a worker in the platform's protocol. It is a Dial.
+func (p *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) ClosableWorkerClient {
+	site := p.config.Site
+	return workerclient.New(workerclient.Config{
+		Worker:               w.Name,
+		Address:              w.Address,
+		ConnectTimeout:       site.Control.ConnectTimeout,
+		StreamsPerConnection: site.Streams,
+		IdleTimeout:          site.ConnIdle,
+		MaxQueue:             workerQueue,
+		MaxResponse:          platformMaxResponse,
+		LoadReportFields:     site.Control.LoadReportFields,
+		Budget:               p.budget,
+		Seed:                 site.Control.Seed ^ uint64(id),
+		Now:                  now,
+	}, events)
 }
 
-// Address is where clients connect.
-func (r *PlatformServer) Address() string { return r.listener.Addr().String() }
+// Address returns where clients connect.
+func (p *PlatformServer) Address() string { return p.listener.Addr().String() }
 
-// Ready implements callrpc.Handler.
-func (r *PlatformServer) Ready() bool { return !r.draining.Load() }
+// Ready implements rpcserver.Handler: it is true until the shutdown begins.
+func (p *PlatformServer) Ready() bool { return !p.draining.Load() }
 
-// Take implements callrpc.Handler.
-func (r *PlatformServer) Handle(in *rpcserver.Request, answer func(rpcserver.Response)) (leave func(), err error) {
-	if !r.recentIDs.admit(in.ID) {
+// Handle implements rpcserver.Handler. An error wraps rpcserver.ErrProtocol.
+func (p *PlatformServer) Handle(in *rpcserver.Request, respond func(rpcserver.Response)) (disconnect func(), err error) {
+	if !p.recentIDs.admit(in.ID) {
 		return nil, fmt.Errorf("%w: id %s was used before", rpcserver.ErrProtocol, in.ID)
 	}
 	size := int64(len(in.Body))
-	over := sync.OnceFunc(func() { // its final answer, or its client's leaving, whichever comes first
-		r.recentIDs.release(in.ID)
-		r.bodyBytes.Add(-size)
+	release := sync.OnceFunc(func() { // by the final response or the client's disconnect, whichever comes first
+		p.recentIDs.release(in.ID)
+		p.bodyBytes.Add(-size)
 	})
-	request := NewRequestTo(func(f FinalResponse) {
-		over()
-		answer(f.rpcResponse())
+	request := NewRequestTo(func(response FinalResponse) {
+		release()
+		respond(response.rpcResponse())
 	})
-	request.ID, request.Class, request.Tenant, request.IdempotencyKey, request.WorkEstimate, request.Body = in.ID, in.Class, in.Tenant, in.IdempotencyKey, in.WorkEstimate, in.Body
-	request.Timeout, request.StartedAt = in.Timeout, in.ReceivedAt.Sub(r.loop.cfg.ClockStart)
-	request.Replica = muxframe.ReplicaSpec{Function: in.Function, MemoryMB: in.MemoryMB, Concurrency: in.Concurrency, LoadMillis: millis(in.LoadTime)}
-	if r.bodyBytes.Add(size) > int64(bodyMemoryFraction*float64(r.config.MemoryMB)*(1<<20)) {
-		request.complete(FinalResponse{Kind: Rejected, Reason: "too much in hand", RetryAfter: r.config.Site.Control.MaxRetryAfter})
+	p.fill(request, in)
+	if p.bodyBytes.Add(size) > p.maxBodyBytes() {
+		request.complete(FinalResponse{
+			Kind:       Rejected,
+			Reason:     TooManyBodyBytes.String(),
+			RetryAfter: p.config.Site.Control.MaxRetryAfter,
+		})
 		return func() {}, nil
 	}
-	r.loop.Submit(request)
-	return func() { over(); r.loop.Disconnect(request) }, nil
+	p.loop.Submit(request)
+	return func() {
+		release()
+		p.loop.Disconnect(request)
+	}, nil
 }
 
-var rpcKinds = map[ResponseKind]rpcserver.ResponseKind{Served: rpcserver.Served, Rejected: rpcserver.Rejected, Failed: rpcserver.Failed}
+// fill copies what a client sent to a request.
+func (p *PlatformServer) fill(request *Request, in *rpcserver.Request) {
+	request.ID = in.ID
+	request.Class = in.Class
+	request.Tenant = in.Tenant
+	request.IdempotencyKey = in.IdempotencyKey
+	request.WorkEstimate = in.WorkEstimate
+	request.Body = in.Body
+	request.Timeout = in.Timeout
+	request.StartedAt = in.ReceivedAt.Sub(p.loop.cfg.ClockStart)
+	request.Replica = muxframe.ReplicaSpec{
+		Function:    in.Function,
+		MemoryMB:    in.MemoryMB,
+		Concurrency: in.Concurrency,
+		LoadMillis:  millis(in.LoadTime),
+	}
+}
+
+// maxBodyBytes bounds the bodies of the requests in flight; beyond, requests are rejected at once.
+func (p *PlatformServer) maxBodyBytes() int64 {
+	return int64(bodyMemoryFraction * float64(p.config.MemoryMB) * bytesPerMB)
+}
+
+// rpcKinds are the kinds of final responses as the platform's clients receive them.
+var rpcKinds = map[ResponseKind]rpcserver.ResponseKind{
+	Served:   rpcserver.Served,
+	Rejected: rpcserver.Rejected,
+	Failed:   rpcserver.Failed,
+}
 
-// rpc is a final answer as the platform's clients have it.
+// rpcResponse is a final response as the platform's clients receive it.
 func (f FinalResponse) rpcResponse() rpcserver.Response {
 	out := rpcserver.Response{Kind: rpcKinds[f.Kind], RetryAfter: f.RetryAfter}
 	if f.Response != nil {
@@ -141,55 +220,60 @@
 	return out
 }
 
-// Follow makes the relay go by a configuration read anew. Only the bulletin's address can change while it runs; a
-// configuration of another deployment changes nothing.
-func (r *PlatformServer) Reload(set *platformconfig.Relay) {
-	if field := r.config.Differs(set); field != "" {
-		r.log.Error().Str("field", field).Msg("the configuration stays as it was: the new one is of another front end")
+// Reload takes a configuration that was read again. Only the address of endpoint discovery can change while the server
+// runs; a configuration of another deployment changes nothing.
+func (p *PlatformServer) Reload(config *platformconfig.Relay) {
+	if field := p.config.Differs(config); field != "" {
+		p.log.Error().Str("field", field).Msg("the configuration stays as it was: the new one is of another front end")
 		return
 	}
-	r.log.Info().Str("bulletin", set.Bulletin).Msg("configuration read anew")
-	r.endpoints.SetAddress(set.Bulletin)
+	p.log.Info().Str("bulletin", config.Bulletin).Msg("configuration read anew")
+	p.endpoints.SetAddress(config.Bulletin)
 }
 
-// Run serves until ctx ends. Then clients that still come are served for a while, and after that nothing new is
-// taken, what is in hand gets its final answer, and Run returns the totals.
-func (r *PlatformServer) Run(ctx context.Context) (Counts, error) {
-	serving, stop := context.WithCancel(context.Background())
-	defer stop()
-	defer context.AfterFunc(ctx, func() {
-		r.draining.Store(true)
-		r.log.Info().Msg("stopping")
-		r.after(platformAcceptGrace, func() {
-			stop()
-			r.clients.Finish()
-		})
-	})()
-	looking, done := context.WithCancel(context.Background())
-	defer done()
-	var telling sync.WaitGroup
-	telling.Go(func() { r.logTotals(looking) })
+// Run serves until ctx ends, then shuts down gracefully: clients are accepted for platformAcceptGrace more, and after
+// that nothing new is; what is in flight gets its final response, and Run returns the totals. All goroutines of the
+// server have ended then.
+func (p *PlatformServer) Run(ctx context.Context) (Counts, error) {
+	loopCtx, stopLoop := context.WithCancel(context.Background())
+	defer stopLoop()
+	stopShutdown := context.AfterFunc(ctx, func() { p.beginShutdown(stopLoop) })
+	defer stopShutdown()
+	serveCtx, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
+	var logging sync.WaitGroup
+	logging.Go(func() { p.logTotals(serveCtx) })
 	accepted := make(chan error, 1)
 	go func() {
-		err := r.clients.Serve(looking, r.listener)
+		err := p.clients.Serve(serveCtx, p.listener)
 		if err != nil {
-			stop() // nobody can come any longer: better none than one that serves nobody
+			stopLoop() // no client can connect any longer: better no front end than one that serves nobody
 		}
 		accepted <- err
 	}()
-	counts, clean := r.loop.Run(serving)
+	counts, clean := p.loop.Run(loopCtx)
 	err := <-accepted
-	done()
-	r.clients.Shutdown()
-	telling.Wait()
+	stopServing()
+	p.clients.Shutdown()
+	logging.Wait()
 	if !clean {
-		r.log.Warn().Msg("stopped with calls in hand; each got its final answer")
+		p.log.Warn().Msg("stopped with calls in hand; each got its final answer")
 	}
 	return counts, err
 }
 
-// tell logs now and then how the front end stands.
-func (r *PlatformServer) logTotals(ctx context.Context) {
+// beginShutdown fails heartbeats at once, and after platformAcceptGrace ends the accepting and the event loop.
+func (p *PlatformServer) beginShutdown(stopLoop func()) {
+	p.draining.Store(true)
+	p.log.Info().Msg("stopping")
+	p.after(platformAcceptGrace, func() {
+		stopLoop()
+		p.clients.Finish()
+	})
+}
+
+// logTotals logs the totals at regular intervals until ctx ends.
+func (p *PlatformServer) logTotals(ctx context.Context) {
 	ticker := time.NewTicker(platformLogInterval)
 	defer ticker.Stop()
 	for {
@@ -197,12 +281,17 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
+			p.logTotalsOnce()
 		}
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		r.log.Info().Interface("counts", r.loop.Counts()).Interface("clients", r.clients.Counts()).
-			Int("client-connections", r.clients.Conns()).Int("worker-connections", r.budget.Used()).
-			Int("goroutines", runtime.NumGoroutine()).Uint64("heap-kb", m.HeapAlloc>>10).Uint64("sys-kb", m.Sys>>10).
-			Msg("standing")
 	}
 }
+
+// logTotalsOnce logs the totals and what the process uses.
+func (p *PlatformServer) logTotalsOnce() {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	p.log.Info().Interface("counts", p.loop.Counts()).Interface("clients", p.clients.Counts()).
+		Int("client-connections", p.clients.Conns()).Int("worker-connections", p.budget.Used()).
+		Int("goroutines", runtime.NumGoroutine()).Uint64("heap-kb", memory.HeapAlloc>>10).Uint64("sys-kb", memory.Sys>>10).
+		Msg("standing")
+}
--- a/internal/gateway/recent_ids.go
+++ b/internal/gateway/recent_ids.go
@@ -2,40 +2,46 @@
 
 import "sync"
 
-// idsKept is how many ids of calls that were taken are remembered at least; twice as many at most, and the oldest are
-// forgotten first.
+// idsPerGeneration is how many identifiers of admitted requests are remembered at least; twice as many at most, and
+// the oldest are forgotten first.
 const idsPerGeneration = 4096
 
-// ids knows the ids of the calls in hand, and of those taken last. Clients make a new one for each request; one that
-// comes again is not asked by a client that keeps to the protocol. It guards against clients that send the same
-// again as soon as it is turned away, whose calls would count as demand. It would harm a client whose request came
-// whole on a connection that was closed on it, and that sends it anew.
+// recentIDs knows the identifiers of the requests in flight, and of those admitted last. Clients make a new one for
+// each request. It guards against clients that send the same request again as soon as it is rejected, whose requests
+// would count as demand. A client whose request was received whole on a connection that was then closed, and that
+// sends it anew, would be harmed by it. Its methods may be called from any goroutine.
 type recentIDs struct {
-	mu                sync.Mutex
-	inFlight          map[string]bool // bounded by MaxCalls of the Front and the loop's queue
-	current, previous map[string]bool // taken last, bounded by idsKept each
+	mu       sync.Mutex
+	inFlight map[string]bool // bounded by Settings.MaxInFlight and the event loop's queue
+	current  map[string]bool // admitted last, bounded by idsPerGeneration
+	previous map[string]bool // admitted before those of current, bounded likewise
 }
 
-// take notes an id, and says whether it is new.
-func (x *recentIDs) admit(id string) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.inFlight[id] || x.current[id] || x.previous[id] {
+// admit notes an identifier and reports whether it is new.
+func (r *recentIDs) admit(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.known(id) {
 		return false
 	}
-	if x.inFlight == nil {
-		x.inFlight = map[string]bool{}
+	if r.inFlight == nil {
+		r.inFlight = map[string]bool{}
 	}
-	if x.current == nil || len(x.current) >= idsPerGeneration {
-		x.current, x.previous = make(map[string]bool, idsPerGeneration), x.current
+	if r.current == nil || len(r.current) >= idsPerGeneration {
+		r.previous = r.current
+		r.current = make(map[string]bool, idsPerGeneration)
 	}
-	x.inFlight[id], x.current[id] = true, true
+	r.inFlight[id] = true
+	r.current[id] = true
 	return true
 }
 
-// end notes that a call is in hand no longer.
-func (x *recentIDs) release(id string) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	delete(x.inFlight, id)
+// known reports whether an identifier is remembered.
+func (r *recentIDs) known(id string) bool { return r.inFlight[id] || r.current[id] || r.previous[id] }
+
+// release notes that a request is no longer in flight.
+func (r *recentIDs) release(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.inFlight, id)
 }
--- /dev/null
+++ b/internal/gateway/service_settings.go
@@ -0,0 +1,112 @@
+package gateway
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"havencart/internal/config/gatewayconfig"
+	"havencart/internal/decide/tenancy"
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/shadow"
+	"havencart/scheduler"
+)
+
+// loadReportFields are the values of a load report that workers are asked for.
+var loadReportFields = []string{"queue"}
+
+// eventQueue bounds the events that wait for a loop; beyond, worker clients stop reading.
+const eventQueue = 4096
+
+// workerQueue bounds what waits to be sent to one worker.
+const workerQueue = 4096
+
+// loopConfig is the configuration of the process's event loop i.
+func loopConfig(set *gatewayconfig.Settings, i int, clockStart time.Time) EventLoopConfig {
+	cfg := EventLoopConfig{
+		Settings:        FrontEndSettings(set, i, clockStart, rand.Uint64()),
+		RequestQueue:    set.Queue,
+		EventQueue:      eventQueue,
+		ShutdownTimeout: set.StopWait,
+		WorkerClient:    muxclient.Config{ConnectTimeout: set.ConnectTimeout, Window: set.Window, MaxQueue: workerQueue},
+	}
+	if set.Directory.Kind == "file" {
+		cfg.Source = discovery.NewFile(set.Directory.Where)
+	} else {
+		cfg.Source = discovery.NewConsul(set.Directory.Where, set.Directory.Service, cfg.Name)
+	}
+	return cfg
+}
+
+// FrontEndSettings returns the settings of the process's front end i, whose clock starts at a wall time and whose
+// random numbers are drawn from seed.
+func FrontEndSettings(set *gatewayconfig.Settings, i int, clockStart time.Time, seed uint64) Settings {
+	out := Settings{
+		Name:           fmt.Sprintf("%s-%d", set.Name, set.First+i),
+		DeadlineMargin: set.AnswerMargin,
+		MaxInFlight:    set.MaxCalls,
+		ClockStart:     clockStart,
+		Zones:          append([]string{set.Zone}, set.Zones...),
+		Scheduler:      schedulerSettings(set, i, seed),
+		Tenancy:        tenancySettings(set),
+	}
+	for _, class := range set.Classes {
+		out.Classes = append(out.Classes, class.Name)
+	}
+	for _, tenant := range set.Tenants {
+		out.Tenants = append(out.Tenants, tenant.Name)
+	}
+	if shadowed, interval := set.Watched(); shadowed != nil {
+		out.Shadow = &shadow.Settings{Scheduler: schedulerSettings(shadowed, i, seed), SampleInterval: interval}
+	}
+	return out
+}
+
+// tenancySettings are what the tenants were promised of one front end: of quotas its part, of shares all.
+func tenancySettings(set *gatewayconfig.Settings) tenancy.Settings {
+	out := tenancy.Settings{By: set.Shares}
+	for _, tenant := range set.Tenants {
+		out.Shares = append(out.Shares, tenant.Share)
+		out.Quotas = append(out.Quotas, tenant.Quota/float64(max(1, set.FrontEnds)))
+	}
+	return out
+}
+
+// schedulerSettings are the scheduler's own settings for the process's front end i.
+func schedulerSettings(set *gatewayconfig.Settings, i int, seed uint64) scheduler.Settings {
+	out := scheduler.Settings{
+		Seed:                seed,
+		FrontEndIndex:       set.First + i,
+		FrontEndCount:       set.FrontEnds,
+		AnswersNotLoaded:    set.MissAnswered,
+		LoadOrdersAllowed:   set.Orders,
+		ReportsColdStart:    set.TellsWarm,
+		ReportsQueueDepth:   set.TellsCrowd,
+		ReplicaIdleTimeout:  set.KeepAlive,
+		LoadOrderTimeout:    set.OrderTimeout,
+		LoadRateWindow:      set.LoadWindow,
+		LoadRateBurst:       set.LoadFree,
+		LoadRatePerRequest:  set.LoadShare,
+		HealthChecksAllowed: set.Probes,
+		CancelAllowed:       set.Cancel,
+		MaxAttempts:         set.MaxAttempts,
+		MaxRetryAfter:       set.Advice(),
+		ConnectTimeout:      set.ConnectTimeout,
+		DrainGrace:          set.DrainGrace,
+		SlowStartFraction:   set.ColdFrom,
+		SlowStartDuration:   set.ColdTime,
+		OverloadFactor:      set.TipMultiple,
+		OverloadWindow:      set.TipWindow,
+		Resolution:          time.Millisecond,
+		LoadReportFields:    loadReportFields,
+		ScaleIsCapacity:     set.Sized,
+	}
+	for _, class := range set.Classes {
+		out.Classes = append(out.Classes, class.Control())
+	}
+	for _, tenant := range set.Tenants {
+		out.Tenants = append(out.Tenants, scheduler.Tenant{Share: tenant.Share, Quota: tenant.Quota})
+	}
+	return out
+}
