--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -45,7 +45,7 @@
 func (f *FrontEnd) Send(id scheduler.RequestID, to scheduler.WorkerID, until time.Duration) {
 	request := f.requests[id]
 	if request == nil {
-		f.log.Error().Uint32("request", uint32(id)).Msg("send of a call that is not in hand")
+		f.log.Error().Uint32("request", uint32(id)).Msg("scheduler sent a request that is not in flight")
 		return
 	}
 	if until <= 0 || until > request.deadline {
--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -83,8 +83,8 @@
 // event loop that lags has left. One that does not lag never needs it.
 func (f *FrontEnd) answerPastDeadline(request *Request) {
 	f.counts.PastDeadline++
-	f.log.Warn().Str("call", request.ID).Str("function", request.Replica.Function).Int("attempts", request.attempts).
-		Msg("answer overdue")
+	f.log.Warn().Str("request", request.ID).Str("function", request.Replica.Function).Int("attempts", request.attempts).
+		Msg("request past its deadline answered by the gateway")
 	f.abort(request, NoResponse)
 }
 
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"strconv"
 	"time"
 
 	"havencart/internal/discovery"
@@ -23,7 +24,7 @@
 	for _, entry := range list {
 		id := WorkerID(entry.Name)
 		if listed[id] {
-			f.log.Error().Str("worker", entry.Name).Msg("two workers' names have one hash; this one is left out")
+			f.log.Error().Str("worker", entry.Name).Msg("worker ignored: its name has the same identifier as another worker's")
 			continue
 		}
 		listed[id] = true
@@ -87,7 +88,7 @@
 	if w.state == state {
 		return
 	}
-	f.log.Info().Str("worker", w.Name).Int("state", int(state)).Msg("listed anew")
+	f.log.Info().Str("worker", w.Name).Str("state", workerStateName(state)).Msg("worker state changed")
 	previous := w.state
 	w.state = state
 	switch {
@@ -98,6 +99,19 @@
 	}
 }
 
+// workerStateName is a worker's state as logs have it.
+func workerStateName(state scheduler.WorkerState) string {
+	switch state {
+	case scheduler.Ready:
+		return "ready"
+	case scheduler.Draining:
+		return "draining"
+	case scheduler.Removed:
+		return "removed"
+	}
+	return strconv.Itoa(int(state))
+}
+
 // drainClient closes a worker's client for new work; what was not sent yet ends as that.
 func (f *FrontEnd) drainClient(w *worker) {
 	attempts, orders := w.client.Drain(f.settings.Scheduler.DrainGrace)
@@ -149,7 +163,7 @@
 // WatchFailed takes the failure to receive the list: the previous one stays in force.
 func (f *FrontEnd) WatchFailed(now time.Duration, cause error) {
 	f.now = now
-	f.log.Warn().Err(cause).Msg("no list of workers; the one of before stays in force")
+	f.log.Warn().Err(cause).Msg("endpoint watch failed, the previous endpoint list stays in force")
 	f.scheduler.WatchFailed(now)
 	f.runDeferred()
 }
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -175,8 +175,8 @@
 
 // logShadowDifference logs a decision in which the shadow settings diverge.
 func (f *FrontEnd) logShadowDifference(kind string) {
-	f.log.Info().Str("otherwise", kind).Msg("the watched settings would have decided otherwise")
+	f.log.Info().Str("decision", kind).Msg("shadow settings would have decided differently")
 }
 
 // Log implements scheduler.Actions: it logs a line of the scheduler's.
-func (f *FrontEnd) Log(text string) { f.log.Info().Str("from", "module").Msg(text) }
+func (f *FrontEnd) Log(text string) { f.log.Info().Str("component", "scheduler").Msg(text) }
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -227,7 +227,7 @@
 		p.log.Error().Str("field", field).Msg("the configuration stays as it was: the new one is of another front end")
 		return
 	}
-	p.log.Info().Str("bulletin", config.Bulletin).Msg("configuration read anew")
+	p.log.Info().Str("discovery-address", config.Bulletin).Msg("configuration reloaded")
 	p.endpoints.SetAddress(config.Bulletin)
 }
 
@@ -257,7 +257,7 @@
 	p.clients.Shutdown()
 	logging.Wait()
 	if !clean {
-		p.log.Warn().Msg("stopped with calls in hand; each got its final answer")
+		p.log.Warn().Msg("shutdown timed out with requests in flight; each got its final response")
 	}
 	return counts, err
 }
@@ -293,5 +293,5 @@
 	p.log.Info().Interface("counts", p.loop.Counts()).Interface("clients", p.clients.Counts()).
 		Int("client-connections", p.clients.Conns()).Int("worker-connections", p.budget.Used()).
 		Int("goroutines", runtime.NumGoroutine()).Uint64("heap-kb", memory.HeapAlloc>>10).Uint64("sys-kb", memory.Sys>>10).
-		Msg("standing")
+		Msg("totals")
 }
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -73,8 +73,12 @@
 
 // logResponse logs a final response that is not a worker's.
 func (f *FrontEnd) logResponse(line *zerolog.Event, request *Request, response FinalResponse) {
-	line.Str("call", request.ID).Str("function", request.Replica.Function).Str("class", f.settings.Classes[request.Class]).
-		Int("attempts", request.attempts).Str("why", response.Reason).Msg(response.Kind.String())
+	message := "request failed"
+	if response.Kind == Rejected {
+		message = "request rejected"
+	}
+	line.Str("request", request.ID).Str("function", request.Replica.Function).Str("class", f.settings.Classes[request.Class]).
+		Int("attempts", request.attempts).Str("reason", response.Reason).Msg(message)
 }
 
 // ClientDisconnected ends what a request's client no longer waits for. It may come at any time: before the request
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -47,10 +47,10 @@
 	}
 	w.disconnected = false
 	uptime := time.Duration(welcome.UptimeMillis) * time.Millisecond
-	f.log.Debug().Str("worker", w.Name).Dur("up", uptime).Msg("connected")
+	f.log.Debug().Str("worker", w.Name).Dur("uptime", uptime).Msg("worker connected")
 	info, restarted := f.incarnations.ObserveConnection(now, id, welcome.Incarnation, uptime)
 	if restarted && w.state == scheduler.Ready {
-		f.log.Info().Str("worker", w.Name).Dur("up", uptime).Msg("started anew, by its own word")
+		f.log.Info().Str("worker", w.Name).Dur("uptime", uptime).Msg("worker restarted, as its handshake reports")
 		f.scheduler.WorkersChanged(now, []scheduler.WorkerInfo{info}, false)
 	}
 	f.runDeferred()
@@ -64,7 +64,7 @@
 		return
 	}
 	w.disconnected = true
-	f.log.Warn().Str("worker", w.Name).Err(cause).Msg("no connection")
+	f.log.Warn().Str("worker", w.Name).Err(cause).Msg("worker disconnected")
 }
 
 // CheckHealth implements scheduler.Actions: it asks a worker for its load.
