--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -10,43 +10,43 @@
 	"havencart/scheduler"
 )
 
-// BenchmarkFront is the loop's part of a call, module included: from its arrival to its final answer.
-func BenchmarkFront(b *testing.B) {
+// BenchmarkFrontEnd is the event loop's part of a request, scheduler included: from its receipt to its final response.
+func BenchmarkFrontEnd(b *testing.B) {
 	t := &testing.T{}
-	f := newHarness(t, 8, nil)
+	h := newHarness(t, 8, nil)
 	answer := &muxclient.Response{}
 	b.ReportAllocs()
 	for b.Loop() {
 		request := NewRequest()
-		request.StartedAt, request.Timeout, request.Replica = f.now, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
-		f.now += 20000 // 50,000 calls a second
-		f.FireTimers(f.now)
-		f.RequestReceived(f.now, request)
-		for _, worker := range f.workers {
+		request.StartedAt, request.Timeout, request.Replica = h.clock, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
+		h.clock += 20000 // 50,000 requests a second
+		h.FireTimers(h.clock)
+		h.RequestReceived(h.clock, request)
+		for _, worker := range h.clients {
 			if len(worker.sent) > 0 {
 				a := worker.sent[0]
 				worker.sent = worker.sent[:0]
-				f.AttemptEnded(f.now, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+				h.AttemptEnded(h.clock, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 			}
 		}
 	}
 }
 
-// BenchmarkShed is the loop's part of a call that is refused because the loop is behind.
+// BenchmarkShed is the event loop's part of a request that is rejected because of its queue delay.
 func BenchmarkShed(b *testing.B) {
-	f := newHarness(&testing.T{}, 8, nil)
-	at := f.now
+	h := newHarness(&testing.T{}, 8, nil)
+	at := h.clock
 	b.ReportAllocs()
 	for b.Loop() {
 		request := NewRequest()
 		request.StartedAt, request.queuedAt, request.Timeout, request.Replica = at-50*ms, at-50*ms, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 		at += 20000
-		f.RequestReceived(at, request)
+		h.RequestReceived(at, request)
 	}
 }
 
-// BenchmarkDoor is what a call costs that is refused before it joins the queue; none of it is the loop's.
-func BenchmarkDoor(b *testing.B) {
+// BenchmarkQueueGate is the cost of a request that is rejected before it is queued; none of it is the event loop's.
+func BenchmarkQueueGate(b *testing.B) {
 	loop := NewEventLoop(EventLoopConfig{RequestQueue: 1}, zerolog.Nop())
 	loop.gate.setLimit(0)
 	b.ReportAllocs()
--- /dev/null
+++ b/internal/gateway/event_loop_test.go
@@ -0,0 +1,56 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+func TestSubmit_QueueFull_RejectedAtOnce(t *testing.T) {
+	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now()}, RequestQueue: 2, EventQueue: 1}, zerolog.Nop())
+	for range 2 {
+		loop.Submit(NewRequest())
+	}
+	request := NewRequest()
+	loop.Submit(request)
+	select {
+	case response := <-request.Response():
+		if response.Kind != Rejected {
+			t.Errorf("%+v", response)
+		}
+	default:
+		t.Error("no response: the request is neither queued nor rejected")
+	}
+}
+
+// TestSubmit_OverQueueLimit_RejectedAndCounted holds without the event loop's goroutine.
+func TestSubmit_OverQueueLimit_RejectedAndCounted(t *testing.T) {
+	loop, stop := startLoop(1)
+	defer stop()
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	loop.post(func(time.Duration) { close(blocked); <-unblock }) // the loop handles nothing meanwhile
+	<-blocked
+	loop.gate.setLimit(1)
+	admitted := NewRequest()
+	admitted.StartedAt, admitted.Timeout, admitted.Replica.Function = loop.Now(), time.Second, "f"
+	loop.Submit(admitted)
+	rejected := NewRequest()
+	loop.Submit(rejected)
+	select {
+	case response := <-rejected.Response():
+		if response.Kind != Rejected || response.RetryAfter == 0 {
+			t.Errorf("%+v", response)
+		}
+	default:
+		t.Error("no response at once")
+	}
+	close(unblock)
+	<-admitted.Response()
+	if c := loop.Counts(); c.Shed != 1 || c.Admitted != 1 {
+		t.Errorf("%+v", c)
+	}
+}
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -13,11 +13,11 @@
 	"havencart/scheduler"
 )
 
-// This file explores the life of calls exhaustively in a small scope: every order of what can happen to two
-// calls on two workers, on the real Front and the real module, up to a depth. What is seen at the links and by
-// the clients is held to the rules at each step and at the end.
+// This file explores the life of requests exhaustively in a small scope: every order of the events of two requests
+// on two workers, with the real FrontEnd and the real scheduler, up to a depth. What worker clients and clients see is
+// checked against the invariants at each step and at the end.
 
-// world is one path: a Front and what links and clients saw.
+// simulation is one order of events: a FrontEnd, and what worker clients and clients saw.
 type simulation struct {
 	*harness
 	classes       [2]int
@@ -26,23 +26,23 @@
 	kinds         [2]ResponseKind
 	received      int
 	clientLeft    [2]bool
-	abandoned     []*muxclient.Attempt // given up here after they had left
+	abandoned     []*muxclient.Attempt // given up here after they were sent
 	draining      bool
 	sentByRequest map[string][]sentRecord
 	path          []string
 	violation     string
 }
 
-// send is one attempt as a worker could know of it.
+// sentRecord is one attempt as a worker could know of it.
 type sentRecord struct {
 	attempt       *muxclient.Attempt
 	cell          int
 	sentAt        time.Duration
-	neverExecuted bool // it is known not to have run
+	neverExecuted bool // it is known not to have executed
 	written       bool
 }
 
-// spy is a link that notes each attempt and keeps it in the write buffer until it is told to write.
+// recordingClient is a worker client that notes each attempt and keeps it in the write buffer until a step writes it.
 type recordingClient struct {
 	*fakeWorkerClient
 	simulation *simulation
@@ -84,7 +84,7 @@
 			return &list[i]
 		}
 	}
-	panic("an attempt that was never sent")
+	panic("an attempt that was never handed over")
 }
 
 func (sim *simulation) violated(format string, args ...any) {
@@ -93,86 +93,86 @@
 	}
 }
 
-// sent holds rules 2 and 3 at the moment at which an attempt is handed to a link.
+// checkSend checks invariants 2 and 3 when an attempt is handed to a worker client.
 func (sim *simulation) checkSend(worker *fakeWorkerClient, a *muxclient.Attempt) {
 	id := a.Request.ID
-	i := int(id[0] - '0')
+	index := int(id[0] - '0')
 	cell := int(worker.name[1]-'0') % 2
-	if sim.responses[i] > 0 || sim.clientLeft[i] {
-		sim.violated("call %d is sent after its end", i)
+	if sim.responses[index] > 0 || sim.clientLeft[index] {
+		sim.violated("request %d is sent after its final state", index)
 	}
 	if worker.drained {
-		sim.violated("call %d is sent to a worker that drains", i)
+		sim.violated("request %d is sent to a worker that drains", index)
 	}
 	for _, earlier := range sim.sentByRequest[id] {
 		if earlier.neverExecuted {
 			continue
 		}
-		switch sim.classes[i] {
+		switch sim.classes[index] {
 		case nonIdempotentClass:
-			sim.violated("unsafe call %d is sent again, and may have run", i)
+			sim.violated("non-idempotent request %d is retried, and may have executed", index)
 		case keyedClass:
-			if earlier.cell != cell || sim.now-earlier.sentAt > time.Second {
-				sim.violated("keyed call %d is sent again outside its cell or memory", i)
+			if earlier.cell != cell || sim.clock-earlier.sentAt > time.Second {
+				sim.violated("keyed request %d is retried outside its scope or retention", index)
 			}
 		}
 	}
-	sim.sentByRequest[id] = append(sim.sentByRequest[id], sentRecord{attempt: a, cell: cell, sentAt: sim.now})
+	sim.sentByRequest[id] = append(sim.sentByRequest[id], sentRecord{attempt: a, cell: cell, sentAt: sim.clock})
 }
 
-// answered holds rule 1, and that no refusal is given to what may have run.
-func (sim *simulation) checkResponse(i int, f FinalResponse) {
+// checkResponse checks invariant 1, and that nothing that may have executed is rejected.
+func (sim *simulation) checkResponse(i int, response FinalResponse) {
 	sim.responses[i]++
-	sim.kinds[i] = f.Kind
+	sim.kinds[i] = response.Kind
 	if sim.responses[i] > 1 {
-		sim.violated("call %d has %d final answers", i, sim.responses[i])
+		sim.violated("request %d has %d final responses", i, sim.responses[i])
 	}
 	if sim.clientLeft[i] {
-		sim.violated("call %d is answered after its client left", i)
+		sim.violated("request %d has a response after its client disconnected", i)
 	}
-	if sim.now >= sim.submitted[i].StartedAt+sim.submitted[i].Timeout {
-		sim.violated("call %d is answered after its client's patience", i)
+	if sim.clock >= sim.submitted[i].StartedAt+sim.submitted[i].Timeout {
+		sim.violated("request %d has a response after its client's timeout", i)
 	}
-	if f.Kind != Rejected || sim.classes[i] == idempotentClass {
+	if response.Kind != Rejected || sim.classes[i] == idempotentClass {
 		return
 	}
 	for _, s := range sim.sentByRequest[sim.submitted[i].ID] {
 		if !s.neverExecuted {
-			sim.violated("call %d is refused, and may have run", i)
+			sim.violated("request %d is rejected, and may have executed", i)
 		}
 	}
 }
 
 func newSimulation(t *testing.T, of [2]int) *simulation {
 	sim := &simulation{classes: of, sentByRequest: map[string][]sentRecord{}}
-	sim.harness = &harness{T: t, now: time.Minute, workers: map[string]*fakeWorkerClient{}}
+	sim.harness = &harness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
 	set := Settings{
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0),
 	}
-	sim.FrontEnd = New(sim.now, set, sim, zerolog.Nop())
+	sim.FrontEnd = New(sim.clock, set, sim, zerolog.Nop())
 	sim.listWorkers(2, nil)
 	return sim
 }
 
-// step is something that can happen now.
+// step is an event that can happen now.
 type step struct {
 	name string
 	run  func()
 }
 
-// steps lists all that can happen now, in an order that is always the same.
+// possibleSteps lists all events that can happen now, in an order that is always the same.
 func (sim *simulation) possibleSteps() (list []step) {
 	add := func(do func(), format string, args ...any) {
 		list = append(list, step{fmt.Sprintf(format, args...), do})
 	}
 	if sim.received < 2 {
-		add(sim.receiveNext, "call %d arrives", sim.received)
+		add(sim.receiveNext, "request %d is received", sim.received)
 	}
 	for _, name := range []string{"w0", "w1"} {
-		worker := sim.workers[name]
+		worker := sim.clients[name]
 		for _, a := range worker.queued {
-			add(func() { sim.writeOut(worker, a) }, "%s leaves for %s", a.Request.ID, name)
+			add(func() { sim.writeOut(worker, a) }, "%s is written to %s", a.Request.ID, name)
 			add(func() { sim.endAttemptWith(worker, a, scheduler.ConnectFailed) }, "%s finds no connection to %s", a.Request.ID, name)
 		}
 		for _, a := range worker.sent {
@@ -185,18 +185,18 @@
 				add(func() { sim.endAttemptWith(worker, a, s) }, "%s at %s ends with status %d", a.Request.ID, name, s)
 			}
 			add(func() {
-				sim.ResponseStarted(sim.now, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
-			}, "%s begins", a.Request.ID)
+				sim.ResponseStarted(sim.clock, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+			}, "%s starts its response", a.Request.ID)
 		}
 	}
 	for _, a := range sim.abandoned {
 		add(func() {
-			sim.AttemptEnded(sim.now, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
-		}, "%s late", a.Request.ID)
+			sim.AttemptEnded(sim.clock, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+		}, "%s has a late response", a.Request.ID)
 	}
 	for i := range sim.received {
 		if sim.responses[i] == 0 && !sim.clientLeft[i] {
-			add(func() { sim.clientLeft[i] = true; sim.ClientDisconnected(sim.now, sim.submitted[i]) }, "client %d leaves", i)
+			add(func() { sim.clientLeft[i] = true; sim.ClientDisconnected(sim.clock, sim.submitted[i]) }, "client %d disconnects", i)
 		}
 	}
 	if sim.draining {
@@ -215,15 +215,15 @@
 	i := sim.received
 	sim.received++
 	request := NewRequestTo(func(f FinalResponse) { sim.checkResponse(i, f) })
-	request.ID, request.Class, request.StartedAt, request.Timeout = fmt.Sprint(i), sim.classes[i], sim.now, 2*time.Second
+	request.ID, request.Class, request.StartedAt, request.Timeout = fmt.Sprint(i), sim.classes[i], sim.clock, 2*time.Second
 	request.Replica.Function, request.Replica.MemoryMB, request.Replica.Concurrency = "f", 100, 2
 	sim.submitted[i] = request
-	sim.RequestReceived(sim.now, request)
+	sim.RequestReceived(sim.clock, request)
 }
 
 func (sim *simulation) writeOut(worker *fakeWorkerClient, a *muxclient.Attempt) {
 	if sim.draining && worker.name == "w0" {
-		sim.violated("call %s leaves for a worker that drains", a.Request.ID)
+		sim.violated("request %s is written to a worker that drains", a.Request.ID)
 	}
 	worker.remove(a)
 	worker.sent = append(worker.sent, a)
@@ -233,23 +233,23 @@
 func (sim *simulation) endAttemptWith(worker *fakeWorkerClient, a *muxclient.Attempt, s scheduler.Status) {
 	worker.remove(a)
 	sim.record(a).neverExecuted = s == scheduler.ConnectFailed || s == scheduler.Overloaded
-	sim.AttemptEnded(sim.now, a, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{}})
+	sim.AttemptEnded(sim.clock, a, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{}})
 }
 
-// finish lets all time pass: each call whose client stayed must have its answer.
+// checkEnd lets all time pass: each request whose client stayed connected must have its final response.
 func (sim *simulation) checkEnd() {
 	sim.advance(2100 * ms)
 	for i := range sim.received {
 		if sim.responses[i] == 0 && !sim.clientLeft[i] {
-			sim.violated("call %d has no answer", i)
+			sim.violated("request %d has no response", i)
 		}
 	}
 	if sim.Counts().PastDeadline > 0 {
-		sim.violated("the module left a call overdue")
+		sim.violated("the scheduler left a request past its deadline")
 	}
 }
 
-// explorer walks all paths of a depth by playing each from its beginning.
+// explorer walks all orders of a depth by running each from its beginning.
 type explorer struct {
 	t       *testing.T
 	classes [2]int
@@ -257,40 +257,40 @@
 	paths   int
 }
 
-func (e *explorer) walk(prefix []int) {
-	sim := newSimulation(e.t, e.classes)
+func (x *explorer) walk(prefix []int) {
+	sim := newSimulation(x.t, x.classes)
 	var next []step
 	for _, choice := range prefix {
 		s := sim.possibleSteps()[choice]
 		sim.path = append(sim.path, s.name)
 		s.run()
 	}
-	if next = sim.possibleSteps(); len(prefix) < e.depth && sim.violation == "" {
+	if next = sim.possibleSteps(); len(prefix) < x.depth && sim.violation == "" {
 		for i := range next {
-			e.walk(append(prefix[:len(prefix):len(prefix)], i))
-			if e.t.Failed() {
+			x.walk(append(prefix[:len(prefix):len(prefix)], i))
+			if x.t.Failed() {
 				return
 			}
 		}
 		return
 	}
-	e.paths++
+	x.paths++
 	sim.checkEnd()
 	if sim.violation != "" {
-		e.t.Errorf("%s, after: %s", sim.violation, strings.Join(sim.path, "; "))
+		x.t.Errorf("%s, after: %s", sim.violation, strings.Join(sim.path, "; "))
 	}
 }
 
-func TestEveryOrderKeepsTheRules(t *testing.T) {
+func TestFrontEnd_EveryEventOrder_KeepsInvariants(t *testing.T) {
 	depth := 6
 	if testing.Short() {
 		depth = 5
 	}
 	total := 0
 	for _, classes := range [][2]int{{nonIdempotentClass, keyedClass}, {keyedClass, keyedClass}, {nonIdempotentClass, nonIdempotentClass}, {idempotentClass, nonIdempotentClass}} {
-		e := &explorer{t: t, classes: classes, depth: depth}
-		e.walk([]int{0}) // a call arrives first
-		total += e.paths
+		x := &explorer{t: t, classes: classes, depth: depth}
+		x.walk([]int{0}) // a request is received first
+		total += x.paths
 	}
 	t.Logf("%d orders of %d events each", total, depth+1)
 	if total < 5000 {
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,7 +17,7 @@
 	"havencart/scheduler"
 )
 
-// instant is a link to a worker that answers at once, so that the loop alone is what is measured.
+// instantWorker is a client of a worker that responds at once, so that the event loop alone is measured.
 type instantWorker struct {
 	fakeWorkerClient
 	sent chan *muxclient.Attempt
@@ -27,7 +27,7 @@
 
 func (l *instantWorker) Abandon(*muxclient.Attempt) bool { return true }
 
-// answers answers until the link is stopped for good.
+// respondToAll responds until the channel of attempts is closed.
 func (l *instantWorker) respondToAll(loop *EventLoop) {
 	answer := &muxclient.Response{}
 	for a := range l.sent {
@@ -37,7 +37,7 @@
 	}
 }
 
-// fixed is a directory that tells one list.
+// fixedEndpoints is a discovery.Source with one list.
 type fixedEndpoints []discovery.Worker
 
 func (f fixedEndpoints) Run(ctx context.Context, sink discovery.Sink) {
@@ -46,7 +46,7 @@
 }
 func (f fixedEndpoints) Refresh() {}
 
-// alone runs a loop with workers that answer at once and returns what ends it.
+// startLoop runs an event loop with workers that respond at once, and returns what ends it.
 func startLoop(workers int) (*EventLoop, func()) {
 	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1 << 20, ClockStart: time.Now()}
 	var list fixedEndpoints
@@ -55,13 +55,13 @@
 	}
 	loop := NewEventLoop(EventLoopConfig{Settings: set, Source: list, RequestQueue: 1 << 20, EventQueue: 1 << 14, ShutdownTimeout: time.Second}, zerolog.Nop())
 	var mu sync.Mutex
-	var links []*instantWorker
+	var clients []*instantWorker
 	var tasks sync.WaitGroup
 	loop.newTestClient = func(loop *EventLoop) WorkerClient {
 		link := &instantWorker{sent: make(chan *muxclient.Attempt, 1<<20)}
 		mu.Lock()
 		defer mu.Unlock()
-		links = append(links, link)
+		clients = append(clients, link)
 		tasks.Go(func() { link.respondToAll(loop) })
 		return link
 	}
@@ -72,73 +72,73 @@
 		<-loop.done
 		mu.Lock()
 		defer mu.Unlock()
-		for _, link := range links {
+		for _, link := range clients {
 			close(link.sent)
 		}
 		tasks.Wait()
 	}
 }
 
-// outcome is what became of calls.
+// tally counts how requests ended.
 type tally struct {
 	served, rejected atomic.Int64
 	mu               sync.Mutex
-	latencies        []time.Duration // of the served ones
+	latencies        []time.Duration // of served requests
 }
 
-func (o *tally) newRequest(loop *EventLoop) *Request {
+func (results *tally) newRequest(loop *EventLoop) *Request {
 	var request *Request
 	request = NewRequestTo(func(f FinalResponse) {
 		if f.Kind != Served {
-			o.rejected.Add(1)
+			results.rejected.Add(1)
 			return
 		}
-		if o.served.Add(1)%64 == 0 {
-			o.mu.Lock()
-			o.latencies = append(o.latencies, loop.Now()-request.StartedAt)
-			o.mu.Unlock()
+		if results.served.Add(1)%64 == 0 {
+			results.mu.Lock()
+			results.latencies = append(results.latencies, loop.Now()-request.StartedAt)
+			results.mu.Unlock()
 		}
 	})
 	request.StartedAt, request.Timeout, request.Replica = loop.Now(), 2*time.Second, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 	return request
 }
 
-// most is what the loop serves in a second, with a hundred calls in hand at any time.
+// measureCapacity is what the event loop serves in a second, with a hundred requests in flight at any time.
 func measureCapacity(loop *EventLoop) float64 {
 	var o tally
-	began, sent := time.Now(), int64(0)
-	for time.Since(began) < time.Second {
+	start, sent := time.Now(), int64(0)
+	for time.Since(start) < time.Second {
 		for sent-o.served.Load()-o.rejected.Load() < 100 {
 			loop.Submit(o.newRequest(loop))
 			sent++
 		}
 	}
-	return float64(o.served.Load()) / time.Since(began).Seconds()
+	return float64(o.served.Load()) / time.Since(start).Seconds()
 }
 
-// offer offers calls at a rate that waits for nothing.
-func offerLoad(loop *EventLoop, rate float64, lasts time.Duration, submit func(*Request)) *tally {
-	o := &tally{}
-	began := time.Now()
-	request := o.newRequest(loop)
+// offerLoad submits requests at a rate, whatever becomes of them.
+func offerLoad(loop *EventLoop, rate float64, duration time.Duration, submit func(*Request)) *tally {
+	results := &tally{}
+	start := time.Now()
+	request := results.newRequest(loop)
 	for sent := 0; ; {
-		at := time.Since(began)
-		if at > lasts {
-			return o
+		at := time.Since(start)
+		if at > duration {
+			return results
 		}
 		for ; float64(sent) < rate*at.Seconds(); sent++ {
 			before := loop.gate.rejected.Load()
 			submit(request)
-			if loop.gate.rejected.Load() > before { // refused at the door: nobody has it, and it is used again
+			if loop.gate.rejected.Load() > before { // rejected by the gate: nothing else has it, and it is used again
 				request.state, request.StartedAt = requestSubmitted, loop.Now()
 				continue
 			}
-			request = o.newRequest(loop)
+			request = results.newRequest(loop)
 		}
 	}
 }
 
-// queueAnyway hands a call over as if there were no door.
+// bypassGate queues a request as if there were no gate.
 func bypassGate(loop *EventLoop) func(*Request) {
 	return func(request *Request) {
 		request.queuedAt = loop.Now()
@@ -150,37 +150,39 @@
 	}
 }
 
-// BenchmarkOverload offers a loop several times what it can do, with and without the door. What is served is told
-// as a part of what the loop serves at most, in the same run.
+// BenchmarkOverload offers an event loop a multiple of its capacity, with and without the queue gate. What is served is
+// reported as a fraction of the capacity measured in the same run.
 func BenchmarkOverload(b *testing.B) {
-	for _, door := range []bool{true, false} {
+	for _, gated := range []bool{true, false} {
 		for _, factor := range []float64{1, 1.5, 2, 4} {
-			b.Run(fmt.Sprintf("door=%v/x%v", door, factor), func(b *testing.B) {
+			b.Run(fmt.Sprintf("gate=%v/x%v", gated, factor), func(b *testing.B) {
 				loop, stop := startLoop(8)
 				defer stop()
-				for !func() bool {
+				servesRequest := func() bool {
 					request := NewRequest()
 					request.StartedAt, request.Timeout = loop.Now(), time.Second
 					request.Replica.Function = "f"
 					loop.Submit(request)
 					return (<-request.Response()).Kind == Served
-				}() {
+				}
+				for ready := false; !ready; {
+					ready = servesRequest()
 				}
 				top := measureCapacity(loop)
 				submit := loop.Submit
-				if !door {
+				if !gated {
 					submit = bypassGate(loop)
 				}
 				for b.Loop() {
-					o := offerLoad(loop, factor*top, 2*time.Second, submit)
-					b.ReportMetric(float64(o.served.Load())/2/top, "served/most")
-					o.mu.Lock()
-					slices.Sort(o.latencies)
-					if n := len(o.latencies); n > 0 {
-						b.ReportMetric(o.latencies[n/2].Seconds()*1000, "p50-ms")
-						b.ReportMetric(o.latencies[n*99/100].Seconds()*1000, "p99-ms")
+					results := offerLoad(loop, factor*top, 2*time.Second, submit)
+					b.ReportMetric(float64(results.served.Load())/2/top, "served/most")
+					results.mu.Lock()
+					slices.Sort(results.latencies)
+					if n := len(results.latencies); n > 0 {
+						b.ReportMetric(results.latencies[n/2].Seconds()*1000, "p50-ms")
+						b.ReportMetric(results.latencies[n*99/100].Seconds()*1000, "p99-ms")
 					}
-					o.mu.Unlock()
+					results.mu.Unlock()
 				}
 				b.ReportMetric(top, "most/s")
 			})
--- /dev/null
+++ b/internal/gateway/platform_server_test.go
@@ -0,0 +1,297 @@
+package gateway
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"runtime"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/vmihailenco/msgpack/v5"
+	"go.uber.org/goleak"
+
+	"havencart/internal/config/platformconfig"
+	"havencart/internal/platform/rpcframe"
+	"havencart/internal/platform/workerframe"
+	"havencart/lab/platformdiscovery"
+	"havencart/lab/platformworker"
+)
+
+// relayConfig is a configuration, with verbs for the addresses of endpoint discovery and of a worker.
+const relayConfig = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
+	"limits":{"cores":1,"memory_mb":256,"sockets":256},"bulletin":"%s",
+	"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[
+	{"host":"s-00000001","dial":"%s","site":"room","class":"std","block":0,"health":"up","share":1,"born_ms":0}]}}]},
+	"settings":{"balancers":1,"azs":["room"],"skus":["std"],"resolution":2.0,"registryMode":"push",
+	"limits":{"streamsPerConn":32,"connectTimeout":2000.0,"connIdle":30000.0,"openCap":1000,"maxAttempts":3,"mayCancel":true,
+	"maxRetryAfter":500.0,"retryAfter":true},"familyInfo":{"keep":8000.0,"whenAbsent":"load"},
+	"rules":{"stopSendingWithin":500.0,"cold":1000.0,"coldFrom":0.2,"fall":2000.0,"tipMultiple":2.0},
+	"customers":[{"name":"acme","portion":1.0}],
+	"classes":[{"name":"quote","deadline":20000.0,"onTime":10000.0,"repeat":"retryable","worth":2.0},
+	{"name":"unlock","deadline":20000.0,"onTime":10000.0,"repeat":"fragile","worth":6.0}]}}`
+
+// platformHarness is a PlatformServer between stand-ins of discovery and of a worker.
+type platformHarness struct {
+	*PlatformServer
+	t         *testing.T
+	discovery *platformdiscovery.Server
+	stop      context.CancelFunc
+	delayed   chan func() // functions called later; here the end of platformAcceptGrace
+	ended     chan error
+}
+
+func startPlatform(t *testing.T, script platformworker.Script) *platformHarness {
+	t.Helper()
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	discovery, err := platformdiscovery.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(discovery.Close)
+	e, err := platformworker.Start(script)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(e.Close)
+	p, run := newPlatformHarness(t, discovery.Address(), e.Address())
+	p.discovery = discovery
+	run()
+	t.Cleanup(p.stop)
+	<-discovery.Asked()
+	return p
+}
+
+// newPlatformHarness prepares a PlatformServer, which listens; run starts its Run.
+func newPlatformHarness(t *testing.T, discovery, worker string) (p *platformHarness, run func()) {
+	t.Helper()
+	set, err := platformconfig.ParseRelay(fmt.Appendf(nil, relayConfig, discovery, worker))
+	if err != nil {
+		t.Fatal(err)
+	}
+	relay, err := NewPlatformServer(set, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	p = &platformHarness{PlatformServer: relay, t: t, stop: cancel, delayed: make(chan func(), 1), ended: make(chan error, 1)}
+	relay.after = func(_ time.Duration, f func()) { p.delayed <- f }
+	return p, func() { go func() { _, err := relay.Run(ctx); p.ended <- err }() }
+}
+
+func (p *platformHarness) connect() net.Conn {
+	p.t.Helper()
+	c, err := net.Dial("tcp", p.Address())
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	p.t.Cleanup(func() { _ = c.Close() })
+	return c
+}
+
+func (p *platformHarness) sendRequest(c net.Conn, number int, class string, id int) {
+	p.t.Helper()
+	p.sendRequestWithBody(c, number, class, id, []byte("body"))
+}
+
+func (p *platformHarness) sendRequestWithBody(c net.Conn, number int, class string, id int, body []byte) {
+	p.t.Helper()
+	raw, err := msgpack.Marshal([]any{0, number, class, []any{map[string]string{
+		"id": fmt.Sprintf("%016x", id), "wait": "20000",
+		"tenant": "acme", "key": "7f3a9c21e0b4d655", "attrs": "memory_mb:100;lanes:2",
+	}, body}})
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	if _, err := c.Write(raw); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+func (p *platformHarness) expect(c net.Conn, want []byte) {
+	p.t.Helper()
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
+		p.t.Errorf("read %q, %v; wanted %q", got, err, want)
+	}
+}
+
+// checkHeartbeat sends a heartbeat and expects its response.
+func (p *platformHarness) checkHeartbeat(c net.Conn, number int, well bool) {
+	p.t.Helper()
+	raw, err := msgpack.Marshal([]any{0, number, "heartbeat", []any{map[string]string{}}})
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	if _, err := c.Write(raw); err != nil {
+		p.t.Fatal(err)
+	}
+	p.expect(c, rpcframe.AppendTrue(nil, uint32(number), well))
+}
+
+// TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints expects it to be ready at once.
+func TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	e, err := platformworker.Start(respondServed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(e.Close)
+	p, run := newPlatformHarness(t, "127.0.0.1:1", e.Address())
+	c := p.connect() // before it runs: the kernel accepts it
+	run()
+	p.checkHeartbeat(c, 1, true)
+	if n := e.Made(); n != 0 {
+		t.Errorf("%d connections to workers before any request: hundreds of front ends that start together would all dial", n)
+	}
+	p.sendRequest(c, 2, "quote", 1)
+	p.expect(c, rpcframe.AppendServed(nil, 2, []byte("did body")))
+	p.shutDown()
+}
+
+// TestPlatformServer_ShutdownBeforeStart_Ends expects it to end by itself, and to answer the connection that the kernel accepted meanwhile.
+func TestPlatformServer_ShutdownBeforeStart_Ends(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	p, run := newPlatformHarness(t, "127.0.0.1:1", "127.0.0.1:1")
+	p.stop() // SIGTERM, before the endpoint list and before anything is served
+	c := p.connect()
+	run()
+	p.checkHeartbeat(c, 1, false)
+	p.shutDown()
+}
+
+func (p *platformHarness) shutDown() {
+	p.t.Helper()
+	p.stop()
+	(<-p.delayed)()
+	if err := <-p.ended; err != nil {
+		p.t.Errorf("stopped: %v", err)
+	}
+}
+
+func respondServed(c *platformworker.Conn, f workerframe.Frame) {
+	c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: append([]byte("did "), f.Body...)})
+}
+
+func TestPlatformServer_Request_ServedEndToEnd(t *testing.T) {
+	p := startPlatform(t, respondServed)
+	c := p.connect()
+	p.sendRequest(c, 1, "quote", 1)
+	p.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
+	p.shutDown()
+}
+
+// TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried runs on sockets: a request whose response cannot be read may have
+// executed.
+func TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried(t *testing.T) {
+	executions := map[uint64]int{}
+	seen := make(chan uint64, 16)
+	p := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
+		if f.Code == workerframe.Request {
+			seen <- f.ID
+			c.Raw([]byte("noise that is no frame"))
+		}
+	})
+	c := p.connect()
+	p.sendRequest(c, 1, "unlock", 1)
+	p.expect(c, rpcframe.AppendError(nil, 1, "Lost", "", ""))
+	p.sendRequest(c, 2, "quote", 2) // may be retried, and is
+	if _, err := c.Read(make([]byte, 1)); err != nil {
+		t.Fatal(err)
+	}
+	p.shutDown()
+	close(seen)
+	for id := range seen {
+		executions[id]++
+	}
+	if executions[1] != 1 || executions[2] < 2 {
+		t.Errorf("executions by id: %v", executions)
+	}
+}
+
+func TestPlatformServer_IDInFlight_RejectedAsMalformed(t *testing.T) {
+	received, respond := make(chan bool, 1), make(chan bool)
+	p := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- true; <-respond; respondServed(c, f) })
+	first, second := p.connect(), p.connect()
+	p.sendRequest(first, 1, "quote", 1)
+	<-received
+	p.sendRequest(second, 1, "quote", 1)
+	p.expect(second, rpcframe.AppendError(nil, 1, "Malformed", "", ""))
+	close(respond)
+	p.expect(first, rpcframe.AppendServed(nil, 1, []byte("did body")))
+	p.shutDown()
+}
+
+// TestPlatformServer_Shutdown_CompletesRequestsInFlight covers both those that were sent and those that clients send while it accepts.
+func TestPlatformServer_Shutdown_CompletesRequestsInFlight(t *testing.T) {
+	received, respond := make(chan bool, 4), make(chan bool)
+	p := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- true; <-respond; respondServed(c, f) })
+	c := p.connect()
+	p.sendRequest(c, 1, "quote", 1)
+	<-received
+	p.stop()
+	endAccepting := <-p.delayed // no client is accepted once this is called
+	p.checkHeartbeat(c, 2, false)
+	lateClient := p.connect()
+	p.checkHeartbeat(lateClient, 1, false)
+	p.sendRequest(lateClient, 2, "quote", 2)
+	<-received
+	endAccepting()
+	close(respond)
+	p.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
+	p.expect(lateClient, rpcframe.AppendServed(nil, 2, []byte("did body")))
+	if err := <-p.ended; err != nil {
+		t.Errorf("stopped: %v", err)
+	}
+}
+
+func TestPlatformServer_Reload_MovesToNewDiscoveryAddress(t *testing.T) {
+	p := startPlatform(t, respondServed)
+	other, err := platformdiscovery.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(other.Close)
+	moved := *p.config
+	moved.Bulletin = other.Address()
+	p.Reload(&moved)
+	if last := <-other.Asked(); last != 1 {
+		t.Errorf("requested from event %d", last)
+	}
+	p.shutDown()
+}
+
+// TestPlatformServer_BodiesBeyondMemory_Rejected expects rejections at once; a final response or a disconnect makes room.
+func TestPlatformServer_BodiesBeyondMemory_Rejected(t *testing.T) {
+	received, respond := make(chan bool, 64), make(chan bool)
+	p := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
+		if f.Code == workerframe.Request {
+			received <- true
+			<-respond
+			respondServed(c, workerframe.Frame{ID: f.ID})
+		}
+	})
+	p.config.MemoryMB = 1 // of which a quarter is for bodies
+	large := make([]byte, rpcframe.MaxBody)
+	c := p.connect()
+	for i := range 16 {
+		p.sendRequestWithBody(c, 1+i, "quote", 1+i, large)
+	}
+	<-received
+	p.sendRequestWithBody(c, 17, "quote", 17, large)
+	p.expect(c, rpcframe.AppendError(nil, 17, "Backoff", "after", "500"))
+	if err := c.Close(); err != nil {
+		t.Fatal(err)
+	}
+	close(respond)
+	for p.bodyBytes.Load() > 0 { // until the disconnect is handled
+		runtime.Gosched()
+	}
+	next := p.connect()
+	p.sendRequestWithBody(next, 1, "quote", 18, large)
+	p.expect(next, rpcframe.AppendServed(nil, 1, []byte("did ")))
+	p.shutDown()
+}
--- a/internal/gateway/recent_ids_test.go
+++ b/internal/gateway/recent_ids_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-func TestIDIsTakenOnceAndForgottenInTime(t *testing.T) {
-	var x recentIDs
-	if !x.admit("a") || x.admit("a") {
-		t.Fatal("an id in hand must be taken once")
+func TestRecentIDs_SameID_AdmittedOnceUntilForgotten(t *testing.T) {
+	var ids recentIDs
+	if !ids.admit("a") || ids.admit("a") {
+		t.Fatal("an identifier in flight must be admitted once")
 	}
-	x.release("a")
-	if x.admit("a") {
-		t.Error("an id that was answered is taken again")
+	ids.release("a")
+	if ids.admit("a") {
+		t.Error("an identifier of a completed request is admitted again")
 	}
 	for i := range 3 * idsPerGeneration {
 		id := fmt.Sprint(i)
-		if !x.admit(id) {
-			t.Fatalf("id %s is new", id)
+		if !ids.admit(id) {
+			t.Fatalf("identifier %s is new", id)
 		}
-		x.release(id)
+		ids.release(id)
 	}
-	if len(x.current)+len(x.previous) > 2*idsPerGeneration || len(x.inFlight) != 0 {
-		t.Errorf("%d and %d ids are kept, %d open", len(x.current), len(x.previous), len(x.inFlight))
+	if len(ids.current)+len(ids.previous) > 2*idsPerGeneration || len(ids.inFlight) != 0 {
+		t.Errorf("%d and %d identifiers are kept, %d in flight", len(ids.current), len(ids.previous), len(ids.inFlight))
 	}
-	if !x.admit("a") {
-		t.Error("an id is remembered for ever")
+	if !ids.admit("a") {
+		t.Error("an identifier is never forgotten")
 	}
 }
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/service_settings_test.go
@@ -6,11 +6,27 @@
 	"time"
 
 	"havencart/internal/config/gatewayconfig"
+	"havencart/internal/decide/tenancy"
 	"havencart/scheduler"
 )
 
-// TestDefaultsAreAsBefore pins what the module is told where the settings file says nothing of it.
-func TestDefaultsAreAsBefore(t *testing.T) {
+// TestTenancySettings_QuotaAndShares_DividedByFrontEnds gives each front end its part of a quota, and all of the shares.
+func TestTenancySettings_QuotaAndShares_DividedByFrontEnds(t *testing.T) {
+	text := "directory file /nowhere\nfront-ends 4\nclass a\nend\ntenant t\n  share 0.7\n  quota 100\nend\ntenant u\n  share 0.3\nend\n"
+	for add, by := range map[string]tenancy.By{"": tenancy.Nothing, "shares work\n": tenancy.Work, "shares calls\n": tenancy.Calls} {
+		set, err := gatewayconfig.Parse("f", add+text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		want := tenancy.Settings{Shares: []float64{0.7, 0.3}, Quotas: []float64{25, 0}, By: by}
+		if got := FrontEndSettings(set, 0, time.Time{}, 3).Tenancy; !reflect.DeepEqual(got, want) {
+			t.Errorf("%q: %+v, want %+v", add, got, want)
+		}
+	}
+}
+
+// TestFrontEndSettings_Defaults_Unchanged pins the scheduler's settings where the settings file says nothing of them.
+func TestFrontEndSettings_Defaults_Unchanged(t *testing.T) {
 	set, err := gatewayconfig.Parse("f", "directory file /nowhere\nclass a\nend\n")
 	if err != nil {
 		t.Fatal(err)
@@ -27,11 +43,11 @@
 		}},
 	}
 	if !reflect.DeepEqual(got.Scheduler, want) || got.Shadow != nil {
-		t.Errorf("the module is told\n%+v\nwant\n%+v", got.Scheduler, want)
+		t.Errorf("the scheduler's settings are\n%+v\nwant\n%+v", got.Scheduler, want)
 	}
 }
 
-func TestSettingsOfTheNewShapeReachTheModule(t *testing.T) {
+func TestFrontEndSettings_ShadowBlock_ReachesScheduler(t *testing.T) {
 	set, err := gatewayconfig.Parse("f", "directory file /nowhere\nprobes off\nretry-after off\nweights nominal\nclass a\nend\nwatch w\n  probes on\n  weights live\nend\n")
 	if err != nil {
 		t.Fatal(err)
@@ -40,6 +56,6 @@
 	if got.Scheduler.HealthChecksAllowed || !got.Scheduler.ScaleIsCapacity || got.Scheduler.MaxRetryAfter != 0 || got.Shadow == nil || got.Shadow.Scheduler.ScaleIsCapacity ||
 		!got.Shadow.Scheduler.HealthChecksAllowed ||
 		got.Shadow.Scheduler.MaxRetryAfter != 0 || got.Shadow.SampleInterval != 1 {
-		t.Errorf("told %+v, watched %+v", got.Scheduler, got.Shadow)
+		t.Errorf("scheduler %+v, shadow %+v", got.Scheduler, got.Shadow)
 	}
 }
