--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -10,59 +10,59 @@
 )
 
 func TestAdmission_TooManyInFlight_Rejected(t *testing.T) {
-	h := newHarness(t, 0, func(s *Settings) { s.MaxInFlight = 3 })
+	harness := newHarness(t, 0, func(s *Settings) { s.MaxInFlight = 3 })
 	for range 3 {
-		h.submit(idempotentClass)
+		harness.submit(idempotentClass)
 	}
-	h.wantResponse(h.submit(idempotentClass), Rejected)
-	if n := h.Counts().Shed; n != 1 || h.InFlight() != 3 {
-		t.Errorf("rejected %d, in flight %d", n, h.InFlight())
+	harness.wantResponse(harness.submit(idempotentClass), Rejected)
+	if n := harness.Counts().Shed; n != 1 || harness.InFlight() != 3 {
+		t.Errorf("rejected %d, in flight %d", n, harness.InFlight())
 	}
 }
 
 func TestAdmission_DeadlineExceeded_Rejected(t *testing.T) {
-	h := newHarness(t, 1, nil)
+	harness := newHarness(t, 1, nil)
 	request := NewRequest()
-	request.StartedAt, request.Timeout, request.Replica = h.clock-2*time.Second, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
-	h.RequestReceived(h.clock, request)
-	h.wantResponse(request, Rejected)
+	request.StartedAt, request.Timeout, request.Replica = harness.clock-2*time.Second, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
+	harness.RequestReceived(harness.clock, request)
+	harness.wantResponse(request, Rejected)
 }
 
 // TestAdmission_FunctionNameCollision_Rejected guards against taking replicas of one function for those of another.
 func TestAdmission_FunctionNameCollision_Rejected(t *testing.T) {
-	h := newHarness(t, 1, nil)
-	request := h.submit(idempotentClass)
-	for _, f := range h.functions {
+	harness := newHarness(t, 1, nil)
+	request := harness.submit(idempotentClass)
+	for _, f := range harness.functions {
 		f.replica.Function = "another"
 	}
-	h.wantResponse(h.submit(idempotentClass), Rejected)
-	h.endWith(request, scheduler.OK)
+	harness.wantResponse(harness.submit(idempotentClass), Rejected)
+	harness.endWith(request, scheduler.OK)
 }
 
 // TestAdmission_QueueDelayTooLong_Shed is about rejections without the scheduler, so that the queue empties.
 func TestAdmission_QueueDelayTooLong_Shed(t *testing.T) {
-	h := newHarness(t, 1, nil)
+	harness := newHarness(t, 1, nil)
 	submitQueued := func() *Request {
 		request := NewRequest()
-		request.StartedAt, request.queuedAt, request.Timeout, request.Replica = h.clock-50*ms, h.clock-50*ms, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
-		h.RequestReceived(h.clock, request)
+		request.StartedAt, request.queuedAt, request.Timeout, request.Replica = harness.clock-50*ms, harness.clock-50*ms, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
+		harness.RequestReceived(harness.clock, request)
 		return request
 	}
-	h.wantResponse(submitQueued(), 0) // a burst
-	h.advance(200 * ms)
-	admitted := h.Counts().Admitted
-	h.wantResponse(submitQueued(), Rejected)
-	if h.Counts().Admitted != admitted {
+	harness.wantResponse(submitQueued(), 0) // a burst
+	harness.advance(200 * ms)
+	admitted := harness.Counts().Admitted
+	harness.wantResponse(submitQueued(), Rejected)
+	if harness.Counts().Admitted != admitted {
 		t.Error("it was admitted")
 	}
-	h.wantResponse(h.submit(idempotentClass), 0) // it waited in no queue
+	harness.wantResponse(harness.submit(idempotentClass), 0) // it waited in no queue
 }
 
 // TestAdmission_OverTenantQuota_Rejected expects the rejection with advice when to retry, and without the scheduler.
 func TestAdmission_OverTenantQuota_Rejected(t *testing.T) {
-	h := newHarness(t, 1, func(s *Settings) { s.Tenancy = tenancy.Settings{Shares: []float64{1}, Quotas: []float64{1}} })
-	h.submit(idempotentClass)
-	second := h.submit(idempotentClass)
+	harness := newHarness(t, 1, func(s *Settings) { s.Tenancy = tenancy.Settings{Shares: []float64{1}, Quotas: []float64{1}} })
+	harness.submit(idempotentClass)
+	second := harness.submit(idempotentClass)
 	select {
 	case f := <-second.Response():
 		if f.Kind != Rejected || f.RetryAfter != 500*ms || f.Reason != tenancy.OverQuota.String() {
@@ -71,7 +71,7 @@
 	default:
 		t.Error("the second request in a second has no final response")
 	}
-	if c := h.Counts(); c.Admitted != 1 || c.Shed != 1 {
+	if c := harness.Counts(); c.Admitted != 1 || c.Shed != 1 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -11,8 +11,8 @@
 // unknownQueueDepth stands in a result for a worker that reported no queue depth.
 const unknownQueueDepth = -1
 
-// attempt is one attempt of a request at one worker.
-type attempt struct {
+// requestAttempt is one attempt of a request at one worker.
+type requestAttempt struct {
 	muxclient.Attempt
 	request *Request
 	number  int     // of the request's attempts, from 0
@@ -22,7 +22,7 @@
 	state   attemptState
 }
 
-// attemptState is where an attempt stands. See attempt.enter for the transitions.
+// attemptState is where an attempt stands. See requestAttempt.enter for the transitions.
 type attemptState uint8
 
 const (
@@ -33,11 +33,11 @@
 
 // enter moves the attempt to its next state and reports whether it did. The state only moves forward, so that the
 // first end of an attempt is the one that counts.
-func (a *attempt) enter(next attemptState) bool {
-	if next <= a.state {
+func (attempt *requestAttempt) enter(next attemptState) bool {
+	if next <= attempt.state {
 		return false
 	}
-	a.state = next
+	attempt.state = next
 	return true
 }
 
@@ -51,27 +51,27 @@
 	if until <= 0 || until > request.deadline {
 		until = request.deadline
 	}
-	a := f.newAttempt(request, f.workers[to], until)
+	attempt := f.newAttempt(request, f.workers[to], until)
 	request.attempts++
-	request.current = a
+	request.current = attempt
 	f.counts.Attempts++
-	if !f.sendable(a) {
+	if !f.sendable(attempt) {
 		f.deferred = append(f.deferred, func() {
-			f.endAttempt(a, muxclient.Result{Status: scheduler.NotSent, QueueDepth: unknownQueueDepth})
+			f.endAttempt(attempt, muxclient.Result{Status: scheduler.NotSent, QueueDepth: unknownQueueDepth})
 		})
 		return
 	}
-	f.attempts[&a.Attempt] = a
-	a.timer = timer{kind: attemptTimer, due: until, attempt: a}
-	f.timers.add(&a.timer)
-	if result := a.worker.client.Send(&a.Attempt); result != nil {
-		f.deferred = append(f.deferred, func() { f.endAttempt(a, *result) })
+	f.attempts[&attempt.Attempt] = attempt
+	attempt.timer = timer{kind: attemptTimer, due: until, attempt: attempt}
+	f.timers.add(&attempt.timer)
+	if result := attempt.worker.client.Send(&attempt.Attempt); result != nil {
+		f.deferred = append(f.deferred, func() { f.endAttempt(attempt, *result) })
 	}
 }
 
 // newAttempt returns a request's next attempt.
-func (f *FrontEnd) newAttempt(request *Request, to *worker, until time.Duration) *attempt {
-	return &attempt{
+func (f *FrontEnd) newAttempt(request *Request, target *worker, until time.Duration) *requestAttempt {
+	return &requestAttempt{
 		Attempt: muxclient.Attempt{
 			Body:     request.Body,
 			Deadline: until,
@@ -86,17 +86,17 @@
 		},
 		request: request,
 		number:  request.attempts,
-		worker:  to,
+		worker:  target,
 		sentAt:  f.now,
 	}
 }
 
 // sendable reports whether a worker is known, a response is owed and time is left.
-func (f *FrontEnd) sendable(a *attempt) bool {
-	if a.worker == nil || a.request.state != requestInFlight {
+func (f *FrontEnd) sendable(attempt *requestAttempt) bool {
+	if attempt.worker == nil || attempt.request.state != requestInFlight {
 		return false
 	}
-	return a.Deadline > f.now
+	return attempt.Deadline > f.now
 }
 
 // tenantName is the name of a tenant, empty where the settings list none.
@@ -113,28 +113,28 @@
 	if request == nil || request.current == nil {
 		return
 	}
-	a := request.current
-	if a.number != number || a.state == attemptStreaming {
+	attempt := request.current
+	if attempt.number != number || attempt.state == attemptStreaming {
 		return
 	}
-	f.deferred = append(f.deferred, func() { f.abandonAttempt(a, scheduler.Cancelled, attemptCancelled) })
+	f.deferred = append(f.deferred, func() { f.abandonAttempt(attempt, scheduler.Cancelled, attemptCancelled) })
 }
 
 // ResponseStarted takes the start of a streamed response: it is the final response, and is passed on to the client
 // while it is received.
 func (f *FrontEnd) ResponseStarted(now time.Duration, sent *muxclient.Attempt, result muxclient.Result) {
 	f.now = now
-	a := f.attempts[sent]
-	if a == nil {
+	attempt := f.attempts[sent]
+	if attempt == nil {
 		return
 	}
-	if a.request.state != requestInFlight {
-		f.abandonAttempt(a, scheduler.Cancelled, attemptUnwanted)
+	if attempt.request.state != requestInFlight {
+		f.abandonAttempt(attempt, scheduler.Cancelled, attemptUnwanted)
 	} else {
-		a.enter(attemptStreaming)
-		f.timers.remove(&a.timer) // the client's connection bounds how long a response may stall
-		f.scheduler.ResponseStarted(now, a.request.id)
-		f.respond(a.request, FinalResponse{Kind: Served, Response: result.Response, Worker: a.worker.Name})
+		attempt.enter(attemptStreaming)
+		f.timers.remove(&attempt.timer) // the client's connection bounds how long a response may stall
+		f.scheduler.ResponseStarted(now, attempt.request.id)
+		f.respond(attempt.request, FinalResponse{Kind: Served, Response: result.Response, Worker: attempt.worker.Name})
 	}
 	f.runDeferred()
 }
@@ -142,8 +142,8 @@
 // AttemptEnded takes the outcome of an attempt from its worker client. An attempt that has ended already is ignored.
 func (f *FrontEnd) AttemptEnded(now time.Duration, sent *muxclient.Attempt, result muxclient.Result) {
 	f.now = now
-	if a := f.attempts[sent]; a != nil {
-		f.endAttempt(a, result)
+	if attempt := f.attempts[sent]; attempt != nil {
+		f.endAttempt(attempt, result)
 	}
 	f.runDeferred()
 }
@@ -153,11 +153,11 @@
 
 // abandonAttempt ends an attempt from this side. One that was not sent ends as that: NotSent where it was cancelled,
 // and ConnectFailed where it timed out in the send queue, as there was no connection that took it.
-func (f *FrontEnd) abandonAttempt(a *attempt, status scheduler.Status, reason Reason) {
-	if a.state == attemptEnded {
+func (f *FrontEnd) abandonAttempt(attempt *requestAttempt, status scheduler.Status, reason Reason) {
+	if attempt.state == attemptEnded {
 		return
 	}
-	sent := a.worker.abandon(a)
+	sent := attempt.worker.abandon(attempt)
 	switch {
 	case sent:
 	case status == scheduler.Timeout:
@@ -166,7 +166,7 @@
 	default:
 		status = scheduler.NotSent
 	}
-	f.endAttempt(a, abandonedResult(status, reason))
+	f.endAttempt(attempt, abandonedResult(status, reason))
 }
 
 // abandonedResult is the result of an attempt that was ended from this side.
@@ -176,33 +176,33 @@
 
 // endAttempt reports the outcome of an attempt to the scheduler, once. The request gets its final response before,
 // where the worker served it.
-func (f *FrontEnd) endAttempt(a *attempt, result muxclient.Result) {
-	if !a.enter(attemptEnded) {
+func (f *FrontEnd) endAttempt(attempt *requestAttempt, result muxclient.Result) {
+	if !attempt.enter(attemptEnded) {
 		return
 	}
-	f.timers.remove(&a.timer)
-	delete(f.attempts, &a.Attempt)
-	request := a.request
+	f.timers.remove(&attempt.timer)
+	delete(f.attempts, &attempt.Attempt)
+	request := attempt.request
 	request.current = nil
 	request.lastStatus = result.Status
 	request.lastReason = result.Reason
 	request.recordStatus(result.Status)
-	f.learnCost(a, result)
+	f.learnCost(attempt, result)
 	if result.Status == scheduler.OK && request.state == requestInFlight {
-		f.respond(request, FinalResponse{Kind: Served, Response: result.Response, Worker: a.worker.Name})
+		f.respond(request, FinalResponse{Kind: Served, Response: result.Response, Worker: attempt.worker.Name})
 	}
 	outcome := scheduler.Outcome{
 		Request:       request.id,
-		Attempt:       a.number,
+		Attempt:       attempt.number,
 		Status:        result.Status,
-		Latency:       f.latency(a, result),
+		Latency:       f.latency(attempt, result),
 		RequestClosed: request.state != requestInFlight,
 		ColdStart:     result.ColdStart,
 		QueueDepth:    result.QueueDepth,
 		LoadReport:    result.LoadReport,
 	}
-	if a.worker != nil {
-		outcome.Worker = a.worker.id
+	if attempt.worker != nil {
+		outcome.Worker = attempt.worker.id
 	}
 	f.scheduler.AttemptEnded(f.now, outcome)
 	f.forget(request)
@@ -210,24 +210,24 @@
 
 // latency is how long an attempt took until its response was read. What the response then waited for the event loop
 // is left out: counted as the worker's, a loop that lags would hold back requests from workers that are fast.
-func (f *FrontEnd) latency(a *attempt, result muxclient.Result) time.Duration {
-	if result.ReceivedAt > a.sentAt && result.ReceivedAt < f.now {
-		return result.ReceivedAt - a.sentAt
+func (f *FrontEnd) latency(attempt *requestAttempt, result muxclient.Result) time.Duration {
+	if result.ReceivedAt > attempt.sentAt && result.ReceivedAt < f.now {
+		return result.ReceivedAt - attempt.sentAt
 	}
-	return f.now - a.sentAt
+	return f.now - attempt.sentAt
 }
 
 // learnCost learns from an attempt how long requests of its function execute, without the cold starts in it.
-func (f *FrontEnd) learnCost(a *attempt, result muxclient.Result) {
-	cost := &a.request.function.cost
+func (f *FrontEnd) learnCost(attempt *requestAttempt, result muxclient.Result) {
+	cost := &attempt.request.function.cost
 	coldStart := result.ColdStart == scheduler.ColdStartTriggered || result.ColdStart == scheduler.ColdStartAwaited
 	switch {
 	case result.RunTime > 0:
-		a.request.runTime = result.RunTime
+		attempt.request.runTime = result.RunTime
 		cost.Told(result.RunTime)
 	case result.Status == scheduler.OK && !coldStart:
-		cost.Seen(f.now - a.sentAt)
+		cost.Seen(f.now - attempt.sentAt)
 	case result.Status == scheduler.Timeout, result.Status == scheduler.Cancelled:
-		cost.AtLeast(f.now - a.sentAt)
+		cost.AtLeast(f.now - attempt.sentAt)
 	}
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -13,20 +13,20 @@
 // BenchmarkFrontEnd is the event loop's part of a request, scheduler included: from its receipt to its final response.
 func BenchmarkFrontEnd(b *testing.B) {
 	t := &testing.T{}
-	h := newHarness(t, 8, nil)
+	harness := newHarness(t, 8, nil)
 	answer := &muxclient.Response{}
 	b.ReportAllocs()
 	for b.Loop() {
 		request := NewRequest()
-		request.StartedAt, request.Timeout, request.Replica = h.clock, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
-		h.clock += 20000 // 50,000 requests a second
-		h.FireTimers(h.clock)
-		h.RequestReceived(h.clock, request)
-		for _, worker := range h.clients {
+		request.StartedAt, request.Timeout, request.Replica = harness.clock, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
+		harness.clock += 20000 // 50,000 requests a second
+		harness.FireTimers(harness.clock)
+		harness.RequestReceived(harness.clock, request)
+		for _, worker := range harness.clients {
 			if len(worker.sent) > 0 {
-				a := worker.sent[0]
+				attempt := worker.sent[0]
 				worker.sent = worker.sent[:0]
-				h.AttemptEnded(h.clock, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+				harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 			}
 		}
 	}
@@ -34,14 +34,14 @@
 
 // BenchmarkShed is the event loop's part of a request that is rejected because of its queue delay.
 func BenchmarkShed(b *testing.B) {
-	h := newHarness(&testing.T{}, 8, nil)
-	at := h.clock
+	harness := newHarness(&testing.T{}, 8, nil)
+	at := harness.clock
 	b.ReportAllocs()
 	for b.Loop() {
 		request := NewRequest()
 		request.StartedAt, request.queuedAt, request.Timeout, request.Replica = at-50*ms, at-50*ms, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 		at += 20000
-		h.RequestReceived(at, request)
+		harness.RequestReceived(at, request)
 	}
 }
 
--- a/internal/gateway/catalog.go
+++ b/internal/gateway/catalog.go
@@ -74,39 +74,39 @@
 
 // Resolve fills in a request's class, tenant, timeout and replica specification. An error means that the request is
 // invalid; it is an *UnknownNameError or a *ClassMismatchError.
-func (k *Catalog) Resolve(in *httpserver.Request, request *Request) error {
-	function, listed := k.Functions[in.Function]
+func (k *Catalog) Resolve(received *httpserver.Request, request *Request) error {
+	function, listed := k.Functions[received.Function]
 	if !listed && k.ListedOnly {
-		return &UnknownNameError{Kind: "function", Name: in.Function}
+		return &UnknownNameError{Kind: "function", Name: received.Function}
 	}
 	request.Class = function.Class
-	if in.Class != "" {
-		class := slices.IndexFunc(k.Classes, func(c CatalogClass) bool { return c.Name == in.Class })
+	if received.Class != "" {
+		class := slices.IndexFunc(k.Classes, func(c CatalogClass) bool { return c.Name == received.Class })
 		if class < 0 {
-			return &UnknownNameError{Kind: "class", Name: in.Class}
+			return &UnknownNameError{Kind: "class", Name: received.Class}
 		}
 		if listed && class != function.Class {
-			return &ClassMismatchError{Function: in.Function, Class: in.Class}
+			return &ClassMismatchError{Function: received.Function, Class: received.Class}
 		}
 		request.Class = class
 	}
-	if in.Tenant != "" {
-		tenant := slices.Index(k.Tenants, in.Tenant)
+	if received.Tenant != "" {
+		tenant := slices.Index(k.Tenants, received.Tenant)
 		if tenant < 0 {
-			return &UnknownNameError{Kind: "tenant", Name: in.Tenant}
+			return &UnknownNameError{Kind: "tenant", Name: received.Tenant}
 		}
 		request.Tenant = tenant
 	}
 	class := k.Classes[request.Class]
 	request.Timeout = class.MaxTimeout
-	if in.Timeout > 0 {
-		request.Timeout = min(request.Timeout, in.Timeout)
+	if received.Timeout > 0 {
+		request.Timeout = min(request.Timeout, received.Timeout)
 	}
 	request.Replica = muxframe.ReplicaSpec{
-		Function:    in.Function,
-		MemoryMB:    cmp.Or(function.Replica.MemoryMB, in.MemoryMB, class.Replica.MemoryMB),
-		Concurrency: cmp.Or(function.Replica.Concurrency, in.Concurrency, class.Replica.Concurrency),
-		LoadMillis:  cmp.Or(function.Replica.LoadMillis, millis(in.LoadTime), class.Replica.LoadMillis),
+		Function:    received.Function,
+		MemoryMB:    cmp.Or(function.Replica.MemoryMB, received.MemoryMB, class.Replica.MemoryMB),
+		Concurrency: cmp.Or(function.Replica.Concurrency, received.Concurrency, class.Replica.Concurrency),
+		LoadMillis:  cmp.Or(function.Replica.LoadMillis, millis(received.LoadTime), class.Replica.LoadMillis),
 	}
 	return nil
 }
--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -94,9 +94,9 @@
 	if request.state != requestInFlight {
 		return
 	}
-	a := request.current
+	attempt := request.current
 	status := scheduler.NotSent
-	if a != nil && a.worker.abandon(a) {
+	if attempt != nil && attempt.worker.abandon(attempt) {
 		status = scheduler.Cancelled
 	}
 	request.recordStatus(status)
@@ -111,7 +111,7 @@
 		RetryAfter: f.settings.Scheduler.MaxRetryAfter,
 	})
 	f.scheduler.ClientDisconnected(f.now, request.id)
-	if a != nil {
-		f.endAttempt(a, abandonedResult(status, reason))
+	if attempt != nil {
+		f.endAttempt(attempt, abandonedResult(status, reason))
 	}
 }
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -10,38 +10,38 @@
 
 func TestClientDisconnected_AnyStage_NoResponse(t *testing.T) {
 	t.Run("attempt in flight", func(t *testing.T) {
-		h := newHarness(t, 1, nil)
-		request := h.submit(idempotentClass)
-		worker, _ := h.sentAttempt(request)
-		h.ClientDisconnected(h.clock, request)
-		if len(worker.canceled) != 1 || !h.Idle() {
-			t.Errorf("cancelled %d, idle %t", len(worker.canceled), h.Idle())
+		harness := newHarness(t, 1, nil)
+		request := harness.submit(idempotentClass)
+		worker, _ := harness.sentAttempt(request)
+		harness.ClientDisconnected(harness.clock, request)
+		if len(worker.canceled) != 1 || !harness.Idle() {
+			t.Errorf("cancelled %d, idle %t", len(worker.canceled), harness.Idle())
 		}
-		h.wantResponse(request, 0)
+		harness.wantResponse(request, 0)
 	})
 	t.Run("request queued", func(t *testing.T) {
-		h := newHarness(t, 0, nil)
-		request := h.submit(idempotentClass)
-		h.ClientDisconnected(h.clock, request)
-		if !h.Idle() {
+		harness := newHarness(t, 0, nil)
+		request := harness.submit(idempotentClass)
+		harness.ClientDisconnected(harness.clock, request)
+		if !harness.Idle() {
 			t.Error("the request is kept")
 		}
-		h.advance(3 * time.Second)
-		h.wantResponse(request, 0)
+		harness.advance(3 * time.Second)
+		harness.wantResponse(request, 0)
 	})
 	t.Run("response streamed", func(t *testing.T) {
-		h := newHarness(t, 1, nil)
-		request := h.submit(nonIdempotentClass)
-		worker, a := h.sentAttempt(request)
-		h.ResponseStarted(h.clock, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{Stream: &muxclient.Stream{}}})
-		h.wantResponse(request, Served)
-		h.advance(3 * time.Second) // neither timeout nor deadline applies to it
+		harness := newHarness(t, 1, nil)
+		request := harness.submit(nonIdempotentClass)
+		worker, attempt := harness.sentAttempt(request)
+		harness.ResponseStarted(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{Stream: &muxclient.Stream{}}})
+		harness.wantResponse(request, Served)
+		harness.advance(3 * time.Second) // neither timeout nor deadline applies to it
 		if len(worker.canceled) != 0 {
 			t.Fatal("a streamed response was cut off")
 		}
-		h.ClientDisconnected(h.clock, request)
-		if len(worker.canceled) != 1 || !h.Idle() {
-			t.Errorf("cancelled %d, idle %t", len(worker.canceled), h.Idle())
+		harness.ClientDisconnected(harness.clock, request)
+		if len(worker.canceled) != 1 || !harness.Idle() {
+			t.Errorf("cancelled %d, idle %t", len(worker.canceled), harness.Idle())
 		}
 	})
 }
@@ -50,11 +50,11 @@
 // that a disconnect may be handled before the request that it is about.
 func TestClientDisconnected_BeforeOrAfterReceipt_NothingInFlight(t *testing.T) {
 	for _, disconnectFirst := range []bool{true, false} {
-		h := newHarness(t, 1, nil)
+		harness := newHarness(t, 1, nil)
 		request := NewRequest()
-		request.StartedAt, request.Timeout = h.clock, testScheduler().Classes[idempotentClass].Timeout
+		request.StartedAt, request.Timeout = harness.clock, testScheduler().Classes[idempotentClass].Timeout
 		request.Replica.Function = "f"
-		disconnect, receive := func() { h.ClientDisconnected(h.clock, request) }, func() { h.RequestReceived(h.clock, request) }
+		disconnect, receive := func() { harness.ClientDisconnected(harness.clock, request) }, func() { harness.RequestReceived(harness.clock, request) }
 		if disconnectFirst {
 			disconnect()
 			receive()
@@ -62,11 +62,11 @@
 			receive()
 			disconnect()
 		}
-		worker := h.clients["w0"]
-		if n := len(worker.sent) + len(worker.queued); n > 0 || h.hasAttempt(request) || !h.Idle() {
+		worker := harness.clients["w0"]
+		if n := len(worker.sent) + len(worker.queued); n > 0 || harness.hasAttempt(request) || !harness.Idle() {
 			t.Errorf("disconnect first %v: %d attempts in flight for a client that disconnected", disconnectFirst, n)
 		}
-		if counts := h.Counts(); disconnectFirst && counts.Attempts != 0 || counts.Disconnected != 1 || counts.Shed != 0 {
+		if counts := harness.Counts(); disconnectFirst && counts.Attempts != 0 || counts.Disconnected != 1 || counts.Shed != 0 {
 			t.Errorf("disconnect first %v: counts %+v", disconnectFirst, counts)
 		}
 		select {
@@ -77,17 +77,17 @@
 	}
 }
 
-// TestClientDisconnected_UnsentAttempt_IsTakenBack holds also where sent attempts may not be cancelled.
-func TestClientDisconnected_UnsentAttempt_IsTakenBack(t *testing.T) {
+// TestClientDisconnected_UnsentAttempt_IsCancelled holds also where sent attempts may not be cancelled.
+func TestClientDisconnected_UnsentAttempt_IsCancelled(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		for _, sent := range []bool{true, false} {
-			h := newHarness(t, 1, func(s *Settings) { s.Scheduler.CancelAllowed = mayCancel })
+			harness := newHarness(t, 1, func(s *Settings) { s.Scheduler.CancelAllowed = mayCancel })
 			staysSent := sent && !mayCancel
-			worker := h.clients["w0"]
+			worker := harness.clients["w0"]
 			worker.holdsWrites = !sent
-			request := h.submit(idempotentClass)
-			h.sentAttempt(request)
-			h.ClientDisconnected(h.clock, request)
+			request := harness.submit(idempotentClass)
+			harness.sentAttempt(request)
+			harness.ClientDisconnected(harness.clock, request)
 			if got := len(worker.sent) + len(worker.queued); got != 0 && !staysSent {
 				t.Errorf("may cancel %v, sent %v: %d are with the worker client", mayCancel, sent, got)
 			}
@@ -95,9 +95,9 @@
 				t.Errorf("may cancel %v, sent %v: cancelled %v", mayCancel, sent, cancelled)
 			}
 			if staysSent {
-				h.endWith(request, scheduler.OK) // nothing waits for it
+				harness.endWith(request, scheduler.OK) // nothing waits for it
 			}
-			if !h.Idle() {
+			if !harness.Idle() {
 				t.Errorf("may cancel %v, sent %v: not forgotten", mayCancel, sent)
 			}
 		}
@@ -108,27 +108,27 @@
 func TestClientDisconnected_BetweenAttempts_NothingSent(t *testing.T) {
 	for _, end := range []scheduler.Status{scheduler.Overloaded, scheduler.NotLoaded, scheduler.ConnectFailed, scheduler.Error, scheduler.Timeout, scheduler.Reset} {
 		inBothOrders(t, "disconnected", "ended", func(t *testing.T, disconnectFirst bool) {
-			h := newHarness(t, 3, nil)
-			request := h.submit(idempotentClass)
-			_, a := h.sentAttempt(request)
-			endAttempt := func() { h.AttemptEnded(h.clock, a, muxclient.Result{Status: end, QueueDepth: -1}) }
+			harness := newHarness(t, 3, nil)
+			request := harness.submit(idempotentClass)
+			_, attempt := harness.sentAttempt(request)
+			endAttempt := func() { harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: end, QueueDepth: -1}) }
 			if disconnectFirst {
-				h.ClientDisconnected(h.clock, request)
-				before := h.Counts().Attempts
+				harness.ClientDisconnected(harness.clock, request)
+				before := harness.Counts().Attempts
 				endAttempt()
-				if n := h.Counts().Attempts; n != before {
+				if n := harness.Counts().Attempts; n != before {
 					t.Errorf("after status %v %d more attempts", end, n-before)
 				}
 			} else {
 				endAttempt()
-				h.ClientDisconnected(h.clock, request)
+				harness.ClientDisconnected(harness.clock, request)
 			}
-			before := h.Counts().Attempts
-			h.advance(3 * time.Second)
-			if n := h.Counts().Attempts; n != before || !h.Idle() {
-				t.Errorf("after status %v %d more attempts, idle %v", end, n-before, h.Idle())
+			before := harness.Counts().Attempts
+			harness.advance(3 * time.Second)
+			if n := harness.Counts().Attempts; n != before || !harness.Idle() {
+				t.Errorf("after status %v %d more attempts, idle %v", end, n-before, harness.Idle())
 			}
-			h.wantResponse(request, 0)
+			harness.wantResponse(request, 0)
 		})
 	}
 }
@@ -136,28 +136,28 @@
 // TestClientDisconnected_AwaitingLoadOrder_NothingSent leaves the load order: it may serve other requests.
 func TestClientDisconnected_AwaitingLoadOrder_NothingSent(t *testing.T) {
 	inBothOrders(t, "disconnected", "loaded", func(t *testing.T, disconnectFirst bool) {
-		h := newHarness(t, 1, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
-		request := h.submit(idempotentClass)
-		worker := h.clients["w0"]
+		harness := newHarness(t, 1, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
+		request := harness.submit(idempotentClass)
+		worker := harness.clients["w0"]
 		for len(worker.orders) > 0 { // residency queries, then the order
-			o := worker.orders[0]
+			order := worker.orders[0]
 			worker.orders = worker.orders[1:]
-			if o.Load.Replicas == 0 {
-				h.LoadEnded(h.clock, o, scheduler.OK, 0)
+			if order.Load.Replicas == 0 {
+				harness.LoadEnded(harness.clock, order, scheduler.OK, 0)
 				continue
 			}
 			if disconnectFirst {
-				h.ClientDisconnected(h.clock, request)
+				harness.ClientDisconnected(harness.clock, request)
 			}
-			h.LoadEnded(h.clock, o, scheduler.OK, 1)
+			harness.LoadEnded(harness.clock, order, scheduler.OK, 1)
 			if !disconnectFirst {
-				h.sentAttempt(request)
-				h.ClientDisconnected(h.clock, request)
+				harness.sentAttempt(request)
+				harness.ClientDisconnected(harness.clock, request)
 			}
 		}
-		if n := h.Counts().Attempts; disconnectFirst && n != 0 || len(worker.sent)+len(worker.queued) > 0 || !h.Idle() {
+		if n := harness.Counts().Attempts; disconnectFirst && n != 0 || len(worker.sent)+len(worker.queued) > 0 || !harness.Idle() {
 			t.Errorf("%d attempts, %d in flight", n, len(worker.sent)+len(worker.queued))
 		}
-		h.wantResponse(request, 0)
+		harness.wantResponse(request, 0)
 	})
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -116,8 +116,8 @@
 func (f *FrontEnd) drainClient(w *worker) {
 	attempts, orders := w.client.Drain(f.settings.Scheduler.DrainGrace)
 	for _, unsent := range attempts {
-		if a := f.attempts[unsent]; a != nil {
-			f.deferred = append(f.deferred, func() { f.endAttempt(a, abandonedResult(scheduler.NotSent, attemptDrained)) })
+		if attempt := f.attempts[unsent]; attempt != nil {
+			f.deferred = append(f.deferred, func() { f.endAttempt(attempt, abandonedResult(scheduler.NotSent, attemptDrained)) })
 		}
 	}
 	for _, unsent := range orders {
--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -192,7 +192,7 @@
 
 // prepare hands the observed lag to the FrontEnd, fires its timers and sets the queue's limit.
 func (l *EventLoop) prepare(now time.Duration) {
-	if lag := l.gate.takeLag(); lag > 0 {
+	if lag := l.gate.swapLag(); lag > 0 {
 		l.frontEnd.ObserveLag(now, lag)
 	}
 	l.frontEnd.FireTimers(now)
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -29,18 +29,18 @@
 }
 
 // ResponseStarted implements muxclient.Events.
-func (e workerEvents) ResponseStarted(a *muxclient.Attempt, r muxclient.Result) {
-	e.loop.post(func(now time.Duration) { e.loop.frontEnd.ResponseStarted(now, a, r) })
+func (e workerEvents) ResponseStarted(attempt *muxclient.Attempt, r muxclient.Result) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.ResponseStarted(now, attempt, r) })
 }
 
 // AttemptEnded implements muxclient.Events.
-func (e workerEvents) AttemptEnded(a *muxclient.Attempt, r muxclient.Result) {
-	e.loop.post(func(now time.Duration) { e.loop.frontEnd.AttemptEnded(now, a, r) })
+func (e workerEvents) AttemptEnded(attempt *muxclient.Attempt, r muxclient.Result) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.AttemptEnded(now, attempt, r) })
 }
 
 // LoadEnded implements muxclient.Events.
-func (e workerEvents) LoadEnded(o *muxclient.LoadOrder, status scheduler.Status, replicas int) {
-	e.loop.post(func(now time.Duration) { e.loop.frontEnd.LoadEnded(now, o, status, replicas) })
+func (e workerEvents) LoadEnded(order *muxclient.LoadOrder, status scheduler.Status, replicas int) {
+	e.loop.post(func(now time.Duration) { e.loop.frontEnd.LoadEnded(now, order, status, replicas) })
 }
 
 // HealthChecked implements muxclient.Events.
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -19,13 +19,13 @@
 
 // simulation is one order of events: a FrontEnd, and what worker clients and clients saw.
 type simulation struct {
-	*harness
+	*testHarness
 	classes       [2]int
 	submitted     [2]*Request
 	responses     [2]int
 	kinds         [2]ResponseKind
 	received      int
-	clientLeft    [2]bool
+	disconnected  [2]bool
 	abandoned     []*muxclient.Attempt // given up here after they were sent
 	draining      bool
 	sentByRequest map[string][]sentRecord
@@ -48,39 +48,39 @@
 	simulation *simulation
 }
 
-func (s recordingClient) Send(a *muxclient.Attempt) *muxclient.Result {
-	s.simulation.checkSend(s.fakeWorkerClient, a)
-	return s.fakeWorkerClient.Send(a)
+func (s recordingClient) Send(attempt *muxclient.Attempt) *muxclient.Result {
+	s.simulation.checkSend(s.fakeWorkerClient, attempt)
+	return s.fakeWorkerClient.Send(attempt)
 }
 
-func (s recordingClient) Abandon(a *muxclient.Attempt) bool {
-	left := s.fakeWorkerClient.Abandon(a)
+func (s recordingClient) Abandon(attempt *muxclient.Attempt) bool {
+	left := s.fakeWorkerClient.Abandon(attempt)
 	if left {
-		s.simulation.abandoned = append(s.simulation.abandoned, a)
+		s.simulation.abandoned = append(s.simulation.abandoned, attempt)
 	} else {
-		s.simulation.record(a).neverExecuted = true
+		s.simulation.record(attempt).neverExecuted = true
 	}
 	return left
 }
 
 func (s recordingClient) Drain(d time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder) {
 	taken, orders := s.fakeWorkerClient.Drain(d)
-	for _, a := range taken {
-		s.simulation.record(a).neverExecuted = true
+	for _, attempt := range taken {
+		s.simulation.record(attempt).neverExecuted = true
 	}
 	return taken, orders
 }
 
 func (sim *simulation) OpenWorker(id scheduler.WorkerID, info discovery.Worker) WorkerClient {
-	worker := sim.harness.OpenWorker(id, info).(*fakeWorkerClient)
+	worker := sim.testHarness.OpenWorker(id, info).(*fakeWorkerClient)
 	worker.holdsWrites = true
 	return recordingClient{worker, sim}
 }
 
-func (sim *simulation) record(a *muxclient.Attempt) *sentRecord {
-	list := sim.sentByRequest[a.Request.ID]
+func (sim *simulation) record(attempt *muxclient.Attempt) *sentRecord {
+	list := sim.sentByRequest[attempt.Request.ID]
 	for i := range list {
-		if list[i].attempt == a {
+		if list[i].attempt == attempt {
 			return &list[i]
 		}
 	}
@@ -94,11 +94,11 @@
 }
 
 // checkSend checks invariants 2 and 3 when an attempt is handed to a worker client.
-func (sim *simulation) checkSend(worker *fakeWorkerClient, a *muxclient.Attempt) {
-	id := a.Request.ID
+func (sim *simulation) checkSend(worker *fakeWorkerClient, attempt *muxclient.Attempt) {
+	id := attempt.Request.ID
 	index := int(id[0] - '0')
 	cell := int(worker.name[1]-'0') % 2
-	if sim.responses[index] > 0 || sim.clientLeft[index] {
+	if sim.responses[index] > 0 || sim.disconnected[index] {
 		sim.violated("request %d is sent after its final state", index)
 	}
 	if worker.drained {
@@ -117,7 +117,7 @@
 			}
 		}
 	}
-	sim.sentByRequest[id] = append(sim.sentByRequest[id], sentRecord{attempt: a, cell: cell, sentAt: sim.clock})
+	sim.sentByRequest[id] = append(sim.sentByRequest[id], sentRecord{attempt: attempt, cell: cell, sentAt: sim.clock})
 }
 
 // checkResponse checks invariant 1, and that nothing that may have executed is rejected.
@@ -127,7 +127,7 @@
 	if sim.responses[i] > 1 {
 		sim.violated("request %d has %d final responses", i, sim.responses[i])
 	}
-	if sim.clientLeft[i] {
+	if sim.disconnected[i] {
 		sim.violated("request %d has a response after its client disconnected", i)
 	}
 	if sim.clock >= sim.submitted[i].StartedAt+sim.submitted[i].Timeout {
@@ -145,7 +145,7 @@
 
 func newSimulation(t *testing.T, of [2]int) *simulation {
 	sim := &simulation{classes: of, sentByRequest: map[string][]sentRecord{}}
-	sim.harness = &harness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
+	sim.testHarness = &testHarness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
 	set := Settings{
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0),
@@ -171,32 +171,32 @@
 	}
 	for _, name := range []string{"w0", "w1"} {
 		worker := sim.clients[name]
-		for _, a := range worker.queued {
-			add(func() { sim.writeOut(worker, a) }, "%s is written to %s", a.Request.ID, name)
-			add(func() { sim.endAttemptWith(worker, a, scheduler.ConnectFailed) }, "%s finds no connection to %s", a.Request.ID, name)
+		for _, attempt := range worker.queued {
+			add(func() { sim.writeOut(worker, attempt) }, "%s is written to %s", attempt.Request.ID, name)
+			add(func() { sim.endAttemptWith(worker, attempt, scheduler.ConnectFailed) }, "%s finds no connection to %s", attempt.Request.ID, name)
 		}
-		for _, a := range worker.sent {
-			if mine := sim.attempts[a]; mine != nil && mine.state == attemptStreaming {
-				add(func() { sim.endAttemptWith(worker, a, scheduler.OK) }, "%s ends", a.Request.ID)
-				add(func() { sim.endAttemptWith(worker, a, scheduler.Reset) }, "%s breaks off", a.Request.ID)
+		for _, attempt := range worker.sent {
+			if mine := sim.attempts[attempt]; mine != nil && mine.state == attemptStreaming {
+				add(func() { sim.endAttemptWith(worker, attempt, scheduler.OK) }, "%s ends", attempt.Request.ID)
+				add(func() { sim.endAttemptWith(worker, attempt, scheduler.Reset) }, "%s breaks off", attempt.Request.ID)
 				continue
 			}
 			for _, s := range []scheduler.Status{scheduler.OK, scheduler.Error, scheduler.Overloaded, scheduler.Reset} {
-				add(func() { sim.endAttemptWith(worker, a, s) }, "%s at %s ends with status %d", a.Request.ID, name, s)
+				add(func() { sim.endAttemptWith(worker, attempt, s) }, "%s at %s ends with status %d", attempt.Request.ID, name, s)
 			}
 			add(func() {
-				sim.ResponseStarted(sim.clock, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
-			}, "%s starts its response", a.Request.ID)
+				sim.ResponseStarted(sim.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+			}, "%s starts its response", attempt.Request.ID)
 		}
 	}
-	for _, a := range sim.abandoned {
+	for _, attempt := range sim.abandoned {
 		add(func() {
-			sim.AttemptEnded(sim.clock, a, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
-		}, "%s has a late response", a.Request.ID)
+			sim.AttemptEnded(sim.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+		}, "%s has a late response", attempt.Request.ID)
 	}
 	for i := range sim.received {
-		if sim.responses[i] == 0 && !sim.clientLeft[i] {
-			add(func() { sim.clientLeft[i] = true; sim.ClientDisconnected(sim.clock, sim.submitted[i]) }, "client %d disconnects", i)
+		if sim.responses[i] == 0 && !sim.disconnected[i] {
+			add(func() { sim.disconnected[i] = true; sim.ClientDisconnected(sim.clock, sim.submitted[i]) }, "client %d disconnects", i)
 		}
 	}
 	if sim.draining {
@@ -221,26 +221,26 @@
 	sim.RequestReceived(sim.clock, request)
 }
 
-func (sim *simulation) writeOut(worker *fakeWorkerClient, a *muxclient.Attempt) {
+func (sim *simulation) writeOut(worker *fakeWorkerClient, attempt *muxclient.Attempt) {
 	if sim.draining && worker.name == "w0" {
-		sim.violated("request %s is written to a worker that drains", a.Request.ID)
+		sim.violated("request %s is written to a worker that drains", attempt.Request.ID)
 	}
-	worker.remove(a)
-	worker.sent = append(worker.sent, a)
-	sim.record(a).written = true
+	worker.remove(attempt)
+	worker.sent = append(worker.sent, attempt)
+	sim.record(attempt).written = true
 }
 
-func (sim *simulation) endAttemptWith(worker *fakeWorkerClient, a *muxclient.Attempt, s scheduler.Status) {
-	worker.remove(a)
-	sim.record(a).neverExecuted = s == scheduler.ConnectFailed || s == scheduler.Overloaded
-	sim.AttemptEnded(sim.clock, a, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{}})
+func (sim *simulation) endAttemptWith(worker *fakeWorkerClient, attempt *muxclient.Attempt, s scheduler.Status) {
+	worker.remove(attempt)
+	sim.record(attempt).neverExecuted = s == scheduler.ConnectFailed || s == scheduler.Overloaded
+	sim.AttemptEnded(sim.clock, attempt, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{}})
 }
 
 // checkEnd lets all time pass: each request whose client stayed connected must have its final response.
 func (sim *simulation) checkEnd() {
 	sim.advance(2100 * ms)
 	for i := range sim.received {
-		if sim.responses[i] == 0 && !sim.clientLeft[i] {
+		if sim.responses[i] == 0 && !sim.disconnected[i] {
 			sim.violated("request %d has no response", i)
 		}
 	}
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -98,7 +98,7 @@
 
 	requests      map[scheduler.RequestID]*Request
 	lastRequestID scheduler.RequestID
-	attempts      map[*muxclient.Attempt]*attempt
+	attempts      map[*muxclient.Attempt]*requestAttempt
 	loadOrders    map[*muxclient.LoadOrder]*loadOrder
 	workers       map[scheduler.WorkerID]*worker
 	functions     map[scheduler.FunctionID]*function
@@ -121,7 +121,7 @@
 
 // New returns a FrontEnd that starts at now and knows no workers.
 func New(now time.Duration, settings Settings, dependencies Dependencies, log zerolog.Logger) *FrontEnd {
-	f := &FrontEnd{
+	frontEnd := &FrontEnd{
 		settings:     settings,
 		dependencies: dependencies,
 		log:          log,
@@ -130,7 +130,7 @@
 		lag:          looplag.New(longestTimeout(settings.Scheduler.Classes)),
 		now:          now,
 		requests:     map[scheduler.RequestID]*Request{},
-		attempts:     map[*muxclient.Attempt]*attempt{},
+		attempts:     map[*muxclient.Attempt]*requestAttempt{},
 		loadOrders:   map[*muxclient.LoadOrder]*loadOrder{},
 		workers:      map[scheduler.WorkerID]*worker{},
 		functions:    map[scheduler.FunctionID]*function{},
@@ -139,19 +139,19 @@
 		kinds:        map[string]int{},
 	}
 	for _, zone := range settings.Zones {
-		intern(f.zones, zone)
+		intern(frontEnd.zones, zone)
 	}
 	switch {
 	case settings.NewScheduler != nil:
-		f.scheduler = settings.NewScheduler(now, settings.Scheduler, f)
+		frontEnd.scheduler = settings.NewScheduler(now, settings.Scheduler, frontEnd)
 	case settings.Shadow != nil:
-		f.shadow = shadow.New(now, settings.Scheduler, *settings.Shadow, f, f.logShadowDifference)
-		f.scheduler = f.shadow
+		frontEnd.shadow = shadow.New(now, settings.Scheduler, *settings.Shadow, frontEnd, frontEnd.logShadowDifference)
+		frontEnd.scheduler = frontEnd.shadow
 	default:
-		f.scheduler = scheduler.New(now, settings.Scheduler, f)
+		frontEnd.scheduler = scheduler.New(now, settings.Scheduler, frontEnd)
 	}
-	f.timers.add(&timer{kind: sweepTimer, due: now + sweepInterval})
-	return f
+	frontEnd.timers.add(&timer{kind: sweepTimer, due: now + sweepInterval})
+	return frontEnd
 }
 
 // longestTimeout is the longest that a client of any class waits.
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -31,44 +31,44 @@
 	rejection    *muxclient.Result
 }
 
-func (worker *fakeWorkerClient) Send(a *muxclient.Attempt) *muxclient.Result {
+func (worker *fakeWorkerClient) Send(attempt *muxclient.Attempt) *muxclient.Result {
 	switch {
 	case worker.rejection != nil:
 		return worker.rejection
 	case worker.drained:
 		return &muxclient.Result{Status: scheduler.NotSent, QueueDepth: -1}
 	case worker.holdsWrites:
-		worker.queued = append(worker.queued, a)
+		worker.queued = append(worker.queued, attempt)
 	default:
-		worker.sent = append(worker.sent, a)
+		worker.sent = append(worker.sent, attempt)
 	}
 	return nil
 }
 
-func (worker *fakeWorkerClient) Abandon(a *muxclient.Attempt) bool {
-	was := slices.Contains(worker.sent, a)
+func (worker *fakeWorkerClient) Abandon(attempt *muxclient.Attempt) bool {
+	was := slices.Contains(worker.sent, attempt)
 	if was {
-		worker.canceled = append(worker.canceled, a)
+		worker.canceled = append(worker.canceled, attempt)
 	}
-	worker.remove(a)
+	worker.remove(attempt)
 	return was
 }
 
-func (worker *fakeWorkerClient) CancelUnsent(a *muxclient.Attempt) bool {
-	was := slices.Contains(worker.queued, a)
+func (worker *fakeWorkerClient) CancelUnsent(attempt *muxclient.Attempt) bool {
+	was := slices.Contains(worker.queued, attempt)
 	if was {
-		worker.remove(a)
+		worker.remove(attempt)
 	}
 	return was
 }
 
-func (worker *fakeWorkerClient) remove(a *muxclient.Attempt) {
-	match := func(x *muxclient.Attempt) bool { return x == a }
+func (worker *fakeWorkerClient) remove(attempt *muxclient.Attempt) {
+	match := func(x *muxclient.Attempt) bool { return x == attempt }
 	worker.queued, worker.sent = slices.DeleteFunc(worker.queued, match), slices.DeleteFunc(worker.sent, match)
 }
 
-func (worker *fakeWorkerClient) Load(o *muxclient.LoadOrder) scheduler.Status {
-	worker.orders = append(worker.orders, o)
+func (worker *fakeWorkerClient) Load(order *muxclient.LoadOrder) scheduler.Status {
+	worker.orders = append(worker.orders, order)
 	return 0
 }
 
@@ -91,8 +91,8 @@
 	return taken, nil
 }
 
-// harness hands events to a FrontEnd, at its own clock.
-type harness struct {
+// testHarness hands events to a FrontEnd, at its own clock.
+type testHarness struct {
 	*testing.T
 	*FrontEnd
 	clock   time.Duration
@@ -101,14 +101,14 @@
 	watches int
 }
 
-func (h *harness) OpenWorker(_ scheduler.WorkerID, w discovery.Worker) WorkerClient {
-	h.opened++
+func (harness *testHarness) OpenWorker(_ scheduler.WorkerID, w discovery.Worker) WorkerClient {
+	harness.opened++
 	worker := &fakeWorkerClient{name: w.Name}
-	h.clients[w.Name] = worker
+	harness.clients[w.Name] = worker
 	return worker
 }
 
-func (h *harness) WatchEndpoints() { h.watches++ }
+func (harness *testHarness) WatchEndpoints() { harness.watches++ }
 
 func testScheduler() scheduler.Settings {
 	return scheduler.Settings{
@@ -127,8 +127,8 @@
 	nonIdempotentClass
 )
 
-func newHarness(t *testing.T, workers int, change func(*Settings)) *harness {
-	h := &harness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
+func newHarness(t *testing.T, workers int, change func(*Settings)) *testHarness {
+	harness := &testHarness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
 	set := Settings{
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0),
@@ -136,13 +136,13 @@
 	if change != nil {
 		change(&set)
 	}
-	h.FrontEnd = New(h.clock, set, h, zerolog.Nop())
-	h.listWorkers(workers, nil)
-	return h
+	harness.FrontEnd = New(harness.clock, set, harness, zerolog.Nop())
+	harness.listWorkers(workers, nil)
+	return harness
 }
 
 // listWorkers reports a list of n workers, all ready but those in states.
-func (h *harness) listWorkers(n int, states map[string]scheduler.WorkerState) {
+func (harness *testHarness) listWorkers(n int, states map[string]scheduler.WorkerState) {
 	var list []discovery.Worker
 	for i := range n {
 		w := discovery.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Cell: fmt.Sprint(i % 2), Scale: 1, State: scheduler.Ready}
@@ -151,49 +151,49 @@
 		}
 		list = append(list, w)
 	}
-	h.EndpointsChanged(h.clock, list)
+	harness.EndpointsChanged(harness.clock, list)
 }
 
-func (h *harness) submit(class int) *Request {
+func (harness *testHarness) submit(class int) *Request {
 	request := NewRequest()
-	request.Class, request.StartedAt, request.Timeout = class, h.clock, 2*time.Second
+	request.Class, request.StartedAt, request.Timeout = class, harness.clock, 2*time.Second
 	request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 2}
-	h.RequestReceived(h.clock, request)
+	harness.RequestReceived(harness.clock, request)
 	return request
 }
 
-func (h *harness) advance(d time.Duration) {
-	for end := h.clock + d; h.clock < end; {
-		h.clock = min(end, max(h.clock, h.NextTimer()))
-		h.FireTimers(h.clock)
+func (harness *testHarness) advance(d time.Duration) {
+	for end := harness.clock + d; harness.clock < end; {
+		harness.clock = min(end, max(harness.clock, harness.NextTimer()))
+		harness.FireTimers(harness.clock)
 	}
 }
 
 // sentAttempt is the attempt that a worker client has for a request.
-func (h *harness) sentAttempt(request *Request) (*fakeWorkerClient, *muxclient.Attempt) {
-	h.Helper()
-	for _, worker := range h.clients {
-		for _, a := range slices.Concat(worker.sent, worker.queued) {
-			if a.Request.ID == request.ID {
-				return worker, a
+func (harness *testHarness) sentAttempt(request *Request) (*fakeWorkerClient, *muxclient.Attempt) {
+	harness.Helper()
+	for _, worker := range harness.clients {
+		for _, attempt := range slices.Concat(worker.sent, worker.queued) {
+			if attempt.Request.ID == request.ID {
+				return worker, attempt
 			}
 		}
 	}
-	h.Fatalf("request %s has no attempt", request.ID)
+	harness.Fatalf("request %s has no attempt", request.ID)
 	return nil, nil
 }
 
-func (h *harness) hasAttempt(request *Request) bool { return request.current != nil }
+func (harness *testHarness) hasAttempt(request *Request) bool { return request.current != nil }
 
-func (h *harness) endWith(request *Request, s scheduler.Status) *fakeWorkerClient {
-	h.Helper()
-	worker, a := h.sentAttempt(request)
-	worker.remove(a)
-	h.AttemptEnded(h.clock, a, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
+func (harness *testHarness) endWith(request *Request, s scheduler.Status) *fakeWorkerClient {
+	harness.Helper()
+	worker, attempt := harness.sentAttempt(request)
+	worker.remove(attempt)
+	harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
 	return worker
 }
 
-func (h *harness) responseKind(request *Request) ResponseKind {
+func (harness *testHarness) responseKind(request *Request) ResponseKind {
 	select {
 	case f := <-request.Response():
 		return f.Kind
@@ -202,13 +202,13 @@
 	}
 }
 
-func (h *harness) wantResponse(request *Request, k ResponseKind) {
-	h.Helper()
-	if got := h.responseKind(request); got != k {
-		h.Errorf("final response %v, want %v", got, k)
+func (harness *testHarness) wantResponse(request *Request, k ResponseKind) {
+	harness.Helper()
+	if got := harness.responseKind(request); got != k {
+		harness.Errorf("final response %v, want %v", got, k)
 	}
-	if got := h.responseKind(request); got != 0 {
-		h.Errorf("a second final response: %v", got)
+	if got := harness.responseKind(request); got != 0 {
+		harness.Errorf("a second final response: %v", got)
 	}
 }
 
--- a/internal/gateway/http_handler.go
+++ b/internal/gateway/http_handler.go
@@ -16,14 +16,14 @@
 }
 
 // Take implements httpserver.Handler. An error is one of Catalog.Resolve.
-func (h httpHandler) Take(in *httpserver.Request) (httpserver.Pending, error) {
+func (h httpHandler) Take(received *httpserver.Request) (httpserver.Pending, error) {
 	request := NewRequest()
-	request.ID = in.ID
-	request.IdempotencyKey = in.IdempotencyKey
-	request.Body = in.Body
-	request.WorkEstimate = in.WorkEstimate
-	request.StartedAt = in.ReceivedAt.Sub(h.loop.cfg.ClockStart)
-	if err := h.catalog.Resolve(in, request); err != nil {
+	request.ID = received.ID
+	request.IdempotencyKey = received.IdempotencyKey
+	request.Body = received.Body
+	request.WorkEstimate = received.WorkEstimate
+	request.StartedAt = received.ReceivedAt.Sub(h.loop.cfg.ClockStart)
+	if err := h.catalog.Resolve(received, request); err != nil {
 		return nil, err
 	}
 	h.loop.Submit(request)
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -23,16 +23,19 @@
 	sent chan *muxclient.Attempt
 }
 
-func (l *instantWorker) Send(a *muxclient.Attempt) *muxclient.Result { l.sent <- a; return nil }
+func (l *instantWorker) Send(attempt *muxclient.Attempt) *muxclient.Result {
+	l.sent <- attempt
+	return nil
+}
 
 func (l *instantWorker) Abandon(*muxclient.Attempt) bool { return true }
 
 // respondToAll responds until the channel of attempts is closed.
 func (l *instantWorker) respondToAll(loop *EventLoop) {
 	answer := &muxclient.Response{}
-	for a := range l.sent {
+	for attempt := range l.sent {
 		loop.post(func(now time.Duration) {
-			loop.frontEnd.AttemptEnded(now, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+			loop.frontEnd.AttemptEnded(now, attempt, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 		})
 	}
 }
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -64,7 +64,7 @@
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(config.MemoryMB) * bytesPerMB))
 	log = sampled(log)
 	clientConns, workerConns := connadmission.SplitDescriptors(config.Sockets)
-	p := &PlatformServer{
+	server := &PlatformServer{
 		config: config,
 		log:    log,
 		budget: workerclient.NewConnectionBudget(workerConns),
@@ -72,25 +72,25 @@
 	}
 	site := config.Site
 	var err error
-	p.endpoints, err = discovery.NewEndpointStream(config.Bulletin, config.Known, site.Zones, site.Kinds, config.Seed)
+	server.endpoints, err = discovery.NewEndpointStream(config.Bulletin, config.Known, site.Zones, site.Kinds, config.Seed)
 	if err != nil {
 		return nil, err
 	}
-	p.listener, err = net.Listen("tcp", config.Listen)
+	server.listener, err = net.Listen("tcp", config.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("clients' listener: %w", err)
 	}
-	p.clients = rpcserver.New(rpcserver.Config{
+	server.clients = rpcserver.New(rpcserver.Config{
 		Rules:    clientRules(config.Site),
 		MaxConns: clientConns,
 		MaxOpen:  platformMaxOpen,
 		MaxOut:   platformMaxUnsent,
 		Write:    platformWriteTimeout,
 		Rest:     platformAcceptRest,
-		Wrote:    func(took time.Duration) { p.loop.ObserveLag(took) },
-	}, p, log)
-	p.loop = NewEventLoop(p.loopConfig(), log)
-	return p, nil
+		Wrote:    func(took time.Duration) { server.loop.ObserveLag(took) },
+	}, server, log)
+	server.loop = NewEventLoop(server.loopConfig(), log)
+	return server, nil
 }
 
 // clientRules are the names and bounds of what clients may ask.
@@ -152,20 +152,20 @@
 func (p *PlatformServer) Ready() bool { return !p.draining.Load() }
 
 // Handle implements rpcserver.Handler. An error wraps rpcserver.ErrProtocol.
-func (p *PlatformServer) Handle(in *rpcserver.Request, respond func(rpcserver.Response)) (disconnect func(), err error) {
-	if !p.recentIDs.admit(in.ID) {
-		return nil, fmt.Errorf("%w: id %s was used before", rpcserver.ErrProtocol, in.ID)
+func (p *PlatformServer) Handle(received *rpcserver.Request, respond func(rpcserver.Response)) (disconnect func(), err error) {
+	if !p.recentIDs.admit(received.ID) {
+		return nil, fmt.Errorf("%w: id %s was used before", rpcserver.ErrProtocol, received.ID)
 	}
-	size := int64(len(in.Body))
+	size := int64(len(received.Body))
 	release := sync.OnceFunc(func() { // by the final response or the client's disconnect, whichever comes first
-		p.recentIDs.release(in.ID)
+		p.recentIDs.release(received.ID)
 		p.bodyBytes.Add(-size)
 	})
 	request := NewRequestTo(func(response FinalResponse) {
 		release()
 		respond(response.rpcResponse())
 	})
-	p.fill(request, in)
+	p.fill(request, received)
 	if p.bodyBytes.Add(size) > p.maxBodyBytes() {
 		request.complete(FinalResponse{
 			Kind:       Rejected,
@@ -182,20 +182,20 @@
 }
 
 // fill copies what a client sent to a request.
-func (p *PlatformServer) fill(request *Request, in *rpcserver.Request) {
-	request.ID = in.ID
-	request.Class = in.Class
-	request.Tenant = in.Tenant
-	request.IdempotencyKey = in.IdempotencyKey
-	request.WorkEstimate = in.WorkEstimate
-	request.Body = in.Body
-	request.Timeout = in.Timeout
-	request.StartedAt = in.ReceivedAt.Sub(p.loop.cfg.ClockStart)
+func (p *PlatformServer) fill(request *Request, received *rpcserver.Request) {
+	request.ID = received.ID
+	request.Class = received.Class
+	request.Tenant = received.Tenant
+	request.IdempotencyKey = received.IdempotencyKey
+	request.WorkEstimate = received.WorkEstimate
+	request.Body = received.Body
+	request.Timeout = received.Timeout
+	request.StartedAt = received.ReceivedAt.Sub(p.loop.cfg.ClockStart)
 	request.Replica = muxframe.ReplicaSpec{
-		Function:    in.Function,
-		MemoryMB:    in.MemoryMB,
-		Concurrency: in.Concurrency,
-		LoadMillis:  millis(in.LoadTime),
+		Function:    received.Function,
+		MemoryMB:    received.MemoryMB,
+		Concurrency: received.Concurrency,
+		LoadMillis:  millis(received.LoadTime),
 	}
 }
 
--- a/internal/gateway/platform_server_test.go
+++ b/internal/gateway/platform_server_test.go
@@ -57,16 +57,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	p, run := newPlatformHarness(t, discovery.Address(), e.Address())
-	p.discovery = discovery
+	server, run := newPlatformHarness(t, discovery.Address(), e.Address())
+	server.discovery = discovery
 	run()
-	t.Cleanup(p.stop)
+	t.Cleanup(server.stop)
 	<-discovery.Asked()
-	return p
+	return server
 }
 
 // newPlatformHarness prepares a PlatformServer, which listens; run starts its Run.
-func newPlatformHarness(t *testing.T, discovery, worker string) (p *platformHarness, run func()) {
+func newPlatformHarness(t *testing.T, discovery, worker string) (server *platformHarness, run func()) {
 	t.Helper()
 	set, err := platformconfig.ParseRelay(fmt.Appendf(nil, relayConfig, discovery, worker))
 	if err != nil {
@@ -77,59 +77,59 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p = &platformHarness{PlatformServer: relay, t: t, stop: cancel, delayed: make(chan func(), 1), ended: make(chan error, 1)}
-	relay.after = func(_ time.Duration, f func()) { p.delayed <- f }
-	return p, func() { go func() { _, err := relay.Run(ctx); p.ended <- err }() }
+	server = &platformHarness{PlatformServer: relay, t: t, stop: cancel, delayed: make(chan func(), 1), ended: make(chan error, 1)}
+	relay.after = func(_ time.Duration, f func()) { server.delayed <- f }
+	return server, func() { go func() { _, err := relay.Run(ctx); server.ended <- err }() }
 }
 
-func (p *platformHarness) connect() net.Conn {
-	p.t.Helper()
-	c, err := net.Dial("tcp", p.Address())
+func (server *platformHarness) connect() net.Conn {
+	server.t.Helper()
+	c, err := net.Dial("tcp", server.Address())
 	if err != nil {
-		p.t.Fatal(err)
+		server.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { _ = c.Close() })
+	server.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-func (p *platformHarness) sendRequest(c net.Conn, number int, class string, id int) {
-	p.t.Helper()
-	p.sendRequestWithBody(c, number, class, id, []byte("body"))
+func (server *platformHarness) sendRequest(c net.Conn, number int, class string, id int) {
+	server.t.Helper()
+	server.sendRequestWithBody(c, number, class, id, []byte("body"))
 }
 
-func (p *platformHarness) sendRequestWithBody(c net.Conn, number int, class string, id int, body []byte) {
-	p.t.Helper()
+func (server *platformHarness) sendRequestWithBody(c net.Conn, number int, class string, id int, body []byte) {
+	server.t.Helper()
 	raw, err := msgpack.Marshal([]any{0, number, class, []any{map[string]string{
 		"id": fmt.Sprintf("%016x", id), "wait": "20000",
 		"tenant": "acme", "key": "7f3a9c21e0b4d655", "attrs": "memory_mb:100;lanes:2",
 	}, body}})
 	if err != nil {
-		p.t.Fatal(err)
+		server.t.Fatal(err)
 	}
 	if _, err := c.Write(raw); err != nil {
-		p.t.Fatal(err)
+		server.t.Fatal(err)
 	}
 }
 
-func (p *platformHarness) expect(c net.Conn, want []byte) {
-	p.t.Helper()
+func (server *platformHarness) expect(c net.Conn, want []byte) {
+	server.t.Helper()
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
-		p.t.Errorf("read %q, %v; wanted %q", got, err, want)
+		server.t.Errorf("read %q, %v; wanted %q", got, err, want)
 	}
 }
 
 // checkHeartbeat sends a heartbeat and expects its response.
-func (p *platformHarness) checkHeartbeat(c net.Conn, number int, well bool) {
-	p.t.Helper()
+func (server *platformHarness) checkHeartbeat(c net.Conn, number int, well bool) {
+	server.t.Helper()
 	raw, err := msgpack.Marshal([]any{0, number, "heartbeat", []any{map[string]string{}}})
 	if err != nil {
-		p.t.Fatal(err)
+		server.t.Fatal(err)
 	}
 	if _, err := c.Write(raw); err != nil {
-		p.t.Fatal(err)
+		server.t.Fatal(err)
 	}
-	p.expect(c, rpcframe.AppendTrue(nil, uint32(number), well))
+	server.expect(c, rpcframe.AppendTrue(nil, uint32(number), well))
 }
 
 // TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints expects it to be ready at once.
@@ -140,35 +140,35 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	p, run := newPlatformHarness(t, "127.0.0.1:1", e.Address())
-	c := p.connect() // before it runs: the kernel accepts it
+	server, run := newPlatformHarness(t, "127.0.0.1:1", e.Address())
+	c := server.connect() // before it runs: the kernel accepts it
 	run()
-	p.checkHeartbeat(c, 1, true)
+	server.checkHeartbeat(c, 1, true)
 	if n := e.Made(); n != 0 {
 		t.Errorf("%d connections to workers before any request: hundreds of front ends that start together would all dial", n)
 	}
-	p.sendRequest(c, 2, "quote", 1)
-	p.expect(c, rpcframe.AppendServed(nil, 2, []byte("did body")))
-	p.shutDown()
+	server.sendRequest(c, 2, "quote", 1)
+	server.expect(c, rpcframe.AppendServed(nil, 2, []byte("did body")))
+	server.shutDown()
 }
 
 // TestPlatformServer_ShutdownBeforeStart_Ends expects it to end by itself, and to answer the connection that the kernel accepted meanwhile.
 func TestPlatformServer_ShutdownBeforeStart_Ends(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	p, run := newPlatformHarness(t, "127.0.0.1:1", "127.0.0.1:1")
-	p.stop() // SIGTERM, before the endpoint list and before anything is served
-	c := p.connect()
+	server, run := newPlatformHarness(t, "127.0.0.1:1", "127.0.0.1:1")
+	server.stop() // SIGTERM, before the endpoint list and before anything is served
+	c := server.connect()
 	run()
-	p.checkHeartbeat(c, 1, false)
-	p.shutDown()
+	server.checkHeartbeat(c, 1, false)
+	server.shutDown()
 }
 
-func (p *platformHarness) shutDown() {
-	p.t.Helper()
-	p.stop()
-	(<-p.delayed)()
-	if err := <-p.ended; err != nil {
-		p.t.Errorf("stopped: %v", err)
+func (server *platformHarness) shutDown() {
+	server.t.Helper()
+	server.stop()
+	(<-server.delayed)()
+	if err := <-server.ended; err != nil {
+		server.t.Errorf("stopped: %v", err)
 	}
 }
 
@@ -177,11 +177,11 @@
 }
 
 func TestPlatformServer_Request_ServedEndToEnd(t *testing.T) {
-	p := startPlatform(t, respondServed)
-	c := p.connect()
-	p.sendRequest(c, 1, "quote", 1)
-	p.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
-	p.shutDown()
+	server := startPlatform(t, respondServed)
+	c := server.connect()
+	server.sendRequest(c, 1, "quote", 1)
+	server.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
+	server.shutDown()
 }
 
 // TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried runs on sockets: a request whose response cannot be read may have
@@ -189,20 +189,20 @@
 func TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried(t *testing.T) {
 	executions := map[uint64]int{}
 	seen := make(chan uint64, 16)
-	p := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
+	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		if f.Code == workerframe.Request {
 			seen <- f.ID
 			c.Raw([]byte("noise that is no frame"))
 		}
 	})
-	c := p.connect()
-	p.sendRequest(c, 1, "unlock", 1)
-	p.expect(c, rpcframe.AppendError(nil, 1, "Lost", "", ""))
-	p.sendRequest(c, 2, "quote", 2) // may be retried, and is
+	c := server.connect()
+	server.sendRequest(c, 1, "unlock", 1)
+	server.expect(c, rpcframe.AppendError(nil, 1, "Lost", "", ""))
+	server.sendRequest(c, 2, "quote", 2) // may be retried, and is
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	p.shutDown()
+	server.shutDown()
 	close(seen)
 	for id := range seen {
 		executions[id]++
@@ -214,84 +214,84 @@
 
 func TestPlatformServer_IDInFlight_RejectedAsMalformed(t *testing.T) {
 	received, respond := make(chan bool, 1), make(chan bool)
-	p := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- true; <-respond; respondServed(c, f) })
-	first, second := p.connect(), p.connect()
-	p.sendRequest(first, 1, "quote", 1)
+	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- true; <-respond; respondServed(c, f) })
+	first, second := server.connect(), server.connect()
+	server.sendRequest(first, 1, "quote", 1)
 	<-received
-	p.sendRequest(second, 1, "quote", 1)
-	p.expect(second, rpcframe.AppendError(nil, 1, "Malformed", "", ""))
+	server.sendRequest(second, 1, "quote", 1)
+	server.expect(second, rpcframe.AppendError(nil, 1, "Malformed", "", ""))
 	close(respond)
-	p.expect(first, rpcframe.AppendServed(nil, 1, []byte("did body")))
-	p.shutDown()
+	server.expect(first, rpcframe.AppendServed(nil, 1, []byte("did body")))
+	server.shutDown()
 }
 
 // TestPlatformServer_Shutdown_CompletesRequestsInFlight covers both those that were sent and those that clients send while it accepts.
 func TestPlatformServer_Shutdown_CompletesRequestsInFlight(t *testing.T) {
 	received, respond := make(chan bool, 4), make(chan bool)
-	p := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- true; <-respond; respondServed(c, f) })
-	c := p.connect()
-	p.sendRequest(c, 1, "quote", 1)
+	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- true; <-respond; respondServed(c, f) })
+	c := server.connect()
+	server.sendRequest(c, 1, "quote", 1)
 	<-received
-	p.stop()
-	endAccepting := <-p.delayed // no client is accepted once this is called
-	p.checkHeartbeat(c, 2, false)
-	lateClient := p.connect()
-	p.checkHeartbeat(lateClient, 1, false)
-	p.sendRequest(lateClient, 2, "quote", 2)
+	server.stop()
+	endAccepting := <-server.delayed // no client is accepted once this is called
+	server.checkHeartbeat(c, 2, false)
+	lateClient := server.connect()
+	server.checkHeartbeat(lateClient, 1, false)
+	server.sendRequest(lateClient, 2, "quote", 2)
 	<-received
 	endAccepting()
 	close(respond)
-	p.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
-	p.expect(lateClient, rpcframe.AppendServed(nil, 2, []byte("did body")))
-	if err := <-p.ended; err != nil {
+	server.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
+	server.expect(lateClient, rpcframe.AppendServed(nil, 2, []byte("did body")))
+	if err := <-server.ended; err != nil {
 		t.Errorf("stopped: %v", err)
 	}
 }
 
 func TestPlatformServer_Reload_MovesToNewDiscoveryAddress(t *testing.T) {
-	p := startPlatform(t, respondServed)
+	server := startPlatform(t, respondServed)
 	other, err := platformdiscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(other.Close)
-	moved := *p.config
+	moved := *server.config
 	moved.Bulletin = other.Address()
-	p.Reload(&moved)
+	server.Reload(&moved)
 	if last := <-other.Asked(); last != 1 {
 		t.Errorf("requested from event %d", last)
 	}
-	p.shutDown()
+	server.shutDown()
 }
 
 // TestPlatformServer_BodiesBeyondMemory_Rejected expects rejections at once; a final response or a disconnect makes room.
 func TestPlatformServer_BodiesBeyondMemory_Rejected(t *testing.T) {
 	received, respond := make(chan bool, 64), make(chan bool)
-	p := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
+	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		if f.Code == workerframe.Request {
 			received <- true
 			<-respond
 			respondServed(c, workerframe.Frame{ID: f.ID})
 		}
 	})
-	p.config.MemoryMB = 1 // of which a quarter is for bodies
+	server.config.MemoryMB = 1 // of which a quarter is for bodies
 	large := make([]byte, rpcframe.MaxBody)
-	c := p.connect()
+	c := server.connect()
 	for i := range 16 {
-		p.sendRequestWithBody(c, 1+i, "quote", 1+i, large)
+		server.sendRequestWithBody(c, 1+i, "quote", 1+i, large)
 	}
 	<-received
-	p.sendRequestWithBody(c, 17, "quote", 17, large)
-	p.expect(c, rpcframe.AppendError(nil, 17, "Backoff", "after", "500"))
+	server.sendRequestWithBody(c, 17, "quote", 17, large)
+	server.expect(c, rpcframe.AppendError(nil, 17, "Backoff", "after", "500"))
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
 	close(respond)
-	for p.bodyBytes.Load() > 0 { // until the disconnect is handled
+	for server.bodyBytes.Load() > 0 { // until the disconnect is handled
 		runtime.Gosched()
 	}
-	next := p.connect()
-	p.sendRequestWithBody(next, 1, "quote", 18, large)
-	p.expect(next, rpcframe.AppendServed(nil, 1, []byte("did ")))
-	p.shutDown()
+	next := server.connect()
+	server.sendRequestWithBody(next, 1, "quote", 18, large)
+	server.expect(next, rpcframe.AppendServed(nil, 1, []byte("did ")))
+	server.shutDown()
 }
--- a/internal/gateway/queue_gate.go
+++ b/internal/gateway/queue_gate.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// observeLag notes a lag if it is the worst since takeLag.
+// observeLag notes a lag if it is the worst since swapLag.
 func (g *queueGate) observeLag(lag time.Duration) {
 	for {
 		worst := g.worstLag.Load()
@@ -36,8 +36,8 @@
 	}
 }
 
-// takeLag returns the worst lag since it was taken last, 0 if there was none.
-func (g *queueGate) takeLag() time.Duration {
+// swapLag returns the worst lag since it was taken last, 0 if there was none.
+func (g *queueGate) swapLag() time.Duration {
 	if g.worstLag.Load() <= 0 {
 		return 0
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -25,11 +25,11 @@
 	deliver         func(FinalResponse)
 	state           requestState
 	id              scheduler.RequestID
-	deadline        time.Duration // when the final response is due
-	attempts        int           // sent so far
-	current         *attempt      // the attempt in flight, or nil
-	timer           timer         // for a final response past the deadline
-	mayHaveExecuted bool          // by the outcomes of its attempts
+	deadline        time.Duration   // when the final response is due
+	attempts        int             // sent so far
+	current         *requestAttempt // the attempt in flight, or nil
+	timer           timer           // for a final response past the deadline
+	mayHaveExecuted bool            // by the outcomes of its attempts
 	function        *function
 	runTime         time.Duration // execution time, where the worker reported it
 	lastStatus      scheduler.Status
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -36,9 +36,9 @@
 	states := []attemptState{attemptPending, attemptStreaming, attemptEnded}
 	for _, from := range states {
 		for _, to := range states {
-			a := &attempt{state: from}
+			attempt := &requestAttempt{state: from}
 			want := to > from
-			if got := a.enter(to); got != want {
+			if got := attempt.enter(to); got != want {
 				t.Errorf("from %d to %d: %t, want %t", from, to, got, want)
 			}
 		}
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -102,13 +102,13 @@
 }
 
 // dropAttempt ends an attempt whose client disconnected, where it streams a response or was not sent yet.
-func (f *FrontEnd) dropAttempt(a *attempt) {
-	if a.state == attemptStreaming {
-		f.abandonAttempt(a, scheduler.Cancelled, attemptDisconnected)
+func (f *FrontEnd) dropAttempt(attempt *requestAttempt) {
+	if attempt.state == attemptStreaming {
+		f.abandonAttempt(attempt, scheduler.Cancelled, attemptDisconnected)
 		return
 	}
-	if a.request.state == requestDisconnected && a.worker.cancelUnsent(a) {
-		f.endAttempt(a, abandonedResult(scheduler.NotSent, attemptDisconnected))
+	if attempt.request.state == requestDisconnected && attempt.worker.cancelUnsent(attempt) {
+		f.endAttempt(attempt, abandonedResult(scheduler.NotSent, attemptDisconnected))
 	}
 }
 
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -4,20 +4,20 @@
 
 // TestAbort_RequestsInFlight_EachGetsFinalResponse rejects what never executed, fails what may have, and retries nothing.
 func TestAbort_RequestsInFlight_EachGetsFinalResponse(t *testing.T) {
-	h := newHarness(t, 2, nil)
-	sent := h.submit(nonIdempotentClass)
-	_, _ = h.sentAttempt(sent)
-	for _, worker := range h.clients {
+	harness := newHarness(t, 2, nil)
+	sent := harness.submit(nonIdempotentClass)
+	_, _ = harness.sentAttempt(sent)
+	for _, worker := range harness.clients {
 		worker.holdsWrites = true
 	}
-	queued := h.submit(nonIdempotentClass)
-	h.StopAdmitting(h.clock)
-	late := h.submit(idempotentClass)
-	h.wantResponse(late, Rejected)
-	h.Abort(h.clock)
-	h.wantResponse(sent, Failed)
-	h.wantResponse(queued, Rejected)
-	if !h.Idle() || sent.attempts != 1 || queued.attempts > 1 {
-		t.Errorf("idle %t, attempts %d and %d", h.Idle(), sent.attempts, queued.attempts)
+	queued := harness.submit(nonIdempotentClass)
+	harness.StopAdmitting(harness.clock)
+	late := harness.submit(idempotentClass)
+	harness.wantResponse(late, Rejected)
+	harness.Abort(harness.clock)
+	harness.wantResponse(sent, Failed)
+	harness.wantResponse(queued, Rejected)
+	if !harness.Idle() || sent.attempts != 1 || queued.attempts > 1 {
+		t.Errorf("idle %t, attempts %d and %d", harness.Idle(), sent.attempts, queued.attempts)
 	}
 }
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -22,7 +22,7 @@
 	due            time.Duration
 	seq            uint64 // in the order in which timers were added
 	position       int    // in the heap, from 1; 0: in none
-	attempt        *attempt
+	attempt        *requestAttempt
 	loadOrder      *loadOrder
 	request        *Request
 	schedulerToken uint64
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -22,16 +22,16 @@
 
 // cancelUnsent takes an attempt back from the client that has it, if none of it was written, and reports whether it
 // did.
-func (w *worker) cancelUnsent(a *attempt) bool {
-	cancel := func(client WorkerClient) bool { return client.CancelUnsent(&a.Attempt) }
+func (w *worker) cancelUnsent(attempt *requestAttempt) bool {
+	cancel := func(client WorkerClient) bool { return client.CancelUnsent(&attempt.Attempt) }
 	return cancel(w.client) || slices.ContainsFunc(w.previousClients, cancel)
 }
 
 // abandon gives an attempt up at the client that has it, and reports whether the worker may have received it.
-func (w *worker) abandon(a *attempt) bool {
-	mayBeReceived := w.client.Abandon(&a.Attempt)
+func (w *worker) abandon(attempt *requestAttempt) bool {
+	mayBeReceived := w.client.Abandon(&attempt.Attempt)
 	for _, client := range w.previousClients {
-		if client.Abandon(&a.Attempt) {
+		if client.Abandon(&attempt.Attempt) {
 			mayBeReceived = true
 		}
 	}
