--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -23,7 +23,9 @@
 func TestAdmission_DeadlineExceeded_Rejected(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	request := NewRequest()
-	request.StartedAt, request.Timeout, request.Replica = harness.clock-2*time.Second, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
+	request.StartedAt = harness.clock - 2*time.Second
+	request.Timeout = 2 * time.Second
+	request.Replica = muxframe.ReplicaSpec{Function: "f"}
 	harness.RequestReceived(harness.clock, request)
 	harness.wantResponse(request, Rejected)
 }
@@ -44,7 +46,10 @@
 	harness := newHarness(t, 1, nil)
 	submitQueued := func() *Request {
 		request := NewRequest()
-		request.StartedAt, request.queuedAt, request.Timeout, request.Replica = harness.clock-50*ms, harness.clock-50*ms, 2*time.Second, muxframe.ReplicaSpec{Function: "f"}
+		request.StartedAt = harness.clock - 50*ms
+		request.queuedAt = harness.clock - 50*ms
+		request.Timeout = 2 * time.Second
+		request.Replica = muxframe.ReplicaSpec{Function: "f"}
 		harness.RequestReceived(harness.clock, request)
 		return request
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -18,7 +18,9 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		request := NewRequest()
-		request.StartedAt, request.Timeout, request.Replica = harness.clock, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
+		request.StartedAt = harness.clock
+		request.Timeout = 2e9
+		request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 		harness.clock += 20000 // 50,000 requests a second
 		harness.FireTimers(harness.clock)
 		harness.RequestReceived(harness.clock, request)
@@ -39,7 +41,10 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		request := NewRequest()
-		request.StartedAt, request.queuedAt, request.Timeout, request.Replica = at-50*ms, at-50*ms, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
+		request.StartedAt = at - 50*ms
+		request.queuedAt = at - 50*ms
+		request.Timeout = 2e9
+		request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 		at += 20000
 		harness.RequestReceived(at, request)
 	}
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -52,7 +52,8 @@
 	for _, disconnectFirst := range []bool{true, false} {
 		harness := newHarness(t, 1, nil)
 		request := NewRequest()
-		request.StartedAt, request.Timeout = harness.clock, testScheduler().Classes[idempotentClass].Timeout
+		request.StartedAt = harness.clock
+		request.Timeout = testScheduler().Classes[idempotentClass].Timeout
 		request.Replica.Function = "f"
 		disconnect, receive := func() { harness.ClientDisconnected(harness.clock, request) }, func() { harness.RequestReceived(harness.clock, request) }
 		if disconnectFirst {
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -215,8 +215,13 @@
 	i := sim.received
 	sim.received++
 	request := NewRequestTo(func(f FinalResponse) { sim.checkResponse(i, f) })
-	request.ID, request.Class, request.StartedAt, request.Timeout = fmt.Sprint(i), sim.classes[i], sim.clock, 2*time.Second
-	request.Replica.Function, request.Replica.MemoryMB, request.Replica.Concurrency = "f", 100, 2
+	request.ID = fmt.Sprint(i)
+	request.Class = sim.classes[i]
+	request.StartedAt = sim.clock
+	request.Timeout = 2 * time.Second
+	request.Replica.Function = "f"
+	request.Replica.MemoryMB = 100
+	request.Replica.Concurrency = 2
 	sim.submitted[i] = request
 	sim.RequestReceived(sim.clock, request)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -156,7 +156,9 @@
 
 func (harness *testHarness) submit(class int) *Request {
 	request := NewRequest()
-	request.Class, request.StartedAt, request.Timeout = class, harness.clock, 2*time.Second
+	request.Class = class
+	request.StartedAt = harness.clock
+	request.Timeout = 2 * time.Second
 	request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 2}
 	harness.RequestReceived(harness.clock, request)
 	return request
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -102,7 +102,9 @@
 			results.mu.Unlock()
 		}
 	})
-	request.StartedAt, request.Timeout, request.Replica = loop.Now(), 2*time.Second, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
+	request.StartedAt = loop.Now()
+	request.Timeout = 2 * time.Second
+	request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 	return request
 }
 
@@ -133,7 +135,8 @@
 			before := loop.gate.rejected.Load()
 			submit(request)
 			if loop.gate.rejected.Load() > before { // rejected by the gate: nothing else has it, and it is used again
-				request.state, request.StartedAt = requestSubmitted, loop.Now()
+				request.state = requestSubmitted
+				request.StartedAt = loop.Now()
 				continue
 			}
 			request = results.newRequest(loop)
@@ -163,7 +166,8 @@
 				defer stop()
 				servesRequest := func() bool {
 					request := NewRequest()
-					request.StartedAt, request.Timeout = loop.Now(), time.Second
+					request.StartedAt = loop.Now()
+					request.Timeout = time.Second
 					request.Replica.Function = "f"
 					loop.Submit(request)
 					return (<-request.Response()).Kind == Served
