--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -37,14 +37,23 @@
 // Scheduler decides: it is a scheduler.Scheduler, or in the laboratory a baseline compared with it. The FrontEnd calls
 // it from its own goroutine, and reports what its actions led to after the call that asked for them has returned.
 type Scheduler interface {
+	// WorkersChanged reports workers: all of them where whole is set, else only those that changed.
 	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool)
+	// WatchFailed reports that the endpoint list could not be received.
 	WatchFailed(now time.Duration)
+	// TimerFired reports that the timer of an action SetTimer is due.
 	TimerFired(now time.Duration, token uint64)
+	// RequestReceived hands over an admitted request, which the scheduler sends, rejects or fails.
 	RequestReceived(now time.Duration, r scheduler.Request)
+	// AttemptEnded reports the outcome of an attempt, once each.
 	AttemptEnded(now time.Duration, o scheduler.Outcome)
+	// ClientDisconnected reports that no final response is owed any longer.
 	ClientDisconnected(now time.Duration, id scheduler.RequestID)
+	// LoadEnded reports the result of a load order or residency query, once each.
 	LoadEnded(now time.Duration, l scheduler.LoadResult)
+	// ResponseStarted reports that a request is served; its attempt ends later.
 	ResponseStarted(now time.Duration, id scheduler.RequestID)
+	// HealthChecked reports the result of a health check.
 	HealthChecked(now time.Duration, p scheduler.HealthCheckResult)
 }
 
@@ -59,14 +68,19 @@
 	Abandon(*muxclient.Attempt) (mayBeReceived bool)
 	// Load sends a load order, or a residency query. A status other than 0 is its outcome: no event follows.
 	Load(*muxclient.LoadOrder) scheduler.Status
+	// AbandonLoad gives a load order up: no event follows.
 	AbandonLoad(*muxclient.LoadOrder)
+	// Unload asks for the idle replicas of a function to be unloaded. It has no response.
 	Unload(function string)
+	// CheckHealth sends a health check; its result is an event.
 	CheckHealth()
 	// Drain admits nothing new until Resume, and returns what was not sent yet.
 	Drain(grace time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder)
+	// Resume ends a drain.
 	Resume()
 	// Busy reports whether anything is in flight.
 	Busy() bool
+	// Stop closes all connections for good.
 	Stop()
 }
 
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -85,8 +85,16 @@
 
 // recordStatus notes from how an attempt ended whether the request may have executed.
 func (r *Request) recordStatus(status scheduler.Status) {
+	if executedPossibly(status) {
+		r.mayHaveExecuted = true
+	}
+}
+
+// executedPossibly reports whether an attempt that ended with status may have executed without a response.
+func executedPossibly(status scheduler.Status) bool {
 	switch status {
 	case scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled:
-		r.mayHaveExecuted = true
+		return true
 	}
+	return false
 }
