--- /dev/null
+++ b/internal/gateway/admission_test.go
@@ -0,0 +1,82 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"havencart/internal/decide/tenancy"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+func TestAdmission_TooManyInFlight_Rejected(t *testing.T) {
+	harness := newHarness(t, 0, func(s *Settings) { s.MaxInFlight = 3 })
+	for range 3 {
+		harness.submit(idempotentClass)
+	}
+	harness.wantResponse(harness.submit(idempotentClass), Rejected)
+	if n := harness.Counts().Shed; n != 1 || harness.InFlight() != 3 {
+		t.Errorf("rejected %d, in flight %d", n, harness.InFlight())
+	}
+}
+
+func TestAdmission_DeadlineExceeded_Rejected(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	request := NewRequest()
+	request.StartedAt = harness.clock - 2*time.Second
+	request.Timeout = 2 * time.Second
+	request.Replica = muxframe.ReplicaSpec{Function: "f"}
+	harness.RequestReceived(harness.clock, request)
+	harness.wantResponse(request, Rejected)
+}
+
+// TestAdmission_FunctionNameCollision_Rejected guards against taking replicas of one function for those of another.
+func TestAdmission_FunctionNameCollision_Rejected(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	request := harness.submit(idempotentClass)
+	for _, f := range harness.functions {
+		f.replica.Function = "another"
+	}
+	harness.wantResponse(harness.submit(idempotentClass), Rejected)
+	harness.endWith(request, scheduler.OK)
+}
+
+// TestAdmission_QueueDelayTooLong_Shed is about rejections without the scheduler, so that the queue empties.
+func TestAdmission_QueueDelayTooLong_Shed(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	submitQueued := func() *Request {
+		request := NewRequest()
+		request.StartedAt = harness.clock - 50*ms
+		request.queuedAt = harness.clock - 50*ms
+		request.Timeout = 2 * time.Second
+		request.Replica = muxframe.ReplicaSpec{Function: "f"}
+		harness.RequestReceived(harness.clock, request)
+		return request
+	}
+	harness.wantResponse(submitQueued(), 0) // a burst
+	harness.advance(200 * ms)
+	admitted := harness.Counts().Admitted
+	harness.wantResponse(submitQueued(), Rejected)
+	if harness.Counts().Admitted != admitted {
+		t.Error("it was admitted")
+	}
+	harness.wantResponse(harness.submit(idempotentClass), 0) // it waited in no queue
+}
+
+// TestAdmission_OverTenantQuota_Rejected expects the rejection with advice when to retry, and without the scheduler.
+func TestAdmission_OverTenantQuota_Rejected(t *testing.T) {
+	harness := newHarness(t, 1, func(s *Settings) { s.Tenancy = tenancy.Settings{Shares: []float64{1}, Quotas: []float64{1}} })
+	harness.submit(idempotentClass)
+	second := harness.submit(idempotentClass)
+	select {
+	case f := <-second.Response():
+		if f.Kind != Rejected || f.RetryAfter != 500*ms || f.Reason != tenancy.OverQuota.String() {
+			t.Errorf("%+v", f)
+		}
+	default:
+		t.Error("the second request in a second has no final response")
+	}
+	if c := harness.Counts(); c.Admitted != 1 || c.Shed != 1 {
+		t.Errorf("%+v", c)
+	}
+}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -10,47 +10,52 @@
 	"havencart/scheduler"
 )
 
-// BenchmarkFront is the loop's part of a call, module included: from its arrival to its final answer.
-func BenchmarkFront(b *testing.B) {
+// BenchmarkFrontEnd is the event loop's part of a request, scheduler included: from its receipt to its final response.
+func BenchmarkFrontEnd(b *testing.B) {
 	t := &testing.T{}
-	f := newBench(t, 8, nil)
+	harness := newHarness(t, 8, nil)
 	answer := &muxclient.Response{}
 	b.ReportAllocs()
 	for b.Loop() {
-		c := NewRequest()
-		c.StartedAt, c.Timeout, c.Replica = f.at, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
-		f.at += 20000 // 50,000 calls a second
-		f.FireTimers(f.at)
-		f.RequestReceived(f.at, c)
-		for _, l := range f.links {
-			if len(l.left) > 0 {
-				a := l.left[0]
-				l.left = l.left[:0]
-				f.AttemptEnded(f.at, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+		request := NewRequest()
+		request.StartedAt = harness.clock
+		request.Timeout = 2e9
+		request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
+		harness.clock += 20000 // 50,000 requests a second
+		harness.FireTimers(harness.clock)
+		harness.RequestReceived(harness.clock, request)
+		for _, worker := range harness.clients {
+			if len(worker.sent) > 0 {
+				attempt := worker.sent[0]
+				worker.sent = worker.sent[:0]
+				harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 			}
 		}
 	}
 }
 
-// BenchmarkShed is the loop's part of a call that is refused because the loop is behind.
+// BenchmarkShed is the event loop's part of a request that is rejected because of its queue delay.
 func BenchmarkShed(b *testing.B) {
-	f := newBench(&testing.T{}, 8, nil)
-	at := f.at
+	harness := newHarness(&testing.T{}, 8, nil)
+	at := harness.clock
 	b.ReportAllocs()
 	for b.Loop() {
-		c := NewRequest()
-		c.StartedAt, c.queued, c.Timeout, c.Replica = at-50*ms, at-50*ms, 2e9, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
+		request := NewRequest()
+		request.StartedAt = at - 50*ms
+		request.queuedAt = at - 50*ms
+		request.Timeout = 2e9
+		request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
 		at += 20000
-		f.RequestReceived(at, c)
+		harness.RequestReceived(at, request)
 	}
 }
 
-// BenchmarkDoor is what a call costs that is refused before it joins the queue; none of it is the loop's.
-func BenchmarkDoor(b *testing.B) {
-	l := NewEventLoop(EventLoopConfig{RequestQueue: 1}, zerolog.Nop())
-	l.door.set(0)
+// BenchmarkQueueGate is the cost of a request that is rejected before it is queued; none of it is the event loop's.
+func BenchmarkQueueGate(b *testing.B) {
+	loop := NewEventLoop(EventLoopConfig{RequestQueue: 1}, zerolog.Nop())
+	loop.gate.setLimit(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Submit(NewRequest())
+		loop.Submit(NewRequest())
 	}
 }
--- /dev/null
+++ b/internal/gateway/endpoints_test.go
@@ -0,0 +1,115 @@
+package gateway
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/scheduler"
+)
+
+// TestDrain_UnsentAttempt_IsRetriedElsewhere also holds for a request that is not idempotent.
+func TestDrain_UnsentAttempt_IsRetriedElsewhere(t *testing.T) {
+	harness := newHarness(t, 2, nil)
+	for _, worker := range harness.clients {
+		worker.holdsWrites = true
+	}
+	request := harness.submit(nonIdempotentClass)
+	worker, _ := harness.sentAttempt(request)
+	harness.listWorkers(2, map[string]scheduler.WorkerState{worker.name: scheduler.Draining})
+	harness.advance(100 * ms)
+	next, attempt := harness.sentAttempt(request)
+	if next == worker || attempt.Request.Attempt != 1 {
+		t.Errorf("attempt %d at %s after the drain", attempt.Request.Attempt, next.name)
+	}
+	harness.endWith(request, scheduler.OK)
+	harness.wantResponse(request, Served)
+}
+
+func TestDrain_SentAttempt_IsAwaited(t *testing.T) {
+	harness := newHarness(t, 2, nil)
+	request := harness.submit(nonIdempotentClass)
+	worker, _ := harness.sentAttempt(request)
+	harness.listWorkers(2, map[string]scheduler.WorkerState{worker.name: scheduler.Removed})
+	harness.advance(3 * sweepInterval / 2)
+	if worker.stopped {
+		t.Fatal("the client was stopped with a request in flight")
+	}
+	harness.endWith(request, scheduler.OK)
+	harness.wantResponse(request, Served)
+	harness.advance(2 * sweepInterval)
+	if !worker.stopped {
+		t.Error("the client of a removed worker is not stopped")
+	}
+}
+
+func TestEndpoints_WorkerAtNewAddress_GetsNewClient(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	old := harness.clients["w0"]
+	request := harness.submit(idempotentClass)
+	harness.EndpointsChanged(harness.clock, []discovery.Worker{{Name: "w0", Address: "elsewhere:1", Scale: 1, State: scheduler.Ready}})
+	if harness.opened != 2 || !old.drained || old.stopped {
+		t.Fatalf("opened %d, old client drained %t, stopped %t", harness.opened, old.drained, old.stopped)
+	}
+	attempt := old.sent[0]
+	old.remove(attempt)
+	harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+	harness.wantResponse(request, Served)
+	harness.advance(2 * sweepInterval)
+	if !old.stopped {
+		t.Error("the old client is not stopped")
+	}
+}
+
+func TestEndpoints_WatchFailed_RetriesAfterBackoff(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	harness.WatchFailed(harness.clock, errors.New("down"))
+	if harness.watches != 0 {
+		t.Error("requested at once")
+	}
+	harness.advance(1100 * ms)
+	if harness.watches != 1 {
+		t.Errorf("requested %d times", harness.watches)
+	}
+}
+
+// TestEndpoints_ResponseOfRemovedWorker_Counts holds in both orders of the two events; a worker that is listed again is used again.
+func TestEndpoints_ResponseOfRemovedWorker_Counts(t *testing.T) {
+	inBothOrders(t, "removed", "responded", func(t *testing.T, removedFirst bool) {
+		harness := newHarness(t, 1, nil)
+		request := harness.submit(nonIdempotentClass)
+		if removedFirst {
+			harness.listWorkers(0, nil)
+			harness.advance(2 * time.Second / 4) // the sweep keeps a busy client
+			harness.endWith(request, scheduler.OK)
+		} else {
+			harness.endWith(request, scheduler.OK)
+			harness.listWorkers(0, nil)
+		}
+		harness.wantResponse(request, Served)
+		harness.advance(2 * time.Second)
+		harness.listWorkers(1, nil)
+		again := harness.submit(nonIdempotentClass)
+		harness.endWith(again, scheduler.OK)
+		harness.wantResponse(again, Served)
+	})
+}
+
+// TestEndpoints_WorkerDroppedAndRelisted_KeepsClient is about the client and what is in flight there; nothing new is sent meanwhile.
+func TestEndpoints_WorkerDroppedAndRelisted_KeepsClient(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	inFlight := harness.submit(idempotentClass)
+	worker := harness.clients["w0"]
+	harness.listWorkers(0, nil)
+	if !worker.drained || harness.hasAttempt(harness.submit(nonIdempotentClass)) {
+		t.Error("a worker that is not listed is sent something")
+	}
+	harness.listWorkers(1, nil)
+	if worker.drained || harness.opened != 1 {
+		t.Errorf("drained %v, %d clients opened for a worker that is listed again", worker.drained, harness.opened)
+	}
+	harness.endWith(inFlight, scheduler.OK)
+	harness.wantResponse(inFlight, Served)
+}
--- /dev/null
+++ b/internal/gateway/event_loop.go
@@ -0,0 +1,261 @@
+package gateway
+
+import (
+	"context"
+	"math"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/scheduler"
+)
+
+// EventLoopConfig is what an EventLoop needs beside its FrontEnd's settings.
+type EventLoopConfig struct {
+	Settings
+	WorkerClient    muxclient.Config // Worker, Address, FrontEnd, Seed and Now are set for each client
+	Dial            Dial             // in place of WorkerClient, where workers speak another protocol; else nil
+	Source          discovery.Source
+	RequestQueue    int           // requests that may wait for the loop; more are rejected at once
+	EventQueue      int           // events that may wait; beyond, worker clients stop reading
+	ShutdownTimeout time.Duration // how long a shutdown waits for what is in flight
+}
+
+// Dial starts a client of a worker; what happens on it is reported to events.
+type Dial func(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) ClosableWorkerClient
+
+// ClosableWorkerClient is a WorkerClient with goroutines to wait for.
+type ClosableWorkerClient interface {
+	WorkerClient
+	// Done is closed when all of them have ended, after Stop.
+	Done() <-chan struct{}
+}
+
+// EventLoop owns a FrontEnd: the goroutine of Run hands it all events, in the order in which they were received. The
+// other methods may be called from any goroutine.
+type EventLoop struct {
+	cfg           EventLoopConfig
+	log           zerolog.Logger
+	frontEnd      *FrontEnd
+	requests      chan *Request                 // bounded by RequestQueue; a request that finds it full is rejected
+	events        chan func(now time.Duration)  // bounded by EventQueue; who posts to a full queue waits
+	workerClients []ClosableWorkerClient        // started and not known to have ended; the loop's goroutine only
+	newTestClient func(*EventLoop) WorkerClient // in place of a worker client, where the loop is tested alone; else nil
+	kill          chan struct{}                 // closed by Kill
+	done          chan struct{}                 // closed when the loop has ended
+	gate          queueGate
+}
+
+// NewEventLoop returns an EventLoop that starts with Run.
+func NewEventLoop(cfg EventLoopConfig, log zerolog.Logger) *EventLoop {
+	l := &EventLoop{
+		cfg:      cfg,
+		log:      log,
+		requests: make(chan *Request, cfg.RequestQueue),
+		events:   make(chan func(time.Duration), cfg.EventQueue),
+		kill:     make(chan struct{}),
+		done:     make(chan struct{}),
+	}
+	l.gate.setLimit(math.MaxInt)
+	return l
+}
+
+// Now returns the loop's clock: the monotonic time since Settings.ClockStart.
+func (l *EventLoop) Now() time.Duration { return time.Since(l.cfg.ClockStart) }
+
+// Submit hands a request over; its final response is delivered as its constructor says. A loop that is overloaded,
+// whose queue is full, or that has ended, rejects at once, at no cost to the loop's own goroutine.
+func (l *EventLoop) Submit(request *Request) {
+	request.queuedAt = l.Now()
+	reason := l.enqueue(request)
+	if reason == noReason {
+		return
+	}
+	l.gate.rejected.Add(1)
+	request.complete(FinalResponse{Kind: Rejected, Reason: reason.String(), RetryAfter: l.cfg.Scheduler.MaxRetryAfter})
+}
+
+// enqueue puts a request into the queue, or returns why not.
+func (l *EventLoop) enqueue(request *Request) Reason {
+	if int64(len(l.requests)) >= l.gate.limit.Load() {
+		return LoopOverloaded
+	}
+	select {
+	case <-l.done:
+		return LoopStopped
+	default:
+	}
+	select {
+	case l.requests <- request:
+		return noReason
+	default:
+		return QueueFull
+	}
+}
+
+// ObserveLag reports that a goroutine outside of the loop came so late to what was due.
+func (l *EventLoop) ObserveLag(late time.Duration) { l.gate.observeLag(late) }
+
+// Disconnect reports that a request's client has disconnected.
+func (l *EventLoop) Disconnect(request *Request) {
+	l.post(func(now time.Duration) { l.frontEnd.ClientDisconnected(now, request) })
+}
+
+// Counts returns the FrontEnd's totals, zero once the loop has ended. It waits for the loop.
+func (l *EventLoop) Counts() Counts {
+	reply := make(chan Counts, 1)
+	l.post(func(time.Duration) { reply <- l.counts() })
+	select {
+	case counts := <-reply:
+		return counts
+	case <-l.done:
+		return Counts{}
+	}
+}
+
+// counts are the FrontEnd's totals, with what was rejected without it.
+func (l *EventLoop) counts() Counts {
+	counts := l.frontEnd.Counts()
+	counts.Shed += l.gate.rejected.Load()
+	return counts
+}
+
+// Kill ends Run at once. It may be called once.
+func (l *EventLoop) Kill() { close(l.kill) }
+
+// Stall blocks the loop for d, as a pause of the process does; it is for laboratories.
+func (l *EventLoop) Stall(d time.Duration) { l.post(func(time.Duration) { time.Sleep(d) }) }
+
+// post queues an event. It waits where the queue is full: who posts stops reading meanwhile.
+func (l *EventLoop) post(event func(now time.Duration)) {
+	select {
+	case l.events <- event:
+	case <-l.done:
+	}
+}
+
+// Run serves until ctx ends. Then it rejects what is received, waits for what is in flight, ShutdownTimeout at most,
+// and gives the rest its final response. It returns the totals, and whether all ended in time. When it returns, the
+// goroutines of its worker clients and of the endpoint watch have ended.
+func (l *EventLoop) Run(ctx context.Context) (Counts, bool) {
+	l.frontEnd = New(l.Now(), l.cfg.Settings, l, l.log)
+	watchCtx, stopWatch := context.WithCancel(context.Background())
+	watchEnded := make(chan struct{})
+	go func() {
+		defer close(watchEnded)
+		l.cfg.Source.Run(watchCtx, discoveryEvents{l})
+	}()
+	clean := l.serve(ctx)
+	l.frontEnd.Abort(l.Now())
+	stopWatch()
+	l.rejectQueued()
+	<-watchEnded
+	for _, client := range l.workerClients {
+		<-client.Done()
+	}
+	return l.counts(), clean
+}
+
+// serve is the loop. It reports whether nothing was left in flight.
+func (l *EventLoop) serve(ctx context.Context) bool {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var shutdownTimeout <-chan time.Time
+	shutdown := ctx.Done() // nil once the shutdown has begun
+	for {
+		l.drainEvents()
+		now := l.Now()
+		l.prepare(now)
+		if shutdown == nil && l.idle() {
+			return true
+		}
+		timer.Reset(max(0, l.frontEnd.NextTimer()-now))
+		select {
+		case request := <-l.requests:
+			l.frontEnd.RequestReceived(l.Now(), request)
+		case event := <-l.events:
+			event(l.Now())
+		case <-timer.C:
+		case <-shutdown:
+			l.frontEnd.StopAdmitting(l.Now())
+			shutdown = nil
+			shutdownTimeout = time.After(l.cfg.ShutdownTimeout)
+		case <-shutdownTimeout:
+			return false
+		case <-l.kill:
+			return false
+		}
+	}
+}
+
+// prepare hands the observed lag to the FrontEnd, fires its timers and sets the queue's limit.
+func (l *EventLoop) prepare(now time.Duration) {
+	if lag := l.gate.swapLag(); lag > 0 {
+		l.frontEnd.ObserveLag(now, lag)
+	}
+	l.frontEnd.FireTimers(now)
+	l.gate.setLimit(l.frontEnd.QueueLimit(now, len(l.requests)))
+}
+
+// idle reports whether nothing is in flight or queued.
+func (l *EventLoop) idle() bool { return l.frontEnd.Idle() && len(l.requests) == 0 }
+
+// drainEvents handles the events that are queued before timers and requests. It guards against a loop that lags: a
+// response received meanwhile would find its attempt timed out, and its request failed. And in an overload, requests
+// admitted before the responses that make room for them only lengthen the scheduler's backlog.
+func (l *EventLoop) drainEvents() {
+	for range len(l.events) {
+		event := <-l.events
+		event(l.Now())
+	}
+}
+
+// rejectQueued answers what was submitted and never received by the FrontEnd, and releases who posts.
+func (l *EventLoop) rejectQueued() {
+	close(l.done)
+	for {
+		select {
+		case request := <-l.requests:
+			l.frontEnd.RequestReceived(l.Now(), request) // rejected: it admits nothing any longer
+		default:
+			return
+		}
+	}
+}
+
+// OpenWorker implements Dependencies. It also forgets the clients that have ended.
+func (l *EventLoop) OpenWorker(id scheduler.WorkerID, w discovery.Worker) WorkerClient {
+	if l.newTestClient != nil {
+		return l.newTestClient(l)
+	}
+	client := l.newWorkerClient(id, w)
+	running := l.workerClients[:0]
+	for _, old := range l.workerClients {
+		select {
+		case <-old.Done():
+		default:
+			running = append(running, old)
+		}
+	}
+	l.workerClients = append(running, client)
+	return client
+}
+
+// newWorkerClient starts a client in the protocol of the configuration.
+func (l *EventLoop) newWorkerClient(id scheduler.WorkerID, w discovery.Worker) ClosableWorkerClient {
+	if l.cfg.Dial != nil {
+		return l.cfg.Dial(id, w, l.Now, workerEvents{l, id})
+	}
+	cfg := l.cfg.WorkerClient
+	cfg.Worker = w.Name
+	cfg.Address = w.Address
+	cfg.Now = l.Now
+	cfg.FrontEnd = l.cfg.Name
+	cfg.Seed = l.cfg.Scheduler.Seed ^ uint64(id)
+	return muxclient.New(cfg, workerEvents{l, id})
+}
+
+// WatchEndpoints implements Dependencies.
+func (l *EventLoop) WatchEndpoints() { l.cfg.Source.Refresh() }
--- /dev/null
+++ b/internal/gateway/harness_test.go
@@ -0,0 +1,221 @@
+package gateway
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"havencart/internal/discovery"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+const ms = time.Millisecond
+
+// fakeWorkerClient stands in for a worker client: it keeps what the FrontEnd gave it until a test says what became of it.
+type fakeWorkerClient struct {
+	name         string
+	queued       []*muxclient.Attempt // not written
+	sent         []*muxclient.Attempt
+	orders       []*muxclient.LoadOrder
+	canceled     []*muxclient.Attempt
+	drained      bool
+	stopped      bool
+	healthChecks int
+	unloads      int
+	holdsWrites  bool // attempts stay in the write buffer
+	rejection    *muxclient.Result
+}
+
+func (worker *fakeWorkerClient) Send(attempt *muxclient.Attempt) *muxclient.Result {
+	switch {
+	case worker.rejection != nil:
+		return worker.rejection
+	case worker.drained:
+		return &muxclient.Result{Status: scheduler.NotSent, QueueDepth: -1}
+	case worker.holdsWrites:
+		worker.queued = append(worker.queued, attempt)
+	default:
+		worker.sent = append(worker.sent, attempt)
+	}
+	return nil
+}
+
+func (worker *fakeWorkerClient) Abandon(attempt *muxclient.Attempt) bool {
+	was := slices.Contains(worker.sent, attempt)
+	if was {
+		worker.canceled = append(worker.canceled, attempt)
+	}
+	worker.remove(attempt)
+	return was
+}
+
+func (worker *fakeWorkerClient) CancelUnsent(attempt *muxclient.Attempt) bool {
+	was := slices.Contains(worker.queued, attempt)
+	if was {
+		worker.remove(attempt)
+	}
+	return was
+}
+
+func (worker *fakeWorkerClient) remove(attempt *muxclient.Attempt) {
+	match := func(x *muxclient.Attempt) bool { return x == attempt }
+	worker.queued, worker.sent = slices.DeleteFunc(worker.queued, match), slices.DeleteFunc(worker.sent, match)
+}
+
+func (worker *fakeWorkerClient) Load(order *muxclient.LoadOrder) scheduler.Status {
+	worker.orders = append(worker.orders, order)
+	return 0
+}
+
+func (worker *fakeWorkerClient) AbandonLoad(*muxclient.LoadOrder) {}
+
+func (worker *fakeWorkerClient) Unload(string) { worker.unloads++ }
+
+func (worker *fakeWorkerClient) CheckHealth() { worker.healthChecks++ }
+
+func (worker *fakeWorkerClient) Resume() { worker.drained = false }
+
+func (worker *fakeWorkerClient) Busy() bool { return len(worker.queued)+len(worker.sent) > 0 }
+
+func (worker *fakeWorkerClient) Stop() { worker.stopped = true }
+
+func (worker *fakeWorkerClient) Drain(time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder) {
+	worker.drained = true
+	taken := worker.queued
+	worker.queued = nil
+	return taken, nil
+}
+
+// testHarness hands events to a FrontEnd, at its own clock.
+type testHarness struct {
+	*testing.T
+	*FrontEnd
+	clock   time.Duration
+	clients map[string]*fakeWorkerClient
+	opened  int
+	watches int
+}
+
+func (harness *testHarness) OpenWorker(_ scheduler.WorkerID, w discovery.Worker) WorkerClient {
+	harness.opened++
+	worker := &fakeWorkerClient{name: w.Name}
+	harness.clients[w.Name] = worker
+	return worker
+}
+
+func (harness *testHarness) WatchEndpoints() { harness.watches++ }
+
+func testScheduler() scheduler.Settings {
+	return scheduler.Settings{
+		Seed: 1, FrontEndCount: 1, ReplicaIdleTimeout: 10 * time.Second, ReportsColdStart: true, CancelAllowed: true, MaxAttempts: 4,
+		LoadOrderTimeout: time.Second, MaxRetryAfter: 500 * ms, DrainGrace: 500 * ms, Resolution: ms, Classes: []scheduler.Class{
+			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.Idempotent},
+			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.IdempotentByKey, KeyScope: scheduler.ScopeCell, KeyRetention: time.Second},
+			{LatencyObjective: 500 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.NonIdempotent},
+		},
+	}
+}
+
+const (
+	idempotentClass = iota
+	keyedClass
+	nonIdempotentClass
+)
+
+func newHarness(t *testing.T, workers int, change func(*Settings)) *testHarness {
+	harness := &testHarness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
+	set := Settings{
+		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
+		ClockStart: time.Unix(0, 0),
+	}
+	if change != nil {
+		change(&set)
+	}
+	harness.FrontEnd = New(harness.clock, set, harness, zerolog.Nop())
+	harness.listWorkers(workers, nil)
+	return harness
+}
+
+// listWorkers reports a list of n workers, all ready but those in states.
+func (harness *testHarness) listWorkers(n int, states map[string]scheduler.WorkerState) {
+	var list []discovery.Worker
+	for i := range n {
+		w := discovery.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Cell: fmt.Sprint(i % 2), Scale: 1, State: scheduler.Ready}
+		if s := states[w.Name]; s != 0 {
+			w.State = s
+		}
+		list = append(list, w)
+	}
+	harness.EndpointsChanged(harness.clock, list)
+}
+
+func (harness *testHarness) submit(class int) *Request {
+	request := NewRequest()
+	request.Class = class
+	request.StartedAt = harness.clock
+	request.Timeout = 2 * time.Second
+	request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 2}
+	harness.RequestReceived(harness.clock, request)
+	return request
+}
+
+func (harness *testHarness) advance(d time.Duration) {
+	for end := harness.clock + d; harness.clock < end; {
+		harness.clock = min(end, max(harness.clock, harness.NextTimer()))
+		harness.FireTimers(harness.clock)
+	}
+}
+
+// sentAttempt is the attempt that a worker client has for a request.
+func (harness *testHarness) sentAttempt(request *Request) (*fakeWorkerClient, *muxclient.Attempt) {
+	harness.Helper()
+	for _, worker := range harness.clients {
+		for _, attempt := range slices.Concat(worker.sent, worker.queued) {
+			if attempt.Request.ID == request.ID {
+				return worker, attempt
+			}
+		}
+	}
+	harness.Fatalf("request %s has no attempt", request.ID)
+	return nil, nil
+}
+
+func (harness *testHarness) hasAttempt(request *Request) bool { return request.current != nil }
+
+func (harness *testHarness) endWith(request *Request, s scheduler.Status) *fakeWorkerClient {
+	harness.Helper()
+	worker, attempt := harness.sentAttempt(request)
+	worker.remove(attempt)
+	harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
+	return worker
+}
+
+func (harness *testHarness) responseKind(request *Request) ResponseKind {
+	select {
+	case f := <-request.Response():
+		return f.Kind
+	default:
+		return 0
+	}
+}
+
+func (harness *testHarness) wantResponse(request *Request, k ResponseKind) {
+	harness.Helper()
+	if got := harness.responseKind(request); got != k {
+		harness.Errorf("final response %v, want %v", got, k)
+	}
+	if got := harness.responseKind(request); got != 0 {
+		harness.Errorf("a second final response: %v", got)
+	}
+}
+
+// inBothOrders runs a test for both orders of two events.
+func inBothOrders(t *testing.T, first, second string, play func(t *testing.T, firstFirst bool)) {
+	t.Run(first+", then "+second, func(t *testing.T) { play(t, true) })
+	t.Run(second+", then "+first, func(t *testing.T) { play(t, false) })
+}
--- /dev/null
+++ b/internal/gateway/http_handler.go
@@ -0,0 +1,74 @@
+package gateway
+
+import "havencart/internal/native/httpserver"
+
+// httpHandler hands the requests of one client connection to one event loop. It is an httpserver.Handler, called from
+// the connection's goroutine.
+type httpHandler struct {
+	loop    *EventLoop
+	catalog *Catalog
+}
+
+// pendingRequest is a request that was submitted to an event loop. It is an httpserver.Pending.
+type pendingRequest struct {
+	loop    *EventLoop
+	request *Request
+}
+
+// Take implements httpserver.Handler. An error is one of Catalog.Resolve.
+func (h httpHandler) Take(received *httpserver.Request) (httpserver.Pending, error) {
+	request := NewRequest()
+	request.ID = received.ID
+	request.IdempotencyKey = received.IdempotencyKey
+	request.Body = received.Body
+	request.WorkEstimate = received.WorkEstimate
+	request.StartedAt = received.ReceivedAt.Sub(h.loop.cfg.ClockStart)
+	if err := h.catalog.Resolve(received, request); err != nil {
+		return nil, err
+	}
+	h.loop.Submit(request)
+	return pendingRequest{h.loop, request}, nil
+}
+
+// Wait implements httpserver.Pending: it waits for the final response, or until disconnected is closed.
+func (p pendingRequest) Wait(disconnected <-chan struct{}) (httpserver.Response, bool) {
+	select {
+	case response := <-p.request.Response():
+		return response.httpResponse(p.request.ID), true
+	case <-disconnected:
+		return httpserver.Response{}, false
+	}
+}
+
+// Leave implements httpserver.Pending: the client has disconnected.
+func (p pendingRequest) Leave() { p.loop.Disconnect(p.request) }
+
+// httpOutcomes are the kinds of final responses as HTTP clients receive them.
+var httpOutcomes = map[ResponseKind]httpserver.Outcome{
+	Served:   httpserver.Served,
+	Rejected: httpserver.Rejected,
+	Failed:   httpserver.Failed,
+}
+
+// httpResponse is the final response of the request with that ID as HTTP clients receive it.
+func (f FinalResponse) httpResponse(id string) httpserver.Response {
+	out := httpserver.Response{
+		Outcome:    httpOutcomes[f.Kind],
+		Reason:     f.Reason,
+		RetryAfter: f.RetryAfter,
+		TimedOut:   f.TimedOut,
+		Worker:     f.Worker,
+		Attempts:   f.Attempts,
+		ID:         id,
+	}
+	if f.Response == nil {
+		return out
+	}
+	out.ContentType = f.Response.Type
+	out.Body = f.Response.Body
+	out.Length = f.Response.Length
+	if f.Response.Stream != nil { // a nil *Stream is no nil interface
+		out.Stream = f.Response.Stream
+	}
+	return out
+}
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,167 +17,179 @@
 	"havencart/scheduler"
 )
 
-// instant is a link to a worker that answers at once, so that the loop alone is what is measured.
-type instant struct {
-	fakeLink
+// instantWorker is a client of a worker that responds at once, so that the event loop alone is measured.
+type instantWorker struct {
+	fakeWorkerClient
 	sent chan *muxclient.Attempt
 }
 
-func (l *instant) Send(a *muxclient.Attempt) *muxclient.Result { l.sent <- a; return nil }
+func (l *instantWorker) Send(attempt *muxclient.Attempt) *muxclient.Result {
+	l.sent <- attempt
+	return nil
+}
 
-func (l *instant) Abandon(*muxclient.Attempt) bool { return true }
+func (l *instantWorker) Abandon(*muxclient.Attempt) bool { return true }
 
-// answers answers until the link is stopped for good.
-func (l *instant) answers(loop *EventLoop) {
+// respondToAll responds until the channel of attempts is closed.
+func (l *instantWorker) respondToAll(loop *EventLoop) {
 	answer := &muxclient.Response{}
-	for a := range l.sent {
+	for attempt := range l.sent {
 		loop.post(func(now time.Duration) {
-			loop.front.AttemptEnded(now, a, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+			loop.frontEnd.AttemptEnded(now, attempt, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 		})
 	}
 }
 
-// fixed is a directory that tells one list.
-type fixed []discovery.Worker
+// fixedEndpoints is a discovery.Source with one list.
+type fixedEndpoints []discovery.Worker
 
-func (f fixed) Run(ctx context.Context, sink discovery.Sink) { sink.EndpointsChanged(f); <-ctx.Done() }
-func (f fixed) Refresh()                                     {}
+func (f fixedEndpoints) Run(ctx context.Context, sink discovery.Sink) {
+	sink.EndpointsChanged(f)
+	<-ctx.Done()
+}
+func (f fixedEndpoints) Refresh() {}
 
-// alone runs a loop with workers that answer at once and returns what ends it.
-func alone(workers int) (*EventLoop, func()) {
-	set := Settings{Scheduler: classes(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1 << 20, ClockStart: time.Now()}
-	var list fixed
+// startLoop runs an event loop with workers that respond at once, and returns what ends it.
+func startLoop(workers int) (*EventLoop, func()) {
+	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1 << 20, ClockStart: time.Now()}
+	var list fixedEndpoints
 	for i := range workers {
 		list = append(list, discovery.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Scale: 1, State: scheduler.Ready})
 	}
-	l := NewEventLoop(EventLoopConfig{Settings: set, Source: list, RequestQueue: 1 << 20, EventQueue: 1 << 14, ShutdownTimeout: time.Second}, zerolog.Nop())
+	loop := NewEventLoop(EventLoopConfig{Settings: set, Source: list, RequestQueue: 1 << 20, EventQueue: 1 << 14, ShutdownTimeout: time.Second}, zerolog.Nop())
 	var mu sync.Mutex
-	var links []*instant
+	var clients []*instantWorker
 	var tasks sync.WaitGroup
-	l.open = func(loop *EventLoop) WorkerClient {
-		link := &instant{sent: make(chan *muxclient.Attempt, 1<<20)}
+	loop.newTestClient = func(loop *EventLoop) WorkerClient {
+		link := &instantWorker{sent: make(chan *muxclient.Attempt, 1<<20)}
 		mu.Lock()
 		defer mu.Unlock()
-		links = append(links, link)
-		tasks.Go(func() { link.answers(loop) })
+		clients = append(clients, link)
+		tasks.Go(func() { link.respondToAll(loop) })
 		return link
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	tasks.Go(func() { l.Run(ctx) })
-	return l, func() {
+	tasks.Go(func() { loop.Run(ctx) })
+	return loop, func() {
 		cancel()
-		<-l.done
+		<-loop.done
 		mu.Lock()
 		defer mu.Unlock()
-		for _, link := range links {
+		for _, link := range clients {
 			close(link.sent)
 		}
 		tasks.Wait()
 	}
 }
 
-// outcome is what became of calls.
-type outcome struct {
-	served, refused atomic.Int64
-	mu              sync.Mutex
-	waits           []time.Duration // of the served ones
+// tally counts how requests ended.
+type tally struct {
+	served, rejected atomic.Int64
+	mu               sync.Mutex
+	latencies        []time.Duration // of served requests
 }
 
-func (o *outcome) call(l *EventLoop) *Request {
-	var c *Request
-	c = NewRequestTo(func(f FinalResponse) {
+func (results *tally) newRequest(loop *EventLoop) *Request {
+	var request *Request
+	request = NewRequestTo(func(f FinalResponse) {
 		if f.Kind != Served {
-			o.refused.Add(1)
+			results.rejected.Add(1)
 			return
 		}
-		if o.served.Add(1)%64 == 0 {
-			o.mu.Lock()
-			o.waits = append(o.waits, l.Now()-c.StartedAt)
-			o.mu.Unlock()
+		if results.served.Add(1)%64 == 0 {
+			results.mu.Lock()
+			results.latencies = append(results.latencies, loop.Now()-request.StartedAt)
+			results.mu.Unlock()
 		}
 	})
-	c.StartedAt, c.Timeout, c.Replica = l.Now(), 2*time.Second, muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
-	return c
+	request.StartedAt = loop.Now()
+	request.Timeout = 2 * time.Second
+	request.Replica = muxframe.ReplicaSpec{Function: "f", MemoryMB: 100, Concurrency: 64}
+	return request
 }
 
-// most is what the loop serves in a second, with a hundred calls in hand at any time.
-func most(l *EventLoop) float64 {
-	var o outcome
-	began, sent := time.Now(), int64(0)
-	for time.Since(began) < time.Second {
-		for sent-o.served.Load()-o.refused.Load() < 100 {
-			l.Submit(o.call(l))
+// measureCapacity is what the event loop serves in a second, with a hundred requests in flight at any time.
+func measureCapacity(loop *EventLoop) float64 {
+	var o tally
+	start, sent := time.Now(), int64(0)
+	for time.Since(start) < time.Second {
+		for sent-o.served.Load()-o.rejected.Load() < 100 {
+			loop.Submit(o.newRequest(loop))
 			sent++
 		}
 	}
-	return float64(o.served.Load()) / time.Since(began).Seconds()
+	return float64(o.served.Load()) / time.Since(start).Seconds()
 }
 
-// offer offers calls at a rate that waits for nothing.
-func offer(l *EventLoop, rate float64, lasts time.Duration, submit func(*Request)) *outcome {
-	o := &outcome{}
-	began := time.Now()
-	c := o.call(l)
+// offerLoad submits requests at a rate, whatever becomes of them.
+func offerLoad(loop *EventLoop, rate float64, duration time.Duration, submit func(*Request)) *tally {
+	results := &tally{}
+	start := time.Now()
+	request := results.newRequest(loop)
 	for sent := 0; ; {
-		at := time.Since(began)
-		if at > lasts {
-			return o
+		at := time.Since(start)
+		if at > duration {
+			return results
 		}
 		for ; float64(sent) < rate*at.Seconds(); sent++ {
-			before := l.door.turned.Load()
-			submit(c)
-			if l.door.turned.Load() > before { // refused at the door: nobody has it, and it is used again
-				c.state, c.StartedAt = fresh, l.Now()
+			before := loop.gate.rejected.Load()
+			submit(request)
+			if loop.gate.rejected.Load() > before { // rejected by the gate: nothing else has it, and it is used again
+				request.state = requestSubmitted
+				request.StartedAt = loop.Now()
 				continue
 			}
-			c = o.call(l)
+			request = results.newRequest(loop)
 		}
 	}
 }
 
-// queueAnyway hands a call over as if there were no door.
-func queueAnyway(l *EventLoop) func(*Request) {
-	return func(c *Request) {
-		c.queued = l.Now()
+// bypassGate queues a request as if there were no gate.
+func bypassGate(loop *EventLoop) func(*Request) {
+	return func(request *Request) {
+		request.queuedAt = loop.Now()
 		select {
-		case l.arrivals <- c:
+		case loop.requests <- request:
 		default:
-			c.settle(FinalResponse{Kind: Rejected})
+			request.complete(FinalResponse{Kind: Rejected})
 		}
 	}
 }
 
-// BenchmarkOverload offers a loop several times what it can do, with and without the door. What is served is told
-// as a part of what the loop serves at most, in the same run.
+// BenchmarkOverload offers an event loop a multiple of its capacity, with and without the queue gate. What is served is
+// reported as a fraction of the capacity measured in the same run.
 func BenchmarkOverload(b *testing.B) {
-	for _, door := range []bool{true, false} {
+	for _, gated := range []bool{true, false} {
 		for _, factor := range []float64{1, 1.5, 2, 4} {
-			b.Run(fmt.Sprintf("door=%v/x%v", door, factor), func(b *testing.B) {
-				l, stop := alone(8)
+			b.Run(fmt.Sprintf("gate=%v/x%v", gated, factor), func(b *testing.B) {
+				loop, stop := startLoop(8)
 				defer stop()
-				for !func() bool {
-					c := NewRequest()
-					c.StartedAt, c.Timeout = l.Now(), time.Second
-					c.Replica.Function = "f"
-					l.Submit(c)
-					return (<-c.Response()).Kind == Served
-				}() {
+				servesRequest := func() bool {
+					request := NewRequest()
+					request.StartedAt = loop.Now()
+					request.Timeout = time.Second
+					request.Replica.Function = "f"
+					loop.Submit(request)
+					return (<-request.Response()).Kind == Served
+				}
+				for ready := false; !ready; {
+					ready = servesRequest()
 				}
-				top := most(l)
-				submit := l.Submit
-				if !door {
-					submit = queueAnyway(l)
+				top := measureCapacity(loop)
+				submit := loop.Submit
+				if !gated {
+					submit = bypassGate(loop)
 				}
 				for b.Loop() {
-					o := offer(l, factor*top, 2*time.Second, submit)
-					b.ReportMetric(float64(o.served.Load())/2/top, "served/most")
-					o.mu.Lock()
-					slices.Sort(o.waits)
-					if n := len(o.waits); n > 0 {
-						b.ReportMetric(o.waits[n/2].Seconds()*1000, "p50-ms")
-						b.ReportMetric(o.waits[n*99/100].Seconds()*1000, "p99-ms")
+					results := offerLoad(loop, factor*top, 2*time.Second, submit)
+					b.ReportMetric(float64(results.served.Load())/2/top, "served/most")
+					results.mu.Lock()
+					slices.Sort(results.latencies)
+					if n := len(results.latencies); n > 0 {
+						b.ReportMetric(results.latencies[n/2].Seconds()*1000, "p50-ms")
+						b.ReportMetric(results.latencies[n*99/100].Seconds()*1000, "p99-ms")
 					}
-					o.mu.Unlock()
+					results.mu.Unlock()
 				}
 				b.ReportMetric(top, "most/s")
 			})
--- /dev/null
+++ b/internal/gateway/recent_ids_test.go
@@ -0,0 +1,30 @@
+package gateway
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestRecentIDs_SameID_AdmittedOnceUntilForgotten(t *testing.T) {
+	var ids recentIDs
+	if !ids.admit("a") || ids.admit("a") {
+		t.Fatal("an identifier in flight must be admitted once")
+	}
+	ids.release("a")
+	if ids.admit("a") {
+		t.Error("an identifier of a completed request is admitted again")
+	}
+	for i := range 3 * idsPerGeneration {
+		id := fmt.Sprint(i)
+		if !ids.admit(id) {
+			t.Fatalf("identifier %s is new", id)
+		}
+		ids.release(id)
+	}
+	if len(ids.current)+len(ids.previous) > 2*idsPerGeneration || len(ids.inFlight) != 0 {
+		t.Errorf("%d and %d identifiers are kept, %d in flight", len(ids.current), len(ids.previous), len(ids.inFlight))
+	}
+	if !ids.admit("a") {
+		t.Error("an identifier is never forgotten")
+	}
+}
--- /dev/null
+++ b/internal/gateway/workers_test.go
@@ -0,0 +1,53 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+func TestWorkerConnected_NewIncarnation_ReportsRestart(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	id := WorkerID("w0")
+	harness.WorkerConnected(harness.clock, id, muxframe.Welcome{Worker: "w0", Incarnation: 1, UptimeMillis: 3600_000})
+	request := harness.submit(idempotentClass)
+	harness.endWith(request, scheduler.OK)
+	harness.WorkerConnected(harness.clock, id, muxframe.Welcome{Worker: "w0", Incarnation: 2, UptimeMillis: 5})
+	if info, restarted := harness.incarnations.ObserveConnection(harness.clock, id, 2, 5*ms); restarted || info.Started < harness.clock-10*ms {
+		t.Errorf("started %v, restarted %t", info.Started, restarted)
+	}
+}
+
+func TestLoadOrder_NoResponse_TimesOut(t *testing.T) {
+	harness := newHarness(t, 2, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
+	request := harness.submit(idempotentClass)
+	orders := 0
+	for _, worker := range harness.clients {
+		orders += len(worker.orders)
+	}
+	if orders == 0 {
+		t.Fatal("no worker got a load order or a residency query")
+	}
+	harness.advance(2 * time.Second)
+	harness.wantResponse(request, Rejected)
+	if len(harness.loadOrders) != 0 {
+		t.Errorf("%d load orders are still in flight", len(harness.loadOrders))
+	}
+}
+
+// TestActions_HealthCheckAndUnload_ReachWorker calls the actions itself, as the scheduler asks for neither today.
+func TestActions_HealthCheckAndUnload_ReachWorker(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	request := harness.submit(idempotentClass)
+	id, worker := WorkerID("w0"), harness.clients["w0"]
+	harness.CheckHealth(id)
+	harness.Unload(id, FunctionID("f"))
+	if worker.healthChecks != 1 || worker.unloads != 1 || harness.Counts().HealthChecks != 1 {
+		t.Errorf("%d health checks, %d unloads", worker.healthChecks, worker.unloads)
+	}
+	harness.HealthChecked(harness.clock, id, scheduler.OK, nil)
+	harness.HealthChecked(harness.clock, id, scheduler.OK, nil) // a response without a health check
+	harness.endWith(request, scheduler.OK)
+}
