--- a/cmd/havencart/main.go
+++ b/cmd/havencart/main.go
@@ -48,7 +48,7 @@
 	case errors.Is(err, gatewayconfig.ErrSettings), errors.Is(err, platformconfig.ErrMalformed), errors.Is(err, endpointstream.ErrMalformed),
 		errors.Is(err, errUsage):
 		return exitSettings
-	case errors.Is(err, gateway.ErrUnclean):
+	case errors.Is(err, gateway.ErrShutdownTimeout):
 		return exitUnclean
 	case errors.Is(err, errRule):
 		return exitRule
--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -140,7 +140,7 @@
 // and gives the rest its final response. It returns the totals, and whether all ended in time. When it returns, the
 // goroutines of its worker clients and of the endpoint watch have ended.
 func (l *EventLoop) Run(ctx context.Context) (Counts, bool) {
-	l.frontEnd = New(l.Now(), l.cfg.Settings, l, l.log)
+	l.frontEnd = NewFrontEnd(l.Now(), l.cfg.Settings, l, l.log)
 	watchCtx, stopWatch := context.WithCancel(context.Background())
 	watchEnded := make(chan struct{})
 	go func() {
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -150,7 +150,7 @@
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0),
 	}
-	sim.FrontEnd = New(sim.clock, set, sim, zerolog.Nop())
+	sim.FrontEnd = NewFrontEnd(sim.clock, set, sim, zerolog.Nop())
 	sim.listWorkers(2, nil)
 	return sim
 }
@@ -214,7 +214,7 @@
 func (sim *simulation) receiveNext() {
 	i := sim.received
 	sim.received++
-	request := NewRequestTo(func(f FinalResponse) { sim.checkResponse(i, f) })
+	request := NewRequestWithCallback(func(f FinalResponse) { sim.checkResponse(i, f) })
 	request.ID = fmt.Sprint(i)
 	request.Class = sim.classes[i]
 	request.StartedAt = sim.clock
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -133,8 +133,8 @@
 	cost     tenancy.WorkEstimator
 }
 
-// New returns a FrontEnd that starts at now and knows no workers.
-func New(now time.Duration, settings Settings, dependencies Dependencies, log zerolog.Logger) *FrontEnd {
+// NewFrontEnd returns a FrontEnd that starts at now and knows no workers.
+func NewFrontEnd(now time.Duration, settings Settings, dependencies Dependencies, log zerolog.Logger) *FrontEnd {
 	frontEnd := &FrontEnd{
 		settings:     settings,
 		dependencies: dependencies,
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -136,7 +136,7 @@
 	if change != nil {
 		change(&set)
 	}
-	harness.FrontEnd = New(harness.clock, set, harness, zerolog.Nop())
+	harness.FrontEnd = NewFrontEnd(harness.clock, set, harness, zerolog.Nop())
 	harness.listWorkers(workers, nil)
 	return harness
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -91,7 +91,7 @@
 
 func (results *tally) newRequest(loop *EventLoop) *Request {
 	var request *Request
-	request = NewRequestTo(func(f FinalResponse) {
+	request = NewRequestWithCallback(func(f FinalResponse) {
 		if f.Kind != Served {
 			results.rejected.Add(1)
 			return
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -161,7 +161,7 @@
 		p.recentIDs.release(received.ID)
 		p.bodyBytes.Add(-size)
 	})
-	request := NewRequestTo(func(response FinalResponse) {
+	request := NewRequestWithCallback(func(response FinalResponse) {
 		release()
 		respond(response.rpcResponse())
 	})
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -66,11 +66,11 @@
 	return r
 }
 
-// NewRequestTo returns a request whose final response is given to deliver. The goroutine that owns the request calls
+// NewRequestWithCallback returns a request whose final response is given to deliver. The goroutine that owns the request calls
 // deliver, once and within the handling of an event: it must neither block nor call the FrontEnd.
-func NewRequestTo(deliver func(FinalResponse)) *Request { return &Request{deliver: deliver} }
+func NewRequestWithCallback(deliver func(FinalResponse)) *Request { return &Request{deliver: deliver} }
 
-// Response returns the channel that receives the final response, once; nil after NewRequestTo.
+// Response returns the channel that receives the final response, once; nil after NewRequestWithCallback.
 func (r *Request) Response() <-chan FinalResponse { return r.response }
 
 // complete gives the final response and reports whether it was still owed. All final responses go through here.
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -24,7 +24,7 @@
 
 func TestComplete_AfterFinalState_DeliversNothing(t *testing.T) {
 	for _, state := range []requestState{requestCompleted, requestDisconnected} {
-		request := NewRequestTo(func(response FinalResponse) { t.Errorf("state %d: delivered %+v", state, response) })
+		request := NewRequestWithCallback(func(response FinalResponse) { t.Errorf("state %d: delivered %+v", state, response) })
 		request.state = state
 		if request.complete(FinalResponse{Kind: Served}) {
 			t.Errorf("state %d: completed again", state)
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -26,9 +26,9 @@
 	next     atomic.Uint64 // connections are spread over the loops in turn
 }
 
-// ErrUnclean is returned by Service.Run where requests were in flight when the time for a shutdown was over. Each got
+// ErrShutdownTimeout is returned by Service.Run where requests were in flight when the time for a shutdown was over. Each got
 // its final response all the same.
-var ErrUnclean = errors.New("requests were in flight when the shutdown timed out")
+var ErrShutdownTimeout = errors.New("requests were in flight when the shutdown timed out")
 
 // The bounds of logs in a second, by level: a burst whole, then a sample.
 const (
@@ -105,7 +105,7 @@
 }
 
 // Run serves until ctx ends, then shuts down gracefully: it accepts no new connections; what is in flight gets its
-// final response, at the latest when StopWait is over. It returns the totals, and ErrUnclean where that time was
+// final response, at the latest when StopWait is over. It returns the totals, and ErrShutdownTimeout where that time was
 // needed in full. All goroutines of the service have ended when it returns.
 func (s *Service) Run(ctx context.Context) (Counts, error) {
 	loopsEnded := s.runLoops(ctx)
@@ -118,7 +118,7 @@
 	s.clients.Shutdown(shutdownCtx)
 	total, clean := loopsEnded()
 	if err == nil && !clean {
-		err = ErrUnclean
+		err = ErrShutdownTimeout
 	}
 	return total, err
 }
--- a/internal/gateway/service_settings.go
+++ b/internal/gateway/service_settings.go
@@ -25,7 +25,7 @@
 // loopConfig is the configuration of the process's event loop i.
 func loopConfig(set *gatewayconfig.Settings, i int, clockStart time.Time) EventLoopConfig {
 	cfg := EventLoopConfig{
-		Settings:        FrontEndSettings(set, i, clockStart, rand.Uint64()),
+		Settings:        SettingsFromConfig(set, i, clockStart, rand.Uint64()),
 		RequestQueue:    set.Queue,
 		EventQueue:      eventQueue,
 		ShutdownTimeout: set.StopWait,
@@ -39,9 +39,9 @@
 	return cfg
 }
 
-// FrontEndSettings returns the settings of the process's front end i, whose clock starts at a wall time and whose
+// SettingsFromConfig returns the settings of the process's front end i, whose clock starts at a wall time and whose
 // random numbers are drawn from seed.
-func FrontEndSettings(set *gatewayconfig.Settings, i int, clockStart time.Time, seed uint64) Settings {
+func SettingsFromConfig(set *gatewayconfig.Settings, i int, clockStart time.Time, seed uint64) Settings {
 	out := Settings{
 		Name:           fmt.Sprintf("%s-%d", set.Name, set.First+i),
 		DeadlineMargin: set.AnswerMargin,
--- a/internal/gateway/service_settings_test.go
+++ b/internal/gateway/service_settings_test.go
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		want := tenancy.Settings{Shares: []float64{0.7, 0.3}, Quotas: []float64{25, 0}, Basis: by}
-		if got := FrontEndSettings(set, 0, time.Time{}, 3).Tenancy; !reflect.DeepEqual(got, want) {
+		if got := SettingsFromConfig(set, 0, time.Time{}, 3).Tenancy; !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %+v, want %+v", add, got, want)
 		}
 	}
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := FrontEndSettings(set, 0, time.Time{}, 3)
+	got := SettingsFromConfig(set, 0, time.Time{}, 3)
 	want := scheduler.Settings{
 		Seed: 3, FrontEndCount: 1, LoadOrdersAllowed: true, ReportsColdStart: true, ReportsQueueDepth: true, ReplicaIdleTimeout: 10 * time.Second,
 		LoadOrderTimeout: 10 * time.Second, LoadRateBurst: 4, LoadRatePerRequest: 0.1, HealthChecksAllowed: true, CancelAllowed: true, MaxAttempts: 5,
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := FrontEndSettings(set, 0, time.Time{}, 3)
+	got := SettingsFromConfig(set, 0, time.Time{}, 3)
 	if got.Scheduler.HealthChecksAllowed || !got.Scheduler.ScaleIsCapacity || got.Scheduler.MaxRetryAfter != 0 || got.Shadow == nil || got.Shadow.Scheduler.ScaleIsCapacity ||
 		!got.Shadow.Scheduler.HealthChecksAllowed ||
 		got.Shadow.Scheduler.MaxRetryAfter != 0 || got.Shadow.SampleInterval != 1 {
--- a/lab/fleet/hard_test.go
+++ b/lab/fleet/hard_test.go
@@ -58,7 +58,7 @@
 func (f *Fleet) fair(t *testing.T) {
 	t.Helper()
 	for _, e := range f.FrontEnds {
-		if err := e.Stop(); err != nil && !errors.Is(err, gateway.ErrUnclean) {
+		if err := e.Stop(); err != nil && !errors.Is(err, gateway.ErrShutdownTimeout) {
 			t.Error(err)
 		}
 	}
@@ -222,7 +222,7 @@
 	}
 	service := f.FrontEnds[0].Service()
 	until(t, "the calls to be taken", func() bool { return service.Counts().Admitted == 300 })
-	if err := f.FrontEnds[0].Stop(); err != nil && !errors.Is(err, gateway.ErrUnclean) {
+	if err := f.FrontEnds[0].Stop(); err != nil && !errors.Is(err, gateway.ErrShutdownTimeout) {
 		t.Error(err)
 	}
 	all.Wait()
--- a/lab/simulation/front.go
+++ b/lab/simulation/front.go
@@ -42,11 +42,11 @@
 	s := f.sim
 	f.alive, f.follows = true, true
 	f.life++
-	set := gateway.FrontEndSettings(s.set, f.number, epoch, s.cfg.Seed^uint64(f.number)<<20^uint64(f.life))
+	set := gateway.SettingsFromConfig(s.set, f.number, epoch, s.cfg.Seed^uint64(f.number)<<20^uint64(f.life))
 	set.NewScheduler = s.policy
 	f.wakeAt, f.version = -1, -1
 	f.stalls, f.missed, f.queue = 0, nil, nil
-	f.gate = gateway.New(s.clock.Now(), set, f, zerolog.New(s).Level(s.cfg.LogLevel).With().Str("of", f.name).Logger())
+	f.gate = gateway.NewFrontEnd(s.clock.Now(), set, f, zerolog.New(s).Level(s.cfg.LogLevel).With().Str("of", f.name).Logger())
 	f.plan()
 	s.tell(f, s.delay())
 }
--- a/lab/simulation/sim.go
+++ b/lab/simulation/sim.go
@@ -377,7 +377,7 @@
 		t.lost()
 		return
 	}
-	c := gateway.NewRequestTo(t.answered)
+	c := gateway.NewRequestWithCallback(t.answered)
 	c.ID, c.IdempotencyKey, c.StartedAt = t.call.ID, t.call.Key, since
 	c.Body = worker.Body(t.call.Work, t.call.Reply)
 	err := t.s.catalog.Resolve(&httpserver.Request{Function: t.call.Function, Class: t.call.Class, Tenant: t.call.Tenant,
