--- a/internal/native/muxclient/io.go
+++ b/internal/native/muxclient/io.go
@@ -11,20 +11,18 @@
 
 	"havencart/internal/decide/reconnect"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
-// batchBytes bounds what one write hands to the system: calls behind it can still be taken back.
-const batchBytes = 64 << 10
-
 func newBuffered(conn net.Conn) io.Reader { return bufio.NewReaderSize(conn, 32<<10) }
 
 // write writes what is queued until the connection breaks or gone is closed, and keeps its pulse.
 func (l *Client) write(conn net.Conn, gone <-chan struct{}) error {
-	var b WriteBatch
+	var b workerconn.WriteBatch
 	for {
 		l.claim(&b)
-		NotifyEnded(l.events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
+		workerconn.NotifyEnded(l.events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
 		if len(b.Bytes) > 0 {
 			n, err := conn.Write(b.Bytes)
 			l.written(&b, n, err)
@@ -66,7 +64,7 @@
 }
 
 // claim encodes the next batch.
-func (l *Client) claim(b *WriteBatch) {
+func (l *Client) claim(b *workerconn.WriteBatch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.box.Claim(b, l.encode)
@@ -76,27 +74,30 @@
 }
 
 // encode appends the frame of i.
-func (l *Client) encode(buf []byte, i QueueItem) ([]byte, error) {
+func (l *Client) encode(buf []byte, i workerconn.QueueItem) ([]byte, error) {
 	switch {
 	case i.Attempt != nil:
 		call := i.Attempt.Request
 		call.TimeoutMillis = max(0, (i.Attempt.Deadline - l.cfg.Now()).Milliseconds())
 		call.Window = uint32(l.cfg.Window)
-		return muxframe.Append(buf, muxframe.TypeRequest, uint32(i.Attempt.number), call, i.Attempt.Body)
+		return muxframe.Append(buf, muxframe.TypeRequest, uint32(i.Number()), call, i.Attempt.Body)
 	case i.Load != nil:
-		return muxframe.Append(buf, muxframe.TypeLoadOrder, uint32(i.Load.number), i.Load.Load, nil)
+		return muxframe.Append(buf, muxframe.TypeLoadOrder, uint32(i.Number()), i.Load.Load, nil)
 	}
 	f := i.Frame.(frame)
 	return muxframe.Append(buf, f.kind, f.number, f.header, nil)
 }
 
 // written takes the result of a write.
-func (l *Client) written(b *WriteBatch, n int, err error) {
+func (l *Client) written(b *workerconn.WriteBatch, n int, err error) {
 	l.mu.Lock()
 	never := l.box.Written(b, n)
+	for _, i := range never {
+		delete(l.streams, i.Attempt)
+	}
 	l.mu.Unlock()
 	if len(never) > 0 {
-		NotifyEnded(l.events, never, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
+		workerconn.NotifyEnded(l.events, never, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
 	}
 }
 
@@ -159,7 +160,7 @@
 	if !known || in.More && status != scheduler.OK {
 		return fmt.Errorf("%w: answer with status %d, more %t", muxframe.ErrMalformed, in.Status, in.More)
 	}
-	r := Result{Status: status, Reason: in.Problem, ColdStart: warmths[in.ColdStart], QueueDepth: -1, LoadReport: in.LoadReport}
+	r := workerconn.Result{Status: status, Reason: in.Problem, ColdStart: warmths[in.ColdStart], QueueDepth: -1, LoadReport: in.LoadReport}
 	if in.RunMillis > 0 && in.RunMillis < float64(math.MaxInt64/time.Millisecond) {
 		r.RunTime = time.Duration(in.RunMillis * float64(time.Millisecond))
 	}
@@ -169,7 +170,7 @@
 	l.mu.Lock()
 	a := l.box.Attempt(uint64(f.StreamID))
 	issued := f.StreamID != 0 && f.StreamID-1 < l.last
-	if a == nil || a.stream != nil {
+	if a == nil || l.streams[a] != nil {
 		l.mu.Unlock()
 		if !issued || a != nil {
 			return fmt.Errorf("%w: answer to call %d, which is not under way", muxframe.ErrMalformed, f.StreamID)
@@ -177,7 +178,7 @@
 		l.events.LateResponse(f.StreamID)
 		return nil
 	}
-	r.Response = &Response{Type: in.ContentType, Length: int64(len(f.Body))}
+	r.Response = &workerconn.Response{Type: in.ContentType, Length: int64(len(f.Body))}
 	if !in.More {
 		l.box.Answered(uint64(f.StreamID))
 		l.mu.Unlock()
@@ -186,13 +187,13 @@
 		return nil
 	}
 	number := f.StreamID
-	a.stream = newStream(l.cfg.Window, func(n int) { l.allow(number, n) })
-	a.begun = &r
-	r.Response.Stream, r.Response.Length = a.stream, -1
+	stream := workerconn.NewStream(l.cfg.Window, func(n int) { l.allow(number, n) })
+	r.Response.Stream, r.Response.Length = stream, -1
 	if in.Length > 0 {
 		r.Response.Length = in.Length
 	}
-	fits := a.stream.add(f.Body)
+	l.streams[a] = &r
+	fits := stream.Add(f.Body)
 	l.mu.Unlock()
 	if !fits {
 		return l.overrun(number)
@@ -218,14 +219,15 @@
 func (l *Client) data(f muxframe.Frame) error {
 	l.mu.Lock()
 	a := l.box.Attempt(uint64(f.StreamID))
+	begun := l.streams[a]
 	l.mu.Unlock()
 	if a == nil {
 		return nil
 	}
-	if a.stream == nil {
+	if begun == nil {
 		return fmt.Errorf("%w: data for call %d before its answer", muxframe.ErrMalformed, f.StreamID)
 	}
-	if !a.stream.add(f.Body) {
+	if !begun.Response.Stream.Add(f.Body) {
 		return l.overrun(f.StreamID)
 	}
 	return nil
@@ -243,18 +245,20 @@
 		l.mu.Unlock()
 		return nil
 	}
-	if a.stream == nil {
+	begun := l.streams[a]
+	if begun == nil {
 		l.mu.Unlock()
 		return fmt.Errorf("%w: end of call %d before its answer", muxframe.ErrMalformed, f.StreamID)
 	}
 	l.box.Answered(uint64(f.StreamID))
+	delete(l.streams, a)
 	l.mu.Unlock()
-	r := *a.begun
+	r := *begun
 	if in.Error != "" {
 		r.Status, r.Reason = scheduler.Error, in.Error
-		a.stream.end(fmt.Errorf("%w: %s", ErrBroken, in.Error))
+		r.Response.Stream.End(fmt.Errorf("%w: %s", workerconn.ErrBroken, in.Error))
 	} else {
-		a.stream.end(nil)
+		r.Response.Stream.End(nil)
 	}
 	l.events.AttemptEnded(a, r)
 	return nil
--- a/internal/native/muxclient/link.go
+++ b/internal/native/muxclient/link.go
@@ -10,6 +10,7 @@
 
 	"havencart/internal/decide/reconnect"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -26,9 +27,10 @@
 	wanted chan struct{} // something waits for a connection
 
 	mu       sync.Mutex
-	box      SendQueue
-	probes   int    // asked, not answered
-	last     uint32 // number given last
+	box      workerconn.SendQueue
+	streams  map[*workerconn.Attempt]*workerconn.Result // answers that began and did not end, as they began
+	probes   int                                        // asked, not answered
+	last     uint32                                     // number given last
 	conn     net.Conn
 	pulse    *reconnect.Keepalive
 	draining bool
@@ -46,7 +48,7 @@
 func New(cfg Config, events Events) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Client{cfg: cfg, events: events, cancel: cancel, done: make(chan struct{}), kick: make(chan struct{}, 1),
-		wanted: make(chan struct{}, 1), box: NewSendQueue()}
+		wanted: make(chan struct{}, 1), box: workerconn.NewSendQueue(), streams: map[*workerconn.Attempt]*workerconn.Result{}}
 	go l.run(ctx)
 	return l
 }
@@ -59,16 +61,16 @@
 
 // Send writes a as soon as it can and returns nil; its end is told by Events. What cannot be taken on returns
 // its end at once.
-func (l *Client) Send(a *Attempt) *Result {
+func (l *Client) Send(a *workerconn.Attempt) *workerconn.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.draining:
-		a.state = unsent
-		return &Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
+		a.Reject()
+		return &workerconn.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
 	case l.closed || l.box.Waiting() >= l.cfg.MaxQueue:
-		a.state = unsent
-		return &Result{Status: scheduler.ConnectFailed, Reason: "the link's queue is full or closed", QueueDepth: -1}
+		a.Reject()
+		return &workerconn.Result{Status: scheduler.ConnectFailed, Reason: "the link's queue is full or closed", QueueDepth: -1}
 	}
 	l.box.PushAttempt(l.number(), a)
 	l.wake()
@@ -76,7 +78,7 @@
 }
 
 // Withdraw takes back an attempt that has not begun to leave, and says whether it did: its end is then not told.
-func (l *Client) CancelUnsent(a *Attempt) bool {
+func (l *Client) CancelUnsent(a *workerconn.Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.box.CancelUnsent(a)
@@ -84,26 +86,27 @@
 
 // Abandon gives an attempt up: its end is not told after this, unless it already was. It returns whether the
 // worker may have seen it; if so it is told that nobody waits.
-func (l *Client) Abandon(a *Attempt) (mayHaveLeft bool) {
+func (l *Client) Abandon(a *workerconn.Attempt) (mayHaveLeft bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	underWay, mayHaveLeft := l.box.Abandon(a)
 	if underWay {
-		if a.stream != nil {
-			a.stream.end(fmt.Errorf("%w: given up here", ErrBroken))
+		if begun := l.streams[a]; begun != nil {
+			delete(l.streams, a)
+			begun.Response.Stream.End(fmt.Errorf("%w: given up here", workerconn.ErrBroken))
 		}
-		l.push(frame{kind: muxframe.TypeCancel, number: uint32(a.number)})
+		l.push(frame{kind: muxframe.TypeCancel, number: uint32(a.Number())})
 	}
 	return mayHaveLeft
 }
 
 // Load gives an order and returns 0; its answer is told by Events. What cannot be taken on returns its status
 // at once.
-func (l *Client) Load(o *LoadOrder) scheduler.Status {
+func (l *Client) Load(o *workerconn.LoadOrder) scheduler.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if status := l.orderable(o); status != 0 {
-		o.state = ended
+		o.Reject()
 		return status
 	}
 	l.box.PushLoad(l.number(), o)
@@ -112,7 +115,7 @@
 }
 
 // orderable says why an order cannot be written, 0 if it can.
-func (l *Client) orderable(o *LoadOrder) scheduler.Status {
+func (l *Client) orderable(o *workerconn.LoadOrder) scheduler.Status {
 	switch {
 	case l.draining && o.Load.Replicas > 0:
 		return scheduler.Overloaded
@@ -123,7 +126,7 @@
 }
 
 // AbandonOrder gives an order up: its answer is not told after this.
-func (l *Client) AbandonLoad(o *LoadOrder) {
+func (l *Client) AbandonLoad(o *workerconn.LoadOrder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.box.AbandonLoad(o)
@@ -146,7 +149,7 @@
 
 // Drain takes back all new work that has not left, returns it, and takes on none from now: none of it ran.
 // What is being written has until the grace is over. What has left goes on. Resume ends it.
-func (l *Client) Drain(grace time.Duration) (attempts []*Attempt, orders []*LoadOrder) {
+func (l *Client) Drain(grace time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
@@ -331,18 +334,18 @@
 // lost ends all that was under way on a connection that broke, or waited for one that cannot be had.
 func (l *Client) lost(why error) {
 	l.mu.Lock()
-	waiting := l.box.Unqueue(func(QueueItem) bool { return true })
+	waiting := l.box.Unqueue(func(workerconn.QueueItem) bool { return true })
 	out := l.box.Lost()
+	begun := l.streams
+	l.streams = map[*workerconn.Attempt]*workerconn.Result{}
 	probes := l.probes
 	l.probes = 0
 	l.mu.Unlock()
-	for _, i := range out {
-		if i.Attempt != nil && i.Attempt.stream != nil {
-			i.Attempt.stream.end(fmt.Errorf("%w: %w", ErrBroken, why))
-		}
+	for _, r := range begun {
+		r.Response.Stream.End(fmt.Errorf("%w: %w", workerconn.ErrBroken, why))
 	}
-	NotifyEnded(l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, why.Error())
-	NotifyEnded(l.events, out, scheduler.Reset, scheduler.Reset, why.Error())
+	workerconn.NotifyEnded(l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, why.Error())
+	workerconn.NotifyEnded(l.events, out, scheduler.Reset, scheduler.Reset, why.Error())
 	for range probes {
 		l.events.HealthChecked(scheduler.ConnectFailed, nil)
 	}
--- a/internal/native/muxclient/link_test.go
+++ b/internal/native/muxclient/link_test.go
@@ -15,6 +15,7 @@
 	"go.uber.org/goleak"
 
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -34,16 +35,16 @@
 }
 
 func newHeard() *heard {
-	return &heard{make(chan Result, 1000), make(chan Result, 1000), make(chan scheduler.Status, 1000),
+	return &heard{make(chan workerconn.Result, 1000), make(chan workerconn.Result, 1000), make(chan scheduler.Status, 1000),
 		make(chan scheduler.Status, 1000), make(chan muxframe.Welcome, 1000), make(chan error, 1000),
 		make(chan uint32, 1000)}
 }
 
-func (h *heard) ResponseStarted(_ *Attempt, r Result)                   { h.began <- r }
-func (h *heard) AttemptEnded(_ *Attempt, r Result)                      { h.ended <- r }
-func (h *heard) LoadEnded(_ *LoadOrder, s scheduler.Status, copies int) { h.orders <- s }
-func (h *heard) HealthChecked(s scheduler.Status, _ []float64)          { h.probes <- s }
-func (h *heard) Connected(w muxframe.Welcome)                           { h.up <- w }
+func (h *heard) ResponseStarted(_ *workerconn.Attempt, r workerconn.Result)        { h.began <- r }
+func (h *heard) AttemptEnded(_ *workerconn.Attempt, r workerconn.Result)           { h.ended <- r }
+func (h *heard) LoadEnded(_ *workerconn.LoadOrder, s scheduler.Status, copies int) { h.orders <- s }
+func (h *heard) HealthChecked(s scheduler.Status, _ []float64)                     { h.probes <- s }
+func (h *heard) Connected(w muxframe.Welcome)                                      { h.up <- w }
 func (h *heard) Disconnected(err error) {
 	select {
 	case h.down <- err:
@@ -160,8 +161,8 @@
 	return l, h
 }
 
-func attempt(id string) *Attempt {
-	return &Attempt{Request: muxframe.Request{Replica: muxframe.ReplicaSpec{Function: "f", Concurrency: 1}, ID: id}, Body: []byte("in"),
+func attempt(id string) *workerconn.Attempt {
+	return &workerconn.Attempt{Request: muxframe.Request{Replica: muxframe.ReplicaSpec{Function: "f", Concurrency: 1}, ID: id}, Body: []byte("in"),
 		Deadline: time.Hour}
 }
 
@@ -282,8 +283,8 @@
 	a, b := attempt("a"), attempt("b")
 	l.Send(a)
 	l.Send(b)
-	l.Load(&LoadOrder{Load: muxframe.LoadOrder{Replicas: 1}})
-	l.Load(&LoadOrder{Load: muxframe.LoadOrder{Replicas: 0}})
+	l.Load(&workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 1}})
+	l.Load(&workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 0}})
 	attempts, orders := l.Drain(time.Second)
 	if len(attempts) != 2 || attempts[0] != a || len(orders) != 1 {
 		t.Fatalf("taken back: %d attempts, %d orders", len(attempts), len(orders))
@@ -291,7 +292,7 @@
 	if r := l.Send(attempt("c")); r == nil || r.Status != scheduler.NotSent {
 		t.Errorf("new work after the notice: %+v", r)
 	}
-	if s := l.Load(&LoadOrder{Load: muxframe.LoadOrder{Replicas: 2}}); s != scheduler.Overloaded {
+	if s := l.Load(&workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 2}}); s != scheduler.Overloaded {
 		t.Errorf("an order after the notice: %v", s)
 	}
 	p.greet(1)
@@ -487,7 +488,7 @@
 	if _, err := begun.Response.Stream.Next(context.Background(), soon); err != nil {
 		t.Errorf("what came before the break is lost: %v", err)
 	}
-	if _, err := begun.Response.Stream.Next(context.Background(), soon); !errors.Is(err, ErrBroken) {
+	if _, err := begun.Response.Stream.Next(context.Background(), soon); !errors.Is(err, workerconn.ErrBroken) {
 		t.Errorf("the break shows as %v", err)
 	}
 }
@@ -496,7 +497,7 @@
 	p := listen(t)
 	l, h := open(t, p, nil)
 	p.greet(1)
-	l.Load(&LoadOrder{Load: muxframe.LoadOrder{Replicas: 1}})
+	l.Load(&workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 1}})
 	f := p.next()
 	p.write(muxframe.TypeLoadResult, f.StreamID, muxframe.LoadResult{Status: muxframe.StatusOK, Replicas: 1}, "")
 	if s := await(t, "the order's end", h.orders); s != scheduler.OK {
--- a/internal/platform/workerclient/crossings_test.go
+++ b/internal/platform/workerclient/crossings_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"havencart/internal/native/muxclient"
 	"havencart/internal/platform/workerframe"
+	"havencart/internal/workerconn"
 	"havencart/lab/platformworker"
 	"havencart/scheduler"
 )
@@ -133,7 +133,7 @@
 	defer theirs.Close()
 	l, s := alone(t, ours)
 	send(t, l, attempt(5))
-	var b muxclient.WriteBatch
+	var b workerconn.WriteBatch
 	s.claim(ours, &b)
 	if attempts, _ := l.Drain(time.Millisecond); len(attempts) != 0 {
 		t.Error("what is leaving was taken back")
@@ -189,10 +189,10 @@
 // TestACallThatWaitsOnADialIsTakenBack: by its client's leaving or by a give-up, and nothing is written once the
 // connection is up.
 func TestACallThatWaitsOnADialIsTakenBack(t *testing.T) {
-	for name, back := range map[string]func(l *Client, a *muxclient.Attempt) bool{
-		"withdrawn": func(l *Client, a *muxclient.Attempt) bool { return l.CancelUnsent(a) },
-		"given up":  func(l *Client, a *muxclient.Attempt) bool { return !l.Abandon(a) },
-		"drained": func(l *Client, a *muxclient.Attempt) bool {
+	for name, back := range map[string]func(l *Client, a *workerconn.Attempt) bool{
+		"withdrawn": func(l *Client, a *workerconn.Attempt) bool { return l.CancelUnsent(a) },
+		"given up":  func(l *Client, a *workerconn.Attempt) bool { return !l.Abandon(a) },
+		"drained": func(l *Client, a *workerconn.Attempt) bool {
 			attempts, _ := l.Drain(time.Second)
 			return len(attempts) == 1 && attempts[0] == a
 		},
@@ -209,7 +209,7 @@
 			t.Errorf("%s: taken back twice", name)
 		}
 		s.conn = ours // it comes up late
-		var b muxclient.WriteBatch
+		var b workerconn.WriteBatch
 		if s.claim(ours, &b); len(b.Bytes) > 0 {
 			t.Errorf("%s: %d bytes are written", name, len(b.Bytes))
 		}
@@ -236,7 +236,7 @@
 	a, other := attempt(5), attempt(6)
 	send(t, l, a)
 	send(t, l, other)
-	var b muxclient.WriteBatch
+	var b workerconn.WriteBatch
 	s.claim(c, &b)
 	began := time.Now()
 	if !l.Abandon(a) {
--- a/internal/platform/workerclient/link.go
+++ b/internal/platform/workerclient/link.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"havencart/internal/decide/connpool"
-	"havencart/internal/native/muxclient"
 	"havencart/internal/platform/workerframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -54,7 +54,7 @@
 // Link is the way to one worker. Its methods never block on the network.
 type Client struct {
 	cfg    Config
-	events muxclient.Events
+	events workerconn.Events
 	ctx    context.Context
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
@@ -63,18 +63,18 @@
 	mu       sync.Mutex
 	rng      *rand.Rand
 	strands  []*strand
-	attempts map[*muxclient.Attempt]*strand // not ended; bounded by MaxQueue, as are the orders
-	orders   map[*muxclient.LoadOrder]*strand
+	attempts map[*workerconn.Attempt]*strand // not ended; bounded by MaxQueue, as are the orders
+	orders   map[*workerconn.LoadOrder]*strand
 	draining bool
 	closed   bool
 }
 
 // New returns a link without connections: they are made as calls want them.
-func New(cfg Config, events muxclient.Events) *Client {
+func New(cfg Config, events workerconn.Events) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Client{cfg: cfg, events: events, ctx: ctx, cancel: cancel, done: make(chan struct{}),
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 0x65786563)),
-		attempts: map[*muxclient.Attempt]*strand{}, orders: map[*muxclient.LoadOrder]*strand{}}
+		attempts: map[*workerconn.Attempt]*strand{}, orders: map[*workerconn.LoadOrder]*strand{}}
 	context.AfterFunc(ctx, func() {
 		l.mu.Lock()
 		l.closed = true
@@ -93,19 +93,19 @@
 
 // Send writes a as soon as it can and returns nil; its end is told by Events. What cannot be taken on returns
 // its end at once.
-func (l *Client) Send(a *muxclient.Attempt) *muxclient.Result {
+func (l *Client) Send(a *workerconn.Attempt) *workerconn.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	number, err := callNumber(a.Request.ID)
 	if err != nil {
-		return &muxclient.Result{Status: scheduler.NotSent, Reason: err.Error(), QueueDepth: -1}
+		return &workerconn.Result{Status: scheduler.NotSent, Reason: err.Error(), QueueDepth: -1}
 	}
 	if l.draining {
-		return &muxclient.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
+		return &workerconn.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
 	}
 	s := l.place(number)
 	if s == nil {
-		return &muxclient.Result{Status: scheduler.NotSent, Reason: "no connection has room", QueueDepth: -1}
+		return &workerconn.Result{Status: scheduler.NotSent, Reason: "no connection has room", QueueDepth: -1}
 	}
 	l.attempts[a] = s
 	s.box.PushAttempt(number, a)
@@ -149,7 +149,7 @@
 }
 
 // forget drops what has ended; the lock is held.
-func (l *Client) forget(items []muxclient.QueueItem) {
+func (l *Client) forget(items []workerconn.QueueItem) {
 	for _, i := range items {
 		delete(l.attempts, i.Attempt)
 		delete(l.orders, i.Load)
@@ -157,7 +157,7 @@
 }
 
 // Withdraw takes back an attempt that has not begun to leave, and says whether it did: its end is then not told.
-func (l *Client) CancelUnsent(a *muxclient.Attempt) bool {
+func (l *Client) CancelUnsent(a *workerconn.Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.attempts[a]
@@ -171,7 +171,7 @@
 
 // Abandon gives an attempt up: its end is not told after this, unless it already was. It returns whether the
 // worker may have seen it; if so it is told that nobody waits.
-func (l *Client) Abandon(a *muxclient.Attempt) (mayHaveLeft bool) {
+func (l *Client) Abandon(a *workerconn.Attempt) (mayHaveLeft bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.attempts[a]
@@ -185,7 +185,7 @@
 	underWay, mayHaveLeft := s.box.Abandon(a)
 	if underWay {
 		s.retired, s.givenUp = s.retired || connpool.DrainOnCancel(), true
-		s.box.Push(workerframe.Frame{Code: workerframe.Cancel, ID: muxclient.QueueItem{Attempt: a}.Number()})
+		s.box.Push(workerframe.Frame{Code: workerframe.Cancel, ID: workerconn.QueueItem{Attempt: a}.Number()})
 	}
 	s.wake()
 	return mayHaveLeft
@@ -193,7 +193,7 @@
 
 // Load gives an order and returns 0; its answer is told by Events. What cannot be taken on returns its status
 // at once.
-func (l *Client) Load(o *muxclient.LoadOrder) scheduler.Status {
+func (l *Client) Load(o *workerconn.LoadOrder) scheduler.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.draining && o.Load.Replicas > 0 {
@@ -211,7 +211,7 @@
 }
 
 // AbandonOrder gives an order up: its answer is not told after this.
-func (l *Client) AbandonLoad(o *muxclient.LoadOrder) {
+func (l *Client) AbandonLoad(o *workerconn.LoadOrder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.orders[o]; s != nil {
@@ -257,7 +257,7 @@
 // Drain takes back all new work that has not left, returns it, and takes on none from now: none of it ran.
 // What is being written has until the grace is half over, as it counts from when the drain was told, not from here.
 // What has left goes on. Resume ends it.
-func (l *Client) Drain(grace time.Duration) (attempts []*muxclient.Attempt, orders []*muxclient.LoadOrder) {
+func (l *Client) Drain(grace time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
--- a/internal/platform/workerclient/link_test.go
+++ b/internal/platform/workerclient/link_test.go
@@ -8,28 +8,28 @@
 
 	"go.uber.org/goleak"
 
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
 	"havencart/internal/platform/workerframe"
+	"havencart/internal/workerconn"
 	"havencart/lab/platformworker"
 	"havencart/scheduler"
 )
 
 // heard gathers what a link tells.
 type heard struct {
-	ends   chan muxclient.Result
+	ends   chan workerconn.Result
 	orders chan string
 	late   chan bool
 	probes chan scheduler.Status
 }
 
-func (h heard) ResponseStarted(*muxclient.Attempt, muxclient.Result)  {}
-func (h heard) AttemptEnded(_ *muxclient.Attempt, r muxclient.Result) { h.ends <- r }
-func (h heard) HealthChecked(s scheduler.Status, _ []float64)         { h.probes <- s }
-func (h heard) Connected(muxframe.Welcome)                            {}
-func (h heard) Disconnected(error)                                    {}
-func (h heard) LateResponse(uint32)                                   { h.late <- true }
-func (h heard) LoadEnded(_ *muxclient.LoadOrder, s scheduler.Status, n int) {
+func (h heard) ResponseStarted(*workerconn.Attempt, workerconn.Result)  {}
+func (h heard) AttemptEnded(_ *workerconn.Attempt, r workerconn.Result) { h.ends <- r }
+func (h heard) HealthChecked(s scheduler.Status, _ []float64)           { h.probes <- s }
+func (h heard) Connected(muxframe.Welcome)                              {}
+func (h heard) Disconnected(error)                                      {}
+func (h heard) LateResponse(uint32)                                     { h.late <- true }
+func (h heard) LoadEnded(_ *workerconn.LoadOrder, s scheduler.Status, n int) {
 	h.orders <- fmt.Sprint(s, " ", n)
 }
 
@@ -48,7 +48,7 @@
 
 func link(t *testing.T, address string, connections int) (*Client, heard) {
 	t.Helper()
-	h := heard{make(chan muxclient.Result, 16), make(chan string, 16), make(chan bool, 16), make(chan scheduler.Status, 16)}
+	h := heard{make(chan workerconn.Result, 16), make(chan string, 16), make(chan bool, 16), make(chan scheduler.Status, 16)}
 	began := time.Now()
 	l := New(Config{Worker: "s-00000001", Address: address, ConnectTimeout: 5 * time.Second, StreamsPerConnection: 32, IdleTimeout: time.Minute,
 		MaxQueue: 64, MaxResponse: 1 << 16, LoadReportFields: []string{"queue"}, Budget: NewConnectionBudget(connections),
@@ -57,12 +57,12 @@
 	return l, h
 }
 
-func attempt(n int) *muxclient.Attempt {
-	return &muxclient.Attempt{Body: []byte("body"), Deadline: time.Hour, Request: muxframe.Request{ID: fmt.Sprintf("%016x", n),
+func attempt(n int) *workerconn.Attempt {
+	return &workerconn.Attempt{Body: []byte("body"), Deadline: time.Hour, Request: muxframe.Request{ID: fmt.Sprintf("%016x", n),
 		Class: "fare-quote", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Replica: muxframe.ReplicaSpec{Function: "7f3a9c21e0b4d655"}}}
 }
 
-func send(t *testing.T, l *Client, a *muxclient.Attempt) {
+func send(t *testing.T, l *Client, a *workerconn.Attempt) {
 	t.Helper()
 	if r := l.Send(a); r != nil {
 		t.Fatalf("not taken on: %+v", r)
@@ -268,7 +268,7 @@
 	if r := l.Send(attempt(6)); r == nil || r.Status != scheduler.NotSent {
 		t.Errorf("a call to a worker that drains: %+v", r)
 	}
-	if s := l.Load(&muxclient.LoadOrder{Load: muxframe.LoadOrder{Replicas: 1}}); s != scheduler.Overloaded {
+	if s := l.Load(&workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 1}}); s != scheduler.Overloaded {
 		t.Errorf("an order to a worker that drains: %v", s)
 	}
 }
@@ -284,7 +284,7 @@
 			c.Answer(workerframe.Frame{Code: workerframe.Healthy, ID: f.ID, Fields: "rep=queue:1"})
 		}
 	})
-	o := &muxclient.LoadOrder{Load: muxframe.LoadOrder{Replicas: 2, Replica: muxframe.ReplicaSpec{Function: "7f3a9c21e0b4d655"}}}
+	o := &workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 2, Replica: muxframe.ReplicaSpec{Function: "7f3a9c21e0b4d655"}}}
 	if s := l.Load(o); s != 0 {
 		t.Fatal(s)
 	}
--- a/internal/platform/workerclient/strand.go
+++ b/internal/platform/workerclient/strand.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"havencart/internal/decide/connpool"
-	"havencart/internal/native/muxclient"
 	"havencart/internal/platform/workerframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -26,7 +26,7 @@
 type strand struct {
 	l       *Client
 	kick    chan struct{} // something to write or to look at
-	box     muxclient.SendQueue
+	box     workerconn.SendQueue
 	probes  map[uint64]bool // asked, not answered; bounded by what the module asks
 	conn    net.Conn
 	retired bool // takes nothing new; closed once nothing is open on it
@@ -52,7 +52,7 @@
 }
 
 func newStrand(l *Client) *strand {
-	return &strand{l: l, kick: make(chan struct{}, 1), box: muxclient.NewSendQueue(), probes: map[uint64]bool{}, used: l.cfg.Now()}
+	return &strand{l: l, kick: make(chan struct{}, 1), box: workerconn.NewSendQueue(), probes: map[uint64]bool{}, used: l.cfg.Now()}
 }
 
 // callNumber is the number on the wire of a name in 16 hex digits.
@@ -81,7 +81,7 @@
 // run makes the connection, serves it, and makes it anew while something waits for it. What had left on one that
 // broke is told once it is known whether the next one can be had: that tells a lost connection from a lost worker.
 func (s *strand) run() {
-	var lost []muxclient.QueueItem
+	var lost []workerconn.QueueItem
 	var why error
 	for unheard := 0; ; {
 		conn, err := s.dial()
@@ -115,7 +115,7 @@
 }
 
 // tellLost tells the end of what had left on a connection that broke.
-func (s *strand) tellLost(lost []muxclient.QueueItem, alive bool, why error) {
+func (s *strand) tellLost(lost []workerconn.QueueItem, alive bool, why error) {
 	if len(lost) == 0 {
 		return
 	}
@@ -123,19 +123,19 @@
 	if alive {
 		as = scheduler.Error
 	}
-	muxclient.NotifyEnded(s.l.events, lost, as, as, fmt.Sprint(why))
+	workerconn.NotifyEnded(s.l.events, lost, as, as, fmt.Sprint(why))
 }
 
 // close leaves the link; what still waits never left.
 func (s *strand) close(why error) {
 	s.l.mu.Lock()
 	s.l.leave(s)
-	waiting := s.box.Unqueue(func(muxclient.QueueItem) bool { return true })
+	waiting := s.box.Unqueue(func(workerconn.QueueItem) bool { return true })
 	s.l.forget(waiting)
 	probes := len(s.probes)
 	clear(s.probes)
 	s.l.mu.Unlock()
-	muxclient.NotifyEnded(s.l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprint(why))
+	workerconn.NotifyEnded(s.l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprint(why))
 	for range probes {
 		s.l.events.HealthChecked(scheduler.ConnectFailed, nil)
 	}
@@ -176,7 +176,7 @@
 
 // write writes what is queued, until the connection breaks, gone is closed, or nothing needs the connection.
 func (s *strand) write(conn net.Conn, gone <-chan struct{}) error {
-	var b muxclient.WriteBatch
+	var b workerconn.WriteBatch
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -184,14 +184,14 @@
 			return fmt.Errorf("write to %s: %w", s.l.cfg.Worker, err)
 		}
 		left, done := s.claim(conn, &b)
-		muxclient.NotifyEnded(s.l.events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
+		workerconn.NotifyEnded(s.l.events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
 		if len(b.Bytes) > 0 {
 			n, err := conn.Write(b.Bytes)
 			s.l.mu.Lock()
 			never := s.box.Written(&b, n)
 			s.l.forget(never)
 			s.l.mu.Unlock()
-			muxclient.NotifyEnded(s.l.events, never, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
+			workerconn.NotifyEnded(s.l.events, never, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
 			if err != nil {
 				return fmt.Errorf("write to %s: %w", s.l.cfg.Worker, err)
 			}
@@ -239,7 +239,7 @@
 
 // claim encodes the next batch, and says whether nothing needs the connection any longer, or for how long it is
 // kept still. The limit of the write stands before a drain can shorten it.
-func (s *strand) claim(conn net.Conn, b *muxclient.WriteBatch) (left time.Duration, done bool) {
+func (s *strand) claim(conn net.Conn, b *workerconn.WriteBatch) (left time.Duration, done bool) {
 	s.l.mu.Lock()
 	defer s.l.mu.Unlock()
 	s.box.Claim(b, s.encode)
@@ -258,7 +258,7 @@
 }
 
 // encode appends the frame of i.
-func (s *strand) encode(buf []byte, i muxclient.QueueItem) ([]byte, error) {
+func (s *strand) encode(buf []byte, i workerconn.QueueItem) ([]byte, error) {
 	switch {
 	case i.Attempt != nil:
 		a := i.Attempt
@@ -319,8 +319,8 @@
 	}
 	s.l.mu.Lock()
 	s.heard = true
-	var a *muxclient.Attempt
-	var o *muxclient.LoadOrder
+	var a *workerconn.Attempt
+	var o *workerconn.LoadOrder
 	probed := false
 	if f.Code == workerframe.Healthy || f.Code == workerframe.Unhealthy {
 		probed = s.probes[f.ID]
@@ -337,8 +337,8 @@
 	s.l.mu.Unlock()
 	switch {
 	case a != nil:
-		s.l.events.AttemptEnded(a, muxclient.Result{Status: statuses[f.Code], QueueDepth: crowd, LoadReport: report, ReceivedAt: s.l.cfg.Now(),
-			Response: &muxclient.Response{Body: f.Body, Length: int64(len(f.Body))}})
+		s.l.events.AttemptEnded(a, workerconn.Result{Status: statuses[f.Code], QueueDepth: crowd, LoadReport: report, ReceivedAt: s.l.cfg.Now(),
+			Response: &workerconn.Response{Body: f.Body, Length: int64(len(f.Body))}})
 	case o != nil:
 		s.l.events.LoadEnded(o, statuses[f.Code], copies)
 	case probed && f.Code == workerframe.Healthy:
--- a/internal/native/muxclient/types.go
+++ b/internal/workerconn/attempt.go
@@ -1,18 +1,5 @@
-// Package muxclient keeps one multiplexed connection to a worker: it dials and dials again, writes what the
-// front end sends, tells it how each attempt and order ended, and knows of every attempt whether the worker
-// can have seen it. On that rests the rule that no effect happens twice.
-//
-// What each end of an attempt says, and why:
-//
-//	the connection could not be had, or not in time          ConnectFailed  the frame never left
-//	the connection broke before the whole frame was written  ConnectFailed  a worker acts on whole frames only
-//	taken back before it left: drained, called back          Moot           the frame never left
-//	the connection broke after the whole frame was written   Reset          it may have run
-//	called back, or its time was up, after it left           Cancelled, Timeout  it may have run, or run still
-//	the worker answered                                      as it says
-//
-// Writing is handing bytes to the system: from then on they may reach the worker at any time.
-package muxclient
+// Package workerconn is what the clients of both worker protocols share: what they send and how it ends.
+package workerconn
 
 import (
 	"time"
@@ -50,8 +37,6 @@
 
 	number uint64
 	state  state
-	stream *Stream
-	begun  *Result // what the answer said when it began
 }
 
 // state is where an attempt or an order stands.
@@ -85,23 +70,17 @@
 	LoadEnded(o *LoadOrder, s scheduler.Status, copies int)
 	// Probed tells the answer to a probe, or that none can come.
 	HealthChecked(s scheduler.Status, report []float64)
-	// Up tells that a connection stands, with what the worker said of itself.
-	Connected(w muxframe.Welcome)
 	// Down tells that there is no connection, and why.
 	Disconnected(why error)
 	// Late tells of an answer that nobody waits for any longer.
 	LateResponse(number uint32)
 }
 
-// Config is what a Link needs to know.
-type Config struct {
-	Worker         string // name in the list of workers; the worker must answer to it
-	Address        string // host:port
-	FrontEnd       string // how this front end calls itself
-	ConnectTimeout time.Duration
-	Window         int                  // bytes of one answer that may wait here, at least 1
-	MaxFrame       int                  // bytes; 0: the protocol's bound
-	MaxQueue       int                  // attempts and orders that may wait to be written
-	Seed           uint64               // of the spread of dialling again
-	Now            func() time.Duration // monotonic
-}
+// Number is the one that the attempt was pushed under.
+func (a *Attempt) Number() uint64 { return a.number }
+
+// Reject notes that a client did not take the attempt on: it never left.
+func (a *Attempt) Reject() { a.state = unsent }
+
+// Reject notes that a client did not take the order on.
+func (o *LoadOrder) Reject() { o.state = ended }
--- a/internal/native/muxclient/outbox.go
+++ b/internal/workerconn/send_queue.go
@@ -1,7 +1,10 @@
-package muxclient
+package workerconn
 
 import "havencart/scheduler"
 
+// batchBytes bounds what one write hands to the system: calls behind it can still be taken back.
+const batchBytes = 64 << 10
+
 // Outbox is what waits to be written to one connection of a worker, and what has left on it and has no answer
 // yet. It knows of each attempt and order whether its frame left. Every link keeps its books here, whatever its
 // protocol; whoever owns an Outbox holds its own lock at each call. Its owner bounds what it pushes.
--- a/internal/native/muxclient/stream.go
+++ b/internal/workerconn/stream.go
@@ -1,4 +1,4 @@
-package muxclient
+package workerconn
 
 import (
 	"context"
@@ -28,12 +28,13 @@
 	credit func(n int)
 }
 
-func newStream(window int, credit func(n int)) *Stream {
+// NewStream returns a Stream that holds at most window bytes; credit is called with the bytes that were read.
+func NewStream(window int, credit func(n int)) *Stream {
 	return &Stream{window: window, news: make(chan struct{}, 1), credit: credit}
 }
 
-// add takes the next part, or says that the worker sent more than it was allowed.
-func (s *Stream) add(part []byte) bool {
+// Add takes the next part, or says that the worker sent more than it was allowed.
+func (s *Stream) Add(part []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.size+s.taken+len(part) > s.window {
@@ -47,8 +48,8 @@
 	return true
 }
 
-// end closes the stream; err is nil for a complete answer.
-func (s *Stream) end(err error) {
+// End closes the stream; err is nil for a complete answer.
+func (s *Stream) End(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ended {
