--- /dev/null
+++ b/internal/platform/workerframe/frame.go
@@ -0,0 +1,164 @@
+// Package workerframe is the codec of the binary frames that the users' platform defines between front ends and its
+// workers, which it calls executors. It is strict: every length is checked before memory is allocated for it, and a
+// frame with a wrong mark, code or checksum is an error. It does no I/O except on the reader that it is given.
+//
+// A frame is, with all numbers big-endian,
+//
+//	1 byte   mark of the side that wrote it
+//	1 byte   code
+//	2 bytes  length of the fields
+//	4 bytes  length of the body
+//	8 bytes  ID
+//	         fields, as name=value,name=value
+//	         body
+//	4 bytes  checksum of fields and body: CRC-32 with the IEEE polynomial
+//
+// The platform's names of fields are mapped to the standard terms here and nowhere else: see RequestFields, LoadFields
+// and ResponseFields.
+//
+// The texts of this package's errors can reach a client as the reason of a failed request, so they are not changed
+// lightly.
+package workerframe
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+)
+
+// Code tells what a frame is for.
+type Code byte
+
+// The commands of a front end.
+const (
+	Request     Code = 16 // one attempt of a request
+	Cancel      Code = 17 // nobody waits for the response to a request any longer
+	HealthCheck Code = 18 // asks whether the worker is healthy
+	LoadReport  Code = 19 // asks for a load report
+	Load        Code = 20 // a load order
+	Unload      Code = 22 // asks to unload idle replicas
+)
+
+// The responses of a worker.
+const (
+	OK           Code = 64
+	NotLoaded    Code = 66 // the request was not executed
+	Overloaded   Code = 67 // the request was not executed; of a load order: no memory is left, or the worker drains
+	Error        Code = 68 // the request may have been executed; of a load order: a load failed
+	AlreadyEnded Code = 69 // the request had ended before: it was not executed
+	Healthy      Code = 70
+	Unhealthy    Code = 71
+)
+
+// The marks of the two sides.
+const (
+	FromFrontEnd = 165
+	FromWorker   = 90
+)
+
+const (
+	headSize     = 16 // bytes before the fields
+	checksumSize = 4  // bytes behind the body
+	maxFields    = 4 << 10
+	// MaxBody bounds the body of a frame, in bytes.
+	MaxBody = 1 << 20
+)
+
+// ErrMalformed is wrapped by every error about the content of a frame. Nothing behind such a frame can be read.
+var ErrMalformed = errors.New("malformed frame")
+
+// Frame is one frame.
+type Frame struct {
+	Code   Code
+	ID     uint64
+	Fields string // name=value,name=value
+	Body   []byte
+}
+
+// Append appends a frame with the mark of the side that writes it. It fails, and returns buffer as it was, if the fields
+// or the body are too long.
+func Append(buffer []byte, mark byte, f Frame) ([]byte, error) {
+	if len(f.Fields) > maxFields || len(f.Body) > MaxBody {
+		return buffer, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, len(f.Fields), len(f.Body))
+	}
+	buffer = append(buffer, mark, byte(f.Code))
+	buffer = binary.BigEndian.AppendUint16(buffer, uint16(len(f.Fields)))
+	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(f.Body)))
+	buffer = binary.BigEndian.AppendUint64(buffer, f.ID)
+	contentStart := len(buffer)
+	buffer = append(buffer, f.Fields...)
+	buffer = append(buffer, f.Body...)
+	checksum := crc32.ChecksumIEEE(buffer[contentStart:])
+	return binary.BigEndian.AppendUint32(buffer, checksum), nil
+}
+
+// Reader reads the frames that one side writes.
+type Reader struct {
+	source  io.Reader
+	mark    byte
+	maxBody int // bytes
+	// Begun, if set, is called once the head of a frame was read and before the rest is.
+	Begun func()
+}
+
+// NewReader returns a Reader of the frames with a mark, whose bodies have at most maxBody bytes, and never more than
+// MaxBody.
+func NewReader(source io.Reader, mark byte, maxBody int) *Reader {
+	return &Reader{source: source, mark: mark, maxBody: min(maxBody, MaxBody)}
+}
+
+// Next reads the next frame. It returns io.EOF if the input ends between frames, an error that wraps io.ErrUnexpectedEOF
+// if it ends within one, and an error that wraps ErrMalformed for bytes that are no frame.
+func (r *Reader) Next() (Frame, error) {
+	var head [headSize]byte
+	if _, err := io.ReadFull(r.source, head[:]); err != nil {
+		return Frame{}, err
+	}
+	f := Frame{Code: Code(head[1]), ID: binary.BigEndian.Uint64(head[8:])}
+	fieldsLength := int(binary.BigEndian.Uint16(head[2:]))
+	bodyLength := binary.BigEndian.Uint32(head[4:])
+	switch {
+	case head[0] != r.mark:
+		return f, fmt.Errorf("%w: mark %d", ErrMalformed, head[0])
+	case !r.isKnown(f.Code):
+		return f, fmt.Errorf("%w: code %d", ErrMalformed, f.Code)
+	case fieldsLength > maxFields || uint64(bodyLength) > uint64(r.maxBody):
+		return f, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, fieldsLength, bodyLength)
+	}
+	if r.Begun != nil {
+		r.Begun()
+	}
+	content, err := r.readContent(f.Code, fieldsLength+int(bodyLength))
+	if err != nil {
+		return f, err
+	}
+	f.Fields = string(content[:fieldsLength])
+	f.Body = content[fieldsLength:]
+	return f, nil
+}
+
+// readContent reads the fields and the body of a frame, of so many bytes together, and verifies their checksum.
+func (r *Reader) readContent(code Code, size int) ([]byte, error) {
+	rest := make([]byte, size+checksumSize)
+	if _, err := io.ReadFull(r.source, rest); err != nil {
+		if errors.Is(err, io.EOF) {
+			err = io.ErrUnexpectedEOF
+		}
+		return nil, fmt.Errorf("frame %d breaks off: %w", code, err)
+	}
+	content := rest[:size]
+	if crc32.ChecksumIEEE(content) != binary.BigEndian.Uint32(rest[size:]) {
+		return nil, fmt.Errorf("%w: its check does not fit", ErrMalformed)
+	}
+	return content, nil
+}
+
+// isKnown tells whether the side that is read uses a code.
+func (r *Reader) isKnown(c Code) bool {
+	if r.mark == FromFrontEnd {
+		return c >= Request && c <= Load || c == Unload
+	}
+	return c == OK || c >= NotLoaded && c <= Unhealthy
+}
--- a/internal/platform/workerframe/execwire_test.go
+++ b/internal/platform/workerframe/frame_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestFramesComeBack(t *testing.T) {
+func TestReader_FramesOfAppend_AreReadBack(t *testing.T) {
 	in := []Frame{{Code: OK, ID: 7, Fields: "peers_in=3,rep=queue:2", Body: []byte("hello")}, {Code: Overloaded, ID: 1<<63 + 5}}
 	var raw []byte
 	for _, f := range in {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestBadFramesAreRefused spoils a good frame in each of its parts.
-func TestBadFramesAreRefused(t *testing.T) {
+// TestReader_DamagedFrame_IsMalformed damages a valid frame in each of its parts.
+func TestReader_DamagedFrame_IsMalformed(t *testing.T) {
 	good, err := Append(nil, FromWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
 	if err != nil {
 		t.Fatal(err)
