--- a/internal/native/muxclient/io.go
+++ b/internal/native/muxclient/io.go
@@ -19,7 +19,7 @@
 
 // write writes what is queued until the connection breaks or gone is closed, and keeps its pulse.
 func (l *Client) write(conn net.Conn, gone <-chan struct{}) error {
-	var b workerconn.WriteBatch
+	var b writeBatch
 	for {
 		l.claim(&b)
 		workerconn.NotifyEnded(l.events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
@@ -64,17 +64,17 @@
 }
 
 // claim encodes the next batch.
-func (l *Client) claim(b *workerconn.WriteBatch) {
+func (l *Client) claim(b *writeBatch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.box.Claim(b, l.encode)
+	l.box.NextBatch(b, l.encode)
 	if len(b.Bytes) > 0 && l.conn != nil {
 		l.setWriteDeadline(reconnect.WriteTimeout())
 	}
 }
 
 // encode appends the frame of i.
-func (l *Client) encode(buf []byte, i workerconn.QueueItem) ([]byte, error) {
+func (l *Client) encode(buf []byte, i queueItem) ([]byte, error) {
 	switch {
 	case i.Attempt != nil:
 		call := i.Attempt.Request
@@ -84,14 +84,14 @@
 	case i.Load != nil:
 		return muxframe.Append(buf, muxframe.TypeLoadOrder, uint32(i.Number()), i.Load.Load, nil)
 	}
-	f := i.Frame.(frame)
+	f := i.Frame
 	return muxframe.Append(buf, f.kind, f.number, f.header, nil)
 }
 
 // written takes the result of a write.
-func (l *Client) written(b *workerconn.WriteBatch, n int, err error) {
+func (l *Client) written(b *writeBatch, n int, err error) {
 	l.mu.Lock()
-	never := l.box.Written(b, n)
+	never := l.box.BatchWritten(b, n)
 	for _, i := range never {
 		delete(l.streams, i.Attempt)
 	}
@@ -168,7 +168,7 @@
 		r.QueueDepth = max(0, *in.QueueDepth)
 	}
 	l.mu.Lock()
-	a := l.box.Attempt(uint64(f.StreamID))
+	a := l.box.InFlightAttempt(uint64(f.StreamID))
 	issued := f.StreamID != 0 && f.StreamID-1 < l.last
 	if a == nil || l.streams[a] != nil {
 		l.mu.Unlock()
@@ -180,7 +180,7 @@
 	}
 	r.Response = &workerconn.Response{Type: in.ContentType, Length: int64(len(f.Body))}
 	if !in.More {
-		l.box.Answered(uint64(f.StreamID))
+		l.box.FinishAttempt(uint64(f.StreamID))
 		l.mu.Unlock()
 		r.Response.Body = append([]byte(nil), f.Body...)
 		l.events.AttemptEnded(a, r)
@@ -193,7 +193,7 @@
 		r.Response.Length = in.Length
 	}
 	l.streams[a] = &r
-	fits := stream.Add(f.Body)
+	fits := stream.Append(f.Body)
 	l.mu.Unlock()
 	if !fits {
 		return l.overrun(number)
@@ -210,7 +210,7 @@
 func (l *Client) allow(number uint32, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.box.Attempt(uint64(number)) != nil {
+	if l.box.InFlightAttempt(uint64(number)) != nil {
 		l.push(frame{kind: muxframe.TypeCredit, number: number, header: muxframe.Credit{Bytes: uint32(n)}})
 	}
 }
@@ -218,7 +218,7 @@
 // data takes the next part of an answer; parts of an answer that nobody waits for are dropped.
 func (l *Client) data(f muxframe.Frame) error {
 	l.mu.Lock()
-	a := l.box.Attempt(uint64(f.StreamID))
+	a := l.box.InFlightAttempt(uint64(f.StreamID))
 	begun := l.streams[a]
 	l.mu.Unlock()
 	if a == nil {
@@ -227,7 +227,7 @@
 	if begun == nil {
 		return fmt.Errorf("%w: data for call %d before its answer", muxframe.ErrMalformed, f.StreamID)
 	}
-	if !begun.Response.Stream.Add(f.Body) {
+	if !begun.Response.Stream.Append(f.Body) {
 		return l.overrun(f.StreamID)
 	}
 	return nil
@@ -240,7 +240,7 @@
 		return err
 	}
 	l.mu.Lock()
-	a := l.box.Attempt(uint64(f.StreamID))
+	a := l.box.InFlightAttempt(uint64(f.StreamID))
 	if a == nil {
 		l.mu.Unlock()
 		return nil
@@ -250,13 +250,13 @@
 		l.mu.Unlock()
 		return fmt.Errorf("%w: end of call %d before its answer", muxframe.ErrMalformed, f.StreamID)
 	}
-	l.box.Answered(uint64(f.StreamID))
+	l.box.FinishAttempt(uint64(f.StreamID))
 	delete(l.streams, a)
 	l.mu.Unlock()
 	r := *begun
 	if in.Error != "" {
 		r.Status, r.Reason = scheduler.Error, in.Error
-		r.Response.Stream.End(fmt.Errorf("%w: %s", workerconn.ErrBroken, in.Error))
+		r.Response.Stream.End(fmt.Errorf("%w: %s", workerconn.ErrIncomplete, in.Error))
 	} else {
 		r.Response.Stream.End(nil)
 	}
@@ -274,7 +274,7 @@
 		return fmt.Errorf("%w: order answered with status %d", muxframe.ErrMalformed, in.Status)
 	}
 	l.mu.Lock()
-	o := l.box.LoadAnswered(uint64(f.StreamID))
+	o := l.box.FinishLoad(uint64(f.StreamID))
 	l.mu.Unlock()
 	if o != nil {
 		l.events.LoadEnded(o, status, max(0, in.Replicas))
--- a/internal/native/muxclient/link.go
+++ b/internal/native/muxclient/link.go
@@ -27,7 +27,7 @@
 	wanted chan struct{} // something waits for a connection
 
 	mu       sync.Mutex
-	box      workerconn.SendQueue
+	box      workerconn.SendQueue[frame]
 	streams  map[*workerconn.Attempt]*workerconn.Result // answers that began and did not end, as they began
 	probes   int                                        // asked, not answered
 	last     uint32                                     // number given last
@@ -48,7 +48,7 @@
 func New(cfg Config, events Events) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Client{cfg: cfg, events: events, cancel: cancel, done: make(chan struct{}), kick: make(chan struct{}, 1),
-		wanted: make(chan struct{}, 1), box: workerconn.NewSendQueue(), streams: map[*workerconn.Attempt]*workerconn.Result{}}
+		wanted: make(chan struct{}, 1), box: workerconn.NewSendQueue[frame](), streams: map[*workerconn.Attempt]*workerconn.Result{}}
 	go l.run(ctx)
 	return l
 }
@@ -68,7 +68,7 @@
 	case l.draining:
 		a.Reject()
 		return &workerconn.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
-	case l.closed || l.box.Waiting() >= l.cfg.MaxQueue:
+	case l.closed || l.box.Queued() >= l.cfg.MaxQueue:
 		a.Reject()
 		return &workerconn.Result{Status: scheduler.ConnectFailed, Reason: "the link's queue is full or closed", QueueDepth: -1}
 	}
@@ -93,7 +93,7 @@
 	if underWay {
 		if begun := l.streams[a]; begun != nil {
 			delete(l.streams, a)
-			begun.Response.Stream.End(fmt.Errorf("%w: given up here", workerconn.ErrBroken))
+			begun.Response.Stream.End(fmt.Errorf("%w: given up here", workerconn.ErrIncomplete))
 		}
 		l.push(frame{kind: muxframe.TypeCancel, number: uint32(a.Number())})
 	}
@@ -119,7 +119,7 @@
 	switch {
 	case l.draining && o.Load.Replicas > 0:
 		return scheduler.Overloaded
-	case l.closed || l.box.Waiting() >= l.cfg.MaxQueue:
+	case l.closed || l.box.Queued() >= l.cfg.MaxQueue:
 		return scheduler.ConnectFailed
 	}
 	return 0
@@ -153,10 +153,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
-	if l.box.Writing() && l.conn != nil {
+	if l.box.IsWritingNewWork() && l.conn != nil {
 		l.setWriteDeadline(grace)
 	}
-	return l.box.TakeBack()
+	return l.box.RemoveNewWork()
 }
 
 // Resume lets new work through again.
@@ -170,7 +170,7 @@
 func (l *Client) Busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.box.Waiting()+l.box.Open() > 0
+	return l.box.Queued()+l.box.Unfinished() > 0
 }
 
 // number gives the next call number; 0 is never one.
@@ -334,15 +334,15 @@
 // lost ends all that was under way on a connection that broke, or waited for one that cannot be had.
 func (l *Client) lost(why error) {
 	l.mu.Lock()
-	waiting := l.box.Unqueue(func(workerconn.QueueItem) bool { return true })
-	out := l.box.Lost()
+	waiting := l.box.RemoveQueued()
+	out := l.box.RemoveInFlight()
 	begun := l.streams
 	l.streams = map[*workerconn.Attempt]*workerconn.Result{}
 	probes := l.probes
 	l.probes = 0
 	l.mu.Unlock()
 	for _, r := range begun {
-		r.Response.Stream.End(fmt.Errorf("%w: %w", workerconn.ErrBroken, why))
+		r.Response.Stream.End(fmt.Errorf("%w: %w", workerconn.ErrIncomplete, why))
 	}
 	workerconn.NotifyEnded(l.events, waiting, scheduler.ConnectFailed, scheduler.ConnectFailed, why.Error())
 	workerconn.NotifyEnded(l.events, out, scheduler.Reset, scheduler.Reset, why.Error())
@@ -351,3 +351,8 @@
 	}
 	l.events.Disconnected(why)
 }
+
+type (
+	queueItem  = workerconn.QueueItem[frame]
+	writeBatch = workerconn.WriteBatch[frame]
+)
--- a/internal/native/muxclient/link_test.go
+++ b/internal/native/muxclient/link_test.go
@@ -26,7 +26,7 @@
 
 // heard gathers what a link tells.
 type heard struct {
-	began, ended chan Result
+	began, ended chan workerconn.Result
 	orders       chan scheduler.Status
 	probes       chan scheduler.Status
 	up           chan muxframe.Welcome
@@ -488,7 +488,7 @@
 	if _, err := begun.Response.Stream.Next(context.Background(), soon); err != nil {
 		t.Errorf("what came before the break is lost: %v", err)
 	}
-	if _, err := begun.Response.Stream.Next(context.Background(), soon); !errors.Is(err, workerconn.ErrBroken) {
+	if _, err := begun.Response.Stream.Next(context.Background(), soon); !errors.Is(err, workerconn.ErrIncomplete) {
 		t.Errorf("the break shows as %v", err)
 	}
 }
--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -1,18 +1,19 @@
-// Package workerclient is the way to one executor, as the users' platform calls its workers: as many connections as are
-// wanted, each with many calls, in the platform's binary frames. It keeps its books with workerlink's Outbox, and
-// what the ends of attempts say is as told there. Beyond that:
+// Package workerclient is the client of one worker of the users' platform, which calls its workers executors. It keeps as
+// many connections as are needed, each with many requests, in the platform's binary frames (internal/platform/workerframe).
 //
-//	a connection breaks, and another can be had at once     Error          only the connection broke; it may have run
-//	a connection breaks, and the worker refuses the next    Reset          its process is gone; it may have run
-//	an answer cannot be read                                Error          it may have run
-//	the executor says that the call was over                Moot           it never ran
+// How attempts end is decided as in internal/native/muxclient, whose package comment has the table. In addition:
+//
+//	event                                                          status   why
+//	a connection breaks, and another one can be made at once       Error    only the connection is lost; it may have executed
+//	a connection breaks, and the worker refuses the next one       Reset    the worker's process is gone; it may have executed
+//	a response cannot be read                                      Error    it may have executed
+//	the worker responds that the request had ended already         NotSent  it was not executed
 package workerclient
 
 import (
 	"context"
 	"math/rand/v2"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"havencart/internal/decide/connpool"
@@ -21,273 +22,297 @@
 	"havencart/scheduler"
 )
 
-// Config is what a Link needs to know.
+// randomStream is the second word of the seed of a client's random numbers.
+const randomStream = 0x65786563
+
+// Config is the configuration of a Client. All fields are required.
 type Config struct {
 	Worker               string // name in the list of workers
 	Address              string // host:port
 	ConnectTimeout       time.Duration
-	StreamsPerConnection int               // calls that a connection carries at a time
-	IdleTimeout          time.Duration     // after which the worker closes an idle connection
-	MaxQueue             int               // attempts and orders that may be open; more end as never sent
-	MaxResponse          int               // bytes of an answer's body; a longer one breaks its connection
-	LoadReportFields     []string          // names of the values of a load report
-	Budget               *ConnectionBudget // of connections, shared with other links
-	Seed                 uint64
-	Now                  func() time.Duration // monotonic
+	StreamsPerConnection int                  // attempts and load orders that a connection carries at a time
+	IdleTimeout          time.Duration        // after which the worker closes an idle connection
+	MaxQueue             int                  // attempts and load orders that may be unfinished; more are not sent
+	MaxResponse          int                  // bytes of a response's body; a longer one breaks its connection
+	LoadReportFields     []string             // names of the values of a load report
+	Budget               *ConnectionBudget    // shared by the clients of all workers
+	Seed                 uint64               // of the numbers of load orders and health checks
+	Now                  func() time.Duration // monotonic clock
 }
 
-// Budget bounds the connections of all links together. When it is used up, calls share connections.
-type ConnectionBudget struct {
-	most int
-	used atomic.Int64
-}
-
-// NewBudget returns a Budget of so many connections.
-func NewConnectionBudget(most int) *ConnectionBudget { return &ConnectionBudget{most: most} }
-
-// Used is how many there are.
-func (b *ConnectionBudget) Used() int { return int(b.used.Load()) }
-
-// spare says whether a worker with own connections may have one more.
-func (b *ConnectionBudget) spare(own int) bool { return connpool.MayOpen(own, b.Used(), b.most) }
-
-// Link is the way to one worker. Its methods never block on the network.
+// Client sends attempts and load orders to one worker. Its methods may be called from any goroutine and never block on
+// the network; how attempts and orders end is reported by Events. Each connection has a goroutine that runs until the
+// connection is no longer needed or Stop is called.
 type Client struct {
 	cfg    Config
 	events workerconn.Events
-	ctx    context.Context
+	ctx    context.Context // done once the client is stopped
 	cancel context.CancelFunc
-	tasks  sync.WaitGroup
+	tasks  sync.WaitGroup // the goroutines of the connections
 	done   chan struct{}
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	strands  []*strand
-	attempts map[*workerconn.Attempt]*strand // not ended; bounded by MaxQueue, as are the orders
-	orders   map[*workerconn.LoadOrder]*strand
-	draining bool
-	closed   bool
+	mu          sync.Mutex // guards what follows and the connections' fields
+	rng         *rand.Rand
+	connections []*connection
+	attempts    map[*workerconn.Attempt]*connection // unfinished; together with loads bounded by MaxQueue
+	loads       map[*workerconn.LoadOrder]*connection
+	draining    bool // the worker drains: no new work is sent
+	closed      bool // the client was stopped
 }
 
-// New returns a link without connections: they are made as calls want them.
+// New returns a Client without connections, which are made on demand. The caller ends it by Stop.
 func New(cfg Config, events workerconn.Events) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Client{cfg: cfg, events: events, ctx: ctx, cancel: cancel, done: make(chan struct{}),
-		rng:      rand.New(rand.NewPCG(cfg.Seed, 0x65786563)),
-		attempts: map[*workerconn.Attempt]*strand{}, orders: map[*workerconn.LoadOrder]*strand{}}
-	context.AfterFunc(ctx, func() {
-		l.mu.Lock()
-		l.closed = true
-		l.mu.Unlock()
-		l.tasks.Wait()
-		close(l.done)
-	})
-	return l
+	c := &Client{
+		cfg:      cfg,
+		events:   events,
+		ctx:      ctx,
+		cancel:   cancel,
+		done:     make(chan struct{}),
+		rng:      rand.New(rand.NewPCG(cfg.Seed, randomStream)),
+		attempts: map[*workerconn.Attempt]*connection{},
+		loads:    map[*workerconn.LoadOrder]*connection{},
+	}
+	context.AfterFunc(ctx, c.awaitConnections)
+	return c
+}
+
+// awaitConnections refuses new work after Stop and closes done once all connections have ended.
+func (c *Client) awaitConnections() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+	c.tasks.Wait()
+	close(c.done)
 }
 
-// Stop ends the link. What was under way ends as on a broken connection; Done tells when all is told.
-func (l *Client) Stop() { l.cancel() }
+// Stop ends the client. What is unfinished ends as on a broken connection.
+func (c *Client) Stop() { c.cancel() }
 
-// Done is closed when the link's goroutines have ended, after Stop.
-func (l *Client) Done() <-chan struct{} { return l.done }
+// Done returns a channel that is closed after Stop, when all goroutines have ended and all ends were reported.
+func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Send writes a as soon as it can and returns nil; its end is told by Events. What cannot be taken on returns
-// its end at once.
-func (l *Client) Send(a *workerconn.Attempt) *workerconn.Result {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	number, err := callNumber(a.Request.ID)
+// Send queues an attempt and returns nil; Events reports how it ends. If the attempt cannot be queued, Send returns its
+// result at once.
+func (c *Client) Send(a *workerconn.Attempt) *workerconn.Result {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	number, err := parseNumber(a.Request.ID)
 	if err != nil {
-		return &workerconn.Result{Status: scheduler.NotSent, Reason: err.Error(), QueueDepth: -1}
+		return notSent(err.Error())
 	}
-	if l.draining {
-		return &workerconn.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
+	if c.draining {
+		return notSent("the worker drains")
 	}
-	s := l.place(number)
-	if s == nil {
-		return &workerconn.Result{Status: scheduler.NotSent, Reason: "no connection has room", QueueDepth: -1}
+	conn := c.selectConnection(number)
+	if conn == nil {
+		return notSent("no connection has room")
 	}
-	l.attempts[a] = s
-	s.box.PushAttempt(number, a)
-	s.wake()
+	c.attempts[a] = conn
+	conn.queue.PushAttempt(number, a)
+	conn.wakeUp()
 	return nil
 }
 
-// place finds the connection for what has a number, nil if there is none; the lock is held. A number goes on no
-// connection on which it was before and may be answered still.
-func (l *Client) place(number uint64) *strand {
-	if l.closed || len(l.attempts)+len(l.orders) >= l.cfg.MaxQueue {
+// notSent is the result of an attempt that was not queued.
+func notSent(reason string) *workerconn.Result {
+	return &workerconn.Result{Status: scheduler.NotSent, Reason: reason, QueueDepth: -1}
+}
+
+// selectConnection returns the connection for what has a number, possibly a new one, or nil if there is none. It takes no
+// connection on which the number was used before and a response to it may still arrive. The lock is held.
+func (c *Client) selectConnection(number uint64) *connection {
+	if c.closed || len(c.attempts)+len(c.loads) >= c.cfg.MaxQueue {
 		return nil
 	}
-	all := make([]connpool.Connection, len(l.strands))
-	for i, s := range l.strands {
-		all[i] = connpool.Connection{InFlight: s.box.Open(), Draining: s.retired || s.box.Has(number) || s.was(number), LastUsed: s.used}
+	candidates := make([]connpool.Connection, len(c.connections))
+	for i, conn := range c.connections {
+		candidates[i] = connpool.Connection{
+			InFlight: conn.queue.Unfinished(),
+			Draining: !conn.accepts(number),
+			LastUsed: conn.lastUsed,
+		}
 	}
-	switch i := connpool.Select(all, l.cfg.StreamsPerConnection, l.cfg.Budget.spare(len(all))); i {
+	choice := connpool.Select(candidates, c.cfg.StreamsPerConnection, c.cfg.Budget.mayOpen(len(candidates)))
+	switch choice {
 	case connpool.NoConnection:
 		return nil
 	case connpool.OpenConnection:
-		s := newStrand(l)
-		l.strands = append(l.strands, s)
-		l.cfg.Budget.used.Add(1)
-		l.tasks.Go(s.run)
-		return s
+		return c.openConnection()
 	default:
-		return l.strands[i]
+		return c.connections[choice]
 	}
 }
 
-// leave takes a connection out; the lock is held.
-func (l *Client) leave(s *strand) {
-	for i := range l.strands {
-		if l.strands[i] == s {
-			l.strands = append(l.strands[:i], l.strands[i+1:]...)
-			l.cfg.Budget.used.Add(-1)
+// openConnection adds a connection and starts its goroutine, which dials. The lock is held.
+func (c *Client) openConnection() *connection {
+	conn := newConnection(c)
+	c.connections = append(c.connections, conn)
+	c.cfg.Budget.used.Add(1)
+	c.tasks.Go(conn.run)
+	return conn
+}
+
+// removeConnection removes a connection. The lock is held.
+func (c *Client) removeConnection(conn *connection) {
+	for i := range c.connections {
+		if c.connections[i] == conn {
+			c.connections = append(c.connections[:i], c.connections[i+1:]...)
+			c.cfg.Budget.used.Add(-1)
 			return
 		}
 	}
 }
 
-// forget drops what has ended; the lock is held.
-func (l *Client) forget(items []workerconn.QueueItem) {
-	for _, i := range items {
-		delete(l.attempts, i.Attempt)
-		delete(l.orders, i.Load)
+// removeFinished removes attempts and load orders that have ended. The lock is held.
+func (c *Client) removeFinished(items []queueItem) {
+	for _, item := range items {
+		delete(c.attempts, item.Attempt)
+		delete(c.loads, item.Load)
 	}
 }
 
-// Withdraw takes back an attempt that has not begun to leave, and says whether it did: its end is then not told.
-func (l *Client) CancelUnsent(a *workerconn.Attempt) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := l.attempts[a]
-	if s == nil || !s.box.CancelUnsent(a) {
+// CancelUnsent removes an attempt that is still queued; its end is then not reported. It returns false if the attempt is
+// not queued.
+func (c *Client) CancelUnsent(a *workerconn.Attempt) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conn := c.attempts[a]
+	if conn == nil || !conn.queue.CancelUnsent(a) {
 		return false
 	}
-	delete(l.attempts, a)
-	s.wake()
+	delete(c.attempts, a)
+	conn.wakeUp()
 	return true
 }
 
-// Abandon gives an attempt up: its end is not told after this, unless it already was. It returns whether the
-// worker may have seen it; if so it is told that nobody waits.
-func (l *Client) Abandon(a *workerconn.Attempt) (mayHaveLeft bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := l.attempts[a]
-	if s == nil {
-		return a.MayHaveBeenSent() // its end was told
+// Abandon gives an attempt up: its end is not reported after this, unless it already was. It returns whether the worker
+// may have seen the attempt; if the attempt was unfinished, the worker is then told to cancel it.
+func (c *Client) Abandon(a *workerconn.Attempt) (mayHaveBeenSent bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conn := c.attempts[a]
+	if conn == nil {
+		return a.MayHaveBeenSent() // its end was reported
 	}
-	delete(l.attempts, a)
-	if s.box.Leaving(a) && s.conn != nil {
-		_ = s.conn.SetWriteDeadline(time.Now().Add(connpool.CancelledWriteTimeout())) // fails on a closed connection only
+	delete(c.attempts, a)
+	if conn.queue.IsSending(a) {
+		conn.setWriteTimeout(connpool.CancelledWriteTimeout())
 	}
-	underWay, mayHaveLeft := s.box.Abandon(a)
-	if underWay {
-		s.retired, s.givenUp = s.retired || connpool.DrainOnCancel(), true
-		s.box.Push(workerframe.Frame{Code: workerframe.Cancel, ID: workerconn.QueueItem{Attempt: a}.Number()})
+	wasInFlight, mayHaveBeenSent := conn.queue.Abandon(a)
+	if wasInFlight {
+		conn.requestCancelled = true
+		conn.drainAfterCancel()
+		conn.queue.Push(workerframe.Frame{Code: workerframe.Cancel, ID: a.Number()})
 	}
-	s.wake()
-	return mayHaveLeft
+	conn.wakeUp()
+	return mayHaveBeenSent
 }
 
-// Load gives an order and returns 0; its answer is told by Events. What cannot be taken on returns its status
-// at once.
-func (l *Client) Load(o *workerconn.LoadOrder) scheduler.Status {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.draining && o.Load.Replicas > 0 {
+// Load queues a load order and returns 0; Events reports the response. If the order cannot be queued, Load returns its
+// status at once.
+func (c *Client) Load(o *workerconn.LoadOrder) scheduler.Status {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.draining && o.Load.Replicas > 0 {
 		return scheduler.Overloaded
 	}
-	number := l.rng.Uint64()
-	s := l.place(number)
-	if s == nil {
+	number := c.rng.Uint64()
+	conn := c.selectConnection(number)
+	if conn == nil {
 		return scheduler.NotSent
 	}
-	l.orders[o] = s
-	s.box.PushLoad(number, o)
-	s.wake()
+	c.loads[o] = conn
+	conn.queue.PushLoad(number, o)
+	conn.wakeUp()
 	return 0
 }
 
-// AbandonOrder gives an order up: its answer is not told after this.
-func (l *Client) AbandonLoad(o *workerconn.LoadOrder) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if s := l.orders[o]; s != nil {
-		delete(l.orders, o)
-		s.box.AbandonLoad(o)
-		s.retired = s.retired || connpool.DrainOnCancel()
-		s.wake()
+// AbandonLoad gives a load order up: its response is not reported after this.
+func (c *Client) AbandonLoad(o *workerconn.LoadOrder) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conn := c.loads[o]
+	if conn == nil {
+		return
 	}
+	delete(c.loads, o)
+	conn.queue.AbandonLoad(o)
+	conn.drainAfterCancel()
+	conn.wakeUp()
 }
 
-// Unload asks the worker to unload the idle copies of a function. Nothing tells whether it did.
-func (l *Client) Unload(function string) {
-	if id, err := callNumber(function); err == nil {
-		l.frame(workerframe.Frame{Code: workerframe.Unload, ID: id})
+// Unload asks the worker to unload the idle replicas of a function. Whether it does is not reported.
+func (c *Client) Unload(function string) {
+	id, err := parseNumber(function)
+	if err != nil {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if conn := c.selectConnection(c.rng.Uint64()); conn != nil {
+		conn.queue.Push(workerframe.Frame{Code: workerframe.Unload, ID: id})
+		conn.wakeUp()
 	}
 }
 
-// Probe asks the worker for its load; the answer is told by Events.
-func (l *Client) CheckHealth() {
-	if !l.frame(workerframe.Frame{Code: workerframe.LoadReport}) {
-		go l.events.HealthChecked(scheduler.NotSent, nil) // not within the caller's turn
+// CheckHealth asks the worker for a load report; Events reports the response.
+func (c *Client) CheckHealth() {
+	if !c.sendHealthCheck() {
+		go c.events.HealthChecked(scheduler.NotSent, nil) // Events is never called from within a method of the client
 	}
 }
 
-// frame sends one that is neither an attempt nor an order.
-func (l *Client) frame(f workerframe.Frame) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	number := l.rng.Uint64()
-	s := l.place(number)
-	if s == nil {
+// sendHealthCheck returns false if no connection has room.
+func (c *Client) sendHealthCheck() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	number := c.rng.Uint64()
+	conn := c.selectConnection(number)
+	if conn == nil {
 		return false
 	}
-	if f.Code == workerframe.LoadReport {
-		f.ID = number
-		s.probes[number] = true
-	}
-	s.box.Push(f)
-	s.wake()
+	conn.healthChecks[number] = true
+	conn.queue.Push(workerframe.Frame{Code: workerframe.LoadReport, ID: number})
+	conn.wakeUp()
 	return true
 }
 
-// Drain takes back all new work that has not left, returns it, and takes on none from now: none of it ran.
-// What is being written has until the grace is half over, as it counts from when the drain was told, not from here.
-// What has left goes on. Resume ends it.
-func (l *Client) Drain(grace time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.draining = true
-	for _, s := range l.strands {
-		if s.conn != nil && s.box.Writing() {
-			_ = s.conn.SetWriteDeadline(time.Now().Add(grace / 2)) // fails on a closed connection only, whose writes fail too
+// Drain removes and returns the new work that was not sent, which was never executed, and refuses more until Resume. What
+// is being written has half of the grace period, which counts from when the worker announced that it drains, not from
+// this call. What was sent goes on.
+func (c *Client) Drain(grace time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.draining = true
+	for _, conn := range c.connections {
+		if conn.queue.IsWritingNewWork() {
+			conn.setWriteTimeout(grace / 2)
 		}
-		a, o := s.box.TakeBack()
-		attempts, orders = append(attempts, a...), append(orders, o...)
-		s.wake()
+		unsentAttempts, unsentOrders := conn.queue.RemoveNewWork()
+		attempts = append(attempts, unsentAttempts...)
+		orders = append(orders, unsentOrders...)
+		conn.wakeUp()
 	}
-	for _, a := range attempts {
-		delete(l.attempts, a)
+	for _, attempt := range attempts {
+		delete(c.attempts, attempt)
 	}
-	for _, o := range orders {
-		delete(l.orders, o)
+	for _, order := range orders {
+		delete(c.loads, order)
 	}
 	return attempts, orders
 }
 
-// Resume lets new work through again.
-func (l *Client) Resume() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.draining = false
+// Resume accepts new work again after Drain.
+func (c *Client) Resume() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.draining = false
 }
 
-// Busy says whether attempts or orders are under way, with all that waits here.
-func (l *Client) Busy() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.attempts)+len(l.orders) > 0
+// Busy tells whether attempts or load orders are unfinished, queued ones included.
+func (c *Client) Busy() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.attempts)+len(c.loads) > 0
 }
--- a/internal/platform/workerclient/client_test.go
+++ b/internal/platform/workerclient/client_test.go
@@ -255,11 +255,11 @@
 	defer silent.Close()
 	l, _ := link(t, silent.Addr().String(), 8)
 	l.mu.Lock() // nothing leaves meanwhile
-	s := newStrand(l)
-	l.strands = append(l.strands, s)
+	s := newConnection(l)
+	l.connections = append(l.connections, s)
 	a := attempt(5)
 	l.attempts[a] = s
-	s.box.PushAttempt(5, a)
+	s.queue.PushAttempt(5, a)
 	l.mu.Unlock()
 	attempts, _ := l.Drain(time.Second)
 	if len(attempts) != 1 || attempts[0] != a || l.Abandon(a) {
--- /dev/null
+++ b/internal/platform/workerclient/connection_read.go
@@ -0,0 +1,120 @@
+package workerclient
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"havencart/internal/decide/connpool"
+	"havencart/internal/platform/workerframe"
+	"havencart/internal/workerconn"
+	"havencart/scheduler"
+)
+
+// readBufferSize is small, in bytes: there are many connections, and memory is short.
+const readBufferSize = 4 << 10
+
+// statuses has the status of an attempt or load order for each code that ends one.
+var statuses = map[workerframe.Code]scheduler.Status{
+	workerframe.OK:           scheduler.OK,
+	workerframe.NotLoaded:    scheduler.NotLoaded,
+	workerframe.Overloaded:   scheduler.Overloaded,
+	workerframe.Error:        scheduler.Error,
+	workerframe.AlreadyEnded: scheduler.NotSent,
+}
+
+// read handles frames until the connection breaks.
+func (c *connection) read(netConn net.Conn) error {
+	source := bufio.NewReaderSize(netConn, readBufferSize)
+	reader := workerframe.NewReader(source, workerframe.FromWorker, c.client.cfg.MaxResponse)
+	reader.Begun = func() {
+		_ = netConn.SetReadDeadline(time.Now().Add(connpool.FrameTimeout())) // fails on a closed connection only
+	}
+	for {
+		frame, err := reader.Next()
+		switch {
+		case err == nil:
+			_ = netConn.SetReadDeadline(time.Time{})
+			err = c.handle(frame)
+		case isTimeout(err):
+			err = fmt.Errorf("%w: an answer stopped short", workerframe.ErrMalformed)
+		}
+		if err != nil {
+			return fmt.Errorf("read from %s: %w", c.client.cfg.Worker, err)
+		}
+	}
+}
+
+// isTimeout tells whether an error is that of a deadline of a connection.
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// awaited is what waited for a response: at most one field is set.
+type awaited struct {
+	attempt     *workerconn.Attempt
+	load        *workerconn.LoadOrder
+	healthCheck bool
+}
+
+// handle processes one response. One that nobody waits for is dropped.
+func (c *connection) handle(frame workerframe.Frame) error {
+	fields, err := workerframe.ParseResponseFields(frame.Fields, c.client.cfg.LoadReportFields)
+	if err != nil {
+		return err
+	}
+	waiting := c.finish(frame)
+	events := c.client.events
+	switch {
+	case waiting.attempt != nil:
+		events.AttemptEnded(waiting.attempt, workerconn.Result{
+			Status:     statuses[frame.Code],
+			QueueDepth: fields.QueueDepth,
+			LoadReport: fields.LoadReport,
+			ReceivedAt: c.client.cfg.Now(),
+			Response:   &workerconn.Response{Body: frame.Body, Length: int64(len(frame.Body))},
+		})
+	case waiting.load != nil:
+		events.LoadEnded(waiting.load, statuses[frame.Code], fields.Replicas)
+	case waiting.healthCheck && frame.Code == workerframe.Healthy:
+		events.HealthChecked(scheduler.OK, fields.LoadReport)
+	case waiting.healthCheck:
+		events.HealthChecked(scheduler.Error, fields.LoadReport)
+	default:
+		events.LateResponse(0)
+	}
+	return nil
+}
+
+// finish removes and returns what waited for a response.
+func (c *connection) finish(frame workerframe.Frame) awaited {
+	c.client.mu.Lock()
+	defer c.client.mu.Unlock()
+	c.received = true
+	defer c.wakeUp()
+	if isHealthCode(frame.Code) {
+		waited := c.healthChecks[frame.ID]
+		delete(c.healthChecks, frame.ID)
+		return awaited{healthCheck: waited}
+	}
+	if attempt := c.queue.FinishAttempt(frame.ID); attempt != nil {
+		delete(c.client.attempts, attempt)
+		if frame.Code != workerframe.OK { // else no attempt with this number follows
+			c.recent.add(frame.ID)
+		}
+		return awaited{attempt: attempt}
+	}
+	load := c.queue.FinishLoad(frame.ID)
+	if load != nil {
+		delete(c.client.loads, load)
+	}
+	return awaited{load: load}
+}
+
+// isHealthCode tells whether a code responds to a health check.
+func isHealthCode(code workerframe.Code) bool {
+	return code == workerframe.Healthy || code == workerframe.Unhealthy
+}
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -73,13 +73,13 @@
 }
 
 // alone is a strand whose goroutines the test stands for.
-func alone(t *testing.T, conn net.Conn) (*Client, *strand) {
+func alone(t *testing.T, conn net.Conn) (*Client, *connection) {
 	l, _ := link(t, "127.0.0.1:1", 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := newStrand(l)
-	s.conn, s.heard = conn, true
-	l.strands = append(l.strands, s)
+	s := newConnection(l)
+	s.netConn, s.received = conn, true
+	l.connections = append(l.connections, s)
 	l.cfg.Budget.used.Add(1)
 	return l, s
 }
@@ -93,36 +93,36 @@
 		ours, theirs := pair(t)
 		l, s := alone(t, ours)
 		end(theirs)
-		for ended(ours) == nil { // until it is in the buffer
+		for peerClosed(ours) == nil { // until it is in the buffer
 		}
 		a := attempt(5)
 		send(t, l, a)
-		if err := s.write(ours, make(chan struct{})); err == nil || s.box.Waiting() != 1 || a.MayHaveBeenSent() {
-			t.Errorf("%s: %v, %d wait, may have left %v", name, err, s.box.Waiting(), a.MayHaveBeenSent())
+		if err := s.write(ours, make(chan struct{})); err == nil || s.queue.Queued() != 1 || a.MayHaveBeenSent() {
+			t.Errorf("%s: %v, %d wait, may have left %v", name, err, s.queue.Queued(), a.MayHaveBeenSent())
 		}
 	}
 }
 
 func TestALookForTheEndTakesNothing(t *testing.T) {
 	ours, theirs := pair(t)
-	if err := ended(ours); err != nil {
+	if err := peerClosed(ours); err != nil {
 		t.Errorf("one that stands: %v", err)
 	}
 	if _, err := theirs.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
 	theirs.Close()
-	if err := ended(ours); err != nil {
+	if err := peerClosed(ours); err != nil {
 		t.Errorf("one with something to read: %v", err)
 	}
 	if got, err := io.ReadAll(ours); err != nil || string(got) != "ab" {
 		t.Errorf("read %q, %v", got, err)
 	}
-	if err := ended(ours); !errors.Is(err, io.EOF) {
+	if err := peerClosed(ours); !errors.Is(err, io.EOF) {
 		t.Errorf("one that was read to its end: %v", err)
 	}
 	ours.Close()
-	if err := ended(ours); !errors.Is(err, net.ErrClosed) {
+	if err := peerClosed(ours); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("our own close: %v", err)
 	}
 }
@@ -133,8 +133,8 @@
 	defer theirs.Close()
 	l, s := alone(t, ours)
 	send(t, l, attempt(5))
-	var b workerconn.WriteBatch
-	s.claim(ours, &b)
+	var b writeBatch
+	s.nextBatch(ours, &b)
 	if attempts, _ := l.Drain(time.Millisecond); len(attempts) != 0 {
 		t.Error("what is leaving was taken back")
 	}
@@ -160,7 +160,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if left := s.box.Lost(); len(left) != 0 {
+	if left := s.queue.RemoveInFlight(); len(left) != 0 {
 		t.Error("an attempt that was not written whole counts as left")
 	}
 }
@@ -208,9 +208,9 @@
 		if l.CancelUnsent(a) {
 			t.Errorf("%s: taken back twice", name)
 		}
-		s.conn = ours // it comes up late
-		var b workerconn.WriteBatch
-		if s.claim(ours, &b); len(b.Bytes) > 0 {
+		s.netConn = ours // it comes up late
+		var b writeBatch
+		if s.nextBatch(ours, &b); len(b.Bytes) > 0 {
 			t.Errorf("%s: %d bytes are written", name, len(b.Bytes))
 		}
 	}
@@ -236,8 +236,8 @@
 	a, other := attempt(5), attempt(6)
 	send(t, l, a)
 	send(t, l, other)
-	var b workerconn.WriteBatch
-	s.claim(c, &b)
+	var b writeBatch
+	s.nextBatch(c, &b)
 	began := time.Now()
 	if !l.Abandon(a) {
 		t.Error("what is leaving is told as never left")
@@ -251,7 +251,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if never := s.box.Written(&b, n); len(never) != 1 || never[0].Attempt != other {
+	if never := s.queue.BatchWritten(&b, n); len(never) != 1 || never[0].Attempt != other {
 		t.Errorf("%d of the others never left", len(never))
 	}
 }
@@ -278,11 +278,11 @@
 				t.Fatal(err)
 			}
 			l.mu.Lock()
-			s.retired = true
-			s.wake()
+			s.draining = true
+			s.wakeUp()
 			l.mu.Unlock()
 		}
-		if err := <-served; !errors.Is(err, errDone) {
+		if err := <-served; !errors.Is(err, errUnneeded) {
 			t.Errorf("served: %v", err)
 		}
 		if _, err := io.Copy(io.Discard, theirs); errors.Is(err, syscall.ECONNRESET) != givenUp {
--- /dev/null
+++ b/internal/platform/workerclient/connection_write.go
@@ -0,0 +1,142 @@
+package workerclient
+
+import (
+	"fmt"
+	"net"
+	"time"
+
+	"havencart/internal/decide/connpool"
+	"havencart/internal/platform/workerframe"
+	"havencart/internal/workerconn"
+	"havencart/scheduler"
+)
+
+// maxWriterSleep is how long the writer sleeps while something is unfinished; it is woken up before.
+const maxWriterSleep = time.Hour
+
+// writeBatch is the batch of one write to a connection.
+type writeBatch = workerconn.WriteBatch[workerframe.Frame]
+
+// write writes what is queued until the connection breaks, readDone is closed, nothing needs the connection, or the
+// client is stopped. The connection's serve runs it in a goroutine of its own.
+func (c *connection) write(netConn net.Conn, readDone <-chan struct{}) error {
+	var batch writeBatch
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		if err := c.checkPeerBeforeWrite(netConn); err != nil {
+			return fmt.Errorf("write to %s: %w", c.client.cfg.Worker, err)
+		}
+		idleTime, unneeded := c.nextBatch(netConn, &batch)
+		workerconn.NotifyEnded(c.client.events, batch.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
+		if len(batch.Bytes) > 0 {
+			if err := c.sendBatch(netConn, &batch); err != nil {
+				return err
+			}
+			continue
+		}
+		if unneeded {
+			c.discardUnacknowledged(netConn)
+			return errUnneeded
+		}
+		timer.Reset(idleTime)
+		select {
+		case <-readDone:
+			return nil
+		case <-c.client.ctx.Done():
+			return errUnneeded
+		case <-c.wake:
+		case <-timer.C:
+		}
+	}
+}
+
+// sendBatch writes a batch. What was not written whole was never executed.
+func (c *connection) sendBatch(netConn net.Conn, batch *writeBatch) error {
+	written, err := netConn.Write(batch.Bytes)
+	c.client.mu.Lock()
+	unsent := c.queue.BatchWritten(batch, written)
+	c.client.removeFinished(unsent)
+	c.client.mu.Unlock()
+	workerconn.NotifyEnded(c.client.events, unsent, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
+	if err != nil {
+		return fmt.Errorf("write to %s: %w", c.client.cfg.Worker, err)
+	}
+	return nil
+}
+
+// discardUnacknowledged has the close of a connection on which a request was cancelled drop the data that the operating
+// system still holds for it. It guards against a request that reaches its worker long after its client left, once an
+// interrupted network path works again. A worker that is reachable sees a reset in place of a regular end; in both cases
+// it cancels all requests of the connection.
+func (c *connection) discardUnacknowledged(netConn net.Conn) {
+	c.client.mu.Lock()
+	defer c.client.mu.Unlock()
+	if tcp, ok := netConn.(*net.TCPConn); ok && c.requestCancelled {
+		_ = tcp.SetLinger(0) // fails on a closed connection only
+	}
+}
+
+// checkPeerBeforeWrite returns an error if the worker has closed an idle connection on which something is about to be
+// written. It guards against a request that is written while the end of the connection lies unread in the operating
+// system's buffer: it would never be executed, and nobody could tell. It costs one system call for each use of an idle
+// connection.
+func (c *connection) checkPeerBeforeWrite(netConn net.Conn) error {
+	c.client.mu.Lock()
+	queued := c.queue.Queued()
+	nothingInFlight := c.queue.Unfinished() == queued
+	used := c.received
+	c.client.mu.Unlock()
+	if queued == 0 || !nothingInFlight || !used {
+		return nil
+	}
+	return peerClosed(netConn)
+}
+
+// nextBatch encodes the next batch. If that is empty, it returns whether the connection is not needed any longer, or else
+// for how long it may stay idle. The write timeout is set under the lock, so that a later call of Drain can shorten
+// it.
+func (c *connection) nextBatch(netConn net.Conn, batch *writeBatch) (idleTime time.Duration, unneeded bool) {
+	c.client.mu.Lock()
+	defer c.client.mu.Unlock()
+	c.queue.NextBatch(batch, c.encode)
+	if len(batch.Bytes) > 0 {
+		setWriteTimeout(netConn, connpool.WriteTimeout())
+	}
+	c.client.removeFinished(batch.Unencodable)
+	if c.queue.Unfinished() > 0 || len(c.healthChecks) > 0 {
+		return maxWriterSleep, false
+	}
+	isOnly := len(c.client.connections) == 1
+	idleTime = c.lastUsed + connpool.IdleTimeout(isOnly, c.client.cfg.IdleTimeout) - c.client.cfg.Now()
+	unneeded = len(batch.Bytes) == 0 && (idleTime <= 0 || c.draining)
+	if unneeded {
+		c.draining = true
+	}
+	return idleTime, unneeded
+}
+
+// encode appends the frame of an item.
+func (c *connection) encode(buffer []byte, item queueItem) ([]byte, error) {
+	return workerframe.Append(buffer, workerframe.FromFrontEnd, c.frameOf(item))
+}
+
+// frameOf returns the frame of an item. A request has at least one millisecond left.
+func (c *connection) frameOf(item queueItem) workerframe.Frame {
+	switch {
+	case item.Attempt != nil:
+		request := item.Attempt.Request
+		fields := workerframe.RequestFields{
+			Class:          request.Class,
+			Function:       request.Replica.Function,
+			TimeoutMillis:  max(1, (item.Attempt.Deadline - c.client.cfg.Now()).Milliseconds()),
+			IdempotencyKey: request.IdempotencyKey,
+		}
+		return workerframe.Frame{Code: workerframe.Request, ID: item.Number(), Fields: fields.String(), Body: item.Attempt.Body}
+	case item.Load != nil:
+		order := item.Load.Load
+		fields := workerframe.LoadFields{Function: order.Replica.Function, Replicas: order.Replicas}
+		return workerframe.Frame{Code: workerframe.Load, ID: item.Number(), Fields: fields.String()}
+	}
+	return item.Frame
+}
--- a/internal/platform/workerclient/peer_close.go
+++ b/internal/platform/workerclient/peer_close.go
@@ -7,27 +7,28 @@
 	"syscall"
 )
 
-// ended says whether the other side has ended a connection, by a look into the machine's buffer that takes nothing
-// out of it. Where it cannot be told, it has not.
-func ended(conn net.Conn) error {
-	raw, can := conn.(syscall.Conn)
-	if !can {
+// peerClosed returns an error if the peer has closed or reset a connection, which it finds by a look at the operating
+// system's receive buffer that takes nothing out of it. It returns nil if the buffer holds data, and for connections that
+// have no file descriptor.
+func peerClosed(conn net.Conn) error {
+	syscallConn, ok := conn.(syscall.Conn)
+	if !ok {
 		return nil
 	}
-	control, err := raw.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var seen error
-	err = control.Control(func(fd uintptr) {
-		var b [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var closeErr error
+	err = rawConn.Control(func(fd uintptr) {
+		var buffer [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case n == 0 && err == nil:
-			seen = io.EOF
+			closeErr = io.EOF
 		case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-			seen = err
+			closeErr = err
 		}
 	})
-	return errors.Join(err, seen)
+	return errors.Join(err, closeErr)
 }
--- a/internal/workerconn/attempt.go
+++ b/internal/workerconn/attempt.go
@@ -1,4 +1,3 @@
-// Package workerconn is what the clients of both worker protocols share: what they send and how it ends.
 package workerconn
 
 import (
@@ -8,79 +7,55 @@
 	"havencart/scheduler"
 )
 
-// Result is how an attempt ended.
-type Result struct {
-	Status     scheduler.Status
-	Reason     string // for people
-	ColdStart  scheduler.ColdStart
-	QueueDepth int // -1 where not told
-	LoadReport []float64
-	RunTime    time.Duration // that the run took, without what the call waited; 0: not told
-	Response   *Response     // the worker's, where it gave one
-	ReceivedAt time.Duration // when its answer was read, on the clock of Config.Now; 0: not told
-}
-
-// Answer is what a worker answered.
-type Response struct {
-	Type   string // content type
-	Body   []byte // all of it, where Stream is nil
-	Length int64  // of the whole answer in bytes, -1 where not known
-	Stream *Stream
-}
-
-// Attempt is one attempt of a call at one worker. The exported fields are the caller's and stay as they are
-// from Send on; the others belong to the link.
+// Attempt is one attempt of a request at one worker. The caller sets the exported fields and leaves them unchanged from
+// the call of Send on; the rest belongs to the client that sends it.
 type Attempt struct {
 	Request  muxframe.Request
 	Body     []byte
-	Deadline time.Duration // nobody waits after this; on the clock of Config.Now
+	Deadline time.Duration // nobody waits for the response after this; on the client's monotonic clock
 
-	number uint64
-	state  state
+	delivery delivery
 }
 
-// state is where an attempt or an order stands.
-type state uint8
+// Number is the number under which the attempt was queued. It identifies the attempt on its connection.
+func (a *Attempt) Number() uint64 { return a.delivery.number }
 
-const (
-	idle    state = iota
-	queued        // waits here; can be taken back
-	leaving       // being written: it may or may not have left
-	left          // the worker may have it
-	ended         // its end was told, or it was abandoned; the worker may have had it
-	unsent        // the same, and it never left
-)
+// MayHaveBeenSent tells of an attempt that has ended whether the worker may have seen it.
+func (a *Attempt) MayHaveBeenSent() bool { return a.delivery.state == ended }
 
-// Order is one order to load, or the question how many copies stand.
+// Reject records that a client refused the attempt: it was never sent.
+func (a *Attempt) Reject() { a.delivery.cancel() }
+
+// LoadOrder tells a worker to hold so many replicas of a function. An order of zero replicas is a residency query: it
+// only asks how many are loaded.
 type LoadOrder struct {
 	Load muxframe.LoadOrder
 
-	number uint64
-	state  state
+	delivery delivery
 }
 
-// Events is told what happens on a link. It is called from the link's goroutines, never from a method of the
-// link and never with a lock held. It may block: then the link stops reading.
-type Events interface {
-	// Began tells that an answer begins to come; Ended follows when it is complete or broke off.
-	ResponseStarted(a *Attempt, r Result)
-	// Ended tells the end of an attempt, once, unless it was abandoned.
-	AttemptEnded(a *Attempt, r Result)
-	// OrderEnded tells the answer to an order, once, unless it was abandoned.
-	LoadEnded(o *LoadOrder, s scheduler.Status, copies int)
-	// Probed tells the answer to a probe, or that none can come.
-	HealthChecked(s scheduler.Status, report []float64)
-	// Down tells that there is no connection, and why.
-	Disconnected(why error)
-	// Late tells of an answer that nobody waits for any longer.
-	LateResponse(number uint32)
-}
+// Reject records that a client refused the order.
+func (o *LoadOrder) Reject() { o.delivery.end() }
 
-// Number is the one that the attempt was pushed under.
-func (a *Attempt) Number() uint64 { return a.number }
+// isNewWork tells whether the order makes the worker load something, unlike a residency query.
+func (o *LoadOrder) isNewWork() bool { return o.Load.Replicas > 0 }
 
-// Reject notes that a client did not take the attempt on: it never left.
-func (a *Attempt) Reject() { a.state = unsent }
+// Result tells how an attempt ended.
+type Result struct {
+	Status     scheduler.Status
+	Reason     string // for people; it may reach the client that sent the request
+	ColdStart  scheduler.ColdStart
+	QueueDepth int           // requests of the function that the worker held on arrival, -1 if not reported
+	LoadReport []float64     // values in the order of the worker's load report fields
+	RunTime    time.Duration // time that the execution took, without time spent queued; 0 if not reported
+	Response   *Response     // nil if the worker gave none
+	ReceivedAt time.Duration // when the response was read, on the client's monotonic clock; 0 if not recorded
+}
 
-// Reject notes that a client did not take the order on.
-func (o *LoadOrder) Reject() { o.state = ended }
+// Response is what a worker responded to an attempt.
+type Response struct {
+	Type   string  // content type
+	Body   []byte  // the whole body if Stream is nil
+	Length int64   // of the whole body in bytes, -1 if not known
+	Stream *Stream // the body of a response that arrives in parts, else nil
+}
--- a/internal/workerconn/send_queue.go
+++ b/internal/workerconn/send_queue.go
@@ -1,291 +1,206 @@
 package workerconn
 
-import "havencart/scheduler"
-
-// batchBytes bounds what one write hands to the system: calls behind it can still be taken back.
-const batchBytes = 64 << 10
-
-// Outbox is what waits to be written to one connection of a worker, and what has left on it and has no answer
-// yet. It knows of each attempt and order whether its frame left. Every link keeps its books here, whatever its
-// protocol; whoever owns an Outbox holds its own lock at each call. Its owner bounds what it pushes.
-type SendQueue struct {
-	queue    []QueueItem
-	attempts map[uint64]*Attempt // that may have left, by number
-	orders   map[uint64]*LoadOrder
-	work     bool // the write under way holds attempts or orders to load
-}
-
-// Item is one frame that waits to be written: an attempt's, an order's, or another of the protocol's.
-type QueueItem struct {
+// SendQueue holds what waits to be written to one connection, and the attempts and load orders that were written to it
+// and have no response yet. It knows of each whether the worker may have seen it. Frame is the type of the protocol's
+// other frames, such as cancellations and health checks.
+//
+// A SendQueue does no locking: whoever owns it holds the owner's lock at each call. The owner also bounds what it
+// pushes.
+type SendQueue[Frame any] struct {
+	queue            []QueueItem[Frame]
+	inFlightAttempts map[uint64]*Attempt // sending or sent, by number
+	inFlightLoads    map[uint64]*LoadOrder
+	writingNewWork   bool // the write under way holds attempts or orders to load
+}
+
+// QueueItem is one frame that waits to be written: that of an attempt, that of a load order, or another one of the
+// protocol.
+type QueueItem[Frame any] struct {
 	Attempt *Attempt
 	Load    *LoadOrder
-	Frame   any
+	Frame   Frame // valid if Attempt and Load are nil
 }
 
-// span says where in a batch an item's frame ends.
-type span struct {
-	QueueItem
-	end int
+// delivery is that of the item's attempt or load order, nil for other frames.
+func (i QueueItem[Frame]) delivery() *delivery {
+	switch {
+	case i.Attempt != nil:
+		return &i.Attempt.delivery
+	case i.Load != nil:
+		return &i.Load.delivery
+	}
+	return nil
 }
 
-// Batch is what one write hands to the system.
-type WriteBatch struct {
-	Bytes       []byte
-	Unencodable []QueueItem // that cannot be encoded: they never left
-	spans       []span
+// Number is the number under which the item's attempt or load order was pushed, 0 for other frames.
+func (i QueueItem[Frame]) Number() uint64 {
+	if delivery := i.delivery(); delivery != nil {
+		return delivery.number
+	}
+	return 0
 }
 
-// NewOutbox returns one with nothing in it.
-func NewSendQueue() SendQueue {
-	return SendQueue{attempts: map[uint64]*Attempt{}, orders: map[uint64]*LoadOrder{}}
+// isNewWork tells whether the item makes the worker execute or load something.
+func (i QueueItem[Frame]) isNewWork() bool {
+	return i.Attempt != nil || i.Load != nil && i.Load.isNewWork()
 }
 
-// Push adds an item that is neither an attempt nor an order.
-func (o *SendQueue) Push(frame any) { o.queue = append(o.queue, QueueItem{Frame: frame}) }
+// NewSendQueue returns an empty SendQueue.
+func NewSendQueue[Frame any]() SendQueue[Frame] {
+	return SendQueue[Frame]{inFlightAttempts: map[uint64]*Attempt{}, inFlightLoads: map[uint64]*LoadOrder{}}
+}
+
+// Push queues a frame that belongs neither to an attempt that waits nor to a load order.
+func (q *SendQueue[Frame]) Push(frame Frame) {
+	q.queue = append(q.queue, QueueItem[Frame]{Frame: frame})
+}
 
-// PushAttempt adds an attempt under a number that no other on this connection has.
-func (o *SendQueue) PushAttempt(number uint64, a *Attempt) {
-	a.number, a.state = number, queued
-	o.queue = append(o.queue, QueueItem{Attempt: a})
+// PushAttempt queues an attempt under a number that nothing else on this connection has.
+func (q *SendQueue[Frame]) PushAttempt(number uint64, attempt *Attempt) {
+	attempt.delivery.enqueue(number)
+	q.queue = append(q.queue, QueueItem[Frame]{Attempt: attempt})
 }
 
-// PushOrder adds an order, as PushAttempt does an attempt.
-func (o *SendQueue) PushLoad(number uint64, x *LoadOrder) {
-	x.number, x.state = number, queued
-	o.queue = append(o.queue, QueueItem{Load: x})
+// PushLoad queues a load order under a number that nothing else on this connection has.
+func (q *SendQueue[Frame]) PushLoad(number uint64, order *LoadOrder) {
+	order.delivery.enqueue(number)
+	q.queue = append(q.queue, QueueItem[Frame]{Load: order})
 }
 
-// Waiting is how many items wait to be written.
-func (o *SendQueue) Waiting() int { return len(o.queue) }
+// Queued is the number of items that wait to be written.
+func (q *SendQueue[Frame]) Queued() int { return len(q.queue) }
 
-// Open is how many attempts and orders wait or have left and have no answer.
-func (o *SendQueue) Open() int {
-	n := len(o.attempts) + len(o.orders)
-	for _, i := range o.queue {
-		if i.state() != nil {
-			n++
+// Unfinished is the number of attempts and load orders that are queued or in flight.
+func (q *SendQueue[Frame]) Unfinished() int {
+	count := len(q.inFlightAttempts) + len(q.inFlightLoads)
+	for _, item := range q.queue {
+		if item.delivery() != nil {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Has says whether a number is in use.
-func (o *SendQueue) Has(number uint64) bool {
-	if o.attempts[number] != nil || o.orders[number] != nil {
+// HasNumber tells whether an attempt or load order that is queued or in flight has a number.
+func (q *SendQueue[Frame]) HasNumber(number uint64) bool {
+	if q.inFlightAttempts[number] != nil || q.inFlightLoads[number] != nil {
 		return true
 	}
-	for _, i := range o.queue {
-		if i.Attempt != nil && i.Attempt.number == number || i.Load != nil && i.Load.number == number {
+	for _, item := range q.queue {
+		if delivery := item.delivery(); delivery != nil && delivery.number == number {
 			return true
 		}
 	}
 	return false
 }
 
-// Attempt is the attempt of a number that may have left.
-func (o *SendQueue) Attempt(number uint64) *Attempt { return o.attempts[number] }
+// InFlightAttempt returns the attempt in flight that has a number, nil if there is none.
+func (q *SendQueue[Frame]) InFlightAttempt(number uint64) *Attempt { return q.inFlightAttempts[number] }
 
-// Answered ends the attempt of a number that may have left, nil if there is none.
-func (o *SendQueue) Answered(number uint64) *Attempt {
-	a := o.attempts[number]
-	if a != nil {
-		delete(o.attempts, number)
-		a.state = ended
+// FinishAttempt ends the attempt in flight that has a number and returns it, nil if there is none. The owner calls it
+// when the worker's response is complete.
+func (q *SendQueue[Frame]) FinishAttempt(number uint64) *Attempt {
+	attempt := q.inFlightAttempts[number]
+	if attempt != nil {
+		delete(q.inFlightAttempts, number)
+		attempt.delivery.end()
 	}
-	return a
+	return attempt
 }
 
-// OrderAnswered ends the order of a number, nil if there is none.
-func (o *SendQueue) LoadAnswered(number uint64) *LoadOrder {
-	x := o.orders[number]
-	if x != nil {
-		delete(o.orders, number)
-		x.state = ended
+// FinishLoad ends the load order in flight that has a number and returns it, nil if there is none.
+func (q *SendQueue[Frame]) FinishLoad(number uint64) *LoadOrder {
+	order := q.inFlightLoads[number]
+	if order != nil {
+		delete(q.inFlightLoads, number)
+		order.delivery.end()
 	}
-	return x
+	return order
 }
 
-// Withdraw takes back an attempt that has not begun to leave, and says whether it did.
-func (o *SendQueue) CancelUnsent(a *Attempt) bool {
-	return a.state == queued && len(o.Unqueue(func(i QueueItem) bool { return i.Attempt == a })) > 0
+// CancelUnsent removes an attempt that is still queued. It returns false if the attempt is not.
+func (q *SendQueue[Frame]) CancelUnsent(attempt *Attempt) bool {
+	if attempt.delivery.state != queued {
+		return false
+	}
+	removed := q.removeIf(func(item QueueItem[Frame]) bool { return item.Attempt == attempt })
+	return len(removed) > 0
 }
 
-// Leaving says whether the write under way holds an attempt.
-func (o *SendQueue) Leaving(a *Attempt) bool { return a.state == leaving }
+// IsSending tells whether the write under way holds an attempt.
+func (q *SendQueue[Frame]) IsSending(attempt *Attempt) bool { return attempt.delivery.state == sending }
 
-// Abandon gives an attempt up. It returns whether it was under way, and whether the worker may have seen it.
+// Abandon gives an attempt up. It returns whether the attempt was in flight, and whether the worker may have seen it.
 //
-// An end that was told may still wait for who is to hear it, behind other events, when the attempt is abandoned.
-// That the link has nothing of it any longer does not mean that it never left.
-func (o *SendQueue) Abandon(a *Attempt) (underWay, mayHaveLeft bool) {
-	switch a.state {
-	case queued:
-		o.CancelUnsent(a)
-	case leaving, left:
-		a.state, underWay = ended, true
-		delete(o.attempts, a.number)
+// An attempt that has ended already may be abandoned too, if its end still waits behind other events for whoever hears
+// of it. That the queue no longer has the attempt does not mean that it was never sent.
+func (q *SendQueue[Frame]) Abandon(attempt *Attempt) (wasInFlight, mayHaveBeenSent bool) {
+	wasInFlight = attempt.delivery.isInFlight()
+	if wasInFlight {
+		attempt.delivery.end()
+		delete(q.inFlightAttempts, attempt.delivery.number)
+	} else {
+		q.CancelUnsent(attempt)
 	}
-	return underWay, a.MayHaveBeenSent()
+	return wasInFlight, attempt.MayHaveBeenSent()
 }
 
-// MayHaveLeft says of an attempt that has ended whether the worker may have seen it.
-func (a *Attempt) MayHaveBeenSent() bool { return a.state == ended }
-
-// AbandonOrder gives an order up.
-func (o *SendQueue) AbandonLoad(x *LoadOrder) {
-	if x.state == queued {
-		o.Unqueue(func(i QueueItem) bool { return i.Load == x })
+// AbandonLoad gives a load order up: its response will be ignored.
+func (q *SendQueue[Frame]) AbandonLoad(order *LoadOrder) {
+	if order.delivery.state == queued {
+		q.removeIf(func(item QueueItem[Frame]) bool { return item.Load == order })
 	}
-	x.state = ended
-	delete(o.orders, x.number)
+	order.delivery.end()
+	delete(q.inFlightLoads, order.delivery.number)
 }
 
-// Unqueue takes the items that match out of the queue: they never left.
-func (o *SendQueue) Unqueue(match func(QueueItem) bool) (taken []QueueItem) {
-	keep := o.queue[:0]
-	for _, i := range o.queue {
-		if !match(i) {
-			keep = append(keep, i)
-			continue
-		}
-		i.end(unsent)
-		taken = append(taken, i)
-	}
-	clear(o.queue[len(keep):])
-	o.queue = keep
-	return taken
+// RemoveQueued removes and returns all that is queued: it was never sent.
+func (q *SendQueue[Frame]) RemoveQueued() []QueueItem[Frame] {
+	return q.removeIf(func(QueueItem[Frame]) bool { return true })
 }
 
-// TakeBack takes out of the queue what is new work for a worker that drains.
-func (o *SendQueue) TakeBack() (attempts []*Attempt, orders []*LoadOrder) {
-	for _, i := range o.Unqueue(func(i QueueItem) bool { return i.Attempt != nil || i.Load != nil && i.Load.Load.Replicas > 0 }) {
-		if i.Attempt != nil {
-			attempts = append(attempts, i.Attempt)
+// RemoveNewWork removes and returns what is queued and would make a draining worker execute or load something.
+func (q *SendQueue[Frame]) RemoveNewWork() (attempts []*Attempt, orders []*LoadOrder) {
+	for _, item := range q.removeIf(QueueItem[Frame].isNewWork) {
+		if item.Attempt != nil {
+			attempts = append(attempts, item.Attempt)
 		} else {
-			orders = append(orders, i.Load)
+			orders = append(orders, item.Load)
 		}
 	}
 	return attempts, orders
 }
 
-// Writing says whether the write under way holds new work for the worker.
-func (o *SendQueue) Writing() bool { return o.work }
-
-// Claim encodes the next batch into b. What it takes is leaving from now: it can no longer be taken back.
-func (o *SendQueue) Claim(b *WriteBatch, encode func([]byte, QueueItem) ([]byte, error)) {
-	b.Bytes, b.spans, b.Unencodable = b.Bytes[:0], b.spans[:0], nil
-	taken := 0
-	for _, i := range o.queue {
-		if len(b.Bytes) >= batchBytes {
-			break
-		}
-		taken++
-		next, err := encode(b.Bytes, i)
-		if err != nil { // too long, say: it never left
-			i.end(unsent)
-			b.Unencodable = append(b.Unencodable, i)
+// removeIf removes and returns the queued items that match, in their order: they were never sent.
+func (q *SendQueue[Frame]) removeIf(match func(QueueItem[Frame]) bool) (removed []QueueItem[Frame]) {
+	kept := q.queue[:0]
+	for _, item := range q.queue {
+		if !match(item) {
+			kept = append(kept, item)
 			continue
 		}
-		b.Bytes = next
-		b.spans = append(b.spans, span{i, len(next)})
-		o.leave(i)
-	}
-	o.queue = append(o.queue[:0], o.queue[taken:]...)
-}
-
-func (o *SendQueue) leave(i QueueItem) {
-	switch {
-	case i.Attempt != nil:
-		i.Attempt.state, o.work = leaving, true
-		o.attempts[i.Attempt.number] = i.Attempt
-	case i.Load != nil:
-		i.Load.state = leaving
-		o.work = o.work || i.Load.Load.Replicas > 0
-		o.orders[i.Load.number] = i.Load
-	}
-}
-
-// Written takes the result of the write of b, of which n bytes were taken: whole frames have left. It returns the
-// others, which never ran, as the connection is closed on them.
-func (o *SendQueue) Written(b *WriteBatch, n int) (never []QueueItem) {
-	o.work = false
-	for _, s := range b.spans {
-		switch at := s.state(); {
-		case at == nil || *at != leaving:
-		case s.end <= n:
-			*at = left
-		default:
-			*at = unsent
-			o.forget(s.QueueItem)
-			never = append(never, s.QueueItem)
+		if delivery := item.delivery(); delivery != nil {
+			delivery.cancel()
 		}
+		removed = append(removed, item)
 	}
-	return never
-}
-
-// forget drops an item that is under way.
-func (o *SendQueue) forget(i QueueItem) {
-	switch {
-	case i.Attempt != nil:
-		delete(o.attempts, i.Attempt.number)
-	case i.Load != nil:
-		delete(o.orders, i.Load.number)
-	}
+	clear(q.queue[len(kept):])
+	q.queue = kept
+	return removed
 }
 
-// Lost ends what has left on a connection that broke, and returns it.
-func (o *SendQueue) Lost() (out []QueueItem) {
-	for _, a := range o.attempts {
-		out = append(out, QueueItem{Attempt: a})
-	}
-	for _, x := range o.orders {
-		out = append(out, QueueItem{Load: x})
+// RemoveInFlight removes and returns what is in flight on a connection that broke: the worker may have seen it.
+func (q *SendQueue[Frame]) RemoveInFlight() (removed []QueueItem[Frame]) {
+	for _, attempt := range q.inFlightAttempts {
+		attempt.delivery.end()
+		removed = append(removed, QueueItem[Frame]{Attempt: attempt})
 	}
-	for _, i := range out {
-		i.end(ended)
+	for _, order := range q.inFlightLoads {
+		order.delivery.end()
+		removed = append(removed, QueueItem[Frame]{Load: order})
 	}
-	clear(o.attempts)
-	clear(o.orders)
-	o.work = false
-	return out
-}
-
-// state is where the item's attempt or order stands, nil for what has none.
-func (i QueueItem) state() *state {
-	switch {
-	case i.Attempt != nil:
-		return &i.Attempt.state
-	case i.Load != nil:
-		return &i.Load.state
-	}
-	return nil
-}
-
-func (i QueueItem) end(as state) {
-	if s := i.state(); s != nil {
-		*s = as
-	}
-}
-
-// Tell tells the ends of items; no lock is held.
-func NotifyEnded(events Events, items []QueueItem, call, order scheduler.Status, why string) {
-	for _, i := range items {
-		switch {
-		case i.Attempt != nil:
-			events.AttemptEnded(i.Attempt, Result{Status: call, Reason: why, QueueDepth: -1})
-		case i.Load != nil:
-			events.LoadEnded(i.Load, order, 0)
-		}
-	}
-}
-
-// Number is the one that the item was pushed under.
-func (i QueueItem) Number() uint64 {
-	switch {
-	case i.Attempt != nil:
-		return i.Attempt.number
-	case i.Load != nil:
-		return i.Load.number
-	}
-	return 0
+	clear(q.inFlightAttempts)
+	clear(q.inFlightLoads)
+	q.writingNewWork = false
+	return removed
 }
--- a/internal/workerconn/stream.go
+++ b/internal/workerconn/stream.go
@@ -1,100 +1,112 @@
 package workerconn
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"sync"
 	"time"
 )
 
-// ErrStalled is returned by Stream.Next where the worker sent nothing for too long.
-var ErrStalled = errors.New("the worker's answer stands still")
-
-// ErrBroken is wrapped by the error of a stream that ended before the answer was complete.
-var ErrBroken = errors.New("the worker's answer broke off")
+var (
+	// ErrStalled is returned by Stream.Next if the worker sent nothing for too long.
+	ErrStalled = errors.New("the worker's response has stalled")
+	// ErrIncomplete is wrapped by the error of a stream that ended before the response was complete.
+	ErrIncomplete = errors.New("the worker's response is incomplete")
+)
 
-// Stream is the body of an answer on its way from one worker to one client. The link's reading goroutine adds
-// to it and never waits; what may be added is bounded by the window that the worker was given. When it is
-// full the worker waits for credit, nobody else does.
+// Stream is the body of a response on its way from one worker to one client. The goroutine that reads the connection
+// appends to it and never waits. It is bounded by the flow control window that the worker was given: when that is used
+// up the worker waits for credit, and nobody else waits.
 type Stream struct {
-	mu     sync.Mutex
-	parts  [][]byte
-	size   int // bytes in parts
-	window int
-	taken  int // bytes read and not yet given back as credit
-	ended  bool
-	err    error
-	news   chan struct{}
-	credit func(n int)
+	credit  func(bytes int) // gives the worker credit for bytes that were read; may be nil
+	changed Signal
+
+	mu         sync.Mutex
+	parts      [][]byte
+	buffered   int // bytes in parts
+	window     int // bytes
+	uncredited int // bytes that were read and not given back as credit yet
+	ended      bool
+	err        error // set once ended, nil for a complete response
 }
 
-// NewStream returns a Stream that holds at most window bytes; credit is called with the bytes that were read.
-func NewStream(window int, credit func(n int)) *Stream {
-	return &Stream{window: window, news: make(chan struct{}, 1), credit: credit}
+// NewStream returns a Stream with a flow control window in bytes. The stream calls credit, with no lock held, with the
+// number of bytes that the worker may send in addition.
+func NewStream(window int, credit func(bytes int)) *Stream {
+	return &Stream{window: window, changed: NewSignal(), credit: credit}
 }
 
-// Add takes the next part, or says that the worker sent more than it was allowed.
-func (s *Stream) Add(part []byte) bool {
+// Append adds a copy of the next part. It returns false if the worker exceeded its window.
+func (s *Stream) Append(part []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.size+s.taken+len(part) > s.window {
+	if s.buffered+s.uncredited+len(part) > s.window {
 		return false
 	}
 	if len(part) > 0 && !s.ended {
-		s.parts = append(s.parts, append([]byte(nil), part...))
-		s.size += len(part)
-		s.tell()
+		s.parts = append(s.parts, bytes.Clone(part))
+		s.buffered += len(part)
+		s.changed.Notify()
 	}
 	return true
 }
 
-// End closes the stream; err is nil for a complete answer.
+// End ends the stream; err is nil for a complete response. Only the first call has an effect.
 func (s *Stream) End(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.ended {
-		s.ended, s.err = true, err
-		s.tell()
+	if s.ended {
+		return
 	}
+	s.ended = true
+	s.err = err
+	s.changed.Notify()
 }
 
-func (s *Stream) tell() {
-	select {
-	case s.news <- struct{}{}:
-	default:
-	}
+// streamRead is the result of one look at a stream.
+type streamRead struct {
+	part   []byte // nil if there was none
+	credit int    // bytes to give back as credit
+	ended  bool   // no part follows
+	err    error  // why the stream ended early
 }
 
-// take returns the next part if there is one, and else whether the stream ended.
-func (s *Stream) take() (part []byte, ended bool, err error, give int) {
+// pop removes the next part, if there is one. Credit is given in steps of half a window, so that small parts do not
+// cause a frame each.
+func (s *Stream) pop() streamRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.parts) == 0 {
-		return nil, s.ended, s.err, 0
+		return streamRead{ended: s.ended, err: s.err}
 	}
-	part, s.parts = s.parts[0], s.parts[1:]
-	s.size -= len(part)
-	if s.taken += len(part); s.taken >= s.window/2 {
-		give, s.taken = s.taken, 0
+	read := streamRead{part: s.parts[0]}
+	s.parts = s.parts[1:]
+	s.buffered -= len(read.part)
+	s.uncredited += len(read.part)
+	if s.uncredited >= s.window/2 {
+		read.credit = s.uncredited
+		s.uncredited = 0
 	}
-	return part, false, nil, give
+	return read
 }
 
-// Next returns the next part of the answer. At the end it returns nil and no error; an error wraps ErrBroken
-// where the answer is incomplete, or ErrStalled where nothing came for stall.
-func (s *Stream) Next(ctx context.Context, stall time.Duration) ([]byte, error) {
-	timer := time.NewTimer(stall)
+// Next returns the next part of the response. It returns nil and no error at the end, an error that wraps ErrIncomplete if
+// the response broke off, ErrStalled if nothing arrived for stallTimeout, and the error of ctx if that is done first. One
+// goroutine may call it at a time.
+func (s *Stream) Next(ctx context.Context, stallTimeout time.Duration) ([]byte, error) {
+	timer := time.NewTimer(stallTimeout)
 	defer timer.Stop()
 	for {
-		part, ended, err, give := s.take()
-		if give > 0 && s.credit != nil {
-			s.credit(give)
+		read := s.pop()
+		if read.credit > 0 && s.credit != nil {
+			s.credit(read.credit)
 		}
-		if part != nil || ended {
-			return part, err
+		if read.part != nil || read.ended {
+			return read.part, read.err
 		}
 		select {
-		case <-s.news:
+		case <-s.changed:
 		case <-timer.C:
 			return nil, ErrStalled
 		case <-ctx.Done():
