--- /dev/null
+++ b/internal/platform/workerclient/connection_read_test.go
@@ -0,0 +1,87 @@
+package workerclient
+
+import (
+	"fmt"
+	"testing"
+
+	"havencart/internal/platform/workerframe"
+	"havencart/lab/platformworker"
+	"havencart/scheduler"
+)
+
+// A response arrives in two segments, split at every byte.
+func TestRead_ResponseSplitAtEveryByte_IsReceived(t *testing.T) {
+	raw, err := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: 5, Fields: "peers_in=3", Body: []byte("answer")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	cut := make(chan int, 1)
+	client, recorder, _ := startWorkerAndClient(t, func(c *platformworker.Conn, _ workerframe.Frame) {
+		i := <-cut
+		c.Raw(raw[:i])
+		c.Raw(raw[i:])
+	})
+	for i := range raw {
+		cut <- i
+		send(t, client, newAttempt(5))
+		if r := <-recorder.attemptEnds; r.Status != scheduler.OK || string(r.Response.Body) != "answer" || r.QueueDepth != 3 {
+			t.Fatalf("cut at %d it ended as %+v", i, r)
+		}
+	}
+}
+
+// A repeated response, and one ahead of it with an unknown number, have no effect.
+func TestResponse_UnknownOrRepeatedNumber_IsDropped(t *testing.T) {
+	client, recorder, server := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
+		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: 999, Body: []byte("ahead")})
+		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("right")})
+		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("again")})
+	})
+	for n := range 3 {
+		send(t, client, newAttempt(5+n))
+		if r := <-recorder.attemptEnds; r.Status != scheduler.OK || string(r.Response.Body) != "right" {
+			t.Errorf("ended as %+v", r)
+		}
+		<-recorder.lateResponses
+		<-recorder.lateResponses
+	}
+	if server.Made() != 1 {
+		t.Errorf("%d connections", server.Made())
+	}
+}
+
+// A rejected request is sent to the same worker again under the same number, and only then the worker repeats the
+// rejection.
+func TestResponse_SecondForRejectedAttempt_DoesNotEndNextAttempt(t *testing.T) {
+	for _, code := range []workerframe.Code{workerframe.Overloaded, workerframe.NotLoaded, workerframe.AlreadyEnded, workerframe.Error} {
+		t.Run(fmt.Sprint(code), func(t *testing.T) {
+			type receivedFrame struct {
+				c *platformworker.Conn
+				f workerframe.Frame
+			}
+			received := make(chan receivedFrame, 4)
+			client, recorder, _ := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- receivedFrame{c, f} })
+			send(t, client, newAttempt(5))
+			first := <-received
+			first.c.Answer(workerframe.Frame{Code: code, ID: first.f.ID})
+			if r := <-recorder.attemptEnds; r.Status != statuses[code] {
+				t.Fatalf("ended as %+v", r)
+			}
+			send(t, client, newAttempt(5))
+			second := <-received
+			first.c.Answer(workerframe.Frame{Code: code, ID: first.f.ID})
+			select {
+			case <-recorder.lateResponses:
+			case r := <-recorder.attemptEnds:
+				t.Fatalf("a second response with code %d ended the next attempt as %+v", code, r)
+			}
+			second.c.Answer(workerframe.Frame{Code: workerframe.OK, ID: second.f.ID})
+			if r := <-recorder.attemptEnds; r.Status != scheduler.OK {
+				t.Errorf("after a second response with code %d the next attempt ended as %+v", code, r)
+			}
+			if second.c.Number == first.c.Number {
+				t.Errorf("the next attempt went on the connection that had responded to its number with code %d", code)
+			}
+		})
+	}
+}
--- a/internal/platform/workerframe/frame_test.go
+++ b/internal/platform/workerframe/frame_test.go
@@ -9,16 +9,16 @@
 )
 
 func TestReader_FramesOfAppend_AreReadBack(t *testing.T) {
-	in := []Frame{{Code: OK, ID: 7, Fields: "peers_in=3,rep=queue:2", Body: []byte("hello")}, {Code: Overloaded, ID: 1<<63 + 5}}
+	frames := []Frame{{Code: OK, ID: 7, Fields: "peers_in=3,rep=queue:2", Body: []byte("hello")}, {Code: Overloaded, ID: 1<<63 + 5}}
 	var raw []byte
-	for _, f := range in {
+	for _, f := range frames {
 		var err error
 		if raw, err = Append(raw, FromWorker, f); err != nil {
 			t.Fatal(err)
 		}
 	}
 	r := NewReader(bytes.NewReader(raw), FromWorker, MaxBody)
-	for _, want := range in {
+	for _, want := range frames {
 		f, err := r.Next()
 		if err != nil || f.Code != want.Code || f.ID != want.ID || f.Fields != want.Fields || !bytes.Equal(f.Body, want.Body) {
 			t.Errorf("%+v came back as %+v, %v", want, f, err)
@@ -27,7 +27,7 @@
 	if _, err := r.Next(); err != io.EOF {
 		t.Errorf("at the end: %v", err)
 	}
-	if n, err := Count(in[0].Fields, "peers_in", 0); n != 3 || err != nil {
+	if n, err := Count(frames[0].Fields, "peers_in", 0); n != 3 || err != nil {
 		t.Errorf("peers_in is %d, %v", n, err)
 	}
 	if v, err := ParseLoadReport("util:0.5;queue:2", []string{"queue", "inflight"}); err != nil || v[0] != 2 || v[1] != 0 {
@@ -37,50 +37,50 @@
 
 // TestReader_DamagedFrame_IsMalformed damages a valid frame in each of its parts.
 func TestReader_DamagedFrame_IsMalformed(t *testing.T) {
-	good, err := Append(nil, FromWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
+	valid, err := Append(nil, FromWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoil := func(change func([]byte)) []byte {
-		raw := bytes.Clone(good)
+	damage := func(change func([]byte)) []byte {
+		raw := bytes.Clone(valid)
 		change(raw)
 		return raw
 	}
 	for name, raw := range map[string][]byte{
-		"mark":        spoil(func(b []byte) { b[0] = FromFrontEnd }),
-		"code":        spoil(func(b []byte) { b[1] = 65 }),
-		"3 GB":        spoil(func(b []byte) { binary.BigEndian.PutUint32(b[4:], 3<<30) }),
-		"many fields": spoil(func(b []byte) { binary.BigEndian.PutUint16(b[2:], 60000) }),
-		"body":        spoil(func(b []byte) { b[headSize+12] ^= 1 }),
-		"check":       spoil(func(b []byte) { b[len(b)-1] ^= 1 }),
+		"mark":        damage(func(b []byte) { b[0] = FromFrontEnd }),
+		"code":        damage(func(b []byte) { b[1] = 65 }),
+		"3 GB":        damage(func(b []byte) { binary.BigEndian.PutUint32(b[4:], 3<<30) }),
+		"many fields": damage(func(b []byte) { binary.BigEndian.PutUint16(b[2:], 60000) }),
+		"body":        damage(func(b []byte) { b[headSize+12] ^= 1 }),
+		"check":       damage(func(b []byte) { b[len(b)-1] ^= 1 }),
 	} {
 		if _, err := NewReader(bytes.NewReader(raw), FromWorker, MaxBody).Next(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	for n := 1; n < len(good); n++ {
-		if _, err := NewReader(bytes.NewReader(good[:n]), FromWorker, MaxBody).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
+	for n := 1; n < len(valid); n++ {
+		if _, err := NewReader(bytes.NewReader(valid[:n]), FromWorker, MaxBody).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("cut off after %d bytes: error %v", n, err)
 		}
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	good, _ := Append(nil, FromWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
-	f.Add(good)
+	valid, _ := Append(nil, FromWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
+	f.Add(valid)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r := NewReader(bytes.NewReader(raw), FromWorker, 1<<16)
 		for {
-			x, err := r.Next()
+			frame, err := r.Next()
 			if err != nil {
 				return
 			}
-			again, err := Append(nil, FromWorker, x)
-			if err != nil || !bytes.Contains(raw, again) {
-				t.Fatalf("%+v is written as %x, %v", x, again, err)
+			encoded, err := Append(nil, FromWorker, frame)
+			if err != nil || !bytes.Contains(raw, encoded) {
+				t.Fatalf("%+v is written as %x, %v", frame, encoded, err)
 			}
-			_, _ = Count(x.Fields, "peers_in", 0)
-			_, _ = ParseLoadReport(x.Fields, []string{"queue"})
+			_, _ = Count(frame.Fields, "peers_in", 0)
+			_, _ = ParseLoadReport(frame.Fields, []string{"queue"})
 		}
 	})
 }
