--- /dev/null
+++ b/internal/native/muxclient/connection.go
@@ -0,0 +1,187 @@
+package muxclient
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"havencart/internal/decide/reconnect"
+	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
+	"havencart/scheduler"
+)
+
+// readBufferSize is in bytes.
+const readBufferSize = 32 << 10
+
+// errStopped is why the connection of a client that was stopped ended.
+var errStopped = errors.New("link closed")
+
+// run makes the connection and serves it, again and again until ctx is done. It is the client's goroutine.
+func (c *Client) run(ctx context.Context) {
+	defer close(c.done)
+	backoff := reconnect.NewBackoff(c.cfg.Seed)
+	for {
+		err := c.connectAndServe(ctx, backoff)
+		backoff.Failed(c.cfg.Now())
+		if ctx.Err() != nil {
+			err = errStopped
+			c.refuseNewWork()
+		}
+		c.endUnfinished(err)
+		if ctx.Err() != nil || !c.awaitRedial(ctx, backoff) {
+			c.refuseNewWork()
+			c.endUnfinished(errStopped) // what was queued meanwhile
+			return
+		}
+	}
+}
+
+// refuseNewWork has all further attempts and load orders rejected.
+func (c *Client) refuseNewWork() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+}
+
+// awaitRedial waits until the next connection is due, which is sooner if something waits for it. It returns false once
+// ctx is done.
+func (c *Client) awaitRedial(ctx context.Context, backoff *reconnect.Backoff) bool {
+	for {
+		wait := backoff.NextDial() - c.cfg.Now()
+		if wait <= 0 {
+			return true
+		}
+		timer := time.NewTimer(wait)
+		select {
+		case <-ctx.Done():
+			timer.Stop()
+			return false
+		case <-c.connectionWaits:
+			backoff.Requested()
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
+
+// connectAndServe makes one connection and serves it until it breaks or ctx is done. It returns why it ended.
+func (c *Client) connectAndServe(ctx context.Context, backoff *reconnect.Backoff) error {
+	session, err := c.connect(ctx)
+	if err != nil {
+		return err
+	}
+	backoff.Connected()
+	c.connected(session.conn)
+	c.events.Connected(session.welcome)
+	write := func(readDone <-chan struct{}) error { return c.write(session.conn, readDone) }
+	read := func() error { return c.read(session.reader) }
+	err = workerconn.Serve(ctx, session.conn, write, read)
+	c.disconnected()
+	return err
+}
+
+// connected records that there is a connection.
+func (c *Client) connected(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conn = conn
+	c.keepalive = reconnect.NewKeepalive(c.cfg.Now())
+}
+
+// disconnected records that there is none.
+func (c *Client) disconnected() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conn = nil
+}
+
+// session is a connection after the handshake.
+type session struct {
+	conn    net.Conn
+	reader  *muxframe.Reader
+	welcome muxframe.Welcome
+}
+
+// connect dials and performs the handshake, all within ConnectTimeout. The caller closes the session's connection.
+func (c *Client) connect(ctx context.Context) (session, error) {
+	dialCtx, cancel := context.WithTimeout(ctx, c.cfg.ConnectTimeout)
+	defer cancel()
+	conn, err := new(net.Dialer).DialContext(dialCtx, "tcp", c.cfg.Address)
+	if err != nil {
+		return session{}, fmt.Errorf("connect to %s: %w", c.cfg.Worker, err)
+	}
+	stopClosing := context.AfterFunc(dialCtx, func() { conn.Close() })
+	reader, welcome, err := c.handshake(conn)
+	if !stopClosing() && err == nil {
+		err = context.Cause(dialCtx)
+	}
+	if err != nil {
+		conn.Close()
+		return session{}, fmt.Errorf("handshake with %s: %w", c.cfg.Worker, err)
+	}
+	return session{conn: conn, reader: reader, welcome: welcome}, nil
+}
+
+// handshake writes HELLO and reads the worker's WELCOME.
+func (c *Client) handshake(conn net.Conn) (*muxframe.Reader, muxframe.Welcome, error) {
+	var welcome muxframe.Welcome
+	hello := muxframe.Hello{Version: muxframe.Version, FrontEnd: c.cfg.FrontEnd}
+	encoded, err := muxframe.Append(nil, muxframe.TypeHello, 0, hello, nil)
+	if err != nil {
+		return nil, welcome, err
+	}
+	if _, err := conn.Write(encoded); err != nil {
+		return nil, welcome, err
+	}
+	reader := muxframe.NewReader(bufio.NewReaderSize(conn, readBufferSize), c.cfg.MaxFrame)
+	frame, err := reader.Next()
+	if err != nil {
+		return nil, welcome, err
+	}
+	if frame.Type != muxframe.TypeWelcome {
+		return nil, welcome, fmt.Errorf("%w: %v in place of welcome", muxframe.ErrMalformed, frame.Type)
+	}
+	if err := frame.Decode(&welcome); err != nil {
+		return nil, welcome, err
+	}
+	return reader, welcome, c.checkWelcome(welcome)
+}
+
+// checkWelcome returns an error if the worker refused the connection, or is not the one that is expected.
+func (c *Client) checkWelcome(welcome muxframe.Welcome) error {
+	switch {
+	case welcome.Rejection != "":
+		return fmt.Errorf("refused: %s", welcome.Rejection)
+	case welcome.Version != muxframe.Version:
+		return fmt.Errorf("it speaks version %d, this is %d", welcome.Version, muxframe.Version)
+	case welcome.Worker != c.cfg.Worker:
+		return fmt.Errorf("worker %q answers at %s", welcome.Worker, c.cfg.Address)
+	}
+	return nil
+}
+
+// endUnfinished ends all that was in flight on a connection that broke, or waited for one that cannot be made, and
+// reports that there is no connection.
+func (c *Client) endUnfinished(reason error) {
+	c.mu.Lock()
+	unsent := c.queue.RemoveQueued()
+	lost := c.queue.RemoveInFlight()
+	started := c.started
+	c.started = map[*workerconn.Attempt]*workerconn.Result{}
+	healthChecks := c.healthChecks
+	c.healthChecks = 0
+	c.mu.Unlock()
+	for _, response := range started {
+		response.Response.Stream.End(fmt.Errorf("%w: %w", workerconn.ErrIncomplete, reason))
+	}
+	workerconn.NotifyEnded(c.events, unsent, scheduler.ConnectFailed, scheduler.ConnectFailed, reason.Error())
+	workerconn.NotifyEnded(c.events, lost, scheduler.Reset, scheduler.Reset, reason.Error())
+	for range healthChecks {
+		c.events.HealthChecked(scheduler.ConnectFailed, nil)
+	}
+	c.events.Disconnected(reason)
+}
--- /dev/null
+++ b/internal/native/muxclient/connection_read.go
@@ -0,0 +1,89 @@
+package muxclient
+
+import (
+	"fmt"
+
+	"havencart/internal/native/muxframe"
+)
+
+// read handles frames until the connection breaks.
+func (c *Client) read(reader *muxframe.Reader) error {
+	for {
+		frame, err := reader.Next()
+		if err == nil {
+			c.noteReceived()
+			err = c.handle(frame)
+		}
+		if err != nil {
+			return fmt.Errorf("read from %s: %w", c.cfg.Worker, err)
+		}
+	}
+}
+
+// noteReceived tells the keepalive that a frame was received.
+func (c *Client) noteReceived() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.keepalive.Received(c.cfg.Now())
+}
+
+// handle processes one frame. An error ends the connection.
+func (c *Client) handle(frame muxframe.Frame) error {
+	switch frame.Type {
+	case muxframe.TypeResponse:
+		return c.handleResponse(frame)
+	case muxframe.TypeData:
+		return c.handleData(frame)
+	case muxframe.TypeEnd:
+		return c.handleEnd(frame)
+	case muxframe.TypeLoadResult:
+		return c.handleLoadResult(frame)
+	case muxframe.TypeHealthReport:
+		return c.handleHealthReport(frame)
+	case muxframe.TypePing:
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.push(controlFrame{kind: muxframe.TypePong})
+		return nil
+	case muxframe.TypePong:
+		return nil
+	}
+	return fmt.Errorf("%w: %v from a worker", muxframe.ErrMalformed, frame.Type)
+}
+
+// handleLoadResult processes the response to a load order. One that nobody waits for is dropped.
+func (c *Client) handleLoadResult(frame muxframe.Frame) error {
+	var result muxframe.LoadResult
+	if err := frame.Decode(&result); err != nil {
+		return err
+	}
+	status, known := statuses[result.Status]
+	if !known {
+		return fmt.Errorf("%w: order answered with status %d", muxframe.ErrMalformed, result.Status)
+	}
+	c.mu.Lock()
+	order := c.queue.FinishLoad(uint64(frame.StreamID))
+	c.mu.Unlock()
+	if order != nil {
+		c.events.LoadEnded(order, status, max(0, result.Replicas))
+	}
+	return nil
+}
+
+// handleHealthReport processes the response to a health check. One that nobody waits for is dropped.
+func (c *Client) handleHealthReport(frame muxframe.Frame) error {
+	var report muxframe.HealthReport
+	if err := frame.Decode(&report); err != nil {
+		return err
+	}
+	c.mu.Lock()
+	expected := c.healthChecks > 0
+	if expected {
+		c.healthChecks--
+	}
+	c.mu.Unlock()
+	if expected {
+		c.events.HealthChecked(statuses[report.Status], report.LoadReport)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/native/muxclient/connection_test.go
@@ -0,0 +1,114 @@
+package muxclient
+
+import (
+	"io"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+// TestAttempt_ConnectionFails_HasStatusOfTable verifies the table in the package comment.
+func TestAttempt_ConnectionFails_HasStatusOfTable(t *testing.T) {
+	t.Run("reset after the frame was sent", func(t *testing.T) {
+		worker := startFakeWorker(t)
+		client, recorder := newTestClient(t, worker, nil)
+		worker.acceptAndWelcome(1)
+		client.Send(newAttempt("a"))
+		worker.readRequest()
+		worker.reset()
+		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.Reset {
+			t.Errorf("%+v", r)
+		}
+	})
+	t.Run("connection refused", func(t *testing.T) {
+		worker := startFakeWorker(t)
+		worker.listener.Close()
+		client, recorder := newTestClient(t, worker, nil)
+		if r := client.Send(newAttempt("a")); r == nil {
+			if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.ConnectFailed {
+				t.Errorf("%+v", r)
+			}
+		}
+	})
+	t.Run("no welcome in time", func(t *testing.T) {
+		worker := startFakeWorker(t)
+		client, recorder := newTestClient(t, worker, func(c *Config) { c.ConnectTimeout = 50 * time.Millisecond })
+		client.Send(newAttempt("a"))
+		worker.accept()
+		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.ConnectFailed {
+			t.Errorf("%+v", r)
+		}
+	})
+	t.Run("another worker responds", func(t *testing.T) {
+		worker := startFakeWorker(t)
+		client, recorder := newTestClient(t, worker, func(c *Config) { c.Worker = "other" })
+		client.Send(newAttempt("a"))
+		worker.acceptAndWelcome(1)
+		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.ConnectFailed || !strings.Contains(r.Reason, `"w"`) {
+			t.Errorf("%+v", r)
+		}
+	})
+	t.Run("response frame cut short", func(t *testing.T) {
+		worker := startFakeWorker(t)
+		client, recorder := newTestClient(t, worker, nil)
+		worker.acceptAndWelcome(1)
+		client.Send(newAttempt("a"))
+		n, _ := worker.readRequest()
+		raw, _ := muxframe.Append(nil, muxframe.TypeResponse, n, muxframe.Response{Status: muxframe.StatusOK}, nil)
+		_, _ = worker.conn.Write(raw[:len(raw)-2])
+		worker.conn.Close()
+		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.Reset || !strings.Contains(r.Reason, "unexpected EOF") {
+			t.Errorf("%+v", r)
+		}
+	})
+	t.Run("malformed frame", func(t *testing.T) {
+		worker := startFakeWorker(t)
+		client, recorder := newTestClient(t, worker, nil)
+		worker.acceptAndWelcome(1)
+		client.Send(newAttempt("a"))
+		worker.readRequest()
+		_, _ = worker.conn.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
+		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.Reset || !strings.Contains(r.Reason, "malformed") {
+			t.Errorf("%+v", r)
+		}
+	})
+}
+
+// A request that the worker cannot have read whole may be retried elsewhere, also if it is not idempotent.
+func TestConnection_BreaksDuringWrite_EndsAttemptAsConnectFailed(t *testing.T) {
+	worker := startFakeWorker(t)
+	client, recorder := newTestClient(t, worker, nil)
+	worker.acceptAndWelcome(1)
+	await(t, "the connection", recorder.connects)
+	big := newAttempt("big")
+	big.Body = make([]byte, 15<<20) // more than the operating system buffers while the worker reads nothing
+	client.Send(big)
+	whole := newAttempt("behind")
+	client.Send(whole)
+	_, _ = io.ReadFull(worker.conn, make([]byte, 100)) // it is being written
+	worker.reset()
+	for range 2 {
+		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.ConnectFailed {
+			t.Errorf("%+v", r)
+		}
+	}
+}
+
+// The worker is gone without closing the connection.
+func TestKeepalive_SilentPeer_EndsConnection(t *testing.T) {
+	worker := startFakeWorker(t)
+	var clock atomic.Int64
+	client, recorder := newTestClient(t, worker, func(c *Config) { c.Now = func() time.Duration { return time.Duration(clock.Load()) } })
+	worker.acceptAndWelcome(1)
+	client.Send(newAttempt("a"))
+	worker.readRequest()
+	clock.Add(int64(time.Minute))
+	client.Unload("f") // wakes the writer, as its timer would
+	if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.Reset || !strings.Contains(r.Reason, "sign of life") {
+		t.Errorf("%+v", r)
+	}
+}
--- /dev/null
+++ b/internal/native/muxclient/connection_write.go
@@ -0,0 +1,104 @@
+package muxclient
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"havencart/internal/decide/reconnect"
+	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
+	"havencart/scheduler"
+)
+
+// errKeepaliveTimeout is why a connection is closed on which the worker does not respond to pings.
+var errKeepaliveTimeout = errors.New("no sign of life")
+
+// write writes what is queued, and pings when the keepalive asks for it, until the connection breaks, the keepalive's
+// timeout expires or readDone is closed. workerconn.Serve runs it in a goroutine of its own.
+func (c *Client) write(conn net.Conn, readDone <-chan struct{}) error {
+	var batch writeBatch
+	for {
+		c.nextBatch(&batch)
+		workerconn.NotifyEnded(c.events, batch.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
+		if len(batch.Bytes) > 0 {
+			if err := c.sendBatch(conn, &batch); err != nil {
+				return err
+			}
+			continue
+		}
+		verdict, nextCheck := c.checkKeepalive()
+		switch verdict {
+		case reconnect.Dead:
+			return fmt.Errorf("%s is silent: %w", c.cfg.Worker, errKeepaliveTimeout)
+		case reconnect.Ping:
+			continue // the ping is in the next batch
+		}
+		timer := time.NewTimer(nextCheck - c.cfg.Now())
+		select {
+		case <-readDone:
+			timer.Stop()
+			return nil
+		case <-c.writeWake:
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
+
+// checkKeepalive returns the keepalive's verdict and when to check again, and queues the ping that it asks for.
+func (c *Client) checkKeepalive() (verdict reconnect.Verdict, nextCheck time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	verdict, nextCheck = c.keepalive.Check(c.cfg.Now())
+	if verdict == reconnect.Ping {
+		c.push(controlFrame{kind: muxframe.TypePing})
+	}
+	return verdict, nextCheck
+}
+
+// nextBatch encodes the next batch. The write timeout is set under the lock, so that a later call of Drain can shorten
+// it.
+func (c *Client) nextBatch(batch *writeBatch) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.queue.NextBatch(batch, c.encode)
+	if len(batch.Bytes) > 0 {
+		c.setWriteTimeout(reconnect.WriteTimeout())
+	}
+}
+
+// sendBatch writes a batch. What was not written whole was never executed.
+func (c *Client) sendBatch(conn net.Conn, batch *writeBatch) error {
+	written, err := conn.Write(batch.Bytes)
+	c.mu.Lock()
+	unsent := c.queue.BatchWritten(batch, written)
+	for _, item := range unsent {
+		delete(c.started, item.Attempt)
+	}
+	c.mu.Unlock()
+	if len(unsent) > 0 {
+		reason := fmt.Sprintf("not written whole: %v", err)
+		workerconn.NotifyEnded(c.events, unsent, scheduler.ConnectFailed, scheduler.ConnectFailed, reason)
+	}
+	if err != nil {
+		return fmt.Errorf("write to %s: %w", c.cfg.Worker, err)
+	}
+	return nil
+}
+
+// encode appends the frame of an item. The timeout of a request is what is left of it now.
+func (c *Client) encode(buffer []byte, item queueItem) ([]byte, error) {
+	switch {
+	case item.Attempt != nil:
+		request := item.Attempt.Request
+		request.TimeoutMillis = max(0, (item.Attempt.Deadline - c.cfg.Now()).Milliseconds())
+		request.Window = uint32(c.cfg.Window)
+		return muxframe.Append(buffer, muxframe.TypeRequest, uint32(item.Number()), request, item.Attempt.Body)
+	case item.Load != nil:
+		return muxframe.Append(buffer, muxframe.TypeLoadOrder, uint32(item.Number()), item.Load.Load, nil)
+	}
+	frame := item.Frame
+	return muxframe.Append(buffer, frame.kind, frame.streamID, frame.header, nil)
+}
--- a/internal/platform/workerclient/connection_write.go
+++ b/internal/platform/workerclient/connection_write.go
@@ -58,7 +58,10 @@
 	unsent := c.queue.BatchWritten(batch, written)
 	c.client.removeFinished(unsent)
 	c.client.mu.Unlock()
-	workerconn.NotifyEnded(c.client.events, unsent, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprintf("not written whole: %v", err))
+	if len(unsent) > 0 {
+		reason := fmt.Sprintf("not written whole: %v", err)
+		workerconn.NotifyEnded(c.client.events, unsent, scheduler.ConnectFailed, scheduler.ConnectFailed, reason)
+	}
 	if err != nil {
 		return fmt.Errorf("write to %s: %w", c.client.cfg.Worker, err)
 	}
