--- a/internal/native/muxframe/frame_test.go
+++ b/internal/native/muxframe/frame_test.go
@@ -9,42 +9,46 @@
 	"testing"
 )
 
-func encode(t testing.TB, kind Type, call uint32, header any, body string) []byte {
+// mustAppend returns an encoded frame.
+func mustAppend(t testing.TB, frameType Type, streamID uint32, header any, body string) []byte {
 	t.Helper()
-	raw, err := Append(nil, kind, call, header, []byte(body))
+	raw, err := Append(nil, frameType, streamID, header, []byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return raw
 }
 
-func someCall() Request {
-	return Request{Replica: ReplicaSpec{Function: "fare-quote", MemoryMB: 300, Concurrency: 2}, ID: "a-1", Class: "fare",
-		IdempotencyKey: "k", TimeoutMillis: 1500, Window: 65536}
+// testRequest returns a request with the fields that most tests need.
+func testRequest() Request {
+	return Request{
+		Replica: ReplicaSpec{Function: "fare-quote", MemoryMB: 300, Concurrency: 2}, ID: "a-1", Class: "fare",
+		IdempotencyKey: "k", TimeoutMillis: 1500, Window: 65536,
+	}
 }
 
-func TestFramesComeBackAsTheyWentIn(t *testing.T) {
-	crowd := 0
-	answer := Response{Status: StatusOK, ColdStart: ColdStartTriggered, QueueDepth: &crowd, LoadReport: []float64{1, 2.5}}
-	raw := encode(t, TypeRequest, 7, someCall(), "body")
-	raw = append(raw, encode(t, TypeResponse, 7, answer, "")...)
-	raw = append(raw, encode(t, TypePing, 0, nil, "")...)
+func TestReader_FramesOfAppend_AreReadBack(t *testing.T) {
+	queueDepth := 0
+	response := Response{Status: StatusOK, ColdStart: ColdStartTriggered, QueueDepth: &queueDepth, LoadReport: []float64{1, 2.5}}
+	raw := mustAppend(t, TypeRequest, 7, testRequest(), "body")
+	raw = append(raw, mustAppend(t, TypeResponse, 7, response, "")...)
+	raw = append(raw, mustAppend(t, TypePing, 0, nil, "")...)
 	r := NewReader(bytes.NewReader(raw), 0)
 
-	var call Request
+	var request Request
 	f, err := r.Next()
 	if err != nil || f.Type != TypeRequest || f.StreamID != 7 || string(f.Body) != "body" {
 		t.Fatalf("frame %+v, error %v", f, err)
 	}
-	if err := f.Decode(&call); err != nil || call != someCall() {
-		t.Errorf("call %+v, error %v", call, err)
+	if err := f.Decode(&request); err != nil || request != testRequest() {
+		t.Errorf("request %+v, error %v", request, err)
 	}
 	var got Response
 	if f, err = r.Next(); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Decode(&got); err != nil || !reflect.DeepEqual(got, answer) {
-		t.Errorf("answer %+v, error %v", got, err)
+	if err := f.Decode(&got); err != nil || !reflect.DeepEqual(got, response) {
+		t.Errorf("response %+v, error %v", got, err)
 	}
 	if f, err = r.Next(); err != nil || f.Type != TypePing {
 		t.Errorf("frame %+v, error %v", f, err)
@@ -54,66 +58,69 @@
 	}
 }
 
-func TestBytesThatAreNoFrameAreRefused(t *testing.T) {
-	good := encode(t, TypeRequest, 1, someCall(), "body")
-	long := append([]byte{0xff, 0xff, 0xff, 0xff}, good[4:]...)
-	badType := bytes.Clone(good)
+func TestReader_MalformedFrame_IsRejected(t *testing.T) {
+	valid := mustAppend(t, TypeRequest, 1, testRequest(), "body")
+	longLength := append([]byte{0xff, 0xff, 0xff, 0xff}, valid[4:]...)
+	badType := bytes.Clone(valid)
 	badType[4] = 99
-	badHeader := bytes.Clone(good)
+	badHeader := bytes.Clone(valid)
 	badHeader[9], badHeader[10] = 0xff, 0xff
-	for name, raw := range map[string][]byte{"length over the bound": long, "length under a frame": {0, 0, 0, 1, 1},
-		"unknown type": badType, "header longer than the frame": badHeader} {
+	for name, raw := range map[string][]byte{
+		"length over the limit": longLength, "length under a frame": {0, 0, 0, 1, 1},
+		"unknown type": badType, "header longer than the frame": badHeader,
+	} {
 		if _, err := NewReader(bytes.NewReader(raw), 1<<20).Next(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	if _, err := NewReader(bytes.NewReader(good[:len(good)-1]), 0).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
+	if _, err := NewReader(bytes.NewReader(valid[:len(valid)-1]), 0).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("cut short: error %v", err)
 	}
 }
 
-func TestHeadersThatCanBeReadTwoWaysAreRefused(t *testing.T) {
+func TestDecode_AmbiguousHeader_IsRejected(t *testing.T) {
 	for name, header := range map[string][]byte{
-		"a key twice":      {0xa2, 0x01, 0x01, 0x01, 0x02},
-		"open length":      {0xbf, 0x01, 0x01, 0xff},
-		"no map":           {0x01},
-		"bytes behind it":  {0xa1, 0x01, 0x01, 0x00},
-		"nothing":          {},
-		"wrong kind value": {0xa1, 0x01, 0x61, 0x61},
+		"duplicate key":       {0xa2, 0x01, 0x01, 0x01, 0x02},
+		"indefinite length":   {0xbf, 0x01, 0x01, 0xff},
+		"no map":              {0x01},
+		"trailing bytes":      {0xa1, 0x01, 0x01, 0x00},
+		"empty":               {},
+		"wrong type of value": {0xa1, 0x01, 0x61, 0x61},
 	} {
 		if err := (Frame{Type: TypeLoadResult, Header: header}).Decode(new(LoadResult)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	later := []byte{0xa2, 0x01, 0x01, 0x18, 0x63, 0x01} // key 99 of a later version
-	if err := (Frame{Type: TypeLoadResult, Header: later}).Decode(new(LoadResult)); err != nil {
+	laterVersion := []byte{0xa2, 0x01, 0x01, 0x18, 0x63, 0x01} // key 99 of a later version
+	if err := (Frame{Type: TypeLoadResult, Header: laterVersion}).Decode(new(LoadResult)); err != nil {
 		t.Errorf("an unknown key: %v", err)
 	}
 }
 
-func TestTooLongFramesAreNotMade(t *testing.T) {
+func TestAppend_TooLong_Fails(t *testing.T) {
 	if _, err := Append(nil, TypeRequest, 1, nil, make([]byte, MaxFrame)); err == nil {
-		t.Error("a frame over the bound was encoded")
+		t.Error("a frame over the limit was encoded")
 	}
 	if _, err := Append(nil, TypeRequest, 1, Request{ID: strings.Repeat("x", maxHeader)}, nil); err == nil {
-		t.Error("a header over the bound was encoded")
+		t.Error("a header over the limit was encoded")
 	}
 }
 
-// TestALengthAloneTakesNoMemory guards against a peer that names a large frame and sends nothing of it.
-func TestALengthAloneTakesNoMemory(t *testing.T) {
+// A peer that announces a large frame and sends nothing of it must not cause a large allocation.
+func TestReader_LengthWithoutFrame_AllocatesLittle(t *testing.T) {
 	r := NewReader(bytes.NewReader([]byte{0, 0xf0, 0, 0, 1}), 0)
-	if _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) || cap(r.buf) > 1<<20 {
-		t.Errorf("error %v, %d bytes set aside", err, cap(r.buf))
+	if _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) || cap(r.buffer) > 1<<20 {
+		t.Errorf("error %v, %d bytes allocated", err, cap(r.buffer))
 	}
 }
 
-// FuzzFrames holds that no bytes make the reader panic, and that what decodes encodes to the same message.
+// FuzzFrames verifies that no input makes the reader panic, and that a message that was decoded can be encoded and decoded
+// again.
 func FuzzFrames(f *testing.F) {
-	f.Add(encode(f, TypeRequest, 7, someCall(), "body"))
-	f.Add(encode(f, TypeResponse, 7, Response{Status: StatusOK, More: true, Length: 9}, "part"))
-	f.Add(encode(f, TypeWelcome, 0, Welcome{Version: 1, Worker: "w", LoadReportFields: []string{"queue"}}, ""))
-	f.Add(encode(f, TypeLoadOrder, 3, LoadOrder{Replica: someCall().Replica, Replicas: 1}, ""))
+	f.Add(mustAppend(f, TypeRequest, 7, testRequest(), "body"))
+	f.Add(mustAppend(f, TypeResponse, 7, Response{Status: StatusOK, More: true, Length: 9}, "part"))
+	f.Add(mustAppend(f, TypeWelcome, 0, Welcome{Version: 1, Worker: "w", LoadReportFields: []string{"queue"}}, ""))
+	f.Add(mustAppend(f, TypeLoadOrder, 3, LoadOrder{Replica: testRequest().Replica, Replicas: 1}, ""))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r := NewReader(bytes.NewReader(raw), 1<<16)
 		for {
@@ -121,19 +128,21 @@
 			if err != nil {
 				return
 			}
-			message := map[Type]any{TypeHello: new(Hello), TypeWelcome: new(Welcome), TypeRequest: new(Request),
+			message := map[Type]any{
+				TypeHello: new(Hello), TypeWelcome: new(Welcome), TypeRequest: new(Request),
 				TypeResponse: new(Response), TypeEnd: new(End), TypeCredit: new(Credit), TypeLoadOrder: new(LoadOrder),
-				TypeLoadResult: new(LoadResult), TypeUnload: new(Unload), TypeHealthReport: new(HealthReport)}[frame.Type]
+				TypeLoadResult: new(LoadResult), TypeUnload: new(Unload), TypeHealthReport: new(HealthReport),
+			}[frame.Type]
 			if message == nil || frame.Decode(message) != nil {
 				continue
 			}
-			again, err := Append(nil, frame.Type, frame.StreamID, message, frame.Body)
+			encoded, err := Append(nil, frame.Type, frame.StreamID, message, frame.Body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			back, err := NewReader(bytes.NewReader(again), 0).Next()
-			twin := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-			if err != nil || back.Decode(twin) != nil {
+			decoded, err := NewReader(bytes.NewReader(encoded), 0).Next()
+			copied := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+			if err != nil || decoded.Decode(copied) != nil {
 				t.Fatalf("what was decoded does not encode: %+v, %v", message, err)
 			}
 		}
