--- a/internal/native/muxclient/client_test.go
+++ b/internal/native/muxclient/client_test.go
@@ -59,6 +59,7 @@
 	}
 	client.CheckHealth()
 	for worker.readFrame().Type != muxframe.TypeHealthCheck {
+		continue // pings may come before it
 	}
 	worker.write(muxframe.TypeHealthReport, 0, muxframe.HealthReport{Status: muxframe.StatusOK}, "")
 	if s := await(t, "the health check's end", recorder.healthChecks); s != scheduler.OK {
--- a/internal/native/muxclient/connection.go
+++ b/internal/native/muxclient/connection.go
@@ -114,13 +114,13 @@
 	if err != nil {
 		return session{}, fmt.Errorf("connect to %s: %w", c.cfg.Worker, err)
 	}
-	stopClosing := context.AfterFunc(dialCtx, func() { conn.Close() })
+	stopClosing := context.AfterFunc(dialCtx, func() { _ = conn.Close() })
 	reader, welcome, err := c.handshake(conn)
 	if !stopClosing() && err == nil {
 		err = context.Cause(dialCtx)
 	}
 	if err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return session{}, fmt.Errorf("handshake with %s: %w", c.cfg.Worker, err)
 	}
 	return session{conn: conn, reader: reader, welcome: welcome}, nil
--- a/internal/native/muxclient/connection_test.go
+++ b/internal/native/muxclient/connection_test.go
@@ -26,7 +26,7 @@
 	})
 	t.Run("connection refused", func(t *testing.T) {
 		worker := startFakeWorker(t)
-		worker.listener.Close()
+		_ = worker.listener.Close()
 		client, recorder := newTestClient(t, worker, nil)
 		if r := client.Send(newAttempt("a")); r == nil {
 			if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.ConnectFailed {
@@ -60,7 +60,7 @@
 		n, _ := worker.readRequest()
 		raw, _ := muxframe.Append(nil, muxframe.TypeResponse, n, muxframe.Response{Status: muxframe.StatusOK}, nil)
 		_, _ = worker.conn.Write(raw[:len(raw)-2])
-		worker.conn.Close()
+		_ = worker.conn.Close()
 		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.Reset || !strings.Contains(r.Reason, "unexpected EOF") {
 			t.Errorf("%+v", r)
 		}
--- a/internal/native/muxclient/helpers_test.go
+++ b/internal/native/muxclient/helpers_test.go
@@ -81,26 +81,24 @@
 }
 
 // accept accepts the next connection and writes nothing.
-func (w *fakeWorker) accept() *fakeWorker {
+func (w *fakeWorker) accept() {
 	w.t.Helper()
 	conn, err := w.listener.Accept()
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { conn.Close() })
+	w.t.Cleanup(func() { _ = conn.Close() })
 	w.conn, w.reader = conn, muxframe.NewReader(bufio.NewReader(conn), 0)
-	return w
 }
 
 // acceptAndWelcome accepts the next connection and performs the handshake.
-func (w *fakeWorker) acceptAndWelcome(incarnation uint64) *fakeWorker {
+func (w *fakeWorker) acceptAndWelcome(incarnation uint64) {
 	w.t.Helper()
 	w.accept()
 	if f := w.readFrame(); f.Type != muxframe.TypeHello {
 		w.t.Fatalf("%v in place of hello", f.Type)
 	}
 	w.write(muxframe.TypeWelcome, 0, muxframe.Welcome{Version: muxframe.Version, Worker: "w", Incarnation: incarnation}, "")
-	return w
 }
 
 // readFrame reads the next frame.
@@ -143,7 +141,7 @@
 }
 
 // reset closes the connection with a TCP reset.
-func (w *fakeWorker) reset() { _ = w.conn.(*net.TCPConn).SetLinger(0); w.conn.Close() }
+func (w *fakeWorker) reset() { _ = w.conn.(*net.TCPConn).SetLinger(0); _ = w.conn.Close() }
 
 // startFakeWorker returns a worker that listens and has accepted no connection.
 func startFakeWorker(t *testing.T) *fakeWorker {
@@ -152,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	return &fakeWorker{t: t, listener: l}
 }
 
--- a/internal/native/muxclient/response_test.go
+++ b/internal/native/muxclient/response_test.go
@@ -21,7 +21,7 @@
 	client.Send(newAttempt("a"))
 	formerID, _ := worker.readRequest()
 	formerConn := worker.conn
-	formerConn.(*net.TCPConn).CloseWrite() // the worker's end of the old connection lives on
+	_ = formerConn.(*net.TCPConn).CloseWrite() // the worker's end of the old connection lives on
 	if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.Reset {
 		t.Fatalf("%+v", r)
 	}
--- a/internal/platform/workerclient/client_test.go
+++ b/internal/platform/workerclient/client_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer func() { _ = silent.Close() }()
 	client, _ := newTestClient(t, silent.Addr().String(), 8)
 	client.mu.Lock() // nothing is sent meanwhile
 	conn := newConnection(client)
@@ -133,7 +133,7 @@
 		},
 	} {
 		ours, theirs := net.Pipe()
-		defer theirs.Close()
+		defer func() { _ = theirs.Close() }()
 		client, conn := newUnservedConnection(t, nil) // the dial is under way
 		a := newAttempt(5)
 		send(t, client, a)
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -34,8 +34,8 @@
 		"noise":         {damaged(func([]byte) []byte { return []byte("this is no frame at all") }), scheduler.Error},
 		"3 GB":          {damaged(func(raw []byte) []byte { raw[4] = 0xb0; return raw }), scheduler.Error},
 		"reset":         {func(c *platformworker.Conn, _ workerframe.Frame) { c.Reset() }, scheduler.Error},
-		"closed":        {func(c *platformworker.Conn, _ workerframe.Frame) { c.Close() }, scheduler.Error},
-		"broken off":    {func(c *platformworker.Conn, _ workerframe.Frame) { c.Raw([]byte{90, 64, 0}); c.Close() }, scheduler.Error},
+		"closed":        {func(c *platformworker.Conn, _ workerframe.Frame) { _ = c.Close() }, scheduler.Error},
+		"broken off":    {func(c *platformworker.Conn, _ workerframe.Frame) { c.Raw([]byte{90, 64, 0}); _ = c.Close() }, scheduler.Error},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, recorder, _ := startWorkerAndClient(t, test.script)
--- a/internal/platform/workerclient/connection_write_test.go
+++ b/internal/platform/workerclient/connection_write_test.go
@@ -12,13 +12,14 @@
 // The end of the connection lies in the operating system's buffer and was not read yet.
 func TestWrite_IdleConnectionClosedByPeer_WritesNothing(t *testing.T) {
 	for name, end := range map[string]func(c *net.TCPConn){
-		"closed": func(c *net.TCPConn) { c.Close() },
-		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
+		"closed": func(c *net.TCPConn) { _ = c.Close() },
+		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
 	} {
 		ours, theirs := connectedPair(t)
 		client, conn := newUnservedConnection(t, ours)
 		end(theirs)
-		for peerClosed(ours) == nil { // until it is in the buffer
+		for peerClosed(ours) == nil {
+			continue // until the end is in the buffer
 		}
 		a := newAttempt(5)
 		send(t, client, a)
@@ -31,7 +32,7 @@
 // The frames are in a batch, and their first byte is not written yet.
 func TestDrain_BatchNotYetWritten_ShortensItsWriteTimeout(t *testing.T) {
 	ours, theirs := net.Pipe() // nobody reads
-	defer theirs.Close()
+	defer func() { _ = theirs.Close() }()
 	client, conn := newUnservedConnection(t, ours)
 	send(t, client, newAttempt(5))
 	var batch writeBatch
@@ -47,7 +48,7 @@
 // The worker reads nothing, and the client that sent the request disconnects while the attempt is being written.
 func TestAbandon_AttemptBeingWritten_ShortensWriteTimeout(t *testing.T) {
 	ours, theirs := net.Pipe() // nobody reads
-	defer theirs.Close()
+	defer func() { _ = theirs.Close() }()
 	c := &deadlineRecorder{Conn: ours}
 	client, conn := newUnservedConnection(t, c)
 	a, other := newAttempt(5), newAttempt(6)
@@ -76,7 +77,7 @@
 // The worker reads nothing, and the operating system's buffers are full.
 func TestStop_BlockedWrite_EndsAtOnce(t *testing.T) {
 	ours, theirs := net.Pipe() // nobody reads, nothing is buffered
-	defer theirs.Close()
+	defer func() { _ = theirs.Close() }()
 	client, conn := newUnservedConnection(t, ours)
 	send(t, client, newAttempt(5))
 	served := make(chan error, 1)
--- a/internal/platform/workerclient/helpers_test.go
+++ b/internal/platform/workerclient/helpers_test.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	dialled, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { dialled.Close(); accepted.Close() })
+	t.Cleanup(func() { _ = dialled.Close(); _ = accepted.Close() })
 	return dialled.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
--- a/internal/platform/workerclient/peer_close_test.go
+++ b/internal/platform/workerclient/peer_close_test.go
@@ -15,7 +15,7 @@
 	if _, err := theirs.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
-	theirs.Close()
+	_ = theirs.Close()
 	if err := peerClosed(ours); err != nil {
 		t.Errorf("one with unread data: %v", err)
 	}
@@ -25,7 +25,7 @@
 	if err := peerClosed(ours); !errors.Is(err, io.EOF) {
 		t.Errorf("one that was read to its end: %v", err)
 	}
-	ours.Close()
+	_ = ours.Close()
 	if err := peerClosed(ours); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("our own close: %v", err)
 	}
--- a/internal/workerconn/serve.go
+++ b/internal/workerconn/serve.go
@@ -12,17 +12,17 @@
 // the end. In addition the channel given to write is closed once read has returned. Serve returns the error of
 // write, or that of read if write has none.
 func Serve(ctx context.Context, conn net.Conn, write func(readDone <-chan struct{}) error, read func() error) error {
-	stopClosing := context.AfterFunc(ctx, func() { conn.Close() })
+	stopClosing := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stopClosing()
 	writeResult := make(chan error, 1)
 	readDone := make(chan struct{})
 	go func() {
 		err := write(readDone)
-		conn.Close() // ends the read below
+		_ = conn.Close() // ends the read below
 		writeResult <- err
 	}()
 	readErr := read()
-	conn.Close()
+	_ = conn.Close()
 	close(readDone)
 	if writeErr := <-writeResult; writeErr != nil {
 		return writeErr
--- /dev/null
+++ b/internal/workerconn/serve_test.go
@@ -0,0 +1,73 @@
+package workerconn
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"testing"
+
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// readAll reads until the connection ends.
+func readAll(conn net.Conn) func() error {
+	return func() error {
+		_, err := io.Copy(io.Discard, conn)
+		return err
+	}
+}
+
+func TestServe_WriteFails_ClosesConnectionAndReturnsItsError(t *testing.T) {
+	ours, theirs := net.Pipe()
+	defer func() { _ = theirs.Close() }()
+	writeErr := errors.New("write failed")
+	err := Serve(context.Background(), ours, func(<-chan struct{}) error { return writeErr }, readAll(ours))
+	if !errors.Is(err, writeErr) {
+		t.Errorf("error %v", err)
+	}
+	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the connection is open: %v", err)
+	}
+}
+
+func TestServe_ReadFails_EndsWriteAndReturnsItsError(t *testing.T) {
+	ours, theirs := net.Pipe()
+	defer func() { _ = theirs.Close() }()
+	readErr := errors.New("read failed")
+	write := func(readDone <-chan struct{}) error {
+		<-readDone
+		return nil
+	}
+	if err := Serve(context.Background(), ours, write, func() error { return readErr }); !errors.Is(err, readErr) {
+		t.Errorf("error %v", err)
+	}
+}
+
+func TestServe_ContextDone_EndsBlockedWriteAndRead(t *testing.T) {
+	ours, theirs := net.Pipe() // nobody reads
+	defer func() { _ = theirs.Close() }()
+	ctx, cancel := context.WithCancel(context.Background())
+	write := func(<-chan struct{}) error {
+		cancel()
+		_, err := ours.Write([]byte("x"))
+		return err
+	}
+	if err := Serve(ctx, ours, write, readAll(ours)); !errors.Is(err, io.ErrClosedPipe) {
+		t.Errorf("error %v", err)
+	}
+}
+
+func TestSignal_NotifiedTwice_WakesUpOnce(t *testing.T) {
+	signal := NewSignal()
+	signal.Notify()
+	signal.Notify()
+	<-signal
+	select {
+	case <-signal:
+		t.Error("a second wake-up")
+	default:
+	}
+}
