--- a/internal/native/muxclient/client.go
+++ b/internal/native/muxclient/client.go
@@ -72,18 +72,18 @@
 
 // Send queues an attempt and returns nil; Events reports how it ends. If the attempt cannot be queued, Send returns its
 // result at once.
-func (c *Client) Send(a *workerconn.Attempt) *workerconn.Result {
+func (c *Client) Send(attempt *workerconn.Attempt) *workerconn.Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.draining:
-		a.Reject()
+		attempt.Reject()
 		return &workerconn.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
 	case c.isFull():
-		a.Reject()
+		attempt.Reject()
 		return &workerconn.Result{Status: scheduler.ConnectFailed, Reason: "the link's queue is full or closed", QueueDepth: -1}
 	}
-	c.queue.PushAttempt(c.nextNumber(), a)
+	c.queue.PushAttempt(c.nextNumber(), attempt)
 	c.wakeUp()
 	return nil
 }
@@ -93,52 +93,52 @@
 
 // CancelUnsent removes an attempt that is still queued; its end is then not reported. It returns false if the attempt is
 // not queued.
-func (c *Client) CancelUnsent(a *workerconn.Attempt) bool {
+func (c *Client) CancelUnsent(attempt *workerconn.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.queue.CancelUnsent(a)
+	return c.queue.CancelUnsent(attempt)
 }
 
 // Abandon gives an attempt up: its end is not reported after this, unless it already was. It returns whether the worker
 // may have seen the attempt; if the attempt was unfinished, the worker is then told to cancel it.
-func (c *Client) Abandon(a *workerconn.Attempt) (mayHaveBeenSent bool) {
+func (c *Client) Abandon(attempt *workerconn.Attempt) (mayHaveBeenSent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wasInFlight, mayHaveBeenSent := c.queue.Abandon(a)
+	wasInFlight, mayHaveBeenSent := c.queue.Abandon(attempt)
 	if !wasInFlight {
 		return mayHaveBeenSent
 	}
-	if response := c.started[a]; response != nil {
-		delete(c.started, a)
+	if response := c.started[attempt]; response != nil {
+		delete(c.started, attempt)
 		response.Response.Stream.End(fmt.Errorf("%w: abandoned by the front end", workerconn.ErrIncomplete))
 	}
-	c.push(controlFrame{kind: muxframe.TypeCancel, streamID: uint32(a.Number())})
+	c.push(controlFrame{kind: muxframe.TypeCancel, streamID: uint32(attempt.Number())})
 	return mayHaveBeenSent
 }
 
 // Load queues a load order and returns 0; Events reports the response. If the order cannot be queued, Load returns its
 // status at once.
-func (c *Client) Load(o *workerconn.LoadOrder) scheduler.Status {
+func (c *Client) Load(order *workerconn.LoadOrder) scheduler.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.draining && o.Load.Replicas > 0:
-		o.Reject()
+	case c.draining && order.Load.Replicas > 0:
+		order.Reject()
 		return scheduler.Overloaded
 	case c.isFull():
-		o.Reject()
+		order.Reject()
 		return scheduler.ConnectFailed
 	}
-	c.queue.PushLoad(c.nextNumber(), o)
+	c.queue.PushLoad(c.nextNumber(), order)
 	c.wakeUp()
 	return 0
 }
 
 // AbandonLoad gives a load order up: its response is not reported after this.
-func (c *Client) AbandonLoad(o *workerconn.LoadOrder) {
+func (c *Client) AbandonLoad(order *workerconn.LoadOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.queue.AbandonLoad(o)
+	c.queue.AbandonLoad(order)
 }
 
 // Unload asks the worker to unload the idle replicas of a function. Whether it does is not reported.
--- a/internal/native/muxclient/client_test.go
+++ b/internal/native/muxclient/client_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestAbandon_QueuedOrSent_TellsWhetherItMayHaveBeenSent(t *testing.T) {
+func TestAbandon_QueuedOrSent_ReportsWhetherItMayHaveBeenSent(t *testing.T) {
 	worker := startFakeWorker(t)
 	client, recorder := newTestClient(t, worker, nil)
 	a := newAttempt("a")
@@ -157,7 +157,7 @@
 
 // The owner hears of the end of an attempt late, behind other events, and may abandon the attempt in between. A request that
 // was executed must not be taken for one that was never sent.
-func TestAbandon_EndedAttempt_TellsWhetherItMayHaveBeenSent(t *testing.T) {
+func TestAbandon_EndedAttempt_ReportsWhetherItMayHaveBeenSent(t *testing.T) {
 	worker := startFakeWorker(t)
 	client, recorder := newTestClient(t, worker, nil)
 	worker.acceptAndWelcome(1)
--- a/internal/native/muxclient/connection.go
+++ b/internal/native/muxclient/connection.go
@@ -32,7 +32,7 @@
 			c.refuseNewWork()
 		}
 		c.endUnfinished(err)
-		if ctx.Err() != nil || !c.awaitRedial(ctx, backoff) {
+		if ctx.Err() != nil || !c.awaitReconnect(ctx, backoff) {
 			c.refuseNewWork()
 			c.endUnfinished(errStopped) // what was queued meanwhile
 			return
@@ -47,9 +47,9 @@
 	c.closed = true
 }
 
-// awaitRedial waits until the next connection is due, which is sooner if something waits for it. It returns false once
+// awaitReconnect waits until the next connection is due, which is sooner if something waits for it. It returns false once
 // ctx is done.
-func (c *Client) awaitRedial(ctx context.Context, backoff *reconnect.Backoff) bool {
+func (c *Client) awaitReconnect(ctx context.Context, backoff *reconnect.Backoff) bool {
 	for {
 		wait := backoff.NextDial() - c.cfg.Now()
 		if wait <= 0 {
--- a/internal/native/muxclient/connection_test.go
+++ b/internal/native/muxclient/connection_test.go
@@ -11,19 +11,8 @@
 	"havencart/scheduler"
 )
 
-// TestAttempt_ConnectionFails_HasStatusOfTable verifies the table in the package comment.
-func TestAttempt_ConnectionFails_HasStatusOfTable(t *testing.T) {
-	t.Run("reset after the frame was sent", func(t *testing.T) {
-		worker := startFakeWorker(t)
-		client, recorder := newTestClient(t, worker, nil)
-		worker.acceptAndWelcome(1)
-		client.Send(newAttempt("a"))
-		worker.readRequest()
-		worker.reset()
-		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.Reset {
-			t.Errorf("%+v", r)
-		}
-	})
+// This and TestAttempt_ConnectionBreaksAfterWrite_EndsAsReset verify the table in the package comment.
+func TestAttempt_NoConnection_EndsAsConnectFailed(t *testing.T) {
 	t.Run("connection refused", func(t *testing.T) {
 		worker := startFakeWorker(t)
 		_ = worker.listener.Close()
@@ -52,6 +41,20 @@
 			t.Errorf("%+v", r)
 		}
 	})
+}
+
+func TestAttempt_ConnectionBreaksAfterWrite_EndsAsReset(t *testing.T) {
+	t.Run("reset after the frame was sent", func(t *testing.T) {
+		worker := startFakeWorker(t)
+		client, recorder := newTestClient(t, worker, nil)
+		worker.acceptAndWelcome(1)
+		client.Send(newAttempt("a"))
+		worker.readRequest()
+		worker.reset()
+		if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.Reset {
+			t.Errorf("%+v", r)
+		}
+	})
 	t.Run("response frame cut short", func(t *testing.T) {
 		worker := startFakeWorker(t)
 		client, recorder := newTestClient(t, worker, nil)
--- a/internal/native/muxclient/response.go
+++ b/internal/native/muxclient/response.go
@@ -29,7 +29,8 @@
 // resultOf returns the result that a response reports, without the body.
 func resultOf(response muxframe.Response) (workerconn.Result, error) {
 	status, known := statuses[response.Status]
-	if !known || response.More && status != scheduler.OK {
+	isFailureWithParts := response.More && status != scheduler.OK
+	if !known || isFailureWithParts {
 		return workerconn.Result{}, fmt.Errorf("%w: answer with status %d, more %t", muxframe.ErrMalformed, response.Status, response.More)
 	}
 	result := workerconn.Result{
--- a/internal/native/muxframe/frame_test.go
+++ b/internal/native/muxframe/frame_test.go
@@ -36,22 +36,22 @@
 	r := NewReader(bytes.NewReader(raw), 0)
 
 	var request Request
-	f, err := r.Next()
-	if err != nil || f.Type != TypeRequest || f.StreamID != 7 || string(f.Body) != "body" {
-		t.Fatalf("frame %+v, error %v", f, err)
+	frame, err := r.Next()
+	if err != nil || frame.Type != TypeRequest || frame.StreamID != 7 || string(frame.Body) != "body" {
+		t.Fatalf("frame %+v, error %v", frame, err)
 	}
-	if err := f.Decode(&request); err != nil || request != testRequest() {
+	if err := frame.Decode(&request); err != nil || request != testRequest() {
 		t.Errorf("request %+v, error %v", request, err)
 	}
 	var got Response
-	if f, err = r.Next(); err != nil {
+	if frame, err = r.Next(); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Decode(&got); err != nil || !reflect.DeepEqual(got, response) {
+	if err := frame.Decode(&got); err != nil || !reflect.DeepEqual(got, response) {
 		t.Errorf("response %+v, error %v", got, err)
 	}
-	if f, err = r.Next(); err != nil || f.Type != TypePing {
-		t.Errorf("frame %+v, error %v", f, err)
+	if frame, err = r.Next(); err != nil || frame.Type != TypePing {
+		t.Errorf("frame %+v, error %v", frame, err)
 	}
 	if _, err = r.Next(); err != io.EOF {
 		t.Errorf("error %v at the end", err)
--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -94,10 +94,10 @@
 
 // Send queues an attempt and returns nil; Events reports how it ends. If the attempt cannot be queued, Send returns its
 // result at once.
-func (c *Client) Send(a *workerconn.Attempt) *workerconn.Result {
+func (c *Client) Send(attempt *workerconn.Attempt) *workerconn.Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	number, err := parseNumber(a.Request.ID)
+	number, err := parseNumber(attempt.Request.ID)
 	if err != nil {
 		return notSent(err.Error())
 	}
@@ -108,8 +108,8 @@
 	if conn == nil {
 		return notSent("no connection has room")
 	}
-	c.attempts[a] = conn
-	conn.queue.PushAttempt(number, a)
+	c.attempts[attempt] = conn
+	conn.queue.PushAttempt(number, attempt)
 	conn.wakeUp()
 	return nil
 }
@@ -174,36 +174,36 @@
 
 // CancelUnsent removes an attempt that is still queued; its end is then not reported. It returns false if the attempt is
 // not queued.
-func (c *Client) CancelUnsent(a *workerconn.Attempt) bool {
+func (c *Client) CancelUnsent(attempt *workerconn.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn := c.attempts[a]
-	if conn == nil || !conn.queue.CancelUnsent(a) {
+	conn := c.attempts[attempt]
+	if conn == nil || !conn.queue.CancelUnsent(attempt) {
 		return false
 	}
-	delete(c.attempts, a)
+	delete(c.attempts, attempt)
 	conn.wakeUp()
 	return true
 }
 
 // Abandon gives an attempt up: its end is not reported after this, unless it already was. It returns whether the worker
 // may have seen the attempt; if the attempt was unfinished, the worker is then told to cancel it.
-func (c *Client) Abandon(a *workerconn.Attempt) (mayHaveBeenSent bool) {
+func (c *Client) Abandon(attempt *workerconn.Attempt) (mayHaveBeenSent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn := c.attempts[a]
+	conn := c.attempts[attempt]
 	if conn == nil {
-		return a.MayHaveBeenSent() // its end was reported
+		return attempt.MayHaveBeenSent() // its end was reported
 	}
-	delete(c.attempts, a)
-	if conn.queue.IsSending(a) {
+	delete(c.attempts, attempt)
+	if conn.queue.IsSending(attempt) {
 		conn.setWriteTimeout(connpool.CancelledWriteTimeout())
 	}
-	wasInFlight, mayHaveBeenSent := conn.queue.Abandon(a)
+	wasInFlight, mayHaveBeenSent := conn.queue.Abandon(attempt)
 	if wasInFlight {
 		conn.requestCancelled = true
 		conn.drainAfterCancel()
-		conn.queue.Push(workerframe.Frame{Code: workerframe.Cancel, ID: a.Number()})
+		conn.queue.Push(workerframe.Frame{Code: workerframe.Cancel, ID: attempt.Number()})
 	}
 	conn.wakeUp()
 	return mayHaveBeenSent
@@ -211,10 +211,10 @@
 
 // Load queues a load order and returns 0; Events reports the response. If the order cannot be queued, Load returns its
 // status at once.
-func (c *Client) Load(o *workerconn.LoadOrder) scheduler.Status {
+func (c *Client) Load(order *workerconn.LoadOrder) scheduler.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.draining && o.Load.Replicas > 0 {
+	if c.draining && order.Load.Replicas > 0 {
 		return scheduler.Overloaded
 	}
 	number := c.rng.Uint64()
@@ -222,22 +222,22 @@
 	if conn == nil {
 		return scheduler.NotSent
 	}
-	c.loads[o] = conn
-	conn.queue.PushLoad(number, o)
+	c.loads[order] = conn
+	conn.queue.PushLoad(number, order)
 	conn.wakeUp()
 	return 0
 }
 
 // AbandonLoad gives a load order up: its response is not reported after this.
-func (c *Client) AbandonLoad(o *workerconn.LoadOrder) {
+func (c *Client) AbandonLoad(order *workerconn.LoadOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn := c.loads[o]
+	conn := c.loads[order]
 	if conn == nil {
 		return
 	}
-	delete(c.loads, o)
-	conn.queue.AbandonLoad(o)
+	delete(c.loads, order)
+	conn.queue.AbandonLoad(order)
 	conn.drainAfterCancel()
 	conn.wakeUp()
 }
--- a/internal/platform/workerclient/connection.go
+++ b/internal/platform/workerclient/connection.go
@@ -21,6 +21,8 @@
 	client *Client
 	wake   workerconn.Signal // there is something to write, or the need for the connection may have ended
 
+	silentConnections int // made in a row on which nothing was received; used by run's goroutine only
+
 	// Guarded by client.mu.
 	queue            workerconn.SendQueue[workerframe.Frame]
 	healthChecks     map[uint64]bool // numbers of those without a response; bounded by how often the scheduler checks
@@ -83,7 +85,6 @@
 func (c *connection) run() {
 	var lost []queueItem // sent on the connection before, and not reported yet
 	var breakReason error
-	silentConnections := 0 // in a row, on which nothing was received
 	for {
 		netConn, err := c.dial()
 		c.notifyLost(lost, err == nil, breakReason)
@@ -92,44 +93,44 @@
 			return
 		}
 		breakReason = c.serve(netConn)
-		var next redial
-		lost, next = c.afterBreak(breakReason, &silentConnections)
-		if next.workerAlive || !next.wanted {
-			c.notifyLost(lost, next.workerAlive, breakReason)
+		var outcome breakOutcome
+		lost, outcome = c.afterBreak(breakReason)
+		if outcome.workerAlive || !outcome.reconnect {
+			c.notifyLost(lost, outcome.workerAlive, breakReason)
 			lost = nil
 		}
-		if !next.wanted {
+		if !outcome.reconnect {
 			c.close(breakReason)
 			return
 		}
 	}
 }
 
-// redial tells what follows after a connection ended.
-type redial struct {
-	wanted      bool // another connection is to be made
+// breakOutcome is what follows after a connection ended.
+type breakOutcome struct {
+	reconnect   bool // make another connection
 	workerAlive bool // the worker's process is known to run, without another connection
 }
 
 // afterBreak removes what was in flight on a connection that ended, and decides what follows.
-func (c *connection) afterBreak(reason error, silentConnections *int) (lost []queueItem, next redial) {
+func (c *connection) afterBreak(reason error) (lost []queueItem, outcome breakOutcome) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
 	lost = c.queue.RemoveInFlight()
 	c.client.removeFinished(lost)
 	if c.received {
-		*silentConnections = 0
+		c.silentConnections = 0
 	} else {
-		*silentConnections++
+		c.silentConnections++
 	}
 	c.netConn = nil
 	c.received = false
-	next.workerAlive = errors.Is(reason, workerframe.ErrMalformed) || errors.Is(reason, errUnneeded)
-	needed := c.queue.Unfinished() > 0 || len(lost) > 0 && !next.workerAlive
-	mayRetry := c.client.ctx.Err() == nil && connpool.RetryAfterReset(*silentConnections)
-	next.wanted = needed && mayRetry
-	c.draining = c.draining || !next.wanted
-	return lost, next
+	outcome.workerAlive = errors.Is(reason, workerframe.ErrMalformed) || errors.Is(reason, errUnneeded)
+	needed := c.queue.Unfinished() > 0 || len(lost) > 0 && !outcome.workerAlive
+	mayRetry := c.client.ctx.Err() == nil && connpool.RetryAfterReset(c.silentConnections)
+	outcome.reconnect = needed && mayRetry
+	c.draining = c.draining || !outcome.reconnect
+	return lost, outcome
 }
 
 // notifyLost reports the end of what was sent on a connection that broke.
--- a/internal/platform/workerclient/connection_read.go
+++ b/internal/platform/workerclient/connection_read.go
@@ -29,7 +29,7 @@
 func (c *connection) read(netConn net.Conn) error {
 	source := bufio.NewReaderSize(netConn, readBufferSize)
 	reader := workerframe.NewReader(source, workerframe.FromWorker, c.client.cfg.MaxResponse)
-	reader.Begun = func() {
+	reader.OnFrameStart = func() {
 		_ = netConn.SetReadDeadline(time.Now().Add(connpool.FrameTimeout())) // fails on a closed connection only
 	}
 	for {
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -11,8 +11,8 @@
 	"havencart/scheduler"
 )
 
-// TestAttempt_EndAfterWholeWrite_TellsWhetherItMayHaveExecuted covers the ends of an attempt that was written whole.
-func TestAttempt_EndAfterWholeWrite_TellsWhetherItMayHaveExecuted(t *testing.T) {
+// TestAttempt_EndAfterWholeWrite_ReportsWhetherItMayHaveExecuted covers the ends of an attempt that was written whole.
+func TestAttempt_EndAfterWholeWrite_ReportsWhetherItMayHaveExecuted(t *testing.T) {
 	respond := func(code workerframe.Code) platformworker.Script {
 		return func(c *platformworker.Conn, f workerframe.Frame) { c.Answer(workerframe.Frame{Code: code, ID: f.ID}) }
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestConnection_WorkerProcessGone_EndsAttemptAsReset(t *testing.T) {
+func TestConnection_WorkerProcessExited_EndsAttemptAsReset(t *testing.T) {
 	var server *platformworker.Server
 	came := make(chan bool, 1)
 	client, recorder, server := startWorkerAndClient(t, func(*platformworker.Conn, workerframe.Frame) { came <- true })
--- a/internal/platform/workerclient/connection_write.go
+++ b/internal/platform/workerclient/connection_write.go
@@ -85,17 +85,21 @@
 // system's buffer: it would never be executed, and nobody could tell. It costs one system call for each use of an idle
 // connection.
 func (c *connection) checkPeerBeforeWrite(netConn net.Conn) error {
-	c.client.mu.Lock()
-	queued := c.queue.Queued()
-	nothingInFlight := c.queue.Unfinished() == queued
-	used := c.received
-	c.client.mu.Unlock()
-	if queued == 0 || !nothingInFlight || !used {
+	if !c.isLeavingIdle() {
 		return nil
 	}
 	return peerClosed(netConn)
 }
 
+// isLeavingIdle tells whether something is queued on a connection that was used and has nothing in flight.
+func (c *connection) isLeavingIdle() bool {
+	c.client.mu.Lock()
+	defer c.client.mu.Unlock()
+	hasQueued := c.queue.Queued() > 0
+	hasInFlight := c.queue.Unfinished() != c.queue.Queued()
+	return c.received && hasQueued && !hasInFlight
+}
+
 // nextBatch encodes the next batch. If that is empty, it returns whether the connection is not needed any longer, or else
 // for how long it may stay idle. The write timeout is set under the lock, so that a later call of Drain can shorten
 // it.
--- a/internal/platform/workerclient/connection_write_test.go
+++ b/internal/platform/workerclient/connection_write_test.go
@@ -49,21 +49,21 @@
 func TestAbandon_AttemptBeingWritten_ShortensWriteTimeout(t *testing.T) {
 	ours, theirs := net.Pipe() // nobody reads
 	defer func() { _ = theirs.Close() }()
-	c := &deadlineRecorder{Conn: ours}
-	client, conn := newUnservedConnection(t, c)
+	recorder := &deadlineRecorder{Conn: ours}
+	client, conn := newUnservedConnection(t, recorder)
 	a, other := newAttempt(5), newAttempt(6)
 	send(t, client, a)
 	send(t, client, other)
 	var batch writeBatch
-	conn.nextBatch(c, &batch)
+	conn.nextBatch(recorder, &batch)
 	began := time.Now()
 	if !client.Abandon(a) {
 		t.Error("an attempt that is being sent is reported as never sent")
 	}
-	if n := len(c.deadlines); n != 2 || c.deadlines[1].Sub(began) > 100*time.Millisecond || !c.deadlines[1].Before(c.deadlines[0]) {
-		t.Errorf("deadlines of the write: %v from %v on", c.deadlines, began)
+	if n := len(recorder.deadlines); n != 2 || recorder.deadlines[1].Sub(began) > 100*time.Millisecond || !recorder.deadlines[1].Before(recorder.deadlines[0]) {
+		t.Errorf("deadlines of the write: %v from %v on", recorder.deadlines, began)
 	}
-	n, err := c.Write(batch.Bytes)
+	n, err := recorder.Write(batch.Bytes)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("written: %v", err)
 	}
--- a/internal/platform/workerframe/frame.go
+++ b/internal/platform/workerframe/frame.go
@@ -79,17 +79,17 @@
 
 // Append appends a frame with the mark of the side that writes it. It fails, and returns buffer as it was, if the fields
 // or the body are too long.
-func Append(buffer []byte, mark byte, f Frame) ([]byte, error) {
-	if len(f.Fields) > maxFields || len(f.Body) > MaxBody {
-		return buffer, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, len(f.Fields), len(f.Body))
+func Append(buffer []byte, mark byte, frame Frame) ([]byte, error) {
+	if len(frame.Fields) > maxFields || len(frame.Body) > MaxBody {
+		return buffer, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, len(frame.Fields), len(frame.Body))
 	}
-	buffer = append(buffer, mark, byte(f.Code))
-	buffer = binary.BigEndian.AppendUint16(buffer, uint16(len(f.Fields)))
-	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(f.Body)))
-	buffer = binary.BigEndian.AppendUint64(buffer, f.ID)
+	buffer = append(buffer, mark, byte(frame.Code))
+	buffer = binary.BigEndian.AppendUint16(buffer, uint16(len(frame.Fields)))
+	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(frame.Body)))
+	buffer = binary.BigEndian.AppendUint64(buffer, frame.ID)
 	contentStart := len(buffer)
-	buffer = append(buffer, f.Fields...)
-	buffer = append(buffer, f.Body...)
+	buffer = append(buffer, frame.Fields...)
+	buffer = append(buffer, frame.Body...)
 	checksum := crc32.ChecksumIEEE(buffer[contentStart:])
 	return binary.BigEndian.AppendUint32(buffer, checksum), nil
 }
@@ -99,8 +99,8 @@
 	source  io.Reader
 	mark    byte
 	maxBody int // bytes
-	// Begun, if set, is called once the head of a frame was read and before the rest is.
-	Begun func()
+	// OnFrameStart, if set, is called once the head of a frame was read and before the rest is.
+	OnFrameStart func()
 }
 
 // NewReader returns a Reader of the frames with a mark, whose bodies have at most maxBody bytes, and never more than
@@ -116,27 +116,27 @@
 	if _, err := io.ReadFull(r.source, head[:]); err != nil {
 		return Frame{}, err
 	}
-	f := Frame{Code: Code(head[1]), ID: binary.BigEndian.Uint64(head[8:])}
+	frame := Frame{Code: Code(head[1]), ID: binary.BigEndian.Uint64(head[8:])}
 	fieldsLength := int(binary.BigEndian.Uint16(head[2:]))
 	bodyLength := binary.BigEndian.Uint32(head[4:])
 	switch {
 	case head[0] != r.mark:
-		return f, fmt.Errorf("%w: mark %d", ErrMalformed, head[0])
-	case !r.isKnown(f.Code):
-		return f, fmt.Errorf("%w: code %d", ErrMalformed, f.Code)
+		return frame, fmt.Errorf("%w: mark %d", ErrMalformed, head[0])
+	case !r.isKnown(frame.Code):
+		return frame, fmt.Errorf("%w: code %d", ErrMalformed, frame.Code)
 	case fieldsLength > maxFields || uint64(bodyLength) > uint64(r.maxBody):
-		return f, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, fieldsLength, bodyLength)
+		return frame, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, fieldsLength, bodyLength)
 	}
-	if r.Begun != nil {
-		r.Begun()
+	if r.OnFrameStart != nil {
+		r.OnFrameStart()
 	}
-	content, err := r.readContent(f.Code, fieldsLength+int(bodyLength))
+	content, err := r.readContent(frame.Code, fieldsLength+int(bodyLength))
 	if err != nil {
-		return f, err
+		return frame, err
 	}
-	f.Fields = string(content[:fieldsLength])
-	f.Body = content[fieldsLength:]
-	return f, nil
+	frame.Fields = string(content[:fieldsLength])
+	frame.Body = content[fieldsLength:]
+	return frame, nil
 }
 
 // readContent reads the fields and the body of a frame, of so many bytes together, and verifies their checksum.
--- a/internal/workerconn/send_queue_test.go
+++ b/internal/workerconn/send_queue_test.go
@@ -24,7 +24,7 @@
 	return &LoadOrder{Load: muxframe.LoadOrder{Replicas: replicas}}
 }
 
-func TestAbandon_InEachState_TellsWhetherItMayHaveBeenSent(t *testing.T) {
+func TestAbandon_InEachState_ReportsWhetherItMayHaveBeenSent(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare         func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], attempt *Attempt)
 		wasInFlight     bool
