--- a/internal/workerconn/attempt.go
+++ b/internal/workerconn/attempt.go
@@ -34,8 +34,8 @@
 	delivery delivery
 }
 
-// Reject records that a client refused the order.
-func (o *LoadOrder) Reject() { o.delivery.end() }
+// Reject records that a client refused the order: it was never sent.
+func (o *LoadOrder) Reject() { o.delivery.cancel() }
 
 // isNewWork tells whether the order makes the worker load something, unlike a residency query.
 func (o *LoadOrder) isNewWork() bool { return o.Load.Replicas > 0 }
--- a/internal/workerconn/delivery.go
+++ b/internal/workerconn/delivery.go
@@ -3,10 +3,11 @@
 // deliveryState is how far an attempt or a load order has got on its way to the worker.
 //
 //	notQueued -> queued -> sending -> sent -> ended
-//	                |         |
-//	                +---------+-> unsent
+//	    |           |         |
+//	    +-----------+---------+-> unsent
 //
-// An order or attempt that is abandoned while it is sending or sent is ended at once.
+// An attempt or order is also ended from sending, if it is abandoned or its response arrives before the write returns.
+// A load order that is abandoned while it is queued is ended too.
 type deliveryState uint8
 
 const (
