--- /dev/null
+++ b/internal/platform/workerclient/connection.go
@@ -0,0 +1,185 @@
+package workerclient
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"havencart/internal/decide/connpool"
+	"havencart/internal/platform/workerframe"
+	"havencart/internal/workerconn"
+	"havencart/scheduler"
+)
+
+// queueItem is an item of a connection's send queue.
+type queueItem = workerconn.QueueItem[workerframe.Frame]
+
+// connection is one connection of a client, from before it is dialled until the client removes it. If it breaks while
+// something waits for it, it is dialled again. The client's lock guards the fields that say so.
+type connection struct {
+	client *Client
+	wake   workerconn.Signal // there is something to write, or the need for the connection may have ended
+
+	silentConnections int // made in a row on which nothing was received; used by run's goroutine only
+
+	// Guarded by client.mu.
+	queue            workerconn.SendQueue[workerframe.Frame]
+	healthChecks     map[uint64]bool // numbers of those without a response; bounded by how often the scheduler checks
+	netConn          net.Conn        // nil while there is none
+	draining         bool            // accepts nothing new; closed once nothing is unfinished on it
+	requestCancelled bool            // a request that was sent on it was cancelled
+	received         bool            // a frame was received on netConn
+	lastUsed         time.Duration
+	recent           recentNumbers
+}
+
+// newConnection returns a connection that is not dialled yet. The client's lock is held.
+func newConnection(client *Client) *connection {
+	return &connection{
+		client:       client,
+		wake:         workerconn.NewSignal(),
+		queue:        workerconn.NewSendQueue[workerframe.Frame](),
+		healthChecks: map[uint64]bool{},
+		lastUsed:     client.cfg.Now(),
+	}
+}
+
+// accepts tells whether something new with a number may be sent on the connection. The client's lock is held.
+func (c *connection) accepts(number uint64) bool {
+	return !c.draining && !c.queue.HasNumber(number) && !c.recent.has(number)
+}
+
+// wakeUp notes that the connection is used, and has its writer look at the queue. The client's lock is held.
+func (c *connection) wakeUp() {
+	c.lastUsed = c.client.cfg.Now()
+	c.wake.Notify()
+}
+
+// setWriteTimeout limits the write under way, or the next one. The client's lock is held.
+func (c *connection) setWriteTimeout(timeout time.Duration) {
+	if c.netConn != nil {
+		setWriteTimeout(c.netConn, timeout)
+	}
+}
+
+// setWriteTimeout limits the writes to a connection from now on.
+func setWriteTimeout(netConn net.Conn, timeout time.Duration) {
+	_ = netConn.SetWriteDeadline(time.Now().Add(timeout)) // fails on a closed connection only, whose writes fail too
+}
+
+// drainAfterCancel has the connection accept nothing new after something was given up on it, if the policy is so. The
+// client's lock is held.
+func (c *connection) drainAfterCancel() {
+	c.draining = c.draining || connpool.DrainOnCancel()
+}
+
+// errUnneeded is why a connection ended that nothing needed any longer.
+var errUnneeded = errors.New("idle or retired")
+
+// run makes the connection, serves it, and makes it again while something waits for it. It is the connection's
+// goroutine and ends when the connection is not needed, cannot be made, or the client is stopped.
+//
+// The end of what was sent on a connection that broke is reported once it is known whether the next one can be made:
+// that tells a lost connection from a lost worker.
+func (c *connection) run() {
+	var lost []queueItem // sent on the connection before, and not reported yet
+	var breakReason error
+	for {
+		netConn, err := c.dial()
+		c.notifyLost(lost, err == nil, breakReason)
+		if err != nil {
+			c.close(err)
+			return
+		}
+		breakReason = c.serve(netConn)
+		var outcome breakOutcome
+		lost, outcome = c.afterBreak(breakReason)
+		if outcome.workerAlive || !outcome.reconnect {
+			c.notifyLost(lost, outcome.workerAlive, breakReason)
+			lost = nil
+		}
+		if !outcome.reconnect {
+			c.close(breakReason)
+			return
+		}
+	}
+}
+
+// breakOutcome is what follows after a connection ended.
+type breakOutcome struct {
+	reconnect   bool // make another connection
+	workerAlive bool // the worker's process is known to run, without another connection
+}
+
+// afterBreak removes what was in flight on a connection that ended, and decides what follows.
+func (c *connection) afterBreak(reason error) (lost []queueItem, outcome breakOutcome) {
+	c.client.mu.Lock()
+	defer c.client.mu.Unlock()
+	lost = c.queue.RemoveInFlight()
+	c.client.removeFinished(lost)
+	if c.received {
+		c.silentConnections = 0
+	} else {
+		c.silentConnections++
+	}
+	c.netConn = nil
+	c.received = false
+	outcome.workerAlive = errors.Is(reason, workerframe.ErrMalformed) || errors.Is(reason, errUnneeded)
+	needed := c.queue.Unfinished() > 0 || len(lost) > 0 && !outcome.workerAlive
+	mayRetry := c.client.ctx.Err() == nil && connpool.RetryAfterReset(c.silentConnections)
+	outcome.reconnect = needed && mayRetry
+	c.draining = c.draining || !outcome.reconnect
+	return lost, outcome
+}
+
+// notifyLost reports the end of what was sent on a connection that broke.
+func (c *connection) notifyLost(lost []queueItem, workerAlive bool, reason error) {
+	if len(lost) == 0 {
+		return
+	}
+	status := scheduler.Reset
+	if workerAlive {
+		status = scheduler.Error
+	}
+	workerconn.NotifyEnded(c.client.events, lost, status, status, fmt.Sprint(reason))
+}
+
+// close removes the connection from its client, and reports what is still queued as never sent.
+func (c *connection) close(reason error) {
+	c.client.mu.Lock()
+	c.client.removeConnection(c)
+	unsent := c.queue.RemoveQueued()
+	c.client.removeFinished(unsent)
+	healthChecks := len(c.healthChecks)
+	clear(c.healthChecks)
+	c.client.mu.Unlock()
+	workerconn.NotifyEnded(c.client.events, unsent, scheduler.ConnectFailed, scheduler.ConnectFailed, fmt.Sprint(reason))
+	for range healthChecks {
+		c.client.events.HealthChecked(scheduler.ConnectFailed, nil)
+	}
+	if len(unsent) > 0 {
+		c.client.events.Disconnected(reason)
+	}
+}
+
+// dial connects to the worker. The caller closes the connection.
+func (c *connection) dial() (net.Conn, error) {
+	dialer := net.Dialer{Timeout: c.client.cfg.ConnectTimeout, KeepAlive: -1}
+	netConn, err := dialer.DialContext(c.client.ctx, "tcp", c.client.cfg.Address)
+	if err != nil {
+		return nil, fmt.Errorf("connect to %s: %w", c.client.cfg.Worker, err)
+	}
+	return netConn, nil
+}
+
+// serve writes and reads until the connection breaks, is not needed, or the client is stopped. It closes the connection
+// and returns why it ended.
+func (c *connection) serve(netConn net.Conn) error {
+	c.client.mu.Lock()
+	c.netConn = netConn
+	c.client.mu.Unlock()
+	write := func(readDone <-chan struct{}) error { return c.write(netConn, readDone) }
+	read := func() error { return c.read(netConn) }
+	return workerconn.Serve(c.client.ctx, netConn, write, read)
+}
--- /dev/null
+++ b/internal/platform/workerclient/connection_test.go
@@ -0,0 +1,128 @@
+package workerclient
+
+import (
+	"errors"
+	"io"
+	"syscall"
+	"testing"
+
+	"havencart/internal/platform/workerframe"
+	"havencart/lab/platformworker"
+	"havencart/scheduler"
+)
+
+// TestAttempt_EndAfterWholeWrite_ReportsWhetherItMayHaveExecuted covers the ends of an attempt that was written whole.
+func TestAttempt_EndAfterWholeWrite_ReportsWhetherItMayHaveExecuted(t *testing.T) {
+	respond := func(code workerframe.Code) platformworker.Script {
+		return func(c *platformworker.Conn, f workerframe.Frame) { c.Answer(workerframe.Frame{Code: code, ID: f.ID}) }
+	}
+	damaged := func(change func(raw []byte) []byte) platformworker.Script {
+		return func(c *platformworker.Conn, f workerframe.Frame) {
+			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("x")})
+			c.Raw(change(raw))
+		}
+	}
+	for name, test := range map[string]struct {
+		script platformworker.Script
+		want   scheduler.Status
+	}{
+		"not loaded":    {respond(workerframe.NotLoaded), scheduler.NotLoaded},
+		"overloaded":    {respond(workerframe.Overloaded), scheduler.Overloaded},
+		"error":         {respond(workerframe.Error), scheduler.Error},
+		"already ended": {respond(workerframe.AlreadyEnded), scheduler.NotSent},
+		"bad checksum":  {damaged(func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw }), scheduler.Error},
+		"noise":         {damaged(func([]byte) []byte { return []byte("this is no frame at all") }), scheduler.Error},
+		"3 GB":          {damaged(func(raw []byte) []byte { raw[4] = 0xb0; return raw }), scheduler.Error},
+		"reset":         {func(c *platformworker.Conn, _ workerframe.Frame) { c.Reset() }, scheduler.Error},
+		"closed":        {func(c *platformworker.Conn, _ workerframe.Frame) { _ = c.Close() }, scheduler.Error},
+		"broken off":    {func(c *platformworker.Conn, _ workerframe.Frame) { c.Raw([]byte{90, 64, 0}); _ = c.Close() }, scheduler.Error},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client, recorder, _ := startWorkerAndClient(t, test.script)
+			send(t, client, newAttempt(5))
+			if r := <-recorder.attemptEnds; r.Status != test.want {
+				t.Errorf("ended as %+v", r)
+			}
+		})
+	}
+}
+
+func TestConnection_WorkerProcessExited_EndsAttemptAsReset(t *testing.T) {
+	var server *platformworker.Server
+	came := make(chan bool, 1)
+	client, recorder, server := startWorkerAndClient(t, func(*platformworker.Conn, workerframe.Frame) { came <- true })
+	send(t, client, newAttempt(5))
+	<-came
+	server.Close()
+	if r := <-recorder.attemptEnds; r.Status != scheduler.Reset {
+		t.Errorf("an attempt at a process that ended is reported as %+v", r)
+	}
+	send(t, client, newAttempt(6))
+	if r := <-recorder.attemptEnds; r.Status != scheduler.ConnectFailed {
+		t.Errorf("an attempt for a process that is gone ended as %+v", r)
+	}
+}
+
+// Attempts have connections of their own while the budget lasts.
+func TestConnection_MalformedResponse_LeavesOtherAttemptsAlone(t *testing.T) {
+	others := make(chan func(), 8)
+	client, recorder, server := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
+		if f.ID == 5 {
+			c.Raw([]byte("noise that is no frame"))
+			return
+		}
+		others <- func() { c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID}) }
+	})
+	for n := range 3 {
+		send(t, client, newAttempt(10+n))
+	}
+	responses := []func(){<-others, <-others, <-others}
+	send(t, client, newAttempt(5))
+	if r := <-recorder.attemptEnds; r.Status != scheduler.Error {
+		t.Errorf("the attempt with the malformed response ended as %+v", r)
+	}
+	for _, respond := range responses {
+		respond()
+		if r := <-recorder.attemptEnds; r.Status != scheduler.OK {
+			t.Errorf("another attempt ended as %+v", r)
+		}
+	}
+	if server.Made() < 4 {
+		t.Errorf("%d connections for 4 attempts", server.Made())
+	}
+}
+
+// The close of a connection on which a request was cancelled sends no more of the request once an interrupted network path
+// works again. The worker sees a reset.
+func TestClose_RequestWasCancelled_ResetsConnection(t *testing.T) {
+	for _, cancelled := range []bool{true, false} {
+		ours, theirs := connectedPair(t)
+		client, conn := newUnservedConnection(t, ours)
+		a := newAttempt(5)
+		send(t, client, a)
+		served := make(chan error, 1)
+		client.tasks.Go(func() { served <- conn.serve(ours) })
+		r := workerframe.NewReader(theirs, workerframe.FromFrontEnd, workerframe.MaxBody)
+		if f, err := r.Next(); err != nil || f.ID != 5 {
+			t.Fatalf("read %+v, %v", f, err)
+		}
+		if cancelled {
+			client.Abandon(a)
+		} else {
+			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: 5})
+			if _, err := theirs.Write(raw); err != nil {
+				t.Fatal(err)
+			}
+			client.mu.Lock()
+			conn.draining = true
+			conn.wakeUp()
+			client.mu.Unlock()
+		}
+		if err := <-served; !errors.Is(err, errUnneeded) {
+			t.Errorf("served: %v", err)
+		}
+		if _, err := io.Copy(io.Discard, theirs); errors.Is(err, syscall.ECONNRESET) != cancelled {
+			t.Errorf("cancelled %v: the worker saw %v", cancelled, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/workerconn/attempt.go
@@ -0,0 +1,61 @@
+package workerconn
+
+import (
+	"time"
+
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+// Attempt is one attempt of a request at one worker. The caller sets the exported fields and leaves them unchanged from
+// the call of Send on; the rest belongs to the client that sends it.
+type Attempt struct {
+	Request  muxframe.Request
+	Body     []byte
+	Deadline time.Duration // nobody waits for the response after this; on the client's monotonic clock
+
+	delivery delivery
+}
+
+// Number is the number under which the attempt was queued. It identifies the attempt on its connection.
+func (a *Attempt) Number() uint64 { return a.delivery.number }
+
+// MayHaveBeenSent tells of an attempt that has ended whether the worker may have seen it.
+func (a *Attempt) MayHaveBeenSent() bool { return a.delivery.state == ended }
+
+// Reject records that a client refused the attempt: it was never sent.
+func (a *Attempt) Reject() { a.delivery.cancel() }
+
+// LoadOrder tells a worker to hold so many replicas of a function. An order of zero replicas is a residency query: it
+// only asks how many are loaded.
+type LoadOrder struct {
+	Load muxframe.LoadOrder
+
+	delivery delivery
+}
+
+// Reject records that a client refused the order: it was never sent.
+func (o *LoadOrder) Reject() { o.delivery.cancel() }
+
+// isNewWork tells whether the order makes the worker load something, unlike a residency query.
+func (o *LoadOrder) isNewWork() bool { return o.Load.Replicas > 0 }
+
+// Result tells how an attempt ended.
+type Result struct {
+	Status     scheduler.Status
+	Reason     string // for people; it may reach the client that sent the request
+	ColdStart  scheduler.ColdStart
+	QueueDepth int           // requests of the function that the worker held on arrival, -1 if not reported
+	LoadReport []float64     // values in the order of the worker's load report fields
+	RunTime    time.Duration // time that the execution took, without time spent queued; 0 if not reported
+	Response   *Response     // nil if the worker gave none
+	ReceivedAt time.Duration // when the response was read, on the client's monotonic clock; 0 if not recorded
+}
+
+// Response is what a worker responded to an attempt.
+type Response struct {
+	Type   string  // content type
+	Body   []byte  // the whole body if Stream is nil
+	Length int64   // of the whole body in bytes, -1 if not known
+	Stream *Stream // the body of a response that arrives in parts, else nil
+}
--- /dev/null
+++ b/internal/workerconn/send_queue.go
@@ -0,0 +1,206 @@
+package workerconn
+
+// SendQueue holds what waits to be written to one connection, and the attempts and load orders that were written to it
+// and have no response yet. It knows of each whether the worker may have seen it. Frame is the type of the protocol's
+// other frames, such as cancellations and health checks.
+//
+// A SendQueue does no locking: whoever owns it holds the owner's lock at each call. The owner also bounds what it
+// pushes.
+type SendQueue[Frame any] struct {
+	queue            []QueueItem[Frame]
+	inFlightAttempts map[uint64]*Attempt // sending or sent, by number
+	inFlightLoads    map[uint64]*LoadOrder
+	writingNewWork   bool // the write under way holds attempts or orders to load
+}
+
+// QueueItem is one frame that waits to be written: that of an attempt, that of a load order, or another one of the
+// protocol.
+type QueueItem[Frame any] struct {
+	Attempt *Attempt
+	Load    *LoadOrder
+	Frame   Frame // valid if Attempt and Load are nil
+}
+
+// delivery is that of the item's attempt or load order, nil for other frames.
+func (i QueueItem[Frame]) delivery() *delivery {
+	switch {
+	case i.Attempt != nil:
+		return &i.Attempt.delivery
+	case i.Load != nil:
+		return &i.Load.delivery
+	}
+	return nil
+}
+
+// Number is the number under which the item's attempt or load order was pushed, 0 for other frames.
+func (i QueueItem[Frame]) Number() uint64 {
+	if delivery := i.delivery(); delivery != nil {
+		return delivery.number
+	}
+	return 0
+}
+
+// isNewWork tells whether the item makes the worker execute or load something.
+func (i QueueItem[Frame]) isNewWork() bool {
+	return i.Attempt != nil || i.Load != nil && i.Load.isNewWork()
+}
+
+// NewSendQueue returns an empty SendQueue.
+func NewSendQueue[Frame any]() SendQueue[Frame] {
+	return SendQueue[Frame]{inFlightAttempts: map[uint64]*Attempt{}, inFlightLoads: map[uint64]*LoadOrder{}}
+}
+
+// Push queues a frame that belongs neither to an attempt that waits nor to a load order.
+func (q *SendQueue[Frame]) Push(frame Frame) {
+	q.queue = append(q.queue, QueueItem[Frame]{Frame: frame})
+}
+
+// PushAttempt queues an attempt under a number that nothing else on this connection has.
+func (q *SendQueue[Frame]) PushAttempt(number uint64, attempt *Attempt) {
+	attempt.delivery.enqueue(number)
+	q.queue = append(q.queue, QueueItem[Frame]{Attempt: attempt})
+}
+
+// PushLoad queues a load order under a number that nothing else on this connection has.
+func (q *SendQueue[Frame]) PushLoad(number uint64, order *LoadOrder) {
+	order.delivery.enqueue(number)
+	q.queue = append(q.queue, QueueItem[Frame]{Load: order})
+}
+
+// Queued is the number of items that wait to be written.
+func (q *SendQueue[Frame]) Queued() int { return len(q.queue) }
+
+// Unfinished is the number of attempts and load orders that are queued or in flight.
+func (q *SendQueue[Frame]) Unfinished() int {
+	count := len(q.inFlightAttempts) + len(q.inFlightLoads)
+	for _, item := range q.queue {
+		if item.delivery() != nil {
+			count++
+		}
+	}
+	return count
+}
+
+// HasNumber tells whether an attempt or load order that is queued or in flight has a number.
+func (q *SendQueue[Frame]) HasNumber(number uint64) bool {
+	if q.inFlightAttempts[number] != nil || q.inFlightLoads[number] != nil {
+		return true
+	}
+	for _, item := range q.queue {
+		if delivery := item.delivery(); delivery != nil && delivery.number == number {
+			return true
+		}
+	}
+	return false
+}
+
+// InFlightAttempt returns the attempt in flight that has a number, nil if there is none.
+func (q *SendQueue[Frame]) InFlightAttempt(number uint64) *Attempt { return q.inFlightAttempts[number] }
+
+// FinishAttempt ends the attempt in flight that has a number and returns it, nil if there is none. The owner calls it
+// when the worker's response is complete.
+func (q *SendQueue[Frame]) FinishAttempt(number uint64) *Attempt {
+	attempt := q.inFlightAttempts[number]
+	if attempt != nil {
+		delete(q.inFlightAttempts, number)
+		attempt.delivery.end()
+	}
+	return attempt
+}
+
+// FinishLoad ends the load order in flight that has a number and returns it, nil if there is none.
+func (q *SendQueue[Frame]) FinishLoad(number uint64) *LoadOrder {
+	order := q.inFlightLoads[number]
+	if order != nil {
+		delete(q.inFlightLoads, number)
+		order.delivery.end()
+	}
+	return order
+}
+
+// CancelUnsent removes an attempt that is still queued. It returns false if the attempt is not.
+func (q *SendQueue[Frame]) CancelUnsent(attempt *Attempt) bool {
+	if attempt.delivery.state != queued {
+		return false
+	}
+	removed := q.removeIf(func(item QueueItem[Frame]) bool { return item.Attempt == attempt })
+	return len(removed) > 0
+}
+
+// IsSending tells whether the write under way holds an attempt.
+func (q *SendQueue[Frame]) IsSending(attempt *Attempt) bool { return attempt.delivery.state == sending }
+
+// Abandon gives an attempt up. It returns whether the attempt was in flight, and whether the worker may have seen it.
+//
+// An attempt that has ended already may be abandoned too, if its end still waits behind other events for whoever hears
+// of it. That the queue no longer has the attempt does not mean that it was never sent.
+func (q *SendQueue[Frame]) Abandon(attempt *Attempt) (wasInFlight, mayHaveBeenSent bool) {
+	wasInFlight = attempt.delivery.isInFlight()
+	if wasInFlight {
+		attempt.delivery.end()
+		delete(q.inFlightAttempts, attempt.delivery.number)
+	} else {
+		q.CancelUnsent(attempt)
+	}
+	return wasInFlight, attempt.MayHaveBeenSent()
+}
+
+// AbandonLoad gives a load order up: its response will be ignored.
+func (q *SendQueue[Frame]) AbandonLoad(order *LoadOrder) {
+	if order.delivery.state == queued {
+		q.removeIf(func(item QueueItem[Frame]) bool { return item.Load == order })
+	}
+	order.delivery.end()
+	delete(q.inFlightLoads, order.delivery.number)
+}
+
+// RemoveQueued removes and returns all that is queued: it was never sent.
+func (q *SendQueue[Frame]) RemoveQueued() []QueueItem[Frame] {
+	return q.removeIf(func(QueueItem[Frame]) bool { return true })
+}
+
+// RemoveNewWork removes and returns what is queued and would make a draining worker execute or load something.
+func (q *SendQueue[Frame]) RemoveNewWork() (attempts []*Attempt, orders []*LoadOrder) {
+	for _, item := range q.removeIf(QueueItem[Frame].isNewWork) {
+		if item.Attempt != nil {
+			attempts = append(attempts, item.Attempt)
+		} else {
+			orders = append(orders, item.Load)
+		}
+	}
+	return attempts, orders
+}
+
+// removeIf removes and returns the queued items that match, in their order: they were never sent.
+func (q *SendQueue[Frame]) removeIf(match func(QueueItem[Frame]) bool) (removed []QueueItem[Frame]) {
+	kept := q.queue[:0]
+	for _, item := range q.queue {
+		if !match(item) {
+			kept = append(kept, item)
+			continue
+		}
+		if delivery := item.delivery(); delivery != nil {
+			delivery.cancel()
+		}
+		removed = append(removed, item)
+	}
+	clear(q.queue[len(kept):])
+	q.queue = kept
+	return removed
+}
+
+// RemoveInFlight removes and returns what is in flight on a connection that broke: the worker may have seen it.
+func (q *SendQueue[Frame]) RemoveInFlight() (removed []QueueItem[Frame]) {
+	for _, attempt := range q.inFlightAttempts {
+		attempt.delivery.end()
+		removed = append(removed, QueueItem[Frame]{Attempt: attempt})
+	}
+	for _, order := range q.inFlightLoads {
+		order.delivery.end()
+		removed = append(removed, QueueItem[Frame]{Load: order})
+	}
+	clear(q.inFlightAttempts)
+	clear(q.inFlightLoads)
+	q.writingNewWork = false
+	return removed
+}
