--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -13,7 +13,7 @@
 
 // requestAttempt is one attempt of a request at one worker.
 type requestAttempt struct {
-	muxclient.Attempt
+	workerconn.Attempt
 	request *Request
 	number  int     // of the request's attempts, from 0
 	worker  *worker // nil: the scheduler named a worker that is not known
@@ -57,7 +57,7 @@
 	f.counts.Attempts++
 	if !f.sendable(attempt) {
 		f.deferred = append(f.deferred, func() {
-			f.endAttempt(attempt, muxclient.Result{Status: scheduler.NotSent, QueueDepth: unknownQueueDepth})
+			f.endAttempt(attempt, workerconn.Result{Status: scheduler.NotSent, QueueDepth: unknownQueueDepth})
 		})
 		return
 	}
@@ -72,7 +72,7 @@
 // newAttempt returns a request's next attempt.
 func (f *FrontEnd) newAttempt(request *Request, target *worker, until time.Duration) *requestAttempt {
 	return &requestAttempt{
-		Attempt: muxclient.Attempt{
+		Attempt: workerconn.Attempt{
 			Body:     request.Body,
 			Deadline: until,
 			Request: muxframe.Request{
@@ -122,7 +122,7 @@
 
 // ResponseStarted takes the start of a streamed response: it is the final response, and is passed on to the client
 // while it is received.
-func (f *FrontEnd) ResponseStarted(now time.Duration, sent *muxclient.Attempt, result muxclient.Result) {
+func (f *FrontEnd) ResponseStarted(now time.Duration, sent *workerconn.Attempt, result workerconn.Result) {
 	f.now = now
 	attempt := f.attempts[sent]
 	if attempt == nil {
@@ -140,7 +140,7 @@
 }
 
 // AttemptEnded takes the outcome of an attempt from its worker client. An attempt that has ended already is ignored.
-func (f *FrontEnd) AttemptEnded(now time.Duration, sent *muxclient.Attempt, result muxclient.Result) {
+func (f *FrontEnd) AttemptEnded(now time.Duration, sent *workerconn.Attempt, result workerconn.Result) {
 	f.now = now
 	if attempt := f.attempts[sent]; attempt != nil {
 		f.endAttempt(attempt, result)
@@ -170,13 +170,13 @@
 }
 
 // abandonedResult is the result of an attempt that was ended from this side.
-func abandonedResult(status scheduler.Status, reason Reason) muxclient.Result {
-	return muxclient.Result{Status: status, Reason: reason.String(), QueueDepth: unknownQueueDepth}
+func abandonedResult(status scheduler.Status, reason Reason) workerconn.Result {
+	return workerconn.Result{Status: status, Reason: reason.String(), QueueDepth: unknownQueueDepth}
 }
 
 // endAttempt reports the outcome of an attempt to the scheduler, once. The request gets its final response before,
 // where the worker served it.
-func (f *FrontEnd) endAttempt(attempt *requestAttempt, result muxclient.Result) {
+func (f *FrontEnd) endAttempt(attempt *requestAttempt, result workerconn.Result) {
 	if !attempt.enter(attemptEnded) {
 		return
 	}
@@ -210,7 +210,7 @@
 
 // latency is how long an attempt took until its response was read. What the response then waited for the event loop
 // is left out: counted as the worker's, a loop that lags would hold back requests from workers that are fast.
-func (f *FrontEnd) latency(attempt *requestAttempt, result muxclient.Result) time.Duration {
+func (f *FrontEnd) latency(attempt *requestAttempt, result workerconn.Result) time.Duration {
 	if result.ReceivedAt > attempt.sentAt && result.ReceivedAt < f.now {
 		return result.ReceivedAt - attempt.sentAt
 	}
@@ -218,7 +218,7 @@
 }
 
 // learnCost learns from an attempt how long requests of its function execute, without the cold starts in it.
-func (f *FrontEnd) learnCost(attempt *requestAttempt, result muxclient.Result) {
+func (f *FrontEnd) learnCost(attempt *requestAttempt, result workerconn.Result) {
 	cost := &attempt.request.function.cost
 	coldStart := result.ColdStart == scheduler.ColdStartTriggered || result.ColdStart == scheduler.ColdStartAwaited
 	switch {
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"havencart/internal/native/muxclient"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -48,7 +48,7 @@
 	_, attempt := harness.sentAttempt(request)
 	harness.advance(2 * time.Second)
 	harness.wantResponse(request, Failed)
-	harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+	harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, QueueDepth: -1, Response: &workerconn.Response{}})
 	harness.wantResponse(request, 0)
 }
 
@@ -56,8 +56,8 @@
 	harness := newHarness(t, 2, nil)
 	request := harness.submit(idempotentClass)
 	_, attempt := harness.sentAttempt(request)
-	harness.ResponseStarted(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
-	harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.Reset, QueueDepth: -1})
+	harness.ResponseStarted(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, QueueDepth: -1, Response: &workerconn.Response{}})
+	harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: scheduler.Reset, QueueDepth: -1})
 	harness.advance(100 * ms)
 	harness.wantResponse(request, Served)
 	if request.attempts != 1 || !harness.Idle() {
@@ -69,7 +69,7 @@
 	harness := newHarness(t, 2, nil)
 	first := harness.submit(nonIdempotentClass)
 	worker, _ := harness.sentAttempt(first)
-	worker.rejection = &muxclient.Result{Status: scheduler.ConnectFailed, QueueDepth: -1}
+	worker.rejection = &workerconn.Result{Status: scheduler.ConnectFailed, QueueDepth: -1}
 	harness.endWith(first, scheduler.ConnectFailed)
 	harness.advance(100 * ms)
 	if next, _ := harness.sentAttempt(first); next == worker {
@@ -83,10 +83,10 @@
 	request := harness.submit(idempotentClass)
 	attempt := request.current
 	harness.advance(100 * time.Millisecond)
-	if latency := harness.latency(attempt, muxclient.Result{ReceivedAt: attempt.sentAt + 30*time.Millisecond}); latency != 30*time.Millisecond {
+	if latency := harness.latency(attempt, workerconn.Result{ReceivedAt: attempt.sentAt + 30*time.Millisecond}); latency != 30*time.Millisecond {
 		t.Errorf("a response read after 30ms, handled after 100ms, has a latency of %v", latency)
 	}
-	if latency := harness.latency(attempt, muxclient.Result{}); latency != 100*time.Millisecond {
+	if latency := harness.latency(attempt, workerconn.Result{}); latency != 100*time.Millisecond {
 		t.Errorf("a response without a time, handled after 100ms, has a latency of %v", latency)
 	}
 }
@@ -99,7 +99,7 @@
 		worker, attempt := harness.sentAttempt(request)
 		respond := func() {
 			worker.remove(attempt)
-			harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
+			harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, QueueDepth: -1, Response: &workerconn.Response{Body: []byte("x")}})
 		}
 		if responseFirst {
 			respond()
@@ -123,7 +123,7 @@
 		worker, attempt := harness.sentAttempt(harness.submit(idempotentClass))
 		worker.remove(attempt)
 		harness.clock += 400 * ms
-		harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, RunTime: runTime, Response: &muxclient.Response{}})
+		harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, RunTime: runTime, Response: &workerconn.Response{}})
 		if got := harness.functions[FunctionID("f")].cost.Estimate(); got != cmp.Or(runTime, 400*ms) {
 			t.Errorf("an execution of %v within 400 ms costs %v", runTime, got)
 		}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/rs/zerolog"
 
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -14,7 +14,7 @@
 func BenchmarkFrontEnd(b *testing.B) {
 	t := &testing.T{}
 	harness := newHarness(t, 8, nil)
-	answer := &muxclient.Response{}
+	answer := &workerconn.Response{}
 	b.ReportAllocs()
 	for b.Loop() {
 		request := NewRequest()
@@ -28,7 +28,7 @@
 			if len(worker.sent) > 0 {
 				attempt := worker.sent[0]
 				worker.sent = worker.sent[:0]
-				harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+				harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 			}
 		}
 	}
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"havencart/internal/native/muxclient"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -33,7 +33,7 @@
 		harness := newHarness(t, 1, nil)
 		request := harness.submit(nonIdempotentClass)
 		worker, attempt := harness.sentAttempt(request)
-		harness.ResponseStarted(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{Stream: &muxclient.Stream{}}})
+		harness.ResponseStarted(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, QueueDepth: -1, Response: &workerconn.Response{Stream: &workerconn.Stream{}}})
 		harness.wantResponse(request, Served)
 		harness.advance(3 * time.Second) // neither timeout nor deadline applies to it
 		if len(worker.canceled) != 0 {
@@ -112,7 +112,7 @@
 			harness := newHarness(t, 3, nil)
 			request := harness.submit(idempotentClass)
 			_, attempt := harness.sentAttempt(request)
-			endAttempt := func() { harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: end, QueueDepth: -1}) }
+			endAttempt := func() { harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: end, QueueDepth: -1}) }
 			if disconnectFirst {
 				harness.ClientDisconnected(harness.clock, request)
 				before := harness.Counts().Attempts
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"havencart/internal/discovery"
-	"havencart/internal/native/muxclient"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -55,7 +55,7 @@
 	}
 	attempt := old.sent[0]
 	old.remove(attempt)
-	harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+	harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, QueueDepth: -1, Response: &workerconn.Response{}})
 	harness.wantResponse(request, Served)
 	harness.advance(2 * sweepInterval)
 	if !old.stopped {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"havencart/internal/discovery"
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -29,17 +29,17 @@
 }
 
 // ResponseStarted implements muxclient.Events.
-func (e workerEvents) ResponseStarted(attempt *muxclient.Attempt, r muxclient.Result) {
+func (e workerEvents) ResponseStarted(attempt *workerconn.Attempt, r workerconn.Result) {
 	e.loop.post(func(now time.Duration) { e.loop.frontEnd.ResponseStarted(now, attempt, r) })
 }
 
 // AttemptEnded implements muxclient.Events.
-func (e workerEvents) AttemptEnded(attempt *muxclient.Attempt, r muxclient.Result) {
+func (e workerEvents) AttemptEnded(attempt *workerconn.Attempt, r workerconn.Result) {
 	e.loop.post(func(now time.Duration) { e.loop.frontEnd.AttemptEnded(now, attempt, r) })
 }
 
 // LoadEnded implements muxclient.Events.
-func (e workerEvents) LoadEnded(order *muxclient.LoadOrder, status scheduler.Status, replicas int) {
+func (e workerEvents) LoadEnded(order *workerconn.LoadOrder, status scheduler.Status, replicas int) {
 	e.loop.post(func(now time.Duration) { e.loop.frontEnd.LoadEnded(now, order, status, replicas) })
 }
 
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"havencart/internal/discovery"
-	"havencart/internal/native/muxclient"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -26,7 +26,7 @@
 	kinds         [2]ResponseKind
 	received      int
 	disconnected  [2]bool
-	abandoned     []*muxclient.Attempt // given up here after they were sent
+	abandoned     []*workerconn.Attempt // given up here after they were sent
 	draining      bool
 	sentByRequest map[string][]sentRecord
 	path          []string
@@ -35,7 +35,7 @@
 
 // sentRecord is one attempt as a worker could know of it.
 type sentRecord struct {
-	attempt       *muxclient.Attempt
+	attempt       *workerconn.Attempt
 	cell          int
 	sentAt        time.Duration
 	neverExecuted bool // it is known not to have executed
@@ -48,12 +48,12 @@
 	simulation *simulation
 }
 
-func (s recordingClient) Send(attempt *muxclient.Attempt) *muxclient.Result {
+func (s recordingClient) Send(attempt *workerconn.Attempt) *workerconn.Result {
 	s.simulation.checkSend(s.fakeWorkerClient, attempt)
 	return s.fakeWorkerClient.Send(attempt)
 }
 
-func (s recordingClient) Abandon(attempt *muxclient.Attempt) bool {
+func (s recordingClient) Abandon(attempt *workerconn.Attempt) bool {
 	left := s.fakeWorkerClient.Abandon(attempt)
 	if left {
 		s.simulation.abandoned = append(s.simulation.abandoned, attempt)
@@ -63,7 +63,7 @@
 	return left
 }
 
-func (s recordingClient) Drain(d time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder) {
+func (s recordingClient) Drain(d time.Duration) ([]*workerconn.Attempt, []*workerconn.LoadOrder) {
 	taken, orders := s.fakeWorkerClient.Drain(d)
 	for _, attempt := range taken {
 		s.simulation.record(attempt).neverExecuted = true
@@ -77,7 +77,7 @@
 	return recordingClient{worker, sim}
 }
 
-func (sim *simulation) record(attempt *muxclient.Attempt) *sentRecord {
+func (sim *simulation) record(attempt *workerconn.Attempt) *sentRecord {
 	list := sim.sentByRequest[attempt.Request.ID]
 	for i := range list {
 		if list[i].attempt == attempt {
@@ -94,7 +94,7 @@
 }
 
 // checkSend checks invariants 2 and 3 when an attempt is handed to a worker client.
-func (sim *simulation) checkSend(worker *fakeWorkerClient, attempt *muxclient.Attempt) {
+func (sim *simulation) checkSend(worker *fakeWorkerClient, attempt *workerconn.Attempt) {
 	id := attempt.Request.ID
 	index := int(id[0] - '0')
 	cell := int(worker.name[1]-'0') % 2
@@ -185,13 +185,13 @@
 				add(func() { sim.endAttemptWith(worker, attempt, s) }, "%s at %s ends with status %d", attempt.Request.ID, name, s)
 			}
 			add(func() {
-				sim.ResponseStarted(sim.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+				sim.ResponseStarted(sim.clock, attempt, workerconn.Result{Status: scheduler.OK, QueueDepth: -1, Response: &workerconn.Response{}})
 			}, "%s starts its response", attempt.Request.ID)
 		}
 	}
 	for _, attempt := range sim.abandoned {
 		add(func() {
-			sim.AttemptEnded(sim.clock, attempt, muxclient.Result{Status: scheduler.OK, QueueDepth: -1, Response: &muxclient.Response{}})
+			sim.AttemptEnded(sim.clock, attempt, workerconn.Result{Status: scheduler.OK, QueueDepth: -1, Response: &workerconn.Response{}})
 		}, "%s has a late response", attempt.Request.ID)
 	}
 	for i := range sim.received {
@@ -226,7 +226,7 @@
 	sim.RequestReceived(sim.clock, request)
 }
 
-func (sim *simulation) writeOut(worker *fakeWorkerClient, attempt *muxclient.Attempt) {
+func (sim *simulation) writeOut(worker *fakeWorkerClient, attempt *workerconn.Attempt) {
 	if sim.draining && worker.name == "w0" {
 		sim.violated("request %s is written to a worker that drains", attempt.Request.ID)
 	}
@@ -235,10 +235,10 @@
 	sim.record(attempt).written = true
 }
 
-func (sim *simulation) endAttemptWith(worker *fakeWorkerClient, attempt *muxclient.Attempt, s scheduler.Status) {
+func (sim *simulation) endAttemptWith(worker *fakeWorkerClient, attempt *workerconn.Attempt, s scheduler.Status) {
 	worker.remove(attempt)
 	sim.record(attempt).neverExecuted = s == scheduler.ConnectFailed || s == scheduler.Overloaded
-	sim.AttemptEnded(sim.clock, attempt, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{}})
+	sim.AttemptEnded(sim.clock, attempt, workerconn.Result{Status: s, QueueDepth: -1, Response: &workerconn.Response{}})
 }
 
 // checkEnd lets all time pass: each request whose client stayed connected must have its final response.
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -10,9 +10,9 @@
 	"havencart/internal/decide/looplag"
 	"havencart/internal/decide/tenancy"
 	"havencart/internal/discovery"
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
 	"havencart/internal/shadow"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -61,21 +61,21 @@
 // happens later is reported by events.
 type WorkerClient interface {
 	// Send queues an attempt. A result that is not nil is its outcome: no event follows.
-	Send(*muxclient.Attempt) *muxclient.Result
+	Send(*workerconn.Attempt) *workerconn.Result
 	// CancelUnsent takes an attempt back if none of it was written, and reports whether it did.
-	CancelUnsent(*muxclient.Attempt) (unsent bool)
+	CancelUnsent(*workerconn.Attempt) (unsent bool)
 	// Abandon gives an attempt up and reports whether the worker may have received it.
-	Abandon(*muxclient.Attempt) (mayBeReceived bool)
+	Abandon(*workerconn.Attempt) (mayBeReceived bool)
 	// Load sends a load order, or a residency query. A status other than 0 is its outcome: no event follows.
-	Load(*muxclient.LoadOrder) scheduler.Status
+	Load(*workerconn.LoadOrder) scheduler.Status
 	// AbandonLoad gives a load order up: no event follows.
-	AbandonLoad(*muxclient.LoadOrder)
+	AbandonLoad(*workerconn.LoadOrder)
 	// Unload asks for the idle replicas of a function to be unloaded. It has no response.
 	Unload(function string)
 	// CheckHealth sends a health check; its result is an event.
 	CheckHealth()
 	// Drain admits nothing new until Resume, and returns what was not sent yet.
-	Drain(grace time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder)
+	Drain(grace time.Duration) ([]*workerconn.Attempt, []*workerconn.LoadOrder)
 	// Resume ends a drain.
 	Resume()
 	// Busy reports whether anything is in flight.
@@ -112,8 +112,8 @@
 
 	requests      map[scheduler.RequestID]*Request
 	lastRequestID scheduler.RequestID
-	attempts      map[*muxclient.Attempt]*requestAttempt
-	loadOrders    map[*muxclient.LoadOrder]*loadOrder
+	attempts      map[*workerconn.Attempt]*requestAttempt
+	loadOrders    map[*workerconn.LoadOrder]*loadOrder
 	workers       map[scheduler.WorkerID]*worker
 	functions     map[scheduler.FunctionID]*function
 
@@ -144,8 +144,8 @@
 		lag:          looplag.New(longestTimeout(settings.Scheduler.Classes)),
 		now:          now,
 		requests:     map[scheduler.RequestID]*Request{},
-		attempts:     map[*muxclient.Attempt]*requestAttempt{},
-		loadOrders:   map[*muxclient.LoadOrder]*loadOrder{},
+		attempts:     map[*workerconn.Attempt]*requestAttempt{},
+		loadOrders:   map[*workerconn.LoadOrder]*loadOrder{},
 		workers:      map[scheduler.WorkerID]*worker{},
 		functions:    map[scheduler.FunctionID]*function{},
 		zones:        map[string]int{},
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 
 	"havencart/internal/discovery"
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -19,24 +19,24 @@
 // fakeWorkerClient stands in for a worker client: it keeps what the FrontEnd gave it until a test says what became of it.
 type fakeWorkerClient struct {
 	name         string
-	queued       []*muxclient.Attempt // not written
-	sent         []*muxclient.Attempt
-	orders       []*muxclient.LoadOrder
-	canceled     []*muxclient.Attempt
+	queued       []*workerconn.Attempt // not written
+	sent         []*workerconn.Attempt
+	orders       []*workerconn.LoadOrder
+	canceled     []*workerconn.Attempt
 	drained      bool
 	stopped      bool
 	healthChecks int
 	unloads      int
 	holdsWrites  bool // attempts stay in the write buffer
-	rejection    *muxclient.Result
+	rejection    *workerconn.Result
 }
 
-func (worker *fakeWorkerClient) Send(attempt *muxclient.Attempt) *muxclient.Result {
+func (worker *fakeWorkerClient) Send(attempt *workerconn.Attempt) *workerconn.Result {
 	switch {
 	case worker.rejection != nil:
 		return worker.rejection
 	case worker.drained:
-		return &muxclient.Result{Status: scheduler.NotSent, QueueDepth: -1}
+		return &workerconn.Result{Status: scheduler.NotSent, QueueDepth: -1}
 	case worker.holdsWrites:
 		worker.queued = append(worker.queued, attempt)
 	default:
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func (worker *fakeWorkerClient) Abandon(attempt *muxclient.Attempt) bool {
+func (worker *fakeWorkerClient) Abandon(attempt *workerconn.Attempt) bool {
 	was := slices.Contains(worker.sent, attempt)
 	if was {
 		worker.canceled = append(worker.canceled, attempt)
@@ -54,7 +54,7 @@
 	return was
 }
 
-func (worker *fakeWorkerClient) CancelUnsent(attempt *muxclient.Attempt) bool {
+func (worker *fakeWorkerClient) CancelUnsent(attempt *workerconn.Attempt) bool {
 	was := slices.Contains(worker.queued, attempt)
 	if was {
 		worker.remove(attempt)
@@ -62,17 +62,17 @@
 	return was
 }
 
-func (worker *fakeWorkerClient) remove(attempt *muxclient.Attempt) {
-	match := func(x *muxclient.Attempt) bool { return x == attempt }
+func (worker *fakeWorkerClient) remove(attempt *workerconn.Attempt) {
+	match := func(x *workerconn.Attempt) bool { return x == attempt }
 	worker.queued, worker.sent = slices.DeleteFunc(worker.queued, match), slices.DeleteFunc(worker.sent, match)
 }
 
-func (worker *fakeWorkerClient) Load(order *muxclient.LoadOrder) scheduler.Status {
+func (worker *fakeWorkerClient) Load(order *workerconn.LoadOrder) scheduler.Status {
 	worker.orders = append(worker.orders, order)
 	return 0
 }
 
-func (worker *fakeWorkerClient) AbandonLoad(*muxclient.LoadOrder) {}
+func (worker *fakeWorkerClient) AbandonLoad(*workerconn.LoadOrder) {}
 
 func (worker *fakeWorkerClient) Unload(string) { worker.unloads++ }
 
@@ -84,7 +84,7 @@
 
 func (worker *fakeWorkerClient) Stop() { worker.stopped = true }
 
-func (worker *fakeWorkerClient) Drain(time.Duration) ([]*muxclient.Attempt, []*muxclient.LoadOrder) {
+func (worker *fakeWorkerClient) Drain(time.Duration) ([]*workerconn.Attempt, []*workerconn.LoadOrder) {
 	worker.drained = true
 	taken := worker.queued
 	worker.queued = nil
@@ -172,7 +172,7 @@
 }
 
 // sentAttempt is the attempt that a worker client has for a request.
-func (harness *testHarness) sentAttempt(request *Request) (*fakeWorkerClient, *muxclient.Attempt) {
+func (harness *testHarness) sentAttempt(request *Request) (*fakeWorkerClient, *workerconn.Attempt) {
 	harness.Helper()
 	for _, worker := range harness.clients {
 		for _, attempt := range slices.Concat(worker.sent, worker.queued) {
@@ -191,7 +191,7 @@
 	harness.Helper()
 	worker, attempt := harness.sentAttempt(request)
 	worker.remove(attempt)
-	harness.AttemptEnded(harness.clock, attempt, muxclient.Result{Status: s, QueueDepth: -1, Response: &muxclient.Response{Body: []byte("x")}})
+	harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: s, QueueDepth: -1, Response: &workerconn.Response{Body: []byte("x")}})
 	return worker
 }
 
--- a/internal/gateway/http_handler.go
+++ b/internal/gateway/http_handler.go
@@ -64,7 +64,7 @@
 	if f.Response == nil {
 		return out
 	}
-	out.ContentType = f.Response.Type
+	out.ContentType = f.Response.ContentType
 	out.Body = f.Response.Body
 	out.Length = f.Response.Length
 	if f.Response.Stream != nil { // a nil *Stream is no nil interface
--- a/internal/gateway/load_orders.go
+++ b/internal/gateway/load_orders.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
 // loadOrder is an order to load replicas, or a residency query, that awaits its response.
 type loadOrder struct {
-	muxclient.LoadOrder
+	workerconn.LoadOrder
 	worker   *worker
 	function scheduler.FunctionID
 	sentAt   time.Duration
@@ -52,7 +52,7 @@
 
 // LoadEnded takes the response to a load order from its worker client, with the replicas that are resident. An order
 // that has ended already is ignored.
-func (f *FrontEnd) LoadEnded(now time.Duration, sent *muxclient.LoadOrder, status scheduler.Status, replicas int) {
+func (f *FrontEnd) LoadEnded(now time.Duration, sent *workerconn.LoadOrder, status scheduler.Status, replicas int) {
 	f.now = now
 	if order := f.loadOrders[sent]; order != nil {
 		f.endLoadOrder(order, status, replicas)
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -12,30 +12,30 @@
 	"github.com/rs/zerolog"
 
 	"havencart/internal/discovery"
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
 // instantWorker is a client of a worker that responds at once, so that the event loop alone is measured.
 type instantWorker struct {
 	fakeWorkerClient
-	sent chan *muxclient.Attempt
+	sent chan *workerconn.Attempt
 }
 
-func (l *instantWorker) Send(attempt *muxclient.Attempt) *muxclient.Result {
+func (l *instantWorker) Send(attempt *workerconn.Attempt) *workerconn.Result {
 	l.sent <- attempt
 	return nil
 }
 
-func (l *instantWorker) Abandon(*muxclient.Attempt) bool { return true }
+func (l *instantWorker) Abandon(*workerconn.Attempt) bool { return true }
 
 // respondToAll responds until the channel of attempts is closed.
 func (l *instantWorker) respondToAll(loop *EventLoop) {
-	answer := &muxclient.Response{}
+	answer := &workerconn.Response{}
 	for attempt := range l.sent {
 		loop.post(func(now time.Duration) {
-			loop.frontEnd.AttemptEnded(now, attempt, muxclient.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+			loop.frontEnd.AttemptEnded(now, attempt, workerconn.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
 		})
 	}
 }
@@ -61,7 +61,7 @@
 	var clients []*instantWorker
 	var tasks sync.WaitGroup
 	loop.newTestClient = func(loop *EventLoop) WorkerClient {
-		link := &instantWorker{sent: make(chan *muxclient.Attempt, 1<<20)}
+		link := &instantWorker{sent: make(chan *workerconn.Attempt, 1<<20)}
 		mu.Lock()
 		defer mu.Unlock()
 		clients = append(clients, link)
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"havencart/internal/native/muxclient"
+	"havencart/internal/workerconn"
 )
 
 // ResponseKind is the kind of a final response.
@@ -22,10 +22,10 @@
 // FinalResponse is the one final response of a request.
 type FinalResponse struct {
 	Kind       ResponseKind
-	Reason     string              // for people; with Rejected and Failed
-	RetryAfter time.Duration       // when to retry, with Rejected; 0: no advice
-	TimedOut   bool                // with Failed: no response was received in time
-	Response   *muxclient.Response // with Served
-	Worker     string              // name of the worker, with Served
-	Attempts   int                 // attempts sent for the request
+	Reason     string               // for people; with Rejected and Failed
+	RetryAfter time.Duration        // when to retry, with Rejected; 0: no advice
+	TimedOut   bool                 // with Failed: no response was received in time
+	Response   *workerconn.Response // with Served
+	Worker     string               // name of the worker, with Served
+	Attempts   int                  // attempts sent for the request
 }
--- a/internal/native/muxclient/response.go
+++ b/internal/native/muxclient/response.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	result.Response = &workerconn.Response{Type: response.ContentType, Length: int64(len(frame.Body))}
+	result.Response = &workerconn.Response{ContentType: response.ContentType, Length: int64(len(frame.Body))}
 	attempt, outcome := c.acceptResponse(frame, response, &result)
 	switch outcome {
 	case responseLate:
