--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -237,6 +237,9 @@
 func (p *PlatformServer) Run(ctx context.Context) (Counts, error) {
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
+	if ctx.Err() != nil {
+		p.draining.Store(true) // AfterFunc's goroutine may come later than the first heartbeat
+	}
 	stopShutdown := context.AfterFunc(ctx, func() { p.beginShutdown(stopLoop) })
 	defer stopShutdown()
 	serveCtx, stopServing := context.WithCancel(context.Background())
