--- /dev/null
+++ b/internal/clientconn/table.go
@@ -0,0 +1,57 @@
+// Package clientconn holds what the servers of client connections have in common, whatever protocol they speak: the
+// accept loop, the bounded table of open connections, and deadlines for writing. Each server keeps its own rules of who
+// is admitted, what happens at the bound, and how its connections end.
+package clientconn
+
+import "sync"
+
+// Table is the bounded set of a server's open connections. It only records them: the server closes a connection and
+// removes it. All methods may be called from any goroutine. The zero Table admits nothing; NewTable makes one.
+type Table[C comparable] struct {
+	limit int
+
+	mu   sync.Mutex
+	open map[C]struct{} // at most limit
+}
+
+// NewTable returns an empty Table of at most limit connections.
+func NewTable[C comparable](limit int) *Table[C] {
+	return &Table[C]{limit: limit, open: map[C]struct{}{}}
+}
+
+// Add records an open connection. It reports false, and records nothing, if the table is full.
+func (t *Table[C]) Add(connection C) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.open) >= t.limit {
+		return false
+	}
+	t.open[connection] = struct{}{}
+	return true
+}
+
+// Remove forgets a connection. Removing one that is not in the table does nothing.
+func (t *Table[C]) Remove(connection C) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.open, connection)
+}
+
+// Len returns the number of open connections.
+func (t *Table[C]) Len() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.open)
+}
+
+// All returns the open connections in no particular order. The slice is the caller's; connections may be added and
+// removed meanwhile.
+func (t *Table[C]) All() []C {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	connections := make([]C, 0, len(t.open))
+	for connection := range t.open {
+		connections = append(connections, connection)
+	}
+	return connections
+}
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -19,6 +19,7 @@
 	{"internal/directive"},
 	{"internal/config/gatewayconfig", "internal/config/platformconfig"},
 	{"internal/native/muxframe", "internal/simwire", "internal/platform/rpcframe", "internal/platform/workerframe", "internal/platform/endpointstream"},
+	{"internal/clientconn"},
 	{"internal/native/httpserver", "internal/platform/rpcserver", "internal/native/muxclient", "internal/discovery"},
 	{"internal/platform/workerclient"},
 	{"internal/gateway", "internal/simhost"},
--- a/internal/native/httpserver/conn.go
+++ b/internal/native/httpserver/conn.go
@@ -10,6 +10,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"havencart/internal/clientconn"
 )
 
 // conn is one client's connection. Its reading goroutine owns it; a second one writes answers in the order of
@@ -65,7 +67,7 @@
 // turnAway answers a connection that is one too many.
 func (c *conn) turnAway() {
 	defer c.net.Close()
-	_ = c.net.SetWriteDeadline(deadline(c.s.cfg.Write))
+	clientconn.SetWriteTimeout(c.net, c.s.cfg.Write)
 	out := bufio.NewWriter(c.net)
 	if writeProblem(out, http.StatusServiceUnavailable, Response{Outcome: Rejected, Reason: "too many connections"}, true) == nil {
 		_ = out.Flush()
@@ -90,7 +92,7 @@
 // end closes a connection whose answers are all written.
 func (c *conn) end() {
 	c.abort()
-	c.s.gone(c)
+	c.s.conns.Remove(c)
 }
 
 // calls reads calls one after another. It returns whether the answers in hand are still wanted.
@@ -137,7 +139,7 @@
 		c.mu.Lock()
 		busy, finishing := len(c.queue) > 0, c.finishing
 		c.mu.Unlock()
-		if !isTimeout(err) || finishing || !busy {
+		if !clientconn.IsTimeout(err) || finishing || !busy {
 			return time.Time{}, err
 		}
 	}
@@ -148,15 +150,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.finishing {
-		_ = c.net.SetReadDeadline(deadline(d))
+		_ = c.net.SetReadDeadline(time.Now().Add(d))
 	}
 }
 
-func isTimeout(err error) bool {
-	var n net.Error
-	return errors.As(err, &n) && n.Timeout()
-}
-
 // call reads one call and hands it over. It returns whether it is the connection's last.
 func (c *conn) call(began time.Time) (last bool, err error) {
 	c.limit.left = c.s.cfg.MaxHeader
@@ -179,7 +176,7 @@
 	switch {
 	case errors.As(err, &p):
 		x.status, x.answer = p.status, Response{Outcome: Invalid, Reason: p.why}
-	case isTimeout(err):
+	case clientconn.IsTimeout(err):
 		x.status, x.answer = http.StatusRequestTimeout, Response{Outcome: Invalid, Reason: "too slow"}
 	case err != nil:
 		return true, err
@@ -201,7 +198,7 @@
 	switch {
 	case errors.Is(err, errHeaderTooLong):
 		x.status, x.answer.Reason = http.StatusRequestHeaderFieldsTooLarge, "header too long"
-	case isTimeout(err):
+	case clientconn.IsTimeout(err):
 		x.status, x.answer.Reason = http.StatusRequestTimeout, "too slow"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed):
 		return err
@@ -246,7 +243,7 @@
 		}
 	}
 	defer c.mu.Unlock()
-	_ = c.net.SetWriteDeadline(deadline(c.s.cfg.Write))
+	clientconn.SetWriteTimeout(c.net, c.s.cfg.Write)
 	_, err := io.WriteString(c.net, "HTTP/1.1 100 Continue\r\n\r\n")
 	return err
 }
@@ -324,7 +321,7 @@
 	c.mu.Lock()
 	last := x.close || c.finishing && len(c.queue) == 1
 	c.mu.Unlock()
-	_ = c.net.SetWriteDeadline(deadline(c.s.cfg.Write))
+	clientconn.SetWriteTimeout(c.net, c.s.cfg.Write)
 	if err := c.send(x, out, status, last); err != nil {
 		if x.pending != nil {
 			x.pending.Leave()
@@ -372,7 +369,7 @@
 		if x.answer.Length >= 0 && left < 0 {
 			return errors.New("the worker's answer is longer than it said")
 		}
-		_ = c.net.SetWriteDeadline(deadline(c.s.cfg.Write))
+		clientconn.SetWriteTimeout(c.net, c.s.cfg.Write)
 		if err := writePart(out, part, chunked); err != nil {
 			return err
 		}
--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"havencart/internal/clientconn"
 	"havencart/internal/decide/connadmission"
 	"havencart/internal/platform/rpcframe"
 )
@@ -115,7 +116,7 @@
 	for _, leave := range left {
 		leave()
 	}
-	c.s.gone(c)
+	c.s.conns.Remove(c)
 }
 
 // next takes the next message and says whether to go on.
@@ -281,7 +282,7 @@
 			return
 		}
 		c.mu.Unlock()
-		_ = c.net.SetWriteDeadline(time.Now().Add(c.s.cfg.Write)) // fails on a closed connection only
+		clientconn.SetWriteTimeout(c.net, c.s.cfg.Write)
 		if _, err := c.net.Write(buf); err != nil {
 			c.mu.Lock()
 			c.shut()
--- a/internal/platform/rpcserver/crossings_test.go
+++ b/internal/platform/rpcserver/crossings_test.go
@@ -112,9 +112,7 @@
 	s := New(Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}, h, zerolog.Nop())
 	s.take(ours)
 	any := func(connadmission.Connection) bool { return true }
-	var c *conn
-	for c = range s.conns {
-	}
+	c := s.conns.All()[0]
 	raw := ask(t, 1, "quote", good(1))
 	write(t, theirs, raw[:len(raw)-1])
 	write(t, theirs, raw[len(raw)-1:])
--- a/internal/platform/rpcserver/passing.go
+++ b/internal/platform/rpcserver/passing.go
@@ -2,8 +2,9 @@
 
 import (
 	"errors"
-	"net"
 	"syscall"
+
+	"havencart/internal/clientconn"
 )
 
 // isPassing tells an error of Accept that passes: descriptors run out, a client that left meanwhile, or, as accept(2)
@@ -16,6 +17,5 @@
 			return true
 		}
 	}
-	var network net.Error
-	return errors.As(err, &network) && network.Timeout()
+	return clientconn.IsTimeout(err)
 }
--- a/internal/platform/rpcserver/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"os"
 	"sync"
@@ -12,6 +11,7 @@
 
 	"github.com/rs/zerolog"
 
+	"havencart/internal/clientconn"
 	"havencart/internal/decide/connadmission"
 )
 
@@ -37,9 +37,10 @@
 	handler Handler
 	log     zerolog.Logger
 
+	conns *clientconn.Table[*conn]
+
 	mu        sync.Mutex
-	conns     map[*conn]bool // bounded by MaxConns
-	listener  net.Listener   // while it is served
+	listener  net.Listener // while it is served
 	finishing bool
 	tasks     sync.WaitGroup
 
@@ -48,7 +49,7 @@
 
 // New returns a Server that hands calls to handler.
 func New(cfg Config, handler Handler, log zerolog.Logger) *Server {
-	return &Server{cfg: cfg, handler: handler, log: log, conns: map[*conn]bool{}}
+	return &Server{cfg: cfg, handler: handler, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConns)}
 }
 
 // Counts returns the totals.
@@ -71,58 +72,52 @@
 	s.listener = l
 	s.endAccepting()
 	s.mu.Unlock()
-	for {
-		nc, err := l.Accept()
-		switch {
-		case err == nil:
-			s.take(nc)
-		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
-			return nil
-		case isPassing(err):
-			s.evict()
-			time.Sleep(acceptPause)
-		default:
-			return fmt.Errorf("accept: %w", err)
-		}
+	err := clientconn.AcceptLoop(l, s.take, s.retryAccept)
+	if errors.Is(err, os.ErrDeadlineExceeded) { // the one that Finish sets
+		return nil
+	}
+	return err
+}
+
+// retryAccept reports whether accepting goes on after an error. Where the system ran out of something, it first makes
+// room and pauses.
+func (s *Server) retryAccept(err error) bool {
+	if errors.Is(err, os.ErrDeadlineExceeded) || !isPassing(err) {
+		return false
 	}
+	s.evict()
+	time.Sleep(acceptPause)
+	return true
 }
 
 func (s *Server) take(nc net.Conn) {
 	s.accepted.Add(1)
 	c := newConn(s, nc)
-	s.mu.Lock()
-	full := len(s.conns) >= s.cfg.MaxConns
-	s.mu.Unlock()
-	if full && !s.evict() {
+	if !s.conns.Add(c) && !(s.evict() && s.conns.Add(c)) {
 		s.turnedAway.Add(1)
 		nc.Close()
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.conns[c] = true
 	s.tasks.Go(c.read)
 }
 
 // evict closes the connection that may go soonest, if there is one.
 func (s *Server) evict() bool {
-	s.mu.Lock()
 	list, states := s.states()
-	s.mu.Unlock()
 	i := connadmission.SelectEviction(states)
 	if i < 0 || !list[i].closeIf(connadmission.Evictable) {
 		return false
 	}
 	s.evicted.Add(1)
-	s.gone(list[i])
+	s.conns.Remove(list[i])
 	return true
 }
 
-// states is how the connections stand; the lock is held.
+// states is how the connections stand.
 func (s *Server) states() (list []*conn, states []connadmission.Connection) {
 	now := time.Now()
-	for c := range s.conns {
-		list = append(list, c)
+	list = s.conns.All()
+	for _, c := range list {
 		states = append(states, c.standing(now))
 	}
 	return list, states
@@ -138,8 +133,8 @@
 			return
 		case <-ticker.C:
 		}
-		s.mu.Lock()
 		list, states := s.states()
+		s.mu.Lock()
 		finishing := s.finishing
 		s.mu.Unlock()
 		over := connadmission.ShouldClose
@@ -154,18 +149,8 @@
 	}
 }
 
-func (s *Server) gone(c *conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.conns, c)
-}
-
 // Conns is the number of connections.
-func (s *Server) Conns() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.conns)
-}
+func (s *Server) Conns() int { return s.conns.Len() }
 
 // Finish makes each connection close once nothing is open on it, and ends the accepting.
 func (s *Server) Finish() {
@@ -190,10 +175,7 @@
 // Shutdown closes all connections behind the answers that are on their way, each at once where nothing is, and
 // returns when all is closed. Serve's context is to have ended.
 func (s *Server) Shutdown() {
-	s.mu.Lock()
-	list, _ := s.states()
-	s.mu.Unlock()
-	for _, c := range list {
+	for _, c := range s.conns.All() {
 		c.closeBehind()
 	}
 	s.tasks.Wait()
