--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -79,8 +79,8 @@
 func TestAcceptLoop_EachError_EndsOrRetries(t *testing.T) {
 	transient, fatal := errors.New("transient"), errors.New("fatal")
 	ours, theirs := net.Pipe()
-	defer ours.Close()
-	defer theirs.Close()
+	defer func() { _ = ours.Close() }()
+	defer func() { _ = theirs.Close() }()
 	for name, test := range map[string]struct {
 		results  []any
 		admitted int
@@ -107,8 +107,8 @@
 
 func TestSetWriteTimeout_PeerReadsNothing_WriteFails(t *testing.T) {
 	ours, theirs := net.Pipe()
-	defer ours.Close()
-	defer theirs.Close()
+	defer func() { _ = ours.Close() }()
+	defer func() { _ = theirs.Close() }()
 	SetWriteTimeout(ours, time.Millisecond)
 	if _, err := ours.Write([]byte("x")); !IsTimeout(err) {
 		t.Errorf("error %v", err)
--- /dev/null
+++ b/internal/platform/rpcframe/reader.go
@@ -0,0 +1,190 @@
+package rpcframe
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math"
+
+	"github.com/vmihailenco/msgpack/v5"
+	"github.com/vmihailenco/msgpack/v5/msgpcode"
+)
+
+// Source is what messages are read from, byte by byte where need be: bufio.Reader is one.
+type Source interface {
+	io.Reader
+	io.ByteScanner
+}
+
+// Reader reads messages from one client's connection. It must be used by one goroutine only.
+type Reader struct{ decoder *msgpack.Decoder }
+
+// NewReader returns a Reader of source.
+func NewReader(source Source) *Reader { return &Reader{msgpack.NewDecoder(source)} }
+
+// Next reads the next message. A malformed one returns an error that wraps ErrMalformed, together with the Number that
+// it has where that could be read: nothing can be read behind it. Other errors are those of the source.
+func (r *Reader) Next() (Message, error) {
+	length, err := r.decoder.DecodeArrayLen()
+	if err != nil {
+		return Message{}, readError("a message", err)
+	}
+	messageType, err := r.number()
+	switch {
+	case err != nil:
+		return Message{}, err
+	case messageType == typeRequest && length == 4:
+		return r.request()
+	case messageType == typeNotification && length == 3:
+		return r.cancellation()
+	}
+	return Message{}, malformed("type %d in an array of %d", messageType, length)
+}
+
+// readError tells input that ended or failed from input that cannot be decoded.
+func readError(what string, err error) error {
+	if isEndOfInput(err) || isNetworkError(err) {
+		return fmt.Errorf("read %s: %w", what, err)
+	}
+	return malformed("%s: %w", what, err)
+}
+
+func isEndOfInput(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+}
+
+// isNetworkError recognizes an error of the connection by its method that says whether it is a time-out.
+func isNetworkError(err error) bool {
+	var network interface{ Timeout() bool }
+	return errors.As(err, &network) || errors.Is(err, io.ErrClosedPipe)
+}
+
+func (r *Reader) number() (uint32, error) {
+	number, err := r.decoder.DecodeInt64()
+	if err != nil {
+		return 0, readError("a number", err)
+	}
+	if number < 0 || number > math.MaxUint32 {
+		return 0, malformed("number %d", number)
+	}
+	return uint32(number), nil
+}
+
+// request reads what follows the type of a request: number, method and an array of fields and, in most, a body.
+func (r *Reader) request() (m Message, err error) {
+	if m.Number, err = r.number(); err != nil {
+		return m, err
+	}
+	if m.Method, err = r.text("method", maxName); err != nil {
+		return m, err
+	}
+	length, err := r.decoder.DecodeArrayLen()
+	if err != nil {
+		return m, readError("parameters", err)
+	}
+	if length != 1 && length != 2 {
+		return m, malformed("%d parameters", length)
+	}
+	if m.Params, err = r.params(); err != nil {
+		return m, err
+	}
+	if length == 2 {
+		m.Body, err = r.bytes("body", MaxBody)
+	}
+	return m, err
+}
+
+// cancellation reads what follows the type of a notification. The only one there is cancels requests.
+func (r *Reader) cancellation() (m Message, err error) {
+	if m.Method, err = r.text("method", maxName); err != nil {
+		return m, err
+	}
+	if m.Method != MethodCancel {
+		return m, malformed("notification %q", m.Method)
+	}
+	count, err := r.decoder.DecodeArrayLen()
+	if err != nil {
+		return m, readError("parameters", err)
+	}
+	if count < 1 || count > maxCancelled {
+		return m, malformed("%d requests cancelled", count)
+	}
+	for range count {
+		number, err := r.number()
+		if err != nil {
+			return m, err
+		}
+		m.Cancelled = append(m.Cancelled, number)
+	}
+	return m, nil
+}
+
+// params reads the named fields of a request.
+func (r *Reader) params() (Params, error) {
+	count, err := r.decoder.DecodeMapLen()
+	if err != nil {
+		return Params{}, readError("fields", err)
+	}
+	if count < 0 || count > maxFields {
+		return Params{}, malformed("%d fields", count)
+	}
+	var params Params
+	seen := make(map[string]bool, count)
+	for range count {
+		name, err := r.text("field", maxName)
+		if err != nil {
+			return Params{}, err
+		}
+		if seen[name] {
+			return Params{}, malformed("field %q twice", name)
+		}
+		seen[name] = true
+		value, err := r.text("value", maxValue)
+		if err != nil {
+			return Params{}, err
+		}
+		params.set(name, value)
+	}
+	return params, nil
+}
+
+// text reads a string of at most limit bytes. MessagePack's binary type is none.
+func (r *Reader) text(what string, limit int) (string, error) {
+	code, err := r.decoder.PeekCode()
+	if err != nil {
+		return "", readError(what, err)
+	}
+	if !msgpcode.IsString(code) {
+		return "", malformed("%s of kind %x", what, code)
+	}
+	raw, err := r.sized(what, limit)
+	return string(raw), err
+}
+
+// bytes reads at most limit bytes of MessagePack's binary type. A string is none.
+func (r *Reader) bytes(what string, limit int) ([]byte, error) {
+	code, err := r.decoder.PeekCode()
+	if err != nil {
+		return nil, readError(what, err)
+	}
+	if !msgpcode.IsBin(code) {
+		return nil, malformed("%s of kind %x", what, code)
+	}
+	return r.sized(what, limit)
+}
+
+// sized reads a value that has its length before it, and allocates only for a length within limit.
+func (r *Reader) sized(what string, limit int) ([]byte, error) {
+	length, err := r.decoder.DecodeBytesLen()
+	if err != nil {
+		return nil, readError(what, err)
+	}
+	if length < 0 || length > limit {
+		return nil, malformed("%s of %d bytes", what, length)
+	}
+	raw := make([]byte, length)
+	if err := r.decoder.ReadFull(raw); err != nil {
+		return nil, readError(what, err)
+	}
+	return raw, nil
+}
--- a/internal/platform/rpcframe/rpcwire_test.go
+++ b/internal/platform/rpcframe/reader_test.go
@@ -27,9 +27,9 @@
 	return NewReader(bufio.NewReader(bytes.NewReader(raw))).Next()
 }
 
-func TestMessagesAreRead(t *testing.T) {
+func TestNext_ValidMessages_Read(t *testing.T) {
 	m, err := next(request(t))
-	if err != nil || m.Number != 7 || m.Method != "call" || m.Fields["wait"] != "1500" || !bytes.Equal(m.Body, []byte{1, 2}) {
+	if err != nil || m.Number != 7 || m.Method != "call" || m.Params.Timeout != "1500" || !bytes.Equal(m.Body, []byte{1, 2}) {
 		t.Errorf("read %+v, %v", m, err)
 	}
 	m, err = next(encode(t, []any{2, "revoke", []any{7, 9}}))
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestBadMessagesAreRefused(t *testing.T) {
+func TestNext_InvalidMessages_Malformed(t *testing.T) {
 	fields := map[string]string{}
 	many := map[string]string{}
 	for i := range 2 * maxFields {
@@ -54,7 +54,7 @@
 	}
 	for name, raw := range map[string][]byte{
 		"no array":         encode(t, map[string]int{"a": 1}),
-		"an answer":        encode(t, []any{1, 7, nil, nil}),
+		"a response":       encode(t, []any{1, 7, nil, nil}),
 		"too short":        encode(t, []any{0, 7, "call"}),
 		"too long":         encode(t, []any{0, 7, "call", []any{fields, []byte{}}, 1}),
 		"negative number":  encode(t, []any{0, -7, "call", []any{fields, []byte{}}}),
@@ -66,7 +66,7 @@
 		"body beyond":      encode(t, []any{0, 7, "call", []any{fields, make([]byte, MaxBody+1)}}),
 		"60 MB claimed":    append(encode(t, []any{0, 7, "call"})[:8], 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0),
 		"field twice":      append([]byte{0x94, 0, 7, 0xa1, 'c', 0x92, 0x82}, []byte{0xa1, 'a', 0xa1, 'b', 0xa1, 'a', 0xa1, 'b'}...),
-		"another notice":   encode(t, []any{2, "cancel", []any{7}}),
+		"another method":   encode(t, []any{2, "cancel", []any{7}}),
 		"hundreds revoked": encode(t, []any{2, "revoke", make([]int, 300)}),
 	} {
 		if name == "60 MB claimed" {
@@ -84,12 +84,12 @@
 	}
 }
 
-func TestAnswersAreAsThePlatformWordsThem(t *testing.T) {
+func TestAppend_EachResponse_EncodedAsThePlatformDoes(t *testing.T) {
 	for name, pair := range map[string][2][]byte{
-		"served":  {AppendServed(nil, 7, nil), encode(t, []any{1, 7, nil, []any{[]byte{}, map[string]string{}}})},
-		"refused": {AppendError(nil, 7, "Backoff", "after", "500"), encode(t, []any{1, 7, []any{"Backoff", map[string]string{"after": "500"}}, nil})},
-		"failed":  {AppendError(nil, 7, "Lost", "", ""), encode(t, []any{1, 7, []any{"Lost", map[string]string{}}, nil})},
-		"beat":    {AppendTrue(nil, 8, true), encode(t, []any{1, 8, nil, []any{true, map[string]string{}}})},
+		"served":    {AppendServed(nil, 7, nil), encode(t, []any{1, 7, nil, []any{[]byte{}, map[string]string{}}})},
+		"rejected":  {AppendError(nil, 7, "Backoff", "after", "500"), encode(t, []any{1, 7, []any{"Backoff", map[string]string{"after": "500"}}, nil})},
+		"failed":    {AppendError(nil, 7, "Lost", "", ""), encode(t, []any{1, 7, []any{"Lost", map[string]string{}}, nil})},
+		"heartbeat": {AppendTrue(nil, 8, true), encode(t, []any{1, 8, nil, []any{true, map[string]string{}}})},
 	} {
 		if !bytes.Equal(pair[0], pair[1]) {
 			t.Errorf("%s is %x, wanted %x", name, pair[0], pair[1])
@@ -97,11 +97,26 @@
 	}
 }
 
+// fieldCount counts the named fields of a request, by a decoder of its own. A cancellation has none.
+func fieldCount(t *testing.T, raw []byte) int {
+	t.Helper()
+	message, err := msgpack.NewDecoder(bytes.NewReader(raw)).DecodeSlice()
+	if err != nil {
+		t.Fatalf("accepted %x, which cannot be decoded: %v", raw, err)
+	}
+	if len(message) != 4 {
+		return 0
+	}
+	return len(message[3].([]any)[0].(map[string]any))
+}
+
+// FuzzNext holds that no bytes make the reader panic, that what it accepts is within the bounds, and that its errors say
+// whether the message is malformed or the input ended.
 func FuzzNext(f *testing.F) {
 	f.Add(request(f))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, err := next(raw)
-		if err == nil && (len(m.Body) > MaxBody || len(m.Fields) > maxFields || len(m.Cancelled) > maxRevoke) {
+		if err == nil && (len(m.Body) > MaxBody || fieldCount(t, raw) > maxFields || len(m.Cancelled) > maxCancelled) {
 			t.Fatalf("read %+v", m)
 		}
 		if err != nil && !errors.Is(err, ErrMalformed) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
--- /dev/null
+++ b/internal/platform/rpcserver/close_test.go
@@ -0,0 +1,85 @@
+package rpcserver
+
+import (
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"havencart/internal/decide/connadmission"
+	"havencart/internal/platform/rpcframe"
+)
+
+// pausingHandler lets the test act between a request's last byte and its handling.
+type pausingHandler struct {
+	stubHandler
+	received, proceed chan bool
+}
+
+func (h pausingHandler) Handle(request *Request, respond func(Response)) (func(), error) {
+	h.received <- true
+	<-h.proceed
+	return h.stubHandler.Handle(request, respond)
+}
+
+// TestCloseIf_RequestReceivedWhole_StaysOpen holds that no connection is closed under a request that was received
+// whole: the client would send it again on another connection, under the same id, which is in use by then.
+func TestCloseIf_RequestReceivedWhole_StaysOpen(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	ours, theirs := net.Pipe()
+	h := pausingHandler{stubHandler{make(chan *stubRequest, 1), make(chan string, 1)}, make(chan bool), make(chan bool)}
+	s := New(Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}, h, zerolog.Nop())
+	s.admit(ours)
+	always := func(connadmission.Connection) bool { return true }
+	c := s.conns.All()[0]
+	raw := requestMessage(t, 1, "quote", validFields(1))
+	write(t, theirs, raw[:len(raw)-1])
+	write(t, theirs, raw[len(raw)-1:])
+	<-h.received
+	if c.closeIf(always) || s.evict() {
+		t.Error("closed while a request that was received whole was handled")
+	}
+	h.proceed <- true
+	request := <-h.requests
+	if c.closeIf(always) {
+		t.Error("closed while a request was in flight")
+	}
+	request.respond(Response{Kind: Served, Body: []byte("one")})
+	expect(t, theirs, rpcframe.AppendServed(nil, 1, []byte("one")))
+	c.drain()
+	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("read %v", err)
+	}
+	_ = theirs.Close()
+	s.Shutdown()
+}
+
+// TestCloseIf_MessageBeganSinceSnapshot_StaysOpen holds that the decision is made again under the lock.
+func TestCloseIf_MessageBeganSinceSnapshot_StaysOpen(t *testing.T) {
+	ours, theirs := net.Pipe()
+	defer func() { _ = theirs.Close() }()
+	c := newConn(New(Config{}, stubHandler{}, zerolog.Nop()), ours)
+	c.hasSentRequest, c.stateSince = true, time.Now().Add(-time.Hour)
+	if state := c.snapshot(time.Now()); !connadmission.ShouldClose(state) {
+		t.Fatalf("not idle: %+v", state)
+	}
+	c.setInput(inputPartial)
+	if c.closeIf(connadmission.ShouldClose) {
+		t.Error("closed in the middle of a message")
+	}
+	if c.closeIf(connadmission.ShouldCloseInShutdown) {
+		t.Error("closed in the middle of a message during a shutdown")
+	}
+	c.setInput(inputComplete)
+	if c.closeIf(func(connadmission.Connection) bool { return true }) {
+		t.Error("closed between a request's last byte and its handling")
+	}
+	c.setInput(inputIdle)
+	if !c.closeIf(connadmission.ShouldCloseInShutdown) {
+		t.Error("an idle one stays open during a shutdown")
+	}
+}
--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -4,289 +4,269 @@
 	"bufio"
 	"errors"
 	"net"
-	"strconv"
 	"sync"
 	"time"
 
-	"havencart/internal/clientconn"
 	"havencart/internal/decide/connadmission"
 	"havencart/internal/platform/rpcframe"
 )
 
-// readBuffer is small: there are many connections, and memory is short.
-const readBuffer = 2 << 10
+// readBufferSize, in bytes, is small: there are many connections, and memory is scarce.
+const readBufferSize = 2 << 10
 
-// mostFaults is how many requests in a row the Handler may turn down, as for an id that is in use, until the connection
-// is closed. One may be a usual client's, to whose id another came first: what else it has open is not to be lost.
-const mostFaults = 8
+// maxConsecutiveRejections is how many requests in a row the Handler may reject as breaking the protocol, as for an id
+// that is in use, until the connection is closed. One may be a well-behaved client's, whose id another client used
+// first: the other requests on its connection must not be lost.
+const maxConsecutiveRejections = 8
 
-// conn is one client's connection. Its reading goroutine owns it; a second one writes answers and lives only while
-// there are some.
+// conn is one client's connection. Its reading goroutine starts when it is admitted and ends with the input; a writing
+// goroutine lives while there are responses to write.
 type conn struct {
-	s   *Server
-	net net.Conn
-	in  *bufio.Reader
-	// faults are requests in a row that the Handler would not have; the reading goroutine's own.
-	faults int
+	server *Server
+	net    net.Conn
+	in     *bufio.Reader
+	// consecutiveRejections are requests in a row that the Handler rejected. The reading goroutine owns it.
+	consecutiveRejections int
 
-	mu      sync.Mutex
-	open    map[uint32]*exchange // requests owed an answer, by number; bounded by MaxOpen
-	last    uint32               // number of the last request
-	asked   bool
-	half    bool      // a part of a message has come
-	taking  bool      // a message that came whole is being taken: it may become an open request
-	since   time.Time // since when it stands so
-	out     []byte    // answers to be written; bounded by MaxOut
-	writing bool
-	closing bool // closes behind what is to be written; nothing new is taken
-	closed  bool
+	mu             sync.Mutex
+	inFlight       map[uint32]*exchange // requests owed a response, by number; at most MaxOpen
+	lastNumber     uint32               // of the last request
+	hasSentRequest bool
+	input          inputState
+	stateSince     time.Time // when input changed or a response was queued
+	output         []byte    // responses not yet passed to the system; beyond MaxOut bytes the connection is closed
+	writing        bool      // the writing goroutine lives
+	lifecycle      lifecycle
 }
 
-// exchange is a request that is owed an answer.
+// inputState is what the reading goroutine does.
+type inputState int
+
+const (
+	inputIdle     inputState = iota // waits for a message
+	inputPartial                    // has read a part of a message
+	inputComplete                   // handles a whole message, which may become a request in flight
+)
+
+// lifecycle is the state of a connection. It only goes forward.
+type lifecycle int
+
+const (
+	lifecycleOpen     lifecycle = iota
+	lifecycleDraining           // closes behind the queued responses
+	lifecycleClosed
+)
+
+// exchange is a request that is owed a response.
 type exchange struct {
-	leave func() // set once it was taken
+	cancel func() // nil until the Handler returned
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	return &conn{s: s, net: nc, in: bufio.NewReaderSize(nc, readBuffer), open: map[uint32]*exchange{}, since: time.Now()}
+	return &conn{
+		server: s, net: nc, in: bufio.NewReaderSize(nc, readBufferSize), inFlight: map[uint32]*exchange{},
+		stateSince: time.Now(),
+	}
 }
 
-func (c *conn) standing(now time.Time) connadmission.Connection {
+// snapshot returns the state by which it is decided whether to close the connection.
+func (c *conn) snapshot(now time.Time) connadmission.Connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.stands(now)
+	return c.snapshotLocked(now)
 }
 
-// stands is how the connection stands; the lock is held.
-func (c *conn) stands(now time.Time) connadmission.Connection {
-	open := len(c.open)
-	if c.taking || c.writing {
-		open++
+// snapshotLocked is snapshot for a caller that holds the lock.
+func (c *conn) snapshotLocked(now time.Time) connadmission.Connection {
+	inFlight := len(c.inFlight)
+	if c.input == inputComplete || c.writing {
+		inFlight++
+	}
+	return connadmission.Connection{
+		InFlight: inFlight, HasSentRequest: c.hasSentRequest, PartialMessage: c.input == inputPartial,
+		StateAge: now.Sub(c.stateSince),
 	}
-	return connadmission.Connection{InFlight: open, HasSentRequest: c.asked, PartialMessage: c.half, StateAge: now.Sub(c.since)}
 }
 
-// closeIf closes a connection on which nothing is open and nothing is to be written, if may says so of how it stands
-// now: a message may have begun to come since it was looked at.
+// closeIf closes a connection that has nothing in flight and nothing to write, if permits approves its state now: a
+// message may have begun to arrive since the caller looked at it. It reports whether it closed the connection.
 //
-// A message that came whole counts as open until it is taken or turned down. It guards against a request that is read
-// from a connection which is closed meanwhile: its client sends it anew under the same id, and would find that in use.
-func (c *conn) closeIf(may func(connadmission.Connection) bool) bool {
+// A message that was received whole counts as in flight until it is handled or rejected. Otherwise a request could be
+// read from a connection that is closed meanwhile: its client would send it again under the same id, which is in use.
+func (c *conn) closeIf(permits func(connadmission.Connection) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if stands := c.stands(time.Now()); c.closed || stands.InFlight > 0 || !may(stands) {
+	if c.lifecycle == lifecycleClosed {
 		return false
 	}
-	c.shut()
+	state := c.snapshotLocked(time.Now())
+	if state.InFlight > 0 || !permits(state) {
+		return false
+	}
+	c.closeLocked()
 	return true
 }
 
-// closeBehind closes a connection behind what is to be written.
-func (c *conn) closeBehind() {
+// drain closes the connection once what is queued is written.
+func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing = true
+	c.drainLocked()
+}
+
+func (c *conn) drainLocked() {
+	if c.lifecycle == lifecycleOpen {
+		c.lifecycle = lifecycleDraining
+	}
 	if !c.writing {
-		c.shut()
+		c.closeLocked()
 	}
 }
 
-// shut closes the connection; the lock is held.
-func (c *conn) shut() {
-	c.closed, c.closing = true, true
-	c.net.Close()
+// closeLocked closes the connection at once. The reading goroutine ends by that.
+func (c *conn) closeLocked() {
+	c.lifecycle = lifecycleClosed
+	_ = c.net.Close() // nothing is done with the connection after this
 }
 
-// read takes requests until the connection ends, and leaves what is open then.
+// read handles messages until the input ends, and then cancels what is in flight.
 func (c *conn) read() {
 	reader := rpcframe.NewReader(c.in)
-	for c.next(reader) {
-	}
-	c.mu.Lock()
-	var left []func()
-	for number, x := range c.open {
-		left = append(left, x.leave)
-		delete(c.open, number)
+	for c.readMessage(reader) {
 	}
-	c.closing = true
-	if !c.writing {
-		c.shut()
+	for _, x := range c.endInput() {
+		x.cancel()
 	}
-	c.mu.Unlock()
-	for _, leave := range left {
-		leave()
+	c.server.conns.Remove(c)
+}
+
+// endInput drains the connection and returns the requests that were in flight: their responses are no longer wanted.
+func (c *conn) endInput() []*exchange {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var abandoned []*exchange
+	for number, x := range c.inFlight {
+		abandoned = append(abandoned, x)
+		delete(c.inFlight, number)
 	}
-	c.s.conns.Remove(c)
+	c.drainLocked()
+	return abandoned
 }
 
-// next takes the next message and says whether to go on.
-func (c *conn) next(reader *rpcframe.Reader) bool {
+// readMessage reads and handles the next message. It reports whether more may follow.
+func (c *conn) readMessage(reader *rpcframe.Reader) bool {
 	if _, err := c.in.Peek(1); err != nil {
 		return false
 	}
-	c.stand(true, false)
+	c.setInput(inputPartial)
 	m, err := reader.Next()
-	c.stand(false, true)
-	defer c.stand(false, false)
-	switch {
-	case errors.Is(err, rpcframe.ErrMalformed):
-		c.refute(m.Number, err)
-		return false
-	case err != nil:
-		return false
-	case m.Cancelled != nil:
-		c.revoke(m.Cancelled)
-		return true
+	c.setInput(inputComplete)
+	defer c.setInput(inputIdle)
+	if err == nil {
+		err = c.handleMessage(m)
+	} else if !errors.Is(err, rpcframe.ErrMalformed) {
+		return false // the input ended
 	}
-	if err := c.request(m); err != nil {
-		c.refute(m.Number, err)
+	if err != nil {
+		c.reportViolation(m.Number, err)
 		return false
 	}
 	return true
 }
 
-// stand notes that a message begins to come, that it is being taken, or that this is over.
-func (c *conn) stand(half, taking bool) {
+func (c *conn) setInput(state inputState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.half, c.taking, c.since = half, taking, time.Now()
+	c.input, c.stateSince = state, time.Now()
 }
 
-// refute tells a client that its request breaks the protocol, where it has a number.
-func (c *conn) refute(number uint32, why error) {
-	c.s.broken.Add(1)
-	c.s.log.Info().Err(why).Msg("a client broke the protocol")
-	if number > 0 {
-		c.write(func(out []byte) []byte { return rpcframe.AppendError(out, number, "Malformed", "", "") })
+// handleMessage handles one message. It returns an error if the message breaks the protocol.
+func (c *conn) handleMessage(m rpcframe.Message) error {
+	switch {
+	case m.Cancelled != nil:
+		c.cancelRequests(m.Cancelled)
+		return nil
+	case m.Method == rpcframe.MethodHeartbeat:
+		c.handleHeartbeat(m.Number)
+		return nil
 	}
+	return c.handleRequest(m)
 }
 
-// request takes one request.
-func (c *conn) request(m rpcframe.Message) error {
-	if m.Method == heartbeat {
-		c.beat(m)
-		return nil
+// reportViolation responds with an error to a request that breaks the protocol, where it has a number.
+func (c *conn) reportViolation(number uint32, reason error) {
+	c.server.protocolErrors.Add(1)
+	c.server.log.Info().Err(reason).Msg("a client broke the protocol")
+	if number > 0 {
+		c.enqueue(func(output []byte) []byte { return rpcframe.AppendMalformed(output, number) })
 	}
-	call, err := c.s.cfg.Rules.parse(m)
+}
+
+func (c *conn) handleRequest(m rpcframe.Message) error {
+	request, err := c.server.cfg.Rules.parse(m)
 	if err != nil {
 		return err
 	}
-	call.ReceivedAt = time.Now()
-	x := &exchange{}
-	c.mu.Lock()
-	full, fresh := len(c.open) >= c.s.cfg.MaxOpen, m.Number > c.last
-	if !full && fresh {
-		c.last, c.asked = m.Number, true
-		c.open[m.Number] = x
-	}
-	c.mu.Unlock()
-	switch {
-	case full:
-		return broken("more than %d requests open", c.s.cfg.MaxOpen)
-	case !fresh:
-		return broken("number %d after %d", m.Number, c.last)
+	request.ReceivedAt = time.Now()
+	x, err := c.addInFlight(m.Number)
+	if err != nil {
+		return err
 	}
-	leave, err := c.s.handler.Handle(call, func(a Response) { c.answer(m.Number, x, a) })
+	cancel, err := c.server.handler.Handle(request, func(r Response) { c.respond(m.Number, x, r) })
 	if err != nil {
-		c.mu.Lock()
-		delete(c.open, m.Number)
-		c.mu.Unlock()
-		if c.faults++; c.faults < mostFaults {
-			c.refute(m.Number, err)
-			return nil
+		c.takeInFlight(m.Number)
+		c.consecutiveRejections++
+		if c.consecutiveRejections >= maxConsecutiveRejections {
+			return err
 		}
-		return err
+		c.reportViolation(m.Number, err)
+		return nil
 	}
-	c.faults = 0
+	c.consecutiveRejections = 0
 	c.mu.Lock()
-	x.leave = leave
+	x.cancel = cancel
 	c.mu.Unlock()
 	return nil
 }
 
-func (c *conn) beat(m rpcframe.Message) {
+// addInFlight records a request as owed a response.
+func (c *conn) addInFlight(number uint32) (*exchange, error) {
 	c.mu.Lock()
-	c.last = max(c.last, m.Number)
-	c.asked = true
-	c.mu.Unlock()
-	c.write(func(out []byte) []byte { return rpcframe.AppendTrue(out, m.Number, c.s.handler.Ready()) })
-}
-
-// revoke takes back requests: nobody waits for them. One that has its answer is none of these any longer.
-func (c *conn) revoke(numbers []uint32) {
-	for _, n := range numbers {
-		c.mu.Lock()
-		x := c.open[n]
-		delete(c.open, n)
-		c.mu.Unlock()
-		if x != nil {
-			x.leave()
-		}
+	defer c.mu.Unlock()
+	if len(c.inFlight) >= c.server.cfg.MaxOpen {
+		return nil, protocolError("more than %d requests in flight", c.server.cfg.MaxOpen)
+	}
+	if number <= c.lastNumber {
+		return nil, protocolError("number %d after %d", number, c.lastNumber)
 	}
+	c.lastNumber, c.hasSentRequest = number, true
+	x := &exchange{}
+	c.inFlight[number] = x
+	return x, nil
 }
 
-// answer gives a request its final answer.
-func (c *conn) answer(number uint32, x *exchange, a Response) {
-	c.write(func(out []byte) []byte {
-		if c.open[number] != x { // answered, left or taken back
-			return out
-		}
-		delete(c.open, number)
-		c.since = time.Now()
-		switch {
-		case a.Kind == Served:
-			return rpcframe.AppendServed(out, number, a.Body)
-		case a.Kind == Rejected && a.RetryAfter > 0:
-			return rpcframe.AppendError(out, number, "Backoff", "after", strconv.FormatInt(a.RetryAfter.Milliseconds(), 10))
-		case a.Kind == Rejected:
-			return rpcframe.AppendError(out, number, "Backoff", "", "")
-		}
-		return rpcframe.AppendError(out, number, "Lost", "", "")
-	})
+// takeInFlight removes a request from those owed a response and returns it, nil if it is none of them.
+func (c *conn) takeInFlight(number uint32) *exchange {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	x := c.inFlight[number]
+	delete(c.inFlight, number)
+	return x
 }
 
-// write adds what is to be written, and has it written. It never waits for the client.
-func (c *conn) write(add func([]byte) []byte) {
+func (c *conn) handleHeartbeat(number uint32) {
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.out = add(c.out)
-	switch {
-	case c.closed || len(c.out) == 0:
-		c.out = nil
-	case len(c.out) > c.s.cfg.MaxOut:
-		c.out = nil
-		c.shut() // it does not read
-	case !c.writing:
-		c.writing = true
-		ready := time.Now()
-		c.s.tasks.Go(func() { c.flush(ready) })
-	}
+	c.lastNumber = max(c.lastNumber, number)
+	c.hasSentRequest = true
+	c.mu.Unlock()
+	c.enqueue(func(output []byte) []byte { return rpcframe.AppendTrue(output, number, c.server.handler.Ready()) })
 }
 
-// flush writes until there is nothing more to write; the first of it is ready since a time. How long that waited says
-// how late the process is: what comes later waits for the client to take what was before it.
-func (c *conn) flush(ready time.Time) {
-	if c.s.cfg.Wrote != nil {
-		c.s.cfg.Wrote(time.Since(ready))
-	}
-	var buf []byte
-	for {
-		c.mu.Lock()
-		buf, c.out = c.out, buf[:0]
-		if len(buf) == 0 || c.closed {
-			c.writing, c.out = false, nil
-			if c.closing && !c.closed {
-				c.shut()
-			}
-			c.mu.Unlock()
-			return
-		}
-		c.mu.Unlock()
-		clientconn.SetWriteTimeout(c.net, c.s.cfg.Write)
-		if _, err := c.net.Write(buf); err != nil {
-			c.mu.Lock()
-			c.shut()
-			c.mu.Unlock()
+// cancelRequests cancels those requests that are still in flight.
+func (c *conn) cancelRequests(numbers []uint32) {
+	for _, number := range numbers {
+		if x := c.takeInFlight(number); x != nil {
+			x.cancel()
 		}
 	}
 }
--- /dev/null
+++ b/internal/platform/rpcserver/helpers_test.go
@@ -0,0 +1,116 @@
+package rpcserver
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/vmihailenco/msgpack/v5"
+	"go.uber.org/goleak"
+)
+
+// stubHandler is a Handler that passes requests to the test.
+type stubHandler struct {
+	requests  chan *stubRequest
+	cancelled chan string
+}
+
+type stubRequest struct {
+	*Request
+	respond func(Response)
+}
+
+func (h stubHandler) Handle(request *Request, respond func(Response)) (func(), error) {
+	if request.ID == rejectedID {
+		return nil, ErrProtocol
+	}
+	h.requests <- &stubRequest{request, respond}
+	return func() { h.cancelled <- request.ID }, nil
+}
+
+// rejectedID is an id that the Handler rejects.
+const rejectedID = "00000000000000ff"
+
+func (h stubHandler) Ready() bool { return true }
+
+var rules = Rules{
+	Classes:  []Class{{Name: "quote", MaxTimeout: time.Second}, {Name: "log", MaxTimeout: time.Second, RequiresKey: true}},
+	Tenants:  []string{"acme", "other"},
+	MemoryMB: 1000,
+}
+
+// startServer returns a server's handler and address. It is shut down when the test ends.
+func startServer(t *testing.T, maxConns int) (stubHandler, string) {
+	t.Helper()
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := stubHandler{make(chan *stubRequest, 64), make(chan string, 64)}
+	s := New(Config{Rules: rules, MaxConns: maxConns, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}, h, zerolog.Nop())
+	ctx, cancel := context.WithCancel(context.Background())
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(ctx, l) }()
+	t.Cleanup(func() {
+		_ = l.Close()
+		cancel()
+		if err := <-served; err != nil {
+			t.Error(err)
+		}
+		s.Shutdown()
+	})
+	return h, l.Addr().String()
+}
+
+func connect(t *testing.T, address string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	return c
+}
+
+// validFields are the fields of a request that keeps the rules.
+func validFields(id int) map[string]string {
+	return map[string]string{
+		"id": fmt.Sprintf("%016x", id), "wait": "900", "tenant": "other", "key": "7f3a9c21e0b4d655",
+		"attrs": "memory_mb:512;lanes:2;load_ms:300",
+	}
+}
+
+func message(t *testing.T, v ...any) []byte {
+	t.Helper()
+	raw, err := msgpack.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+func requestMessage(t *testing.T, number int, method string, fields map[string]string) []byte {
+	t.Helper()
+	return message(t, 0, number, method, []any{fields, []byte("body")})
+}
+
+func write(t *testing.T, c net.Conn, raw []byte) {
+	t.Helper()
+	if _, err := c.Write(raw); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func expect(t *testing.T, c net.Conn, want []byte) {
+	t.Helper()
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("read %q, %v; wanted %q", got, err, want)
+	}
+}
--- /dev/null
+++ b/internal/platform/rpcserver/output_test.go
@@ -0,0 +1,37 @@
+package rpcserver
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"havencart/internal/platform/rpcframe"
+)
+
+// TestWriteDelay_ClientReadsNothing_NotReported holds that the time for which responses wait for their client is not
+// reported as the process's.
+func TestWriteDelay_ClientReadsNothing_NotReported(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	ours, theirs := net.Pipe()
+	h := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
+	delays := make(chan time.Duration, 4)
+	s := New(Config{
+		Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute,
+		Wrote: func(delay time.Duration) { delays <- delay },
+	}, h, zerolog.Nop())
+	s.admit(ours)
+	write(t, theirs, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(2))...))
+	first, second := <-h.requests, <-h.requests
+	first.respond(Response{Kind: Served, Body: []byte("one")})
+	<-delays // the write of the first one begins, and nobody reads
+	second.respond(Response{Kind: Served, Body: []byte("two")})
+	expect(t, theirs, rpcframe.AppendServed(rpcframe.AppendServed(nil, 1, []byte("one")), 2, []byte("two")))
+	if len(delays) != 0 {
+		t.Errorf("the second response's wait of %v for its client is reported as ours", <-delays)
+	}
+	_ = theirs.Close()
+	s.Shutdown()
+}
--- a/internal/platform/rpcserver/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -1,10 +1,14 @@
+// Package rpcserver serves the users' platform's clients: MessagePack-RPC over TCP, with many requests in flight on a
+// connection and responses in any order. Requests are checked against the Rules before a Handler sees them. The package
+// knows nothing of workers: the Handler gives each request its final response.
+//
+// A client that breaks the protocol gets an error, where its request has a number, and its connection is closed, which
+// cancels whatever else is in flight on it. No well-behaved client does that.
 package rpcserver
 
 import (
 	"context"
-	"errors"
 	"net"
-	"os"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,168 +19,179 @@
 	"havencart/internal/decide/connadmission"
 )
 
+// sweepInterval is the time between searches for connections to close.
+const sweepInterval = 250 * time.Millisecond
+
 // Config bounds what clients may do.
 type Config struct {
 	Rules    Rules
-	MaxConns int // beyond, one that asks nothing is closed, or the new one
-	MaxOpen  int // requests of one connection; one more breaks the protocol
-	MaxOut   int // bytes of answers that a client has not taken; beyond, its connection is closed
-	Write    time.Duration
-	Wrote    func(took time.Duration) // where set, told how long answers waited to be written
-	Rest     time.Duration            // for which connections that the machine took are still accepted once Finish was called
+	MaxConns int           // beyond, an idle connection is evicted, or else the new one rejected
+	MaxOpen  int           // requests in flight on one connection; one more breaks the protocol
+	MaxOut   int           // bytes of responses that a client has not read; beyond, its connection is closed
+	Write    time.Duration // for one write of queued responses
+	// Wrote, unless nil, is called from the writing goroutines with the time between the queuing of a response and the
+	// start of its write. That time does not depend on the client.
+	Wrote func(delay time.Duration)
+	Rest  time.Duration // for which connections in the listener's backlog are still accepted during a shutdown
 }
 
-// Counts are totals of a Server.
+// Counts are totals of a Server since its start. Their names in logs are documented for operators and stay.
 type Counts struct {
-	Accepted, TurnedAway, Evicted, Closed, Broken uint64 // connections: Closed for asking nothing, Broken for breaking the protocol
+	Accepted       uint64 // connections accepted
+	Rejected       uint64 `json:"TurnedAway"` // connections closed at once as there were too many
+	Evicted        uint64 // idle connections closed to make room
+	IdleClosed     uint64 `json:"Closed"` // connections closed for sending no request in time
+	ProtocolErrors uint64 `json:"Broken"` // requests that broke the protocol
 }
 
-// Server serves clients' connections.
+// Server serves clients' connections. Its methods may be called from any goroutine.
 type Server struct {
 	cfg     Config
 	handler Handler
 	log     zerolog.Logger
+	conns   *clientconn.Table[*conn]
+	tasks   sync.WaitGroup // reading and writing goroutines, and the sweep
 
-	conns *clientconn.Table[*conn]
-
-	mu        sync.Mutex
-	listener  net.Listener // while it is served
-	finishing bool
-	tasks     sync.WaitGroup
+	mu           sync.Mutex
+	listener     net.Listener // from the start of Serve
+	shuttingDown bool
 
-	accepted, turnedAway, evicted, closed, broken atomic.Uint64
+	accepted, rejected, evicted, idleClosed, protocolErrors atomic.Uint64
 }
 
-// New returns a Server that hands calls to handler.
+// New returns a Server that passes requests to handler.
 func New(cfg Config, handler Handler, log zerolog.Logger) *Server {
 	return &Server{cfg: cfg, handler: handler, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConns)}
 }
 
 // Counts returns the totals.
 func (s *Server) Counts() Counts {
-	return Counts{s.accepted.Load(), s.turnedAway.Load(), s.evicted.Load(), s.closed.Load(), s.broken.Load()}
+	return Counts{
+		Accepted:       s.accepted.Load(),
+		Rejected:       s.rejected.Load(),
+		Evicted:        s.evicted.Load(),
+		IdleClosed:     s.idleClosed.Load(),
+		ProtocolErrors: s.protocolErrors.Load(),
+	}
 }
 
-// lookEvery is how often connections are looked over.
-const lookEvery = 250 * time.Millisecond
-
-// acceptPause is how long accepting rests where the system has no descriptor left.
-const acceptPause = 5 * time.Millisecond
+// Conns returns the number of open connections.
+func (s *Server) Conns() int { return s.conns.Len() }
 
-// Serve takes connections until l is closed or Finish was called, and looks over those that stand until ctx ends. It
-// closes l.
+// Serve accepts connections of l until l is closed or a shutdown began, and then closes l. Until ctx ends, a goroutine
+// that it starts goes on to close idle connections. It must be called once, before Shutdown.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	defer l.Close()
-	s.tasks.Go(func() { s.look(ctx) })
+	defer func() { _ = l.Close() }() // it may be closed already
+	s.tasks.Go(func() { s.sweepUntilDone(ctx) })
 	s.mu.Lock()
 	s.listener = l
 	s.endAccepting()
 	s.mu.Unlock()
-	err := clientconn.AcceptLoop(l, s.take, s.retryAccept)
-	if errors.Is(err, os.ErrDeadlineExceeded) { // the one that Finish sets
+	err := clientconn.AcceptLoop(l, s.admit, s.retryAccept)
+	if isAcceptDeadline(err) {
 		return nil
 	}
 	return err
 }
 
-// retryAccept reports whether accepting goes on after an error. Where the system ran out of something, it first makes
-// room and pauses.
-func (s *Server) retryAccept(err error) bool {
-	if errors.Is(err, os.ErrDeadlineExceeded) || !isPassing(err) {
-		return false
-	}
-	s.evict()
-	time.Sleep(acceptPause)
-	return true
-}
-
-func (s *Server) take(nc net.Conn) {
+// admit starts to serve a connection, in the place of an idle one if there is no other.
+func (s *Server) admit(nc net.Conn) {
 	s.accepted.Add(1)
 	c := newConn(s, nc)
-	if !s.conns.Add(c) && !(s.evict() && s.conns.Add(c)) {
-		s.turnedAway.Add(1)
-		nc.Close()
+	if !s.conns.Add(c) && !s.replaceIdle(c) {
+		s.rejected.Add(1)
+		_ = nc.Close()
 		return
 	}
 	s.tasks.Go(c.read)
 }
 
-// evict closes the connection that may go soonest, if there is one.
+// replaceIdle adds a connection to the full table if another can be evicted.
+func (s *Server) replaceIdle(c *conn) bool {
+	return s.evict() && s.conns.Add(c)
+}
+
+// evict closes the connection that is the first choice to make room. It reports whether there was one.
 func (s *Server) evict() bool {
-	list, states := s.states()
+	conns, states := s.snapshots()
 	i := connadmission.SelectEviction(states)
-	if i < 0 || !list[i].closeIf(connadmission.Evictable) {
+	if i < 0 || !conns[i].closeIf(connadmission.Evictable) {
 		return false
 	}
 	s.evicted.Add(1)
-	s.conns.Remove(list[i])
+	s.conns.Remove(conns[i])
 	return true
 }
 
-// states is how the connections stand.
-func (s *Server) states() (list []*conn, states []connadmission.Connection) {
+// snapshots returns the connections and the state of each.
+func (s *Server) snapshots() ([]*conn, []connadmission.Connection) {
 	now := time.Now()
-	list = s.conns.All()
-	for _, c := range list {
-		states = append(states, c.standing(now))
+	conns := s.conns.All()
+	states := make([]connadmission.Connection, len(conns))
+	for i, c := range conns {
+		states[i] = c.snapshot(now)
 	}
-	return list, states
+	return conns, states
 }
 
-// look closes connections that ask nothing.
-func (s *Server) look(ctx context.Context) {
-	ticker := time.NewTicker(lookEvery)
+func (s *Server) sweepUntilDone(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
+			s.sweep()
 		}
-		list, states := s.states()
-		s.mu.Lock()
-		finishing := s.finishing
-		s.mu.Unlock()
-		over := connadmission.ShouldClose
-		if finishing {
-			over = connadmission.ShouldCloseInShutdown
-		}
-		for i, c := range list {
-			if over(states[i]) && c.closeIf(over) {
-				s.closed.Add(1)
-			}
+	}
+}
+
+// sweep closes the connections that send no request in time.
+func (s *Server) sweep() {
+	conns, states := s.snapshots()
+	shouldClose := connadmission.ShouldClose
+	if s.isShuttingDown() {
+		shouldClose = connadmission.ShouldCloseInShutdown
+	}
+	for i, c := range conns {
+		if shouldClose(states[i]) && c.closeIf(shouldClose) {
+			s.idleClosed.Add(1)
 		}
 	}
 }
 
-// Conns is the number of connections.
-func (s *Server) Conns() int { return s.conns.Len() }
+func (s *Server) isShuttingDown() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.shuttingDown
+}
 
-// Finish makes each connection close once nothing is open on it, and ends the accepting.
+// Finish begins a shutdown: accepting ends, and each connection is closed once nothing is in flight on it.
 func (s *Server) Finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.finishing = true
+	s.shuttingDown = true
 	s.endAccepting()
 }
 
-// endAccepting ends the accepting of one that finishes; the lock is held. Connections that the machine took before are
-// still accepted, for Rest: closing a listener resets those that wait there, and the requests on them are lost.
+// endAccepting ends accepting if a shutdown began; the lock is held. Connections in the listener's backlog are still
+// accepted for the time of Rest: closing a listener resets them, and the requests on them would be lost.
 func (s *Server) endAccepting() {
-	if !s.finishing || s.listener == nil {
+	if !s.shuttingDown || s.listener == nil {
 		return
 	}
-	l, can := s.listener.(interface{ SetDeadline(time.Time) error })
-	if !can || l.SetDeadline(time.Now().Add(s.cfg.Rest)) != nil {
-		s.listener.Close()
+	l, hasDeadline := s.listener.(interface{ SetDeadline(time.Time) error })
+	if !hasDeadline || l.SetDeadline(time.Now().Add(s.cfg.Rest)) != nil {
+		_ = s.listener.Close()
 	}
 }
 
-// Shutdown closes all connections behind the answers that are on their way, each at once where nothing is, and
-// returns when all is closed. Serve's context is to have ended.
+// Shutdown closes each connection behind the responses that are queued on it, and returns when all goroutines of the
+// server have ended. Serve must have returned and its context ended before.
 func (s *Server) Shutdown() {
 	for _, c := range s.conns.All() {
-		c.closeBehind()
+		c.drain()
 	}
 	s.tasks.Wait()
 }
--- /dev/null
+++ b/internal/platform/rpcserver/shutdown_test.go
@@ -0,0 +1,91 @@
+package rpcserver
+
+import (
+	"context"
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"havencart/internal/platform/rpcframe"
+)
+
+// gatedListener is a listener whose Accept waits until the test lets it proceed.
+type gatedListener struct {
+	*net.TCPListener
+	pass chan bool
+}
+
+func (g gatedListener) Accept() (net.Conn, error) {
+	<-g.pass
+	return g.TCPListener.Accept()
+}
+
+// TestShutdown_ConnectionInBacklog_Served holds that a connection in the listener's backlog at the shutdown is still
+// accepted: closing the listener would reset it.
+func TestShutdown_ConnectionInBacklog_Served(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	for _, shutdownFirst := range []bool{true, false} {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		g := gatedListener{l.(*net.TCPListener), make(chan bool)}
+		h := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
+		s := New(Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute, Rest: time.Minute}, h, zerolog.Nop())
+		ctx, cancel := context.WithCancel(context.Background())
+		served := make(chan error, 1)
+		go func() { served <- s.Serve(ctx, g) }()
+		c := connect(t, l.Addr().String())
+		write(t, c, requestMessage(t, 1, "quote", validFields(1)))
+		if shutdownFirst {
+			s.Finish()
+			close(g.pass)
+		} else {
+			close(g.pass)
+			request := <-h.requests
+			h.requests <- request
+			s.Finish()
+		}
+		request := <-h.requests
+		request.respond(Response{Kind: Served, Body: []byte("one")})
+		expect(t, c, rpcframe.AppendServed(nil, 1, []byte("one")))
+		_ = l.Close()
+		if err := <-served; err != nil {
+			t.Error(err)
+		}
+		cancel()
+		s.Shutdown()
+	}
+}
+
+// TestShutdown_GracePeriodOver_AcceptingEnds holds that accepting ends by itself, whether the shutdown began before
+// Serve or after.
+func TestShutdown_GracePeriodOver_AcceptingEnds(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	for _, shutdownFirst := range []bool{true, false} {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		s := New(Config{Rules: rules, MaxConns: 4, Rest: time.Millisecond}, stubHandler{}, zerolog.Nop())
+		ctx, cancel := context.WithCancel(context.Background())
+		served := make(chan error, 1)
+		if shutdownFirst {
+			s.Finish()
+		}
+		go func() { served <- s.Serve(ctx, l) }()
+		s.Finish()
+		if err := <-served; err != nil {
+			t.Error(err)
+		}
+		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+			t.Errorf("the listener is still open: %v", err)
+		}
+		cancel()
+		s.Shutdown()
+	}
+}
