--- /dev/null
+++ b/internal/native/httpserver/helpers_test.go
@@ -0,0 +1,161 @@
+package httpserver
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testTimeout bounds what is expected to happen, far above what it takes.
+const testTimeout = 20 * time.Second
+
+// stubHandler passes requests to the test, which responds to them.
+type stubHandler struct {
+	requests chan *stubRequest
+}
+
+// stubRequest is a request that waits for the test's response.
+type stubRequest struct {
+	*Request
+	response  chan Response
+	cancelled chan struct{}
+	once      sync.Once
+}
+
+func (h *stubHandler) Take(request *Request) (Pending, error) {
+	if request.Class == "none" {
+		return nil, errors.New("no class \"none\"")
+	}
+	r := &stubRequest{Request: request, response: make(chan Response, 1), cancelled: make(chan struct{})}
+	h.requests <- r
+	return r, nil
+}
+
+func (r *stubRequest) Wait(gone <-chan struct{}) (Response, bool) {
+	select {
+	case response := <-r.response:
+		return response, true
+	case <-gone:
+		return Response{}, false
+	}
+}
+
+func (r *stubRequest) Leave() { r.once.Do(func() { close(r.cancelled) }) }
+
+// receive returns what is sent on c, and fails the test if nothing is.
+func receive[T any](t *testing.T, what string, c <-chan T) T {
+	t.Helper()
+	select {
+	case x := <-c:
+		return x
+	case <-time.After(testTimeout):
+		t.Fatalf("waited in vain for %s", what)
+		panic("unreachable")
+	}
+}
+
+// fixture is a running server and its Handler.
+type fixture struct {
+	*testing.T
+	handler *stubHandler
+	server  *Server
+	addr    string
+	stop    func()
+}
+
+// startServer starts a server whose Config change may adapt. It is stopped when the test ends.
+func startServer(t *testing.T, change func(*Config)) *fixture {
+	t.Helper()
+	cfg := Config{
+		Idle: testTimeout, Header: testTimeout, Body: testTimeout, Write: testTimeout, Stall: testTimeout,
+		MaxHeader: 4096, MaxBody: 1000, Pipeline: 16, MaxConns: 100,
+	}
+	if change != nil {
+		change(&cfg)
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &fixture{T: t, handler: &stubHandler{make(chan *stubRequest, 1000)}, addr: l.Addr().String()}
+	f.server = New(cfg, func() Handler { return f.handler }, zerolog.Nop())
+	done := make(chan error, 1)
+	go func() { done <- f.server.Serve(l) }()
+	var once sync.Once
+	f.stop = func() {
+		once.Do(func() {
+			_ = l.Close()
+			if err := receive(t, "the end of Serve", done); err != nil {
+				t.Error(err)
+			}
+			ctx, cancel := context.WithCancel(context.Background())
+			cancel()
+			f.server.Shutdown(ctx)
+		})
+	}
+	t.Cleanup(f.stop)
+	return f
+}
+
+// client is one raw connection.
+type client struct {
+	*testing.T
+	net.Conn
+	in *bufio.Reader
+}
+
+func (f *fixture) dial() *client {
+	f.Helper()
+	c, err := net.Dial("tcp", f.addr)
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Cleanup(func() { _ = c.Close() })
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
+	return &client{f.T, c, bufio.NewReader(c)}
+}
+
+func (c *client) send(text string) {
+	c.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		c.Fatal(err)
+	}
+}
+
+func (c *client) read() (*http.Response, string) {
+	c.Helper()
+	r, err := http.ReadResponse(c.in, nil)
+	if err != nil {
+		c.Fatalf("the client reads: %v", err)
+	}
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		c.Fatalf("the client reads a body: %v", err)
+	}
+	return r, string(body)
+}
+
+// expectClosed waits for the connection's end, with nothing before it.
+func (c *client) expectClosed() {
+	c.Helper()
+	if n, err := io.Copy(io.Discard, c.in); n != 0 || err != nil && !strings.Contains(err.Error(), "reset") {
+		c.Errorf("%d bytes and %v in place of the end", n, err)
+	}
+}
+
+func postRequest(function, headers, body string) string {
+	return fmt.Sprintf("POST /call/%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n%s", function, len(body), headers, body)
+}
--- /dev/null
+++ b/internal/native/httpserver/response.go
@@ -0,0 +1,176 @@
+package httpserver
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Texts of the status line and of the headers in a response.
+const (
+	protocolVersion     = "HTTP/1.1 "
+	prefixDate          = "Date: "
+	prefixOutcome       = "Call-Outcome: "
+	prefixAttempts      = "Call-Attempts: "
+	prefixID            = "Call-Id: "
+	prefixWorker        = "Call-Worker: "
+	prefixContentType   = "Content-Type: "
+	prefixContentLength = "Content-Length: "
+	lineConnectionClose = "Connection: close\r\n"
+	lineChunked         = "Transfer-Encoding: chunked\r\n"
+	lineContinue        = "HTTP/1.1 100 Continue\r\n\r\n"
+	lineEnd             = "\r\n"
+	lastChunk           = "0\r\n\r\n"
+)
+
+// framing is how a client finds the end of a served response's body (RFC 9112, section 6.3).
+type framing int
+
+const (
+	framingLength     framing = iota // Content-Length
+	framingChunked                   // chunked transfer coding
+	framingUntilClose                // the end of the connection, for HTTP/1.0
+)
+
+// status returns the response's status code.
+func (r Response) status() int {
+	switch {
+	case r.Outcome == Served:
+		return http.StatusOK
+	case r.Outcome == Rejected:
+		return http.StatusServiceUnavailable
+	case r.Outcome == Failed && r.TimedOut:
+		return http.StatusGatewayTimeout
+	case r.Outcome == Failed:
+		return http.StatusBadGateway
+	}
+	return http.StatusBadRequest
+}
+
+// Details is the body of each response that is not a worker's: problem details (RFC 9457).
+type Details struct {
+	Type         string  `json:"type"`
+	Title        string  `json:"title"`
+	Status       int     `json:"status"`
+	Detail       string  `json:"detail,omitempty"`
+	Outcome      Outcome `json:"outcome"`
+	RetryAfterMs int64   `json:"retry_after_ms,omitempty"`
+	Attempts     int     `json:"attempts"`
+}
+
+// writeProblem writes a whole response of problem details; last says that the connection is closed behind it.
+func writeProblem(out *bufio.Writer, status int, response Response, last bool) error {
+	body, err := json.Marshal(Details{
+		Type:         "about:blank",
+		Title:        http.StatusText(status),
+		Status:       status,
+		Detail:       response.Reason,
+		Outcome:      response.Outcome,
+		RetryAfterMs: response.RetryAfter.Milliseconds(),
+		Attempts:     response.Attempts,
+	})
+	if err != nil {
+		return fmt.Errorf("encode problem details: %w", err)
+	}
+	writeCommonHead(out, status, response, last)
+	head := out.AvailableBuffer()
+	if response.Outcome == Rejected && response.RetryAfter > 0 {
+		head = appendRetryAfter(head, response.RetryAfter)
+	}
+	head = append(head, prefixContentType+"application/problem+json"+lineEnd...)
+	head = appendContentLength(head, int64(len(body)))
+	head = append(head, lineEnd...)
+	_, _ = out.Write(head) // out keeps its error for the next call
+	_, err = out.Write(body)
+	return err
+}
+
+// appendRetryAfter appends the standard header, in whole seconds rounded up (RFC 9110, section 10.2.3), and ours in
+// milliseconds.
+func appendRetryAfter(head []byte, delay time.Duration) []byte {
+	seconds := (delay + time.Second - 1) / time.Second
+	return fmt.Appendf(head, "Retry-After: %d\r\nRetry-After-Ms: %d\r\n", seconds, delay.Milliseconds())
+}
+
+func appendContentLength(head []byte, length int64) []byte {
+	head = append(head, prefixContentLength...)
+	head = strconv.AppendInt(head, length, 10)
+	return append(head, lineEnd...)
+}
+
+// writeCommonHead writes the status line and the headers that all responses have. Out keeps its error for the next call.
+func writeCommonHead(out *bufio.Writer, status int, response Response, last bool) {
+	head := out.AvailableBuffer()
+	head = append(head, protocolVersion...)
+	head = strconv.AppendInt(head, int64(status), 10)
+	head = append(head, ' ')
+	head = append(head, http.StatusText(status)...)
+	head = append(head, lineEnd+prefixDate...)
+	head = time.Now().UTC().AppendFormat(head, http.TimeFormat)
+	head = append(head, lineEnd+prefixOutcome...)
+	head = append(head, response.Outcome...)
+	head = append(head, lineEnd+prefixAttempts...)
+	head = strconv.AppendInt(head, int64(response.Attempts), 10)
+	head = append(head, lineEnd...)
+	if response.ID != "" {
+		head = appendHeader(head, prefixID, response.ID)
+	}
+	if last {
+		head = append(head, lineConnectionClose...)
+	}
+	_, _ = out.Write(head)
+}
+
+// appendHeader appends a header whose value may be any text.
+func appendHeader(head []byte, prefix, value string) []byte {
+	head = append(head, prefix...)
+	head = append(head, withoutControls(value)...)
+	return append(head, lineEnd...)
+}
+
+// withoutControls removes the characters that would end a header's value.
+func withoutControls(text string) string {
+	return strings.Map(func(r rune) rune {
+		if r < ' ' || r == 0x7f {
+			return -1
+		}
+		return r
+	}, text)
+}
+
+// writeHead writes the head of a served response; last says that the connection is closed behind it.
+func writeHead(out *bufio.Writer, response Response, body framing, last bool) error {
+	writeCommonHead(out, http.StatusOK, response, last)
+	head := appendHeader(out.AvailableBuffer(), prefixWorker, response.Worker)
+	if response.ContentType != "" {
+		head = appendHeader(head, prefixContentType, response.ContentType)
+	}
+	switch body {
+	case framingLength:
+		head = appendContentLength(head, response.Length)
+	case framingChunked:
+		head = append(head, lineChunked...)
+	case framingUntilClose:
+	}
+	head = append(head, lineEnd...)
+	_, err := out.Write(head)
+	return err
+}
+
+// writePart sends one part of a response's body at once.
+func writePart(out *bufio.Writer, part []byte, body framing) error {
+	if body != framingChunked {
+		if _, err := out.Write(part); err != nil {
+			return err
+		}
+		return out.Flush()
+	}
+	_, _ = fmt.Fprintf(out, "%x\r\n", len(part)) // out keeps its error for the next call
+	_, _ = out.Write(part)
+	_, _ = out.WriteString(lineEnd)
+	return out.Flush()
+}
--- a/internal/native/httpserver/server.go
+++ b/internal/native/httpserver/server.go
@@ -1,64 +1,77 @@
+// Package httpserver serves clients over HTTP/1.1 (RFC 9112), with keep-alive and pipelining: POST /call/FUNCTION.
+// Requests are parsed by the standard library; responses that are not a worker's are problem details (RFC 9457). The
+// package knows nothing of workers: a Handler gives each request its final response. docs/running.md lists the headers.
 package httpserver
 
 import (
 	"context"
 	"net"
 	"sync"
+	"time"
 
 	"github.com/rs/zerolog"
 
 	"havencart/internal/clientconn"
 )
 
-// Server serves clients' connections.
-type Server struct {
-	cfg  Config
-	pick func() Handler // for each connection
-	log  zerolog.Logger
+// Config bounds what clients may do. All times and sizes are above 0.
+type Config struct {
+	Idle       time.Duration // for which a connection without a request stays open
+	Header     time.Duration // from the first byte of a request to the end of its header
+	Body       time.Duration // to the end of its body
+	Write      time.Duration // for each part of a response
+	Stall      time.Duration // that a streamed response may pause
+	MaxHeader  int           // bytes of a request's header
+	MaxBody    int           // bytes of a request's body
+	Pipeline   int           // requests of one connection without a response; further ones are not read
+	MaxConns   int           // connections; further ones get a 503 response and are closed
+	KeepHalves bool          // a client that closed its side for writing still waits for its responses
+}
 
-	conns *clientconn.Table[*conn]
+// Server serves clients' connections. Its methods may be called from any goroutine.
+type Server struct {
+	cfg        Config
+	newHandler func() Handler // of one connection
+	log        zerolog.Logger
+	conns      *clientconn.Table[*conn]
+	tasks      sync.WaitGroup // reading and writing goroutines, and those that reject connections
 
-	mu      sync.Mutex
-	closing bool
-	tasks   sync.WaitGroup
+	mu           sync.Mutex
+	shuttingDown bool
 }
 
-// New returns a Server that hands each connection's calls to the Handler that pick gives for it.
-func New(cfg Config, pick func() Handler, log zerolog.Logger) *Server {
-	return &Server{cfg: cfg, pick: pick, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConns)}
+// New returns a Server that passes the requests of each connection to a Handler that newHandler returns for it.
+func New(cfg Config, newHandler func() Handler, log zerolog.Logger) *Server {
+	return &Server{cfg: cfg, newHandler: newHandler, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConns)}
 }
 
-// Serve takes connections until l is closed; Shutdown closes what it took.
+// Serve accepts connections until l is closed, which is the caller's to do.
 func (s *Server) Serve(l net.Listener) error {
-	return clientconn.AcceptLoop(l, s.take, clientconn.IsTimeout)
+	return clientconn.AcceptLoop(l, s.admit, clientconn.IsTimeout)
 }
 
-func (s *Server) take(nc net.Conn) {
+// admit starts to serve a connection, or rejects it. The lock keeps Shutdown from missing its goroutine.
+func (s *Server) admit(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := newConn(s, nc)
-	if s.closing || !s.conns.Add(c) {
-		s.tasks.Go(c.turnAway)
+	if s.shuttingDown || !s.conns.Add(c) {
+		s.tasks.Go(c.reject)
 		return
 	}
-	c.handler = s.pick()
+	c.handler = s.newHandler()
 	s.tasks.Go(c.read)
 }
 
-// Conns is the number of connections.
-func (s *Server) Conns() int { return s.conns.Len() }
-
-// Shutdown lets the answers under way go out, each connection closing behind its last one, and closes all that
-// still stand when ctx ends. The listener is to be closed before.
+// Shutdown lets the responses in flight be sent and closes each connection behind its last one. It closes all that are
+// open when ctx ends, and returns when all goroutines of the server have ended. The listener must be closed before.
 func (s *Server) Shutdown(ctx context.Context) {
-	s.mu.Lock()
-	s.closing = true
-	s.mu.Unlock()
+	s.beginShutdown()
 	for _, c := range s.conns.All() {
-		c.finish()
+		c.drain()
 	}
 	done := make(chan struct{})
-	go func() {
+	go func() { // ends with the last task, which this function waits for
 		defer close(done)
 		s.tasks.Wait()
 	}()
@@ -67,17 +80,23 @@
 		return
 	case <-ctx.Done():
 	}
-	for _, c := range s.conns.All() {
-		c.abort()
-	}
+	s.abortAll()
 	<-done
 }
 
-// Kill breaks all connections at once.
+// Kill closes all connections at once. It does not wait for their goroutines.
 func (s *Server) Kill() {
+	s.beginShutdown()
+	s.abortAll()
+}
+
+func (s *Server) beginShutdown() {
 	s.mu.Lock()
-	s.closing = true
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	s.shuttingDown = true
+}
+
+func (s *Server) abortAll() {
 	for _, c := range s.conns.All() {
 		c.abort()
 	}
--- /dev/null
+++ b/internal/native/httpserver/shutdown_test.go
@@ -0,0 +1,41 @@
+package httpserver
+
+import (
+	"context"
+	"testing"
+)
+
+func TestConnections_TooMany_Rejected(t *testing.T) {
+	f := startServer(t, func(c *Config) { c.MaxConns = 1 })
+	first := f.dial()
+	first.send(postRequest("f", "", ""))
+	request := receive(t, "the request", f.handler.requests)
+	response, _ := f.dial().read()
+	if response.StatusCode != 503 || response.Header.Get("Call-Outcome") != "refused" {
+		t.Error(response)
+	}
+	request.response <- Response{Outcome: Served}
+	first.read()
+}
+
+func TestShutdown_RequestsInFlight_ServedBeforeClose(t *testing.T) {
+	f := startServer(t, nil)
+	busy, idle := f.dial(), f.dial()
+	busy.send(postRequest("a", "", "") + postRequest("b", "", ""))
+	a, b := receive(t, "a request", f.handler.requests), receive(t, "a request", f.handler.requests)
+	done := make(chan struct{})
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	go func() { defer close(done); f.server.Shutdown(ctx) }()
+	idle.expectClosed()
+	a.response <- Response{Outcome: Served, Body: []byte("a")}
+	b.response <- Response{Outcome: Served, Body: []byte("b")}
+	if response, body := busy.read(); body != "a" || response.Close {
+		t.Error(response, body)
+	}
+	if response, body := busy.read(); body != "b" || !response.Close {
+		t.Error(response, body)
+	}
+	busy.expectClosed()
+	receive(t, "the end of the shutdown", done)
+}
