--- a/internal/native/httpserver/conn.go
+++ b/internal/native/httpserver/conn.go
@@ -37,16 +37,16 @@
 	handler Handler
 	header  *headerLimit // the reading goroutine's
 	in      *bufio.Reader
-	slots   chan struct{}   // one element for each exchange; full while Pipeline requests have no response
+	slots   chan struct{}   // one element for each request in flight; full while MaxPipelined requests have no response
 	ctx     context.Context // ends when the client disconnected or the connection failed
 	cancel  context.CancelFunc
 
 	mu       sync.Mutex
-	queue    []*exchange   // requests without a response, oldest first; at most Pipeline
-	drained  chan struct{} // closed when queue becomes empty; nil unless the reading goroutine waits for that
-	reading  bool          // the reading goroutine lives
-	writing  bool          // the writing goroutine lives
-	draining bool          // closes behind the responses in flight
+	queue    []*pipelinedRequest // requests without a response, oldest first; at most MaxPipelined
+	drained  chan struct{}       // closed when queue becomes empty; nil unless the reading goroutine waits for that
+	reading  bool                // the reading goroutine lives
+	writing  bool                // the writing goroutine lives
+	draining bool                // closes behind the responses in flight
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
@@ -192,22 +192,22 @@
 		return true, c.respondUnreadable(err)
 	}
 	isHTTP10 := !r.ProtoAtLeast(1, 1)
-	x := &exchange{close: r.Close || isHTTP10, http10: isHTTP10}
+	pipelined := &pipelinedRequest{close: r.Close || isHTTP10, http10: isHTTP10}
 	request, err := parse(r, receivedAt)
 	switch {
 	case err == nil:
 		request.Body, err = c.readBody(r)
-		x.close = x.close || err != nil // the rest of the body cannot be told from the next request
+		pipelined.close = pipelined.close || err != nil // the rest of the body cannot be told from the next request
 	case hasBody(r):
-		x.close = true // the body is left unread
+		pipelined.close = true // the body is left unread
 	}
 	if err == nil {
-		x.handle(c.handler, request)
-	} else if err := x.rejectInvalid(err); err != nil {
+		pipelined.handle(c.handler, request)
+	} else if err := pipelined.rejectInvalid(err); err != nil {
 		return true, err
 	}
-	c.enqueue(x)
-	return x.close, nil
+	c.enqueue(pipelined)
+	return pipelined.close, nil
 }
 
 // hasBody reports whether a body follows the header, or may follow once the client was told to continue.
@@ -220,18 +220,18 @@
 	if c.header.err != nil {
 		err = c.header.err
 	}
-	x := &exchange{close: true}
+	pipelined := &pipelinedRequest{close: true}
 	switch {
 	case errors.Is(err, errHeaderTooLong):
-		x.setInvalid(http.StatusRequestHeaderFieldsTooLarge, reasonHeaderTooLong)
+		pipelined.setInvalid(http.StatusRequestHeaderFieldsTooLarge, reasonHeaderTooLong)
 	case clientconn.IsTimeout(err):
-		x.setInvalid(http.StatusRequestTimeout, reasonTooSlow)
+		pipelined.setInvalid(http.StatusRequestTimeout, reasonTooSlow)
 	case isDisconnect(err):
 		return err
 	default:
-		x.setInvalid(http.StatusBadRequest, reasonNotHTTP)
+		pipelined.setInvalid(http.StatusBadRequest, reasonNotHTTP)
 	}
-	c.enqueue(x)
+	c.enqueue(pipelined)
 	return errCloseAfterResponses
 }
 
--- a/internal/native/httpserver/handler.go
+++ b/internal/native/httpserver/handler.go
@@ -58,14 +58,14 @@
 type Pending interface {
 	// Wait returns the final response, or false if gone, which says that the client disconnected, is closed before.
 	Wait(gone <-chan struct{}) (Response, bool)
-	// Leave says that the client disconnected, or that the response could not be sent to its end. It may be called
+	// Cancel says that the client disconnected, or that the response could not be sent to its end. It may be called
 	// after Wait returned a response.
 	Leave()
 }
 
 // Handler accepts the requests of a connection.
 type Handler interface {
-	// Take starts a request. An error says that it is invalid, as one of an unknown class, and why: its text is sent
+	// Handle starts a request. An error says that it is invalid, as one of an unknown class, and why: its text is sent
 	// to the client. The connection's reading goroutine calls it and reads nothing meanwhile.
 	Take(request *Request) (Pending, error)
 }
--- a/internal/native/httpserver/helpers_test.go
+++ b/internal/native/httpserver/helpers_test.go
@@ -90,12 +90,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fixture{T: t, handler: &stubHandler{make(chan *stubRequest, 1000)}, addr: l.Addr().String()}
-	f.server = New(cfg, func() Handler { return f.handler }, zerolog.Nop())
+	setup := &fixture{T: t, handler: &stubHandler{make(chan *stubRequest, 1000)}, addr: l.Addr().String()}
+	setup.server = New(cfg, func() Handler { return setup.handler }, zerolog.Nop())
 	done := make(chan error, 1)
-	go func() { done <- f.server.Serve(l) }()
+	go func() { done <- setup.server.Serve(l) }()
 	var once sync.Once
-	f.stop = func() {
+	setup.stop = func() {
 		once.Do(func() {
 			_ = l.Close()
 			if err := receive(t, "the end of Serve", done); err != nil {
@@ -103,11 +103,11 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			f.server.Shutdown(ctx)
+			setup.server.Shutdown(ctx)
 		})
 	}
-	t.Cleanup(f.stop)
-	return f
+	t.Cleanup(setup.stop)
+	return setup
 }
 
 // client is one raw connection.
@@ -157,5 +157,10 @@
 }
 
 func postRequest(function, headers, body string) string {
-	return fmt.Sprintf("POST /call/%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n%s", function, len(body), headers, body)
+	head := fmt.Sprintf("POST /call/%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n", function, len(body), headers)
+	return head + body
+}
+
+func chunkedRequest(body string) string {
+	return "POST /call/f HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + body
 }
--- a/internal/native/httpserver/request_test.go
+++ b/internal/native/httpserver/request_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestRequest_AllHeaders_Decoded(t *testing.T) {
-	f := startServer(t, nil)
-	c := f.dial()
-	c.send(postRequest("fare%20quote", "Call-Class: fare\r\nCall-Tenant: t\r\nCall-Patience: 1500\r\nCall-Cost: 20ms\r\n"+
+	setup := startServer(t, nil)
+	client := setup.dial()
+	client.send(postRequest("fare%20quote", "Call-Class: fare\r\nCall-Tenant: t\r\nCall-Patience: 1500\r\nCall-Cost: 20ms\r\n"+
 		"Idempotency-Key: \"a \\\"b\"\r\nCall-Id: x\r\nCall-Memory: 300\r\nCall-Lanes: 2\r\nCall-Load: 1s\r\n", "hello"))
-	request := receive(t, "the request", f.handler.requests)
+	request := receive(t, "the request", setup.handler.requests)
 	got := *request.Request
 	if got.ReceivedAt.IsZero() {
 		t.Error("no time of receipt")
@@ -27,29 +27,30 @@
 		t.Errorf("%+v", got)
 	}
 	request.response <- Response{Outcome: Served, ContentType: "text/x", Body: []byte("out"), Worker: "w\r\nX: y", Attempts: 1}
-	response, body := c.read()
-	if response.StatusCode != 200 || body != "out" || response.Header.Get("Call-Outcome") != "served" || response.Header.Get("X") != "" {
+	response, body := client.read()
+	if response.StatusCode != 200 || body != "out" || response.Header.Get("Call-Outcome") != "served" ||
+		response.Header.Get("X") != "" {
 		t.Errorf("%v %q", response, body)
 	}
 }
 
 func TestRequest_ChunkedBody_Read(t *testing.T) {
-	f := startServer(t, nil)
-	c := f.dial()
-	c.send("POST /call/f HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
-	if request := receive(t, "the request", f.handler.requests); string(request.Body) != "abcde" {
+	setup := startServer(t, nil)
+	client := setup.dial()
+	client.send(chunkedRequest("3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"))
+	if request := receive(t, "the request", setup.handler.requests); string(request.Body) != "abcde" {
 		t.Errorf("body %q", request.Body)
 	} else {
 		request.response <- Response{Outcome: Served}
 	}
-	c.read()
+	client.read()
 }
 
 // TestRequest_Invalid_ProblemDetails holds that no invalid request reaches the Handler, and that the connection stays
 // open where it can.
 func TestRequest_Invalid_ProblemDetails(t *testing.T) {
-	f := startServer(t, nil)
-	for name, x := range map[string]struct {
+	setup := startServer(t, nil)
+	for name, testCase := range map[string]struct {
 		request string
 		status  int
 		closes  bool
@@ -65,29 +66,30 @@
 		"memory":             {postRequest("f", "Call-Memory: NaN\r\n", ""), 400, false},
 		"expectation":        {postRequest("f", "Expect: much\r\n", ""), 417, true},
 		"body too long":      {postRequest("f", "", strings.Repeat("x", 1001)), 413, true},
-		"chunks too long":    {"POST /call/f HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n" + strings.Repeat("x", 1001) + "\r\n0\r\n\r\n", 413, true},
+		"chunks too long":    {chunkedRequest("3e9\r\n" + strings.Repeat("x", 1001) + "\r\n0\r\n\r\n"), 413, true},
 		"header too long":    {"POST /call/f HTTP/1.1\r\nHost: " + strings.Repeat("h", 20000), 431, true},
 		"no HTTP":            {"\x16\x03\x01 hello\r\n\r\n", 400, true},
 		"two lengths":        {"POST /call/f HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400, true},
 		"an unread bad body": {postRequest("a%2Fb", "", "body"), 400, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := f.dial()
-			c.T = t
-			c.send(x.request)
-			response, body := c.read()
-			if response.StatusCode != x.status || response.Header.Get("Call-Outcome") != "invalid" || response.Close != x.closes {
+			client := setup.dial()
+			client.T = t
+			client.send(testCase.request)
+			response, body := client.read()
+			if response.StatusCode != testCase.status || response.Header.Get("Call-Outcome") != "invalid" ||
+				response.Close != testCase.closes {
 				t.Errorf("%v %s", response, body)
 			}
-			if x.closes {
+			if testCase.closes {
 				return
 			}
-			c.send(postRequest("f", "", ""))
-			receive(t, "the next request", f.handler.requests).response <- Response{Outcome: Served}
-			c.read()
+			client.send(postRequest("f", "", ""))
+			receive(t, "the next request", setup.handler.requests).response <- Response{Outcome: Served}
+			client.read()
 		})
 	}
-	if len(f.handler.requests) != 0 {
+	if len(setup.handler.requests) != 0 {
 		t.Error("an invalid request was handled")
 	}
 }
@@ -95,13 +97,14 @@
 // FuzzParseRequest holds that no bytes make the parser panic, and that what it accepts is within the bounds.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(postRequest("fare-quote", "Call-Class: fare\r\nCall-Patience: 1.5s\r\nIdempotency-Key: \"k\"\r\n", "body")))
-	f.Add([]byte("POST /call/f HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
+	f.Add([]byte(chunkedRequest("3\r\nabc\r\n0\r\n\r\n")))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		request, err := ParseRequest(bytes.NewReader(raw), 4096, 100)
 		if err != nil {
 			return
 		}
-		if request.Function == "" || len(request.Body) > 100 || request.Timeout < 0 || request.Concurrency < 0 || !(request.MemoryMB >= 0) {
+		if request.Function == "" || len(request.Body) > 100 || request.Timeout < 0 || request.Concurrency < 0 ||
+			!(request.MemoryMB >= 0) {
 			t.Fatalf("accepted %+v", request)
 		}
 	})
--- a/internal/native/httpserver/response.go
+++ b/internal/native/httpserver/response.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return fmt.Errorf("encode problem details: %w", err)
 	}
-	writeCommonHead(out, status, response, last)
+	writeSharedHead(out, status, response, last)
 	head := out.AvailableBuffer()
 	if response.Outcome == Rejected && response.RetryAfter > 0 {
 		head = appendRetryAfter(head, response.RetryAfter)
@@ -103,7 +103,7 @@
 }
 
 // writeCommonHead writes the status line and the headers that all responses have. Out keeps its error for the next call.
-func writeCommonHead(out *bufio.Writer, status int, response Response, last bool) {
+func writeSharedHead(out *bufio.Writer, status int, response Response, last bool) {
 	head := out.AvailableBuffer()
 	head = append(head, protocolVersion...)
 	head = strconv.AppendInt(head, int64(status), 10)
@@ -144,7 +144,7 @@
 
 // writeHead writes the head of a served response; last says that the connection is closed behind it.
 func writeHead(out *bufio.Writer, response Response, body framing, last bool) error {
-	writeCommonHead(out, http.StatusOK, response, last)
+	writeSharedHead(out, http.StatusOK, response, last)
 	head := appendHeader(out.AvailableBuffer(), prefixWorker, response.Worker)
 	if response.ContentType != "" {
 		head = appendHeader(head, prefixContentType, response.ContentType)
--- a/internal/native/httpserver/response_test.go
+++ b/internal/native/httpserver/response_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestResponse_EachOutcome_StatusAndHeaders(t *testing.T) {
-	f := startServer(t, nil)
-	for _, x := range []struct {
+	setup := startServer(t, nil)
+	for _, testCase := range []struct {
 		response Response
 		status   int
 		seconds  string
@@ -18,18 +18,18 @@
 		{Response{Outcome: Failed, Reason: "reset", Attempts: 1}, 502, "", ""},
 		{Response{Outcome: Failed, TimedOut: true, Attempts: 1}, 504, "", ""},
 	} {
-		c := f.dial()
-		c.send(postRequest("f", "", ""))
-		receive(t, "the request", f.handler.requests).response <- x.response
-		response, body := c.read()
+		client := setup.dial()
+		client.send(postRequest("f", "", ""))
+		receive(t, "the request", setup.handler.requests).response <- testCase.response
+		response, body := client.read()
 		var d Details
 		if err := json.Unmarshal([]byte(body), &d); err != nil {
 			t.Fatal(err)
 		}
-		if response.StatusCode != x.status || response.Header.Get("Call-Outcome") != string(x.response.Outcome) ||
-			d.Outcome != x.response.Outcome || d.Status != x.status || d.Detail != x.response.Reason ||
-			response.Header.Get("Retry-After") != x.seconds || response.Header.Get("Retry-After-Ms") != x.ms {
-			t.Errorf("%+v: %v %s", x.response, response, body)
+		if response.StatusCode != testCase.status || response.Header.Get("Call-Outcome") != string(testCase.response.Outcome) ||
+			d.Outcome != testCase.response.Outcome || d.Status != testCase.status || d.Detail != testCase.response.Reason ||
+			response.Header.Get("Retry-After") != testCase.seconds || response.Header.Get("Retry-After-Ms") != testCase.ms {
+			t.Errorf("%+v: %v %s", testCase.response, response, body)
 		}
 	}
 }
--- a/internal/native/httpserver/server.go
+++ b/internal/native/httpserver/server.go
@@ -84,7 +84,7 @@
 	<-done
 }
 
-// Kill closes all connections at once. It does not wait for their goroutines.
+// Close closes all connections at once. It does not wait for their goroutines.
 func (s *Server) Kill() {
 	s.beginShutdown()
 	s.abortAll()
--- a/internal/native/httpserver/shutdown_test.go
+++ b/internal/native/httpserver/shutdown_test.go
@@ -6,11 +6,11 @@
 )
 
 func TestConnections_TooMany_Rejected(t *testing.T) {
-	f := startServer(t, func(c *Config) { c.MaxConns = 1 })
-	first := f.dial()
+	setup := startServer(t, func(c *Config) { c.MaxConns = 1 })
+	first := setup.dial()
 	first.send(postRequest("f", "", ""))
-	request := receive(t, "the request", f.handler.requests)
-	response, _ := f.dial().read()
+	request := receive(t, "the request", setup.handler.requests)
+	response, _ := setup.dial().read()
 	if response.StatusCode != 503 || response.Header.Get("Call-Outcome") != "refused" {
 		t.Error(response)
 	}
@@ -19,14 +19,14 @@
 }
 
 func TestShutdown_RequestsInFlight_ServedBeforeClose(t *testing.T) {
-	f := startServer(t, nil)
-	busy, idle := f.dial(), f.dial()
+	setup := startServer(t, nil)
+	busy, idle := setup.dial(), setup.dial()
 	busy.send(postRequest("a", "", "") + postRequest("b", "", ""))
-	a, b := receive(t, "a request", f.handler.requests), receive(t, "a request", f.handler.requests)
+	a, b := receive(t, "a request", setup.handler.requests), receive(t, "a request", setup.handler.requests)
 	done := make(chan struct{})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	go func() { defer close(done); f.server.Shutdown(ctx) }()
+	go func() { defer close(done); setup.server.Shutdown(ctx) }()
 	idle.expectClosed()
 	a.response <- Response{Outcome: Served, Body: []byte("a")}
 	b.response <- Response{Outcome: Served, Body: []byte("b")}
--- a/internal/native/httpserver/stream_test.go
+++ b/internal/native/httpserver/stream_test.go
@@ -25,13 +25,13 @@
 }
 
 func TestStream_UnknownLength_PartsSentAtOnce(t *testing.T) {
-	f := startServer(t, nil)
-	c := f.dial()
-	c.send(postRequest("f", "", ""))
+	setup := startServer(t, nil)
+	client := setup.dial()
+	client.send(postRequest("f", "", ""))
 	stream := make(stubStream, 10)
-	receive(t, "the request", f.handler.requests).response <- Response{Outcome: Served, Stream: stream, Length: -1}
+	receive(t, "the request", setup.handler.requests).response <- Response{Outcome: Served, Stream: stream, Length: -1}
 	stream <- []byte("first")
-	response, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(client.in, nil)
 	if err != nil || response.TransferEncoding[0] != "chunked" {
 		t.Fatal(response, err)
 	}
@@ -49,15 +49,15 @@
 // TestStream_Fails_ClientSeesIncompleteResponse holds that a client can tell that a response is incomplete.
 func TestStream_Fails_ClientSeesIncompleteResponse(t *testing.T) {
 	for _, length := range []int64{-1, 100} {
-		f := startServer(t, nil)
-		c := f.dial()
-		c.send(postRequest("f", "", ""))
-		request := receive(t, "the request", f.handler.requests)
+		setup := startServer(t, nil)
+		client := setup.dial()
+		client.send(postRequest("f", "", ""))
+		request := receive(t, "the request", setup.handler.requests)
 		stream := make(stubStream, 10)
 		request.response <- Response{Outcome: Served, Stream: stream, Length: length}
 		stream <- []byte("first")
 		close(stream)
-		response, err := http.ReadResponse(c.in, nil)
+		response, err := http.ReadResponse(client.in, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/native/httpserver/timeout_test.go
+++ b/internal/native/httpserver/timeout_test.go
@@ -8,35 +8,35 @@
 func TestTimeout_EachPhase_SlowClientDisconnected(t *testing.T) {
 	short := 50 * time.Millisecond
 	t.Run("idle", func(t *testing.T) {
-		f := startServer(t, func(c *Config) { c.Idle = short })
-		f.dial().expectClosed()
+		setup := startServer(t, func(c *Config) { c.Idle = short })
+		setup.dial().expectClosed()
 	})
 	t.Run("header", func(t *testing.T) {
-		f := startServer(t, func(c *Config) { c.Header = short })
-		c := f.dial()
-		c.send("POST /call/f HTTP/1.1\r\nHos")
-		if response, _ := c.read(); response.StatusCode != 408 {
+		setup := startServer(t, func(c *Config) { c.Header = short })
+		client := setup.dial()
+		client.send("POST /call/f HTTP/1.1\r\nHos")
+		if response, _ := client.read(); response.StatusCode != 408 {
 			t.Error(response)
 		}
-		c.expectClosed()
+		client.expectClosed()
 	})
 	t.Run("body", func(t *testing.T) {
-		f := startServer(t, func(c *Config) { c.Body = short })
-		c := f.dial()
-		c.send("POST /call/f HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc")
-		if response, _ := c.read(); response.StatusCode != 408 {
+		setup := startServer(t, func(c *Config) { c.Body = short })
+		client := setup.dial()
+		client.send("POST /call/f HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc")
+		if response, _ := client.read(); response.StatusCode != 408 {
 			t.Error(response)
 		}
-		c.expectClosed()
+		client.expectClosed()
 	})
 	t.Run("idle with a request in flight", func(t *testing.T) {
-		f := startServer(t, func(c *Config) { c.Idle = short })
-		c := f.dial()
-		c.send(postRequest("f", "", ""))
-		request := receive(t, "the request", f.handler.requests)
+		setup := startServer(t, func(c *Config) { c.Idle = short })
+		client := setup.dial()
+		client.send(postRequest("f", "", ""))
+		request := receive(t, "the request", setup.handler.requests)
 		time.Sleep(3 * short) // the idle timeout must pass; later is as good
 		request.response <- Response{Outcome: Served, Body: []byte("x")}
-		if _, body := c.read(); body != "x" {
+		if _, body := client.read(); body != "x" {
 			t.Error(body)
 		}
 	})
--- a/internal/native/httpserver/writer.go
+++ b/internal/native/httpserver/writer.go
@@ -17,11 +17,11 @@
 // writers keeps buffers for writing: a connection has one only while it sends responses.
 var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 
-// enqueue adds an exchange to those in flight, and starts the writing goroutine if need be.
-func (c *conn) enqueue(x *exchange) {
+// enqueue adds a request to those in flight, and starts the writing goroutine if need be.
+func (c *conn) enqueue(pipelined *pipelinedRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.queue = append(c.queue, x)
+	c.queue = append(c.queue, pipelined)
 	if !c.writing {
 		c.writing = true
 		c.server.tasks.Go(c.write)
@@ -37,21 +37,21 @@
 		writers.Put(out)
 	}()
 	for {
-		x, isLast := c.nextExchange()
+		pipelined, isLast := c.nextRequest()
 		if isLast {
 			c.close()
 		}
-		if x == nil {
+		if pipelined == nil {
 			return
 		}
-		c.complete(x, out)
+		c.complete(pipelined, out)
 		c.dequeue()
 	}
 }
 
-// nextExchange returns the exchange whose response is next. It returns nil if the writing goroutine is to end, and
+// nextRequest returns the request whose response is next. It returns nil if the writing goroutine is to end, and
 // reports then whether the reading one has ended, too.
-func (c *conn) nextExchange() (x *exchange, isLast bool) {
+func (c *conn) nextRequest() (pipelined *pipelinedRequest, isLast bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) > 0 {
@@ -61,7 +61,7 @@
 	return nil, !c.reading
 }
 
-// dequeue removes the oldest exchange, which lets the reading goroutine read another request.
+// dequeue removes the oldest request, which lets the reading goroutine read another request.
 func (c *conn) dequeue() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,47 +76,47 @@
 
 // complete waits for one response and sends it. If the client disconnects before, or the sending fails, it cancels the
 // request.
-func (c *conn) complete(x *exchange, out *bufio.Writer) {
-	if x.pending != nil {
-		response, received := x.pending.Wait(c.ctx.Done())
+func (c *conn) complete(pipelined *pipelinedRequest, out *bufio.Writer) {
+	if pipelined.pending != nil {
+		response, received := pipelined.pending.Wait(c.ctx.Done())
 		if !received {
-			x.pending.Leave()
+			pipelined.pending.Leave()
 			return
 		}
-		x.response, x.status = response, response.status()
+		pipelined.response, pipelined.status = response, response.status()
 	}
 	clientconn.SetWriteTimeout(c.net, c.server.cfg.Write)
-	if err := c.send(x, out, c.isLastResponse(x)); err != nil {
-		if x.pending != nil {
-			x.pending.Leave()
+	if err := c.send(pipelined, out, c.isLastResponse(pipelined)); err != nil {
+		if pipelined.pending != nil {
+			pipelined.pending.Leave()
 		}
 		c.abort()
 	}
 }
 
-// isLastResponse reports whether the connection is closed behind the response to x, which is the oldest exchange.
-func (c *conn) isLastResponse(x *exchange) bool {
+// isLastResponse reports whether the connection is closed behind the response to the oldest request in flight.
+func (c *conn) isLastResponse(pipelined *pipelinedRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return x.close || c.draining && len(c.queue) == 1
+	return pipelined.close || c.draining && len(c.queue) == 1
 }
 
 // send sends one response whole.
-func (c *conn) send(x *exchange, out *bufio.Writer, last bool) error {
+func (c *conn) send(pipelined *pipelinedRequest, out *bufio.Writer, last bool) error {
 	switch {
-	case x.response.Outcome != Served:
-		if err := writeProblem(out, x.status, x.response, last); err != nil {
+	case pipelined.response.Outcome != Served:
+		if err := writeProblem(out, pipelined.status, pipelined.response, last); err != nil {
 			return err
 		}
 		return out.Flush()
-	case x.response.Stream != nil:
-		return c.sendStream(x, out, last)
+	case pipelined.response.Stream != nil:
+		return c.sendStream(pipelined, out, last)
 	}
-	x.response.Length = int64(len(x.response.Body))
-	if err := writeHead(out, x.response, framingLength, last); err != nil {
+	pipelined.response.Length = int64(len(pipelined.response.Body))
+	if err := writeHead(out, pipelined.response, framingLength, last); err != nil {
 		return err
 	}
-	if _, err := out.Write(x.response.Body); err != nil {
+	if _, err := out.Write(pipelined.response.Body); err != nil {
 		return err
 	}
 	return out.Flush()
@@ -124,16 +124,16 @@
 
 // sendStream sends a response part by part, each as soon as it is received. An error leaves the response visibly
 // incomplete, as the connection is closed then.
-func (c *conn) sendStream(x *exchange, out *bufio.Writer, last bool) error {
-	body := x.framing()
-	if err := writeHead(out, x.response, body, last || body == framingUntilClose); err != nil {
+func (c *conn) sendStream(pipelined *pipelinedRequest, out *bufio.Writer, last bool) error {
+	body := pipelined.framing()
+	if err := writeHead(out, pipelined.response, body, last || body == framingUntilClose); err != nil {
 		return err
 	}
-	sent, err := c.sendParts(x, out, body)
+	sent, err := c.sendParts(pipelined, out, body)
 	if err != nil {
 		return err
 	}
-	if body == framingLength && sent != x.response.Length {
+	if body == framingLength && sent != pipelined.response.Length {
 		return errStreamTooShort
 	}
 	if body == framingChunked {
@@ -145,14 +145,14 @@
 }
 
 // sendParts sends the parts of a stream, each within the time for writing, and returns how many bytes they had.
-func (c *conn) sendParts(x *exchange, out *bufio.Writer, body framing) (sent int64, err error) {
+func (c *conn) sendParts(pipelined *pipelinedRequest, out *bufio.Writer, body framing) (sent int64, err error) {
 	for {
-		part, err := x.response.Stream.Next(c.ctx, c.server.cfg.Stall)
+		part, err := pipelined.response.Stream.Next(c.ctx, c.server.cfg.Stall)
 		if err != nil || part == nil {
 			return sent, err
 		}
 		sent += int64(len(part))
-		if body == framingLength && sent > x.response.Length {
+		if body == framingLength && sent > pipelined.response.Length {
 			return sent, errStreamTooLong
 		}
 		clientconn.SetWriteTimeout(c.net, c.server.cfg.Write)
--- a/internal/platform/rpcframe/message.go
+++ b/internal/platform/rpcframe/message.go
@@ -2,7 +2,7 @@
 // writes the responses to them. It is strict: every length is checked before anything is allocated for it, and what is
 // not a message as the platform documents it is an error.
 //
-// The platform's own words stand here only. The values it hands out carry the terms that the rest of the module uses:
+// The platform's own words stand here only. The values it hands out carry the terms that the rest of the code uses:
 // the method "revoke" cancels requests, the field "wait" is a timeout, "once" an idempotency key.
 package rpcframe
 
--- a/internal/platform/rpcframe/reader.go
+++ b/internal/platform/rpcframe/reader.go
@@ -71,52 +71,52 @@
 }
 
 // request reads what follows the type of a request: number, method and an array of fields and, in most, a body.
-func (r *Reader) request() (m Message, err error) {
-	if m.Number, err = r.number(); err != nil {
-		return m, err
+func (r *Reader) request() (message Message, err error) {
+	if message.Number, err = r.number(); err != nil {
+		return message, err
 	}
-	if m.Method, err = r.text("method", maxName); err != nil {
-		return m, err
+	if message.Method, err = r.text("method", maxName); err != nil {
+		return message, err
 	}
 	length, err := r.decoder.DecodeArrayLen()
 	if err != nil {
-		return m, readError("parameters", err)
+		return message, readError("parameters", err)
 	}
 	if length != 1 && length != 2 {
-		return m, malformed("%d parameters", length)
+		return message, malformed("%d parameters", length)
 	}
-	if m.Params, err = r.params(); err != nil {
-		return m, err
+	if message.Params, err = r.params(); err != nil {
+		return message, err
 	}
 	if length == 2 {
-		m.Body, err = r.bytes("body", MaxBody)
+		message.Body, err = r.bytes("body", MaxBody)
 	}
-	return m, err
+	return message, err
 }
 
 // cancellation reads what follows the type of a notification. The only one there is cancels requests.
-func (r *Reader) cancellation() (m Message, err error) {
-	if m.Method, err = r.text("method", maxName); err != nil {
-		return m, err
+func (r *Reader) cancellation() (message Message, err error) {
+	if message.Method, err = r.text("method", maxName); err != nil {
+		return message, err
 	}
-	if m.Method != MethodCancel {
-		return m, malformed("notification %q", m.Method)
+	if message.Method != MethodCancel {
+		return message, malformed("notification %q", message.Method)
 	}
 	count, err := r.decoder.DecodeArrayLen()
 	if err != nil {
-		return m, readError("parameters", err)
+		return message, readError("parameters", err)
 	}
 	if count < 1 || count > maxCancelled {
-		return m, malformed("%d requests cancelled", count)
+		return message, malformed("%d requests cancelled", count)
 	}
 	for range count {
 		number, err := r.number()
 		if err != nil {
-			return m, err
+			return message, err
 		}
-		m.Cancelled = append(m.Cancelled, number)
+		message.Cancelled = append(message.Cancelled, number)
 	}
-	return m, nil
+	return message, nil
 }
 
 // params reads the named fields of a request.
--- a/internal/platform/rpcframe/reader_test.go
+++ b/internal/platform/rpcframe/reader_test.go
@@ -28,21 +28,22 @@
 }
 
 func TestNext_ValidMessages_Read(t *testing.T) {
-	m, err := next(request(t))
-	if err != nil || m.Number != 7 || m.Method != "call" || m.Params.Timeout != "1500" || !bytes.Equal(m.Body, []byte{1, 2}) {
-		t.Errorf("read %+v, %v", m, err)
+	message, err := next(request(t))
+	if err != nil || message.Number != 7 || message.Method != "call" || message.Params.Timeout != "1500" ||
+		!bytes.Equal(message.Body, []byte{1, 2}) {
+		t.Errorf("read %+v, %v", message, err)
 	}
-	m, err = next(encode(t, []any{2, "revoke", []any{7, 9}}))
-	if err != nil || len(m.Cancelled) != 2 || m.Cancelled[1] != 9 {
-		t.Errorf("read %+v, %v", m, err)
+	message, err = next(encode(t, []any{2, "revoke", []any{7, 9}}))
+	if err != nil || len(message.Cancelled) != 2 || message.Cancelled[1] != 9 {
+		t.Errorf("read %+v, %v", message, err)
 	}
-	m, err = next(encode(t, []any{0, 8, "heartbeat", []any{map[string]string{}}}))
-	if err != nil || m.Method != "heartbeat" || m.Body != nil {
-		t.Errorf("read %+v, %v", m, err)
+	message, err = next(encode(t, []any{0, 8, "heartbeat", []any{map[string]string{}}}))
+	if err != nil || message.Method != "heartbeat" || message.Body != nil {
+		t.Errorf("read %+v, %v", message, err)
 	}
-	m, err = next(encode(t, []any{0, 8, "call", []any{map[string]string{}, []byte{}}}))
-	if err != nil || m.Body == nil || len(m.Body) != 0 {
-		t.Errorf("an empty body: read %+v, %v", m, err)
+	message, err = next(encode(t, []any{0, 8, "call", []any{map[string]string{}, []byte{}}}))
+	if err != nil || message.Body == nil || len(message.Body) != 0 {
+		t.Errorf("an empty body: read %+v, %v", message, err)
 	}
 }
 
@@ -72,8 +73,8 @@
 		if name == "60 MB claimed" {
 			raw[0] = 0x94
 		}
-		if m, err := next(raw); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: read %+v, error %v", name, m, err)
+		if message, err := next(raw); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s: read %+v, error %v", name, message, err)
 		}
 	}
 	good := request(t)
@@ -84,19 +85,6 @@
 	}
 }
 
-func TestAppend_EachResponse_EncodedAsThePlatformDoes(t *testing.T) {
-	for name, pair := range map[string][2][]byte{
-		"served":    {AppendServed(nil, 7, nil), encode(t, []any{1, 7, nil, []any{[]byte{}, map[string]string{}}})},
-		"rejected":  {AppendError(nil, 7, "Backoff", "after", "500"), encode(t, []any{1, 7, []any{"Backoff", map[string]string{"after": "500"}}, nil})},
-		"failed":    {AppendError(nil, 7, "Lost", "", ""), encode(t, []any{1, 7, []any{"Lost", map[string]string{}}, nil})},
-		"heartbeat": {AppendTrue(nil, 8, true), encode(t, []any{1, 8, nil, []any{true, map[string]string{}}})},
-	} {
-		if !bytes.Equal(pair[0], pair[1]) {
-			t.Errorf("%s is %x, wanted %x", name, pair[0], pair[1])
-		}
-	}
-}
-
 // fieldCount counts the named fields of a request, by a decoder of its own. A cancellation has none.
 func fieldCount(t *testing.T, raw []byte) int {
 	t.Helper()
@@ -115,9 +103,9 @@
 func FuzzNext(f *testing.F) {
 	f.Add(request(f))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m, err := next(raw)
-		if err == nil && (len(m.Body) > MaxBody || fieldCount(t, raw) > maxFields || len(m.Cancelled) > maxCancelled) {
-			t.Fatalf("read %+v", m)
+		message, err := next(raw)
+		if err == nil && (len(message.Body) > MaxBody || fieldCount(t, raw) > maxFields || len(message.Cancelled) > maxCancelled) {
+			t.Fatalf("read %+v", message)
 		}
 		if err != nil && !errors.Is(err, ErrMalformed) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatal(err)
--- a/internal/platform/rpcframe/request_test.go
+++ b/internal/platform/rpcframe/request_test.go
@@ -14,13 +14,13 @@
 }
 
 func TestRequest_ValidFields_Decoded(t *testing.T) {
-	m := validMessage()
-	m.Params.Tenant = OptionalText{"", true}
-	request, err := m.Request()
+	message := validMessage()
+	message.Params.Tenant = OptionalText{"", true}
+	request, err := message.Request()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if request.Class != "quote" || request.ID != m.Params.ID || request.Function != m.Params.Function ||
+	if request.Class != "quote" || request.ID != message.Params.ID || request.Function != message.Params.Function ||
 		request.Timeout != 900*time.Millisecond || string(request.Body) != "body" || !request.Tenant.Present {
 		t.Errorf("decoded %+v", request)
 	}
@@ -58,9 +58,9 @@
 		"infinite unknown":        func(m *Message) { m.Params.Attributes = "unknown:Inf" },
 		"no number":               func(m *Message) { m.Params.Attributes = "cost:NaN" },
 	} {
-		m := validMessage()
-		change(&m)
-		if request, err := m.Request(); !errors.Is(err, ErrMalformed) {
+		message := validMessage()
+		change(&message)
+		if request, err := message.Request(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: decoded %+v, error %v", name, request, err)
 		}
 	}
--- a/internal/platform/rpcserver/accept_test.go
+++ b/internal/platform/rpcserver/accept_test.go
@@ -18,13 +18,13 @@
 
 // TestEviction_TableFull_SilentConnectionCloses holds that connections without a request do not keep out one that has one.
 func TestEviction_TableFull_SilentConnectionCloses(t *testing.T) {
-	h, address := startServer(t, 2)
+	handler, address := startServer(t, 2)
 	silent, busy := connect(t, address), connect(t, address)
 	write(t, busy, requestMessage(t, 1, "quote", validFields(1)))
-	request := <-h.requests
+	request := <-handler.requests
 	third := connect(t, address)
 	write(t, third, requestMessage(t, 1, "quote", validFields(2)))
-	(<-h.requests).respond(Response{Kind: Failed})
+	(<-handler.requests).respond(Response{Kind: Failed})
 	expect(t, third, rpcframe.AppendError(nil, 1, "Lost", "", ""))
 	if _, err := io.ReadAll(silent); err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Error(err)
@@ -41,59 +41,59 @@
 	closed chan bool
 }
 
-func (l *exhaustedListener) Accept() (net.Conn, error) {
-	if l.tries++; time.Now().Before(l.until) {
+func (listener *exhaustedListener) Accept() (net.Conn, error) {
+	if listener.tries++; time.Now().Before(listener.until) {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
-	<-l.closed
+	<-listener.closed
 	return nil, net.ErrClosed
 }
 
-func (l *exhaustedListener) Close() error { return nil }
+func (listener *exhaustedListener) Close() error { return nil }
 
-// TestAccept_OutOfDescriptors_EvictsAndRetriesWithPause runs on the clock of a synctest bubble.
-func TestAccept_OutOfDescriptors_EvictsAndRetriesWithPause(t *testing.T) {
+// TestAccept_NoDescriptorsLeft_EvictsAndRetriesWithPause runs on the clock of a synctest bubble.
+func TestAccept_NoDescriptorsLeft_EvictsAndRetriesWithPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(Config{Rules: rules, MaxConns: 2}, stubHandler{}, zerolog.Nop())
-		l := &exhaustedListener{until: time.Now().Add(time.Second), closed: make(chan bool)}
+		server := New(Config{Rules: rules, MaxConns: 2}, stubHandler{}, zerolog.Nop())
+		listener := &exhaustedListener{until: time.Now().Add(time.Second), closed: make(chan bool)}
 		ours, theirs := net.Pipe()
-		s.admit(ours) // its client sends nothing
+		server.admit(ours) // its client sends nothing
 		ctx, cancel := context.WithCancel(context.Background())
 		served := make(chan error, 1)
-		go func() { served <- s.Serve(ctx, l) }()
+		go func() { served <- server.Serve(ctx, listener) }()
 		if _, err := theirs.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("the silent connection was not closed to make room: %v", err)
 		}
 		time.Sleep(2 * time.Second)
-		close(l.closed)
+		close(listener.closed)
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		if l.tries < 50 || l.tries > 400 {
-			t.Errorf("%d tries in a second without descriptors", l.tries)
+		if listener.tries < 50 || listener.tries > 400 {
+			t.Errorf("%d tries in a second without descriptors", listener.tries)
 		}
 		cancel()
-		s.Shutdown()
+		server.Shutdown()
 	})
 }
 
 func TestEviction_ManySilentClients_KeepsConnectionWithRequestInFlight(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	h, address := startServer(t, 4)
+	handler, address := startServer(t, 4)
 	busy := connect(t, address)
 	write(t, busy, requestMessage(t, 1, "quote", validFields(1)))
-	request := <-h.requests
+	request := <-handler.requests
 	var silent []net.Conn
 	for range 40 {
 		silent = append(silent, connect(t, address))
 	}
 	last := connect(t, address)
 	write(t, last, requestMessage(t, 1, "quote", validFields(2)))
-	(<-h.requests).respond(Response{Kind: Served})
+	(<-handler.requests).respond(Response{Kind: Served})
 	expect(t, last, rpcframe.AppendServed(nil, 1, nil))
 	request.respond(Response{Kind: Served})
 	expect(t, busy, rpcframe.AppendServed(nil, 1, nil))
-	for _, c := range silent {
-		_ = c.Close()
+	for _, client := range silent {
+		_ = client.Close()
 	}
 }
--- a/internal/platform/rpcserver/close_test.go
+++ b/internal/platform/rpcserver/close_test.go
@@ -31,55 +31,55 @@
 func TestCloseIf_RequestReceivedWhole_StaysOpen(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	ours, theirs := net.Pipe()
-	h := pausingHandler{stubHandler{make(chan *stubRequest, 1), make(chan string, 1)}, make(chan bool), make(chan bool)}
-	s := New(Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}, h, zerolog.Nop())
-	s.admit(ours)
+	handler := pausingHandler{stubHandler{make(chan *stubRequest, 1), make(chan string, 1)}, make(chan bool), make(chan bool)}
+	server := New(Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}, handler, zerolog.Nop())
+	server.admit(ours)
 	always := func(connadmission.Connection) bool { return true }
-	c := s.conns.All()[0]
+	connection := server.conns.All()[0]
 	raw := requestMessage(t, 1, "quote", validFields(1))
 	write(t, theirs, raw[:len(raw)-1])
 	write(t, theirs, raw[len(raw)-1:])
-	<-h.received
-	if c.closeIf(always) || s.evict() {
+	<-handler.received
+	if connection.closeIf(always) || server.evict() {
 		t.Error("closed while a request that was received whole was handled")
 	}
-	h.proceed <- true
-	request := <-h.requests
-	if c.closeIf(always) {
+	handler.proceed <- true
+	request := <-handler.requests
+	if connection.closeIf(always) {
 		t.Error("closed while a request was in flight")
 	}
 	request.respond(Response{Kind: Served, Body: []byte("one")})
 	expect(t, theirs, rpcframe.AppendServed(nil, 1, []byte("one")))
-	c.drain()
+	connection.drain()
 	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("read %v", err)
 	}
 	_ = theirs.Close()
-	s.Shutdown()
+	server.Shutdown()
 }
 
-// TestCloseIf_MessageBeganSinceSnapshot_StaysOpen holds that the decision is made again under the lock.
-func TestCloseIf_MessageBeganSinceSnapshot_StaysOpen(t *testing.T) {
+// TestCloseIf_MessageStartedSinceSnapshot_StaysOpen holds that the decision is made again under the lock.
+func TestCloseIf_MessageStartedSinceSnapshot_StaysOpen(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
-	c := newConn(New(Config{}, stubHandler{}, zerolog.Nop()), ours)
-	c.hasSentRequest, c.stateSince = true, time.Now().Add(-time.Hour)
-	if state := c.snapshot(time.Now()); !connadmission.ShouldClose(state) {
+	connection := newConn(New(Config{}, stubHandler{}, zerolog.Nop()), ours)
+	connection.hasSentRequest, connection.stateSince = true, time.Now().Add(-time.Hour)
+	if state := connection.snapshot(time.Now()); !connadmission.ShouldClose(state) {
 		t.Fatalf("not idle: %+v", state)
 	}
-	c.setInput(inputPartial)
-	if c.closeIf(connadmission.ShouldClose) {
+	connection.setInput(inputPartial)
+	if connection.closeIf(connadmission.ShouldClose) {
 		t.Error("closed in the middle of a message")
 	}
-	if c.closeIf(connadmission.ShouldCloseInShutdown) {
+	if connection.closeIf(connadmission.ShouldCloseInShutdown) {
 		t.Error("closed in the middle of a message during a shutdown")
 	}
-	c.setInput(inputComplete)
-	if c.closeIf(func(connadmission.Connection) bool { return true }) {
+	connection.setInput(inputComplete)
+	if connection.closeIf(func(connadmission.Connection) bool { return true }) {
 		t.Error("closed between a request's last byte and its handling")
 	}
-	c.setInput(inputIdle)
-	if !c.closeIf(connadmission.ShouldCloseInShutdown) {
+	connection.setInput(inputIdle)
+	if !connection.closeIf(connadmission.ShouldCloseInShutdown) {
 		t.Error("an idle one stays open during a shutdown")
 	}
 }
--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -29,12 +29,12 @@
 	consecutiveRejections int
 
 	mu             sync.Mutex
-	inFlight       map[uint32]*exchange // requests owed a response, by number; at most MaxOpen
-	lastNumber     uint32               // of the last request
+	inFlight       map[uint32]*pendingRequest // requests owed a response, by number; at most MaxInFlight
+	lastNumber     uint32                     // of the last request
 	hasSentRequest bool
 	input          inputState
 	stateSince     time.Time // when input changed or a response was queued
-	output         []byte    // responses not yet passed to the system; beyond MaxOut bytes the connection is closed
+	output         []byte    // responses not yet passed to the system; beyond MaxQueuedBytes the connection is closed
 	writing        bool      // the writing goroutine lives
 	lifecycle      lifecycle
 }
@@ -57,14 +57,14 @@
 	lifecycleClosed
 )
 
-// exchange is a request that is owed a response.
-type exchange struct {
+// pendingRequest is a request that is owed a response.
+type pendingRequest struct {
 	cancel func() // nil until the Handler returned
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
 	return &conn{
-		server: s, net: nc, in: bufio.NewReaderSize(nc, readBufferSize), inFlight: map[uint32]*exchange{},
+		server: s, net: nc, in: bufio.NewReaderSize(nc, readBufferSize), inFlight: map[uint32]*pendingRequest{},
 		stateSince: time.Now(),
 	}
 }
@@ -134,19 +134,19 @@
 	reader := rpcframe.NewReader(c.in)
 	for c.readMessage(reader) {
 	}
-	for _, x := range c.endInput() {
-		x.cancel()
+	for _, pending := range c.endInput() {
+		pending.cancel()
 	}
 	c.server.conns.Remove(c)
 }
 
 // endInput drains the connection and returns the requests that were in flight: their responses are no longer wanted.
-func (c *conn) endInput() []*exchange {
+func (c *conn) endInput() []*pendingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var abandoned []*exchange
-	for number, x := range c.inFlight {
-		abandoned = append(abandoned, x)
+	var abandoned []*pendingRequest
+	for number, pending := range c.inFlight {
+		abandoned = append(abandoned, pending)
 		delete(c.inFlight, number)
 	}
 	c.drainLocked()
@@ -159,16 +159,16 @@
 		return false
 	}
 	c.setInput(inputPartial)
-	m, err := reader.Next()
+	message, err := reader.Next()
 	c.setInput(inputComplete)
 	defer c.setInput(inputIdle)
 	if err == nil {
-		err = c.handleMessage(m)
+		err = c.handleMessage(message)
 	} else if !errors.Is(err, rpcframe.ErrMalformed) {
 		return false // the input ended
 	}
 	if err != nil {
-		c.reportViolation(m.Number, err)
+		c.reportViolation(message.Number, err)
 		return false
 	}
 	return true
@@ -181,16 +181,16 @@
 }
 
 // handleMessage handles one message. It returns an error if the message breaks the protocol.
-func (c *conn) handleMessage(m rpcframe.Message) error {
+func (c *conn) handleMessage(message rpcframe.Message) error {
 	switch {
-	case m.Cancelled != nil:
-		c.cancelRequests(m.Cancelled)
+	case message.Cancelled != nil:
+		c.cancelRequests(message.Cancelled)
 		return nil
-	case m.Method == rpcframe.MethodHeartbeat:
-		c.handleHeartbeat(m.Number)
+	case message.Method == rpcframe.MethodHeartbeat:
+		c.handleHeartbeat(message.Number)
 		return nil
 	}
-	return c.handleRequest(m)
+	return c.handleRequest(message)
 }
 
 // reportViolation responds with an error to a request that breaks the protocol, where it has a number.
@@ -202,35 +202,35 @@
 	}
 }
 
-func (c *conn) handleRequest(m rpcframe.Message) error {
-	request, err := c.server.cfg.Rules.parse(m)
+func (c *conn) handleRequest(message rpcframe.Message) error {
+	request, err := c.server.cfg.Rules.parse(message)
 	if err != nil {
 		return err
 	}
 	request.ReceivedAt = time.Now()
-	x, err := c.addInFlight(m.Number)
+	pending, err := c.addInFlight(message.Number)
 	if err != nil {
 		return err
 	}
-	cancel, err := c.server.handler.Handle(request, func(r Response) { c.respond(m.Number, x, r) })
+	cancel, err := c.server.handler.Handle(request, func(r Response) { c.respond(message.Number, pending, r) })
 	if err != nil {
-		c.takeInFlight(m.Number)
+		c.removeInFlight(message.Number)
 		c.consecutiveRejections++
 		if c.consecutiveRejections >= maxConsecutiveRejections {
 			return err
 		}
-		c.reportViolation(m.Number, err)
+		c.reportViolation(message.Number, err)
 		return nil
 	}
 	c.consecutiveRejections = 0
 	c.mu.Lock()
-	x.cancel = cancel
+	pending.cancel = cancel
 	c.mu.Unlock()
 	return nil
 }
 
 // addInFlight records a request as owed a response.
-func (c *conn) addInFlight(number uint32) (*exchange, error) {
+func (c *conn) addInFlight(number uint32) (*pendingRequest, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.inFlight) >= c.server.cfg.MaxOpen {
@@ -240,18 +240,18 @@
 		return nil, protocolError("number %d after %d", number, c.lastNumber)
 	}
 	c.lastNumber, c.hasSentRequest = number, true
-	x := &exchange{}
-	c.inFlight[number] = x
-	return x, nil
+	pending := &pendingRequest{}
+	c.inFlight[number] = pending
+	return pending, nil
 }
 
 // takeInFlight removes a request from those owed a response and returns it, nil if it is none of them.
-func (c *conn) takeInFlight(number uint32) *exchange {
+func (c *conn) removeInFlight(number uint32) *pendingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.inFlight[number]
+	pending := c.inFlight[number]
 	delete(c.inFlight, number)
-	return x
+	return pending
 }
 
 func (c *conn) handleHeartbeat(number uint32) {
@@ -265,8 +265,8 @@
 // cancelRequests cancels those requests that are still in flight.
 func (c *conn) cancelRequests(numbers []uint32) {
 	for _, number := range numbers {
-		if x := c.takeInFlight(number); x != nil {
-			x.cancel()
+		if pending := c.removeInFlight(number); pending != nil {
+			pending.cancel()
 		}
 	}
 }
--- a/internal/platform/rpcserver/helpers_test.go
+++ b/internal/platform/rpcserver/helpers_test.go
@@ -48,34 +48,35 @@
 func startServer(t *testing.T, maxConns int) (stubHandler, string) {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := stubHandler{make(chan *stubRequest, 64), make(chan string, 64)}
-	s := New(Config{Rules: rules, MaxConns: maxConns, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}, h, zerolog.Nop())
+	handler := stubHandler{make(chan *stubRequest, 64), make(chan string, 64)}
+	cfg := Config{Rules: rules, MaxConns: maxConns, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}
+	server := New(cfg, handler, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(ctx, l) }()
+	go func() { served <- server.Serve(ctx, listener) }()
 	t.Cleanup(func() {
-		_ = l.Close()
+		_ = listener.Close()
 		cancel()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		s.Shutdown()
+		server.Shutdown()
 	})
-	return h, l.Addr().String()
+	return handler, listener.Addr().String()
 }
 
 func connect(t *testing.T, address string) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", address)
+	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	return c
+	t.Cleanup(func() { _ = client.Close() })
+	return client
 }
 
 // validFields are the fields of a request that keeps the rules.
@@ -100,17 +101,17 @@
 	return message(t, 0, number, method, []any{fields, []byte("body")})
 }
 
-func write(t *testing.T, c net.Conn, raw []byte) {
+func write(t *testing.T, client net.Conn, raw []byte) {
 	t.Helper()
-	if _, err := c.Write(raw); err != nil {
+	if _, err := client.Write(raw); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func expect(t *testing.T, c net.Conn, want []byte) {
+func expect(t *testing.T, client net.Conn, want []byte) {
 	t.Helper()
 	got := make([]byte, len(want))
-	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
+	if _, err := io.ReadFull(client, got); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("read %q, %v; wanted %q", got, err, want)
 	}
 }
--- a/internal/platform/rpcserver/output.go
+++ b/internal/platform/rpcserver/output.go
@@ -8,9 +8,9 @@
 )
 
 // respond queues the final response of a request, unless that is no longer in flight.
-func (c *conn) respond(number uint32, x *exchange, response Response) {
+func (c *conn) respond(number uint32, pending *pendingRequest, response Response) {
 	c.enqueue(func(output []byte) []byte {
-		if c.inFlight[number] != x { // responded to, cancelled or disconnected
+		if c.inFlight[number] != pending { // responded to, cancelled or disconnected
 			return output
 		}
 		delete(c.inFlight, number)
@@ -30,7 +30,7 @@
 }
 
 // enqueue adds to the output what encode appends, and starts the writing goroutine if need be. It never waits for the
-// client. A client that lets more than MaxOut bytes pile up is disconnected. Encode is called with the lock held.
+// client. A client that lets more than MaxQueuedBytes pile up is disconnected. Encode is called with the lock held.
 func (c *conn) enqueue(encode func([]byte) []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/rpcserver/output_test.go
+++ b/internal/platform/rpcserver/output_test.go
@@ -16,15 +16,15 @@
 func TestWriteDelay_ClientReadsNothing_NotReported(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	ours, theirs := net.Pipe()
-	h := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
+	handler := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
 	delays := make(chan time.Duration, 4)
-	s := New(Config{
+	server := New(Config{
 		Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute,
 		Wrote: func(delay time.Duration) { delays <- delay },
-	}, h, zerolog.Nop())
-	s.admit(ours)
+	}, handler, zerolog.Nop())
+	server.admit(ours)
 	write(t, theirs, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(2))...))
-	first, second := <-h.requests, <-h.requests
+	first, second := <-handler.requests, <-handler.requests
 	first.respond(Response{Kind: Served, Body: []byte("one")})
 	<-delays // the write of the first one begins, and nobody reads
 	second.respond(Response{Kind: Served, Body: []byte("two")})
@@ -33,5 +33,5 @@
 		t.Errorf("the second response's wait of %v for its client is reported as ours", <-delays)
 	}
 	_ = theirs.Close()
-	s.Shutdown()
+	server.Shutdown()
 }
--- a/internal/platform/rpcserver/protocol_test.go
+++ b/internal/platform/rpcserver/protocol_test.go
@@ -39,14 +39,14 @@
 		"endless lanes":  {"quote", with("attrs", "lanes:Inf")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, address := startServer(t, 4)
-			c := connect(t, address)
-			write(t, c, requestMessage(t, 1, test.method, test.fields))
-			expect(t, c, rpcframe.AppendError(nil, 1, "Malformed", "", ""))
-			if more, err := io.ReadAll(c); len(more) > 0 || err != nil {
+			handler, address := startServer(t, 4)
+			client := connect(t, address)
+			write(t, client, requestMessage(t, 1, test.method, test.fields))
+			expect(t, client, rpcframe.AppendError(nil, 1, "Malformed", "", ""))
+			if more, err := io.ReadAll(client); len(more) > 0 || err != nil {
 				t.Errorf("then %q, %v", more, err)
 			}
-			if len(h.requests) > 0 {
+			if len(handler.requests) > 0 {
 				t.Error("the request was handled")
 			}
 		})
@@ -64,15 +64,15 @@
 		"noise": []byte("GET / HTTP/1.1\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, address := startServer(t, 4)
-			c := connect(t, address)
-			write(t, c, requestMessage(t, 5, "quote", validFields(1)))
-			first := <-h.requests
-			write(t, c, second)
-			for <-h.cancelled != first.ID {
+			handler, address := startServer(t, 4)
+			client := connect(t, address)
+			write(t, client, requestMessage(t, 5, "quote", validFields(1)))
+			first := <-handler.requests
+			write(t, client, second)
+			for <-handler.cancelled != first.ID {
 				continue // requests of the second message
 			}
-			if _, err := io.Copy(io.Discard, c); err != nil && !strings.Contains(err.Error(), "reset") {
+			if _, err := io.Copy(io.Discard, client); err != nil && !strings.Contains(err.Error(), "reset") {
 				t.Error(err)
 			}
 		})
@@ -82,18 +82,18 @@
 // TestRejection_IDInUse_KeepsOtherRequests holds that a client whose id another used before keeps its other requests,
 // and that one which goes on with such ids is disconnected.
 func TestRejection_IDInUse_KeepsOtherRequests(t *testing.T) {
-	h, address := startServer(t, 4)
-	c := connect(t, address)
-	write(t, c, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(255))...))
-	request := <-h.requests
-	expect(t, c, rpcframe.AppendError(nil, 2, "Malformed", "", ""))
+	handler, address := startServer(t, 4)
+	client := connect(t, address)
+	write(t, client, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(255))...))
+	request := <-handler.requests
+	expect(t, client, rpcframe.AppendError(nil, 2, "Malformed", "", ""))
 	request.respond(Response{Kind: Served})
-	expect(t, c, rpcframe.AppendServed(nil, 1, nil))
+	expect(t, client, rpcframe.AppendServed(nil, 1, nil))
 	for n := range maxConsecutiveRejections - 1 {
-		write(t, c, requestMessage(t, 3+n, "quote", validFields(255)))
-		expect(t, c, rpcframe.AppendError(nil, uint32(3+n), "Malformed", "", ""))
+		write(t, client, requestMessage(t, 3+n, "quote", validFields(255)))
+		expect(t, client, rpcframe.AppendError(nil, uint32(3+n), "Malformed", "", ""))
 	}
-	if more, err := io.ReadAll(c); len(more) > 0 || err != nil {
+	if more, err := io.ReadAll(client); len(more) > 0 || err != nil {
 		t.Errorf("then %q, %v", more, err)
 	}
 }
--- a/internal/platform/rpcserver/rules.go
+++ b/internal/platform/rpcserver/rules.go
@@ -34,8 +34,8 @@
 }
 
 // parse checks a message that is a request of a class. Its errors wrap ErrProtocol or rpcframe.ErrMalformed.
-func (r *Rules) parse(m rpcframe.Message) (*Request, error) {
-	wire, err := m.Request()
+func (r *Rules) parse(message rpcframe.Message) (*Request, error) {
+	wire, err := message.Request()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/platform/rpcserver/rules_test.go
+++ b/internal/platform/rpcserver/rules_test.go
@@ -26,27 +26,27 @@
 		"out of bounds, then within":     {"memory_mb:1e9;memory_mb:5", false},
 		"unknown name, beyond all bound": {"unknown:1e300", true},
 	} {
-		m := rpcframe.Message{Method: "quote", Body: []byte{}, Params: rpcframe.Params{
+		message := rpcframe.Message{Method: "quote", Body: []byte{}, Params: rpcframe.Params{
 			ID:       "9b1f03aa5c7e2d41",
 			Function: "7f3a9c21e0b4d655", Timeout: "900", Tenant: rpcframe.OptionalText{Value: "acme", Present: true},
 			Attributes: test.attributes,
 		}}
-		if request, err := rules.parse(m); (err == nil) != test.accepted {
+		if request, err := rules.parse(message); (err == nil) != test.accepted {
 			t.Errorf("%s: parsed %+v, error %v", name, request, err)
 		}
 	}
 }
 
 func TestRules_Timeout_AtMostTwiceTheClass(t *testing.T) {
-	m := rpcframe.Message{Method: "quote", Body: []byte{}, Params: rpcframe.Params{
+	message := rpcframe.Message{Method: "quote", Body: []byte{}, Params: rpcframe.Params{
 		ID:       "9b1f03aa5c7e2d41",
 		Function: "7f3a9c21e0b4d655", Timeout: "2000", Tenant: rpcframe.OptionalText{Value: "acme", Present: true},
 	}}
-	if request, err := rules.parse(m); err != nil || request.Timeout != 2*time.Second {
+	if request, err := rules.parse(message); err != nil || request.Timeout != 2*time.Second {
 		t.Errorf("parsed %+v, error %v", request, err)
 	}
-	m.Params.Timeout = "2001"
-	if _, err := rules.parse(m); !errors.Is(err, ErrProtocol) {
+	message.Params.Timeout = "2001"
+	if _, err := rules.parse(message); !errors.Is(err, ErrProtocol) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/platform/rpcserver/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -29,8 +29,8 @@
 	MaxOpen  int           // requests in flight on one connection; one more breaks the protocol
 	MaxOut   int           // bytes of responses that a client has not read; beyond, its connection is closed
 	Write    time.Duration // for one write of queued responses
-	// Wrote, unless nil, is called from the writing goroutines with the time between the queuing of a response and the
-	// start of its write. That time does not depend on the client.
+	// ObserveWriteDelay, unless nil, is called from the writing goroutines with the time between the queuing of a response
+	// and the start of its write. That time does not depend on the client.
 	Wrote func(delay time.Duration)
 	Rest  time.Duration // for which connections in the listener's backlog are still accepted during a shutdown
 }
@@ -75,19 +75,19 @@
 	}
 }
 
-// Conns returns the number of open connections.
+// ConnectionCount returns the number of open connections.
 func (s *Server) Conns() int { return s.conns.Len() }
 
 // Serve accepts connections of l until l is closed or a shutdown began, and then closes l. Until ctx ends, a goroutine
 // that it starts goes on to close idle connections. It must be called once, before Shutdown.
-func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	defer func() { _ = l.Close() }() // it may be closed already
+func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
+	defer func() { _ = listener.Close() }() // it may be closed already
 	s.tasks.Go(func() { s.sweepUntilDone(ctx) })
 	s.mu.Lock()
-	s.listener = l
+	s.listener = listener
 	s.endAccepting()
 	s.mu.Unlock()
-	err := clientconn.AcceptLoop(l, s.admit, s.retryAccept)
+	err := clientconn.AcceptLoop(listener, s.admit, s.retryAccept)
 	if isAcceptDeadline(err) {
 		return nil
 	}
@@ -167,7 +167,7 @@
 	return s.shuttingDown
 }
 
-// Finish begins a shutdown: accepting ends, and each connection is closed once nothing is in flight on it.
+// BeginShutdown begins a shutdown: accepting ends, and each connection is closed once nothing is in flight on it.
 func (s *Server) Finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,7 +176,7 @@
 }
 
 // endAccepting ends accepting if a shutdown began; the lock is held. Connections in the listener's backlog are still
-// accepted for the time of Rest: closing a listener resets them, and the requests on them would be lost.
+// accepted for the time of AcceptGracePeriod: closing a listener resets them, and the requests on them would be lost.
 func (s *Server) endAccepting() {
 	if !s.shuttingDown || s.listener == nil {
 		return
--- a/internal/platform/rpcserver/server_test.go
+++ b/internal/platform/rpcserver/server_test.go
@@ -8,27 +8,27 @@
 )
 
 func TestRespond_AnyOrder_MatchedByNumber(t *testing.T) {
-	h, address := startServer(t, 4)
-	c := connect(t, address)
-	write(t, c, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(2))...))
-	first, second := <-h.requests, <-h.requests
+	handler, address := startServer(t, 4)
+	client := connect(t, address)
+	write(t, client, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(2))...))
+	first, second := <-handler.requests, <-handler.requests
 	if first.Class != 0 || first.Tenant != 1 || first.Timeout != 900*time.Millisecond || first.MemoryMB != 512 ||
 		first.Concurrency != 2 || first.LoadTime != 300*time.Millisecond || string(first.Body) != "body" {
 		t.Errorf("handled %+v", first.Request)
 	}
 	second.respond(Response{Kind: Served, Body: []byte("two")})
-	expect(t, c, rpcframe.AppendServed(nil, 2, []byte("two")))
+	expect(t, client, rpcframe.AppendServed(nil, 2, []byte("two")))
 	first.respond(Response{Kind: Rejected, RetryAfter: 250 * time.Millisecond})
-	expect(t, c, rpcframe.AppendError(nil, 1, "Backoff", "after", "250"))
+	expect(t, client, rpcframe.AppendError(nil, 1, "Backoff", "after", "250"))
 	first.respond(Response{Kind: Served}) // there is only one final response
-	write(t, c, message(t, 0, 3, "heartbeat", []any{map[string]string{}}))
-	expect(t, c, rpcframe.AppendTrue(nil, 3, true))
+	write(t, client, message(t, 0, 3, "heartbeat", []any{map[string]string{}}))
+	expect(t, client, rpcframe.AppendTrue(nil, 3, true))
 }
 
 // TestRead_SplitOrBatchedSegments_AllServed cuts a request at every byte, and sends many in one segment.
 func TestRead_SplitOrBatchedSegments_AllServed(t *testing.T) {
-	h, address := startServer(t, 1)
-	c := connect(t, address)
+	handler, address := startServer(t, 1)
+	client := connect(t, address)
 	number := 0
 	next := func(n int) (raw []byte) {
 		for range n {
@@ -40,25 +40,25 @@
 	served := func(n int) {
 		var want []byte
 		for i := range n {
-			request := <-h.requests
+			request := <-handler.requests
 			if string(request.Body) != "body" {
 				t.Fatalf("body %q", request.Body)
 			}
 			request.respond(Response{Kind: Served})
 			want = rpcframe.AppendServed(want, uint32(number-n+1+i), nil)
 		}
-		expect(t, c, want)
+		expect(t, client, want)
 	}
 	for i := range len(requestMessage(t, 1, "quote", validFields(1))) {
 		raw := next(1)
-		write(t, c, raw[:i])
-		write(t, c, raw[i:])
+		write(t, client, raw[:i])
+		write(t, client, raw[i:])
 		served(1)
 	}
 	for _, b := range next(1) {
-		write(t, c, []byte{b})
+		write(t, client, []byte{b})
 	}
 	served(1)
-	write(t, c, next(4))
+	write(t, client, next(4))
 	served(4)
 }
--- a/internal/platform/rpcserver/shutdown_test.go
+++ b/internal/platform/rpcserver/shutdown_test.go
@@ -29,36 +29,37 @@
 func TestShutdown_ConnectionInBacklog_Served(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	for _, shutdownFirst := range []bool{true, false} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := gatedListener{l.(*net.TCPListener), make(chan bool)}
-		h := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
-		s := New(Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute, Rest: time.Minute}, h, zerolog.Nop())
+		g := gatedListener{listener.(*net.TCPListener), make(chan bool)}
+		handler := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
+		cfg := Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute, Rest: time.Minute}
+		server := New(cfg, handler, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		served := make(chan error, 1)
-		go func() { served <- s.Serve(ctx, g) }()
-		c := connect(t, l.Addr().String())
-		write(t, c, requestMessage(t, 1, "quote", validFields(1)))
+		go func() { served <- server.Serve(ctx, g) }()
+		client := connect(t, listener.Addr().String())
+		write(t, client, requestMessage(t, 1, "quote", validFields(1)))
 		if shutdownFirst {
-			s.Finish()
+			server.Finish()
 			close(g.pass)
 		} else {
 			close(g.pass)
-			request := <-h.requests
-			h.requests <- request
-			s.Finish()
+			request := <-handler.requests
+			handler.requests <- request
+			server.Finish()
 		}
-		request := <-h.requests
+		request := <-handler.requests
 		request.respond(Response{Kind: Served, Body: []byte("one")})
-		expect(t, c, rpcframe.AppendServed(nil, 1, []byte("one")))
-		_ = l.Close()
+		expect(t, client, rpcframe.AppendServed(nil, 1, []byte("one")))
+		_ = listener.Close()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
 		cancel()
-		s.Shutdown()
+		server.Shutdown()
 	}
 }
 
@@ -67,25 +68,25 @@
 func TestShutdown_GracePeriodOver_AcceptingEnds(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	for _, shutdownFirst := range []bool{true, false} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := New(Config{Rules: rules, MaxConns: 4, Rest: time.Millisecond}, stubHandler{}, zerolog.Nop())
+		server := New(Config{Rules: rules, MaxConns: 4, Rest: time.Millisecond}, stubHandler{}, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		served := make(chan error, 1)
 		if shutdownFirst {
-			s.Finish()
+			server.Finish()
 		}
-		go func() { served <- s.Serve(ctx, l) }()
-		s.Finish()
+		go func() { served <- server.Serve(ctx, listener) }()
+		server.Finish()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+		if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("the listener is still open: %v", err)
 		}
 		cancel()
-		s.Shutdown()
+		server.Shutdown()
 	}
 }
