--- a/internal/platform/rpcframe/message.go
+++ b/internal/platform/rpcframe/message.go
@@ -52,13 +52,13 @@
 // Params are the named fields of a request, as the client sent them: Message.Request checks them. Fields of other names
 // are accepted and ignored.
 type Params struct {
-	ID             string
-	Function       string
-	IdempotencyKey string
-	Tenant         OptionalText
-	Retry          OptionalText
-	Timeout        string
-	Attributes     string
+	ID             string       // of the request, unique among all clients
+	Function       string       // id of the function
+	IdempotencyKey string       // empty without one
+	Tenant         OptionalText // the tenant's name
+	Retry          OptionalText // a flag, whose only value is 1
+	Timeout        string       // milliseconds, in decimal
+	Attributes     string       // name:value pairs separated by semicolons
 }
 
 // OptionalText is a field's value where an absent field differs from an empty one.
