--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -15,35 +15,47 @@
 	"havencart/scheduler"
 )
 
+// The timing of a blocking query is the protocol's and not tuned: Consul lengthens the wait that was asked for by up
+// to a sixteenth at random.
 const (
-	// queryWait is how long a blocking query may stay unanswered by the service; answerSlack is what the
-	// answer may take beyond that. They are the protocol's, not tuned: the service adds up to wait/16.
-	queryWait   = 30 * time.Second
-	answerSlack = 5 * time.Second
-	listBytes   = 16 << 20
+	queryWait      = 30 * time.Second // how long Consul may leave a query unanswered
+	queryJitter    = queryWait / 16
+	responseMargin = 5 * time.Second // for the response's way, beyond both
+
+	maxResponseBytes = 16 << 20
 )
 
-// Consul follows a service's health endpoint (GET /v1/health/service/NAME) with blocking queries.
+// Consul is a Source that follows a service of Consul's health endpoint (GET /v1/health/service/NAME) with blocking
+// queries. After a failure it waits for Refresh.
 //
-// A worker is Ready while all its checks pass or warn, Draining while it is in maintenance (a check named
-// _service_maintenance or _node_maintenance), Gone while another check is critical. Its service's Meta may hold
-// zone, cell, kind, scale and started (milliseconds since 1970).
+// A worker is Ready while all its checks pass or warn, Draining while it is in maintenance (a check whose ID begins
+// with _service_maintenance, or is _node_maintenance), Removed while another check is critical. The service's Meta may
+// hold zone, cell, kind, scale (a number) and started (Unix milliseconds).
 type Consul struct {
-	poke
-	base   string // http://host:port
-	name   string
-	agent  string
-	client *http.Client
+	wakeUp
+	baseURL   string
+	service   string
+	userAgent string
+	client    *http.Client
 }
 
-// NewConsul returns a source that asks the service at base, such as http://127.0.0.1:8500, for name. agent is
-// how this front end calls itself there.
-func NewConsul(base, name, agent string) *Consul {
-	return &Consul{poke: make(poke, 1), base: strings.TrimSuffix(base, "/"), name: name, agent: agent,
-		client: &http.Client{Transport: &http.Transport{}, Timeout: queryWait + queryWait/16 + answerSlack}}
+// NewConsul returns a source that asks Consul at baseURL, such as http://127.0.0.1:8500, for the instances of service.
+// userAgent is sent with each query.
+func NewConsul(baseURL, service, userAgent string) *Consul {
+	client := &http.Client{
+		Transport: &http.Transport{},
+		Timeout:   queryWait + queryJitter + responseMargin,
+	}
+	return &Consul{
+		wakeUp:    newWakeUp(),
+		baseURL:   strings.TrimSuffix(baseURL, "/"),
+		service:   service,
+		userAgent: userAgent,
+		client:    client,
+	}
 }
 
-// Run follows until ctx ends.
+// Run implements Source.
 func (c *Consul) Run(ctx context.Context, sink Sink) {
 	defer c.client.CloseIdleConnections()
 	index := uint64(0)
@@ -54,12 +66,12 @@
 			return
 		case err != nil:
 			sink.WatchFailed(err)
-			index = 0 // whatever was missed, the next answer is whole
+			index = 0 // ask for the whole list again: changes may have been missed
 			if !c.wait(ctx) {
 				return
 			}
 		case next < index:
-			index = 0 // it went back: the service lost its state; ask for what it has now, without waiting
+			index = 0 // Consul lost its state; ask for what it has now, without blocking
 		case next > index:
 			index = next
 			sink.EndpointsChanged(list)
@@ -67,75 +79,96 @@
 	}
 }
 
-// query asks once; index 0 asks for what is there without waiting.
-func (c *Consul) query(ctx context.Context, index uint64) ([]Worker, uint64, error) {
-	at := fmt.Sprintf("%s/v1/health/service/%s", c.base, url.PathEscape(c.name))
-	if index > 0 {
-		at += fmt.Sprintf("?index=%d&wait=%ds", index, int(queryWait.Seconds()))
-	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
+// query returns the list and its index once that differs from index, or when Consul's wait is over. With index 0 it
+// does not block.
+func (c *Consul) query(ctx context.Context, index uint64) (list []Worker, next uint64, err error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.queryURL(index), nil)
 	if err != nil {
-		return nil, 0, fmt.Errorf("list of workers: %w", err)
+		return nil, 0, fmt.Errorf("query the endpoint list: %w", err)
 	}
-	request.Header.Set("User-Agent", c.agent)
+	request.Header.Set("User-Agent", c.userAgent)
 	response, err := c.client.Do(request)
 	if err != nil {
-		return nil, 0, fmt.Errorf("list of workers: %w", err)
+		return nil, 0, fmt.Errorf("query the endpoint list: %w", err)
 	}
 	defer response.Body.Close()
+	return parseResponse(response)
+}
+
+func (c *Consul) queryURL(index uint64) string {
+	address := fmt.Sprintf("%s/v1/health/service/%s", c.baseURL, url.PathEscape(c.service))
+	if index == 0 {
+		return address
+	}
+	return address + fmt.Sprintf("?index=%d&wait=%ds", index, int(queryWait.Seconds()))
+}
+
+func parseResponse(response *http.Response) (list []Worker, index uint64, err error) {
 	if response.StatusCode != http.StatusOK {
-		return nil, 0, fmt.Errorf("list of workers: the service answers %s", response.Status)
+		return nil, 0, fmt.Errorf("query the endpoint list: Consul responds %s", response.Status)
 	}
-	next, err := strconv.ParseUint(response.Header.Get("X-Consul-Index"), 10, 64)
-	if err != nil || next == 0 {
-		return nil, 0, fmt.Errorf("%w: index %q", ErrMalformed, response.Header.Get("X-Consul-Index"))
+	header := response.Header.Get("X-Consul-Index")
+	index, err = strconv.ParseUint(header, 10, 64)
+	if err != nil || index == 0 {
+		return nil, 0, fmt.Errorf("%w: index %q", ErrMalformed, header)
 	}
-	raw, err := io.ReadAll(io.LimitReader(response.Body, listBytes+1))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, 0, fmt.Errorf("list of workers: %w", err)
+		return nil, 0, fmt.Errorf("read the endpoint list: %w", err)
 	}
-	if len(raw) > listBytes {
-		return nil, 0, fmt.Errorf("%w: longer than %d bytes", ErrMalformed, listBytes)
+	if len(raw) > maxResponseBytes {
+		return nil, 0, fmt.Errorf("%w: longer than %d bytes", ErrMalformed, maxResponseBytes)
 	}
-	list, err := ParseConsul(raw)
-	return list, next, err
+	list, err = ParseConsul(raw)
+	return list, index, err
 }
 
-// Instance is one entry of the health endpoint's answer, as far as it is read.
+// Instance is one entry of the health endpoint's response, as far as it is read. Its keys are Consul's.
 type Instance struct {
 	Node struct {
-		Address string `json:",omitempty"`
-	}
+		Address string `json:"Address,omitempty"`
+	} `json:"Node"`
 	Service struct {
-		ID      string
-		Address string            `json:",omitempty"`
-		Port    int               `json:",omitempty"`
-		Meta    map[string]string `json:",omitempty"`
-	}
-	Checks []Check
+		ID      string            `json:"ID"`
+		Address string            `json:"Address,omitempty"` // the node's address if empty
+		Port    int               `json:"Port,omitempty"`
+		Meta    map[string]string `json:"Meta,omitempty"`
+	} `json:"Service"`
+	Checks []Check `json:"Checks"`
 }
 
-// Check is one health check of an instance.
+// Check is one health check of an instance. Its keys are Consul's.
 type Check struct {
-	CheckID string
-	Status  string
+	CheckID string `json:"CheckID"`
+	Status  string `json:"Status"` // passing, warning or critical
+}
+
+// The health checks that have a meaning here.
+const (
+	serviceMaintenancePrefix = "_service_maintenance"
+	nodeMaintenance          = "_node_maintenance"
+	statusCritical           = "critical"
+)
+
+func (c Check) isMaintenance() bool {
+	return strings.HasPrefix(c.CheckID, serviceMaintenancePrefix) || c.CheckID == nodeMaintenance
 }
 
-// ParseConsul reads an answer of the health endpoint. Errors wrap ErrMalformed.
+// ParseConsul reads a response of the health endpoint. Every error wraps ErrMalformed.
 func ParseConsul(raw []byte) ([]Worker, error) {
-	var in []Instance
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var instances []Instance
+	if err := json.Unmarshal(raw, &instances); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	list := make([]Worker, 0, len(in))
-	for _, i := range in {
-		w, err := i.worker()
+	list := make([]Worker, 0, len(instances))
+	for _, instance := range instances {
+		worker, err := instance.worker()
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, w)
+		list = append(list, worker)
 	}
-	return list, check(list)
+	return list, validate(list)
 }
 
 func (i Instance) worker() (Worker, error) {
@@ -144,32 +177,40 @@
 		host = i.Node.Address
 	}
 	meta := i.Service.Meta
-	w := Worker{Name: i.Service.ID, Address: net.JoinHostPort(host, strconv.Itoa(i.Service.Port)), Zone: meta["zone"],
-		Cell: meta["cell"], Kind: meta["kind"], Scale: 1, State: i.state()}
+	worker := Worker{
+		Name:    i.Service.ID,
+		Address: net.JoinHostPort(host, strconv.Itoa(i.Service.Port)),
+		Zone:    meta["zone"],
+		Cell:    meta["cell"],
+		Kind:    meta["kind"],
+		Scale:   1,
+		State:   i.state(),
+	}
 	if text := meta["scale"]; text != "" {
 		scale, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return w, fmt.Errorf("%w: worker %s with scale %q", ErrMalformed, w.Name, text)
+			return worker, fmt.Errorf("%w: worker %s with scale %q", ErrMalformed, worker.Name, text)
 		}
-		w.Scale = scale
+		worker.Scale = scale
 	}
 	if text := meta["started"]; text != "" {
-		at, err := strconv.ParseInt(text, 10, 64)
+		millis, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return w, fmt.Errorf("%w: worker %s started at %q", ErrMalformed, w.Name, text)
+			return worker, fmt.Errorf("%w: worker %s started at %q", ErrMalformed, worker.Name, text)
 		}
-		w.Started = time.UnixMilli(at)
+		worker.Started = time.UnixMilli(millis)
 	}
-	return w, nil
+	return worker, nil
 }
 
+// state derives the worker's state from its checks; maintenance goes before a critical check.
 func (i Instance) state() scheduler.WorkerState {
 	state := scheduler.Ready
-	for _, c := range i.Checks {
-		if strings.HasPrefix(c.CheckID, "_service_maintenance") || c.CheckID == "_node_maintenance" {
+	for _, check := range i.Checks {
+		if check.isMaintenance() {
 			return scheduler.Draining
 		}
-		if c.Status == "critical" {
+		if check.Status == statusCritical {
 			state = scheduler.Removed
 		}
 	}
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,41 +21,41 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const soon = 20 * time.Second
+const waitLimit = 20 * time.Second
 
-type sink struct {
-	lists chan []discovery.Worker
-	fails chan error
+type recordingSink struct {
+	lists    chan []discovery.Worker
+	failures chan error
 }
 
-func (s sink) EndpointsChanged(l []discovery.Worker) { s.lists <- l }
-func (s sink) WatchFailed(err error)                 { s.fails <- err }
+func (s recordingSink) EndpointsChanged(l []discovery.Worker) { s.lists <- l }
+func (s recordingSink) WatchFailed(err error)                 { s.failures <- err }
 
-func (s sink) list(t *testing.T) []discovery.Worker {
+func (s recordingSink) list(t *testing.T) []discovery.Worker {
 	t.Helper()
 	select {
 	case l := <-s.lists:
 		return l
-	case <-time.After(soon):
-		t.Fatal("waited in vain for a list")
+	case <-time.After(waitLimit):
+		t.Fatal("no list within the limit")
 		return nil
 	}
 }
 
-func (s sink) failure(t *testing.T) error {
+func (s recordingSink) failure(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-s.fails:
+	case err := <-s.failures:
 		return err
-	case <-time.After(soon):
-		t.Fatal("waited in vain for a failure")
+	case <-time.After(waitLimit):
+		t.Fatal("no failure within the limit")
 		return nil
 	}
 }
 
-func follow(t *testing.T, source discovery.Source) sink {
+func follow(t *testing.T, source discovery.Source) recordingSink {
 	t.Helper()
-	s := sink{make(chan []discovery.Worker, 100), make(chan error, 100)}
+	s := recordingSink{make(chan []discovery.Worker, 100), make(chan error, 100)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); source.Run(ctx, s) }()
@@ -63,7 +63,7 @@
 	return s
 }
 
-func names(list []discovery.Worker) string {
+func summary(list []discovery.Worker) string {
 	var all []string
 	for _, w := range list {
 		all = append(all, fmt.Sprintf("%s:%d", w.Name, w.State))
@@ -71,7 +71,7 @@
 	return strings.Join(all, " ")
 }
 
-func start(t *testing.T, n int) (*lab.Server, sink, *discovery.Consul) {
+func startConsul(t *testing.T, n int) (*lab.Server, recordingSink, *discovery.Consul) {
 	t.Helper()
 	d, err := lab.Start("127.0.0.1:0")
 	if err != nil {
@@ -86,47 +86,49 @@
 }
 
 func entry(i int, state scheduler.WorkerState) lab.Entry {
-	return lab.Entry{Name: fmt.Sprint("w", i), Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Cell: "c", State: state,
-		Started: time.UnixMilli(1000)}
+	return lab.Entry{
+		Name: fmt.Sprint("w", i), Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Cell: "c", State: state,
+		Started: time.UnixMilli(1000),
+	}
 }
 
-func TestChangesAreToldAsTheyCome(t *testing.T) {
-	d, s, _ := start(t, 2)
+func TestConsul_EntriesChange_ReportsEachList(t *testing.T) {
+	d, s, _ := startConsul(t, 2)
 	list := s.list(t)
-	if names(list) != "w1:1 w2:1" || list[0].Cell != "c" || !list[0].Started.Equal(time.UnixMilli(1000)) {
+	if summary(list) != "w1:1 w2:1" || list[0].Cell != "c" || !list[0].Started.Equal(time.UnixMilli(1000)) {
 		t.Fatalf("%+v", list)
 	}
 	d.Set(entry(1, scheduler.Draining))
-	if got := names(s.list(t)); got != "w1:2 w2:1" {
+	if got := summary(s.list(t)); got != "w1:2 w2:1" {
 		t.Error(got)
 	}
 	d.Set(entry(1, scheduler.Removed))
-	if got := names(s.list(t)); got != "w2:1" {
+	if got := summary(s.list(t)); got != "w2:1" {
 		t.Error(got)
 	}
 	critical := entry(2, scheduler.Removed)
 	critical.Critical = true
 	d.Set(critical)
-	if got := names(s.list(t)); got != "w2:3" {
+	if got := summary(s.list(t)); got != "w2:3" {
 		t.Error(got)
 	}
 }
 
-func TestAPartialListIsBelievedAndUndone(t *testing.T) {
-	d, s, _ := start(t, 4)
+func TestConsul_PartialList_ReportedThenReversed(t *testing.T) {
+	d, s, _ := startConsul(t, 4)
 	s.list(t)
 	d.Partial(0.5)
-	if got := names(s.list(t)); got != "w1:1 w2:1" {
+	if got := summary(s.list(t)); got != "w1:1 w2:1" {
 		t.Error(got)
 	}
 	d.Partial(1)
-	if got := names(s.list(t)); got != "w1:1 w2:1 w3:1 w4:1" {
+	if got := summary(s.list(t)); got != "w1:1 w2:1 w3:1 w4:1" {
 		t.Error(got)
 	}
 }
 
-func TestADirectoryThatIsDownIsAskedAgainWhenWanted(t *testing.T) {
-	d, s, c := start(t, 1)
+func TestConsul_ServerDown_RetriesOnRefresh(t *testing.T) {
+	d, s, c := startConsul(t, 1)
 	s.list(t)
 	d.Down(true)
 	s.failure(t)
@@ -134,25 +136,25 @@
 	s.failure(t)
 	d.Down(false)
 	c.Refresh()
-	if got := names(s.list(t)); got != "w1:1" {
+	if got := summary(s.list(t)); got != "w1:1" {
 		t.Error(got)
 	}
 }
 
-func TestAnIndexThatGoesBackIsFollowed(t *testing.T) {
-	d, s, _ := start(t, 3)
+func TestConsul_IndexDecreases_ReportsLaterChange(t *testing.T) {
+	d, s, _ := startConsul(t, 3)
 	s.list(t)
 	d.Back()
 	d.Set(entry(3, scheduler.Draining))
-	for range 3 { // the list as it was may be told once more
-		if got := names(s.list(t)); got == "w1:1 w2:1 w3:2" {
+	for range 3 { // the list before the loss may be reported once more
+		if got := summary(s.list(t)); got == "w1:1 w2:1 w3:2" {
 			return
 		}
 	}
-	t.Error("the change after the loss was not told")
+	t.Error("the change after the loss was not reported")
 }
 
-func TestBadAnswersAreRefusedWhole(t *testing.T) {
+func TestParseConsul_MalformedResponse_WrapsErrMalformed(t *testing.T) {
 	for name, body := range map[string]string{
 		"no JSON":      "<html>",
 		"no address":   `[{"Service":{"ID":"w1"}}]`,
@@ -171,7 +173,7 @@
 	}
 }
 
-func TestAFileIsFollowed(t *testing.T) {
+func TestFile_Changes_ReportsListOrError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "workers")
 	write := func(text string) {
 		t.Helper()
@@ -185,7 +187,7 @@
 	write("worker w1 127.0.0.1:9001 zone a # the first\n\nworker w2 127.0.0.1:9002 state draining\n")
 	source := discovery.NewFile(path)
 	s := follow(t, source)
-	if got := names(s.list(t)); got != "w1:1 w2:2" {
+	if got := summary(s.list(t)); got != "w1:1 w2:2" {
 		t.Error(got)
 	}
 	write("worker w1 127.0.0.1:9001 colour red\n")
@@ -193,7 +195,7 @@
 		t.Error(err)
 	}
 	write("worker w3 127.0.0.1:9003\n")
-	if got := names(s.list(t)); got != "w3:1" {
+	if got := summary(s.list(t)); got != "w3:1" {
 		t.Error(got)
 	}
 }
--- /dev/null
+++ b/internal/discovery/endpointstream_test.go
@@ -0,0 +1,130 @@
+package discovery
+
+import (
+	"context"
+	"net/netip"
+	"testing"
+
+	"go.uber.org/goleak"
+
+	"havencart/internal/platform/endpointstream"
+	"havencart/lab/platformdiscovery"
+	"havencart/scheduler"
+)
+
+// listSink is a Sink that passes lists to the test and drops failures, whose number is not fixed.
+type listSink chan []Worker
+
+func (l listSink) EndpointsChanged(list []Worker) { l <- list }
+func (listSink) WatchFailed(error)                {}
+
+func entry(id uint32, port uint16, state endpointstream.State) endpointstream.Entry {
+	return endpointstream.Entry{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), State: state, Weight: 1.5}
+}
+
+func event(number uint64, kind endpointstream.Kind, entries ...endpointstream.Entry) endpointstream.Event {
+	return endpointstream.Event{Number: number, Kind: kind, Entries: entries}
+}
+
+const initialEvents = `{"no":3,"items":[{"no":3,"roster":{"seq":1,"whole":true,"hosts":[
+	{"host":"s-00000001","dial":"127.0.0.1:9001","site":"room","class":"std","block":4,"health":"up","share":2,"born_ms":0}]}}]}`
+
+func startServer(t *testing.T) *platformdiscovery.Server {
+	t.Helper()
+	server, err := platformdiscovery.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(server.Close)
+	return server
+}
+
+func follow(t *testing.T, address string) (*EndpointStream, listSink) {
+	t.Helper()
+	stream, err := NewEndpointStream(address, []byte(initialEvents), []string{"room"}, []string{"std"}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	received, done := make(listSink, 16), make(chan struct{})
+	go func() { defer close(done); stream.Run(ctx, received) }()
+	t.Cleanup(func() { cancel(); <-done })
+	return stream, received
+}
+
+// summary lists the last digit of each worker's name, with a d behind it if it is draining.
+func summary(list []Worker) (text string) {
+	for _, worker := range list {
+		text += worker.Name[9:]
+		if worker.State == scheduler.Draining {
+			text += "d"
+		}
+		text += " "
+	}
+	return text
+}
+
+func expectList(t *testing.T, received listSink, text string) {
+	t.Helper()
+	if got := summary(<-received); got != text {
+		t.Errorf("listed %q, want %q", got, text)
+	}
+}
+
+func TestEndpointStream_InitialEvents_FollowsFromLastNumber(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	server := startServer(t)
+	_, received := follow(t, server.Address())
+	first := <-received
+	if len(first) != 1 || first[0].Name != "s-00000001" || first[0].Address != "127.0.0.1:9001" || first[0].Scale != 2 ||
+		first[0].Zone != "room" || first[0].Kind != "std" || first[0].Cell != "4" || !first[0].Started.IsZero() {
+		t.Errorf("initial list is %+v", first)
+	}
+	if last := <-server.Asked(); last != 3 {
+		t.Errorf("resumed from %d", last)
+	}
+	server.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
+	expectList(t, received, "1 2 ")
+	server.Tell(event(5, endpointstream.Delta, entry(1, 9001, endpointstream.Draining)))
+	expectList(t, received, "1d 2 ")
+	server.Tell(event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Removed), entry(3, 9001, endpointstream.Ready)))
+	expectList(t, received, "2 3 ")                                                                              // another worker at the address of a removed one
+	server.Raw(endpointstream.Append(nil, event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Ready)))) // repeated
+	server.Tell(event(7, endpointstream.Snapshot, entry(9, 9009, endpointstream.Ready)))
+	expectList(t, received, "9 ")
+}
+
+func TestEndpointStream_ConnectionBreaks_ResumesAfterLastEvent(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	server := startServer(t)
+	_, received := follow(t, server.Address())
+	<-received
+	<-server.Asked()
+	server.Raw(endpointstream.Append(nil, event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
+	server.Break()
+	if last := <-server.Asked(); last != 3 {
+		t.Errorf("after half an event resumed from %d", last)
+	}
+	server.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
+	expectList(t, received, "1 2 ")
+	server.Raw([]byte("noise that is no event"))
+	if last := <-server.Asked(); last != 4 {
+		t.Errorf("after noise resumed from %d", last)
+	}
+}
+
+func TestEndpointStream_AddressChanges_ResumesAtNewAddress(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	old, other := startServer(t), startServer(t)
+	stream, received := follow(t, old.Address())
+	<-received
+	<-old.Asked()
+	old.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
+	expectList(t, received, "1 2 ")
+	stream.SetAddress(other.Address())
+	if last := <-other.Asked(); last != 4 {
+		t.Errorf("at the other address resumed from %d", last)
+	}
+	other.Tell(event(5, endpointstream.Delta, entry(3, 9003, endpointstream.Ready)))
+	expectList(t, received, "1 2 3 ")
+}
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -14,20 +14,20 @@
 	"havencart/scheduler"
 )
 
-// File follows a list in a file, one worker a line:
+// File is a Source that follows a list in a file, one worker a line:
 //
 //	worker NAME HOST:PORT [zone Z] [cell C] [kind K] [scale X] [started RFC3339] [state ready|draining|gone]
 //
-// A comment runs from # to the end of the line. The file is read again when it changes or is replaced.
+// A comment runs from # to the end of the line. The file is read again when it changes or is replaced, and on Refresh.
 type File struct {
-	poke
+	wakeUp
 	path string
 }
 
 // NewFile returns a source that follows the file at path.
-func NewFile(path string) *File { return &File{poke: make(poke, 1), path: path} }
+func NewFile(path string) *File { return &File{wakeUp: newWakeUp(), path: path} }
 
-// Run follows until ctx ends.
+// Run implements Source.
 func (f *File) Run(ctx context.Context, sink Sink) {
 	for ctx.Err() == nil {
 		if err := f.watch(ctx, sink); err != nil && ctx.Err() == nil {
@@ -37,8 +37,8 @@
 	}
 }
 
-// watch reads the file at once and at each change of it. It watches the folder, as a file that is replaced is
-// another file.
+// watch reads the file at once and at each change of it, until ctx ends or the watch fails. It watches the directory,
+// as a file that replaces another is not seen by a watch on the old one.
 func (f *File) watch(ctx context.Context, sink Sink) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -53,13 +53,13 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.poke:
+		case <-f.wakeUp:
 			f.read(sink)
-		case e, ok := <-watcher.Events:
-			if !ok {
+		case event, open := <-watcher.Events:
+			if !open {
 				return fmt.Errorf("watch %s: the watch ended", f.path)
 			}
-			if filepath.Base(e.Name) == filepath.Base(f.path) && e.Has(fsnotify.Create|fsnotify.Write) {
+			if f.isWrittenBy(event) {
 				f.read(sink)
 			}
 		case err := <-watcher.Errors:
@@ -68,10 +68,15 @@
 	}
 }
 
+// isWrittenBy reports whether an event of the directory created or wrote this file.
+func (f *File) isWrittenBy(event fsnotify.Event) bool {
+	return filepath.Base(event.Name) == filepath.Base(f.path) && event.Has(fsnotify.Create|fsnotify.Write)
+}
+
 func (f *File) read(sink Sink) {
 	raw, err := os.ReadFile(f.path)
 	if err != nil {
-		sink.WatchFailed(fmt.Errorf("list of workers: %w", err))
+		sink.WatchFailed(fmt.Errorf("read the endpoint list: %w", err))
 		return
 	}
 	list, err := ParseFile(f.path, string(raw))
@@ -82,9 +87,8 @@
 	sink.EndpointsChanged(list)
 }
 
-var states = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Removed}
-
-// ParseFile reads the text of a list; name is what errors call it. They name line and wrap ErrMalformed.
+// ParseFile reads the text of a list; name is the file's name in errors, which also give the line. Every error wraps
+// ErrMalformed.
 func ParseFile(name, text string) ([]Worker, error) {
 	var list []Worker
 	for i, line := range strings.Split(text, "\n") {
@@ -93,29 +97,47 @@
 		if len(words) == 0 {
 			continue
 		}
-		w, err := parseLine(words)
+		worker, err := parseLine(words)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %s:%d: %w", ErrMalformed, name, i+1, err)
 		}
-		list = append(list, w)
+		list = append(list, worker)
 	}
-	return list, check(list)
+	return list, validate(list)
 }
 
+// mandatoryWords are those that each line begins with: worker NAME HOST:PORT.
+const mandatoryWords = 3
+
 func parseLine(words []string) (Worker, error) {
-	if words[0] != "worker" || len(words) < 3 || len(words)%2 == 0 {
+	if !isWorkerLine(words) {
 		return Worker{}, fmt.Errorf("found %q; allowed: worker NAME HOST:PORT and pairs of a word and its value",
 			strings.Join(words, " "))
 	}
-	w := Worker{Name: words[1], Address: words[2], Scale: 1, State: scheduler.Ready}
-	for i := 3; i < len(words); i += 2 {
-		if err := w.set(words[i], words[i+1]); err != nil {
-			return w, err
+	worker := Worker{Name: words[1], Address: words[2], Scale: 1, State: scheduler.Ready}
+	for i := mandatoryWords; i < len(words); i += 2 {
+		if err := worker.set(words[i], words[i+1]); err != nil {
+			return worker, err
 		}
 	}
-	return w, nil
+	return worker, nil
+}
+
+// isWorkerLine reports whether a line has the mandatory words and, after them, whole pairs.
+func isWorkerLine(words []string) bool {
+	if words[0] != "worker" || len(words) < mandatoryWords {
+		return false
+	}
+	return (len(words)-mandatoryWords)%2 == 0
+}
+
+var stateWords = map[string]scheduler.WorkerState{
+	"ready":    scheduler.Ready,
+	"draining": scheduler.Draining,
+	"gone":     scheduler.Removed,
 }
 
+// set assigns the value of one optional word.
 func (w *Worker) set(word, value string) (err error) {
 	switch word {
 	case "zone":
@@ -129,12 +151,13 @@
 	case "started":
 		w.Started, err = time.Parse(time.RFC3339Nano, value)
 	case "state":
-		var known bool
-		if w.State, known = states[value]; !known {
-			err = fmt.Errorf("state %q; allowed: ready, draining, gone", value)
+		state, known := stateWords[value]
+		if !known {
+			return fmt.Errorf("state %q; allowed: ready, draining, gone", value)
 		}
+		w.State = state
 	default:
-		err = fmt.Errorf("found %q; allowed: zone, cell, kind, scale, started, state", word)
+		return fmt.Errorf("found %q; allowed: zone, cell, kind, scale, started, state", word)
 	}
 	return err
 }
