--- /dev/null
+++ b/internal/directive/parser.go
@@ -0,0 +1,208 @@
+package directive
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+)
+
+// maxIncludeDepth bounds files that include each other.
+const maxIncludeDepth = 8
+
+// The words that every settings file has.
+const (
+	includeWord = "include"
+	endWord     = "end"
+)
+
+// Place is a line of a file.
+type Place struct {
+	File string
+	Line int    // from 1; 0 stands for the file as a whole
+	Text string // the line as it is written
+}
+
+// Error is one error of a settings file.
+type Error struct {
+	File   string
+	Line   int // from 1; 0 stands for the file as a whole
+	Column int // in characters from 1; 0 stands for the line as a whole
+	Err    error
+}
+
+// Error implements error, in the form that editors and compilers use: file:line:column: text.
+func (e *Error) Error() string { return fmt.Sprintf("%s:%d:%d: %v", e.File, e.Line, e.Column, e.Err) }
+
+// Unwrap returns the error without its place.
+func (e *Error) Unwrap() error { return e.Err }
+
+// Parser reads a settings file and collects its errors. It is for one file; included files are read with it.
+type Parser struct {
+	// Top handles each line that is in no block, mostly by Block or Apply. It is set before Parse.
+	Top func(at Place, words []Word)
+
+	errs  []error
+	given map[string]bool // directives given outside blocks
+	block *openBlock      // nil outside blocks
+}
+
+// openBlock is a block whose end has not been read.
+type openBlock struct {
+	name   string
+	start  Place
+	column int
+	given  map[string]bool // directives given in the block
+	line   func(at Place, words []Word)
+	end    func()
+}
+
+// Fail records an error at a place; column counts from 1.
+func (p *Parser) Fail(at Place, column int, format string, args ...any) {
+	p.errs = append(p.errs, &Error{File: at.File, Line: at.Line, Column: column, Err: fmt.Errorf(format, args...)})
+}
+
+// Parse reads text; name is the file's name in errors, and files that it includes are found from its directory. Err
+// then tells what was wrong.
+func (p *Parser) Parse(name, text string) {
+	p.given = map[string]bool{}
+	p.parseFile(name, text, 0)
+	if p.block != nil {
+		p.Fail(p.block.start, p.block.column, "block %q has no end", p.block.name)
+	}
+}
+
+// Err returns all errors joined, each an *Error, or nil if there are none.
+func (p *Parser) Err() error { return errors.Join(p.errs...) }
+
+func (p *Parser) parseFile(name, text string, depth int) {
+	for i, line := range strings.Split(text, "\n") {
+		at := Place{File: name, Line: i + 1, Text: line}
+		words, errorColumn, err := tokenize(line)
+		if err != nil {
+			p.Fail(at, errorColumn, "%w", err)
+			continue
+		}
+		if len(words) > 0 {
+			p.parseLine(at, words, depth)
+		}
+	}
+}
+
+func (p *Parser) parseLine(at Place, words []Word, depth int) {
+	first := words[0].Text
+	switch {
+	case first == includeWord:
+		p.include(at, words, depth)
+	case p.block == nil:
+		p.Top(at, words)
+	case first == endWord:
+		p.block.end()
+		p.block = nil
+	default:
+		p.block.line(at, words)
+	}
+}
+
+func (p *Parser) include(at Place, words []Word, depth int) {
+	if len(words) != 2 || depth >= maxIncludeDepth {
+		p.Fail(at, words[0].Column, "include takes one file, %d deep at most", maxIncludeDepth)
+		return
+	}
+	path := words[1].Text
+	if !filepath.IsAbs(path) {
+		path = filepath.Join(filepath.Dir(at.File), path)
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		p.Fail(at, words[1].Column, "%w", err)
+		return
+	}
+	p.parseFile(path, string(raw), depth+1)
+}
+
+// Block opens a block that is named by the line's second word; its end appends the block's settings to list. name
+// returns where the settings hold the block's name. other, unless nil, is given each line of the block first; where it
+// returns true the line is not looked up in the table. Blocks do not nest.
+func Block[T any](p *Parser, at Place, words []Word, table []Directive[T], name func(*T) *string, list *[]T,
+	other func(t *T, at Place, words []Word) bool,
+) {
+	settings := new(T)
+	Defaults(settings, table)
+	keyword := words[0]
+	if len(words) != 2 {
+		p.Fail(at, keyword.Column, "found %d words; allowed: %s NAME", len(words), keyword.Text)
+	} else {
+		*name(settings) = words[1].Text
+		failOnRepeatedName(p, at, words, name, *list)
+	}
+	line := func(at Place, words []Word) {
+		if other != nil && other(settings, at, words) {
+			return
+		}
+		Apply(p, at, words, settings, table, endWord)
+	}
+	p.block = &openBlock{
+		name:   keyword.Text,
+		start:  at,
+		column: keyword.Column,
+		given:  map[string]bool{},
+		line:   line,
+		end:    func() { *list = append(*list, *settings) },
+	}
+}
+
+// failOnRepeatedName records an error for each block of the list that has the name of the block opened by words.
+func failOnRepeatedName[T any](p *Parser, at Place, words []Word, name func(*T) *string, list []T) {
+	for i := range list {
+		if *name(&list[i]) == words[1].Text {
+			p.Fail(at, words[1].Column, "%s %q is given twice", words[0].Text, words[1].Text)
+		}
+	}
+}
+
+// Apply sets in t what one line says. alternatives names what else may stand there, for the error about a directive
+// that the table does not have.
+func Apply[T any](p *Parser, at Place, words []Word, t *T, table []Directive[T], alternatives string) {
+	keyword := words[0]
+	for i := range table {
+		if table[i].Name == keyword.Text {
+			p.checkRepeated(at, keyword, table[i].Many)
+			applyValues(p, at, words, t, &table[i])
+			return
+		}
+	}
+	names := make([]string, 0, len(table))
+	for _, directive := range table {
+		names = append(names, directive.Name)
+	}
+	p.Fail(at, keyword.Column, "found %q; allowed: %s, %s", keyword.Text, strings.Join(names, ", "), alternatives)
+}
+
+// checkRepeated notes that a directive is given in the present block, and records an error if it may not be given
+// again.
+func (p *Parser) checkRepeated(at Place, keyword Word, repeatable bool) {
+	given := p.given
+	if p.block != nil {
+		given = p.block.given
+	}
+	if given[keyword.Text] && !repeatable {
+		p.Fail(at, keyword.Column, "%s is given twice", keyword.Text)
+	}
+	given[keyword.Text] = true
+}
+
+func applyValues[T any](p *Parser, at Place, words []Word, t *T, directive *Directive[T]) {
+	values := make([]string, 0, len(words))
+	for _, word := range words[1:] {
+		values = append(values, word.Text)
+	}
+	column := words[0].Column
+	if len(words) > 1 {
+		column = words[1].Column
+	}
+	if directive.apply(t, values) != nil {
+		p.Fail(at, column, "%s: found %q; allowed: %s", directive.Name, strings.Join(values, " "), directive.Takes)
+	}
+}
