--- a/internal/config/platformconfig/relay_test.go
+++ b/internal/config/platformconfig/config_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-const relayText = `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964",
+const configText = `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964",
 	"limits":{"cores":0.5,"memory_mb":32,"sockets":256},"bulletin":"127.0.0.2:2379","known":{"no":3,"items":[]},
 	"settings":{"azs":["a"],"skus":["std"],"limits":{"streamsPerConn":32,"connectTimeout":250.0},
 	"classes":[{"name":"quote","deadline":800.0,"onTime":500.0,"repeat":"retryable","worth":2.0}]}}`
 
-func TestParseRelay(t *testing.T) {
-	r, err := ParseRelay([]byte(relayText))
+func TestParseConfig_Valid_ReturnsAllParts(t *testing.T) {
+	r, err := ParseRelay([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestAWrongConfigurationNamesItsField: one message, and it is told before anything listens.
-func TestAWrongConfigurationNamesItsField(t *testing.T) {
+// The error is reported before the front end listens, and names one key.
+func TestParseConfig_InvalidField_NamesKey(t *testing.T) {
 	for _, test := range []struct{ old, new, field string }{
 		{`"seed":"8c1f30d27a5be964"`, `"seed":null`, "seed"},
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"xyz"`, "seed"},
@@ -47,23 +47,23 @@
 		{`"azs":["a"]`, `"azs":["a"],"customers":[{"name":"x"},{"name":"x"}]`, "settings.customers[1].name"},
 		{`"azs":["a"]`, `"azs":["a"],"familyInfo":{"keep":-1}`, "settings.familyInfo.keep"},
 	} {
-		bad := strings.Replace(relayText, test.old, test.new, 1)
+		bad := strings.Replace(configText, test.old, test.new, 1)
 		if _, err := ParseRelay([]byte(bad)); !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), test.field) {
-			t.Errorf("with %s: %v; wanted %s named", test.new, err, test.field)
+			t.Errorf("with %s: %v; want an error that names %s", test.new, err, test.field)
 		}
 	}
-	for cut := range relayText { // half written
-		if _, err := ParseRelay([]byte(relayText[:cut])); !errors.Is(err, ErrMalformed) {
+	for cut := range configText { // a file that is not yet written to its end
+		if _, err := ParseRelay([]byte(configText[:cut])); !errors.Is(err, ErrMalformed) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	}
 }
 
-// TestPartsThatAreNotToldHaveTheProtocolsMeaning and not another customer's.
-func TestPartsThatAreNotToldHaveTheProtocolsMeaning(t *testing.T) {
-	bare := relayText
+// The defaults are those of the platform's protocol, not the values of another deployment.
+func TestParseConfig_OptionalPartsMissing_SetsDefaults(t *testing.T) {
+	bare := configText
 	for _, cut := range []string{`"azs":["a"],`, `"skus":["std"],`, `"onTime":500.0,`, `,"known":{"no":3,"items":[]}`} {
-		if bare = strings.Replace(bare, cut, "", 1); !strings.Contains(relayText, cut) {
+		if bare = strings.Replace(bare, cut, "", 1); !strings.Contains(configText, cut) {
 			t.Fatal(cut)
 		}
 	}
@@ -74,7 +74,7 @@
 	s := r.Site
 	c := s.Control
 	if len(s.Zones) != 1 || s.Zones[0] != "" || len(s.Kinds) != 1 || s.Kinds[0] != "" || len(s.Tenants) != 0 {
-		t.Errorf("places %q, kinds %q, tenants %q", s.Zones, s.Kinds, s.Tenants)
+		t.Errorf("zones %q, kinds %q, tenants %q", s.Zones, s.Kinds, s.Tenants)
 	}
 	if s.MaxCalls < 1<<30 || s.ConnIdle < time.Hour || c.LoadOrderTimeout != 800*time.Millisecond || c.MaxAttempts != 1 ||
 		c.OverloadWindow != 0 || c.MaxRetryAfter != 0 || c.LoadOrdersAllowed || c.AnswersNotLoaded || c.FrontEndCount != 1 ||
@@ -83,8 +83,8 @@
 	}
 }
 
-func TestAnotherDeploymentIsToldApart(t *testing.T) {
-	r, err := ParseRelay([]byte(relayText))
+func TestFirstDifference_OtherDeployment_ReturnsKey(t *testing.T) {
+	r, err := ParseRelay([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,18 +97,18 @@
 		{`"skus":["std"]`, `"skus":["big"]`, "settings.skus"},
 		{`"azs":["a"]`, `"azs":["a"],"customers":[{"name":"x"}]`, "settings.customers"},
 	} {
-		other, err := ParseRelay([]byte(strings.Replace(relayText, test.old, test.new, 1)))
+		other, err := ParseRelay([]byte(strings.Replace(configText, test.old, test.new, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if field := r.Differs(other); field != test.field {
-			t.Errorf("with %s: differs by %q, wanted %q", test.new, field, test.field)
+			t.Errorf("with %s: differs by %q, want %q", test.new, field, test.field)
 		}
 	}
 }
 
-func FuzzParseRelay(f *testing.F) {
-	f.Add([]byte(relayText))
+func FuzzParseConfig(f *testing.F) {
+	f.Add([]byte(configText))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, err := ParseRelay(text); err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
--- a/internal/config/platformconfig/settings_test.go
+++ b/internal/config/platformconfig/settings_test.go
@@ -8,7 +8,7 @@
 	"havencart/scheduler"
 )
 
-func TestParse(t *testing.T) {
+func TestParseSettings_Valid_ReturnsAllParts(t *testing.T) {
 	text := `{"balancers": 3, "ordinal": 1, "unheardOf": [1, {"a": 2}], "registryMode": "ask",
 		"azs": ["a", "b"], "skus": ["std"], "classes": [{"name": "log", "deadline": 3000.0, "keyScope": "cell", "memorySpan": 6000.0, "onTime": 1500.0, "repeat": "dedup", "worth": 2.0}],
 		"customers": [{"name": "p", "portion": 0.82, "quotaPerS": 131.0}],
@@ -30,6 +30,9 @@
 		site.Kinds[0] != "std" || site.Classes[0] != "log" || site.Tenants[0] != "p" {
 		t.Errorf("parsed %+v", site)
 	}
+}
+
+func TestParseSettings_Malformed_WrapsErrMalformed(t *testing.T) {
 	for _, bad := range []string{"", "{", "[]", `{"classes": [{"repeat": "sometimes"}]}`, `{"balancers": "three"}`} {
 		if _, err := Parse([]byte(bad), 0); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q: error %v", bad, err)
@@ -37,7 +40,7 @@
 	}
 }
 
-func FuzzParse(f *testing.F) {
+func FuzzParseSettings(f *testing.F) {
 	f.Add([]byte(`{"classes": [{"repeat": "dedup", "keyScope": "zone"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, err := Parse(text, 1); err != nil && !errors.Is(err, ErrMalformed) {
--- /dev/null
+++ b/internal/config/platformconfig/validate.go
@@ -0,0 +1,159 @@
+package platformconfig
+
+import (
+	"fmt"
+	"math"
+	"net"
+	"slices"
+	"strconv"
+)
+
+// invalidField returns the error about a key whose value is not allowed.
+func invalidField(key string, got any, allowed string) error {
+	return fmt.Errorf("%w: %s is %v; it must be %s", ErrMalformed, key, got, allowed)
+}
+
+// fieldCheck is the result of checking one key.
+type fieldCheck struct {
+	key     string
+	valid   bool
+	got     any
+	allowed string
+}
+
+// firstInvalid returns the error about the first key that is not valid, nil if all are.
+func firstInvalid(checks []fieldCheck) error {
+	for _, check := range checks {
+		if !check.valid {
+			return invalidField(check.key, check.got, check.allowed)
+		}
+	}
+	return nil
+}
+
+// The texts of what is allowed.
+const (
+	aboveZero  = "above 0"
+	zeroOrMore = "0 or more"
+	hostPort   = "host:port"
+	uniqueName = "a name of its own"
+)
+
+// validate checks what a configuration holds beside its seed and settings.
+func (c *configJSON) validate() error {
+	return firstInvalid([]fieldCheck{
+		{"listen", isHostPort(c.ListenAddress), strconv.Quote(c.ListenAddress), hostPort},
+		{"bulletin", isHostPort(c.EndpointStreamAddress), strconv.Quote(c.EndpointStreamAddress), hostPort},
+		{"limits.cores", c.Limits.Cores > 0, c.Limits.Cores, aboveZero},
+		{"limits.memory_mb", c.Limits.MemoryMB > 0, c.Limits.MemoryMB, aboveZero},
+		{"limits.sockets", c.Limits.Descriptors > 0, c.Limits.Descriptors, aboveZero},
+	})
+}
+
+// isHostPort reports whether address has a host and a port, neither empty.
+func isHostPort(address string) bool {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return false
+	}
+	return host != "" && port != ""
+}
+
+// setDefaults gives optional parts that are missing the meaning that the platform's protocol gives them.
+func (s *Site) setDefaults() {
+	if len(s.Zones) == 0 {
+		s.Zones = []string{""} // a single zone without a name
+	}
+	if len(s.Kinds) == 0 {
+		s.Kinds = []string{""}
+	}
+	if s.MaxCalls == 0 {
+		s.MaxCalls = math.MaxInt // the front end's own bound applies
+	}
+	if s.ConnIdle == 0 {
+		s.ConnIdle = math.MaxInt64 // workers keep idle connections
+	}
+	settings := &s.Control
+	if settings.LoadOrderTimeout == 0 {
+		settings.LoadOrderTimeout = s.Longest() // every request that an order could serve is over by then
+	}
+	if settings.OverloadFactor == 0 {
+		settings.OverloadWindow = 0 // workers in slow start are not overloaded
+	}
+	settings.MaxAttempts = max(1, settings.MaxAttempts)
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		if class.LatencyObjective == 0 {
+			class.LatencyObjective = class.Timeout
+		}
+	}
+}
+
+// validate returns the error about the first key whose value is not allowed.
+func (s *Site) validate() error {
+	if err := s.validateClasses(); err != nil {
+		return err
+	}
+	if err := s.validateTenants(); err != nil {
+		return err
+	}
+	settings := &s.Control
+	hasZone := settings.Zone >= 0 && settings.Zone < len(s.Zones)
+	isFraction := settings.SlowStartFraction >= 0 && settings.SlowStartFraction <= 1
+	return firstInvalid([]fieldCheck{
+		{"settings.zone", hasZone, settings.Zone, "a place in settings.azs"},
+		{"settings.resolution", settings.Resolution >= 0, settings.Resolution, zeroOrMore},
+		{"settings.limits.streamsPerConn", s.Streams > 0, s.Streams, aboveZero},
+		{"settings.limits.connectTimeout", settings.ConnectTimeout > 0, settings.ConnectTimeout, aboveZero},
+		{"settings.limits.connIdle", s.ConnIdle > 0, s.ConnIdle, zeroOrMore},
+		{"settings.limits.openCap", s.MaxCalls > 0, s.MaxCalls, zeroOrMore},
+		{"settings.limits.maxRetryAfter", settings.MaxRetryAfter >= 0, settings.MaxRetryAfter, zeroOrMore},
+		{"settings.familyInfo.keep", settings.ReplicaIdleTimeout >= 0, settings.ReplicaIdleTimeout, zeroOrMore},
+		{"settings.familyInfo.loadWait", settings.LoadOrderTimeout > 0, settings.LoadOrderTimeout, zeroOrMore},
+		{"settings.familyInfo.loadPeriod", settings.LoadRateWindow >= 0, settings.LoadRateWindow, zeroOrMore},
+		{"settings.rules.stopSendingWithin", settings.DrainGrace >= 0, settings.DrainGrace, zeroOrMore},
+		{"settings.rules.cold", settings.SlowStartDuration >= 0, settings.SlowStartDuration, zeroOrMore},
+		{"settings.rules.coldFrom", isFraction, settings.SlowStartFraction, "from 0 to 1"},
+		{"settings.rules.fall", settings.OverloadWindow >= 0, settings.OverloadWindow, zeroOrMore},
+		{"settings.rules.tipMultiple", settings.OverloadFactor >= 0, settings.OverloadFactor, zeroOrMore},
+	})
+}
+
+func (s *Site) validateClasses() error {
+	if len(s.Classes) == 0 {
+		return invalidField("settings.classes", "empty", "one class at least")
+	}
+	for i, class := range s.Control.Classes {
+		prefix := fmt.Sprintf("settings.classes[%d].", i)
+		err := firstInvalid([]fieldCheck{
+			{prefix + "name", isUnique(s.Classes, i), strconv.Quote(s.Classes[i]), uniqueName},
+			{prefix + "deadline", class.Timeout > 0, class.Timeout, aboveZero},
+			{prefix + "onTime", class.LatencyObjective >= 0, class.LatencyObjective, zeroOrMore},
+			{prefix + "memorySpan", class.KeyRetention >= 0, class.KeyRetention, zeroOrMore},
+			{prefix + "worth", class.PriorityWeight >= 0, class.PriorityWeight, zeroOrMore},
+		})
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Site) validateTenants() error {
+	for i, tenant := range s.Control.Tenants {
+		prefix := fmt.Sprintf("settings.customers[%d].", i)
+		err := firstInvalid([]fieldCheck{
+			{prefix + "name", isUnique(s.Tenants, i), strconv.Quote(s.Tenants[i]), uniqueName},
+			{prefix + "portion", tenant.Share >= 0, tenant.Share, zeroOrMore},
+		})
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// isUnique reports whether names[i] is not empty and differs from the names before it.
+func isUnique(names []string, i int) bool {
+	return names[i] != "" && slices.Index(names, names[i]) == i
+}
