--- /dev/null
+++ b/internal/config/gatewayconfig/directives.go
@@ -0,0 +1,180 @@
+package gatewayconfig
+
+import (
+	"time"
+
+	"havencart/internal/decide/tenancy"
+	"havencart/internal/directive"
+	"havencart/scheduler"
+)
+
+const (
+	ms   = time.Millisecond
+	hour = time.Hour
+)
+
+// settingsDirectives are the directives outside blocks. Their names are those that users write; the fields that they
+// set have the standard terms.
+var settingsDirectives = []directive.Directive[Settings]{
+	directive.Text("name", "a word", "havencart", "name of this process, unique in the installation",
+		func(s *Settings) *string { return &s.Name }),
+	directive.Text("listen", "HOST:PORT", "127.0.0.1:8080", "address that clients connect to",
+		func(s *Settings) *string { return &s.Listen }),
+	{
+		Name: "directory", Takes: "consul URL SERVICE, or file PATH", Help: "source of the endpoint list, the list of workers",
+		Words: directive.VariableWords, Set: setDirectory,
+	},
+	directive.Number("loops", 1, 256, "1", "front ends in this process, each with an event loop of its own",
+		func(s *Settings) *int { return &s.Loops }),
+	directive.Number("front-ends", 1, 100000, "1", "front ends in the whole installation, including those of this process",
+		func(s *Settings) *int { return &s.FrontEnds }),
+	directive.Number("first", 0, 100000, "0", "index of this process's first front end among them, from 0",
+		func(s *Settings) *int { return &s.First }),
+	directive.Text("zone", "a word", "", "zone of this process",
+		func(s *Settings) *string { return &s.Zone }),
+	directive.OnOff("functions-only", "off", "serve only functions that have a block",
+		func(s *Settings) *bool { return &s.FunctionsOnly }),
+	directive.Choice("on-miss", []string{"load", "miss"}, []bool{false, true}, "load",
+		"what a worker does with a request for a function that is not loaded: load it, or answer miss",
+		func(s *Settings) *bool { return &s.MissAnswered }),
+	directive.OnOff("orders", "on", "workers accept orders to load and unload functions",
+		func(s *Settings) *bool { return &s.Orders }),
+	directive.OnOff("tells-warm", "on", "responses report whether the replica was loaded (warm start)",
+		func(s *Settings) *bool { return &s.TellsWarm }),
+	directive.OnOff("tells-crowd", "on", "responses report the queue depth of the function at the worker",
+		func(s *Settings) *bool { return &s.TellsCrowd }),
+	directive.OnOff("probes", "on", "health checks may be sent to workers",
+		func(s *Settings) *bool { return &s.Probes }),
+	directive.OnOff("retry-after", "on", "a rejection says when to retry",
+		func(s *Settings) *bool { return &s.RetryAfterAllowed }),
+	directive.Choice("weights", []string{"silent", "nominal", "rough", "live"}, []bool{false, true, true, false}, "silent",
+		"what the scale of a listed worker means: nothing, its capacity, roughly its capacity, or its capacity less its load (not used)",
+		func(s *Settings) *bool { return &s.Sized }),
+	directive.OnOff("cancel", "on", "requests may be cancelled at workers",
+		func(s *Settings) *bool { return &s.Cancel }),
+	directive.Duration("keep-alive", 100*ms, 24*hour, "10s", "an idle replica stays loaded for at least this long",
+		func(s *Settings) *time.Duration { return &s.KeepAlive }),
+	directive.Duration("order-timeout", 10*ms, hour, "10s", "timeout of a load order",
+		func(s *Settings) *time.Duration { return &s.OrderTimeout }),
+	directive.Duration("load-window", 0, hour, "0s", "window of the load rate limit; 0s: no limit",
+		func(s *Settings) *time.Duration { return &s.LoadWindow }),
+	directive.Real("load-free", 0, 1e6, "4", "load orders allowed in each window",
+		func(s *Settings) *float64 { return &s.LoadFree }),
+	directive.Real("load-share", 0, 100, "0.1", "further load orders allowed for each request admitted in the window",
+		func(s *Settings) *float64 { return &s.LoadShare }),
+	directive.Number("max-attempts", 1, 100, "5", "attempts of one request at most",
+		func(s *Settings) *int { return &s.MaxAttempts }),
+	directive.Duration("max-retry-after", 0, hour, "1s", "longest Retry-After of a rejection",
+		func(s *Settings) *time.Duration { return &s.MaxRetryAfter }),
+	directive.Duration("connect-timeout", ms, hour, "250ms", "timeout to connect to a worker, handshake included",
+		func(s *Settings) *time.Duration { return &s.ConnectTimeout }),
+	directive.Duration("drain-grace", ms, hour, "500ms", "no new requests to a worker later than this after it was listed as draining",
+		func(s *Settings) *time.Duration { return &s.DrainGrace }),
+	directive.Real("cold-from", 0.001, 1, "0.2", "slow start: least share of its capacity that a started worker has",
+		func(s *Settings) *float64 { return &s.ColdFrom }),
+	directive.Duration("cold-time", 0, hour, "15s", "slow start: a started worker has its whole capacity after this",
+		func(s *Settings) *time.Duration { return &s.ColdTime }),
+	directive.Real("tip-multiple", 1, 1000, "3", "overload: a worker in slow start fails if it is sent more than this multiple of its capacity",
+		func(s *Settings) *float64 { return &s.TipMultiple }),
+	directive.Duration("tip-window", 0, hour, "2s", "overload: for this long; 0s: workers do not fail from overload",
+		func(s *Settings) *time.Duration { return &s.TipWindow }),
+	directive.Duration("answer-margin", ms, hour, "15ms", "the final response is sent this long before the request's deadline",
+		func(s *Settings) *time.Duration { return &s.AnswerMargin }),
+	directive.Choice("shares", []string{"off", "work", "calls"}, []tenancy.By{tenancy.Nothing, tenancy.Work, tenancy.Calls}, "off",
+		"what tenants' shares are measured in: nothing (not enforced), work of their requests at workers, or number of requests",
+		func(s *Settings) *tenancy.By { return &s.Shares }),
+	directive.Number("max-calls", 1, 1e6, "20000", "requests in flight at one front end; more are rejected at once",
+		func(s *Settings) *int { return &s.MaxCalls }),
+	directive.Number("queue", 1, 1e6, "4096", "requests that wait for the event loop of one front end; more are rejected at once",
+		func(s *Settings) *int { return &s.Queue }),
+	directive.Size("window", 1<<10, 64<<20, "256k", "flow control window: bytes of one worker's response that may be buffered",
+		func(s *Settings) *int { return &s.Window }),
+	directive.Size("max-body", 1, 8<<20, "1m", "largest body of a request",
+		func(s *Settings) *int { return &s.MaxBody }),
+	directive.Size("max-header", 256, 1<<20, "16k", "largest header of a request",
+		func(s *Settings) *int { return &s.MaxHeader }),
+	directive.Number("max-connections", 1, 1e6, "20000", "connections of clients; more are answered 503 and closed",
+		func(s *Settings) *int { return &s.MaxConns }),
+	directive.Number("pipeline", 1, 1000, "16", "requests in flight on one connection; more are not read until one is answered",
+		func(s *Settings) *int { return &s.Pipeline }),
+	directive.Duration("idle-time", ms, 24*hour, "60s", "a client's connection without a request is closed after this",
+		func(s *Settings) *time.Duration { return &s.IdleTime }),
+	directive.Duration("header-time", ms, hour, "5s", "timeout from a request's first byte to the end of its header",
+		func(s *Settings) *time.Duration { return &s.HeaderTime }),
+	directive.Duration("body-time", ms, hour, "10s", "timeout to read a request's body",
+		func(s *Settings) *time.Duration { return &s.BodyTime }),
+	directive.Duration("write-time", ms, hour, "10s", "timeout to write each part of a response",
+		func(s *Settings) *time.Duration { return &s.WriteTime }),
+	directive.Duration("stall-time", ms, hour, "10s", "a worker's response that makes no progress for this long is given up",
+		func(s *Settings) *time.Duration { return &s.StallTime }),
+	directive.Choice("half-closed", []string{"left", "waits"}, []bool{false, true}, "left",
+		"a client that closed its side for writing is taken as disconnected (left), or waits for its responses",
+		func(s *Settings) *bool { return &s.HalfClosed }),
+	directive.Duration("stop-wait", 0, hour, "5s", "a graceful shutdown waits this long for requests in flight",
+		func(s *Settings) *time.Duration { return &s.StopWait }),
+}
+
+// setDirectory sets the source of the endpoint list from the words behind the directive's name.
+func setDirectory(s *Settings, values []string) error {
+	if len(values) == 0 {
+		return directive.ErrValue
+	}
+	kind := DiscoveryKind(values[0])
+	switch {
+	case kind == DiscoveryConsul && len(values) == 3:
+		s.Directory = DiscoverySource{Kind: kind, Where: values[1], Service: values[2]}
+	case kind == DiscoveryFile && len(values) == 2:
+		s.Directory = DiscoverySource{Kind: kind, Where: values[1]}
+	default:
+		return directive.ErrValue
+	}
+	return nil
+}
+
+// classDirectives are the directives of a class's block.
+var classDirectives = []directive.Directive[Class]{
+	directive.Duration("aim", ms, hour, "500ms", "latency objective",
+		func(c *Class) *time.Duration { return &c.LatencyObjective }),
+	directive.Duration("give-up", ms, hour, "2s", "timeout of a request that sets no shorter one",
+		func(c *Class) *time.Duration { return &c.GiveUp }),
+	directive.Real("worth", 0, 1e6, "1", "priority weight of a response within the latency objective",
+		func(c *Class) *float64 { return &c.PriorityWeight }),
+	directive.Real("late", 0, 1, "0.3", "share of the priority weight that a later response keeps",
+		func(c *Class) *float64 { return &c.LateWeight }),
+	directive.Choice("repeat", []string{"safe", "keyed", "unsafe"},
+		[]scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentByKey, scheduler.NonIdempotent}, "unsafe",
+		"idempotency: requests may run any number of times, are deduplicated by their key, or must never run twice",
+		func(c *Class) *scheduler.Idempotency { return &c.Idempotency }),
+	directive.Choice("scope", []string{"all", "zone", "cell"},
+		[]scheduler.KeyScope{scheduler.ScopeAll, scheduler.ScopeZone, scheduler.ScopeCell}, "cell",
+		"group of workers that deduplicate by idempotency key among themselves",
+		func(c *Class) *scheduler.KeyScope { return &c.KeyScope }),
+	directive.Duration("memory", 0, 24*hour, "5s", "how long they remember an idempotency key",
+		func(c *Class) *time.Duration { return &c.KeyRetention }),
+	directive.Number("size", 1, 1<<20, "256", "memory of a replica in megabytes, where neither the function's block nor the request gives it",
+		func(c *Class) *int { return &c.Size }),
+	directive.Number("lanes", 1, 1000, "2", "concurrency of a replica, where neither the function's block nor the request gives it",
+		func(c *Class) *int { return &c.Lanes }),
+	directive.Duration("load", 0, hour, "0s", "usual load time of a function, where neither the function's block nor the request gives it; 0s: not known",
+		func(c *Class) *time.Duration { return &c.Load }),
+}
+
+// tenantDirectives are the directives of a tenant's block.
+var tenantDirectives = []directive.Directive[Tenant]{
+	directive.Real("share", 0, 1, "1", "share of the service",
+		func(t *Tenant) *float64 { return &t.Share }),
+	directive.Real("quota", 0, 1e9, "0", "requests a second over all front ends, each of which allows an equal part; 0: no limit",
+		func(t *Tenant) *float64 { return &t.Quota }),
+}
+
+// functionDirectives are the directives of a function's block.
+var functionDirectives = []directive.Directive[Function]{
+	directive.Text("class", "a class's name", "", "its class; the first if not given",
+		func(f *Function) *string { return &f.Class }),
+	directive.Number("size", 0, 1<<20, "0", "memory of a replica in megabytes; 0: as its class",
+		func(f *Function) *int { return &f.Size }),
+	directive.Number("lanes", 0, 1000, "0", "concurrency of a replica; 0: as its class",
+		func(f *Function) *int { return &f.Lanes }),
+	directive.Duration("load", 0, hour, "0s", "usual load time; 0s: as its class",
+		func(f *Function) *time.Duration { return &f.Load }),
+}
--- a/internal/config/gatewayconfig/config_test.go
+++ b/internal/config/gatewayconfig/gatewayconfig_test.go
@@ -33,14 +33,14 @@
 end
 `
 
-func TestSettingsAreRead(t *testing.T) {
+func TestParse_ValidFile_SetsFieldsAndDefaults(t *testing.T) {
 	s, err := Parse("f", good)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Directory != (Directory{"consul", "http://127.0.0.1:8500", "my workers"}) || s.MaxBody != 2<<20 ||
-		len(s.Classes) != 2 || s.Classes[0].Aim != 500*time.Millisecond || s.Classes[0].Repeat != scheduler.NonIdempotent ||
-		s.Classes[1].Scope != scheduler.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].Lanes != 4 {
+	if s.Directory != (DiscoverySource{DiscoveryConsul, "http://127.0.0.1:8500", "my workers"}) || s.MaxBody != 2<<20 ||
+		len(s.Classes) != 2 || s.Classes[0].LatencyObjective != 500*time.Millisecond || s.Classes[0].Idempotency != scheduler.NonIdempotent ||
+		s.Classes[1].KeyScope != scheduler.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].Lanes != 4 {
 		t.Errorf("%+v", s)
 	}
 	if s.MaxCalls != 20000 || s.Classes[1].GiveUp != 2*time.Second || s.MissAnswered {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestAllErrorsAreToldWithTheirPlace(t *testing.T) {
+func TestParse_InvalidLines_ReportsAllErrorsWithPlace(t *testing.T) {
 	_, err := Parse("f", strings.Join([]string{
 		"listen nowhere",       // 1
 		"colour red",           // 2
@@ -76,20 +76,24 @@
 	if !errors.Is(err, ErrSettings) {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"f:2:1: found \"colour\"; allowed: name, listen", "f:3:7: loops: found \"0\"; allowed: a whole number, 1 to 256",
+	for _, want := range []string{
+		"f:2:1: found \"colour\"; allowed: name, listen", "f:3:7: loops: found \"0\"; allowed: a whole number, 1 to 256",
 		"f:4:12: max-body", "f:5:7: queue: found \"5 6\"", "f:6:1: loops is given twice", "f:8:10: repeat: found \"often\"; allowed: one of safe, keyed, unsafe",
 		"f:9:3: found \"listen\"", "f:11:7: class \"a\" is given twice", "f:17:11: a quote is not closed", "f:18:9:", "f:19:1:",
-		"f:21:9: on-miss", "f:22:1: block \"tenant\" has no end", "aim 5s is past give-up 2s", "no class \"b\"", "listen: ", "directory is not given"} {
+		"f:21:9: on-miss", "f:22:1: block \"tenant\" has no end", "aim 5s is past give-up 2s", "no class \"b\"", "listen: ", "directory is not given",
+	} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("no %q in:\n%v", want, err)
 		}
 	}
 }
 
-func TestIncludedFilesAreReadInPlace(t *testing.T) {
+func TestLoad_IncludedFiles_ReadInPlace(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"main": "include \"sub/part\"\ndirectory file list\n", "sub/part": "class a\nend\ninclude other\n",
-		"sub/other": "queue 7\n", "loop": "include loop\n"} {
+	for name, text := range map[string]string{
+		"main": "include \"sub/part\"\ndirectory file list\n", "sub/part": "class a\nend\ninclude other\n",
+		"sub/other": "queue 7\n", "loop": "include loop\n",
+	} {
 		if err := os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -108,8 +112,8 @@
 	}
 }
 
-// TestTheReferenceIsTrue holds docs/settings.md to the table.
-func TestTheReferenceIsTrue(t *testing.T) {
+// docs/settings.md is generated: go run ./cmd/havencart reference > docs/settings.md.
+func TestReference_SettingsPage_IsUpToDate(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/settings.md")
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +136,7 @@
 	})
 }
 
-func TestWatchedSettingsAreThoseOutsideBesideWhatTheBlockSays(t *testing.T) {
+func TestShadowSettings_Block_OverridesSettingsOutside(t *testing.T) {
 	s, err := Parse("f", good+"load-share 0.3\nwatch campus\n  retry-after off\n  load-window 5s\n  every 8\nend\nmax-attempts 3\n")
 	if err != nil {
 		t.Fatal(err)
@@ -140,19 +144,19 @@
 	other, every := s.Watched()
 	if other == nil || every != 8 || other.Name != "campus" || other.Advice() != 0 || other.LoadWindow != 5*time.Second ||
 		other.LoadShare != 0.3 || other.MaxAttempts != 3 {
-		t.Errorf("watched, one event in %d: %+v", every, other)
+		t.Errorf("shadow settings, one event in %d: %+v", every, other)
 	}
 	if s.Advice() != time.Second || s.LoadWindow != 0 || s.Name != "havencart" {
-		t.Errorf("the block changed what decides: %+v", s)
+		t.Errorf("the block changed the settings outside: %+v", s)
 	}
 	if plain, err := Parse("f", good); err != nil {
 		t.Error(err)
 	} else if other, _ := plain.Watched(); other != nil {
-		t.Error("something is watched without a block")
+		t.Error("shadow settings without a block")
 	}
 }
 
-func TestBadWatchBlocksAreRefused(t *testing.T) {
+func TestParse_InvalidShadowBlock_ReportsError(t *testing.T) {
 	tests := map[string]string{
 		"watch w\n  colour red\nend":                          "f:2:3: found \"colour\"; allowed: every, front-ends",
 		"watch w\n  cold-from 2\nend":                         "f:2:13: cold-from: found \"2\"; allowed: a number, 0.001 to 1",
@@ -169,8 +173,8 @@
 	}
 }
 
-func TestAllThatMayBeWatchedIsInTheTable(t *testing.T) {
-	if len(watchTable) != len(watchable)+1 {
-		t.Errorf("%d directives for %d names", len(watchTable)-1, len(watchable))
+func TestShadowDirectives_Names_AllInTable(t *testing.T) {
+	if len(shadowDirectives) != len(shadowDirectiveNames)+1 {
+		t.Errorf("%d directives for %d names", len(shadowDirectives)-1, len(shadowDirectiveNames))
 	}
 }
--- a/internal/config/gatewayconfig/settings.go
+++ b/internal/config/gatewayconfig/settings.go
@@ -1,240 +1,161 @@
-// Package gatewayconfig reads the settings of a gateway: one directive a line, in the manner of classic daemons, with
-// blocks that a word opens and "end" closes. All errors of a file are told at once, each with file, line and
-// column, what was found and what is allowed. Every directive is declared once, in a table; the reference in
-// docs/settings.md is made from it.
+// Package gatewayconfig reads the settings file of a gateway: one directive a line, with blocks that a word opens and
+// "end" closes. All errors of a file are reported at once, each with file, line and column, what was found and what is
+// allowed. Every directive is declared once, in a table; docs/settings.md is generated from the tables.
+//
+// The only I/O is the reading of the file and of those that it includes. Settings are not changed once they are read,
+// and may then be used from any goroutine.
 package gatewayconfig
 
 import (
 	"time"
 
 	"havencart/internal/decide/tenancy"
-	"havencart/internal/directive"
 	"havencart/scheduler"
 )
 
-// Settings are those of one gateway process. docs/settings.md tells each one's meaning.
+// Settings are the settings of one gateway process. Those that the scheduler takes have its names; scheduler.Settings
+// describes them. Default values are those of the directives.
 type Settings struct {
-	Name           string
-	Listen         string
-	Loops          int
-	FrontEnds      int
-	First          int
-	Zone           string
-	Zones          []string
-	Directory      Directory
-	Classes        []Class
-	Tenants        []Tenant
-	Shares         tenancy.By
-	Functions      []Function
-	Watch          []Watch
-	Probes         bool
-	RetryAfter     bool
-	Sized          bool
-	FunctionsOnly  bool
-	MissAnswered   bool
-	Orders         bool
-	TellsWarm      bool
-	TellsCrowd     bool
-	Cancel         bool
-	KeepAlive      time.Duration
+	// The process and its place in the installation.
+
+	Name      string // unique in the installation
+	Listen    string // host:port that clients connect to
+	Loops     int    // front ends in this process, each with an event loop of its own
+	FrontEnds int    // front ends in the whole installation
+	First     int    // index of this process's first front end among them
+	Zone      string
+	Zones     []string // further zones; no directive sets them
+	Directory DiscoverySource
+
+	// What is served.
+
+	Classes       []Class
+	Tenants       []Tenant
+	Shares        tenancy.By // what tenants' shares are measured in
+	Functions     []Function
+	FunctionsOnly bool // requests for functions that are not listed are rejected
+	Shadows       []Shadow
+
+	// What workers and their platform can do.
+
+	MissAnswered      bool // a worker without the function answers so in place of loading it
+	Orders            bool // load and unload orders may be sent
+	TellsWarm         bool // responses report whether the replica was loaded
+	TellsCrowd        bool // responses report the function's queue depth at the worker
+	Probes            bool // health checks may be sent
+	Sized             bool // a worker's scale is its capacity
+	Cancel            bool // requests may be cancelled
+	RetryAfterAllowed bool // a rejection says when to retry
+
+	// What the scheduler goes by.
+
+	KeepAlive      time.Duration // an idle replica stays loaded for at least this long
 	OrderTimeout   time.Duration
-	LoadWindow     time.Duration
-	LoadFree       float64
-	LoadShare      float64
+	LoadWindow     time.Duration // window of the load rate limit; 0: no limit
+	LoadFree       float64       // load orders allowed in each window
+	LoadShare      float64       // further ones for each request admitted in the window
 	MaxAttempts    int
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
-	DrainGrace     time.Duration
-	ColdFrom       float64
+	DrainGrace     time.Duration // requests may still be sent to a draining worker for this long
+	ColdFrom       float64       // share of its capacity that a worker starts with
 	ColdTime       time.Duration
 	TipMultiple    float64
 	TipWindow      time.Duration
-	AnswerMargin   time.Duration
-	MaxCalls       int
-	Queue          int
-	Window         int
-	MaxBody        int
-	MaxHeader      int
-	MaxConns       int
-	Pipeline       int
-	IdleTime       time.Duration
-	HeaderTime     time.Duration
-	BodyTime       time.Duration
-	WriteTime      time.Duration
-	StallTime      time.Duration
-	HalfClosed     bool
-	StopWait       time.Duration
+
+	// Bounds and timeouts of the front end.
+
+	AnswerMargin time.Duration // the final response is sent this long before the request's deadline
+	MaxCalls     int           // requests in flight at one front end
+	Queue        int           // requests that wait for one event loop
+	Window       int           // bytes of one response that may be buffered
+	MaxBody      int           // bytes
+	MaxHeader    int           // bytes
+	MaxConns     int           // connections of clients
+	Pipeline     int           // requests in flight on one connection
+	IdleTime     time.Duration
+	HeaderTime   time.Duration
+	BodyTime     time.Duration
+	WriteTime    time.Duration
+	StallTime    time.Duration // a worker's response that makes no progress for this long is given up
+	HalfClosed   bool          // a client that closed its side for writing still waits for responses
+	StopWait     time.Duration // a graceful shutdown waits this long for requests in flight
 }
 
-// Directory says where the list of workers comes from.
-type Directory struct{ Kind, Where, Service string }
+// DiscoveryKind is the kind of source that the endpoint list comes from.
+type DiscoveryKind string
+
+// The kinds of source, as the directive writes them.
+const (
+	DiscoveryConsul DiscoveryKind = "consul"
+	DiscoveryFile   DiscoveryKind = "file"
+)
 
-// Class is one class of call.
+// DiscoverySource is where the endpoint list comes from: a service at Consul, or a file.
+type DiscoverySource struct {
+	Kind    DiscoveryKind
+	Where   string // Consul's URL, or the file's path
+	Service string // the service's name at Consul
+}
+
+// Class is a class of requests.
 type Class struct {
-	Name   string
-	Aim    time.Duration
-	GiveUp time.Duration
-	Worth  float64
-	Late   float64
-	Repeat scheduler.Idempotency
-	Scope  scheduler.KeyScope
-	Memory time.Duration
-	Size   int // MB of a copy
-	Lanes  int
-	Load   time.Duration
+	Name             string
+	LatencyObjective time.Duration // latency objective
+	GiveUp           time.Duration // timeout of a request that sets none that is shorter
+	PriorityWeight   float64       // priority weight of a response within the objective
+	LateWeight       float64       // share of the weight that a later response keeps, 0 to 1
+	Idempotency      scheduler.Idempotency
+	KeyScope         scheduler.KeyScope
+	KeyRetention     time.Duration // idempotency keys are remembered for this long
+	Size             int           // megabytes of a replica
+	Lanes            int           // concurrency of a replica
+	Load             time.Duration // usual load time; 0: not known
 }
 
-// Control is the class as the module has it.
+// SchedulerClass returns the class as the scheduler has it.
 func (c Class) Control() scheduler.Class {
-	return scheduler.Class{LatencyObjective: c.Aim, Timeout: c.GiveUp, PriorityWeight: c.Worth, LateWeight: c.Late, Idempotency: c.Repeat, KeyScope: c.Scope,
-		KeyRetention: c.Memory}
+	return scheduler.Class{
+		LatencyObjective: c.LatencyObjective,
+		Timeout:          c.GiveUp,
+		PriorityWeight:   c.PriorityWeight,
+		LateWeight:       c.LateWeight,
+		Idempotency:      c.Idempotency,
+		KeyScope:         c.KeyScope,
+		KeyRetention:     c.KeyRetention,
+	}
 }
 
-// Tenant is one customer.
+// Tenant is a tenant of the installation.
 type Tenant struct {
 	Name  string
-	Share float64
-	Quota float64
+	Share float64 // of the service, 0 to 1
+	Quota float64 // requests a second over all front ends; 0: no limit
 }
 
-// Function is one function that is listed.
+// Function is a listed function. Values that are zero are those of its class.
 type Function struct {
 	Name  string
-	Class string
-	Size  int
-	Lanes int
+	Class string // empty: the first class
+	Size  int    // megabytes of a replica
+	Lanes int    // concurrency of a replica
 	Load  time.Duration
 }
 
-const (
-	ms   = time.Millisecond
-	hour = time.Hour
-)
-
-// top are the directives outside blocks.
-var top = []directive.Directive[Settings]{
-	directive.Text("name", "a word", "havencart", "name of this process, unique in the installation",
-		func(s *Settings) *string { return &s.Name }),
-	directive.Text("listen", "HOST:PORT", "127.0.0.1:8080", "where clients connect",
-		func(s *Settings) *string { return &s.Listen }),
-	{Name: "directory", Takes: "consul URL SERVICE, or file PATH", Help: "where the list of workers comes from",
-		Words: -1, Set: setDirectory},
-	directive.Number("loops", 1, 256, "1", "front ends in this process, each a loop of its own",
-		func(s *Settings) *int { return &s.Loops }),
-	directive.Number("front-ends", 1, 100000, "1", "front ends in the whole installation, this process's included",
-		func(s *Settings) *int { return &s.FrontEnds }),
-	directive.Number("first", 0, 100000, "0", "number of this process's first front end among them",
-		func(s *Settings) *int { return &s.First }),
-	directive.Text("zone", "a word", "", "where this process stands", func(s *Settings) *string { return &s.Zone }),
-	directive.OnOff("functions-only", "off", "call only functions that have a block", func(s *Settings) *bool { return &s.FunctionsOnly }),
-	directive.Choice("on-miss", []string{"load", "miss"}, []bool{false, true}, "load",
-		"what a worker does that lacks the function: load it, or answer miss", func(s *Settings) *bool { return &s.MissAnswered }),
-	directive.OnOff("orders", "on", "workers take orders to load and unload", func(s *Settings) *bool { return &s.Orders }),
-	directive.OnOff("tells-warm", "on", "answers tell whether a copy stood loaded", func(s *Settings) *bool { return &s.TellsWarm }),
-	directive.OnOff("tells-crowd", "on", "answers tell the calls of the function held there",
-		func(s *Settings) *bool { return &s.TellsCrowd }),
-	directive.OnOff("probes", "on", "workers may be probed", func(s *Settings) *bool { return &s.Probes }),
-	directive.OnOff("retry-after", "on", "a refusal says when to come back", func(s *Settings) *bool { return &s.RetryAfter }),
-	directive.Choice("weights", []string{"silent", "nominal", "rough", "live"}, []bool{false, true, true, false}, "silent",
-		"what the scale of a listed worker tells: nothing, its size, about its size, or its size less its load (not read)",
-		func(s *Settings) *bool { return &s.Sized }),
-	directive.OnOff("cancel", "on", "calls may be called back", func(s *Settings) *bool { return &s.Cancel }),
-	directive.Duration("keep-alive", 100*ms, 24*hour, "10s", "an idle copy stays loaded at least this long",
-		func(s *Settings) *time.Duration { return &s.KeepAlive }),
-	directive.Duration("order-timeout", 10*ms, hour, "10s", "an order without an answer ends after this",
-		func(s *Settings) *time.Duration { return &s.OrderTimeout }),
-	directive.Duration("load-window", 0, hour, "0s", "orders to load are rationed within this; 0s is no ration",
-		func(s *Settings) *time.Duration { return &s.LoadWindow }),
-	directive.Real("load-free", 0, 1e6, "4", "orders in a window that are always allowed",
-		func(s *Settings) *float64 { return &s.LoadFree }),
-	directive.Real("load-share", 0, 100, "0.1", "and for each call taken in the window",
-		func(s *Settings) *float64 { return &s.LoadShare }),
-	directive.Number("max-attempts", 1, 100, "5", "attempts of one call", func(s *Settings) *int { return &s.MaxAttempts }),
-	directive.Duration("max-retry-after", 0, hour, "1s", "longest advice when to come back",
-		func(s *Settings) *time.Duration { return &s.MaxRetryAfter }),
-	directive.Duration("connect-timeout", ms, hour, "250ms", "to connect to a worker and shake hands",
-		func(s *Settings) *time.Duration { return &s.ConnectTimeout }),
-	directive.Duration("drain-grace", ms, hour, "500ms", "nothing new to a worker later than this after a notice",
-		func(s *Settings) *time.Duration { return &s.DrainGrace }),
-	directive.Real("cold-from", 0.001, 1, "0.2", "share of its capacity that a worker starts with at least",
-		func(s *Settings) *float64 { return &s.ColdFrom }),
-	directive.Duration("cold-time", 0, hour, "15s", "a started worker is warm after this",
-		func(s *Settings) *time.Duration { return &s.ColdTime }),
-	directive.Real("tip-multiple", 1, 1000, "3", "sent more than this many times what it can do, a cold worker falls over",
-		func(s *Settings) *float64 { return &s.TipMultiple }),
-	directive.Duration("tip-window", 0, hour, "2s", "for this long; 0s: none falls over",
-		func(s *Settings) *time.Duration { return &s.TipWindow }),
-	directive.Duration("answer-margin", ms, hour, "15ms", "the final answer leaves this long before the client gives up",
-		func(s *Settings) *time.Duration { return &s.AnswerMargin }),
-	directive.Choice("shares", []string{"off", "work", "calls"}, []tenancy.By{tenancy.Nothing, tenancy.Work, tenancy.Calls},
-		"off", "by what tenants' shares are held: not at all, by what their calls take at the workers, or by their number",
-		func(s *Settings) *tenancy.By { return &s.Shares }),
-	directive.Number("max-calls", 1, 1e6, "20000", "calls in hand of one front end; more are refused at once",
-		func(s *Settings) *int { return &s.MaxCalls }),
-	directive.Number("queue", 1, 1e6, "4096", "arrivals that wait for one front end; more are refused at once",
-		func(s *Settings) *int { return &s.Queue }),
-	directive.Size("window", 1<<10, 64<<20, "256k", "of one worker's answer, what may wait here",
-		func(s *Settings) *int { return &s.Window }),
-	directive.Size("max-body", 1, 8<<20, "1m", "of a call", func(s *Settings) *int { return &s.MaxBody }),
-	directive.Size("max-header", 256, 1<<20, "16k", "of a call", func(s *Settings) *int { return &s.MaxHeader }),
-	directive.Number("max-connections", 1, 1e6, "20000", "of clients; more are answered 503 and closed",
-		func(s *Settings) *int { return &s.MaxConns }),
-	directive.Number("pipeline", 1, 1000, "16", "calls of one connection in hand; more are not read",
-		func(s *Settings) *int { return &s.Pipeline }),
-	directive.Duration("idle-time", ms, 24*hour, "60s", "a client's connection without a call is closed after this",
-		func(s *Settings) *time.Duration { return &s.IdleTime }),
-	directive.Duration("header-time", ms, hour, "5s", "from a call's first byte to the end of its header",
-		func(s *Settings) *time.Duration { return &s.HeaderTime }),
-	directive.Duration("body-time", ms, hour, "10s", "to the end of its body", func(s *Settings) *time.Duration { return &s.BodyTime }),
-	directive.Duration("write-time", ms, hour, "10s", "for each part of an answer to go out",
-		func(s *Settings) *time.Duration { return &s.WriteTime }),
-	directive.Duration("stall-time", ms, hour, "10s", "a worker's answer that stands still for so long is given up",
-		func(s *Settings) *time.Duration { return &s.StallTime }),
-	directive.Choice("half-closed", []string{"left", "waits"}, []bool{false, true}, "left",
-		"a client that closed its side for writing has left, or waits for its answers",
-		func(s *Settings) *bool { return &s.HalfClosed }),
-	directive.Duration("stop-wait", 0, hour, "5s", "how long a stop waits for what is in hand",
-		func(s *Settings) *time.Duration { return &s.StopWait }),
-}
-
-func setDirectory(s *Settings, v []string) error {
-	switch {
-	case len(v) == 3 && v[0] == "consul":
-		s.Directory = Directory{v[0], v[1], v[2]}
-	case len(v) == 2 && v[0] == "file":
-		s.Directory = Directory{Kind: v[0], Where: v[1]}
-	default:
-		return directive.ErrValue
+// ClassIndex returns the index of the class of that name, or -1 if there is none.
+func (s *Settings) Class(name string) int {
+	for i, class := range s.Classes {
+		if class.Name == name {
+			return i
+		}
 	}
-	return nil
-}
-
-var classTable = []directive.Directive[Class]{
-	directive.Duration("aim", ms, hour, "500ms", "an answer is wanted within", func(c *Class) *time.Duration { return &c.Aim }),
-	directive.Duration("give-up", ms, hour, "2s", "a client gives up after, where it tells nothing shorter",
-		func(c *Class) *time.Duration { return &c.GiveUp }),
-	directive.Real("worth", 0, 1e6, "1", "of an answer in time", func(c *Class) *float64 { return &c.Worth }),
-	directive.Real("late", 0, 1, "0.3", "share of the worth that a late answer keeps", func(c *Class) *float64 { return &c.Late }),
-	directive.Choice("repeat", []string{"safe", "keyed", "unsafe"}, []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentByKey, scheduler.NonIdempotent},
-		"unsafe", "what another attempt may do", func(c *Class) *scheduler.Idempotency { return &c.Repeat }),
-	directive.Choice("scope", []string{"all", "zone", "cell"}, []scheduler.KeyScope{scheduler.ScopeAll, scheduler.ScopeZone, scheduler.ScopeCell},
-		"cell", "workers that drop each other's repeats of a keyed call", func(c *Class) *scheduler.KeyScope { return &c.Scope }),
-	directive.Duration("memory", 0, 24*hour, "5s", "how long they remember a key", func(c *Class) *time.Duration { return &c.Memory }),
-	directive.Number("size", 1, 1<<20, "256", "megabytes of a loaded copy, where nothing tells it", func(c *Class) *int { return &c.Size }),
-	directive.Number("lanes", 1, 1000, "2", "calls that a copy runs at a time, where nothing tells it", func(c *Class) *int { return &c.Lanes }),
-	directive.Duration("load", 0, hour, "0s", "usual time of a load, where nothing tells it; 0s is not told",
-		func(c *Class) *time.Duration { return &c.Load }),
+	return -1
 }
 
-var tenantTable = []directive.Directive[Tenant]{
-	directive.Real("share", 0, 1, "1", "part of the service", func(t *Tenant) *float64 { return &t.Share }),
-	directive.Real("quota", 0, 1e9, "0", "calls a second over all front ends at most; each has its part; 0: no limit",
-		func(t *Tenant) *float64 { return &t.Quota }),
-}
-
-var functionTable = []directive.Directive[Function]{
-	directive.Text("class", "a class's name", "", "its class; the first if not given", func(f *Function) *string { return &f.Class }),
-	directive.Number("size", 0, 1<<20, "0", "megabytes of a loaded copy; 0: as its class", func(f *Function) *int { return &f.Size }),
-	directive.Number("lanes", 0, 1000, "0", "calls that a copy runs at a time; 0: as its class", func(f *Function) *int { return &f.Lanes }),
-	directive.Duration("load", 0, hour, "0s", "usual time of a load; 0s: as its class", func(f *Function) *time.Duration { return &f.Load }),
+// EffectiveMaxRetryAfter returns the longest Retry-After that a rejection gives, 0 if it gives none.
+func (s *Settings) Advice() time.Duration {
+	if !s.RetryAfterAllowed {
+		return 0
+	}
+	return s.MaxRetryAfter
 }
--- a/internal/directive/directive.go
+++ b/internal/directive/directive.go
@@ -16,7 +16,7 @@
 // directive itself.
 var ErrValue = errors.New("value not allowed")
 
-// VariableWords as Directive.Words lets a line have any number of values; Set checks them.
+// AnyValueCount as Directive.ValueCount lets a line have any number of values; Set checks them.
 const VariableWords = -1
 
 // Directive declares one directive of a block whose settings are a T.
@@ -25,7 +25,7 @@
 	Takes   string // the allowed values, for error messages and the reference page
 	Default string // value that is set where none is given; empty: none
 	Help    string // one line for the reference page
-	Words   int    // values on the line; 0 stands for 1, VariableWords for any number
+	Words   int    // values on the line; 0 stands for 1, AnyValueCount for any number
 	Many    bool   // may be given more than once in a block
 	Set     func(t *T, values []string) error
 }
--- a/internal/directive/parser.go
+++ b/internal/directive/parser.go
@@ -17,7 +17,7 @@
 	endWord     = "end"
 )
 
-// Place is a line of a file.
+// Position is a line of a file.
 type Place struct {
 	File string
 	Line int    // from 1; 0 stands for the file as a whole
@@ -40,7 +40,7 @@
 
 // Parser reads a settings file and collects its errors. It is for one file; included files are read with it.
 type Parser struct {
-	// Top handles each line that is in no block, mostly by Block or Apply. It is set before Parse.
+	// TopLevel handles each line that is in no block, mostly by Block or Apply. It is set before Parse.
 	Top func(at Place, words []Word)
 
 	errs  []error
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -123,7 +123,7 @@
 	return list, index, err
 }
 
-// Instance is one entry of the health endpoint's response, as far as it is read. Its keys are Consul's.
+// ConsulInstance is one entry of the health endpoint's response, as far as it is read. Its keys are Consul's.
 type Instance struct {
 	Node struct {
 		Address string `json:"Address,omitempty"`
@@ -137,7 +137,7 @@
 	Checks []Check `json:"Checks"`
 }
 
-// Check is one health check of an instance. Its keys are Consul's.
+// ConsulCheck is one health check of an instance. Its keys are Consul's.
 type Check struct {
 	CheckID string `json:"CheckID"`
 	Status  string `json:"Status"` // passing, warning or critical
--- a/internal/platform/endpointstream/event.go
+++ b/internal/platform/endpointstream/event.go
@@ -29,7 +29,7 @@
 	Removed               // no longer part of the list
 )
 
-// Kind is the kind of an event. Its values are those on the wire.
+// EventKind is the kind of an event. Its values are those on the wire.
 type Kind byte
 
 // The kinds of event.
--- a/internal/platform/endpointstream/frame.go
+++ b/internal/platform/endpointstream/frame.go
@@ -32,7 +32,7 @@
 	return binary.BigEndian.Uint64(greeting[:]), err
 }
 
-// Append appends the event's frame to buf. The event must be one that Read accepts.
+// AppendEvent appends the event's frame to buf. The event must be one that ReadEvent accepts.
 func Append(buf []byte, event Event) []byte {
 	buf = binary.BigEndian.AppendUint32(buf, uint32(lengthOverhead+entrySize*len(event.Entries)))
 	buf = binary.BigEndian.AppendUint64(buf, event.Number)
@@ -54,7 +54,7 @@
 	return binary.BigEndian.AppendUint64(buf, uint64(entry.Started))
 }
 
-// Read reads the next event of a platform with that many zones and worker kinds. An error that wraps ErrMalformed is
+// ReadEvent reads the next event of a platform with that many zones and worker kinds. An error that wraps ErrMalformed is
 // about the content; any other, such as io.EOF between two events, is the reader's. After an error the position in the
 // stream is unknown and the connection must be given up.
 func Read(r io.Reader, zones, kinds int) (Event, error) {
