--- a/internal/config/gatewayconfig/parse.go
+++ b/internal/config/gatewayconfig/parse.go
@@ -26,7 +26,9 @@
 func Parse(name, text string) (*Settings, error) {
 	settings, parser := &Settings{}, &directive.Parser{}
 	directive.Defaults(settings, settingsDirectives)
-	parser.Top = func(at directive.Place, words []directive.Word) { settings.parseTopLevel(parser, at, words) }
+	parser.Top = func(position directive.Place, words []directive.Word) {
+		settings.parseTopLevel(parser, position, words)
+	}
 	parser.Parse(name, text)
 	settings.validate(parser, directive.Place{File: name})
 	if err := parser.Err(); err != nil {
@@ -36,59 +38,59 @@
 }
 
 // parseTopLevel handles a line outside blocks.
-func (s *Settings) parseTopLevel(parser *directive.Parser, at directive.Place, words []directive.Word) {
+func (s *Settings) parseTopLevel(parser *directive.Parser, position directive.Place, words []directive.Word) {
 	switch words[0].Text {
 	case "class":
-		directive.Block(parser, at, words, classDirectives, func(c *Class) *string { return &c.Name }, &s.Classes, nil)
+		directive.Block(parser, position, words, classDirectives, func(c *Class) *string { return &c.Name }, &s.Classes, nil)
 	case "tenant":
-		directive.Block(parser, at, words, tenantDirectives, func(t *Tenant) *string { return &t.Name }, &s.Tenants, nil)
+		directive.Block(parser, position, words, tenantDirectives, func(t *Tenant) *string { return &t.Name }, &s.Tenants, nil)
 	case "function":
-		directive.Block(parser, at, words, functionDirectives, func(f *Function) *string { return &f.Name }, &s.Functions, nil)
+		directive.Block(parser, position, words, functionDirectives, func(f *Function) *string { return &f.Name }, &s.Functions, nil)
 	case "watch":
-		directive.Block(parser, at, words, shadowDirectives, func(w *Shadow) *string { return &w.Name }, &s.Shadows, nil)
+		directive.Block(parser, position, words, shadowDirectives, func(w *Shadow) *string { return &w.Name }, &s.Shadows, nil)
 	default:
-		directive.Apply(parser, at, words, s, settingsDirectives, "class, tenant, function, watch, include")
+		directive.Apply(parser, position, words, s, settingsDirectives, "class, tenant, function, watch, include")
 	}
 }
 
 // validate checks what no single line shows. Its errors are about the file as a whole.
-func (s *Settings) validate(parser *directive.Parser, at directive.Place) {
+func (s *Settings) validate(parser *directive.Parser, position directive.Place) {
 	if len(s.Classes) == 0 {
-		parser.Fail(at, 0, "no class is given; at least one is needed")
+		parser.Fail(position, 0, "no class is given; at least one is needed")
 	}
 	if s.Directory.Kind == "" {
-		parser.Fail(at, 0, "directory is not given")
+		parser.Fail(position, 0, "directory is not given")
 	}
 	if _, _, err := net.SplitHostPort(s.Listen); err != nil {
-		parser.Fail(at, 0, "listen: %v", err)
+		parser.Fail(position, 0, "listen: %v", err)
 	}
-	s.validateFrontEnds(parser, at, "")
-	s.validateShadow(parser, at)
-	s.validateClasses(parser, at)
-	s.validateFunctions(parser, at)
+	s.validateFrontEnds(parser, position, "")
+	s.validateShadow(parser, position)
+	s.validateClasses(parser, position)
+	s.validateFunctions(parser, position)
 }
 
 // validateFrontEnds checks that the front ends of this process are among those of the installation. prefix begins the
 // error.
-func (s *Settings) validateFrontEnds(parser *directive.Parser, at directive.Place, prefix string) {
+func (s *Settings) validateFrontEnds(parser *directive.Parser, position directive.Place, prefix string) {
 	if s.First+s.Loops > s.FrontEnds {
-		parser.Fail(at, 0, "%sfront ends %d to %d of this process, but front-ends says there are %d",
+		parser.Fail(position, 0, "%sfront ends %d to %d of this process, but front-ends says there are %d",
 			prefix, s.First, s.First+s.Loops-1, s.FrontEnds)
 	}
 }
 
-func (s *Settings) validateClasses(parser *directive.Parser, at directive.Place) {
+func (s *Settings) validateClasses(parser *directive.Parser, position directive.Place) {
 	for _, class := range s.Classes {
 		if class.LatencyObjective > class.GiveUp {
-			parser.Fail(at, 0, "class %q: aim %v is past give-up %v", class.Name, class.LatencyObjective, class.GiveUp)
+			parser.Fail(position, 0, "class %q: aim %v is past give-up %v", class.Name, class.LatencyObjective, class.GiveUp)
 		}
 	}
 }
 
-func (s *Settings) validateFunctions(parser *directive.Parser, at directive.Place) {
+func (s *Settings) validateFunctions(parser *directive.Parser, position directive.Place) {
 	for _, function := range s.Functions {
 		if function.Class != "" && s.Class(function.Class) < 0 {
-			parser.Fail(at, 0, "function %q: no class %q", function.Name, function.Class)
+			parser.Fail(position, 0, "function %q: no class %q", function.Name, function.Class)
 		}
 	}
 }
--- a/internal/config/gatewayconfig/shadow.go
+++ b/internal/config/gatewayconfig/shadow.go
@@ -74,12 +74,12 @@
 }
 
 // validateShadow checks what no single line of a shadow's block shows.
-func (s *Settings) validateShadow(parser *directive.Parser, at directive.Place) {
+func (s *Settings) validateShadow(parser *directive.Parser, position directive.Place) {
 	if len(s.Shadows) > 1 {
-		parser.Fail(at, 0, "%d watch blocks; one is allowed", len(s.Shadows))
+		parser.Fail(position, 0, "%d watch blocks; one is allowed", len(s.Shadows))
 		return
 	}
 	if shadow, _ := s.Watched(); shadow != nil {
-		shadow.validateFrontEnds(parser, at, fmt.Sprintf("watch %q: ", shadow.Name))
+		shadow.validateFrontEnds(parser, position, fmt.Sprintf("watch %q: ", shadow.Name))
 	}
 }
--- a/internal/config/platformconfig/config.go
+++ b/internal/config/platformconfig/config.go
@@ -44,18 +44,18 @@
 // ParseConfig reads a configuration, fills in the defaults of its settings and checks it. Every error wraps
 // ErrMalformed and names the first key that is wrong.
 func ParseRelay(text []byte) (*Relay, error) {
-	var in configJSON
-	if err := json.Unmarshal(text, &in); err != nil {
+	var decoded configJSON
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		return nil, fmt.Errorf("%w: configuration: %w", ErrMalformed, err)
 	}
-	seed, err := strconv.ParseUint(in.Seed, 16, 64)
+	seed, err := strconv.ParseUint(decoded.Seed, 16, 64)
 	if err != nil {
-		return nil, invalidField("seed", strconv.Quote(in.Seed), "16 hex digits")
+		return nil, invalidField("seed", strconv.Quote(decoded.Seed), "16 hex digits")
 	}
-	if err := in.validate(); err != nil {
+	if err := decoded.validate(); err != nil {
 		return nil, err
 	}
-	settings, err := Parse(in.Settings, seed)
+	settings, err := Parse(decoded.Settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -64,14 +64,14 @@
 		return nil, err
 	}
 	return &Relay{
-		Name:     in.Name,
-		Listen:   in.ListenAddress,
+		Name:     decoded.Name,
+		Listen:   decoded.ListenAddress,
 		Seed:     seed,
-		Cores:    in.Limits.Cores,
-		MemoryMB: in.Limits.MemoryMB,
-		Sockets:  in.Limits.Descriptors,
-		Bulletin: in.EndpointStreamAddress,
-		Known:    in.InitialEvents,
+		Cores:    decoded.Limits.Cores,
+		MemoryMB: decoded.Limits.MemoryMB,
+		Sockets:  decoded.Limits.Descriptors,
+		Bulletin: decoded.EndpointStreamAddress,
+		Known:    decoded.InitialEvents,
 		Site:     settings,
 	}, nil
 }
--- a/internal/config/platformconfig/settings.go
+++ b/internal/config/platformconfig/settings.go
@@ -31,26 +31,26 @@
 // ParseSettings reads a settings object. seed becomes the scheduler's seed. Optional parts that are not given stay zero, and
 // values are not checked for their range. Every error wraps ErrMalformed.
 func Parse(text []byte, seed uint64) (Site, error) {
-	var in settingsJSON
-	if err := json.Unmarshal(text, &in); err != nil {
+	var decoded settingsJSON
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		return Site{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	settings := Site{
-		Control:  in.scheduler(seed),
-		Zones:    in.ZoneNames,
-		Kinds:    in.WorkerKinds,
-		Streams:  in.Limits.StreamsPerConnection,
-		ConnIdle: in.Limits.WorkerIdleTimeout.duration(),
-		MaxCalls: in.Limits.MaxInFlight,
+		Control:  decoded.scheduler(seed),
+		Zones:    decoded.ZoneNames,
+		Kinds:    decoded.WorkerKinds,
+		Streams:  decoded.Limits.StreamsPerConnection,
+		ConnIdle: decoded.Limits.WorkerIdleTimeout.duration(),
+		MaxCalls: decoded.Limits.MaxInFlight,
 	}
-	for _, memoryMB := range in.Functions.WorkerMemoryMB {
+	for _, memoryMB := range decoded.Functions.WorkerMemoryMB {
 		settings.MemoryMB = max(settings.MemoryMB, memoryMB)
 	}
-	for _, tenant := range in.Tenants {
+	for _, tenant := range decoded.Tenants {
 		settings.Tenants = append(settings.Tenants, tenant.Name)
 		settings.Control.Tenants = append(settings.Control.Tenants, scheduler.Tenant{Share: tenant.Share, Quota: tenant.Quota})
 	}
-	for i, class := range in.Classes {
+	for i, class := range decoded.Classes {
 		converted, err := class.scheduler()
 		if err != nil {
 			return Site{}, fmt.Errorf("%w: classes[%d].%w", ErrMalformed, i, err)
--- a/internal/directive/directive.go
+++ b/internal/directive/directive.go
@@ -12,7 +12,7 @@
 	"fmt"
 )
 
-// ErrValue is returned by Directive.Set for a value that the directive does not allow. What is allowed is told by the
+// ErrValue is returned by Directive.Set for a value that the directive does not allow. What is allowed is known to the
 // directive itself.
 var ErrValue = errors.New("value not allowed")
 
--- a/internal/directive/directive_test.go
+++ b/internal/directive/directive_test.go
@@ -39,12 +39,12 @@
 	var parsed settings
 	Defaults(&parsed, settingsTable)
 	parser := &Parser{}
-	parser.Top = func(at Place, words []Word) {
+	parser.Top = func(position Place, words []Word) {
 		if words[0].Text == "block" {
-			Block(parser, at, words, blockTable, func(b *block) *string { return &b.name }, &parsed.blocks, nil)
+			Block(parser, position, words, blockTable, func(b *block) *string { return &b.name }, &parsed.blocks, nil)
 			return
 		}
-		Apply(parser, at, words, &parsed, settingsTable, "block")
+		Apply(parser, position, words, &parsed, settingsTable, "block")
 	}
 	parser.Parse("f", text)
 	return parsed, parser.Err()
--- a/internal/directive/parser.go
+++ b/internal/directive/parser.go
@@ -59,8 +59,8 @@
 }
 
 // Fail records an error at a place; column counts from 1.
-func (p *Parser) Fail(at Place, column int, format string, args ...any) {
-	p.errs = append(p.errs, &Error{File: at.File, Line: at.Line, Column: column, Err: fmt.Errorf(format, args...)})
+func (p *Parser) Fail(position Place, column int, format string, args ...any) {
+	p.errs = append(p.errs, &Error{File: position.File, Line: position.Line, Column: column, Err: fmt.Errorf(format, args...)})
 }
 
 // Parse reads text; name is the file's name in errors, and files that it includes are found from its directory. Err
@@ -78,45 +78,45 @@
 
 func (p *Parser) parseFile(name, text string, depth int) {
 	for i, line := range strings.Split(text, "\n") {
-		at := Place{File: name, Line: i + 1, Text: line}
+		position := Place{File: name, Line: i + 1, Text: line}
 		words, errorColumn, err := tokenize(line)
 		if err != nil {
-			p.Fail(at, errorColumn, "%w", err)
+			p.Fail(position, errorColumn, "%w", err)
 			continue
 		}
 		if len(words) > 0 {
-			p.parseLine(at, words, depth)
+			p.parseLine(position, words, depth)
 		}
 	}
 }
 
-func (p *Parser) parseLine(at Place, words []Word, depth int) {
+func (p *Parser) parseLine(position Place, words []Word, depth int) {
 	first := words[0].Text
 	switch {
 	case first == includeWord:
-		p.include(at, words, depth)
+		p.include(position, words, depth)
 	case p.block == nil:
-		p.Top(at, words)
+		p.Top(position, words)
 	case first == endWord:
 		p.block.end()
 		p.block = nil
 	default:
-		p.block.line(at, words)
+		p.block.line(position, words)
 	}
 }
 
-func (p *Parser) include(at Place, words []Word, depth int) {
+func (p *Parser) include(position Place, words []Word, depth int) {
 	if len(words) != 2 || depth >= maxIncludeDepth {
-		p.Fail(at, words[0].Column, "include takes one file, %d deep at most", maxIncludeDepth)
+		p.Fail(position, words[0].Column, "include takes one file, %d deep at most", maxIncludeDepth)
 		return
 	}
 	path := words[1].Text
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(at.File), path)
+		path = filepath.Join(filepath.Dir(position.File), path)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		p.Fail(at, words[1].Column, "%w", err)
+		p.Fail(position, words[1].Column, "%w", err)
 		return
 	}
 	p.parseFile(path, string(raw), depth+1)
@@ -125,27 +125,27 @@
 // Block opens a block that is named by the line's second word; its end appends the block's settings to list. name
 // returns where the settings hold the block's name. other, unless nil, is given each line of the block first; where it
 // returns true the line is not looked up in the table. Blocks do not nest.
-func Block[T any](p *Parser, at Place, words []Word, table []Directive[T], name func(*T) *string, list *[]T,
-	other func(t *T, at Place, words []Word) bool,
+func Block[T any](parser *Parser, position Place, words []Word, table []Directive[T], name func(*T) *string, list *[]T,
+	other func(t *T, position Place, words []Word) bool,
 ) {
 	settings := new(T)
 	Defaults(settings, table)
 	keyword := words[0]
 	if len(words) != 2 {
-		p.Fail(at, keyword.Column, "found %d words; allowed: %s NAME", len(words), keyword.Text)
+		parser.Fail(position, keyword.Column, "found %d words; allowed: %s NAME", len(words), keyword.Text)
 	} else {
 		*name(settings) = words[1].Text
-		failOnRepeatedName(p, at, words, name, *list)
+		failOnRepeatedName(parser, position, words, name, *list)
 	}
-	line := func(at Place, words []Word) {
-		if other != nil && other(settings, at, words) {
+	line := func(position Place, words []Word) {
+		if other != nil && other(settings, position, words) {
 			return
 		}
-		Apply(p, at, words, settings, table, endWord)
+		Apply(parser, position, words, settings, table, endWord)
 	}
-	p.block = &openBlock{
+	parser.block = &openBlock{
 		name:   keyword.Text,
-		start:  at,
+		start:  position,
 		column: keyword.Column,
 		given:  map[string]bool{},
 		line:   line,
@@ -154,22 +154,22 @@
 }
 
 // failOnRepeatedName records an error for each block of the list that has the name of the block opened by words.
-func failOnRepeatedName[T any](p *Parser, at Place, words []Word, name func(*T) *string, list []T) {
+func failOnRepeatedName[T any](parser *Parser, position Place, words []Word, name func(*T) *string, list []T) {
 	for i := range list {
 		if *name(&list[i]) == words[1].Text {
-			p.Fail(at, words[1].Column, "%s %q is given twice", words[0].Text, words[1].Text)
+			parser.Fail(position, words[1].Column, "%s %q is given twice", words[0].Text, words[1].Text)
 		}
 	}
 }
 
 // Apply sets in t what one line says. alternatives names what else may stand there, for the error about a directive
 // that the table does not have.
-func Apply[T any](p *Parser, at Place, words []Word, t *T, table []Directive[T], alternatives string) {
+func Apply[T any](parser *Parser, position Place, words []Word, t *T, table []Directive[T], alternatives string) {
 	keyword := words[0]
 	for i := range table {
 		if table[i].Name == keyword.Text {
-			p.checkRepeated(at, keyword, table[i].Many)
-			applyValues(p, at, words, t, &table[i])
+			parser.checkRepeated(position, keyword, table[i].Many)
+			applyValues(parser, position, words, t, &table[i])
 			return
 		}
 	}
@@ -177,23 +177,23 @@
 	for _, directive := range table {
 		names = append(names, directive.Name)
 	}
-	p.Fail(at, keyword.Column, "found %q; allowed: %s, %s", keyword.Text, strings.Join(names, ", "), alternatives)
+	parser.Fail(position, keyword.Column, "found %q; allowed: %s, %s", keyword.Text, strings.Join(names, ", "), alternatives)
 }
 
 // checkRepeated notes that a directive is given in the present block, and records an error if it may not be given
 // again.
-func (p *Parser) checkRepeated(at Place, keyword Word, repeatable bool) {
+func (p *Parser) checkRepeated(position Place, keyword Word, repeatable bool) {
 	given := p.given
 	if p.block != nil {
 		given = p.block.given
 	}
 	if given[keyword.Text] && !repeatable {
-		p.Fail(at, keyword.Column, "%s is given twice", keyword.Text)
+		p.Fail(position, keyword.Column, "%s is given twice", keyword.Text)
 	}
 	given[keyword.Text] = true
 }
 
-func applyValues[T any](p *Parser, at Place, words []Word, t *T, directive *Directive[T]) {
+func applyValues[T any](parser *Parser, position Place, words []Word, t *T, directive *Directive[T]) {
 	values := make([]string, 0, len(words))
 	for _, word := range words[1:] {
 		values = append(values, word.Text)
@@ -203,6 +203,6 @@
 		column = words[1].Column
 	}
 	if directive.apply(t, values) != nil {
-		p.Fail(at, column, "%s: found %q; allowed: %s", directive.Name, strings.Join(values, " "), directive.Takes)
+		parser.Fail(position, column, "%s: found %q; allowed: %s", directive.Name, strings.Join(values, " "), directive.Takes)
 	}
 }
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("query the endpoint list: %w", err)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // the body has been read or is given up
 	return parseResponse(response)
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -28,13 +28,13 @@
 	failures chan error
 }
 
-func (s recordingSink) EndpointsChanged(l []discovery.Worker) { s.lists <- l }
-func (s recordingSink) WatchFailed(err error)                 { s.failures <- err }
+func (sink recordingSink) EndpointsChanged(l []discovery.Worker) { sink.lists <- l }
+func (sink recordingSink) WatchFailed(err error)                 { sink.failures <- err }
 
-func (s recordingSink) list(t *testing.T) []discovery.Worker {
+func (sink recordingSink) list(t *testing.T) []discovery.Worker {
 	t.Helper()
 	select {
-	case l := <-s.lists:
+	case l := <-sink.lists:
 		return l
 	case <-time.After(waitLimit):
 		t.Fatal("no list within the limit")
@@ -42,10 +42,10 @@
 	}
 }
 
-func (s recordingSink) failure(t *testing.T) error {
+func (sink recordingSink) failure(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-s.failures:
+	case err := <-sink.failures:
 		return err
 	case <-time.After(waitLimit):
 		t.Fatal("no failure within the limit")
@@ -55,12 +55,12 @@
 
 func follow(t *testing.T, source discovery.Source) recordingSink {
 	t.Helper()
-	s := recordingSink{make(chan []discovery.Worker, 100), make(chan error, 100)}
+	sink := recordingSink{make(chan []discovery.Worker, 100), make(chan error, 100)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); source.Run(ctx, s) }()
+	go func() { defer close(done); source.Run(ctx, sink) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return s
+	return sink
 }
 
 func summary(list []discovery.Worker) string {
@@ -73,16 +73,16 @@
 
 func startConsul(t *testing.T, n int) (*lab.Server, recordingSink, *discovery.Consul) {
 	t.Helper()
-	d, err := lab.Start("127.0.0.1:0")
+	server, err := lab.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
+	t.Cleanup(server.Close)
 	for i := range n {
-		d.Set(entry(i+1, scheduler.Ready))
+		server.Set(entry(i+1, scheduler.Ready))
 	}
-	c := discovery.NewConsul(d.URL(), "workers", "test")
-	return d, follow(t, c), c
+	c := discovery.NewConsul(server.URL(), "workers", "test")
+	return server, follow(t, c), c
 }
 
 func entry(i int, state scheduler.WorkerState) lab.Entry {
@@ -93,61 +93,61 @@
 }
 
 func TestConsul_EntriesChange_ReportsEachList(t *testing.T) {
-	d, s, _ := startConsul(t, 2)
-	list := s.list(t)
+	server, sink, _ := startConsul(t, 2)
+	list := sink.list(t)
 	if summary(list) != "w1:1 w2:1" || list[0].Cell != "c" || !list[0].Started.Equal(time.UnixMilli(1000)) {
 		t.Fatalf("%+v", list)
 	}
-	d.Set(entry(1, scheduler.Draining))
-	if got := summary(s.list(t)); got != "w1:2 w2:1" {
+	server.Set(entry(1, scheduler.Draining))
+	if got := summary(sink.list(t)); got != "w1:2 w2:1" {
 		t.Error(got)
 	}
-	d.Set(entry(1, scheduler.Removed))
-	if got := summary(s.list(t)); got != "w2:1" {
+	server.Set(entry(1, scheduler.Removed))
+	if got := summary(sink.list(t)); got != "w2:1" {
 		t.Error(got)
 	}
 	critical := entry(2, scheduler.Removed)
 	critical.Critical = true
-	d.Set(critical)
-	if got := summary(s.list(t)); got != "w2:3" {
+	server.Set(critical)
+	if got := summary(sink.list(t)); got != "w2:3" {
 		t.Error(got)
 	}
 }
 
 func TestConsul_PartialList_ReportedThenReversed(t *testing.T) {
-	d, s, _ := startConsul(t, 4)
-	s.list(t)
-	d.Partial(0.5)
-	if got := summary(s.list(t)); got != "w1:1 w2:1" {
+	server, sink, _ := startConsul(t, 4)
+	sink.list(t)
+	server.Partial(0.5)
+	if got := summary(sink.list(t)); got != "w1:1 w2:1" {
 		t.Error(got)
 	}
-	d.Partial(1)
-	if got := summary(s.list(t)); got != "w1:1 w2:1 w3:1 w4:1" {
+	server.Partial(1)
+	if got := summary(sink.list(t)); got != "w1:1 w2:1 w3:1 w4:1" {
 		t.Error(got)
 	}
 }
 
 func TestConsul_ServerDown_RetriesOnRefresh(t *testing.T) {
-	d, s, c := startConsul(t, 1)
-	s.list(t)
-	d.Down(true)
-	s.failure(t)
+	server, sink, c := startConsul(t, 1)
+	sink.list(t)
+	server.Down(true)
+	_ = sink.failure(t)
 	c.Refresh()
-	s.failure(t)
-	d.Down(false)
+	_ = sink.failure(t)
+	server.Down(false)
 	c.Refresh()
-	if got := summary(s.list(t)); got != "w1:1" {
+	if got := summary(sink.list(t)); got != "w1:1" {
 		t.Error(got)
 	}
 }
 
 func TestConsul_IndexDecreases_ReportsLaterChange(t *testing.T) {
-	d, s, _ := startConsul(t, 3)
-	s.list(t)
-	d.Back()
-	d.Set(entry(3, scheduler.Draining))
+	server, sink, _ := startConsul(t, 3)
+	sink.list(t)
+	server.Back()
+	server.Set(entry(3, scheduler.Draining))
 	for range 3 { // the list before the loss may be reported once more
-		if got := summary(s.list(t)); got == "w1:1 w2:1 w3:2" {
+		if got := summary(sink.list(t)); got == "w1:1 w2:1 w3:2" {
 			return
 		}
 	}
@@ -166,7 +166,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "[]") }))
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "[]") }))
 	defer server.Close()
 	if err := follow(t, discovery.NewConsul(server.URL, "workers", "test")).failure(t); !errors.Is(err, discovery.ErrMalformed) {
 		t.Errorf("an answer without an index: %v", err)
@@ -186,16 +186,16 @@
 	}
 	write("worker w1 127.0.0.1:9001 zone a # the first\n\nworker w2 127.0.0.1:9002 state draining\n")
 	source := discovery.NewFile(path)
-	s := follow(t, source)
-	if got := summary(s.list(t)); got != "w1:1 w2:2" {
+	sink := follow(t, source)
+	if got := summary(sink.list(t)); got != "w1:1 w2:2" {
 		t.Error(got)
 	}
 	write("worker w1 127.0.0.1:9001 colour red\n")
-	if err := s.failure(t); !errors.Is(err, discovery.ErrMalformed) || !strings.Contains(err.Error(), "workers:1: found \"colour\"") {
+	if err := sink.failure(t); !errors.Is(err, discovery.ErrMalformed) || !strings.Contains(err.Error(), "workers:1: found \"colour\"") {
 		t.Error(err)
 	}
 	write("worker w3 127.0.0.1:9003\n")
-	if got := summary(s.list(t)); got != "w3:1" {
+	if got := summary(sink.list(t)); got != "w3:1" {
 		t.Error(got)
 	}
 }
--- a/internal/discovery/endpointstream.go
+++ b/internal/discovery/endpointstream.go
@@ -139,8 +139,9 @@
 	if err != nil {
 		return false, fmt.Errorf("connect to the endpoint stream: %w", err)
 	}
-	defer conn.Close()
-	stop := context.AfterFunc(ctx, func() { conn.Close() }) // interrupts a read or write in progress
+	closeConn := func() { _ = conn.Close() } // an error would change nothing
+	defer closeConn()
+	stop := context.AfterFunc(ctx, closeConn) // interrupts a read or write in progress
 	defer stop()
 	if _, err := conn.Write(endpointstream.AppendHello(nil, s.lastEvent)); err != nil {
 		return false, fmt.Errorf("write to the endpoint stream: %w", err)
--- a/internal/discovery/endpointstream_reconnect_test.go
+++ b/internal/discovery/endpointstream_reconnect_test.go
@@ -97,7 +97,7 @@
 }
 
 func TestEndpointStream_ConnectionBreaks_ReconnectsSpreadOverTime(t *testing.T) {
-	testReconnectSpread(t, 0, time.Second, time.Millisecond, func(conn connection) { conn.Close() })
+	testReconnectSpread(t, 0, time.Second, time.Millisecond, func(conn connection) { _ = conn.Close() })
 }
 
 // Event numbers continue, no event is applied twice, and the old connection is no longer read.
@@ -114,7 +114,7 @@
 			first.send(t, secondEvent)
 			return 4
 		},
-		"while a connection is being made": func(t *testing.T, stream *EndpointStream, _ connection) uint64 {
+		"while a connection is being made": func(_ *testing.T, stream *EndpointStream, _ connection) uint64 {
 			stream.SetAddress("silent")
 			time.Sleep(time.Second) // of the bubble's clock
 			return 3
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("watch %s: %w", f.path, err)
 	}
-	defer watcher.Close()
+	defer func() { _ = watcher.Close() }() // an error would change nothing
 	if err := watcher.Add(filepath.Dir(f.path)); err != nil {
 		return fmt.Errorf("watch %s: %w", f.path, err)
 	}
