--- /dev/null
+++ b/cmd/havencart/check.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"github.com/spf13/cobra"
+
+	"havencart/internal/config/gatewayconfig"
+	"havencart/lab/scenario"
+)
+
+// checkCommand checks a file by the code that a start would run.
+func checkCommand() *cobra.Command {
+	isScript := false
+	cmd := &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check the settings, or a fault script, in FILE",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			path := args[0]
+			if err := checkFile(path, isScript); err != nil {
+				return err
+			}
+			results(cmd).println(path, "is good")
+			return nil
+		},
+	}
+	cmd.Flags().BoolVar(&isScript, "script", false, "FILE is a fault script")
+	return cmd
+}
+
+func checkFile(path string, isScript bool) error {
+	if isScript {
+		_, err := scenario.Load(path)
+		return err
+	}
+	_, err := gatewayconfig.Load(path)
+	return err
+}
+
+// referenceCommand prints the page that docs/settings.md is generated from, or that of fault scripts.
+func referenceCommand() *cobra.Command {
+	ofScripts := false
+	cmd := &cobra.Command{
+		Use:   "reference",
+		Short: "Print the reference page of all settings, or of fault scripts",
+		Args:  cobra.NoArgs,
+		Run: func(cmd *cobra.Command, _ []string) {
+			page := gatewayconfig.Reference()
+			if ofScripts {
+				page = scenario.Reference()
+			}
+			results(cmd).print(page)
+		},
+	}
+	cmd.Flags().BoolVar(&ofScripts, "script", false, "the page of fault scripts")
+	return cmd
+}
--- a/cmd/havencart/demo.go
+++ b/cmd/havencart/demo.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"maps"
 	"os"
 	"slices"
@@ -13,110 +12,106 @@
 	"github.com/spf13/cobra"
 
 	"havencart/lab/fleet"
-	"havencart/lab/reportimport"
 	"havencart/lab/scenario"
 )
 
-// errRule is returned by a demo in which a rule was broken.
-var errRule = errors.New("a rule was broken")
+// demoOptions are the flags of a demo that do not go into fleet.Demo as they are.
+type demoOptions struct {
+	scriptPath   string
+	reportPath   string
+	rate         float64 // requests a second
+	utilization  float64 // of the workers' cores, for a report
+	ownFunctions bool
+}
 
-func demoCommand(o *options) *cobra.Command {
-	var file, report string
-	var rate, used float64
-	var own bool
-	var d fleet.Demo
-	cmd := &cobra.Command{Use: "demo", Short: "Run front ends, workers, store, directory and clients; no set-up needed",
-		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			log, err := o.logger()
+// demoCommand runs a whole installation in one process.
+func demoCommand(global *globalOptions) *cobra.Command {
+	var options demoOptions
+	var demo fleet.Demo
+	cmd := &cobra.Command{
+		Use:   "demo",
+		Short: "Run front ends, workers, function store, discovery and clients in one process; no set-up needed",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			log, err := global.logger()
 			if err != nil {
 				return err
 			}
-			d.Log = log.Level(max(log.GetLevel(), zerolog.WarnLevel))
-			d.Script, d.Mix = fleet.DemoDay, fleet.DemoMix(rate)
-			if file != "" {
-				raw, err := os.ReadFile(file)
-				if err != nil {
-					return err
-				}
-				d.Script = string(raw)
-			}
-			if report != "" {
-				day, err := readReport(report)
-				if err != nil {
-					return err
-				}
-				d.Script, d.Mix = day.Script(), day.Mix(d.Mix, used)
-				d.Workers, d.FrontEnds, d.Lasts = day.Workers, day.FrontEnds, day.Lasts
-				fmt.Fprint(cmd.OutOrStdout(), d.Script)
+			demo.Log = log.Level(max(log.GetLevel(), zerolog.WarnLevel))
+			if err := options.prepare(&demo, results(cmd)); err != nil {
+				return err
 			}
-			d.Mix.OwnFunctions = own
-			return demo(cmd, d)
-		}}
-	cmd.Flags().StringVar(&file, "script", "", "a script of troubles in place of the built-in one")
-	cmd.Flags().StringArrayVar(&d.Set, "set", nil, "a line of settings for the front ends, say 'shares off'; may be repeated")
-	cmd.Flags().BoolVar(&own, "own-functions", false, "each tenant calls functions of its own")
-	cmd.Flags().StringVar(&report, "report", "", "a report of the bench: its day is transcribed and played")
-	cmd.Flags().Float64Var(&used, "used", 0.6, "part of the workers' cores that a report's requests fill; it does not tell")
-	cmd.Flags().DurationVar(&d.Lasts, "for", 12*time.Second, "how long clients call")
-	cmd.Flags().Float64Var(&rate, "rate", 150, "calls a second")
-	cmd.Flags().IntVar(&d.Workers, "workers", 12, "emulated workers")
-	cmd.Flags().IntVar(&d.FrontEnds, "front-ends", 3, "front ends")
-	cmd.Flags().Uint64Var(&d.Seed, "seed", 1, "of the clients' calls and of who is hit")
+			return runDemo(cmd, demo)
+		},
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&options.scriptPath, "script", "", "file of a fault script in place of the built-in one")
+	flags.StringArrayVar(&demo.Set, "set", nil, "a line of settings for the front ends, say 'shares off'; may be repeated")
+	flags.BoolVar(&options.ownFunctions, "own-functions", false, "each tenant calls functions of its own")
+	flags.StringVar(&options.reportPath, "report", "", "file of a bench report whose scenario is played")
+	flags.Float64Var(&options.utilization, "used", 0.6, "share of the workers' cores that a report's requests use, which it does not tell")
+	flags.DurationVar(&demo.Lasts, "for", 12*time.Second, "how long clients send requests")
+	flags.Float64Var(&options.rate, "rate", 150, "requests a second")
+	flags.IntVar(&demo.Workers, "workers", 12, "emulated workers")
+	flags.IntVar(&demo.FrontEnds, "front-ends", 3, "front ends")
+	flags.Uint64Var(&demo.Seed, "seed", 1, "seed of the clients' requests and of the workers that faults hit")
 	cmd.MarkFlagsMutuallyExclusive("script", "report")
 	return cmd
 }
 
-func readReport(path string) (*reportimport.Day, error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
+// prepare sets the demo's script and request mix. The script of a report is printed, as it is nowhere else.
+func (o *demoOptions) prepare(demo *fleet.Demo, out output) error {
+	demo.Script, demo.Mix = fleet.DemoDay, fleet.DemoMix(o.rate)
+	if o.scriptPath != "" {
+		raw, err := os.ReadFile(o.scriptPath)
+		if err != nil {
+			return err
+		}
+		demo.Script = string(raw)
 	}
-	day, err := reportimport.Parse(string(raw))
-	if err != nil {
-		return nil, fmt.Errorf("%w: %s: %w", errUsage, path, err)
+	if o.reportPath != "" {
+		imported, err := readReport(o.reportPath)
+		if err != nil {
+			return err
+		}
+		demo.Script, demo.Mix = imported.Script(), imported.Mix(demo.Mix, o.utilization)
+		demo.Workers, demo.FrontEnds, demo.Lasts = imported.Workers, imported.FrontEnds, imported.Lasts
+		out.print(demo.Script)
 	}
-	return day, nil
-}
-
-func transcribeCommand() *cobra.Command {
-	return &cobra.Command{Use: "transcribe REPORT", Short: "Write the day that a report of the bench tells as a script of troubles",
-		Long: "Reads what the bench printed for a run, a replay or an incident, and writes the day's course as a script. What the report\n" +
-			"does not tell is assumed, and the script says so. `havencart demo --report REPORT` plays it.",
-		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			day, err := readReport(args[0])
-			if err != nil {
-				return err
-			}
-			fmt.Fprint(cmd.OutOrStdout(), day.Script())
-			return nil
-		}}
+	demo.Mix.OwnFunctions = o.ownFunctions
+	return nil
 }
 
-func demo(cmd *cobra.Command, d fleet.Demo) error {
-	out := cmd.OutOrStdout()
-	d.Tell = func(text string) { fmt.Fprintln(out, text) }
+func runDemo(cmd *cobra.Command, demo fleet.Demo) error {
+	out := results(cmd)
+	demo.Tell = func(text string) { out.println(text) }
 	ctx, cancel := context.WithCancel(cmd.Context())
 	defer cancel()
-	result, err := d.Run(ctx)
+	result, err := demo.Run(ctx)
 	if errors.Is(err, scenario.ErrScript) {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return usageError(err)
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "\n%v\n", result.Tally)
-	for _, k := range slices.Sorted(maps.Keys(result.Seen)) {
-		fmt.Fprintf(out, "clients' calls that ended %-12s %d\n", k+":", result.Seen[k])
+	return printDemoResult(out, result)
+}
+
+// printDemoResult prints how a demo went. It returns errRule if an invariant was violated.
+func printDemoResult(out output, result fleet.Result) error {
+	out.printf("\n%v\n", result.Tally)
+	for _, outcome := range slices.Sorted(maps.Keys(result.Seen)) {
+		out.printf("clients' calls that ended %-12s %d\n", outcome+":", result.Seen[outcome])
 	}
-	for _, name := range slices.Sorted(maps.Keys(result.Score.ByTenant)) {
-		fmt.Fprintf(out, "service of tenant %-16s %.3f\n", name+":", result.Score.ByTenant[name].Share())
+	for _, tenant := range slices.Sorted(maps.Keys(result.Score.ByTenant)) {
+		out.printf("service of tenant %-16s %.3f\n", tenant+":", result.Score.ByTenant[tenant].Share())
 	}
-	for _, b := range result.Breaks {
-		fmt.Fprintf(out, "rule %s broken: %s\n", b.Rule, b.What)
+	for _, violation := range result.Breaks {
+		out.printf("rule %s broken: %s\n", violation.Rule, violation.What)
 	}
 	if len(result.Breaks) > 0 || !result.Tally.Balanced() {
 		return errRule
 	}
-	fmt.Fprintln(out, "all five rules kept, by what clients, workers and directory saw on their sockets")
+	out.println("all five rules kept, by what clients, workers and directory saw on their sockets")
 	return nil
 }
--- a/cmd/havencart/experiment.go
+++ b/cmd/havencart/experiment.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"runtime"
 	"strconv"
@@ -14,76 +15,99 @@
 	"havencart/lab/report"
 )
 
+// experimentOptions are the flags of an experiment.
+type experimentOptions struct {
+	resultsPath string
+	htmlPath    string
+	plot        string // SCENARIO=FILE.svg
+	parallel    int
+}
+
+// experimentCommand compares variants of the gateway on scenarios.
 func experimentCommand() *cobra.Command {
-	results, html, plot, parallel := "", "", "", runtime.NumCPU()
-	cmd := &cobra.Command{Use: "experiment FILE", Short: "Play variants on days in virtual time and compare them",
-		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			spec, err := experiment.Load(args[0])
-			if err != nil {
-				return fmt.Errorf("%w: %w", errUsage, err)
-			}
-			if results == "" {
-				results = args[0] + ".results"
-			}
-			cells, err := spec.Run(cmd.Context(), results, parallel, func(text string) { fmt.Fprintln(os.Stderr, text) })
-			if err != nil {
-				return err
-			}
-			r := report.Report{Spec: spec, Cells: cells}
-			r.Text(cmd.OutOrStdout())
-			return writeFiles(r, html, plot)
-		}}
+	options := experimentOptions{}
+	cmd := &cobra.Command{
+		Use:   "experiment FILE",
+		Short: "Play variants on scenarios in virtual time and compare them",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return runExperiment(cmd, args[0], options)
+		},
+	}
 	flags := cmd.Flags()
-	flags.StringVar(&results, "results", "", "file that keeps each run as it ends; FILE.results if not given")
-	flags.StringVar(&html, "html", "", "write the report as one HTML file here")
-	flags.StringVar(&plot, "plot", "", "DAY=FILE.svg: write that day's plot of service")
-	flags.IntVar(&parallel, "parallel", parallel, "runs at a time")
+	flags.StringVar(&options.resultsPath, "results", "", "file that keeps each run as it ends; FILE.results if not given")
+	flags.StringVar(&options.htmlPath, "html", "", "write the report as one HTML file here")
+	flags.StringVar(&options.plot, "plot", "", "DAY=FILE.svg: write that scenario's plot of service")
+	flags.IntVar(&options.parallel, "parallel", runtime.NumCPU(), "runs at a time")
 	return cmd
 }
 
-func writeFiles(r report.Report, html, plot string) error {
-	if html != "" {
-		f, err := os.Create(html)
-		if err != nil {
-			return err
-		}
-		if err := r.HTML(f); err != nil {
-			return err
-		}
-		if err := f.Close(); err != nil {
+func runExperiment(cmd *cobra.Command, path string, options experimentOptions) error {
+	spec, err := experiment.Load(path)
+	if err != nil {
+		return usageError(err)
+	}
+	if options.resultsPath == "" {
+		options.resultsPath = path + ".results"
+	}
+	reportProgress := func(text string) { output{os.Stderr}.println(text) }
+	cells, err := spec.Run(cmd.Context(), options.resultsPath, options.parallel, reportProgress)
+	if err != nil {
+		return err
+	}
+	comparison := report.Report{Spec: spec, Cells: cells}
+	comparison.Text(cmd.OutOrStdout())
+	return writeReportFiles(comparison, options)
+}
+
+// writeReportFiles writes the files that the flags ask for.
+func writeReportFiles(comparison report.Report, options experimentOptions) error {
+	if options.htmlPath != "" {
+		if err := writeFile(options.htmlPath, comparison.HTML); err != nil {
 			return err
 		}
 	}
-	day, path, given := strings.Cut(plot, "=")
+	scenarioName, path, given := strings.Cut(options.plot, "=")
 	if !given {
 		return nil
 	}
-	f, err := os.Create(path)
+	return writeFile(path, func(file io.Writer) error { return comparison.Plot(file, scenarioName) })
+}
+
+// writeFile creates the file at path, has write fill it and closes it. The error is the first of these.
+func writeFile(path string, write func(io.Writer) error) error {
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := r.Plot(f, day); err != nil {
+	if err := write(file); err != nil {
+		_ = file.Close() // the first error is the one to report
 		return err
 	}
-	return f.Close()
+	return file.Close()
 }
 
-// cellCommand plays one run of an experiment and prints it: what a build of another commit is asked for.
+// cellCommand plays one run of an experiment and prints it as JSON. An experiment runs it in builds of other commits.
 func cellCommand() *cobra.Command {
-	return &cobra.Command{Use: "cell FILE VARIANT DAY SEED", Hidden: true, Args: cobra.ExactArgs(4),
+	return &cobra.Command{
+		Use:    "cell FILE VARIANT DAY SEED",
+		Hidden: true,
+		Args:   cobra.ExactArgs(4),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			spec, err := experiment.Load(args[0])
+			path, variant, scenarioName := args[0], args[1], args[2]
+			spec, err := experiment.Load(path)
 			if err != nil {
-				return fmt.Errorf("%w: %w", errUsage, err)
+				return usageError(err)
 			}
 			seed, err := strconv.ParseUint(args[3], 10, 64)
 			if err != nil {
 				return fmt.Errorf("%w: seed: %w", errUsage, err)
 			}
-			r, err := spec.Play(args[1], args[2], seed)
+			cell, err := spec.Play(variant, scenarioName, seed)
 			if err != nil {
 				return err
 			}
-			return json.NewEncoder(cmd.OutOrStdout()).Encode(r)
-		}}
+			return json.NewEncoder(cmd.OutOrStdout()).Encode(cell)
+		},
+	}
 }
--- a/cmd/havencart/main.go
+++ b/cmd/havencart/main.go
@@ -1,4 +1,5 @@
-// Command havencart is the gateway, its stand-ins and its tools on one command line.
+// Command havencart is the gateway, the laboratory's stand-ins and the measuring tools on one command line. It holds
+// no logic of its own: each command reads its flags, runs what the packages below provide, and prints the result.
 package main
 
 import (
@@ -16,53 +17,78 @@
 	"havencart/internal/config/platformconfig"
 	"havencart/internal/gateway"
 	"havencart/internal/platform/endpointstream"
-	"havencart/lab/scenario"
 )
 
-// Exit codes, as docs/running.md tells them.
+// Exit codes; docs/running.md has them.
 const (
 	exitOK       = 0
-	exitFault    = 1 // could not be done
+	exitFailure  = 1 // the command could not be carried out
 	exitSettings = 2 // settings, script or command line are wrong
-	exitUnclean  = 3 // stopped, but calls were in hand when the time for it was over
-	exitRule     = 4 // a demo in which a rule was broken
+	exitUnclean  = 3 // stopped, but requests were in flight when the shutdown timeout was over
+	exitRule     = 4 // an invariant was violated in a demo or measurement
 )
 
+var (
+	// errUsage is wrapped by errors about the command line.
+	errUsage = errors.New("usage")
+	// errRule is returned by a demo or measurement in which an invariant was violated.
+	errRule = errors.New("a rule was broken")
+)
+
+// timeFormat is the form of times in the log: RFC 3339 with milliseconds.
+const timeFormat = "2006-01-02T15:04:05.000Z07:00"
+
 func main() {
-	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
-	// Signals are heard until the process ends: a second one, or one that comes at the very end, kills nothing.
+	zerolog.TimeFieldFormat = timeFormat
+	// Signals are caught until the process ends, so that neither a second one nor one during the shutdown kills it.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	os.Exit(exitCode(root().ExecuteContext(ctx)))
+	os.Exit(exitCode(rootCommand().ExecuteContext(ctx)))
 }
 
-// errUsage is wrapped by errors about the command line.
-var errUsage = errors.New("usage")
-
+// exitCode reports the error of a command on standard error and returns the process's exit code for it.
 func exitCode(err error) int {
 	if err == nil {
 		return exitOK
 	}
 	fmt.Fprintln(os.Stderr, "havencart:", err)
 	switch {
-	case errors.Is(err, gatewayconfig.ErrSettings), errors.Is(err, platformconfig.ErrMalformed), errors.Is(err, endpointstream.ErrMalformed),
-		errors.Is(err, errUsage):
+	case isSettingsError(err):
 		return exitSettings
 	case errors.Is(err, gateway.ErrUnclean):
 		return exitUnclean
 	case errors.Is(err, errRule):
 		return exitRule
 	}
-	return exitFault
+	return exitFailure
 }
 
-// options are those of all commands.
-type options struct {
+// isSettingsError reports whether the user's settings, script or command line caused the error.
+func isSettingsError(err error) bool {
+	for _, cause := range []error{
+		gatewayconfig.ErrSettings,
+		platformconfig.ErrMalformed,
+		endpointstream.ErrMalformed,
+		errUsage,
+	} {
+		if errors.Is(err, cause) {
+			return true
+		}
+	}
+	return false
+}
+
+// usageError wraps an error that the command line, or a file that it names, caused.
+func usageError(err error) error { return fmt.Errorf("%w: %w", errUsage, err) }
+
+// globalOptions are the flags that all commands have.
+type globalOptions struct {
 	level string
 	plain bool
 }
 
-func (o *options) logger() (zerolog.Logger, error) {
+// logger returns the log on standard error that the flags ask for.
+func (o *globalOptions) logger() (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(o.level)
 	if err != nil {
 		return zerolog.Nop(), fmt.Errorf("%w: log level %q; allowed: debug, info, warn, error", errUsage, o.level)
@@ -74,69 +100,33 @@
 	return log, nil
 }
 
-func root() *cobra.Command {
-	o := &options{}
-	cmd := &cobra.Command{Use: "havencart", Short: "A gateway that runs calls on workers which load functions on demand",
-		SilenceUsage: true, SilenceErrors: true}
-	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
-	cmd.PersistentFlags().StringVar(&o.level, "log", "info", "least level that is logged: debug, info, warn, error")
-	cmd.PersistentFlags().BoolVar(&o.plain, "plain", false, "log for people in place of JSON")
-	cmd.AddCommand(runCommand(o), relayCommand(o), checkCommand(), referenceCommand(), demoCommand(o), workerCommand(), callCommand(),
-		measureCommand(), experimentCommand(), cellCommand(),
-		loadCommand(), huntCommand(), transcribeCommand())
-	return cmd
-}
-
-func runCommand(o *options) *cobra.Command {
-	return &cobra.Command{Use: "run FILE", Short: "Run the gateway with the settings in FILE until it is told to stop",
-		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			log, err := o.logger()
-			if err != nil {
-				return err
-			}
-			set, err := gatewayconfig.Load(args[0])
-			if err != nil {
-				return err
-			}
-			s, err := gateway.NewService(set, log)
-			if err != nil {
-				return err
-			}
-			log.Info().Str("listen", s.Address()).Int("loops", set.Loops).Msg("running")
-			counts, err := s.Run(cmd.Context())
-			log.Info().Interface("counts", counts).Err(err).Msg("stopped")
-			return err
-		}}
-}
-
-func checkCommand() *cobra.Command {
-	troubles := false
-	cmd := &cobra.Command{Use: "check FILE", Short: "Check the settings, or a script of troubles, in FILE", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			check := func(path string) error { _, err := gatewayconfig.Load(path); return err }
-			if troubles {
-				check = func(path string) error { _, err := scenario.Load(path); return err }
-			}
-			if err := check(args[0]); err != nil {
-				return err
-			}
-			fmt.Fprintln(cmd.OutOrStdout(), args[0], "is good")
-			return nil
-		}}
-	cmd.Flags().BoolVar(&troubles, "script", false, "FILE is a script of troubles")
-	return cmd
-}
-
-func referenceCommand() *cobra.Command {
-	troubles := false
-	cmd := &cobra.Command{Use: "reference", Short: "Print the page of all settings, or of all troubles", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) {
-			page := gatewayconfig.Reference()
-			if troubles {
-				page = scenario.Reference()
-			}
-			fmt.Fprint(cmd.OutOrStdout(), page)
-		}}
-	cmd.Flags().BoolVar(&troubles, "script", false, "the page of troubles")
-	return cmd
+// rootCommand returns the command line. A command that was renamed has its old word as an alias.
+func rootCommand() *cobra.Command {
+	options := &globalOptions{}
+	root := &cobra.Command{
+		Use:           "havencart",
+		Short:         "A gateway that runs requests on workers which load functions on demand",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
+	flags := root.PersistentFlags()
+	flags.StringVar(&options.level, "log", "info", "least level that is logged: debug, info, warn, error")
+	flags.BoolVar(&options.plain, "plain", false, "log as plain text in place of JSON")
+	root.AddCommand(
+		runCommand(options),
+		servePlatformCommand(options),
+		checkCommand(),
+		referenceCommand(),
+		demoCommand(options),
+		importReportCommand(),
+		workerCommand(),
+		callCommand(),
+		loadCommand(),
+		measureCommand(),
+		experimentCommand(),
+		cellCommand(),
+		faultSearchCommand(),
+	)
+	return root
 }
--- /dev/null
+++ b/cmd/havencart/serveplatform.go
@@ -0,0 +1,91 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/rs/zerolog"
+	"github.com/spf13/cobra"
+
+	"havencart/internal/config/platformconfig"
+	"havencart/internal/gateway"
+)
+
+// The environment by which the platform configures a front end.
+const (
+	envConfigPath    = "RELAY_CONFIG" // path of the configuration file
+	envName          = "RELAY_NAME"   // overrides the file's name, unless empty
+	envListenAddress = "RELAY_LISTEN" // overrides the file's listen address, unless empty
+)
+
+// servePlatformCommand runs a front end on the platform, which configures it by its environment.
+func servePlatformCommand(options *globalOptions) *cobra.Command {
+	return &cobra.Command{
+		Use:     "serve-platform",
+		Aliases: []string{"relay"},
+		Short:   "Run a front end of the platform with the configuration file that " + envConfigPath + " names",
+		Args:    cobra.NoArgs,
+		RunE:    func(cmd *cobra.Command, _ []string) error { return servePlatform(cmd, options) },
+	}
+}
+
+func servePlatform(cmd *cobra.Command, options *globalOptions) error {
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP) // until the process ends, so that a late one does not kill it
+	log, err := options.logger()
+	if err != nil {
+		return err
+	}
+	path := os.Getenv(envConfigPath)
+	config, err := loadPlatformConfig(path)
+	if err != nil {
+		return err
+	}
+	server, err := gateway.NewPlatformServer(config, log)
+	if err != nil {
+		return err
+	}
+	log.Info().Str("name", config.Name).Str("listen", server.Address()).Msg("running")
+	go reloadOnSignal(cmd.Context(), reloads, path, server, log) // ends with the context, when the server begins to stop
+	counts, err := server.Run(cmd.Context())
+	log.Info().Interface("counts", counts).Err(err).Msg("stopped")
+	return err
+}
+
+// loadPlatformConfig reads the configuration file; the name and address of the environment override those in it.
+func loadPlatformConfig(path string) (*platformconfig.Relay, error) {
+	if path == "" {
+		return nil, fmt.Errorf("%w: %s is not set", errUsage, envConfigPath)
+	}
+	config, err := platformconfig.LoadRelay(path)
+	if err != nil {
+		return nil, err
+	}
+	if name := os.Getenv(envName); name != "" {
+		config.Name = name
+	}
+	if address := os.Getenv(envListenAddress); address != "" {
+		config.Listen = address
+	}
+	return config, nil
+}
+
+// reloadOnSignal reads the configuration again on each signal until ctx ends. One that cannot be read changes nothing.
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, path string, server *gateway.PlatformServer, log zerolog.Logger) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-signals:
+		}
+		config, err := loadPlatformConfig(path)
+		if err != nil {
+			log.Error().Err(err).Msg("the configuration stays as it was")
+			continue
+		}
+		server.Reload(config)
+	}
+}
--- /dev/null
+++ b/cmd/havencart/serveplatform_test.go
@@ -0,0 +1,260 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"havencart/internal/platform/workerframe"
+	"havencart/lab/platformdiscovery"
+	"havencart/lab/platformworker"
+)
+
+// These tests are about the process that the platform starts: its signals, exit codes and log.
+
+// envRunAsFrontEnd makes the test binary run as a front end, by the word that deploy/balancer.toml has.
+const envRunAsFrontEnd = "HAVENCART_TEST_AS_FRONT_END"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(envRunAsFrontEnd) != "" {
+		os.Args = []string{"havencart", "relay"}
+		main()
+	}
+	os.Exit(m.Run())
+}
+
+const platformConfig = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
+	"limits":{"cores":1,"memory_mb":256,"sockets":256},"bulletin":%q,
+	"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[
+	{"host":"s-00000001","dial":%q,"site":"room","class":"std","block":0,"health":"up","share":1,"born_ms":0}]}}]},
+	"settings":{"azs":["room"],"skus":["std"],"limits":{"streamsPerConn":32,"connectTimeout":2000.0,"connIdle":30000.0},
+	"familyInfo":{"keep":8000.0},"classes":[{"name":"quote","deadline":20000.0,"repeat":"retryable","worth":2.0}]}}`
+
+// process is a front end in a process of its own, as the platform starts it.
+type process struct {
+	*exec.Cmd
+	t      *testing.T
+	config string
+	log    *bufio.Scanner
+}
+
+// startProcess starts a front end with a configuration.
+func startProcess(t *testing.T, config string) *process {
+	t.Helper()
+	p := &process{Cmd: exec.Command(os.Args[0]), t: t, config: filepath.Join(t.TempDir(), "config.json")}
+	p.writeConfig(config)
+	p.Env = append(os.Environ(), envRunAsFrontEnd+"=1", "RELAY_CONFIG="+p.config)
+	log, err := p.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.log = bufio.NewScanner(log)
+	if err := p.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = p.Process.Kill() }) // fails where it has ended
+	return p
+}
+
+func (p *process) writeConfig(config string) {
+	p.t.Helper()
+	if err := os.WriteFile(p.config, []byte(config), 0o600); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+func (p *process) signal(s os.Signal) {
+	p.t.Helper()
+	if err := p.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		p.t.Fatal(err)
+	}
+}
+
+// waitForLog waits for a line of the log with this text, and returns its fields.
+func (p *process) waitForLog(text string) map[string]any {
+	p.t.Helper()
+	for p.log.Scan() {
+		if strings.Contains(p.log.Text(), text) {
+			fields := map[string]any{}
+			_ = json.Unmarshal(p.log.Bytes(), &fields) // a line that is no JSON has no fields
+			return fields
+		}
+	}
+	p.t.Fatalf("it ended without logging %q", text)
+	return nil
+}
+
+// waitForExit waits for the process to end and returns its exit code.
+func (p *process) waitForExit() int {
+	p.t.Helper()
+	for p.log.Scan() {
+	}
+	var exit *exec.ExitError
+	if err := p.Wait(); err != nil && !errors.As(err, &exit) {
+		p.t.Fatal(err)
+	}
+	return p.ProcessState.ExitCode()
+}
+
+// rpcClient is one client's connection.
+type rpcClient struct {
+	net.Conn
+	t      *testing.T
+	dec    *msgpack.Decoder
+	lastID int
+}
+
+func (p *process) connect(address string) *rpcClient {
+	p.t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	p.t.Cleanup(func() { _ = c.Close() })
+	return &rpcClient{Conn: c, t: p.t, dec: msgpack.NewDecoder(c)}
+}
+
+// send sends a request and returns what the response holds.
+func (c *rpcClient) send(method string, parameters ...any) (failure, result any) {
+	c.t.Helper()
+	c.lastID++
+	raw, err := msgpack.Marshal([]any{0, c.lastID, method, parameters})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if _, err := c.Write(raw); err != nil {
+		c.t.Fatal(err)
+	}
+	answer, err := c.dec.DecodeSlice()
+	if err != nil || len(answer) != 4 {
+		c.t.Fatalf("response to %s is %v, %v", method, answer, err)
+	}
+	return answer[2], answer[3]
+}
+
+func (c *rpcClient) call(id int) (failure, result any) {
+	c.t.Helper()
+	return c.send("quote", map[string]string{"id": fmt.Sprintf("%016x", id), "wait": "20000", "key": "7f3a9c21e0b4d655"}, []byte("body"))
+}
+
+func (c *rpcClient) isReady() bool {
+	c.t.Helper()
+	_, result := c.send("heartbeat", map[string]string{})
+	list, is := result.([]any)
+	return is && len(list) > 0 && list[0] == true
+}
+
+func startPeers(t *testing.T) (*platformdiscovery.Server, *platformworker.Server) {
+	t.Helper()
+	discovery, err := platformdiscovery.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(discovery.Close)
+	worker, err := platformworker.Start(func(c *platformworker.Conn, f workerframe.Frame) {
+		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: f.Body})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(worker.Close)
+	return discovery, worker
+}
+
+// The signals are a second SIGTERM and a SIGHUP, after the first SIGTERM.
+func TestServePlatform_SignalsDuringShutdown_AreIgnored(t *testing.T) {
+	discovery, worker := startPeers(t)
+	p := startProcess(t, fmt.Sprintf(platformConfig, discovery.Address(), worker.Address()))
+	c := p.connect(p.waitForLog("running")["listen"].(string))
+	if !c.isReady() {
+		t.Error("not ready at the start")
+	}
+	if failure, _ := c.call(1); failure != nil {
+		t.Errorf("before the shutdown: %v", failure)
+	}
+	p.signal(syscall.SIGTERM)
+	p.waitForLog("stopping")
+	p.signal(syscall.SIGTERM)
+	p.signal(syscall.SIGHUP)
+	if code := p.waitForExit(); code != 0 {
+		t.Errorf("ended with code %d", code)
+	}
+}
+
+// Discovery is down and no client ever connected.
+func TestServePlatform_StopWithoutDiscoveryOrClients_ExitsCleanly(t *testing.T) {
+	p := startProcess(t, fmt.Sprintf(platformConfig, "127.0.0.1:1", "127.0.0.1:1"))
+	p.waitForLog("running")
+	p.signal(syscall.SIGTERM)
+	if code := p.waitForExit(); code != 0 {
+		t.Errorf("ended with code %d", code)
+	}
+}
+
+// The reloads are of a file cut off in the middle, of another deployment, and then of a valid one, twice in a row.
+func TestServePlatform_InvalidReload_KeepsConfiguration(t *testing.T) {
+	discovery, worker := startPeers(t)
+	newDiscovery, _ := startPeers(t)
+	config := fmt.Sprintf(platformConfig, discovery.Address(), worker.Address())
+	p := startProcess(t, config)
+	address := p.waitForLog("running")["listen"].(string)
+	if last := <-discovery.Asked(); last != 1 {
+		t.Errorf("resumed from %d", last)
+	}
+	newConfig := fmt.Sprintf(platformConfig, newDiscovery.Address(), worker.Address())
+	p.writeConfig(newConfig[:len(newConfig)/2])
+	p.signal(syscall.SIGHUP)
+	p.waitForLog("the configuration stays as it was")
+	p.writeConfig(strings.Replace(newConfig, `"name":"quote"`, `"name":"another customer's"`, 1))
+	p.signal(syscall.SIGHUP)
+	if field := p.waitForLog("the configuration stays as it was")["field"]; field != "settings.classes" {
+		t.Errorf("the key that differs is reported as %v", field)
+	}
+	p.writeConfig(newConfig)
+	p.signal(syscall.SIGHUP)
+	p.signal(syscall.SIGHUP)
+	if last := <-newDiscovery.Asked(); last != 1 {
+		t.Errorf("at the new address resumed from %d", last)
+	}
+	if failure, _ := p.connect(address).call(1); failure != nil {
+		t.Errorf("after reloads: %v", failure)
+	}
+	if len(discovery.Asked()) > 0 {
+		t.Error("connected to the old address again")
+	}
+	p.signal(syscall.SIGTERM)
+	if code := p.waitForExit(); code != 0 {
+		t.Errorf("ended with code %d", code)
+	}
+}
+
+// One message names the key that is wrong.
+func TestServePlatform_InvalidConfiguration_ExitsBeforeListening(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }() // a front end that listens before it checks would report that the address is taken
+	config := fmt.Sprintf(platformConfig, "127.0.0.1:1", "127.0.0.1:1")
+	config = strings.Replace(config, "127.0.0.1:0", listener.Addr().String(), 1)
+	for change, field := range map[[2]string]string{
+		{`"deadline":20000.0`, `"deadline":-1`}: "settings.classes[0].deadline",
+		{`"health":"up"`, `"health":"fine"`}:    "known",
+	} {
+		p := startProcess(t, strings.Replace(config, change[0], change[1], 1))
+		p.waitForLog(field)
+		if code := p.waitForExit(); code != exitSettings {
+			t.Errorf("with %s ended with code %d", change[1], code)
+		}
+	}
+}
--- a/internal/config/gatewayconfig/directives.go
+++ b/internal/config/gatewayconfig/directives.go
@@ -22,7 +22,7 @@
 		func(s *Settings) *string { return &s.Listen }),
 	{
 		Name: "directory", Takes: "consul URL SERVICE, or file PATH", Help: "source of the endpoint list, the list of workers",
-		Words: directive.VariableWords, Set: setDirectory,
+		Words: directive.AnyValueCount, Set: setDirectory,
 	},
 	directive.Number("loops", 1, 256, "1", "front ends in this process, each with an event loop of its own",
 		func(s *Settings) *int { return &s.Loops }),
--- a/internal/directive/directive.go
+++ b/internal/directive/directive.go
@@ -17,7 +17,7 @@
 var ErrValue = errors.New("value not allowed")
 
 // AnyValueCount as Directive.ValueCount lets a line have any number of values; Set checks them.
-const VariableWords = -1
+const AnyValueCount = -1
 
 // Directive declares one directive of a block whose settings are a T.
 type Directive[T any] struct {
@@ -32,7 +32,7 @@
 
 // apply sets the values of one line. It returns ErrValue, or the error of Set, if they are not allowed.
 func (d *Directive[T]) apply(t *T, values []string) error {
-	if d.Words != VariableWords && len(values) != max(1, d.Words) {
+	if d.Words != AnyValueCount && len(values) != max(1, d.Words) {
 		return ErrValue
 	}
 	return d.Set(t, values)
--- a/internal/directive/directive_test.go
+++ b/internal/directive/directive_test.go
@@ -25,7 +25,7 @@
 var settingsTable = []Directive[settings]{
 	Size("size", 1, 1<<20, "4k", "", func(s *settings) *int { return &s.size }),
 	Duration("timeout", time.Millisecond, time.Hour, "1s", "", func(s *settings) *time.Duration { return &s.timeout }),
-	{Name: "words", Takes: "words", Words: VariableWords, Many: true, Set: func(s *settings, values []string) error {
+	{Name: "words", Takes: "words", Words: AnyValueCount, Many: true, Set: func(s *settings, values []string) error {
 		s.words = append(s.words, values...)
 		return nil
 	}},
--- a/internal/directive/reference.go
+++ b/internal/directive/reference.go
@@ -6,7 +6,7 @@
 )
 
 // AppendReference appends a table of directives to a reference page, as a Markdown section.
-func Section[T any](out *strings.Builder, title string, table []Directive[T]) {
+func AppendReference[T any](out *strings.Builder, title string, table []Directive[T]) {
 	fmt.Fprintf(out, "\n## %s\n\n| directive | takes | default | meaning |\n| --- | --- | --- | --- |\n", title)
 	for _, directive := range table {
 		defaultValue := directive.Default
