--- a/cmd/havencart/measure.go
+++ b/cmd/havencart/measure.go
@@ -105,7 +105,9 @@
 		for _, violation := range point.Breaks {
 			out.printf("rule %s broken: %s\n", violation.Rule, violation.What)
 		}
-		violated = violated || len(point.Breaks) > 0 || !point.Tally.Balanced()
+		if len(point.Breaks) > 0 || !point.Tally.Balanced() {
+			violated = true
+		}
 	})
 	if err == nil && violated {
 		return errRule
--- a/cmd/havencart/worker.go
+++ b/cmd/havencart/worker.go
@@ -18,8 +18,8 @@
 
 // The function store that a worker starts for itself where it is given none.
 const (
-	ownStorePlaces = 8  // fetches at full pace
-	ownStoreLimit  = 40 // fetches in flight beyond which it rejects
+	ownStoreConcurrency = 8  // fetches at full pace
+	ownStoreLimit       = 40 // fetches in flight beyond which it rejects
 )
 
 // workerCommand runs one emulated worker as a process of its own; fault commands come on standard input.
@@ -52,7 +52,7 @@
 func runWorker(cmd *cobra.Command, config worker.Config, storeAddress string) error {
 	world := model.NewWorld()
 	if storeAddress == "" {
-		store, err := functionstore.Start(world, model.StoreConfig{Places: ownStorePlaces, Limit: ownStoreLimit}, "127.0.0.1:0")
+		store, err := functionstore.Start(world, model.StoreConfig{Places: ownStoreConcurrency, Limit: ownStoreLimit}, "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
@@ -67,13 +67,13 @@
 	}
 	defer server.Close()
 	results(cmd).printf("worker %s at %s\n", server.Name(), server.Address())
-	carryOutCommands(cmd, server)
+	runFaultCommands(cmd, server)
 	return nil
 }
 
-// carryOutCommands carries out the lines of standard input until the command's context ends. The end of standard input
+// runFaultCommands carries out the lines of standard input until the command's context ends. The end of standard input
 // does not end it.
-func carryOutCommands(cmd *cobra.Command, server *worker.Server) {
+func runFaultCommands(cmd *cobra.Command, server *worker.Server) {
 	lines := make(chan string)
 	go readLines(cmd.Context(), cmd.InOrStdin(), lines)
 	for {
--- a/internal/directive/values.go
+++ b/internal/directive/values.go
@@ -1,6 +1,7 @@
 package directive
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"strconv"
@@ -29,7 +30,7 @@
 	takes := fmt.Sprintf("a time, %v to %v", least, most)
 	parse := func(text string) (time.Duration, error) {
 		duration, err := time.ParseDuration(text)
-		return duration, errUnless(err == nil && duration >= least && duration <= most)
+		return duration, errUnless(err == nil && inRange(duration, least, most))
 	}
 	return scalar(name, takes, defaultValue, help, parse, field)
 }
@@ -39,7 +40,7 @@
 	takes := fmt.Sprintf("a whole number, %d to %d", least, most)
 	parse := func(text string) (int, error) {
 		number, err := strconv.Atoi(text)
-		return number, errUnless(err == nil && number >= least && number <= most)
+		return number, errUnless(err == nil && inRange(number, least, most))
 	}
 	return scalar(name, takes, defaultValue, help, parse, field)
 }
@@ -49,7 +50,7 @@
 	takes := fmt.Sprintf("a number, %v to %v", least, most)
 	parse := func(text string) (float64, error) {
 		number, err := strconv.ParseFloat(text, 64)
-		return number, errUnless(err == nil && number >= least && number <= most)
+		return number, errUnless(err == nil && inRange(number, least, most))
 	}
 	return scalar(name, takes, defaultValue, help, parse, field)
 }
@@ -74,11 +75,11 @@
 			continue
 		}
 		count, err := strconv.Atoi(digits)
-		withoutOverflow := err == nil && count >= 0 && count <= most/unit.bytes
-		if !withoutOverflow || count*unit.bytes < least {
+		if err != nil || !inRange(count, 0, most/unit.bytes) { // beyond it, the product might overflow
 			return 0, ErrValue
 		}
-		return count * unit.bytes, nil
+		bytes = count * unit.bytes
+		return bytes, errUnless(bytes >= least)
 	}
 	return 0, ErrValue
 }
@@ -111,6 +112,9 @@
 	return scalar(name, "one of "+strings.Join(words, ", "), defaultValue, help, parse, field)
 }
 
+// inRange reports whether least <= value <= most; a value that is not a number is not.
+func inRange[N cmp.Ordered](value, least, most N) bool { return value >= least && value <= most }
+
 // errUnless returns ErrValue unless the value is allowed.
 func errUnless(allowed bool) error {
 	if !allowed {
