--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -31,7 +31,7 @@
 type Settings struct {
 	Shares []float64 // by tenant, relative to their sum; a tenant of share 0 is promised nothing
 	Quotas []float64 // by tenant, requests a second at this front end; 0 or missing is no limit
-	Basis     ShareBasis
+	Basis  ShareBasis
 }
 
 // Verdict is the decision on a request.
--- a/internal/gateway/http_handler.go
+++ b/internal/gateway/http_handler.go
@@ -16,7 +16,7 @@
 }
 
 // Take implements httpserver.Handler. An error is one of Catalog.Resolve.
-func (h httpHandler) Take(received *httpserver.Request) (httpserver.Pending, error) {
+func (h httpHandler) Handle(received *httpserver.Request) (httpserver.Pending, error) {
 	request := NewRequest()
 	request.ID = received.ID
 	request.IdempotencyKey = received.IdempotencyKey
@@ -41,7 +41,7 @@
 }
 
 // Leave implements httpserver.Pending: the client has disconnected.
-func (p pendingRequest) Leave() { p.loop.Disconnect(p.request) }
+func (p pendingRequest) Cancel() { p.loop.Disconnect(p.request) }
 
 // httpOutcomes are the kinds of final responses as HTTP clients receive them.
 var httpOutcomes = map[ResponseKind]httpserver.Outcome{
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -81,13 +81,13 @@
 		return nil, fmt.Errorf("clients' listener: %w", err)
 	}
 	server.clients = rpcserver.New(rpcserver.Config{
-		Rules:    clientRules(config.Site),
-		MaxConns: clientConns,
-		MaxOpen:  platformMaxOpen,
-		MaxOut:   platformMaxUnsent,
-		Write:    platformWriteTimeout,
-		Rest:     platformAcceptRest,
-		Wrote:    func(took time.Duration) { server.loop.ObserveLag(took) },
+		Rules:             clientRules(config.Site),
+		MaxConnections:    clientConns,
+		MaxInFlight:       platformMaxOpen,
+		MaxQueuedBytes:    platformMaxUnsent,
+		WriteTimeout:      platformWriteTimeout,
+		AcceptGracePeriod: platformAcceptRest,
+		ObserveWriteDelay: func(took time.Duration) { server.loop.ObserveLag(took) },
 	}, server, log)
 	server.loop = NewEventLoop(server.loopConfig(), log)
 	return server, nil
@@ -95,7 +95,7 @@
 
 // clientRules are the names and bounds of what clients may ask.
 func clientRules(site platformconfig.Site) rpcserver.Rules {
-	rules := rpcserver.Rules{Tenants: site.Tenants, MemoryMB: site.MemoryMB}
+	rules := rpcserver.Rules{Tenants: site.Tenants, MaxMemoryMB: site.MemoryMB}
 	for i, class := range site.Control.Classes {
 		rules.Classes = append(rules.Classes, rpcserver.Class{
 			Name:        site.Classes[i],
@@ -271,7 +271,7 @@
 	p.log.Info().Msg("stopping")
 	p.after(platformAcceptGrace, func() {
 		stopLoop()
-		p.clients.Finish()
+		p.clients.BeginShutdown()
 	})
 }
 
@@ -294,7 +294,7 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	p.log.Info().Interface("counts", p.loop.Counts()).Interface("clients", p.clients.Counts()).
-		Int("client-connections", p.clients.Conns()).Int("worker-connections", p.budget.Used()).
+		Int("client-connections", p.clients.ConnectionCount()).Int("worker-connections", p.budget.Used()).
 		Int("goroutines", runtime.NumGoroutine()).Uint64("heap-kb", memory.HeapAlloc>>10).Uint64("sys-kb", memory.Sys>>10).
 		Msg("totals")
 }
--- a/internal/gateway/platform_server_test.go
+++ b/internal/gateway/platform_server_test.go
@@ -129,7 +129,7 @@
 	if _, err := c.Write(raw); err != nil {
 		server.t.Fatal(err)
 	}
-	server.expect(c, rpcframe.AppendTrue(nil, uint32(number), well))
+	server.expect(c, rpcframe.AppendHeartbeat(nil, uint32(number), well))
 }
 
 // TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints expects it to be ready at once.
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -60,16 +60,16 @@
 // serverConfig bounds what clients may do.
 func serverConfig(set *gatewayconfig.Settings) httpserver.Config {
 	return httpserver.Config{
-		Idle:       set.IdleTime,
-		Header:     set.HeaderTime,
-		Body:       set.BodyTime,
-		Write:      set.WriteTime,
-		Stall:      set.StallTime,
-		MaxHeader:  set.MaxHeader,
-		MaxBody:    set.MaxBody,
-		Pipeline:   set.Pipeline,
-		MaxConns:   set.MaxConns,
-		KeepHalves: set.HalfClosed,
+		IdleTimeout:    set.IdleTime,
+		HeaderTimeout:  set.HeaderTime,
+		BodyTimeout:    set.BodyTime,
+		WriteTimeout:   set.WriteTime,
+		StallTimeout:   set.StallTime,
+		MaxHeaderBytes: set.MaxHeader,
+		MaxBodyBytes:   set.MaxBody,
+		MaxPipelined:   set.Pipeline,
+		MaxConnections: set.MaxConns,
+		KeepHalfClosed: set.HalfClosed,
 	}
 }
 
@@ -152,7 +152,7 @@
 // process that was killed. Run then ends. It is for tests and emulations of that.
 func (s *Service) Kill() {
 	s.closeListener()
-	s.clients.Kill()
+	s.clients.Close()
 	for _, loop := range s.loops {
 		loop.Kill()
 	}
--- a/internal/native/httpserver/conn.go
+++ b/internal/native/httpserver/conn.go
@@ -57,7 +57,7 @@
 		net:     nc,
 		header:  header,
 		in:      bufio.NewReaderSize(header, bufferSize),
-		slots:   make(chan struct{}, s.cfg.Pipeline),
+		slots:   make(chan struct{}, s.cfg.MaxPipelined),
 		ctx:     ctx,
 		cancel:  cancel,
 		reading: true,
@@ -87,7 +87,7 @@
 // reject responds to a connection that is one too many, and closes it.
 func (c *conn) reject() {
 	defer func() { _ = c.net.Close() }()
-	clientconn.SetWriteTimeout(c.net, c.server.cfg.Write)
+	clientconn.SetWriteTimeout(c.net, c.server.cfg.WriteTimeout)
 	out := bufio.NewWriter(c.net)
 	response := Response{Outcome: Rejected, Reason: reasonTooManyConnections}
 	if writeProblem(out, http.StatusServiceUnavailable, response, true) == nil {
@@ -149,14 +149,14 @@
 	if c.isDraining() || errors.Is(err, errCloseAfterResponses) {
 		return true
 	}
-	return errors.Is(err, io.EOF) && c.server.cfg.KeepHalves
+	return errors.Is(err, io.EOF) && c.server.cfg.KeepHalfClosed
 }
 
 // awaitRequest waits for the first byte of the next request and returns the time of its receipt. The idle timeout does
 // not end a connection that has responses in flight.
 func (c *conn) awaitRequest() (time.Time, error) {
 	for {
-		c.setReadTimeout(c.server.cfg.Idle)
+		c.setReadTimeout(c.server.cfg.IdleTimeout)
 		_, err := c.in.Peek(1)
 		if err == nil {
 			return time.Now(), nil
@@ -184,8 +184,8 @@
 
 // readRequest reads one request and passes it to the Handler. It reports whether it is the connection's last.
 func (c *conn) readRequest(receivedAt time.Time) (last bool, err error) {
-	c.header.remaining = c.server.cfg.MaxHeader
-	c.setReadTimeout(c.server.cfg.Header)
+	c.header.remaining = c.server.cfg.MaxHeaderBytes
+	c.setReadTimeout(c.server.cfg.HeaderTimeout)
 	r, err := http.ReadRequest(c.in)
 	c.header.remaining = unlimited
 	if err != nil {
@@ -241,8 +241,8 @@
 
 // readBody reads a request's body, after telling a client to continue that waits for that (RFC 9110, section 10.1.1).
 func (c *conn) readBody(r *http.Request) ([]byte, error) {
-	if r.ContentLength > int64(c.server.cfg.MaxBody) {
-		return nil, bodyTooLarge(c.server.cfg.MaxBody)
+	if r.ContentLength > int64(c.server.cfg.MaxBodyBytes) {
+		return nil, bodyTooLarge(c.server.cfg.MaxBodyBytes)
 	}
 	if expect := r.Header.Get(headerExpect); expect != "" {
 		if !strings.EqualFold(expect, "100-continue") {
@@ -254,8 +254,8 @@
 			}
 		}
 	}
-	c.setReadTimeout(c.server.cfg.Body)
-	return readBody(r, c.server.cfg.MaxBody)
+	c.setReadTimeout(c.server.cfg.BodyTimeout)
+	return readBody(r, c.server.cfg.MaxBodyBytes)
 }
 
 // sendContinue sends 100 Continue once the responses to earlier requests are sent. The reading goroutine may write then:
@@ -266,7 +266,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clientconn.SetWriteTimeout(c.net, c.server.cfg.Write)
+	clientconn.SetWriteTimeout(c.net, c.server.cfg.WriteTimeout)
 	_, err := io.WriteString(c.net, lineContinue)
 	return err
 }
--- a/internal/native/httpserver/disconnect_test.go
+++ b/internal/native/httpserver/disconnect_test.go
@@ -33,7 +33,7 @@
 
 func TestDisconnect_HalfClosed_CancelledOrServed(t *testing.T) {
 	for _, waits := range []bool{false, true} {
-		setup := startServer(t, func(c *Config) { c.KeepHalves = waits })
+		setup := startServer(t, func(c *Config) { c.KeepHalfClosed = waits })
 		client := setup.dial()
 		client.send(postRequest("f", "", ""))
 		request := receive(t, "the request", setup.handler.requests)
--- a/internal/native/httpserver/handler.go
+++ b/internal/native/httpserver/handler.go
@@ -60,12 +60,12 @@
 	Wait(gone <-chan struct{}) (Response, bool)
 	// Cancel says that the client disconnected, or that the response could not be sent to its end. It may be called
 	// after Wait returned a response.
-	Leave()
+	Cancel()
 }
 
 // Handler accepts the requests of a connection.
 type Handler interface {
 	// Handle starts a request. An error says that it is invalid, as one of an unknown class, and why: its text is sent
 	// to the client. The connection's reading goroutine calls it and reads nothing meanwhile.
-	Take(request *Request) (Pending, error)
+	Handle(request *Request) (Pending, error)
 }
--- a/internal/native/httpserver/helpers_test.go
+++ b/internal/native/httpserver/helpers_test.go
@@ -35,7 +35,7 @@
 	once      sync.Once
 }
 
-func (h *stubHandler) Take(request *Request) (Pending, error) {
+func (h *stubHandler) Handle(request *Request) (Pending, error) {
 	if request.Class == "none" {
 		return nil, errors.New("no class \"none\"")
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (r *stubRequest) Leave() { r.once.Do(func() { close(r.cancelled) }) }
+func (r *stubRequest) Cancel() { r.once.Do(func() { close(r.cancelled) }) }
 
 // receive returns what is sent on c, and fails the test if nothing is.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
@@ -80,8 +80,8 @@
 func startServer(t *testing.T, change func(*Config)) *fixture {
 	t.Helper()
 	cfg := Config{
-		Idle: testTimeout, Header: testTimeout, Body: testTimeout, Write: testTimeout, Stall: testTimeout,
-		MaxHeader: 4096, MaxBody: 1000, Pipeline: 16, MaxConns: 100,
+		IdleTimeout: testTimeout, HeaderTimeout: testTimeout, BodyTimeout: testTimeout, WriteTimeout: testTimeout, StallTimeout: testTimeout,
+		MaxHeaderBytes: 4096, MaxBodyBytes: 1000, MaxPipelined: 16, MaxConnections: 100,
 	}
 	if change != nil {
 		change(&cfg)
--- a/internal/native/httpserver/pipeline_test.go
+++ b/internal/native/httpserver/pipeline_test.go
@@ -26,7 +26,7 @@
 
 // TestPipeline_BeyondBound_NotRead holds that what a client sends beyond the bound stays unread until a response is sent.
 func TestPipeline_BeyondBound_NotRead(t *testing.T) {
-	setup := startServer(t, func(c *Config) { c.Pipeline = 2 })
+	setup := startServer(t, func(c *Config) { c.MaxPipelined = 2 })
 	client := setup.dial()
 	client.send(strings.Repeat(postRequest("f", "", ""), 5))
 	inFlight := []*stubRequest{receive(t, "a request", setup.handler.requests), receive(t, "a request", setup.handler.requests)}
--- a/internal/native/httpserver/pipelined.go
+++ b/internal/native/httpserver/pipelined.go
@@ -20,7 +20,7 @@
 // handle passes the request to handler. A request that handler finds invalid has its response at once.
 func (p *pipelinedRequest) handle(handler Handler, request *Request) {
 	var err error
-	if p.pending, err = handler.Take(request); err != nil {
+	if p.pending, err = handler.Handle(request); err != nil {
 		p.setInvalid(http.StatusBadRequest, err.Error())
 	}
 }
--- a/internal/native/httpserver/server.go
+++ b/internal/native/httpserver/server.go
@@ -16,16 +16,16 @@
 
 // Config bounds what clients may do. All times and sizes are above 0.
 type Config struct {
-	Idle       time.Duration // for which a connection without a request stays open
-	Header     time.Duration // from the first byte of a request to the end of its header
-	Body       time.Duration // to the end of its body
-	Write      time.Duration // for each part of a response
-	Stall      time.Duration // that a streamed response may pause
-	MaxHeader  int           // bytes of a request's header
-	MaxBody    int           // bytes of a request's body
-	Pipeline   int           // requests of one connection without a response; further ones are not read
-	MaxConns   int           // connections; further ones get a 503 response and are closed
-	KeepHalves bool          // a client that closed its side for writing still waits for its responses
+	IdleTimeout    time.Duration // for which a connection without a request stays open
+	HeaderTimeout  time.Duration // from the first byte of a request to the end of its header
+	BodyTimeout    time.Duration // to the end of its body
+	WriteTimeout   time.Duration // for each part of a response
+	StallTimeout   time.Duration // that a streamed response may pause
+	MaxHeaderBytes int           // bytes of a request's header
+	MaxBodyBytes   int           // bytes of a request's body
+	MaxPipelined   int           // requests of one connection without a response; further ones are not read
+	MaxConnections int           // connections; further ones get a 503 response and are closed
+	KeepHalfClosed bool          // a client that closed its side for writing still waits for its responses
 }
 
 // Server serves clients' connections. Its methods may be called from any goroutine.
@@ -42,7 +42,7 @@
 
 // New returns a Server that passes the requests of each connection to a Handler that newHandler returns for it.
 func New(cfg Config, newHandler func() Handler, log zerolog.Logger) *Server {
-	return &Server{cfg: cfg, newHandler: newHandler, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConns)}
+	return &Server{cfg: cfg, newHandler: newHandler, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConnections)}
 }
 
 // Serve accepts connections until l is closed, which is the caller's to do.
@@ -85,7 +85,7 @@
 }
 
 // Close closes all connections at once. It does not wait for their goroutines.
-func (s *Server) Kill() {
+func (s *Server) Close() {
 	s.beginShutdown()
 	s.abortAll()
 }
--- a/internal/native/httpserver/shutdown_test.go
+++ b/internal/native/httpserver/shutdown_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestConnections_TooMany_Rejected(t *testing.T) {
-	setup := startServer(t, func(c *Config) { c.MaxConns = 1 })
+	setup := startServer(t, func(c *Config) { c.MaxConnections = 1 })
 	first := setup.dial()
 	first.send(postRequest("f", "", ""))
 	request := receive(t, "the request", setup.handler.requests)
--- a/internal/native/httpserver/timeout_test.go
+++ b/internal/native/httpserver/timeout_test.go
@@ -8,11 +8,11 @@
 func TestTimeout_EachPhase_SlowClientDisconnected(t *testing.T) {
 	short := 50 * time.Millisecond
 	t.Run("idle", func(t *testing.T) {
-		setup := startServer(t, func(c *Config) { c.Idle = short })
+		setup := startServer(t, func(c *Config) { c.IdleTimeout = short })
 		setup.dial().expectClosed()
 	})
 	t.Run("header", func(t *testing.T) {
-		setup := startServer(t, func(c *Config) { c.Header = short })
+		setup := startServer(t, func(c *Config) { c.HeaderTimeout = short })
 		client := setup.dial()
 		client.send("POST /call/f HTTP/1.1\r\nHos")
 		if response, _ := client.read(); response.StatusCode != 408 {
@@ -21,7 +21,7 @@
 		client.expectClosed()
 	})
 	t.Run("body", func(t *testing.T) {
-		setup := startServer(t, func(c *Config) { c.Body = short })
+		setup := startServer(t, func(c *Config) { c.BodyTimeout = short })
 		client := setup.dial()
 		client.send("POST /call/f HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc")
 		if response, _ := client.read(); response.StatusCode != 408 {
@@ -30,7 +30,7 @@
 		client.expectClosed()
 	})
 	t.Run("idle with a request in flight", func(t *testing.T) {
-		setup := startServer(t, func(c *Config) { c.Idle = short })
+		setup := startServer(t, func(c *Config) { c.IdleTimeout = short })
 		client := setup.dial()
 		client.send(postRequest("f", "", ""))
 		request := receive(t, "the request", setup.handler.requests)
--- a/internal/native/httpserver/writer.go
+++ b/internal/native/httpserver/writer.go
@@ -80,15 +80,15 @@
 	if pipelined.pending != nil {
 		response, received := pipelined.pending.Wait(c.ctx.Done())
 		if !received {
-			pipelined.pending.Leave()
+			pipelined.pending.Cancel()
 			return
 		}
 		pipelined.response, pipelined.status = response, response.status()
 	}
-	clientconn.SetWriteTimeout(c.net, c.server.cfg.Write)
+	clientconn.SetWriteTimeout(c.net, c.server.cfg.WriteTimeout)
 	if err := c.send(pipelined, out, c.isLastResponse(pipelined)); err != nil {
 		if pipelined.pending != nil {
-			pipelined.pending.Leave()
+			pipelined.pending.Cancel()
 		}
 		c.abort()
 	}
@@ -147,7 +147,7 @@
 // sendParts sends the parts of a stream, each within the time for writing, and returns how many bytes they had.
 func (c *conn) sendParts(pipelined *pipelinedRequest, out *bufio.Writer, body framing) (sent int64, err error) {
 	for {
-		part, err := pipelined.response.Stream.Next(c.ctx, c.server.cfg.Stall)
+		part, err := pipelined.response.Stream.Next(c.ctx, c.server.cfg.StallTimeout)
 		if err != nil || part == nil {
 			return sent, err
 		}
@@ -155,7 +155,7 @@
 		if body == framingLength && sent > pipelined.response.Length {
 			return sent, errStreamTooLong
 		}
-		clientconn.SetWriteTimeout(c.net, c.server.cfg.Write)
+		clientconn.SetWriteTimeout(c.net, c.server.cfg.WriteTimeout)
 		if err := writePart(out, part, body); err != nil {
 			return sent, err
 		}
--- a/internal/platform/rpcframe/response.go
+++ b/internal/platform/rpcframe/response.go
@@ -28,7 +28,7 @@
 }
 
 // AppendHeartbeat appends the response of a heartbeat, which says whether the server is ready.
-func AppendTrue(buf []byte, number uint32, ready bool) []byte {
+func AppendHeartbeat(buf []byte, number uint32, ready bool) []byte {
 	return appendResponse(buf, number, func(e *msgpack.Encoder) error {
 		return errors.Join(e.EncodeNil(), e.EncodeArrayLen(2), e.EncodeBool(ready), e.EncodeMapLen(0))
 	})
--- a/internal/platform/rpcframe/response_test.go
+++ b/internal/platform/rpcframe/response_test.go
@@ -17,7 +17,7 @@
 		"served":    {AppendServed(nil, 7, nil), encode(t, []any{1, 7, nil, []any{[]byte{}, map[string]string{}}})},
 		"rejected":  {AppendError(nil, 7, "Backoff", "after", "500"), encodeError(t, "Backoff", map[string]string{"after": "500"})},
 		"failed":    {AppendError(nil, 7, "Lost", "", ""), encodeError(t, "Lost", map[string]string{})},
-		"heartbeat": {AppendTrue(nil, 8, true), encode(t, []any{1, 8, nil, []any{true, map[string]string{}}})},
+		"heartbeat": {AppendHeartbeat(nil, 8, true), encode(t, []any{1, 8, nil, []any{true, map[string]string{}}})},
 
 		"rejected with advice":    {AppendRejected(nil, 7, 1500*time.Microsecond), encodeError(t, "Backoff", map[string]string{"after": "1"})},
 		"rejected without advice": {AppendRejected(nil, 7, 0), encodeError(t, "Backoff", map[string]string{})},
--- a/internal/platform/rpcserver/accept_test.go
+++ b/internal/platform/rpcserver/accept_test.go
@@ -54,7 +54,7 @@
 // TestAccept_NoDescriptorsLeft_EvictsAndRetriesWithPause runs on the clock of a synctest bubble.
 func TestAccept_NoDescriptorsLeft_EvictsAndRetriesWithPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := New(Config{Rules: rules, MaxConns: 2}, stubHandler{}, zerolog.Nop())
+		server := New(Config{Rules: rules, MaxConnections: 2}, stubHandler{}, zerolog.Nop())
 		listener := &exhaustedListener{until: time.Now().Add(time.Second), closed: make(chan bool)}
 		ours, theirs := net.Pipe()
 		server.admit(ours) // its client sends nothing
--- a/internal/platform/rpcserver/close_test.go
+++ b/internal/platform/rpcserver/close_test.go
@@ -32,7 +32,7 @@
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	ours, theirs := net.Pipe()
 	handler := pausingHandler{stubHandler{make(chan *stubRequest, 1), make(chan string, 1)}, make(chan bool), make(chan bool)}
-	server := New(Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}, handler, zerolog.Nop())
+	server := New(Config{Rules: rules, MaxConnections: 4, MaxInFlight: 4, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Minute}, handler, zerolog.Nop())
 	server.admit(ours)
 	always := func(connadmission.Connection) bool { return true }
 	connection := server.conns.All()[0]
--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -233,8 +233,8 @@
 func (c *conn) addInFlight(number uint32) (*pendingRequest, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.inFlight) >= c.server.cfg.MaxOpen {
-		return nil, protocolError("more than %d requests in flight", c.server.cfg.MaxOpen)
+	if len(c.inFlight) >= c.server.cfg.MaxInFlight {
+		return nil, protocolError("more than %d requests in flight", c.server.cfg.MaxInFlight)
 	}
 	if number <= c.lastNumber {
 		return nil, protocolError("number %d after %d", number, c.lastNumber)
@@ -259,7 +259,7 @@
 	c.lastNumber = max(c.lastNumber, number)
 	c.hasSentRequest = true
 	c.mu.Unlock()
-	c.enqueue(func(output []byte) []byte { return rpcframe.AppendTrue(output, number, c.server.handler.Ready()) })
+	c.enqueue(func(output []byte) []byte { return rpcframe.AppendHeartbeat(output, number, c.server.handler.Ready()) })
 }
 
 // cancelRequests cancels those requests that are still in flight.
--- a/internal/platform/rpcserver/disconnect_test.go
+++ b/internal/platform/rpcserver/disconnect_test.go
@@ -17,7 +17,7 @@
 	}
 	request.respond(Response{Kind: Served})
 	write(t, client, message(t, 0, 2, "heartbeat", []any{map[string]string{}}))
-	expect(t, client, rpcframe.AppendTrue(nil, 2, true))
+	expect(t, client, rpcframe.AppendHeartbeat(nil, 2, true))
 }
 
 func TestDisconnect_RequestInFlight_Cancelled(t *testing.T) {
--- a/internal/platform/rpcserver/helpers_test.go
+++ b/internal/platform/rpcserver/helpers_test.go
@@ -39,9 +39,9 @@
 func (h stubHandler) Ready() bool { return true }
 
 var rules = Rules{
-	Classes:  []Class{{Name: "quote", MaxTimeout: time.Second}, {Name: "log", MaxTimeout: time.Second, RequiresKey: true}},
-	Tenants:  []string{"acme", "other"},
-	MemoryMB: 1000,
+	Classes:     []Class{{Name: "quote", MaxTimeout: time.Second}, {Name: "log", MaxTimeout: time.Second, RequiresKey: true}},
+	Tenants:     []string{"acme", "other"},
+	MaxMemoryMB: 1000,
 }
 
 // startServer returns a server's handler and address. It is shut down when the test ends.
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	handler := stubHandler{make(chan *stubRequest, 64), make(chan string, 64)}
-	cfg := Config{Rules: rules, MaxConns: maxConns, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute}
+	cfg := Config{Rules: rules, MaxConnections: maxConns, MaxInFlight: 4, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Minute}
 	server := New(cfg, handler, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
--- a/internal/platform/rpcserver/output.go
+++ b/internal/platform/rpcserver/output.go
@@ -38,7 +38,7 @@
 	switch {
 	case c.lifecycle == lifecycleClosed || len(c.output) == 0:
 		c.output = nil
-	case len(c.output) > c.server.cfg.MaxOut:
+	case len(c.output) > c.server.cfg.MaxQueuedBytes:
 		c.output = nil
 		c.closeLocked()
 	case !c.writing:
@@ -53,15 +53,15 @@
 // The time since queuedAt says how late the process runs, so it is reported for the first write only: later output also
 // waits for the client to read what is before it.
 func (c *conn) writeQueued(queuedAt time.Time) {
-	if c.server.cfg.Wrote != nil {
-		c.server.cfg.Wrote(time.Since(queuedAt))
+	if c.server.cfg.ObserveWriteDelay != nil {
+		c.server.cfg.ObserveWriteDelay(time.Since(queuedAt))
 	}
 	var batch []byte
 	for {
 		if batch = c.nextBatch(batch); batch == nil {
 			return
 		}
-		clientconn.SetWriteTimeout(c.net, c.server.cfg.Write)
+		clientconn.SetWriteTimeout(c.net, c.server.cfg.WriteTimeout)
 		if _, err := c.net.Write(batch); err != nil {
 			c.mu.Lock()
 			c.closeLocked()
--- a/internal/platform/rpcserver/output_test.go
+++ b/internal/platform/rpcserver/output_test.go
@@ -19,8 +19,8 @@
 	handler := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
 	delays := make(chan time.Duration, 4)
 	server := New(Config{
-		Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute,
-		Wrote: func(delay time.Duration) { delays <- delay },
+		Rules: rules, MaxConnections: 4, MaxInFlight: 4, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Minute,
+		ObserveWriteDelay: func(delay time.Duration) { delays <- delay },
 	}, handler, zerolog.Nop())
 	server.admit(ours)
 	write(t, theirs, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(2))...))
--- a/internal/platform/rpcserver/rules.go
+++ b/internal/platform/rpcserver/rules.go
@@ -16,9 +16,9 @@
 
 // Rules are the names and bounds of what clients may request.
 type Rules struct {
-	Classes  []Class
-	Tenants  []string // empty where requests name no tenant
-	MemoryMB float64  // the most megabytes that a replica can need, 0 if unknown
+	Classes     []Class
+	Tenants     []string // empty where requests name no tenant
+	MaxMemoryMB float64  // the most megabytes that a replica can need, 0 if unknown
 }
 
 // Bounds of what a request may say.
@@ -107,8 +107,8 @@
 }
 
 func (r *Rules) maxMemoryMB() float64 {
-	if r.MemoryMB > 0 {
-		return r.MemoryMB
+	if r.MaxMemoryMB > 0 {
+		return r.MaxMemoryMB
 	}
 	return maxMemoryMB
 }
--- a/internal/platform/rpcserver/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -24,15 +24,15 @@
 
 // Config bounds what clients may do.
 type Config struct {
-	Rules    Rules
-	MaxConns int           // beyond, an idle connection is evicted, or else the new one rejected
-	MaxOpen  int           // requests in flight on one connection; one more breaks the protocol
-	MaxOut   int           // bytes of responses that a client has not read; beyond, its connection is closed
-	Write    time.Duration // for one write of queued responses
+	Rules          Rules
+	MaxConnections int           // beyond, an idle connection is evicted, or else the new one rejected
+	MaxInFlight    int           // requests in flight on one connection; one more breaks the protocol
+	MaxQueuedBytes int           // bytes of responses that a client has not read; beyond, its connection is closed
+	WriteTimeout   time.Duration // for one write of queued responses
 	// ObserveWriteDelay, unless nil, is called from the writing goroutines with the time between the queuing of a response
 	// and the start of its write. That time does not depend on the client.
-	Wrote func(delay time.Duration)
-	Rest  time.Duration // for which connections in the listener's backlog are still accepted during a shutdown
+	ObserveWriteDelay func(delay time.Duration)
+	AcceptGracePeriod time.Duration // for which connections in the listener's backlog are still accepted during a shutdown
 }
 
 // Counts are totals of a Server since its start. Their names in logs are documented for operators and stay.
@@ -61,7 +61,7 @@
 
 // New returns a Server that passes requests to handler.
 func New(cfg Config, handler Handler, log zerolog.Logger) *Server {
-	return &Server{cfg: cfg, handler: handler, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConns)}
+	return &Server{cfg: cfg, handler: handler, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConnections)}
 }
 
 // Counts returns the totals.
@@ -76,7 +76,7 @@
 }
 
 // ConnectionCount returns the number of open connections.
-func (s *Server) Conns() int { return s.conns.Len() }
+func (s *Server) ConnectionCount() int { return s.conns.Len() }
 
 // Serve accepts connections of l until l is closed or a shutdown began, and then closes l. Until ctx ends, a goroutine
 // that it starts goes on to close idle connections. It must be called once, before Shutdown.
@@ -168,7 +168,7 @@
 }
 
 // BeginShutdown begins a shutdown: accepting ends, and each connection is closed once nothing is in flight on it.
-func (s *Server) Finish() {
+func (s *Server) BeginShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shuttingDown = true
@@ -182,7 +182,7 @@
 		return
 	}
 	l, hasDeadline := s.listener.(interface{ SetDeadline(time.Time) error })
-	if !hasDeadline || l.SetDeadline(time.Now().Add(s.cfg.Rest)) != nil {
+	if !hasDeadline || l.SetDeadline(time.Now().Add(s.cfg.AcceptGracePeriod)) != nil {
 		_ = s.listener.Close()
 	}
 }
--- a/internal/platform/rpcserver/server_test.go
+++ b/internal/platform/rpcserver/server_test.go
@@ -23,7 +23,7 @@
 	expect(t, client, rpcframe.AppendError(nil, 1, "Backoff", "after", "250"))
 	first.respond(Response{Kind: Served}) // there is only one final response
 	write(t, client, message(t, 0, 3, "heartbeat", []any{map[string]string{}}))
-	expect(t, client, rpcframe.AppendTrue(nil, 3, true))
+	expect(t, client, rpcframe.AppendHeartbeat(nil, 3, true))
 }
 
 // TestRead_SplitOrBatchedSegments_AllServed cuts a request at every byte, and sends many in one segment.
--- a/internal/platform/rpcserver/shutdown_test.go
+++ b/internal/platform/rpcserver/shutdown_test.go
@@ -35,7 +35,7 @@
 		}
 		g := gatedListener{listener.(*net.TCPListener), make(chan bool)}
 		handler := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
-		cfg := Config{Rules: rules, MaxConns: 4, MaxOpen: 4, MaxOut: 1 << 20, Write: time.Minute, Rest: time.Minute}
+		cfg := Config{Rules: rules, MaxConnections: 4, MaxInFlight: 4, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Minute, AcceptGracePeriod: time.Minute}
 		server := New(cfg, handler, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		served := make(chan error, 1)
@@ -43,13 +43,13 @@
 		client := connect(t, listener.Addr().String())
 		write(t, client, requestMessage(t, 1, "quote", validFields(1)))
 		if shutdownFirst {
-			server.Finish()
+			server.BeginShutdown()
 			close(g.pass)
 		} else {
 			close(g.pass)
 			request := <-handler.requests
 			handler.requests <- request
-			server.Finish()
+			server.BeginShutdown()
 		}
 		request := <-handler.requests
 		request.respond(Response{Kind: Served, Body: []byte("one")})
@@ -72,14 +72,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := New(Config{Rules: rules, MaxConns: 4, Rest: time.Millisecond}, stubHandler{}, zerolog.Nop())
+		server := New(Config{Rules: rules, MaxConnections: 4, AcceptGracePeriod: time.Millisecond}, stubHandler{}, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		served := make(chan error, 1)
 		if shutdownFirst {
-			server.Finish()
+			server.BeginShutdown()
 		}
 		go func() { served <- server.Serve(ctx, listener) }()
-		server.Finish()
+		server.BeginShutdown()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
--- a/internal/workerconn/attempt.go
+++ b/internal/workerconn/attempt.go
@@ -54,8 +54,8 @@
 
 // Response is what a worker responded to an attempt.
 type Response struct {
-	ContentType   string  // content type
-	Body   []byte  // the whole body if Stream is nil
-	Length int64   // of the whole body in bytes, -1 if not known
-	Stream *Stream // the body of a response that arrives in parts, else nil
+	ContentType string  // content type
+	Body        []byte  // the whole body if Stream is nil
+	Length      int64   // of the whole body in bytes, -1 if not known
+	Stream      *Stream // the body of a response that arrives in parts, else nil
 }
