--- a/cmd/havencart/run.go
+++ b/cmd/havencart/run.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	log.Info().Str("listen", service.Address()).Int("loops", settings.Loops).Msg("running")
+	log.Info().Str("listen", service.Address()).Int("loops", settings.EventLoops).Msg("running")
 	counts, err := service.Run(cmd.Context())
 	log.Info().Interface("counts", counts).Err(err).Msg("stopped")
 	return err
--- a/cmd/havencart/serveplatform.go
+++ b/cmd/havencart/serveplatform.go
@@ -56,11 +56,11 @@
 }
 
 // loadPlatformConfig reads the configuration file; the name and address of the environment override those in it.
-func loadPlatformConfig(path string) (*platformconfig.Relay, error) {
+func loadPlatformConfig(path string) (*platformconfig.Config, error) {
 	if path == "" {
 		return nil, fmt.Errorf("%w: %s is not set", errUsage, envConfigPath)
 	}
-	config, err := platformconfig.LoadRelay(path)
+	config, err := platformconfig.Load(path)
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 		config.Name = name
 	}
 	if address := os.Getenv(envListenAddress); address != "" {
-		config.Listen = address
+		config.ListenAddress = address
 	}
 	return config, nil
 }
--- a/internal/config/gatewayconfig/gatewayconfig_test.go
+++ b/internal/config/gatewayconfig/gatewayconfig_test.go
@@ -38,12 +38,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Directory != (DiscoverySource{DiscoveryConsul, "http://127.0.0.1:8500", "my workers"}) || s.MaxBody != 2<<20 ||
+	if s.Discovery != (DiscoverySource{DiscoveryConsul, "http://127.0.0.1:8500", "my workers"}) || s.MaxBody != 2<<20 ||
 		len(s.Classes) != 2 || s.Classes[0].LatencyObjective != 500*time.Millisecond || s.Classes[0].Idempotency != scheduler.NonIdempotent ||
-		s.Classes[1].KeyScope != scheduler.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].Lanes != 4 {
+		s.Classes[1].KeyScope != scheduler.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].ReplicaConcurrency != 4 {
 		t.Errorf("%+v", s)
 	}
-	if s.MaxCalls != 20000 || s.Classes[1].GiveUp != 2*time.Second || s.MissAnswered {
+	if s.MaxInFlight != 20000 || s.Classes[1].Timeout != 2*time.Second || s.AnswersNotLoaded {
 		t.Errorf("defaults: %+v", s)
 	}
 }
@@ -101,7 +101,7 @@
 			t.Fatal(err)
 		}
 	}
-	if s, err := Load(filepath.Join(dir, "main")); err != nil || s.Queue != 7 || len(s.Classes) != 1 {
+	if s, err := Load(filepath.Join(dir, "main")); err != nil || s.RequestQueue != 7 || len(s.Classes) != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := Load(filepath.Join(dir, "loop")); !errors.Is(err, ErrSettings) {
@@ -130,7 +130,7 @@
 			return // reads files
 		}
 		s, err := Parse("f", text)
-		if err == nil && (len(s.Classes) == 0 || s.Directory.Kind == "" || s.Loops < 1 || s.MaxBody < 1) {
+		if err == nil && (len(s.Classes) == 0 || s.Discovery.Kind == "" || s.EventLoops < 1 || s.MaxBody < 1) {
 			t.Fatalf("accepted %+v", s)
 		}
 	})
@@ -141,17 +141,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, every := s.Watched()
-	if other == nil || every != 8 || other.Name != "campus" || other.Advice() != 0 || other.LoadWindow != 5*time.Second ||
-		other.LoadShare != 0.3 || other.MaxAttempts != 3 {
+	other, every := s.ShadowSettings()
+	if other == nil || every != 8 || other.Name != "campus" || other.EffectiveMaxRetryAfter() != 0 || other.LoadRateWindow != 5*time.Second ||
+		other.LoadRatePerRequest != 0.3 || other.MaxAttempts != 3 {
 		t.Errorf("shadow settings, one event in %d: %+v", every, other)
 	}
-	if s.Advice() != time.Second || s.LoadWindow != 0 || s.Name != "havencart" {
+	if s.EffectiveMaxRetryAfter() != time.Second || s.LoadRateWindow != 0 || s.Name != "havencart" {
 		t.Errorf("the block changed the settings outside: %+v", s)
 	}
 	if plain, err := Parse("f", good); err != nil {
 		t.Error(err)
-	} else if other, _ := plain.Watched(); other != nil {
+	} else if other, _ := plain.ShadowSettings(); other != nil {
 		t.Error("shadow settings without a block")
 	}
 }
--- a/internal/config/gatewayconfig/parse.go
+++ b/internal/config/gatewayconfig/parse.go
@@ -26,11 +26,11 @@
 func Parse(name, text string) (*Settings, error) {
 	settings, parser := &Settings{}, &directive.Parser{}
 	directive.Defaults(settings, settingsDirectives)
-	parser.Top = func(position directive.Place, words []directive.Word) {
+	parser.TopLevel = func(position directive.Position, words []directive.Word) {
 		settings.parseTopLevel(parser, position, words)
 	}
 	parser.Parse(name, text)
-	settings.validate(parser, directive.Place{File: name})
+	settings.validate(parser, directive.Position{File: name})
 	if err := parser.Err(); err != nil {
 		return nil, fmt.Errorf("%w:\n%w", ErrSettings, err)
 	}
@@ -38,7 +38,7 @@
 }
 
 // parseTopLevel handles a line outside blocks.
-func (s *Settings) parseTopLevel(parser *directive.Parser, position directive.Place, words []directive.Word) {
+func (s *Settings) parseTopLevel(parser *directive.Parser, position directive.Position, words []directive.Word) {
 	switch words[0].Text {
 	case "class":
 		directive.Block(parser, position, words, classDirectives, func(c *Class) *string { return &c.Name }, &s.Classes, nil)
@@ -54,14 +54,14 @@
 }
 
 // validate checks what no single line shows. Its errors are about the file as a whole.
-func (s *Settings) validate(parser *directive.Parser, position directive.Place) {
+func (s *Settings) validate(parser *directive.Parser, position directive.Position) {
 	if len(s.Classes) == 0 {
 		parser.Fail(position, 0, "no class is given; at least one is needed")
 	}
-	if s.Directory.Kind == "" {
+	if s.Discovery.Kind == "" {
 		parser.Fail(position, 0, "directory is not given")
 	}
-	if _, _, err := net.SplitHostPort(s.Listen); err != nil {
+	if _, _, err := net.SplitHostPort(s.ListenAddress); err != nil {
 		parser.Fail(position, 0, "listen: %v", err)
 	}
 	s.validateFrontEnds(parser, position, "")
@@ -72,24 +72,24 @@
 
 // validateFrontEnds checks that the front ends of this process are among those of the installation. prefix begins the
 // error.
-func (s *Settings) validateFrontEnds(parser *directive.Parser, position directive.Place, prefix string) {
-	if s.First+s.Loops > s.FrontEnds {
+func (s *Settings) validateFrontEnds(parser *directive.Parser, position directive.Position, prefix string) {
+	if s.FirstFrontEndIndex+s.EventLoops > s.FrontEndCount {
 		parser.Fail(position, 0, "%sfront ends %d to %d of this process, but front-ends says there are %d",
-			prefix, s.First, s.First+s.Loops-1, s.FrontEnds)
+			prefix, s.FirstFrontEndIndex, s.FirstFrontEndIndex+s.EventLoops-1, s.FrontEndCount)
 	}
 }
 
-func (s *Settings) validateClasses(parser *directive.Parser, position directive.Place) {
+func (s *Settings) validateClasses(parser *directive.Parser, position directive.Position) {
 	for _, class := range s.Classes {
-		if class.LatencyObjective > class.GiveUp {
-			parser.Fail(position, 0, "class %q: aim %v is past give-up %v", class.Name, class.LatencyObjective, class.GiveUp)
+		if class.LatencyObjective > class.Timeout {
+			parser.Fail(position, 0, "class %q: aim %v is past give-up %v", class.Name, class.LatencyObjective, class.Timeout)
 		}
 	}
 }
 
-func (s *Settings) validateFunctions(parser *directive.Parser, position directive.Place) {
+func (s *Settings) validateFunctions(parser *directive.Parser, position directive.Position) {
 	for _, function := range s.Functions {
-		if function.Class != "" && s.Class(function.Class) < 0 {
+		if function.Class != "" && s.ClassIndex(function.Class) < 0 {
 			parser.Fail(position, 0, "function %q: no class %q", function.Name, function.Class)
 		}
 	}
--- a/internal/config/gatewayconfig/settings.go
+++ b/internal/config/gatewayconfig/settings.go
@@ -18,68 +18,68 @@
 type Settings struct {
 	// The process and its place in the installation.
 
-	Name      string // unique in the installation
-	Listen    string // host:port that clients connect to
-	Loops     int    // front ends in this process, each with an event loop of its own
-	FrontEnds int    // front ends in the whole installation
-	First     int    // index of this process's first front end among them
-	Zone      string
-	Zones     []string // further zones; no directive sets them
-	Directory DiscoverySource
+	Name               string // unique in the installation
+	ListenAddress      string // host:port that clients connect to
+	EventLoops         int    // front ends in this process, each with an event loop of its own
+	FrontEndCount      int    // front ends in the whole installation
+	FirstFrontEndIndex int    // index of this process's first front end among them
+	Zone               string
+	Zones              []string // further zones; no directive sets them
+	Discovery          DiscoverySource
 
 	// What is served.
 
-	Classes       []Class
-	Tenants       []Tenant
-	Shares        tenancy.ShareBasis // what tenants' shares are measured in
-	Functions     []Function
-	FunctionsOnly bool // requests for functions that are not listed are rejected
-	Shadows       []Shadow
+	Classes             []Class
+	Tenants             []Tenant
+	ShareBasis          tenancy.ShareBasis // what tenants' shares are measured in
+	Functions           []Function
+	ListedFunctionsOnly bool // requests for functions that are not listed are rejected
+	Shadows             []Shadow
 
 	// What workers and their platform can do.
 
-	MissAnswered      bool // a worker without the function answers so in place of loading it
-	Orders            bool // load and unload orders may be sent
-	TellsWarm         bool // responses report whether the replica was loaded
-	TellsCrowd        bool // responses report the function's queue depth at the worker
-	Probes            bool // health checks may be sent
-	Sized             bool // a worker's scale is its capacity
-	Cancel            bool // requests may be cancelled
-	RetryAfterAllowed bool // a rejection says when to retry
+	AnswersNotLoaded    bool // a worker without the function answers so in place of loading it
+	LoadOrdersAllowed   bool // load and unload orders may be sent
+	ReportsColdStart    bool // responses report whether the replica was loaded
+	ReportsQueueDepth   bool // responses report the function's queue depth at the worker
+	HealthChecksAllowed bool // health checks may be sent
+	ScaleIsCapacity     bool // a worker's scale is its capacity
+	CancelAllowed       bool // requests may be cancelled
+	RetryAfterAllowed   bool // a rejection says when to retry
 
 	// What the scheduler goes by.
 
-	KeepAlive      time.Duration // an idle replica stays loaded for at least this long
-	OrderTimeout   time.Duration
-	LoadWindow     time.Duration // window of the load rate limit; 0: no limit
-	LoadFree       float64       // load orders allowed in each window
-	LoadShare      float64       // further ones for each request admitted in the window
-	MaxAttempts    int
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
-	DrainGrace     time.Duration // requests may still be sent to a draining worker for this long
-	ColdFrom       float64       // share of its capacity that a worker starts with
-	ColdTime       time.Duration
-	TipMultiple    float64
-	TipWindow      time.Duration
+	ReplicaIdleTimeout time.Duration // an idle replica stays loaded for at least this long
+	LoadOrderTimeout   time.Duration
+	LoadRateWindow     time.Duration // window of the load rate limit; 0: no limit
+	LoadRateBurst      float64       // load orders allowed in each window
+	LoadRatePerRequest float64       // further ones for each request admitted in the window
+	MaxAttempts        int
+	MaxRetryAfter      time.Duration
+	ConnectTimeout     time.Duration
+	DrainGrace         time.Duration // requests may still be sent to a draining worker for this long
+	SlowStartFraction  float64       // share of its capacity that a worker starts with
+	SlowStartDuration  time.Duration
+	OverloadFactor     float64
+	OverloadWindow     time.Duration
 
 	// Bounds and timeouts of the front end.
 
-	AnswerMargin time.Duration // the final response is sent this long before the request's deadline
-	MaxCalls     int           // requests in flight at one front end
-	Queue        int           // requests that wait for one event loop
-	Window       int           // bytes of one response that may be buffered
-	MaxBody      int           // bytes
-	MaxHeader    int           // bytes
-	MaxConns     int           // connections of clients
-	Pipeline     int           // requests in flight on one connection
-	IdleTime     time.Duration
-	HeaderTime   time.Duration
-	BodyTime     time.Duration
-	WriteTime    time.Duration
-	StallTime    time.Duration // a worker's response that makes no progress for this long is given up
-	HalfClosed   bool          // a client that closed its side for writing still waits for responses
-	StopWait     time.Duration // a graceful shutdown waits this long for requests in flight
+	DeadlineMargin  time.Duration // the final response is sent this long before the request's deadline
+	MaxInFlight     int           // requests in flight at one front end
+	RequestQueue    int           // requests that wait for one event loop
+	ResponseWindow  int           // bytes of one response that may be buffered
+	MaxBody         int           // bytes
+	MaxHeader       int           // bytes
+	MaxConnections  int           // connections of clients
+	MaxPipelined    int           // requests in flight on one connection
+	IdleTimeout     time.Duration
+	HeaderTimeout   time.Duration
+	BodyTimeout     time.Duration
+	WriteTimeout    time.Duration
+	StallTimeout    time.Duration // a worker's response that makes no progress for this long is given up
+	AllowHalfClosed bool          // a client that closed its side for writing still waits for responses
+	ShutdownTimeout time.Duration // a graceful shutdown waits this long for requests in flight
 }
 
 // DiscoveryKind is the kind of source that the endpoint list comes from.
@@ -93,31 +93,31 @@
 
 // DiscoverySource is where the endpoint list comes from: a service at Consul, or a file.
 type DiscoverySource struct {
-	Kind    DiscoveryKind
-	Where   string // Consul's URL, or the file's path
-	Service string // the service's name at Consul
+	Kind     DiscoveryKind
+	Location string // Consul's URL, or the file's path
+	Service  string // the service's name at Consul
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name             string
-	LatencyObjective time.Duration // latency objective
-	GiveUp           time.Duration // timeout of a request that sets none that is shorter
-	PriorityWeight   float64       // priority weight of a response within the objective
-	LateWeight       float64       // share of the weight that a later response keeps, 0 to 1
-	Idempotency      scheduler.Idempotency
-	KeyScope         scheduler.KeyScope
-	KeyRetention     time.Duration // idempotency keys are remembered for this long
-	Size             int           // megabytes of a replica
-	Lanes            int           // concurrency of a replica
-	Load             time.Duration // usual load time; 0: not known
+	Name               string
+	LatencyObjective   time.Duration // latency objective
+	Timeout            time.Duration // timeout of a request that sets none that is shorter
+	PriorityWeight     float64       // priority weight of a response within the objective
+	LateWeight         float64       // share of the weight that a later response keeps, 0 to 1
+	Idempotency        scheduler.Idempotency
+	KeyScope           scheduler.KeyScope
+	KeyRetention       time.Duration // idempotency keys are remembered for this long
+	ReplicaMemoryMB    int           // megabytes of a replica
+	ReplicaConcurrency int           // concurrency of a replica
+	LoadTimeEstimate   time.Duration // usual load time; 0: not known
 }
 
 // SchedulerClass returns the class as the scheduler has it.
-func (c Class) Control() scheduler.Class {
+func (c Class) SchedulerClass() scheduler.Class {
 	return scheduler.Class{
 		LatencyObjective: c.LatencyObjective,
-		Timeout:          c.GiveUp,
+		Timeout:          c.Timeout,
 		PriorityWeight:   c.PriorityWeight,
 		LateWeight:       c.LateWeight,
 		Idempotency:      c.Idempotency,
@@ -135,15 +135,15 @@
 
 // Function is a listed function. Values that are zero are those of its class.
 type Function struct {
-	Name  string
-	Class string // empty: the first class
-	Size  int    // megabytes of a replica
-	Lanes int    // concurrency of a replica
-	Load  time.Duration
+	Name               string
+	Class              string // empty: the first class
+	ReplicaMemoryMB    int    // megabytes of a replica
+	ReplicaConcurrency int    // concurrency of a replica
+	LoadTimeEstimate   time.Duration
 }
 
 // ClassIndex returns the index of the class of that name, or -1 if there is none.
-func (s *Settings) Class(name string) int {
+func (s *Settings) ClassIndex(name string) int {
 	for i, class := range s.Classes {
 		if class.Name == name {
 			return i
@@ -153,7 +153,7 @@
 }
 
 // EffectiveMaxRetryAfter returns the longest Retry-After that a rejection gives, 0 if it gives none.
-func (s *Settings) Advice() time.Duration {
+func (s *Settings) EffectiveMaxRetryAfter() time.Duration {
 	if !s.RetryAfterAllowed {
 		return 0
 	}
--- a/internal/config/gatewayconfig/shadow.go
+++ b/internal/config/gatewayconfig/shadow.go
@@ -48,17 +48,17 @@
 		return original.Set(&Settings{}, values)
 	}
 	return directive.Directive[Shadow]{
-		Name:  original.Name,
-		Takes: original.Takes,
-		Help:  original.Help,
-		Words: original.Words,
-		Set:   set,
+		Name:          original.Name,
+		AllowedValues: original.AllowedValues,
+		Help:          original.Help,
+		ValueCount:    original.ValueCount,
+		Set:           set,
 	}
 }
 
 // ShadowSettings returns the settings of the shadow evaluation, with all that its block does not give, and the interval of
 // its samples in events. It returns nil where the file has no valid block for it.
-func (s *Settings) Watched() (settings *Settings, sampleInterval int) {
+func (s *Settings) ShadowSettings() (settings *Settings, sampleInterval int) {
 	if len(s.Shadows) != 1 {
 		return nil, 0
 	}
@@ -74,12 +74,12 @@
 }
 
 // validateShadow checks what no single line of a shadow's block shows.
-func (s *Settings) validateShadow(parser *directive.Parser, position directive.Place) {
+func (s *Settings) validateShadow(parser *directive.Parser, position directive.Position) {
 	if len(s.Shadows) > 1 {
 		parser.Fail(position, 0, "%d watch blocks; one is allowed", len(s.Shadows))
 		return
 	}
-	if shadow, _ := s.Watched(); shadow != nil {
+	if shadow, _ := s.ShadowSettings(); shadow != nil {
 		shadow.validateFrontEnds(parser, position, fmt.Sprintf("watch %q: ", shadow.Name))
 	}
 }
--- a/internal/config/platformconfig/config.go
+++ b/internal/config/platformconfig/config.go
@@ -9,16 +9,16 @@
 )
 
 // Config is the configuration with which the platform starts a front end.
-type Relay struct {
-	Name     string
-	Listen   string // host:port that clients connect to
-	Seed     uint64
-	Cores    float64         // limit of the process
-	MemoryMB int             // limit of the process
-	Sockets  int             // limit of the process's file descriptors
-	Bulletin string          // host:port of the endpoint stream
-	Known    json.RawMessage // the endpoint stream's events up to the start; may be empty
-	Site     Site
+type Config struct {
+	Name                  string
+	ListenAddress         string // host:port that clients connect to
+	Seed                  uint64
+	Cores                 float64         // limit of the process
+	MemoryMB              int             // limit of the process
+	MaxDescriptors        int             // limit of the process's file descriptors
+	EndpointStreamAddress string          // host:port of the endpoint stream
+	InitialEvents         json.RawMessage // the endpoint stream's events up to the start; may be empty
+	Settings              Settings
 }
 
 // maxConfigBytes bounds a configuration file.
@@ -26,7 +26,7 @@
 
 // Load reads the configuration file at path. An error about the content wraps ErrMalformed, any other is that of
 // the file.
-func LoadRelay(path string) (*Relay, error) {
+func Load(path string) (*Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -38,12 +38,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	return ParseRelay(text)
+	return ParseConfig(text)
 }
 
 // ParseConfig reads a configuration, fills in the defaults of its settings and checks it. Every error wraps
 // ErrMalformed and names the first key that is wrong.
-func ParseRelay(text []byte) (*Relay, error) {
+func ParseConfig(text []byte) (*Config, error) {
 	var decoded configJSON
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return nil, fmt.Errorf("%w: configuration: %w", ErrMalformed, err)
@@ -55,7 +55,7 @@
 	if err := decoded.validate(); err != nil {
 		return nil, err
 	}
-	settings, err := Parse(decoded.Settings, seed)
+	settings, err := ParseSettings(decoded.Settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -63,32 +63,32 @@
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return &Relay{
-		Name:     decoded.Name,
-		Listen:   decoded.ListenAddress,
-		Seed:     seed,
-		Cores:    decoded.Limits.Cores,
-		MemoryMB: decoded.Limits.MemoryMB,
-		Sockets:  decoded.Limits.Descriptors,
-		Bulletin: decoded.EndpointStreamAddress,
-		Known:    decoded.InitialEvents,
-		Site:     settings,
+	return &Config{
+		Name:                  decoded.Name,
+		ListenAddress:         decoded.ListenAddress,
+		Seed:                  seed,
+		Cores:                 decoded.Limits.Cores,
+		MemoryMB:              decoded.Limits.MemoryMB,
+		MaxDescriptors:        decoded.Limits.Descriptors,
+		EndpointStreamAddress: decoded.EndpointStreamAddress,
+		InitialEvents:         decoded.InitialEvents,
+		Settings:              settings,
 	}, nil
 }
 
 // FirstDifference returns the first key by which other is the configuration of another deployment, or "" if there is none. The
 // address of the endpoint stream may differ, as it may change while a front end runs, and so may all that is not
 // compared here.
-func (r *Relay) Differs(other *Relay) string {
+func (r *Config) FirstDifference(other *Config) string {
 	for _, comparison := range []struct {
 		key  string
 		same bool
 	}{
 		{"name", r.Name == other.Name},
-		{"settings.classes", slices.Equal(r.Site.Classes, other.Site.Classes)},
-		{"settings.customers", slices.Equal(r.Site.Tenants, other.Site.Tenants)},
-		{"settings.azs", slices.Equal(r.Site.Zones, other.Site.Zones)},
-		{"settings.skus", slices.Equal(r.Site.Kinds, other.Site.Kinds)},
+		{"settings.classes", slices.Equal(r.Settings.ClassNames, other.Settings.ClassNames)},
+		{"settings.customers", slices.Equal(r.Settings.TenantNames, other.Settings.TenantNames)},
+		{"settings.azs", slices.Equal(r.Settings.ZoneNames, other.Settings.ZoneNames)},
+		{"settings.skus", slices.Equal(r.Settings.WorkerKinds, other.Settings.WorkerKinds)},
 	} {
 		if !comparison.same {
 			return comparison.key
--- a/internal/config/platformconfig/config_test.go
+++ b/internal/config/platformconfig/config_test.go
@@ -13,12 +13,12 @@
 	"classes":[{"name":"quote","deadline":800.0,"onTime":500.0,"repeat":"retryable","worth":2.0}]}}`
 
 func TestParseConfig_Valid_ReturnsAllParts(t *testing.T) {
-	r, err := ParseRelay([]byte(configText))
+	r, err := ParseConfig([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Name != "n3" || r.Seed != 0x8c1f30d27a5be964 || r.Site.Control.Seed != r.Seed || r.MemoryMB != 32 || r.Sockets != 256 ||
-		r.Bulletin != "127.0.0.2:2379" || r.Site.Longest() != 800*time.Millisecond {
+	if r.Name != "n3" || r.Seed != 0x8c1f30d27a5be964 || r.Settings.Scheduler.Seed != r.Seed || r.MemoryMB != 32 || r.MaxDescriptors != 256 ||
+		r.EndpointStreamAddress != "127.0.0.2:2379" || r.Settings.MaxTimeout() != 800*time.Millisecond {
 		t.Errorf("parsed %+v", r)
 	}
 }
@@ -48,12 +48,12 @@
 		{`"azs":["a"]`, `"azs":["a"],"familyInfo":{"keep":-1}`, "settings.familyInfo.keep"},
 	} {
 		bad := strings.Replace(configText, test.old, test.new, 1)
-		if _, err := ParseRelay([]byte(bad)); !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), test.field) {
+		if _, err := ParseConfig([]byte(bad)); !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), test.field) {
 			t.Errorf("with %s: %v; want an error that names %s", test.new, err, test.field)
 		}
 	}
 	for cut := range configText { // a file that is not yet written to its end
-		if _, err := ParseRelay([]byte(configText[:cut])); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseConfig([]byte(configText[:cut])); !errors.Is(err, ErrMalformed) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	}
@@ -67,24 +67,24 @@
 			t.Fatal(cut)
 		}
 	}
-	r, err := ParseRelay([]byte(bare))
+	r, err := ParseConfig([]byte(bare))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := r.Site
-	c := s.Control
-	if len(s.Zones) != 1 || s.Zones[0] != "" || len(s.Kinds) != 1 || s.Kinds[0] != "" || len(s.Tenants) != 0 {
-		t.Errorf("zones %q, kinds %q, tenants %q", s.Zones, s.Kinds, s.Tenants)
+	s := r.Settings
+	c := s.Scheduler
+	if len(s.ZoneNames) != 1 || s.ZoneNames[0] != "" || len(s.WorkerKinds) != 1 || s.WorkerKinds[0] != "" || len(s.TenantNames) != 0 {
+		t.Errorf("zones %q, kinds %q, tenants %q", s.ZoneNames, s.WorkerKinds, s.TenantNames)
 	}
-	if s.MaxCalls < 1<<30 || s.ConnIdle < time.Hour || c.LoadOrderTimeout != 800*time.Millisecond || c.MaxAttempts != 1 ||
+	if s.MaxInFlight < 1<<30 || s.WorkerIdleTimeout < time.Hour || c.LoadOrderTimeout != 800*time.Millisecond || c.MaxAttempts != 1 ||
 		c.OverloadWindow != 0 || c.MaxRetryAfter != 0 || c.LoadOrdersAllowed || c.AnswersNotLoaded || c.FrontEndCount != 1 ||
-		c.Classes[0].LatencyObjective != 800*time.Millisecond || len(r.Known) != 0 {
+		c.Classes[0].LatencyObjective != 800*time.Millisecond || len(r.InitialEvents) != 0 {
 		t.Errorf("parsed %+v", s)
 	}
 }
 
 func TestFirstDifference_OtherDeployment_ReturnsKey(t *testing.T) {
-	r, err := ParseRelay([]byte(configText))
+	r, err := ParseConfig([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,11 +97,11 @@
 		{`"skus":["std"]`, `"skus":["big"]`, "settings.skus"},
 		{`"azs":["a"]`, `"azs":["a"],"customers":[{"name":"x"}]`, "settings.customers"},
 	} {
-		other, err := ParseRelay([]byte(strings.Replace(configText, test.old, test.new, 1)))
+		other, err := ParseConfig([]byte(strings.Replace(configText, test.old, test.new, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if field := r.Differs(other); field != test.field {
+		if field := r.FirstDifference(other); field != test.field {
 			t.Errorf("with %s: differs by %q, want %q", test.new, field, test.field)
 		}
 	}
@@ -110,7 +110,7 @@
 func FuzzParseConfig(f *testing.F) {
 	f.Add([]byte(configText))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if _, err := ParseRelay(text); err != nil && !errors.Is(err, ErrMalformed) {
+		if _, err := ParseConfig(text); err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
 		}
 	})
--- a/internal/config/platformconfig/settings.go
+++ b/internal/config/platformconfig/settings.go
@@ -16,47 +16,47 @@
 var ErrMalformed = errors.New("malformed settings")
 
 // Settings is what a settings object holds: the scheduler's settings, and what only a front end on the network needs.
-type Site struct {
-	Control  scheduler.Settings
-	Classes  []string      // names, in the order of the scheduler's classes
-	Tenants  []string      // names, in the order of the scheduler's tenants
-	Zones    []string      // names; the scheduler's zone is an index into them
-	Kinds    []string      // names of the kinds of worker
-	Streams  int           // requests that one connection to a worker carries at a time
-	ConnIdle time.Duration // a worker closes a connection that was idle for this long
-	MaxCalls int           // requests in flight at one front end
-	MemoryMB float64       // memory of the largest kind of worker, 0 if it is not given
+type Settings struct {
+	Scheduler            scheduler.Settings
+	ClassNames           []string      // names, in the order of the scheduler's classes
+	TenantNames          []string      // names, in the order of the scheduler's tenants
+	ZoneNames            []string      // names; the scheduler's zone is an index into them
+	WorkerKinds          []string      // names of the kinds of worker
+	StreamsPerConnection int           // requests that one connection to a worker carries at a time
+	WorkerIdleTimeout    time.Duration // a worker closes a connection that was idle for this long
+	MaxInFlight          int           // requests in flight at one front end
+	MaxWorkerMemoryMB    float64       // memory of the largest kind of worker, 0 if it is not given
 }
 
 // ParseSettings reads a settings object. seed becomes the scheduler's seed. Optional parts that are not given stay zero, and
 // values are not checked for their range. Every error wraps ErrMalformed.
-func Parse(text []byte, seed uint64) (Site, error) {
+func ParseSettings(text []byte, seed uint64) (Settings, error) {
 	var decoded settingsJSON
 	if err := json.Unmarshal(text, &decoded); err != nil {
-		return Site{}, fmt.Errorf("%w: %w", ErrMalformed, err)
+		return Settings{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	settings := Site{
-		Control:  decoded.scheduler(seed),
-		Zones:    decoded.ZoneNames,
-		Kinds:    decoded.WorkerKinds,
-		Streams:  decoded.Limits.StreamsPerConnection,
-		ConnIdle: decoded.Limits.WorkerIdleTimeout.duration(),
-		MaxCalls: decoded.Limits.MaxInFlight,
+	settings := Settings{
+		Scheduler:            decoded.scheduler(seed),
+		ZoneNames:            decoded.ZoneNames,
+		WorkerKinds:          decoded.WorkerKinds,
+		StreamsPerConnection: decoded.Limits.StreamsPerConnection,
+		WorkerIdleTimeout:    decoded.Limits.WorkerIdleTimeout.duration(),
+		MaxInFlight:          decoded.Limits.MaxInFlight,
 	}
 	for _, memoryMB := range decoded.Functions.WorkerMemoryMB {
-		settings.MemoryMB = max(settings.MemoryMB, memoryMB)
+		settings.MaxWorkerMemoryMB = max(settings.MaxWorkerMemoryMB, memoryMB)
 	}
 	for _, tenant := range decoded.Tenants {
-		settings.Tenants = append(settings.Tenants, tenant.Name)
-		settings.Control.Tenants = append(settings.Control.Tenants, scheduler.Tenant{Share: tenant.Share, Quota: tenant.Quota})
+		settings.TenantNames = append(settings.TenantNames, tenant.Name)
+		settings.Scheduler.Tenants = append(settings.Scheduler.Tenants, scheduler.Tenant{Share: tenant.Share, Quota: tenant.Quota})
 	}
 	for i, class := range decoded.Classes {
 		converted, err := class.scheduler()
 		if err != nil {
-			return Site{}, fmt.Errorf("%w: classes[%d].%w", ErrMalformed, i, err)
+			return Settings{}, fmt.Errorf("%w: classes[%d].%w", ErrMalformed, i, err)
 		}
-		settings.Classes = append(settings.Classes, class.Name)
-		settings.Control.Classes = append(settings.Control.Classes, converted)
+		settings.ClassNames = append(settings.ClassNames, class.Name)
+		settings.Scheduler.Classes = append(settings.Scheduler.Classes, converted)
 	}
 	return settings, nil
 }
@@ -136,9 +136,9 @@
 }
 
 // MaxTimeout returns the longest timeout of any class, and so the longest that a client waits.
-func (s Site) Longest() time.Duration {
+func (s Settings) MaxTimeout() time.Duration {
 	longest := time.Duration(0)
-	for _, class := range s.Control.Classes {
+	for _, class := range s.Scheduler.Classes {
 		longest = max(longest, class.Timeout)
 	}
 	return longest
--- a/internal/config/platformconfig/settings_test.go
+++ b/internal/config/platformconfig/settings_test.go
@@ -15,26 +15,26 @@
 		"familyInfo": {"keep": 8600.0, "whenAbsent": "miss", "mayLoad": true},
 		"limits": {"streamsPerConn": 32, "connIdle": 30000.0, "openCap": 20000, "maxAttempts": 5, "maxRetryAfter": 500.0, "retryAfter": true, "mayCancel": true},
 		"rules": {"cold": 17000.0, "coldFrom": 0.2, "fall": 2000.0, "stopSendingWithin": 500.0, "tipMultiple": 2.0}}`
-	site, err := Parse([]byte(text), 9)
+	site, err := ParseSettings([]byte(text), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := site.Control
+	s := site.Scheduler
 	c := s.Classes[0]
 	if s.Seed != 9 || s.FrontEndCount != 3 || !s.WatchOnStart || !s.AnswersNotLoaded || s.ReplicaIdleTimeout != 8600*time.Millisecond ||
 		s.MaxRetryAfter != 500*time.Millisecond || s.OverloadWindow != 2*time.Second || s.HedgingAllowed ||
 		c.Idempotency != scheduler.IdempotentByKey || c.KeyScope != scheduler.ScopeCell || c.KeyRetention != 6*time.Second || s.Tenants[0].Share != 0.82 {
 		t.Errorf("parsed %+v", s)
 	}
-	if site.Streams != 32 || site.ConnIdle != 30*time.Second || site.MaxCalls != 20000 || len(site.Zones) != 2 ||
-		site.Kinds[0] != "std" || site.Classes[0] != "log" || site.Tenants[0] != "p" {
+	if site.StreamsPerConnection != 32 || site.WorkerIdleTimeout != 30*time.Second || site.MaxInFlight != 20000 || len(site.ZoneNames) != 2 ||
+		site.WorkerKinds[0] != "std" || site.ClassNames[0] != "log" || site.TenantNames[0] != "p" {
 		t.Errorf("parsed %+v", site)
 	}
 }
 
 func TestParseSettings_Malformed_WrapsErrMalformed(t *testing.T) {
 	for _, bad := range []string{"", "{", "[]", `{"classes": [{"repeat": "sometimes"}]}`, `{"balancers": "three"}`} {
-		if _, err := Parse([]byte(bad), 0); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseSettings([]byte(bad), 0); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q: error %v", bad, err)
 		}
 	}
@@ -43,7 +43,7 @@
 func FuzzParseSettings(f *testing.F) {
 	f.Add([]byte(`{"classes": [{"repeat": "dedup", "keyScope": "zone"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if _, err := Parse(text, 1); err != nil && !errors.Is(err, ErrMalformed) {
+		if _, err := ParseSettings(text, 1); err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
 		}
 	})
--- a/internal/config/platformconfig/validate.go
+++ b/internal/config/platformconfig/validate.go
@@ -60,22 +60,22 @@
 }
 
 // setDefaults gives optional parts that are missing the meaning that the platform's protocol gives them.
-func (s *Site) setDefaults() {
-	if len(s.Zones) == 0 {
-		s.Zones = []string{""} // a single zone without a name
+func (s *Settings) setDefaults() {
+	if len(s.ZoneNames) == 0 {
+		s.ZoneNames = []string{""} // a single zone without a name
 	}
-	if len(s.Kinds) == 0 {
-		s.Kinds = []string{""}
+	if len(s.WorkerKinds) == 0 {
+		s.WorkerKinds = []string{""}
 	}
-	if s.MaxCalls == 0 {
-		s.MaxCalls = math.MaxInt // the front end's own bound applies
+	if s.MaxInFlight == 0 {
+		s.MaxInFlight = math.MaxInt // the front end's own bound applies
 	}
-	if s.ConnIdle == 0 {
-		s.ConnIdle = math.MaxInt64 // workers keep idle connections
+	if s.WorkerIdleTimeout == 0 {
+		s.WorkerIdleTimeout = math.MaxInt64 // workers keep idle connections
 	}
-	settings := &s.Control
+	settings := &s.Scheduler
 	if settings.LoadOrderTimeout == 0 {
-		settings.LoadOrderTimeout = s.Longest() // every request that an order could serve is over by then
+		settings.LoadOrderTimeout = s.MaxTimeout() // every request that an order could serve is over by then
 	}
 	if settings.OverloadFactor == 0 {
 		settings.OverloadWindow = 0 // workers in slow start are not overloaded
@@ -90,23 +90,23 @@
 }
 
 // validate returns the error about the first key whose value is not allowed.
-func (s *Site) validate() error {
+func (s *Settings) validate() error {
 	if err := s.validateClasses(); err != nil {
 		return err
 	}
 	if err := s.validateTenants(); err != nil {
 		return err
 	}
-	settings := &s.Control
-	hasZone := settings.Zone >= 0 && settings.Zone < len(s.Zones)
+	settings := &s.Scheduler
+	hasZone := settings.Zone >= 0 && settings.Zone < len(s.ZoneNames)
 	isFraction := settings.SlowStartFraction >= 0 && settings.SlowStartFraction <= 1
 	return firstInvalid([]fieldCheck{
 		{"settings.zone", hasZone, settings.Zone, "a place in settings.azs"},
 		{"settings.resolution", settings.Resolution >= 0, settings.Resolution, zeroOrMore},
-		{"settings.limits.streamsPerConn", s.Streams > 0, s.Streams, aboveZero},
+		{"settings.limits.streamsPerConn", s.StreamsPerConnection > 0, s.StreamsPerConnection, aboveZero},
 		{"settings.limits.connectTimeout", settings.ConnectTimeout > 0, settings.ConnectTimeout, aboveZero},
-		{"settings.limits.connIdle", s.ConnIdle > 0, s.ConnIdle, zeroOrMore},
-		{"settings.limits.openCap", s.MaxCalls > 0, s.MaxCalls, zeroOrMore},
+		{"settings.limits.connIdle", s.WorkerIdleTimeout > 0, s.WorkerIdleTimeout, zeroOrMore},
+		{"settings.limits.openCap", s.MaxInFlight > 0, s.MaxInFlight, zeroOrMore},
 		{"settings.limits.maxRetryAfter", settings.MaxRetryAfter >= 0, settings.MaxRetryAfter, zeroOrMore},
 		{"settings.familyInfo.keep", settings.ReplicaIdleTimeout >= 0, settings.ReplicaIdleTimeout, zeroOrMore},
 		{"settings.familyInfo.loadWait", settings.LoadOrderTimeout > 0, settings.LoadOrderTimeout, zeroOrMore},
@@ -119,14 +119,14 @@
 	})
 }
 
-func (s *Site) validateClasses() error {
-	if len(s.Classes) == 0 {
+func (s *Settings) validateClasses() error {
+	if len(s.ClassNames) == 0 {
 		return invalidField("settings.classes", "empty", "one class at least")
 	}
-	for i, class := range s.Control.Classes {
+	for i, class := range s.Scheduler.Classes {
 		prefix := fmt.Sprintf("settings.classes[%d].", i)
 		err := firstInvalid([]fieldCheck{
-			{prefix + "name", isUnique(s.Classes, i), strconv.Quote(s.Classes[i]), uniqueName},
+			{prefix + "name", isUnique(s.ClassNames, i), strconv.Quote(s.ClassNames[i]), uniqueName},
 			{prefix + "deadline", class.Timeout > 0, class.Timeout, aboveZero},
 			{prefix + "onTime", class.LatencyObjective >= 0, class.LatencyObjective, zeroOrMore},
 			{prefix + "memorySpan", class.KeyRetention >= 0, class.KeyRetention, zeroOrMore},
@@ -139,11 +139,11 @@
 	return nil
 }
 
-func (s *Site) validateTenants() error {
-	for i, tenant := range s.Control.Tenants {
+func (s *Settings) validateTenants() error {
+	for i, tenant := range s.Scheduler.Tenants {
 		prefix := fmt.Sprintf("settings.customers[%d].", i)
 		err := firstInvalid([]fieldCheck{
-			{prefix + "name", isUnique(s.Tenants, i), strconv.Quote(s.Tenants[i]), uniqueName},
+			{prefix + "name", isUnique(s.TenantNames, i), strconv.Quote(s.TenantNames[i]), uniqueName},
 			{prefix + "portion", tenant.Share >= 0, tenant.Share, zeroOrMore},
 		})
 		if err != nil {
--- a/internal/directive/directive.go
+++ b/internal/directive/directive.go
@@ -21,18 +21,18 @@
 
 // Directive declares one directive of a block whose settings are a T.
 type Directive[T any] struct {
-	Name    string
-	Takes   string // the allowed values, for error messages and the reference page
-	Default string // value that is set where none is given; empty: none
-	Help    string // one line for the reference page
-	Words   int    // values on the line; 0 stands for 1, AnyValueCount for any number
-	Many    bool   // may be given more than once in a block
-	Set     func(t *T, values []string) error
+	Name          string
+	AllowedValues string // the allowed values, for error messages and the reference page
+	Default       string // value that is set where none is given; empty: none
+	Help          string // one line for the reference page
+	ValueCount    int    // values on the line; 0 stands for 1, AnyValueCount for any number
+	Repeatable    bool   // may be given more than once in a block
+	Set           func(t *T, values []string) error
 }
 
 // apply sets the values of one line. It returns ErrValue, or the error of Set, if they are not allowed.
 func (d *Directive[T]) apply(t *T, values []string) error {
-	if d.Words != AnyValueCount && len(values) != max(1, d.Words) {
+	if d.ValueCount != AnyValueCount && len(values) != max(1, d.ValueCount) {
 		return ErrValue
 	}
 	return d.Set(t, values)
--- a/internal/directive/directive_test.go
+++ b/internal/directive/directive_test.go
@@ -25,7 +25,7 @@
 var settingsTable = []Directive[settings]{
 	Size("size", 1, 1<<20, "4k", "", func(s *settings) *int { return &s.size }),
 	Duration("timeout", time.Millisecond, time.Hour, "1s", "", func(s *settings) *time.Duration { return &s.timeout }),
-	{Name: "words", Takes: "words", Words: AnyValueCount, Many: true, Set: func(s *settings, values []string) error {
+	{Name: "words", AllowedValues: "words", ValueCount: AnyValueCount, Repeatable: true, Set: func(s *settings, values []string) error {
 		s.words = append(s.words, values...)
 		return nil
 	}},
@@ -39,7 +39,7 @@
 	var parsed settings
 	Defaults(&parsed, settingsTable)
 	parser := &Parser{}
-	parser.Top = func(position Place, words []Word) {
+	parser.TopLevel = func(position Position, words []Word) {
 		if words[0].Text == "block" {
 			Block(parser, position, words, blockTable, func(b *block) *string { return &b.name }, &parsed.blocks, nil)
 			return
--- a/internal/directive/parser.go
+++ b/internal/directive/parser.go
@@ -18,7 +18,7 @@
 )
 
 // Position is a line of a file.
-type Place struct {
+type Position struct {
 	File string
 	Line int    // from 1; 0 stands for the file as a whole
 	Text string // the line as it is written
@@ -41,7 +41,7 @@
 // Parser reads a settings file and collects its errors. It is for one file; included files are read with it.
 type Parser struct {
 	// TopLevel handles each line that is in no block, mostly by Block or Apply. It is set before Parse.
-	Top func(at Place, words []Word)
+	TopLevel func(at Position, words []Word)
 
 	errs  []error
 	given map[string]bool // directives given outside blocks
@@ -51,15 +51,15 @@
 // openBlock is a block whose end has not been read.
 type openBlock struct {
 	name   string
-	start  Place
+	start  Position
 	column int
 	given  map[string]bool // directives given in the block
-	line   func(at Place, words []Word)
+	line   func(at Position, words []Word)
 	end    func()
 }
 
 // Fail records an error at a place; column counts from 1.
-func (p *Parser) Fail(position Place, column int, format string, args ...any) {
+func (p *Parser) Fail(position Position, column int, format string, args ...any) {
 	p.errs = append(p.errs, &Error{File: position.File, Line: position.Line, Column: column, Err: fmt.Errorf(format, args...)})
 }
 
@@ -78,7 +78,7 @@
 
 func (p *Parser) parseFile(name, text string, depth int) {
 	for i, line := range strings.Split(text, "\n") {
-		position := Place{File: name, Line: i + 1, Text: line}
+		position := Position{File: name, Line: i + 1, Text: line}
 		words, errorColumn, err := tokenize(line)
 		if err != nil {
 			p.Fail(position, errorColumn, "%w", err)
@@ -90,13 +90,13 @@
 	}
 }
 
-func (p *Parser) parseLine(position Place, words []Word, depth int) {
+func (p *Parser) parseLine(position Position, words []Word, depth int) {
 	first := words[0].Text
 	switch {
 	case first == includeWord:
 		p.include(position, words, depth)
 	case p.block == nil:
-		p.Top(position, words)
+		p.TopLevel(position, words)
 	case first == endWord:
 		p.block.end()
 		p.block = nil
@@ -105,7 +105,7 @@
 	}
 }
 
-func (p *Parser) include(position Place, words []Word, depth int) {
+func (p *Parser) include(position Position, words []Word, depth int) {
 	if len(words) != 2 || depth >= maxIncludeDepth {
 		p.Fail(position, words[0].Column, "include takes one file, %d deep at most", maxIncludeDepth)
 		return
@@ -125,8 +125,8 @@
 // Block opens a block that is named by the line's second word; its end appends the block's settings to list. name
 // returns where the settings hold the block's name. other, unless nil, is given each line of the block first; where it
 // returns true the line is not looked up in the table. Blocks do not nest.
-func Block[T any](parser *Parser, position Place, words []Word, table []Directive[T], name func(*T) *string, list *[]T,
-	other func(t *T, position Place, words []Word) bool,
+func Block[T any](parser *Parser, position Position, words []Word, table []Directive[T], name func(*T) *string, list *[]T,
+	other func(t *T, position Position, words []Word) bool,
 ) {
 	settings := new(T)
 	Defaults(settings, table)
@@ -137,7 +137,7 @@
 		*name(settings) = words[1].Text
 		failOnRepeatedName(parser, position, words, name, *list)
 	}
-	line := func(position Place, words []Word) {
+	line := func(position Position, words []Word) {
 		if other != nil && other(settings, position, words) {
 			return
 		}
@@ -154,7 +154,7 @@
 }
 
 // failOnRepeatedName records an error for each block of the list that has the name of the block opened by words.
-func failOnRepeatedName[T any](parser *Parser, position Place, words []Word, name func(*T) *string, list []T) {
+func failOnRepeatedName[T any](parser *Parser, position Position, words []Word, name func(*T) *string, list []T) {
 	for i := range list {
 		if *name(&list[i]) == words[1].Text {
 			parser.Fail(position, words[1].Column, "%s %q is given twice", words[0].Text, words[1].Text)
@@ -164,11 +164,11 @@
 
 // Apply sets in t what one line says. alternatives names what else may stand there, for the error about a directive
 // that the table does not have.
-func Apply[T any](parser *Parser, position Place, words []Word, t *T, table []Directive[T], alternatives string) {
+func Apply[T any](parser *Parser, position Position, words []Word, t *T, table []Directive[T], alternatives string) {
 	keyword := words[0]
 	for i := range table {
 		if table[i].Name == keyword.Text {
-			parser.checkRepeated(position, keyword, table[i].Many)
+			parser.checkRepeated(position, keyword, table[i].Repeatable)
 			applyValues(parser, position, words, t, &table[i])
 			return
 		}
@@ -182,7 +182,7 @@
 
 // checkRepeated notes that a directive is given in the present block, and records an error if it may not be given
 // again.
-func (p *Parser) checkRepeated(position Place, keyword Word, repeatable bool) {
+func (p *Parser) checkRepeated(position Position, keyword Word, repeatable bool) {
 	given := p.given
 	if p.block != nil {
 		given = p.block.given
@@ -193,7 +193,7 @@
 	given[keyword.Text] = true
 }
 
-func applyValues[T any](parser *Parser, position Place, words []Word, t *T, directive *Directive[T]) {
+func applyValues[T any](parser *Parser, position Position, words []Word, t *T, directive *Directive[T]) {
 	values := make([]string, 0, len(words))
 	for _, word := range words[1:] {
 		values = append(values, word.Text)
@@ -203,6 +203,6 @@
 		column = words[1].Column
 	}
 	if directive.apply(t, values) != nil {
-		parser.Fail(position, column, "%s: found %q; allowed: %s", directive.Name, strings.Join(values, " "), directive.Takes)
+		parser.Fail(position, column, "%s: found %q; allowed: %s", directive.Name, strings.Join(values, " "), directive.AllowedValues)
 	}
 }
--- a/internal/directive/reference.go
+++ b/internal/directive/reference.go
@@ -13,6 +13,6 @@
 		if defaultValue == "" {
 			defaultValue = "-"
 		}
-		fmt.Fprintf(out, "| `%s` | %s | %s | %s |\n", directive.Name, directive.Takes, defaultValue, directive.Help)
+		fmt.Fprintf(out, "| `%s` | %s | %s | %s |\n", directive.Name, directive.AllowedValues, defaultValue, directive.Help)
 	}
 }
--- a/internal/directive/values.go
+++ b/internal/directive/values.go
@@ -22,7 +22,7 @@
 		*field(t) = value
 		return nil
 	}
-	return Directive[T]{Name: name, Takes: takes, Default: defaultValue, Help: help, Set: set}
+	return Directive[T]{Name: name, AllowedValues: takes, Default: defaultValue, Help: help, Set: set}
 }
 
 // Duration declares a directive whose value is a time from least to most, such as 1.5s.
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -124,7 +124,7 @@
 }
 
 // ConsulInstance is one entry of the health endpoint's response, as far as it is read. Its keys are Consul's.
-type Instance struct {
+type ConsulInstance struct {
 	Node struct {
 		Address string `json:"Address,omitempty"`
 	} `json:"Node"`
@@ -134,11 +134,11 @@
 		Port    int               `json:"Port,omitempty"`
 		Meta    map[string]string `json:"Meta,omitempty"`
 	} `json:"Service"`
-	Checks []Check `json:"Checks"`
+	Checks []ConsulCheck `json:"Checks"`
 }
 
 // ConsulCheck is one health check of an instance. Its keys are Consul's.
-type Check struct {
+type ConsulCheck struct {
 	CheckID string `json:"CheckID"`
 	Status  string `json:"Status"` // passing, warning or critical
 }
@@ -150,13 +150,13 @@
 	statusCritical           = "critical"
 )
 
-func (c Check) isMaintenance() bool {
+func (c ConsulCheck) isMaintenance() bool {
 	return strings.HasPrefix(c.CheckID, serviceMaintenancePrefix) || c.CheckID == nodeMaintenance
 }
 
 // ParseConsul reads a response of the health endpoint. Every error wraps ErrMalformed.
 func ParseConsul(raw []byte) ([]Worker, error) {
-	var instances []Instance
+	var instances []ConsulInstance
 	if err := json.Unmarshal(raw, &instances); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
@@ -171,7 +171,7 @@
 	return list, validate(list)
 }
 
-func (i Instance) worker() (Worker, error) {
+func (i ConsulInstance) worker() (Worker, error) {
 	host := i.Service.Address
 	if host == "" {
 		host = i.Node.Address
@@ -204,7 +204,7 @@
 }
 
 // state derives the worker's state from its checks; maintenance goes before a critical check.
-func (i Instance) state() scheduler.WorkerState {
+func (i ConsulInstance) state() scheduler.WorkerState {
 	state := scheduler.Ready
 	for _, check := range i.Checks {
 		if check.isMaintenance() {
--- a/internal/discovery/endpointstream.go
+++ b/internal/discovery/endpointstream.go
@@ -164,7 +164,7 @@
 	silenceTimeout := reconnect.WatchSilenceTimeout(s.rng.Float64())
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(silenceTimeout)) // fails on a closed connection only
-		event, err := endpointstream.Read(reader, len(s.zones), len(s.kinds))
+		event, err := endpointstream.ReadEvent(reader, len(s.zones), len(s.kinds))
 		if err != nil {
 			return received, fmt.Errorf("read the endpoint stream: %w", err)
 		}
@@ -215,12 +215,12 @@
 		Address: entry.Address.String(),
 		Zone:    s.zones[entry.Zone],
 		Cell:    strconv.Itoa(entry.Cell),
-		Kind:    s.kinds[entry.Kind],
+		Kind:    s.kinds[entry.WorkerKind],
 		Scale:   entry.Weight,
 		State:   schedulerStates[entry.State],
 	}
-	if entry.Started > 0 {
-		worker.Started = time.UnixMilli(entry.Started)
+	if entry.StartedUnixMilli > 0 {
+		worker.Started = time.UnixMilli(entry.StartedUnixMilli)
 	}
 	return worker
 }
--- a/internal/discovery/endpointstream_reconnect_test.go
+++ b/internal/discovery/endpointstream_reconnect_test.go
@@ -56,7 +56,7 @@
 
 func (c connection) send(t *testing.T, e endpointstream.Event) {
 	t.Helper()
-	if _, err := c.Write(endpointstream.Append(nil, e)); err != nil {
+	if _, err := c.Write(endpointstream.AppendEvent(nil, e)); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -102,7 +102,7 @@
 
 // Event numbers continue, no event is applied twice, and the old connection is no longer read.
 func TestEndpointStream_AddressChangesAtAnyMoment_ResumesWithoutRepeats(t *testing.T) {
-	raw := endpointstream.Append(nil, secondEvent)
+	raw := endpointstream.AppendEvent(nil, secondEvent)
 	for name, change := range map[string]func(t *testing.T, stream *EndpointStream, first connection) (last uint64){
 		"in the middle of an event": func(t *testing.T, _ *EndpointStream, first connection) uint64 {
 			if _, err := first.Write(raw[:len(raw)-1]); err != nil {
@@ -181,7 +181,7 @@
 
 // The events arrive in two parts, cut at every byte, and as a whole.
 func TestEndpointStream_EventsSplitAtAnyByte_AppliesEachOnce(t *testing.T) {
-	raw := endpointstream.Append(endpointstream.Append(endpointstream.Append(nil, secondEvent), endpointstream.Event{Number: 4}),
+	raw := endpointstream.AppendEvent(endpointstream.AppendEvent(endpointstream.AppendEvent(nil, secondEvent), endpointstream.Event{Number: 4}),
 		event(5, endpointstream.Snapshot, entry(3, 9003, 0), entry(1, 9001, 1)))
 	for cut := range raw {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/discovery/endpointstream_test.go
+++ b/internal/discovery/endpointstream_test.go
@@ -22,7 +22,7 @@
 	return endpointstream.Entry{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), State: state, Weight: 1.5}
 }
 
-func event(number uint64, kind endpointstream.Kind, entries ...endpointstream.Entry) endpointstream.Event {
+func event(number uint64, kind endpointstream.EventKind, entries ...endpointstream.Entry) endpointstream.Event {
 	return endpointstream.Event{Number: number, Kind: kind, Entries: entries}
 }
 
@@ -88,8 +88,8 @@
 	server.Tell(event(5, endpointstream.Delta, entry(1, 9001, endpointstream.Draining)))
 	expectList(t, received, "1d 2 ")
 	server.Tell(event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Removed), entry(3, 9001, endpointstream.Ready)))
-	expectList(t, received, "2 3 ")                                                                              // another worker at the address of a removed one
-	server.Raw(endpointstream.Append(nil, event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Ready)))) // repeated
+	expectList(t, received, "2 3 ")                                                                                   // another worker at the address of a removed one
+	server.Raw(endpointstream.AppendEvent(nil, event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Ready)))) // repeated
 	server.Tell(event(7, endpointstream.Snapshot, entry(9, 9009, endpointstream.Ready)))
 	expectList(t, received, "9 ")
 }
@@ -100,7 +100,7 @@
 	_, received := follow(t, server.Address())
 	<-received
 	<-server.Asked()
-	server.Raw(endpointstream.Append(nil, event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
+	server.Raw(endpointstream.AppendEvent(nil, event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
 	server.Break()
 	if last := <-server.Asked(); last != 3 {
 		t.Errorf("after half an event resumed from %d", last)
--- a/internal/gateway/catalog.go
+++ b/internal/gateway/catalog.go
@@ -53,11 +53,11 @@
 
 // NewCatalog returns what the settings say of classes, tenants and functions.
 func NewCatalog(set *gatewayconfig.Settings) *Catalog {
-	catalog := &Catalog{Functions: map[string]CatalogFunction{}, ListedOnly: set.FunctionsOnly}
+	catalog := &Catalog{Functions: map[string]CatalogFunction{}, ListedOnly: set.ListedFunctionsOnly}
 	for _, class := range set.Classes {
 		catalog.Classes = append(catalog.Classes, CatalogClass{
-			Name: class.Name, MaxTimeout: class.GiveUp,
-			Replica: replicaSpec(class.Size, class.Lanes, class.Load),
+			Name: class.Name, MaxTimeout: class.Timeout,
+			Replica: replicaSpec(class.ReplicaMemoryMB, class.ReplicaConcurrency, class.LoadTimeEstimate),
 		})
 	}
 	for _, tenant := range set.Tenants {
@@ -65,8 +65,8 @@
 	}
 	for _, function := range set.Functions {
 		catalog.Functions[function.Name] = CatalogFunction{
-			Class:   max(0, set.Class(function.Class)),
-			Replica: replicaSpec(function.Size, function.Lanes, function.Load),
+			Class:   max(0, set.ClassIndex(function.Class)),
+			Replica: replicaSpec(function.ReplicaMemoryMB, function.ReplicaConcurrency, function.LoadTimeEstimate),
 		}
 	}
 	return catalog
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -44,7 +44,7 @@
 // PlatformServer is a front end on the users' platform: one event loop, with the platform's protocols towards clients,
 // workers and endpoint discovery. Its methods may be called from any goroutine; Run once.
 type PlatformServer struct {
-	config    *platformconfig.Relay
+	config    *platformconfig.Config
 	log       zerolog.Logger
 	loop      *EventLoop
 	listener  net.Listener
@@ -59,29 +59,29 @@
 
 // NewPlatformServer prepares a front end and opens its listener, which Run closes. It sets limits of the whole
 // process: the processors and the memory that the runtime uses.
-func NewPlatformServer(config *platformconfig.Relay, log zerolog.Logger) (*PlatformServer, error) {
+func NewPlatformServer(config *platformconfig.Config, log zerolog.Logger) (*PlatformServer, error) {
 	runtime.GOMAXPROCS(max(1, int(config.Cores+0.5)))
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(config.MemoryMB) * bytesPerMB))
 	log = sampled(log)
-	clientConns, workerConns := connadmission.SplitDescriptors(config.Sockets)
+	clientConns, workerConns := connadmission.SplitDescriptors(config.MaxDescriptors)
 	server := &PlatformServer{
 		config: config,
 		log:    log,
 		budget: workerclient.NewConnectionBudget(workerConns),
 		after:  func(d time.Duration, f func()) { time.AfterFunc(d, f) },
 	}
-	site := config.Site
+	site := config.Settings
 	var err error
-	server.endpoints, err = discovery.NewEndpointStream(config.Bulletin, config.Known, site.Zones, site.Kinds, config.Seed)
+	server.endpoints, err = discovery.NewEndpointStream(config.EndpointStreamAddress, config.InitialEvents, site.ZoneNames, site.WorkerKinds, config.Seed)
 	if err != nil {
 		return nil, err
 	}
-	server.listener, err = net.Listen("tcp", config.Listen)
+	server.listener, err = net.Listen("tcp", config.ListenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("clients' listener: %w", err)
 	}
 	server.clients = rpcserver.New(rpcserver.Config{
-		Rules:             clientRules(config.Site),
+		Rules:             clientRules(config.Settings),
 		MaxConnections:    clientConns,
 		MaxInFlight:       platformMaxOpen,
 		MaxQueuedBytes:    platformMaxUnsent,
@@ -94,11 +94,11 @@
 }
 
 // clientRules are the names and bounds of what clients may ask.
-func clientRules(site platformconfig.Site) rpcserver.Rules {
-	rules := rpcserver.Rules{Tenants: site.Tenants, MaxMemoryMB: site.MemoryMB}
-	for i, class := range site.Control.Classes {
+func clientRules(site platformconfig.Settings) rpcserver.Rules {
+	rules := rpcserver.Rules{Tenants: site.TenantNames, MaxMemoryMB: site.MaxWorkerMemoryMB}
+	for i, class := range site.Scheduler.Classes {
 		rules.Classes = append(rules.Classes, rpcserver.Class{
-			Name:        site.Classes[i],
+			Name:        site.ClassNames[i],
 			MaxTimeout:  class.Timeout,
 			RequiresKey: class.Idempotency == scheduler.IdempotentByKey,
 		})
@@ -107,21 +107,21 @@
 }
 
 func (p *PlatformServer) loopConfig() EventLoopConfig {
-	site := p.config.Site
+	site := p.config.Settings
 	return EventLoopConfig{
 		Source:          p.endpoints,
 		RequestQueue:    platformRequestQueue,
 		EventQueue:      platformEventQueue,
 		Dial:            p.newWorkerClient,
-		ShutdownTimeout: max(platformAcceptRest, min(site.Longest(), platformMaxShutdown)-platformAcceptRest),
+		ShutdownTimeout: max(platformAcceptRest, min(site.MaxTimeout(), platformMaxShutdown)-platformAcceptRest),
 		Settings: Settings{
 			Name:           p.config.Name,
-			Classes:        site.Classes,
-			Tenants:        site.Tenants,
-			Zones:          site.Zones,
-			Scheduler:      site.Control,
+			Classes:        site.ClassNames,
+			Tenants:        site.TenantNames,
+			Zones:          site.ZoneNames,
+			Scheduler:      site.Scheduler,
 			DeadlineMargin: platformDeadlineMargin,
-			MaxInFlight:    min(platformMaxInFlight, site.MaxCalls),
+			MaxInFlight:    min(platformMaxInFlight, site.MaxInFlight),
 			ClockStart:     time.Now(),
 		},
 	}
@@ -129,18 +129,18 @@
 
 // newWorkerClient starts a client of a worker in the platform's protocol. It is a Dial.
 func (p *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, now func() time.Duration, events muxclient.Events) ClosableWorkerClient {
-	site := p.config.Site
+	site := p.config.Settings
 	return workerclient.New(workerclient.Config{
 		Worker:               w.Name,
 		Address:              w.Address,
-		ConnectTimeout:       site.Control.ConnectTimeout,
-		StreamsPerConnection: site.Streams,
-		IdleTimeout:          site.ConnIdle,
+		ConnectTimeout:       site.Scheduler.ConnectTimeout,
+		StreamsPerConnection: site.StreamsPerConnection,
+		IdleTimeout:          site.WorkerIdleTimeout,
 		MaxQueue:             workerQueue,
 		MaxResponse:          platformMaxResponse,
-		LoadReportFields:     site.Control.LoadReportFields,
+		LoadReportFields:     site.Scheduler.LoadReportFields,
 		Budget:               p.budget,
-		Seed:                 site.Control.Seed ^ uint64(id),
+		Seed:                 site.Scheduler.Seed ^ uint64(id),
 		Now:                  now,
 	}, events)
 }
@@ -170,7 +170,7 @@
 		request.complete(FinalResponse{
 			Kind:       Rejected,
 			Reason:     TooManyBodyBytes.String(),
-			RetryAfter: p.config.Site.Control.MaxRetryAfter,
+			RetryAfter: p.config.Settings.Scheduler.MaxRetryAfter,
 		})
 		return func() {}, nil
 	}
@@ -222,13 +222,13 @@
 
 // Reload takes a configuration that was read again. Only the address of endpoint discovery can change while the server
 // runs; a configuration of another deployment changes nothing.
-func (p *PlatformServer) Reload(config *platformconfig.Relay) {
-	if field := p.config.Differs(config); field != "" {
+func (p *PlatformServer) Reload(config *platformconfig.Config) {
+	if field := p.config.FirstDifference(config); field != "" {
 		p.log.Error().Str("field", field).Msg("the configuration stays as it was: the new one is of another front end")
 		return
 	}
-	p.log.Info().Str("discovery-address", config.Bulletin).Msg("configuration reloaded")
-	p.endpoints.SetAddress(config.Bulletin)
+	p.log.Info().Str("discovery-address", config.EndpointStreamAddress).Msg("configuration reloaded")
+	p.endpoints.SetAddress(config.EndpointStreamAddress)
 }
 
 // Run serves until ctx ends, then shuts down gracefully: clients are accepted for platformAcceptGrace more, and after
--- a/internal/gateway/platform_server_test.go
+++ b/internal/gateway/platform_server_test.go
@@ -68,7 +68,7 @@
 // newPlatformHarness prepares a PlatformServer, which listens; run starts its Run.
 func newPlatformHarness(t *testing.T, discovery, worker string) (server *platformHarness, run func()) {
 	t.Helper()
-	set, err := platformconfig.ParseRelay(fmt.Appendf(nil, relayConfig, discovery, worker))
+	set, err := platformconfig.ParseConfig(fmt.Appendf(nil, relayConfig, discovery, worker))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -256,7 +256,7 @@
 	}
 	t.Cleanup(other.Close)
 	moved := *server.config
-	moved.Bulletin = other.Address()
+	moved.EndpointStreamAddress = other.Address()
 	server.Reload(&moved)
 	if last := <-other.Asked(); last != 1 {
 		t.Errorf("requested from event %d", last)
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -38,7 +38,7 @@
 
 // NewService prepares a gateway and opens its listener, which Run and Kill close. Run serves.
 func NewService(set *gatewayconfig.Settings, log zerolog.Logger) (*Service, error) {
-	listener, err := net.Listen("tcp", set.Listen)
+	listener, err := net.Listen("tcp", set.ListenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("clients' listener: %w", err)
 	}
@@ -46,8 +46,8 @@
 	s := &Service{settings: set, log: log, listener: listener}
 	catalog := NewCatalog(set)
 	clockStart := time.Now()
-	for i := range set.Loops {
-		loopLog := log.With().Int("front-end", set.First+i).Logger()
+	for i := range set.EventLoops {
+		loopLog := log.With().Int("front-end", set.FirstFrontEndIndex+i).Logger()
 		s.loops = append(s.loops, NewEventLoop(loopConfig(set, i, clockStart), loopLog))
 	}
 	newHandler := func() httpserver.Handler {
@@ -60,16 +60,16 @@
 // serverConfig bounds what clients may do.
 func serverConfig(set *gatewayconfig.Settings) httpserver.Config {
 	return httpserver.Config{
-		IdleTimeout:    set.IdleTime,
-		HeaderTimeout:  set.HeaderTime,
-		BodyTimeout:    set.BodyTime,
-		WriteTimeout:   set.WriteTime,
-		StallTimeout:   set.StallTime,
+		IdleTimeout:    set.IdleTimeout,
+		HeaderTimeout:  set.HeaderTimeout,
+		BodyTimeout:    set.BodyTimeout,
+		WriteTimeout:   set.WriteTimeout,
+		StallTimeout:   set.StallTimeout,
 		MaxHeaderBytes: set.MaxHeader,
 		MaxBodyBytes:   set.MaxBody,
-		MaxPipelined:   set.Pipeline,
-		MaxConnections: set.MaxConns,
-		KeepHalfClosed: set.HalfClosed,
+		MaxPipelined:   set.MaxPipelined,
+		MaxConnections: set.MaxConnections,
+		KeepHalfClosed: set.AllowHalfClosed,
 	}
 }
 
@@ -113,7 +113,7 @@
 	defer stopListening()
 	err := s.clients.Serve(s.listener)
 	s.closeListener()
-	shutdownCtx, cancel := context.WithTimeout(context.Background(), s.settings.StopWait+s.settings.WriteTime)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), s.settings.ShutdownTimeout+s.settings.WriteTimeout)
 	defer cancel()
 	s.clients.Shutdown(shutdownCtx)
 	total, clean := loopsEnded()
--- a/internal/gateway/service_settings.go
+++ b/internal/gateway/service_settings.go
@@ -26,15 +26,15 @@
 func loopConfig(set *gatewayconfig.Settings, i int, clockStart time.Time) EventLoopConfig {
 	cfg := EventLoopConfig{
 		Settings:        SettingsFromConfig(set, i, clockStart, rand.Uint64()),
-		RequestQueue:    set.Queue,
+		RequestQueue:    set.RequestQueue,
 		EventQueue:      eventQueue,
-		ShutdownTimeout: set.StopWait,
-		WorkerClient:    muxclient.Config{ConnectTimeout: set.ConnectTimeout, Window: set.Window, MaxQueue: workerQueue},
+		ShutdownTimeout: set.ShutdownTimeout,
+		WorkerClient:    muxclient.Config{ConnectTimeout: set.ConnectTimeout, Window: set.ResponseWindow, MaxQueue: workerQueue},
 	}
-	if set.Directory.Kind == "file" {
-		cfg.Source = discovery.NewFile(set.Directory.Where)
+	if set.Discovery.Kind == "file" {
+		cfg.Source = discovery.NewFile(set.Discovery.Location)
 	} else {
-		cfg.Source = discovery.NewConsul(set.Directory.Where, set.Directory.Service, cfg.Name)
+		cfg.Source = discovery.NewConsul(set.Discovery.Location, set.Discovery.Service, cfg.Name)
 	}
 	return cfg
 }
@@ -43,9 +43,9 @@
 // random numbers are drawn from seed.
 func SettingsFromConfig(set *gatewayconfig.Settings, i int, clockStart time.Time, seed uint64) Settings {
 	out := Settings{
-		Name:           fmt.Sprintf("%s-%d", set.Name, set.First+i),
-		DeadlineMargin: set.AnswerMargin,
-		MaxInFlight:    set.MaxCalls,
+		Name:           fmt.Sprintf("%s-%d", set.Name, set.FirstFrontEndIndex+i),
+		DeadlineMargin: set.DeadlineMargin,
+		MaxInFlight:    set.MaxInFlight,
 		ClockStart:     clockStart,
 		Zones:          append([]string{set.Zone}, set.Zones...),
 		Scheduler:      schedulerSettings(set, i, seed),
@@ -57,7 +57,7 @@
 	for _, tenant := range set.Tenants {
 		out.Tenants = append(out.Tenants, tenant.Name)
 	}
-	if shadowed, interval := set.Watched(); shadowed != nil {
+	if shadowed, interval := set.ShadowSettings(); shadowed != nil {
 		out.Shadow = &shadow.Settings{Scheduler: schedulerSettings(shadowed, i, seed), SampleInterval: interval}
 	}
 	return out
@@ -65,10 +65,10 @@
 
 // tenancySettings are what the tenants were promised of one front end: of quotas its part, of shares all.
 func tenancySettings(set *gatewayconfig.Settings) tenancy.Settings {
-	out := tenancy.Settings{Basis: set.Shares}
+	out := tenancy.Settings{Basis: set.ShareBasis}
 	for _, tenant := range set.Tenants {
 		out.Shares = append(out.Shares, tenant.Share)
-		out.Quotas = append(out.Quotas, tenant.Quota/float64(max(1, set.FrontEnds)))
+		out.Quotas = append(out.Quotas, tenant.Quota/float64(max(1, set.FrontEndCount)))
 	}
 	return out
 }
@@ -77,33 +77,33 @@
 func schedulerSettings(set *gatewayconfig.Settings, i int, seed uint64) scheduler.Settings {
 	out := scheduler.Settings{
 		Seed:                seed,
-		FrontEndIndex:       set.First + i,
-		FrontEndCount:       set.FrontEnds,
-		AnswersNotLoaded:    set.MissAnswered,
-		LoadOrdersAllowed:   set.Orders,
-		ReportsColdStart:    set.TellsWarm,
-		ReportsQueueDepth:   set.TellsCrowd,
-		ReplicaIdleTimeout:  set.KeepAlive,
-		LoadOrderTimeout:    set.OrderTimeout,
-		LoadRateWindow:      set.LoadWindow,
-		LoadRateBurst:       set.LoadFree,
-		LoadRatePerRequest:  set.LoadShare,
-		HealthChecksAllowed: set.Probes,
-		CancelAllowed:       set.Cancel,
+		FrontEndIndex:       set.FirstFrontEndIndex + i,
+		FrontEndCount:       set.FrontEndCount,
+		AnswersNotLoaded:    set.AnswersNotLoaded,
+		LoadOrdersAllowed:   set.LoadOrdersAllowed,
+		ReportsColdStart:    set.ReportsColdStart,
+		ReportsQueueDepth:   set.ReportsQueueDepth,
+		ReplicaIdleTimeout:  set.ReplicaIdleTimeout,
+		LoadOrderTimeout:    set.LoadOrderTimeout,
+		LoadRateWindow:      set.LoadRateWindow,
+		LoadRateBurst:       set.LoadRateBurst,
+		LoadRatePerRequest:  set.LoadRatePerRequest,
+		HealthChecksAllowed: set.HealthChecksAllowed,
+		CancelAllowed:       set.CancelAllowed,
 		MaxAttempts:         set.MaxAttempts,
-		MaxRetryAfter:       set.Advice(),
+		MaxRetryAfter:       set.EffectiveMaxRetryAfter(),
 		ConnectTimeout:      set.ConnectTimeout,
 		DrainGrace:          set.DrainGrace,
-		SlowStartFraction:   set.ColdFrom,
-		SlowStartDuration:   set.ColdTime,
-		OverloadFactor:      set.TipMultiple,
-		OverloadWindow:      set.TipWindow,
+		SlowStartFraction:   set.SlowStartFraction,
+		SlowStartDuration:   set.SlowStartDuration,
+		OverloadFactor:      set.OverloadFactor,
+		OverloadWindow:      set.OverloadWindow,
 		Resolution:          time.Millisecond,
 		LoadReportFields:    loadReportFields,
-		ScaleIsCapacity:     set.Sized,
+		ScaleIsCapacity:     set.ScaleIsCapacity,
 	}
 	for _, class := range set.Classes {
-		out.Classes = append(out.Classes, class.Control())
+		out.Classes = append(out.Classes, class.SchedulerClass())
 	}
 	for _, tenant := range set.Tenants {
 		out.Tenants = append(out.Tenants, scheduler.Tenant{Share: tenant.Share, Quota: tenant.Quota})
--- a/internal/platform/endpointstream/event.go
+++ b/internal/platform/endpointstream/event.go
@@ -30,25 +30,25 @@
 )
 
 // EventKind is the kind of an event. Its values are those on the wire.
-type Kind byte
+type EventKind byte
 
 // The kinds of event.
 const (
-	NoChange Kind = iota // a sign of life without entries
-	Snapshot             // the whole list
-	Delta                // only the workers that changed
+	NoChange EventKind = iota // a sign of life without entries
+	Snapshot                  // the whole list
+	Delta                     // only the workers that changed
 )
 
 // Entry describes one worker in an event.
 type Entry struct {
-	ID      uint32
-	Address netip.AddrPort // IPv4
-	State   State
-	Zone    int     // index into the platform's list of zones
-	Kind    int     // index into the platform's list of worker kinds
-	Cell    int     // number of the worker's cell
-	Weight  float64 // relative capacity; above 0 unless the worker is Removed
-	Started int64   // time of the worker's start in Unix milliseconds, 0 if it is not announced
+	ID               uint32
+	Address          netip.AddrPort // IPv4
+	State            State
+	Zone             int     // index into the platform's list of zones
+	WorkerKind       int     // index into the platform's list of worker kinds
+	Cell             int     // number of the worker's cell
+	Weight           float64 // relative capacity; above 0 unless the worker is Removed
+	StartedUnixMilli int64   // time of the worker's start in Unix milliseconds, 0 if it is not announced
 }
 
 // Name returns the worker's name in the form that configuration and logs use, such as s-00c41f7a.
@@ -61,7 +61,7 @@
 // the one before it.
 type Event struct {
 	Number  uint64
-	Kind    Kind
+	Kind    EventKind
 	Entries []Entry
 }
 
@@ -70,9 +70,9 @@
 	switch {
 	case e.State > Removed,
 		e.Zone >= zones,
-		e.Kind >= kinds,
+		e.WorkerKind >= kinds,
 		e.Address.Port() == 0,
-		e.Started < 0,
+		e.StartedUnixMilli < 0,
 		e.lacksWeight():
 		return fmt.Errorf("%w: worker %+v", ErrMalformed, e)
 	}
--- a/internal/platform/endpointstream/frame.go
+++ b/internal/platform/endpointstream/frame.go
@@ -33,7 +33,7 @@
 }
 
 // AppendEvent appends the event's frame to buf. The event must be one that ReadEvent accepts.
-func Append(buf []byte, event Event) []byte {
+func AppendEvent(buf []byte, event Event) []byte {
 	buf = binary.BigEndian.AppendUint32(buf, uint32(lengthOverhead+entrySize*len(event.Entries)))
 	buf = binary.BigEndian.AppendUint64(buf, event.Number)
 	buf = append(buf, byte(event.Kind))
@@ -48,16 +48,16 @@
 	buf = binary.BigEndian.AppendUint32(buf, entry.ID)
 	buf = append(buf, ip[:]...)
 	buf = binary.BigEndian.AppendUint16(buf, entry.Address.Port())
-	buf = append(buf, byte(entry.State), byte(entry.Zone), byte(entry.Kind))
+	buf = append(buf, byte(entry.State), byte(entry.Zone), byte(entry.WorkerKind))
 	buf = binary.BigEndian.AppendUint16(buf, uint16(entry.Cell))
 	buf = binary.BigEndian.AppendUint32(buf, uint32(math.Round(entry.Weight*weightUnit)))
-	return binary.BigEndian.AppendUint64(buf, uint64(entry.Started))
+	return binary.BigEndian.AppendUint64(buf, uint64(entry.StartedUnixMilli))
 }
 
 // ReadEvent reads the next event of a platform with that many zones and worker kinds. An error that wraps ErrMalformed is
 // about the content; any other, such as io.EOF between two events, is the reader's. After an error the position in the
 // stream is unknown and the connection must be given up.
-func Read(r io.Reader, zones, kinds int) (Event, error) {
+func ReadEvent(r io.Reader, zones, kinds int) (Event, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return Event{}, err
@@ -65,7 +65,7 @@
 	size := binary.BigEndian.Uint32(header[:])
 	event := Event{
 		Number: binary.BigEndian.Uint64(header[4:]),
-		Kind:   Kind(header[12]),
+		Kind:   EventKind(header[12]),
 	}
 	if !validSize(size) || !event.Kind.allowsSize(size) {
 		return event, fmt.Errorf("%w: event of kind %d, %d bytes long", ErrMalformed, event.Kind, size)
@@ -94,7 +94,7 @@
 }
 
 // allowsSize reports whether the kind is known and an event of it may have a frame of that length.
-func (k Kind) allowsSize(size uint32) bool {
+func (k EventKind) allowsSize(size uint32) bool {
 	if k > Delta {
 		return false
 	}
@@ -105,13 +105,13 @@
 	address := netip.AddrFrom4([4]byte(record[4:8]))
 	port := binary.BigEndian.Uint16(record[8:])
 	return Entry{
-		ID:      binary.BigEndian.Uint32(record[:]),
-		Address: netip.AddrPortFrom(address, port),
-		State:   State(record[10]),
-		Zone:    int(record[11]),
-		Kind:    int(record[12]),
-		Cell:    int(binary.BigEndian.Uint16(record[13:])),
-		Weight:  float64(binary.BigEndian.Uint32(record[15:])) / weightUnit,
-		Started: int64(binary.BigEndian.Uint64(record[19:])),
+		ID:               binary.BigEndian.Uint32(record[:]),
+		Address:          netip.AddrPortFrom(address, port),
+		State:            State(record[10]),
+		Zone:             int(record[11]),
+		WorkerKind:       int(record[12]),
+		Cell:             int(binary.BigEndian.Uint16(record[13:])),
+		Weight:           float64(binary.BigEndian.Uint32(record[15:])) / weightUnit,
+		StartedUnixMilli: int64(binary.BigEndian.Uint64(record[19:])),
 	}
 }
--- a/internal/platform/endpointstream/frame_test.go
+++ b/internal/platform/endpointstream/frame_test.go
@@ -11,16 +11,16 @@
 
 var event = Event{Number: 41, Kind: Delta, Entries: []Entry{{
 	ID: 0xc41f7a, Address: netip.MustParseAddrPort("10.1.0.9:9090"),
-	State: Draining, Zone: 1, Kind: 0, Cell: 2, Weight: 4, Started: 1700000000000,
+	State: Draining, Zone: 1, WorkerKind: 0, Cell: 2, Weight: 4, StartedUnixMilli: 1700000000000,
 }}}
 
 func TestRead_AppendedEvents_ReturnsThemUnchanged(t *testing.T) {
-	raw := Append(Append(nil, event), Event{Number: 41})
+	raw := AppendEvent(AppendEvent(nil, event), Event{Number: 41})
 	r := bytes.NewReader(raw)
-	if e, err := Read(r, 2, 1); err != nil || !reflect.DeepEqual(e, event) {
+	if e, err := ReadEvent(r, 2, 1); err != nil || !reflect.DeepEqual(e, event) {
 		t.Errorf("%+v came back as %+v, %v", event, e, err)
 	}
-	if e, err := Read(r, 2, 1); err != nil || e.Kind != NoChange || len(e.Entries) != 0 {
+	if e, err := ReadEvent(r, 2, 1); err != nil || e.Kind != NoChange || len(e.Entries) != 0 {
 		t.Errorf("an empty event came back as %+v, %v", e, err)
 	}
 	if event.Entries[0].Name() != "s-00c41f7a" {
@@ -38,7 +38,7 @@
 }
 
 func TestRead_MalformedFrame_WrapsErrMalformed(t *testing.T) {
-	good := Append(nil, event)
+	good := AppendEvent(nil, event)
 	for name, change := range map[string]func([]byte){
 		"huge":       func(b []byte) { b[0] = 0xff },
 		"odd length": func(b []byte) { b[3]++ },
@@ -49,7 +49,7 @@
 	} {
 		raw := bytes.Clone(good)
 		change(raw)
-		if _, err := Read(bytes.NewReader(raw), 2, 1); !errors.Is(err, ErrMalformed) {
+		if _, err := ReadEvent(bytes.NewReader(raw), 2, 1); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
@@ -64,10 +64,10 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(Append(nil, event))
+	f.Add(AppendEvent(nil, event))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		e, err := Read(bytes.NewReader(raw), 2, 1)
-		if err == nil && !bytes.HasPrefix(raw, Append(nil, e)) {
+		e, err := ReadEvent(bytes.NewReader(raw), 2, 1)
+		if err == nil && !bytes.HasPrefix(raw, AppendEvent(nil, e)) {
 			t.Fatalf("%+v is written otherwise", e)
 		}
 		if err != nil && !errors.Is(err, ErrMalformed) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/platform/endpointstream/initial.go
+++ b/internal/platform/endpointstream/initial.go
@@ -82,14 +82,14 @@
 		return Entry{}, fmt.Errorf("%w: worker %+v", ErrMalformed, w)
 	}
 	entry := Entry{
-		ID:      id,
-		Address: address,
-		State:   state,
-		Zone:    indexOrEnd(zones, w.Zone),
-		Kind:    indexOrEnd(kinds, w.Kind),
-		Cell:    w.Cell,
-		Weight:  w.Weight,
-		Started: int64(w.StartedMillis),
+		ID:               id,
+		Address:          address,
+		State:            state,
+		Zone:             indexOrEnd(zones, w.Zone),
+		WorkerKind:       indexOrEnd(kinds, w.Kind),
+		Cell:             w.Cell,
+		Weight:           w.Weight,
+		StartedUnixMilli: int64(w.StartedMillis),
 	}
 	return entry, entry.validate(len(zones), len(kinds))
 }
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -102,11 +102,11 @@
 
 // open starts an instance, in place of one with the same number if there is any.
 func (h *Host) open(instance uint32, now time.Duration, event *simwire.Event) error {
-	site, err := platformconfig.Parse(event.Settings, event.Seed)
+	site, err := platformconfig.ParseSettings(event.Settings, event.Seed)
 	if err != nil {
 		return fmt.Errorf("%w: %w", simwire.ErrMalformed, err)
 	}
-	h.instances[instance] = scheduler.New(now, site.Control, instanceActions{&h.reply, instance})
+	h.instances[instance] = scheduler.New(now, site.Scheduler, instanceActions{&h.reply, instance})
 	return nil
 }
 
--- a/lab/discoveryserver/directory.go
+++ b/lab/discoveryserver/directory.go
@@ -167,7 +167,7 @@
 // answer sends the list. What it tells counts as told once it is sent, so it is recorded last.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	index, instances, states := s.index, []list.Instance{}, map[string]scheduler.WorkerState{}
+	index, instances, states := s.index, []list.ConsulInstance{}, map[string]scheduler.WorkerState{}
 	shown := int(s.partial*float64(len(s.order)) + 0.5)
 	for _, name := range s.order {
 		states[name] = scheduler.Removed
@@ -190,7 +190,7 @@
 	s.notices = append(s.notices, Notice{At: time.Now(), Client: r.UserAgent(), States: states})
 }
 
-func (e Entry) instance() (i list.Instance) {
+func (e Entry) instance() (i list.ConsulInstance) {
 	host, port, _ := net.SplitHostPort(e.Address)
 	i.Service.ID, i.Service.Address = e.Name, host
 	i.Service.Port, _ = strconv.Atoi(port)
@@ -198,13 +198,13 @@
 	if !e.Started.IsZero() {
 		i.Service.Meta["started"] = strconv.FormatInt(e.Started.UnixMilli(), 10)
 	}
-	status := list.Check{CheckID: "service:" + e.Name, Status: "passing"}
+	status := list.ConsulCheck{CheckID: "service:" + e.Name, Status: "passing"}
 	switch e.State {
 	case scheduler.Draining:
-		status = list.Check{CheckID: "_service_maintenance:" + e.Name, Status: "critical"}
+		status = list.ConsulCheck{CheckID: "_service_maintenance:" + e.Name, Status: "critical"}
 	case scheduler.Removed:
 		status.Status = "critical"
 	}
-	i.Checks = []list.Check{status}
+	i.Checks = []list.ConsulCheck{status}
 	return i
 }
--- a/lab/experiment/spec.go
+++ b/lab/experiment/spec.go
@@ -105,7 +105,7 @@
 var variantTable = []directive.Directive[Variant]{
 	directive.Text("policy", "module, oracle, random, round-robin, least-out, two-choices or rendezvous", "module", "what decides",
 		func(v *Variant) *string { return &v.Policy }),
-	{Name: "set", Takes: "a line of settings", Help: "in place of the line of that directive", Words: -1, Many: true,
+	{Name: "set", AllowedValues: "a line of settings", Help: "in place of the line of that directive", ValueCount: -1, Repeatable: true,
 		Set: func(v *Variant, words []string) error {
 			if len(words) < 2 {
 				return directive.ErrValue
@@ -129,10 +129,10 @@
 func Parse(path, text string) (*Spec, error) {
 	s, p := &Spec{Path: path}, &directive.Parser{}
 	directive.Defaults(s, specTable)
-	p.Top = func(at directive.Place, words []directive.Word) {
+	p.TopLevel = func(at directive.Position, words []directive.Word) {
 		switch words[0].Text {
 		case "day":
-			directive.Block(p, at, words, dayTable, func(d *Day) *string { return &d.Name }, &s.Days, func(d *Day, at directive.Place, w []directive.Word) bool {
+			directive.Block(p, at, words, dayTable, func(d *Day) *string { return &d.Name }, &s.Days, func(d *Day, at directive.Position, w []directive.Word) bool {
 				return d.trouble(p, at, w)
 			})
 		case "variant":
@@ -143,12 +143,12 @@
 	}
 	p.Parse(path, text)
 	if len(s.Days) == 0 || len(s.Variants) == 0 {
-		p.Fail(directive.Place{File: path}, 0, "%d days and %d variants; at least one of each is needed", len(s.Days), len(s.Variants))
+		p.Fail(directive.Position{File: path}, 0, "%d days and %d variants; at least one of each is needed", len(s.Days), len(s.Variants))
 	}
 	for _, v := range s.Variants {
 		for _, d := range s.Days {
 			if _, err := simulation.Check(s.config(v, d, 1)); err != nil {
-				p.Fail(directive.Place{File: path}, 0, "variant %q on day %q: %v", v.Name, d.Name, err)
+				p.Fail(directive.Position{File: path}, 0, "variant %q on day %q: %v", v.Name, d.Name, err)
 			}
 		}
 	}
@@ -159,7 +159,7 @@
 }
 
 // trouble takes the lines of a day that are a script's: troubles, and scripts by file.
-func (d *Day) trouble(p *directive.Parser, at directive.Place, words []directive.Word) bool {
+func (d *Day) trouble(p *directive.Parser, at directive.Position, words []directive.Word) bool {
 	switch words[0].Text {
 	case "at":
 		line, _, _ := strings.Cut(at.Text, "#")
--- a/lab/invariant/judge.go
+++ b/lab/invariant/judge.go
@@ -24,10 +24,10 @@
 
 // TermsOf are the terms that settings tell the front ends.
 func TermsOf(s *gatewayconfig.Settings, slack time.Duration) Terms {
-	terms := Terms{Classes: map[string]scheduler.Class{}, DrainGrace: s.DrainGrace, LoadWindow: s.LoadWindow,
-		LoadFree: s.LoadFree, LoadShare: s.LoadShare, Slack: slack}
+	terms := Terms{Classes: map[string]scheduler.Class{}, DrainGrace: s.DrainGrace, LoadWindow: s.LoadRateWindow,
+		LoadFree: s.LoadRateBurst, LoadShare: s.LoadRatePerRequest, Slack: slack}
 	for _, c := range s.Classes {
-		terms.Classes[c.Name] = c.Control()
+		terms.Classes[c.Name] = c.SchedulerClass()
 	}
 	return terms
 }
--- a/lab/platformdiscovery/bulletin.go
+++ b/lab/platformdiscovery/bulletin.go
@@ -57,7 +57,7 @@
 	s.conns[c] = true
 	for _, e := range s.events {
 		if e.Number > last {
-			write(c, endpointstream.Append(nil, e))
+			write(c, endpointstream.AppendEvent(nil, e))
 		}
 	}
 	s.asked <- last
@@ -71,7 +71,7 @@
 	s.mu.Lock()
 	s.events = append(s.events, e)
 	s.mu.Unlock()
-	s.Raw(endpointstream.Append(nil, e))
+	s.Raw(endpointstream.AppendEvent(nil, e))
 }
 
 // Raw writes bytes to all that are connected.
--- a/lab/simulation/sim.go
+++ b/lab/simulation/sim.go
@@ -172,7 +172,7 @@
 	}
 	longest := time.Duration(0)
 	for _, c := range s.set.Classes {
-		longest = max(longest, c.GiveUp)
+		longest = max(longest, c.Timeout)
 	}
 	s.clock.Run(cfg.Lasts + longest*time.Duration(1+cfg.Mix.Retries) + time.Second) // what is under way ends
 	return s.result(), nil
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, err
 	}
-	set.FrontEnds = cfg.FrontEnds
+	set.FrontEndCount = cfg.FrontEnds
 	s := &Sim{cfg: cfg, set: set, clock: &model.Sim{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x73696d)), trace: xxhash.New(),
 		catalog: gateway.NewCatalog(set), part: 1, seen: map[string]int{},
 		byID: map[scheduler.WorkerID]int{}, functions: map[scheduler.FunctionID]string{}}
