--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -14,6 +14,7 @@
 
 // floors are the packages from the bottom up; an import must not go up, and on one floor only where siblings says.
 var floors = [][]string{
+	{"internal/estimate"},
 	{"scheduler"},
 	{"internal/decide/", "internal/shadow"},
 	{"internal/directive"},
@@ -102,7 +103,7 @@
 		"NewTimer": true, "NewTicker": true, "Tick": true}
 	seen := 0
 	packages(t, func(path string, p *build.Package) {
-		if floorOf(path) > 1 || floorOf(path) < 0 {
+		if floorOf(path) > 2 || floorOf(path) < 0 {
 			return
 		}
 		seen++
