--- a/scheduler/clone.go
+++ b/scheduler/clone.go
@@ -5,53 +5,105 @@
 	"slices"
 )
 
-// This file copies a Controller; it decides nothing.
+// This file copies a Scheduler; it decides nothing. What it must copy is every slice, map and pointer that a Scheduler
+// reaches: a new field of such a type in any of its types needs a line here.
 
-// cloner remembers what it has copied, so that what was one thing stays one.
+// Clone returns a Scheduler that remembers all that s does and shares nothing with it. It goes on by settings, whose
+// classes and tenants must be as many, and calls actions. The shadow evaluation compares the two on the same events.
+func (s *Scheduler) Clone(settings Settings, actions Actions) *Scheduler {
+	clone := *s
+	clone.settings, clone.actions = settings, actions
+	c := newCloner(&clone.settings)
+	clone.endpoints.byID = cloneValues(s.endpoints.byID, c.worker)
+	clone.endpoints.list = cloneElements(s.endpoints.list, c.worker)
+	if settings.ScaleIsCapacity != s.settings.ScaleIsCapacity {
+		clone.endpoints.version++ // rendezvous orders are made anew
+	}
+	clone.functions.byID = cloneValues(s.functions.byID, c.function)
+	clone.functions.byPriority = cloneElements(s.functions.byPriority, c.function)
+	clone.requests = cloneValues(s.requests, c.request)
+	clone.loadOrders = maps.Clone(s.loadOrders)
+	clone.latency.runTimeByClass = slices.Clone(s.latency.runTimeByClass)
+	clone.latency.unloadedRunTime = slices.Clone(s.latency.unloadedRunTime)
+	clone.latency.unloadedRunTimeAt = slices.Clone(s.latency.unloadedRunTimeAt)
+	clone.loadRate.orderTimes = slices.Clone(s.loadRate.orderTimes)
+	clone.loadRate.requestTimes = slices.Clone(s.loadRate.requestTimes)
+	clone.tenants.usage = slices.Clone(s.tenants.usage)
+	clone.tenants.excess = slices.Clone(s.tenants.excess)
+	return &clone
+}
+
+// cloner remembers what it has copied, so that records that refer to one another do so in the copy.
 type cloner struct {
-	set       *Settings
-	workers   map[*worker]*worker
-	functions map[*function]*function
-	replicas  map[*replica]*replica
-	requests  map[*request]*request
+	settings  *Settings // of the copy
+	workers   map[*workerRecord]*workerRecord
+	functions map[*functionRecord]*functionRecord
+	replicas  map[*replicaBelief]*replicaBelief
+	requests  map[*requestRecord]*requestRecord
 }
 
-// Clone returns a Controller that remembers all that c does and shares nothing with it. It goes on by set, whose
-// classes and tenants must be as many, and asks its actions of a.
-func (c *Scheduler) Clone(set Settings, a Actions) *Scheduler {
-	d := *c
-	d.set, d.act = set, a
-	if set.ScaleIsCapacity != c.set.ScaleIsCapacity {
-		d.epoch++ // ranks are made anew
+func newCloner(settings *Settings) *cloner {
+	return &cloner{
+		settings:  settings,
+		workers:   map[*workerRecord]*workerRecord{},
+		functions: map[*functionRecord]*functionRecord{},
+		replicas:  map[*replicaBelief]*replicaBelief{},
+		requests:  map[*requestRecord]*requestRecord{},
 	}
-	k := &cloner{&d.set, map[*worker]*worker{}, map[*function]*function{}, map[*replica]*replica{}, map[*request]*request{}}
-	d.list, d.active = each(c.list, k.worker), each(c.active, k.function)
-	d.workers, d.functions, d.requests = values(c.workers, k.worker), values(c.functions, k.function), values(c.requests, k.request)
-	d.orders = maps.Clone(c.orders)
-	d.runs, d.quietRun, d.quietAt = slices.Clone(c.runs), slices.Clone(c.quietRun), slices.Clone(c.quietAt)
-	d.loadTimes, d.arrivals = slices.Clone(c.loadTimes), slices.Clone(c.arrivals)
-	d.taken, d.over = slices.Clone(c.taken), slices.Clone(c.over)
-	return &d
 }
 
-func each[T any](list []*T, copy func(*T) *T) []*T {
+func (c *cloner) worker(worker *workerRecord) *workerRecord {
+	return cloneOnce(c.workers, worker, func(w *workerRecord) {
+		w.inFlight = cloneElements(w.inFlight, c.request)
+		w.sendTimes = slices.Clone(w.sendTimes)
+		w.runTimeByClass = slices.Clone(w.runTimeByClass)
+		w.healthByClass = slices.Clone(w.healthByClass)
+	})
+}
+
+func (c *cloner) function(function *functionRecord) *functionRecord {
+	return cloneOnce(c.functions, function, func(f *functionRecord) {
+		f.queue = cloneElements(f.queue, c.request)
+		f.replicas = cloneElements(f.replicas, c.replica)
+		f.rendezvous = cloneElements(f.rendezvous, c.worker)
+	})
+}
+
+func (c *cloner) replica(replica *replicaBelief) *replicaBelief {
+	return cloneOnce(c.replicas, replica, func(r *replicaBelief) {
+		r.worker = c.worker(r.worker)
+		r.function = c.function(r.function)
+	})
+}
+
+func (c *cloner) request(request *requestRecord) *requestRecord {
+	return cloneOnce(c.requests, request, func(r *requestRecord) {
+		r.class = &c.settings.Classes[r.Class]
+		r.function = c.function(r.function)
+		r.replica = c.replica(r.replica)
+	})
+}
+
+// cloneElements copies a list of records.
+func cloneElements[T any](list []*T, clone func(*T) *T) []*T {
 	out := make([]*T, len(list))
 	for i, x := range list {
-		out[i] = copy(x)
+		out[i] = clone(x)
 	}
 	return out
 }
 
-func values[K comparable, T any](table map[K]*T, copy func(*T) *T) map[K]*T {
+// cloneValues copies a table of records.
+func cloneValues[K comparable, T any](table map[K]*T, clone func(*T) *T) map[K]*T {
 	out := make(map[K]*T, len(table))
 	for key, x := range table {
-		out[key] = copy(x)
+		out[key] = clone(x)
 	}
 	return out
 }
 
-// once copies x and, where it was not copied before, what it holds.
-func once[T any](done map[*T]*T, x *T, fill func(*T)) *T {
+// cloneOnce copies x and, where it was not copied before, lets fill copy what x holds.
+func cloneOnce[T any](done map[*T]*T, x *T, fill func(*T)) *T {
 	if x == nil {
 		return nil
 	}
@@ -64,26 +116,3 @@
 	}
 	return y
 }
-
-func (k *cloner) worker(w *worker) *worker {
-	return once(k.workers, w, func(w *worker) {
-		w.out, w.sends = each(w.out, k.request), slices.Clone(w.sends)
-		w.runs, w.health = slices.Clone(w.runs), slices.Clone(w.health)
-	})
-}
-
-func (k *cloner) function(f *function) *function {
-	return once(k.functions, f, func(f *function) {
-		f.held, f.replicas, f.order = each(f.held, k.request), each(f.replicas, k.replica), each(f.order, k.worker)
-	})
-}
-
-func (k *cloner) replica(p *replica) *replica {
-	return once(k.replicas, p, func(p *replica) { p.w, p.f = k.worker(p.w), k.function(p.f) })
-}
-
-func (k *cloner) request(r *request) *request {
-	return once(k.requests, r, func(r *request) {
-		r.class, r.f, r.at = &k.set.Classes[r.Class], k.function(r.f), k.replica(r.at)
-	})
-}
--- a/scheduler/design_test.go
+++ b/scheduler/design_test.go
@@ -3,19 +3,21 @@
 import (
 	"testing"
 	"time"
+
+	"havencart/internal/estimate"
 )
 
 func TestTiesRotateOverWarmWorkers(t *testing.T) {
-	s := start(t, settings(), 3)
-	r := s.arrive(7, 0)
-	s.answerAsks(1, 2, 3)
-	s.end(r, OK, WarmStart)
+	h := start(t, settings(), 3)
+	r := h.request(7, 0)
+	h.answerQueries(1, 2, 3)
+	h.endAttempt(r, OK, WarmStart)
 	seen := map[WorkerID]int{}
 	for range 9 {
-		r := s.arrive(7, 0)
-		seen[s.at(r)]++
-		s.now += 10 * ms
-		s.end(r, OK, WarmStart)
+		r := h.request(7, 0)
+		seen[h.workerOf(r)]++
+		h.now += 10 * ms
+		h.endAttempt(r, OK, WarmStart)
 	}
 	if len(seen) != 3 {
 		t.Errorf("idle warm workers alike in all got %v of nine calls", seen)
@@ -23,73 +25,73 @@
 }
 
 func TestFewestRequestsOutIsPicked(t *testing.T) {
-	s := start(t, settings(), 2)
-	first := s.arrive(7, 0)
-	s.answerAsks(1, 2)
-	if second := s.arrive(7, 0); s.at(second) == s.at(first) {
+	h := start(t, settings(), 2)
+	first := h.request(7, 0)
+	h.answerQueries(1, 2)
+	if second := h.request(7, 0); h.workerOf(second) == h.workerOf(first) {
 		t.Error("the second call went to the worker that has the first, another warm one has none")
 	}
 }
 
 func TestLoadTimeIsLearnedFromTheFirstAnswer(t *testing.T) {
-	s := start(t, settings(), 2)
-	s.warm(7) // 600 ms for the first answer, 100 ms a run
-	f := s.c.functions[7]
-	if load := s.c.loadOf(f); load < 400*ms || load > 600*ms {
+	h := start(t, settings(), 2)
+	h.warm(7) // 600 ms for the first answer, 100 ms a run
+	function := h.scheduler.functions.byID[7]
+	if load := h.scheduler.expectedLoadTime(function); load < 400*ms || load > 600*ms {
 		t.Errorf("a load is taken for %v, want 600 ms less a run", load)
 	}
-	if run := s.c.runOf(f); run < 90*ms || run > 110*ms {
+	if run := h.scheduler.expectedRunTime(function); run < 90*ms || run > 110*ms {
 		t.Errorf("a run is taken for %v, want 100 ms", run)
 	}
 }
 
 func TestLoadUnderWayCountsInTheDrain(t *testing.T) {
-	s := start(t, settings(), 4)
-	s.warm(7)
-	f := s.c.functions[7]
-	before := s.c.drain(f, 40, 0)
-	w := s.c.pickCold(f, &request{class: &s.c.set.Classes[0], f: f, aim: never}, 0)
-	f.replicas = append(f.replicas, &replica{w: w, f: f, loading: true, since: s.now})
-	if during := s.c.drain(f, 40, 0); during >= before || during <= s.c.loadOf(f) {
+	h := start(t, settings(), 4)
+	h.warm(7)
+	function := h.scheduler.functions.byID[7]
+	before := h.scheduler.timeToDrain(function, 40, ownBacklog)
+	worker := h.scheduler.pickColdWorker(function, &requestRecord{class: &h.scheduler.settings.Classes[0], function: function, objectiveAt: never}, 0)
+	function.replicas = append(function.replicas, &replicaBelief{worker: worker, function: function, loading: true, loadStartedAt: h.now})
+	if during := h.scheduler.timeToDrain(function, 40, ownBacklog); during >= before || during <= h.scheduler.expectedLoadTime(function) {
 		t.Errorf("40 requests take %v with a load under way, %v without", during, before)
 	}
 }
 
 func TestHeldFunctionProbesAWorkerNotReachedForLong(t *testing.T) {
-	for _, idle := range []time.Duration{probeIdle / 2, probeIdle} {
-		s := start(t, settings(), 2)
-		w := s.warm(7)
+	for _, idle := range []time.Duration{idleProbeAfter / 2, idleProbeAfter} {
+		h := start(t, settings(), 2)
+		w := h.warm(7)
 		for range int(idle / time.Second) { // the belief in w stays, the other worker is not reached
-			r := s.arrive(7, 0)
-			s.now += 100 * ms
-			s.end(r, OK, WarmStart)
-			s.now += 900 * ms
+			r := h.request(7, 0)
+			h.now += 100 * ms
+			h.endAttempt(r, OK, WarmStart)
+			h.now += 900 * ms
 		}
 		for range 2 + 1 {
-			s.arrive(7, 0)
+			h.request(7, 0)
 		}
 		probes := 0
-		for _, at := range s.sentTo {
+		for _, at := range h.sentTo {
 			if at[len(at)-1] != w {
 				probes++
 			}
 		}
-		if want := int(idle / probeIdle); probes != want {
+		if want := int(idle / idleProbeAfter); probes != want {
 			t.Errorf("%d calls sent as probes after %v, want %d", probes, idle, want)
 		}
 	}
 }
 
 func TestLentWorkerTakesOneIfSlower(t *testing.T) {
-	s := start(t, settings(), 2)
-	warm := s.warm(7)
-	cold := s.c.workers[3-warm]
-	cold.wait = fading{float64(100 * ms), s.now, s.now}
+	h := start(t, settings(), 2)
+	warm := h.warm(7)
+	cold := h.scheduler.endpoints.byID[3-warm]
+	cold.queueDelay = estimate.NewDecayed(float64(100*ms), h.now)
 	for range 30 {
-		s.arrive(7, 0)
+		h.request(7, 0)
 	}
-	s.answerAsks()
-	if len(cold.out) != 1 {
-		t.Errorf("%d calls wait for the load at a worker half as fast, want 1", len(cold.out))
+	h.answerQueries()
+	if len(cold.inFlight) != 1 {
+		t.Errorf("%d calls wait for the load at a worker half as fast, want 1", len(cold.inFlight))
 	}
 }
--- /dev/null
+++ b/scheduler/dispatch.go
@@ -0,0 +1,107 @@
+package scheduler
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// headroomByRank is the part of a worker's limit that requests of each queue rank may fill.
+var headroomByRank = [...]float64{inTime: 1, pastObjective: 0.5, overQuota: 0.35}
+
+const crossZoneCost = 0.5 // of a worker in another zone, in requests in flight
+
+// comparePriority orders functions by the priority weight of their class: headroom that comes free goes to
+// the highest that is queued.
+func (s *Scheduler) comparePriority(a, b *functionRecord) int {
+	return cmp.Compare(s.settings.Classes[b.class].PriorityWeight, s.settings.Classes[a.class].PriorityWeight)
+}
+
+// dispatch sends queued requests of a function to its warm replicas as far as these have headroom, and
+// decides whether to scale out for the rest.
+func (s *Scheduler) dispatch(function *functionRecord) {
+	if len(function.queue) == 0 {
+		return
+	}
+	slices.SortStableFunc(function.queue, func(a, b *requestRecord) int {
+		return int(s.queueRank(a) - s.queueRank(b))
+	})
+	for _, request := range slices.Clone(function.queue) {
+		soonerThanLoad := s.loadCost(function) + s.expectedRunTime(function) + s.delay.median
+		if replica := s.pickWarmReplica(request, soonerThanLoad); replica != nil {
+			s.sendAttempt(request, replica)
+		} else if !request.mayHaveExecuted {
+			break
+		} else if request.boundToKeyScope() && !s.hasReplicaFor(request) {
+			s.startLoad(function, request, s.pickColdWorker(function, request, anyIdle), singleRequest)
+		}
+	}
+	if len(function.queue) > 0 {
+		s.considerScaleOut(function)
+	}
+}
+
+// queueRank orders queued requests: in quota and in time first, then late, then beyond the quota of their
+// tenant.
+func (s *Scheduler) queueRank(request *requestRecord) queueRank {
+	switch {
+	case request.overQuota:
+		return overQuota
+	case s.now+s.expectedRunTime(request.function) > request.objectiveAt:
+		return pastObjective
+	}
+	return inTime
+}
+
+// pickWarmReplica picks the replica with the fewest requests in flight, ties rotated, among those with
+// headroom. It returns nil where the queue delay exceeds maxDelay, or what is left until the latency
+// objective (until the timeout, for a late request). That guards against work for nobody: when clients are
+// impatient and their retries fill the queues, a late response takes the place of one in time.
+func (s *Scheduler) pickWarmReplica(request *requestRecord, maxDelay time.Duration) *replicaBelief {
+	function := request.function
+	var best *replicaBelief
+	leastCost := math.Inf(1)
+	run := float64(s.expectedRunTime(function))
+	remaining := min(request.objectiveAt, request.deadline) - s.now - s.serviceTime(function)
+	if remaining < 0 {
+		remaining += max(0, request.deadline-request.objectiveAt)
+	}
+	n := len(function.replicas)
+	for i := range n {
+		replica := function.replicas[(function.rotation+i)%n]
+		if !s.accepts(replica, request, min(maxDelay, remaining)) {
+			continue
+		}
+		worker := replica.worker
+		cost := float64(len(worker.inFlight)+1) + float64(s.queueDelay(worker))/run +
+			crossZoneCost*float64(s.crossZone(worker))
+		if cost < leastCost {
+			best, leastCost = replica, cost
+		}
+	}
+	function.rotation++
+	return best
+}
+
+// accepts is whether a replica may be sent a request now.
+func (s *Scheduler) accepts(replica *replicaBelief, request *requestRecord, maxDelay time.Duration) bool {
+	worker, class := replica.worker, request.function.class
+	if replica.loadOrdered || replica.inFlight >= replica.capacity() || s.queueDelay(worker) > maxDelay {
+		return false
+	}
+	if !s.isUsable(worker, class) || !s.mayExecuteOn(request, worker) {
+		return false
+	}
+	if request.class.Idempotency == NonIdempotent && worker.isEjected(class) {
+		return false
+	}
+	return s.hasHeadroom(worker, request)
+}
+
+// hasHeadroom is whether a worker may be sent one more request. Lower queue ranks find less headroom: where
+// workers are short, requests still in time, of tenants within their quota, come first over all functions.
+func (s *Scheduler) hasHeadroom(worker *workerRecord, request *requestRecord) bool {
+	limit := max(1, worker.concurrencyLimit*headroomByRank[s.queueRank(request)])
+	return float64(len(worker.inFlight)) < limit && s.slowStartAllows(worker, request)
+}
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -14,31 +14,31 @@
 
 // fleet is many Controllers before the same workers, in virtual time.
 type fleet struct {
-	rng     *rand.Rand
-	set     Settings
-	now     time.Duration
-	fronts  []*fleetFront
-	list    []WorkerInfo
-	copies  map[pair]time.Duration // since when a copy stands
-	run     time.Duration
-	load    time.Duration
-	pending fleetEvents
-	seq     int
-	cold    WorkerID
-	sends   []time.Duration // to the cold worker
-	served  int
-	loads   int
-	draw    func() FunctionID
+	rng        *rand.Rand
+	set        Settings
+	now        time.Duration
+	fronts     []*fleetFront
+	list       []WorkerInfo
+	replicas   map[replicaKey]time.Duration // since when a copy stands
+	run        time.Duration
+	load       time.Duration
+	pending    fleetEvents
+	seq        int
+	coldWorker WorkerID
+	sends      []time.Duration // to the cold worker
+	served     int
+	loads      int
+	draw       func() FunctionID
 }
 
 // fleetFront is one front end of a fleet.
 type fleetFront struct {
 	*fleet
-	c      *Scheduler
-	part   float64 // of the fleet's traffic
-	life   int
-	nextID RequestID
-	tries  map[RequestID]int
+	scheduler     *Scheduler
+	trafficWeight float64 // of the fleet's traffic
+	incarnation   int
+	nextID        RequestID
+	attempts      map[RequestID]int
 }
 
 type fleetEvent struct {
@@ -66,7 +66,7 @@
 	heap.Push(&f.pending, fleetEvent{f.now + d, f.seq, do})
 }
 
-func (f *fleet) pass(until time.Duration) {
+func (f *fleet) advanceTo(until time.Duration) {
 	for len(f.pending) > 0 && f.pending[0].at <= until {
 		e := heap.Pop(&f.pending).(fleetEvent)
 		f.now = e.at
@@ -76,91 +76,93 @@
 }
 
 // start starts a front end, or starts it anew.
-func (f *fleet) start(x *fleetFront, self int) {
-	x.life++
+func (f *fleet) start(frontEnd *fleetFront, self int) {
+	frontEnd.incarnation++
 	set := f.set
 	set.FrontEndIndex, set.Seed = self, f.rng.Uint64()
-	x.tries = map[RequestID]int{}
-	x.c = New(f.now, set, x)
-	x.c.WorkersChanged(f.now, f.list, true)
+	frontEnd.attempts = map[RequestID]int{}
+	frontEnd.scheduler = New(f.now, set, frontEnd)
+	frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 }
 
 // later does something to a front end unless it was started anew meanwhile.
-func (x *fleetFront) later(d time.Duration, do func()) {
-	life := x.life
-	x.after(d, func() {
-		if x.life == life {
+func (frontEnd *fleetFront) later(d time.Duration, do func()) {
+	life := frontEnd.incarnation
+	frontEnd.after(d, func() {
+		if frontEnd.incarnation == life {
 			do()
 		}
 	})
 }
 
-func (x *fleetFront) SetTimer(after time.Duration, token uint64) {
-	x.later(max(after, x.set.Resolution), func() { x.c.TimerFired(x.now, token) })
+func (frontEnd *fleetFront) SetTimer(after time.Duration, token uint64) {
+	frontEnd.later(max(after, frontEnd.set.Resolution), func() { frontEnd.scheduler.TimerFired(frontEnd.now, token) })
 }
 
-func (x *fleetFront) Send(r RequestID, w WorkerID, _ time.Duration) {
-	q := x.c.requests[r]
-	key, attempt := pair{w, q.Function}, x.tries[r]
-	x.tries[r]++
-	if w == x.cold {
-		x.sends = append(x.sends, x.now)
+func (frontEnd *fleetFront) Send(r RequestID, w WorkerID, _ time.Duration) {
+	q := frontEnd.scheduler.requests[r]
+	key, attempt := replicaKey{w, q.Function}, frontEnd.attempts[r]
+	frontEnd.attempts[r]++
+	if w == frontEnd.coldWorker {
+		frontEnd.sends = append(frontEnd.sends, frontEnd.now)
 	}
-	if _, stands := x.copies[key]; !stands {
-		x.copies[key] = x.now + x.load
-		x.loads++
+	if _, stands := frontEnd.replicas[key]; !stands {
+		frontEnd.replicas[key] = frontEnd.now + frontEnd.load
+		frontEnd.loads++
 	}
-	took := max(0, x.copies[key]-x.now) + time.Duration(x.rng.ExpFloat64()*float64(x.run))
-	x.later(took, func() {
-		x.served++
-		x.c.AttemptEnded(x.now, Outcome{Request: r, Attempt: attempt, Worker: w, Status: OK, Latency: took, RequestClosed: true, QueueDepth: -1})
+	took := max(0, frontEnd.replicas[key]-frontEnd.now) + time.Duration(frontEnd.rng.ExpFloat64()*float64(frontEnd.run))
+	frontEnd.later(took, func() {
+		frontEnd.served++
+		frontEnd.scheduler.AttemptEnded(frontEnd.now, Outcome{Request: r, Attempt: attempt, Worker: w, Status: OK, Latency: took, RequestClosed: true, QueueDepth: -1})
 	})
 }
 
-func (x *fleetFront) Load(w WorkerID, fn FunctionID, copies int) {
+func (frontEnd *fleetFront) Load(w WorkerID, fn FunctionID, copies int) {
 	stand := 0
-	if since, stands := x.copies[pair{w, fn}]; stands && since <= x.now {
+	if since, stands := frontEnd.replicas[replicaKey{w, fn}]; stands && since <= frontEnd.now {
 		stand = 1
 	}
 	took := ms
 	if copies > 0 && stand == 0 {
-		took, stand = x.load, 1
-		x.loads++
-		x.copies[pair{w, fn}] = x.now + x.load
+		took, stand = frontEnd.load, 1
+		frontEnd.loads++
+		frontEnd.replicas[replicaKey{w, fn}] = frontEnd.now + frontEnd.load
 	}
-	x.later(took, func() {
-		x.c.LoadEnded(x.now, LoadResult{Worker: w, Function: fn, Status: OK, Latency: took, Replicas: stand})
+	frontEnd.later(took, func() {
+		frontEnd.scheduler.LoadEnded(frontEnd.now, LoadResult{Worker: w, Function: fn, Status: OK, Latency: took, Replicas: stand})
 	})
 }
 
-func (x *fleetFront) Reject(RequestID, time.Duration) {}
-func (x *fleetFront) Fail(RequestID)                  {}
-func (x *fleetFront) Cancel(RequestID, int)           {}
-func (x *fleetFront) Unload(WorkerID, FunctionID)     {}
-func (x *fleetFront) CheckHealth(WorkerID)            {}
-func (x *fleetFront) WatchEndpoints()                 {}
-func (x *fleetFront) Log(string)                      {}
+func (frontEnd *fleetFront) Reject(RequestID, time.Duration) {}
+func (frontEnd *fleetFront) Fail(RequestID)                  {}
+func (frontEnd *fleetFront) Cancel(RequestID, int)           {}
+func (frontEnd *fleetFront) Unload(WorkerID, FunctionID)     {}
+func (frontEnd *fleetFront) CheckHealth(WorkerID)            {}
+func (frontEnd *fleetFront) WatchEndpoints()                 {}
+func (frontEnd *fleetFront) Log(string)                      {}
 
 // arrivals has calls come to x at its part of rate.
-func (x *fleetFront) arrivals(rate float64) {
+func (frontEnd *fleetFront) arrivals(rate float64) {
 	var next func()
 	next = func() {
-		x.nextID++
-		x.c.RequestReceived(x.now, Request{ID: x.nextID, Class: x.rng.IntN(2), Function: x.draw(), Timeout: 3 * time.Second, ReplicaConcurrency: 4})
-		x.after(time.Duration(x.rng.ExpFloat64()/(rate*x.part)*float64(time.Second)), next)
+		frontEnd.nextID++
+		frontEnd.scheduler.RequestReceived(frontEnd.now, Request{ID: frontEnd.nextID, Class: frontEnd.rng.IntN(2), Function: frontEnd.draw(), Timeout: 3 * time.Second, ReplicaConcurrency: 4})
+		frontEnd.after(time.Duration(frontEnd.rng.ExpFloat64()/(rate*frontEnd.trafficWeight)*float64(time.Second)), next)
 	}
-	x.after(time.Duration(x.rng.ExpFloat64()/(rate*x.part)*float64(time.Second)), next)
+	frontEnd.after(time.Duration(frontEnd.rng.ExpFloat64()/(rate*frontEnd.trafficWeight)*float64(time.Second)), next)
 }
 
 const (
-	fleetLoad = 0.6 // of what warm workers can do, that is asked for: as the platform's large days have it, at most
-	eachWorks = 20  // calls a second that a warm worker can do
+	fleetLoad         = 0.6 // of what warm workers can do, that is asked for: as the platform's large days have it, at most
+	requestsPerWorker = 20  // calls a second that a warm worker can do
 )
 
 // newFleet starts a fleet whose front ends have unequal traffic: a tenth of them has four times what the others have.
 func newFleet(seed uint64, fronts, workers, functions int, set Settings) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Minute, copies: map[pair]time.Duration{},
-		run: 100 * ms, load: 500 * ms, cold: WorkerID(workers)}
+	f := &fleet{
+		rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Minute, replicas: map[replicaKey]time.Duration{},
+		run: 100 * ms, load: 500 * ms, coldWorker: WorkerID(workers),
+	}
 	f.set.FrontEndCount = fronts
 	for i := range workers {
 		f.list = append(f.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
@@ -168,26 +170,26 @@
 	f.list[workers-1].State = Removed
 	all := 0.0
 	for i := range fronts {
-		x := &fleetFront{fleet: f, part: 1}
+		frontEnd := &fleetFront{fleet: f, trafficWeight: 1}
 		if i%10 == 0 {
-			x.part = 4
+			frontEnd.trafficWeight = 4
 		}
-		all += x.part
-		f.fronts = append(f.fronts, x)
+		all += frontEnd.trafficWeight
+		f.fronts = append(f.fronts, frontEnd)
 	}
 	zipf := rand.NewZipf(f.rng, 1.3, 2, uint64(functions-1))
 	f.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
-	rate := fleetLoad * eachWorks * float64(workers-1)
-	for i, x := range f.fronts {
-		x.part /= all
-		f.after(time.Duration(i)*set.Resolution, func() { f.start(x, i) })
-		f.after(time.Second, func() { x.arrivals(rate) })
+	rate := fleetLoad * requestsPerWorker * float64(workers-1)
+	for i, frontEnd := range f.fronts {
+		frontEnd.trafficWeight /= all
+		f.after(time.Duration(i)*set.Resolution, func() { f.start(frontEnd, i) })
+		f.after(time.Second, func() { frontEnd.arrivals(rate) })
 	}
 	return f
 }
 
 // worst is the largest count of sends to the cold worker in a window, beside what may be sent in that window.
-func (f *fleet) worst(began time.Duration) (over float64, text string) {
+func (f *fleet) worstOverload(began time.Duration) (over float64, text string) {
 	from := 0
 	over = math.Inf(-1)
 	for i, at := range f.sends {
@@ -196,7 +198,7 @@
 		}
 		age := max(0, at-f.set.OverloadWindow-began)
 		part := f.set.SlowStartFraction + (1-f.set.SlowStartFraction)*float64(age)/float64(f.set.SlowStartDuration)
-		n := f.set.OverloadFactor * part * eachWorks * f.set.OverloadWindow.Seconds()
+		n := f.set.OverloadFactor * part * requestsPerWorker * f.set.OverloadWindow.Seconds()
 		got, most := float64(i-from+1), n+2*math.Sqrt(n)+2
 		if got-most > over {
 			over, text = got-most, fmt.Sprintf("%.0f sends in the window that ends %v after its start, %.1f at most", got, at-began, most)
@@ -206,10 +208,10 @@
 }
 
 // there returns functions that every front end would load at the cold worker first.
-func (f *fleet) there(n int) (out []FunctionID) {
-	c := f.fronts[0].c
+func (f *fleet) functionsPlacedOnColdWorker(n int) (out []FunctionID) {
+	s := f.fronts[0].scheduler
 	for id := FunctionID(1 << 20); len(out) < n; id++ {
-		if c.ranked(&function{id: id})[0].ID == f.cold {
+		if s.rendezvousOrder(&functionRecord{id: id})[0].ID == f.coldWorker {
 			out = append(out, id)
 		}
 	}
@@ -236,26 +238,26 @@
 			t.Run(fmt.Sprintf("%d front ends, %s", size.fronts, test.name), func(t *testing.T) {
 				for seed := range size.seeds {
 					f := newFleet(seed, size.fronts, size.workers, 400, settings())
-					f.pass(f.now + 4*time.Second)
+					f.advanceTo(f.now + 4*time.Second)
 					began := f.now
 					f.list[size.workers-1].State, f.list[size.workers-1].Started = Ready, began
-					for _, x := range f.fronts {
-						x.c.WorkersChanged(f.now, f.list, true)
+					for _, frontEnd := range f.fronts {
+						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 					}
 					if test.few > 0 {
-						few := f.there(test.few)
+						few := f.functionsPlacedOnColdWorker(test.few)
 						f.draw = func() FunctionID { return few[f.rng.IntN(len(few))] }
 					}
 					if test.restarts > 0 {
-						f.pass(f.now + test.restarts)
-						for i, x := range f.fronts {
+						f.advanceTo(f.now + test.restarts)
+						for i, frontEnd := range f.fronts {
 							if i%10 < 7 {
-								f.start(x, i)
+								f.start(frontEnd, i)
 							}
 						}
 					}
-					f.pass(began + 5*time.Second)
-					over, text := f.worst(began)
+					f.advanceTo(began + 5*time.Second)
+					over, text := f.worstOverload(began)
 					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(f.sends), f.served)
 					if over > 0 {
 						t.Errorf("seed %d: %s", seed, text)
@@ -273,18 +275,18 @@
 	for _, size := range []struct{ fronts, workers int }{{30, 12}, {300, 60}} {
 		t.Run(fmt.Sprint(size.fronts, " front ends"), func(t *testing.T) {
 			f := newFleet(1, size.fronts, size.workers, 200, settings())
-			f.pass(f.now + 8*time.Second)
+			f.advanceTo(f.now + 8*time.Second)
 			usual := f.loads
-			f.pass(f.now + 3*time.Second)
+			f.advanceTo(f.now + 3*time.Second)
 			usual = f.loads - usual
 			void, before := 0, f.loads
-			for key := range f.copies {
-				if key.f%10 < 4 {
-					delete(f.copies, key)
+			for key := range f.replicas {
+				if key.function%10 < 4 {
+					delete(f.replicas, key)
 					void++
 				}
 			}
-			f.pass(f.now + 3*time.Second)
+			f.advanceTo(f.now + 3*time.Second)
 			if got := f.loads - before; got < void/4 || got > void+void/4+usual {
 				t.Errorf("%d copies void; %d loads in the 3 s after it, %d in the 3 s before", void, got, usual)
 			}
--- /dev/null
+++ b/scheduler/replicas.go
@@ -0,0 +1,219 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"havencart/internal/estimate"
+)
+
+// This file keeps the functions, their queues, and the beliefs about where they are loaded; it decides nothing.
+
+// Replicas that a load order asks for.
+const (
+	residencyQuery = 0 // none: it only asks how many are loaded
+	oneReplica     = 1
+)
+
+// Limits of the requests that wait for a load, as startLoad takes them.
+const (
+	byQueueDelay  = 0
+	singleRequest = 1
+)
+
+// anyIdle lets pickColdWorker take workers however lately they were contacted.
+const anyIdle time.Duration = 0
+
+// backlogScope says whose requests the time to drain a function's queue includes.
+type backlogScope int
+
+const (
+	ownBacklog  backlogScope = iota // this front end's
+	allBacklogs                     // all front ends', as the queue delays at the workers tell
+)
+
+// functionTable holds the functions that were requested lately.
+type functionTable struct {
+	byID       map[FunctionID]*functionRecord
+	byPriority []*functionRecord // in the order of comparePriority
+}
+
+// functionRecord is what is known of a function, and its requests that wait here.
+type functionRecord struct {
+	id                 FunctionID
+	class              int
+	concurrency        int           // requests that one replica executes at a time
+	advertisedLoadTime time.Duration // usual load time, 0 if not advertised
+	queue              []*requestRecord
+	replicas           []*replicaBelief
+	runTime            estimate.MovingAverage // nanoseconds
+	loadTime           estimate.MovingAverage // nanoseconds
+	rendezvous         []*workerRecord        // all workers, in this function's rendezvous order
+	rendezvousVersion  int                    // of the endpoint table that rendezvous was made from
+	rotation           int                    // where pickWarmReplica begins
+	pendingQueries     int                    // residency queries without an answer
+	queriedAt          time.Duration          // when residency was last queried
+	lastUsed           time.Duration          // when it was last requested
+	requestedRunTime   estimate.Decayed       // nanoseconds, requested of this front end
+}
+
+// replicaBelief is the belief that a worker holds a function loaded, or is loading it for us.
+type replicaBelief struct {
+	worker             *workerRecord
+	function           *functionRecord
+	inFlight           int
+	loadingConcurrency int  // requests that may wait there while it is loading
+	loading            bool // no response since its load began
+	prewarmed          bool // ordered ahead of requests, which go elsewhere and need not wait for it
+	loadOrdered        bool // its load order is in flight; requests wait here until that ends
+	loadStartedAt      time.Duration
+	lastUsed           time.Duration
+	lastEndedAt        time.Duration          // when an attempt last ended, by the time that the worker reported
+	runTime            estimate.MovingAverage // nanoseconds, here
+}
+
+// replicaKey names the replica of a function at a worker.
+type replicaKey struct {
+	worker   WorkerID
+	function FunctionID
+}
+
+// trackFunction returns the record of a function, made if there is none.
+func (s *Scheduler) trackFunction(id FunctionID, class int) *functionRecord {
+	function := s.functions.byID[id]
+	if function == nil {
+		function = &functionRecord{id: id, class: class, queriedAt: -never}
+		s.functions.byID[id] = function
+		s.functions.byPriority = append(s.functions.byPriority, function)
+		slices.SortStableFunc(s.functions.byPriority, s.comparePriority)
+	}
+	return function
+}
+
+// expire drops the idle replicas and hopeless requests of a function; it reports whether nothing is left.
+func (s *Scheduler) expire(function *functionRecord) bool {
+	function.dropIdleReplicas(s.now - s.settings.ReplicaIdleTimeout)
+	s.finishHopeless(function)
+	if function.isReferenced() || s.now-function.lastUsed <= functionIdleTime {
+		return false
+	}
+	delete(s.functions.byID, function.id)
+	return true
+}
+
+// forgetReplicas drops every belief about what a worker holds.
+func (s *Scheduler) forgetReplicas(worker *workerRecord) {
+	for _, function := range s.functions.byPriority {
+		if replica := function.replicaOn(worker); replica != nil {
+			function.dropReplica(replica)
+		}
+	}
+}
+
+// countLoadsInFlight counts the replicas that are loading for this front end.
+func (s *Scheduler) countLoadsInFlight() (count int) {
+	for _, function := range s.functions.byPriority {
+		for _, replica := range function.replicas {
+			if replica.loading {
+				count++
+			}
+		}
+	}
+	return count
+}
+
+// hasUsableReplica is whether some believed replica is at a worker that may be sent requests now.
+func (s *Scheduler) hasUsableReplica(function *functionRecord) bool {
+	return slices.ContainsFunc(function.replicas, func(replica *replicaBelief) bool {
+		return s.isUsable(replica.worker, function.class)
+	})
+}
+
+// hasReplicaFor is whether some believed replica may be sent the request once it has headroom.
+func (s *Scheduler) hasReplicaFor(request *requestRecord) bool {
+	function := request.function
+	return slices.ContainsFunc(function.replicas, func(replica *replicaBelief) bool {
+		return s.isUsable(replica.worker, function.class) && s.mayExecuteOn(request, replica.worker)
+	})
+}
+
+// awaitsResidency is whether answers to residency queries are still waited for.
+func (s *Scheduler) awaitsResidency(function *functionRecord) bool {
+	return function.pendingQueries > 0 && s.now-function.queriedAt < residencyQueryTimeout
+}
+
+// recordResidency takes the answer to a residency query.
+func (f *functionRecord) recordResidency(worker *workerRecord, loaded int, now time.Duration) {
+	f.pendingQueries = max(0, f.pendingQueries-1)
+	if loaded > 0 && f.replicaOn(worker) == nil && worker.State == Ready {
+		f.replicas = append(f.replicas, &replicaBelief{worker: worker, function: f, lastUsed: now})
+	}
+}
+
+// replicaOn returns the replica believed to be at a worker, nil if none is.
+func (f *functionRecord) replicaOn(worker *workerRecord) *replicaBelief {
+	for _, replica := range f.replicas {
+		if replica.worker == worker {
+			return replica
+		}
+	}
+	return nil
+}
+
+func (f *functionRecord) dropReplica(replica *replicaBelief) {
+	f.replicas = without(f.replicas, replica)
+}
+
+// dropIdleReplicas drops the beliefs in replicas that were last used at a time or before: they may be unloaded by now.
+func (f *functionRecord) dropIdleReplicas(lastUsed time.Duration) {
+	f.replicas = slices.DeleteFunc(f.replicas, func(replica *replicaBelief) bool {
+		return replica.inFlight == 0 && !replica.loading && replica.lastUsed <= lastUsed
+	})
+}
+
+// hasLoadingReplica is whether a replica is loading that queued requests may wait for.
+func (f *functionRecord) hasLoadingReplica() bool {
+	return slices.ContainsFunc(f.replicas, func(replica *replicaBelief) bool {
+		return replica.loading && !replica.prewarmed
+	})
+}
+
+// isReferenced is whether a request, a replica or a residency query of the function is left.
+func (f *functionRecord) isReferenced() bool {
+	return len(f.queue)+len(f.replicas)+f.pendingQueries > 0
+}
+
+// inFlight counts the attempts in flight.
+func (f *functionRecord) inFlight() (count int) {
+	for _, replica := range f.replicas {
+		count += replica.inFlight
+	}
+	return count
+}
+
+// newLoadingReplica returns the belief in a replica whose load starts now.
+func newLoadingReplica(
+	function *functionRecord, worker *workerRecord, concurrency int, now time.Duration,
+) *replicaBelief {
+	return &replicaBelief{
+		worker:             worker,
+		function:           function,
+		loading:            true,
+		loadingConcurrency: concurrency,
+		loadStartedAt:      now,
+		lastUsed:           now,
+	}
+}
+
+// capacity is how many requests of ours the replica may hold.
+func (r *replicaBelief) capacity() int {
+	if r.loading {
+		return r.loadingConcurrency
+	}
+	return r.function.concurrency
+}
+
+// without returns the list with x taken out of it.
+func without[T comparable](list []T, x T) []T {
+	return slices.DeleteFunc(list, func(y T) bool { return y == x })
+}
--- /dev/null
+++ b/scheduler/retry.go
@@ -0,0 +1,69 @@
+package scheduler
+
+import "time"
+
+// retryOrFinish decides what becomes of a request whose attempt ended without a response. A request that must
+// not execute twice, and may have executed, fails at once.
+func (s *Scheduler) retryOrFinish(request *requestRecord, worker *workerRecord, status Status) {
+	if status.mayHaveExecuted() {
+		request.recordPossibleExecution(worker)
+		if request.class.Idempotency == NonIdempotent {
+			s.rejectOrFail(request)
+			return
+		}
+	}
+	keyExpired := request.boundToKeyScope() && s.now-request.firstSentAt >= request.class.KeyRetention
+	if keyExpired || request.attempts >= s.settings.MaxAttempts || s.missesDeadline(request, 0) {
+		s.rejectOrFail(request)
+		return
+	}
+	request.function.queue = append([]*requestRecord{request}, request.function.queue...)
+}
+
+// mayExecuteOn is whether the request may be sent to a worker: one that may have executed goes only where the
+// repeat is dropped, while its idempotency key is remembered there.
+func (s *Scheduler) mayExecuteOn(request *requestRecord, worker *workerRecord) bool {
+	if !request.mayHaveExecuted || request.class.Idempotency == Idempotent {
+		return true
+	}
+	if request.class.Idempotency == NonIdempotent || s.keyExpires(request) {
+		return false
+	}
+	switch request.class.KeyScope {
+	case ScopeAll:
+		return true
+	case ScopeZone:
+		return worker.Zone == request.firstWorker.Zone
+	case ScopeCell:
+		return worker.Cell == request.firstWorker.Cell
+	}
+	return false
+}
+
+// keyExpires is whether the idempotency key of a request may be forgotten before the next tick.
+func (s *Scheduler) keyExpires(request *requestRecord) bool {
+	return s.now-request.firstSentAt >= request.class.KeyRetention-tickInterval
+}
+
+// rejectOrFail gives a queued request its final answer: a rejection, which the client may retry, where a
+// repeat does no harm, else a failure.
+func (s *Scheduler) rejectOrFail(request *requestRecord) {
+	if !request.mayHaveExecuted || request.class.mayRetryAnywhere() {
+		s.actions.Reject(request.ID, s.settings.MaxRetryAfter)
+	} else {
+		s.actions.Fail(request.ID)
+	}
+	s.closeRequest(request)
+}
+
+// ClientDisconnected takes the news that a client left: no answer is owed, and an attempt in flight is
+// wasted.
+func (s *Scheduler) ClientDisconnected(now time.Duration, id RequestID) {
+	s.now = now
+	if request := s.requests[id]; request != nil {
+		if request.replica != nil && s.settings.CancelAllowed && !request.streamed {
+			s.actions.Cancel(request.ID, request.attempts-1)
+		}
+		s.closeRequest(request)
+	}
+}
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -10,135 +10,135 @@
 
 // referee plays random legal events and checks the five rules on every action. It knows nothing of servers:
 // outcomes are drawn at random among those that the wire allows.
-type referee struct {
-	t       *testing.T
-	set     Settings
-	c       *Scheduler
-	rng     *rand.Rand
-	now     time.Duration
-	workers map[WorkerID]WorkerInfo
-	ids     []WorkerID
-	open    map[RequestID]*watched
-	order   []RequestID // open, in order of arrival
-	asked   []pair
-	counts  []int
-	loads   []time.Duration
-	taken   []time.Duration
-	sends   map[WorkerID][]time.Duration
-	nextID  RequestID
-	wakes   []wake
-	trace   []string
+type invariantChecker struct {
+	t             *testing.T
+	set           Settings
+	scheduler     *Scheduler
+	rng           *rand.Rand
+	now           time.Duration
+	workers       map[WorkerID]WorkerInfo
+	ids           []WorkerID
+	open          map[RequestID]*trackedRequest
+	order         []RequestID // open, in order of arrival
+	pendingLoads  []replicaKey
+	pendingCounts []int
+	loads         []time.Duration
+	received      []time.Duration
+	sends         map[WorkerID][]time.Duration
+	nextID        RequestID
+	timers        []pendingTimer
+	trace         []string
 }
 
-type wake struct {
+type pendingTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-type watched struct {
-	class    Class
-	deadline time.Duration
-	attempts int
-	out      WorkerID // 0: none
-	outAt    time.Duration
-	ran      bool
-	firstAt  time.Duration
-	firstOn  WorkerInfo
-	answered bool
+type trackedRequest struct {
+	class           Class
+	deadline        time.Duration
+	attempts        int
+	worker          WorkerID // 0: none
+	sentAt          time.Duration
+	mayHaveExecuted bool
+	firstSentAt     time.Duration
+	firstWorker     WorkerInfo
+	answered        bool
 }
 
-func (f *referee) breaks(rule string, format string, args ...any) {
+func (f *invariantChecker) violate(rule string, format string, args ...any) {
 	f.t.Fatalf("%s at %v: %s", rule, f.now, fmt.Sprintf(format, args...))
 }
 
-func (f *referee) note(format string, args ...any) {
+func (f *invariantChecker) note(format string, args ...any) {
 	f.trace = append(f.trace, fmt.Sprintf(format, args...))
 }
 
-func (f *referee) Send(id RequestID, w WorkerID, _ time.Duration) {
+func (f *invariantChecker) Send(id RequestID, w WorkerID, _ time.Duration) {
 	f.note("send %d %d", id, w)
 	r, info := f.open[id], f.workers[w]
 	switch {
 	case r == nil || r.answered:
-		f.breaks("rule 1", "request %d sent after its end", id)
-	case r.out != 0:
-		f.breaks("rule 2", "two attempts of %d are out", id)
+		f.violate("rule 1", "request %d sent after its end", id)
+	case r.worker != 0:
+		f.violate("rule 2", "two attempts of %d are out", id)
 	case r.attempts >= f.set.MaxAttempts:
-		f.breaks("limits", "attempt %d of %d", r.attempts+1, id)
+		f.violate("limits", "attempt %d of %d", r.attempts+1, id)
 	case info.State != Ready:
-		f.breaks("rule 3", "request %d sent to worker %d in state %d", id, w, info.State)
-	case r.ran && r.class.Idempotency == NonIdempotent:
-		f.breaks("rule 2", "unsafe request %d sent again", id)
-	case r.ran && r.class.Idempotency == IdempotentByKey:
-		same := r.class.KeyScope == ScopeAll || r.class.KeyScope == ScopeZone && info.Zone == r.firstOn.Zone ||
-			r.class.KeyScope == ScopeCell && info.Cell == r.firstOn.Cell
-		if !same || f.now-r.firstAt > r.class.KeyRetention {
-			f.breaks("rule 2", "keyed request %d sent outside its group or past its memory", id)
+		f.violate("rule 3", "request %d sent to worker %d in state %d", id, w, info.State)
+	case r.mayHaveExecuted && r.class.Idempotency == NonIdempotent:
+		f.violate("rule 2", "unsafe request %d sent again", id)
+	case r.mayHaveExecuted && r.class.Idempotency == IdempotentByKey:
+		same := r.class.KeyScope == ScopeAll || r.class.KeyScope == ScopeZone && info.Zone == r.firstWorker.Zone ||
+			r.class.KeyScope == ScopeCell && info.Cell == r.firstWorker.Cell
+		if !same || f.now-r.firstSentAt > r.class.KeyRetention {
+			f.violate("rule 2", "keyed request %d sent outside its group or past its memory", id)
 		}
 	}
 	if age := f.now - info.Started; info.Started != UnknownStart && age < f.set.SlowStartDuration {
 		// Answers come no faster here than one a millisecond: far under this part of one worker's capacity.
 		part := f.set.SlowStartFraction + (1-f.set.SlowStartFraction)*float64(age)/float64(f.set.SlowStartDuration)
 		most := max(1, f.set.OverloadFactor*part*1000*f.set.OverloadWindow.Seconds()/float64(len(f.ids)))
-		f.sends[w] = append(recent(f.sends[w], f.now-f.set.OverloadWindow), f.now)
+		f.sends[w] = append(dropBefore(f.sends[w], f.now-f.set.OverloadWindow), f.now)
 		if float64(len(f.sends[w])) > most {
-			f.breaks("rule 4", "%d calls to a cold worker, %.0f at most", len(f.sends[w]), most)
+			f.violate("rule 4", "%d calls to a cold worker, %.0f at most", len(f.sends[w]), most)
 		}
 	}
 	r.attempts++
-	r.out, r.outAt = w, f.now
+	r.worker, r.sentAt = w, f.now
 }
 
-func (f *referee) answer(id RequestID, refused bool) {
+func (f *invariantChecker) answer(id RequestID, refused bool) {
 	r := f.open[id]
 	switch {
 	case r == nil || r.answered:
-		f.breaks("rule 1", "a second answer for %d", id)
+		f.violate("rule 1", "a second answer for %d", id)
 	case f.now > r.deadline+8*ms:
-		f.breaks("rule 1", "answer for %d comes %v late", id, f.now-r.deadline)
-	case refused && r.ran && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != ScopeAll):
-		f.breaks("rule 2", "request %d refused though it may have run", id)
-	case refused && r.out != 0 && r.class.Idempotency != Idempotent:
-		f.breaks("rule 2", "request %d refused with an attempt out", id)
+		f.violate("rule 1", "answer for %d comes %v late", id, f.now-r.deadline)
+	case refused && r.mayHaveExecuted && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != ScopeAll):
+		f.violate("rule 2", "request %d refused though it may have run", id)
+	case refused && r.worker != 0 && r.class.Idempotency != Idempotent:
+		f.violate("rule 2", "request %d refused with an attempt out", id)
 	}
 	r.answered = true
 }
 
-func (f *referee) Reject(id RequestID, _ time.Duration) {
+func (f *invariantChecker) Reject(id RequestID, _ time.Duration) {
 	f.note("refuse %d", id)
 	f.answer(id, true)
 }
 
-func (f *referee) Fail(id RequestID) {
+func (f *invariantChecker) Fail(id RequestID) {
 	f.note("fail %d", id)
 	f.answer(id, false)
 }
 
-func (f *referee) Load(w WorkerID, fn FunctionID, copies int) {
+func (f *invariantChecker) Load(w WorkerID, fn FunctionID, copies int) {
 	f.note("load %d %d %d", w, fn, copies)
 	if copies > 0 {
 		if f.workers[w].State != Ready {
-			f.breaks("rule 3", "order to load to worker %d in state %d", w, f.workers[w].State)
+			f.violate("rule 3", "order to load to worker %d in state %d", w, f.workers[w].State)
 		}
 		from := f.now - f.set.LoadRateWindow
-		f.loads, f.taken = append(recent(f.loads, from), f.now), recent(f.taken, from)
-		if most := f.set.LoadRateBurst + f.set.LoadRatePerRequest*float64(len(f.taken)); f.set.LoadRateWindow > 0 && float64(len(f.loads)) > most {
-			f.breaks("rule 5", "%d orders in the window, %.1f at most", len(f.loads), most)
+		f.loads, f.received = append(dropBefore(f.loads, from), f.now), dropBefore(f.received, from)
+		if most := f.set.LoadRateBurst + f.set.LoadRatePerRequest*float64(len(f.received)); f.set.LoadRateWindow > 0 && float64(len(f.loads)) > most {
+			f.violate("rule 5", "%d orders in the window, %.1f at most", len(f.loads), most)
 		}
 	}
-	f.asked, f.counts = append(f.asked, pair{w, fn}), append(f.counts, copies)
+	f.pendingLoads, f.pendingCounts = append(f.pendingLoads, replicaKey{w, fn}), append(f.pendingCounts, copies)
 }
 
-func (f *referee) Cancel(id RequestID, attempt int) { f.note("cancel %d %d", id, attempt) }
-func (f *referee) Unload(w WorkerID, fn FunctionID) { f.note("unload %d %d", w, fn) }
-func (f *referee) CheckHealth(w WorkerID)           { f.note("probe %d", w) }
-func (f *referee) WatchEndpoints()                  { f.note("follow") }
-func (f *referee) Log(string)                       {}
-func (f *referee) SetTimer(after time.Duration, token uint64) {
-	f.wakes = append(f.wakes, wake{f.now + max(after, ms), token})
+func (f *invariantChecker) Cancel(id RequestID, attempt int) { f.note("cancel %d %d", id, attempt) }
+func (f *invariantChecker) Unload(w WorkerID, fn FunctionID) { f.note("unload %d %d", w, fn) }
+func (f *invariantChecker) CheckHealth(w WorkerID)           { f.note("probe %d", w) }
+func (f *invariantChecker) WatchEndpoints()                  { f.note("follow") }
+func (f *invariantChecker) Log(string)                       {}
+func (f *invariantChecker) SetTimer(after time.Duration, token uint64) {
+	f.timers = append(f.timers, pendingTimer{f.now + max(after, ms), token})
 }
 
-func (f *referee) list() {
+func (f *invariantChecker) changeRandomWorker() {
 	w := f.workers[f.ids[f.rng.IntN(len(f.ids))]]
 	switch f.rng.IntN(4) {
 	case 0:
@@ -150,75 +150,79 @@
 		w.Started = f.now - time.Duration(f.rng.IntN(3000))*ms
 	}
 	f.workers[w.ID] = w
-	f.c.WorkersChanged(f.now, []WorkerInfo{w}, false)
+	f.scheduler.WorkersChanged(f.now, []WorkerInfo{w}, false)
 }
 
-func (f *referee) arrive() {
+func (f *invariantChecker) receiveRequest() {
 	f.nextID++
 	class := f.rng.IntN(len(f.set.Classes))
 	budget := time.Duration(1+f.rng.IntN(3000)) * ms
-	f.open[f.nextID] = &watched{class: f.set.Classes[class], deadline: f.now + budget}
+	f.open[f.nextID] = &trackedRequest{class: f.set.Classes[class], deadline: f.now + budget}
 	f.order = append(f.order, f.nextID)
-	f.taken = append(f.taken, f.now)
-	f.c.RequestReceived(f.now, Request{ID: f.nextID, Class: class, Tenant: f.rng.IntN(2),
-		Function: FunctionID(f.rng.IntN(12)), Timeout: budget, ReplicaConcurrency: 1 + f.rng.IntN(4)})
+	f.received = append(f.received, f.now)
+	f.scheduler.RequestReceived(f.now, Request{
+		ID: f.nextID, Class: class, Tenant: f.rng.IntN(2),
+		Function: FunctionID(f.rng.IntN(12)), Timeout: budget, ReplicaConcurrency: 1 + f.rng.IntN(4),
+	})
 }
 
-func (f *referee) outcome(id RequestID, status Status) {
+func (f *invariantChecker) endAttempt(id RequestID, status Status) {
 	r := f.open[id]
 	if status == Error || status == Timeout || status == Reset || status == Cancelled {
-		if !r.ran {
-			r.ran, r.firstAt, r.firstOn = true, r.outAt, f.workers[r.out]
+		if !r.mayHaveExecuted {
+			r.mayHaveExecuted, r.firstSentAt, r.firstWorker = true, r.sentAt, f.workers[r.worker]
 		}
 	}
-	o := Outcome{Request: id, Attempt: r.attempts - 1, Worker: r.out, Status: status, Latency: f.now - r.outAt,
-		ColdStart: ColdStart(f.rng.IntN(4)), QueueDepth: f.rng.IntN(5)}
-	r.out = 0
+	o := Outcome{
+		Request: id, Attempt: r.attempts - 1, Worker: r.worker, Status: status, Latency: f.now - r.sentAt,
+		ColdStart: ColdStart(f.rng.IntN(4)), QueueDepth: f.rng.IntN(5),
+	}
+	r.worker = 0
 	if status == OK {
 		r.answered = true
 	}
 	o.RequestClosed = r.answered
-	f.c.AttemptEnded(f.now, o)
+	f.scheduler.AttemptEnded(f.now, o)
 }
 
 // step lets a millisecond pass and plays what falls due and what the dice say.
-func (f *referee) step() {
+func (f *invariantChecker) step() {
 	f.now += ms
-	for i := 0; i < len(f.wakes); i++ {
-		if w := f.wakes[i]; w.at <= f.now {
-			f.wakes = slices.Delete(f.wakes, i, i+1)
+	for i := 0; i < len(f.timers); i++ {
+		if w := f.timers[i]; w.at <= f.now {
+			f.timers = slices.Delete(f.timers, i, i+1)
 			i--
-			f.c.TimerFired(f.now, w.token)
+			f.scheduler.TimerFired(f.now, w.token)
 		}
 	}
 	if f.rng.IntN(5) == 0 {
-		f.arrive()
+		f.receiveRequest()
 	}
 	if f.rng.IntN(300) == 0 {
-		f.list()
+		f.changeRandomWorker()
 	}
-	for len(f.asked) > 0 && f.rng.IntN(2) == 0 {
-		a, count := f.asked[0], f.counts[0]
-		f.asked, f.counts = f.asked[1:], f.counts[1:]
+	for len(f.pendingLoads) > 0 && f.rng.IntN(2) == 0 {
+		a, count := f.pendingLoads[0], f.pendingCounts[0]
+		f.pendingLoads, f.pendingCounts = f.pendingLoads[1:], f.pendingCounts[1:]
 		status := []Status{OK, OK, OK, Overloaded, Error, Reset, Timeout}[f.rng.IntN(7)]
-		f.c.LoadEnded(f.now, LoadResult{Worker: a.w, Function: a.f, Status: status, Replicas: max(count, f.rng.IntN(2))})
+		f.scheduler.LoadEnded(f.now, LoadResult{Worker: a.worker, Function: a.function, Status: status, Replicas: max(count, f.rng.IntN(2))})
 	}
 	var still []RequestID
 	for _, id := range f.order {
 		r := f.open[id]
 		switch {
-		case r.out != 0 && f.now >= r.deadline:
-			f.outcome(id, Timeout)
-		case r.out != 0 && f.rng.IntN(150) == 0:
-			f.outcome(id, []Status{OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, Cancelled, NotLoaded}[f.rng.IntN(9)])
-		case !r.answered && r.out == 0 && f.rng.IntN(2000) == 0:
+		case r.worker != 0 && f.now >= r.deadline:
+			f.endAttempt(id, Timeout)
+		case r.worker != 0 && f.rng.IntN(150) == 0:
+			f.endAttempt(id, []Status{OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, Cancelled, NotLoaded}[f.rng.IntN(9)])
+		case !r.answered && r.worker == 0 && f.rng.IntN(2000) == 0:
 			r.answered = true
-			f.c.ClientDisconnected(f.now, id)
+			f.scheduler.ClientDisconnected(f.now, id)
 		}
 		if !r.answered && f.now > r.deadline+8*ms {
-			f.breaks("rule 1", "no answer for %d", id)
+			f.violate("rule 1", "no answer for %d", id)
 		}
-		if !r.answered || r.out != 0 {
+		if !r.answered || r.worker != 0 {
 			still = append(still, id)
 		} else {
 			delete(f.open, id)
@@ -227,16 +231,18 @@
 	f.order = still
 }
 
-func newReferee(t *testing.T, seed uint64, set Settings) *referee {
-	f := &referee{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), workers: map[WorkerID]WorkerInfo{},
-		open: map[RequestID]*watched{}, sends: map[WorkerID][]time.Duration{}, now: time.Hour}
-	f.c = New(f.now, set, f)
+func newInvariantChecker(t *testing.T, seed uint64, set Settings) *invariantChecker {
+	f := &invariantChecker{
+		t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), workers: map[WorkerID]WorkerInfo{},
+		open: map[RequestID]*trackedRequest{}, sends: map[WorkerID][]time.Duration{}, now: time.Hour,
+	}
+	f.scheduler = New(f.now, set, f)
 	var list []WorkerInfo
 	for i := range 6 {
 		w := WorkerInfo{ID: WorkerID(i + 1), Zone: i % 2, Cell: i % 3, Started: UnknownStart, State: Ready}
 		f.workers[w.ID], f.ids, list = w, append(f.ids, w.ID), append(list, w)
 	}
-	f.c.WorkersChanged(f.now, list, true)
+	f.scheduler.WorkersChanged(f.now, list, true)
 	return f
 }
 
@@ -254,7 +260,7 @@
 func TestFiveRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			f := newReferee(t, seed, ruleSettings(seed))
+			f := newInvariantChecker(t, seed, ruleSettings(seed))
 			for range 20000 {
 				f.step()
 			}
@@ -266,7 +272,7 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	first, second := newReferee(t, 5, ruleSettings(5)), newReferee(t, 5, ruleSettings(5))
+	first, second := newInvariantChecker(t, 5, ruleSettings(5)), newInvariantChecker(t, 5, ruleSettings(5))
 	for range 10000 {
 		first.step()
 		second.step()
--- a/scheduler/script_test.go
+++ b/scheduler/script_test.go
@@ -6,154 +6,163 @@
 	"strings"
 	"testing"
 	"time"
+
+	"havencart/internal/estimate"
 )
 
 const ms = time.Millisecond
 
 // script plays events to a Controller and notes its actions. It plays the front end's part only: what workers
 // answer is written in each test.
-type script struct {
-	t       *testing.T
-	c       *Scheduler
-	now     time.Duration
-	actions []string
-	sentTo  map[RequestID][]WorkerID
-	asks    []pair
-	orders  []pair
-	answers map[RequestID]string
-	nextID  RequestID
-}
-
-func (s *script) note(format string, args ...any) {
-	s.actions = append(s.actions, fmt.Sprintf(format, args...))
-}
-
-func (s *script) Send(r RequestID, w WorkerID, _ time.Duration) {
-	s.sentTo[r] = append(s.sentTo[r], w)
-	s.note("send %d", r)
-}
-func (s *script) Reject(r RequestID, after time.Duration) {
-	s.answers[r] = "refused"
-	s.note("refuse %d", r)
-}
-func (s *script) Fail(r RequestID)                { s.answers[r] = "failed"; s.note("fail %d", r) }
-func (s *script) Cancel(r RequestID, attempt int) { s.note("cancel %d", r) }
-func (s *script) Unload(w WorkerID, f FunctionID) { s.note("unload") }
-func (s *script) CheckHealth(w WorkerID)          { s.note("probe %d", w) }
-func (s *script) SetTimer(time.Duration, uint64)  {}
-func (s *script) WatchEndpoints()                 { s.note("follow") }
-func (s *script) Log(string)                      {}
-func (s *script) Load(w WorkerID, f FunctionID, copies int) {
+type harness struct {
+	t         *testing.T
+	scheduler *Scheduler
+	now       time.Duration
+	actions   []string
+	sentTo    map[RequestID][]WorkerID
+	queries   []replicaKey
+	orders    []replicaKey
+	answers   map[RequestID]string
+	nextID    RequestID
+}
+
+func (h *harness) note(format string, args ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(format, args...))
+}
+
+func (h *harness) Send(r RequestID, w WorkerID, _ time.Duration) {
+	h.sentTo[r] = append(h.sentTo[r], w)
+	h.note("send %d", r)
+}
+
+func (h *harness) Reject(r RequestID, after time.Duration) {
+	h.answers[r] = "refused"
+	h.note("refuse %d", r)
+}
+func (h *harness) Fail(r RequestID)                { h.answers[r] = "failed"; h.note("fail %d", r) }
+func (h *harness) Cancel(r RequestID, attempt int) { h.note("cancel %d", r) }
+func (h *harness) Unload(w WorkerID, f FunctionID) { h.note("unload") }
+func (h *harness) CheckHealth(w WorkerID)          { h.note("probe %d", w) }
+func (h *harness) SetTimer(time.Duration, uint64)  {}
+func (h *harness) WatchEndpoints()                 { h.note("follow") }
+func (h *harness) Log(string)                      {}
+func (h *harness) Load(w WorkerID, f FunctionID, copies int) {
 	if copies == 0 {
-		s.asks = append(s.asks, pair{w, f})
+		h.queries = append(h.queries, replicaKey{w, f})
 	} else {
-		s.orders = append(s.orders, pair{w, f})
-		s.note("load %d", w)
+		h.orders = append(h.orders, replicaKey{w, f})
+		h.note("load %d", w)
 	}
 }
 
 // settings are those of three front ends whose workers load what they lack.
 func settings() Settings {
-	return Settings{Seed: 1, FrontEndCount: 3, ReplicaIdleTimeout: 10 * time.Second, LoadOrdersAllowed: true, HealthChecksAllowed: true, CancelAllowed: true,
+	return Settings{
+		Seed: 1, FrontEndCount: 3, ReplicaIdleTimeout: 10 * time.Second, LoadOrdersAllowed: true, HealthChecksAllowed: true, CancelAllowed: true,
 		ReportsColdStart: true, MaxAttempts: 4, MaxRetryAfter: 500 * ms, SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2,
 		OverloadWindow: 2 * time.Second, Resolution: 2 * ms, Classes: []Class{
 			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: Idempotent},
 			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: IdempotentByKey, KeyScope: ScopeCell, KeyRetention: time.Second},
 			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: NonIdempotent},
-		}, Tenants: []Tenant{{Share: 0.5}, {Share: 0.5}}}
+		}, Tenants: []Tenant{{Share: 0.5}, {Share: 0.5}},
+	}
 }
 
-func start(t *testing.T, set Settings, workers int) *script {
-	s := &script{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, answers: map[RequestID]string{}}
-	s.c = New(s.now, set, s)
+func start(t *testing.T, set Settings, workers int) *harness {
+	h := &harness{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, answers: map[RequestID]string{}}
+	h.scheduler = New(h.now, set, h)
 	var list []WorkerInfo
 	for i := range workers {
 		list = append(list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready})
 	}
-	s.c.WorkersChanged(s.now, list, true)
-	return s
+	h.scheduler.WorkersChanged(h.now, list, true)
+	return h
 }
 
-func (s *script) change(info WorkerInfo) { s.c.WorkersChanged(s.now, []WorkerInfo{info}, false) }
+func (h *harness) changeWorker(info WorkerInfo) {
+	h.scheduler.WorkersChanged(h.now, []WorkerInfo{info}, false)
+}
 
-func (s *script) arrive(f FunctionID, class int) RequestID {
-	s.nextID++
-	s.c.RequestReceived(s.now, Request{ID: s.nextID, Class: class, Function: f, Timeout: 3 * time.Second, ReplicaConcurrency: 2})
-	return s.nextID
+func (h *harness) request(f FunctionID, class int) RequestID {
+	h.nextID++
+	h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Class: class, Function: f, Timeout: 3 * time.Second, ReplicaConcurrency: 2})
+	return h.nextID
 }
 
 // pass lets time go by, with ticks.
-func (s *script) pass(d time.Duration) {
-	for end := s.now + d; s.now < end; {
-		s.now = min(end, s.now+tick)
-		s.c.TimerFired(s.now, 0)
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(end, h.now+tickInterval)
+		h.scheduler.TimerFired(h.now, 0)
 	}
 }
 
 // answerAsks answers every question for standing copies: those at holders stand.
-func (s *script) answerAsks(holders ...WorkerID) {
-	for len(s.asks) > 0 {
-		a := s.asks[0]
-		s.asks = s.asks[1:]
+func (h *harness) answerQueries(holders ...WorkerID) {
+	for len(h.queries) > 0 {
+		a := h.queries[0]
+		h.queries = h.queries[1:]
 		copies := 0
-		if slices.Contains(holders, a.w) {
+		if slices.Contains(holders, a.worker) {
 			copies = 1
 		}
-		s.c.LoadEnded(s.now, LoadResult{Worker: a.w, Function: a.f, Status: OK, Latency: ms, Replicas: copies})
+		h.scheduler.LoadEnded(h.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms, Replicas: copies})
 	}
 }
 
 // at is the worker of the latest attempt of r.
-func (s *script) at(r RequestID) WorkerID {
-	s.t.Helper()
-	if len(s.sentTo[r]) == 0 {
-		s.t.Fatalf("request %d was not sent; actions %v", r, s.actions)
+func (h *harness) workerOf(r RequestID) WorkerID {
+	h.t.Helper()
+	if len(h.sentTo[r]) == 0 {
+		h.t.Fatalf("request %d was not sent; actions %v", r, h.actions)
 	}
-	return s.sentTo[r][len(s.sentTo[r])-1]
+	return h.sentTo[r][len(h.sentTo[r])-1]
 }
 
 // since is how long the latest attempt of r has been out.
-func (s *script) since(r RequestID) time.Duration {
-	if q := s.c.requests[r]; q != nil {
-		return s.now - q.sent
+func (h *harness) inFlightFor(r RequestID) time.Duration {
+	if q := h.scheduler.requests[r]; q != nil {
+		return h.now - q.sentAt
 	}
 	return 0
 }
 
-func (s *script) end(r RequestID, status Status, warmth ColdStart) {
-	s.t.Helper()
-	w, n := s.at(r), len(s.sentTo[r])
-	s.c.AttemptEnded(s.now, Outcome{Request: r, Attempt: n - 1, Worker: w, Status: status, Latency: s.since(r),
-		RequestClosed: status == OK, ColdStart: warmth})
+func (h *harness) endAttempt(r RequestID, status Status, warmth ColdStart) {
+	h.t.Helper()
+	w, n := h.workerOf(r), len(h.sentTo[r])
+	h.scheduler.AttemptEnded(h.now, Outcome{
+		Request: r, Attempt: n - 1, Worker: w, Status: status, Latency: h.inFlightFor(r),
+		RequestClosed: status == OK, ColdStart: warmth,
+	})
 }
 
 // avoids says whether a new call of f, with copies found standing at every worker, goes elsewhere than to w.
-func (s *script) avoids(w WorkerID, f FunctionID) bool {
-	s.t.Helper()
-	r := s.arrive(f, 0)
-	s.answerAsks(1, 2, 3, 4)
-	return s.at(r) != w
+func (h *harness) avoidsWorker(w WorkerID, f FunctionID) bool {
+	h.t.Helper()
+	r := h.request(f, 0)
+	h.answerQueries(1, 2, 3, 4)
+	return h.workerOf(r) != w
 }
 
 // warm makes one worker known to hold f, with a run of 100 ms, and returns it.
-func (s *script) warm(f FunctionID) WorkerID {
-	s.t.Helper()
-	r := s.arrive(f, 0)
-	s.answerAsks()
-	s.answerAsks()
-	w := s.at(r)
-	s.pass(600 * ms)
-	s.end(r, OK, ColdStartTriggered)
+func (h *harness) warm(f FunctionID) WorkerID {
+	h.t.Helper()
+	r := h.request(f, 0)
+	h.answerQueries()
+	h.answerQueries()
+	w := h.workerOf(r)
+	h.advance(600 * ms)
+	h.endAttempt(r, OK, ColdStartTriggered)
 	for range 4 {
-		r = s.arrive(f, 0)
-		s.pass(100 * ms)
-		s.end(r, OK, WarmStart)
+		r = h.request(f, 0)
+		h.advance(100 * ms)
+		h.endAttempt(r, OK, WarmStart)
 	}
 	return w
 }
 
-func (s *script) count(action string) (n int) {
-	for _, a := range s.actions {
+func (h *harness) count(action string) (n int) {
+	for _, a := range h.actions {
 		if strings.HasPrefix(a, action) {
 			n++
 		}
@@ -162,15 +171,15 @@
 }
 
 func TestPipeHoldsTheRest(t *testing.T) {
-	s := start(t, settings(), 4)
-	w := s.warm(7)
+	h := start(t, settings(), 4)
+	w := h.warm(7)
 	var sent, held int
 	for range 5 {
-		r := s.arrive(7, 0)
+		r := h.request(7, 0)
 		switch {
-		case len(s.sentTo[r]) == 0:
+		case len(h.sentTo[r]) == 0:
 			held++
-		case s.at(r) == w:
+		case h.workerOf(r) == w:
 			sent++
 		}
 	}
@@ -180,31 +189,31 @@
 }
 
 func TestOutcomeTopsUpThePipe(t *testing.T) {
-	s := start(t, settings(), 4)
-	s.warm(7)
-	first := s.arrive(7, 0)
+	h := start(t, settings(), 4)
+	h.warm(7)
+	first := h.request(7, 0)
 	last := first
 	for range 2 {
-		last = s.arrive(7, 0)
+		last = h.request(7, 0)
 	}
-	if len(s.sentTo[last]) != 0 {
+	if len(h.sentTo[last]) != 0 {
 		t.Fatal("the request after a full pipe was not held")
 	}
-	s.now += 50 * ms
-	s.end(first, OK, WarmStart)
-	s.at(last)
+	h.now += 50 * ms
+	h.endAttempt(first, OK, WarmStart)
+	h.workerOf(last)
 }
 
 func TestDeepBacklogIsLent(t *testing.T) {
-	s := start(t, settings(), 4)
-	w := s.warm(7)
+	h := start(t, settings(), 4)
+	w := h.warm(7)
 	for range 20 {
-		s.arrive(7, 0)
+		h.request(7, 0)
 	}
-	s.answerAsks() // no copy stands elsewhere
+	h.answerQueries() // no copy stands elsewhere
 	lent := map[WorkerID]int{}
-	for r, at := range s.sentTo {
-		if at[0] != w && s.c.requests[r] != nil {
+	for r, at := range h.sentTo {
+		if at[0] != w && h.scheduler.requests[r] != nil {
 			lent[at[0]]++
 		}
 	}
@@ -219,26 +228,26 @@
 }
 
 func TestBeliefEnds(t *testing.T) {
-	tests := map[string]func(*script, WorkerID){
-		"with the keep-alive": func(s *script, w WorkerID) { s.pass(10*time.Second + tick) },
-		"with a new start": func(s *script, w WorkerID) {
-			s.change(WorkerInfo{ID: w, Cell: int(w+1) % 2, Started: s.now - time.Second, State: Ready})
+	tests := map[string]func(*harness, WorkerID){
+		"with the keep-alive": func(h *harness, w WorkerID) { h.advance(10*time.Second + tickInterval) },
+		"with a new start": func(h *harness, w WorkerID) {
+			h.changeWorker(WorkerInfo{ID: w, Cell: int(w+1) % 2, Started: h.now - time.Second, State: Ready})
 		},
-		"with a miss": func(s *script, w WorkerID) {
-			r := s.arrive(7, 0)
-			s.end(r, NotLoaded, ColdStartUnknown)
+		"with a miss": func(h *harness, w WorkerID) {
+			r := h.request(7, 0)
+			h.endAttempt(r, NotLoaded, ColdStartUnknown)
 		},
-		"with a lost connection": func(s *script, w WorkerID) {
-			r := s.arrive(7, 0)
-			s.end(r, Reset, ColdStartUnknown)
+		"with a lost connection": func(h *harness, w WorkerID) {
+			r := h.request(7, 0)
+			h.endAttempt(r, Reset, ColdStartUnknown)
 		},
 	}
 	for name, end := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, settings(), 4)
-			w := s.warm(7)
-			end(s, w)
-			if s.c.functions[7].at(s.c.workers[w]) != nil {
+			h := start(t, settings(), 4)
+			w := h.warm(7)
+			end(h, w)
+			if h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[w]) != nil {
 				t.Error("the copy is still believed to stand")
 			}
 		})
@@ -246,32 +255,32 @@
 }
 
 func TestAskFindsOthersCopies(t *testing.T) {
-	s := start(t, settings(), 8)
-	r := s.arrive(7, 0)
-	if len(s.asks) != askFirst || len(s.sentTo[r]) != 0 {
-		t.Fatalf("%d workers asked before a load, want %d; sent %v", len(s.asks), askFirst, s.sentTo[r])
+	h := start(t, settings(), 8)
+	r := h.request(7, 0)
+	if len(h.queries) != residencyQueryFanout || len(h.sentTo[r]) != 0 {
+		t.Fatalf("%d workers asked before a load, want %d; sent %v", len(h.queries), residencyQueryFanout, h.sentTo[r])
 	}
-	holder := s.asks[1].w
-	s.answerAsks(holder)
-	if s.at(r) != holder {
-		t.Errorf("sent to %d, the copy stands at %d", s.at(r), holder)
+	holder := h.queries[1].worker
+	h.answerQueries(holder)
+	if h.workerOf(r) != holder {
+		t.Errorf("sent to %d, the copy stands at %d", h.workerOf(r), holder)
 	}
 }
 
 func TestMissingWorkersWantAnOrder(t *testing.T) {
 	set := settings()
 	set.AnswersNotLoaded = true
-	s := start(t, set, 4)
-	r := s.arrive(7, 0)
-	s.answerAsks()
-	s.answerAsks()
-	s.pass(100 * ms)
-	if len(s.orders) != 1 || len(s.sentTo[r]) != 0 {
-		t.Fatalf("%d orders, request sent to %v before the copy stands", len(s.orders), s.sentTo[r])
-	}
-	s.now += 400 * ms
-	s.c.LoadEnded(s.now, LoadResult{Worker: s.orders[0].w, Function: 7, Status: OK, Latency: 400 * ms, Replicas: 1})
-	if s.at(r) != s.orders[0].w {
+	h := start(t, set, 4)
+	r := h.request(7, 0)
+	h.answerQueries()
+	h.answerQueries()
+	h.advance(100 * ms)
+	if len(h.orders) != 1 || len(h.sentTo[r]) != 0 {
+		t.Fatalf("%d orders, request sent to %v before the copy stands", len(h.orders), h.sentTo[r])
+	}
+	h.now += 400 * ms
+	h.scheduler.LoadEnded(h.now, LoadResult{Worker: h.orders[0].worker, Function: 7, Status: OK, Latency: 400 * ms, Replicas: 1})
+	if h.workerOf(r) != h.orders[0].worker {
 		t.Error("the request did not follow its order")
 	}
 }
@@ -279,15 +288,15 @@
 func TestRationOfOrders(t *testing.T) {
 	set := settings()
 	set.AnswersNotLoaded, set.LoadRateWindow, set.LoadRateBurst, set.LoadRatePerRequest = true, 5*time.Second, 2, 0
-	s := start(t, set, 4)
+	h := start(t, set, 4)
 	for f := range FunctionID(6) {
-		s.arrive(f, 0)
-		s.answerAsks()
-		s.answerAsks()
+		h.request(f, 0)
+		h.answerQueries()
+		h.answerQueries()
 	}
-	s.pass(time.Second)
-	if len(s.orders) != 2 {
-		t.Errorf("%d orders, the ration is 2", len(s.orders))
+	h.advance(time.Second)
+	if len(h.orders) != 2 {
+		t.Errorf("%d orders, the ration is 2", len(h.orders))
 	}
 }
 
@@ -307,19 +316,19 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := start(t, settings(), 4)
-			s.warm(7)
-			r := s.arrive(7, test.class)
-			first := s.at(r)
-			s.now += 50 * ms
-			s.end(r, test.status, ColdStartUnknown)
-			s.answerAsks()
-			s.answerAsks()
-			s.pass(300 * ms)
-			if s.answers[r] != test.want {
-				t.Errorf("final answer %q, want %q", s.answers[r], test.want)
+			h := start(t, settings(), 4)
+			h.warm(7)
+			r := h.request(7, test.class)
+			first := h.workerOf(r)
+			h.now += 50 * ms
+			h.endAttempt(r, test.status, ColdStartUnknown)
+			h.answerQueries()
+			h.answerQueries()
+			h.advance(300 * ms)
+			if h.answers[r] != test.want {
+				t.Errorf("final answer %q, want %q", h.answers[r], test.want)
 			}
-			if again := s.sentTo[r][1:]; test.class == 1 && len(again) > 0 && (again[0]-first)%2 != 0 {
+			if again := h.sentTo[r][1:]; test.class == 1 && len(again) > 0 && (again[0]-first)%2 != 0 {
 				t.Errorf("a keyed request went from worker %d to %d, another group", first, again[0])
 			}
 		})
@@ -327,31 +336,31 @@
 }
 
 func TestKeyedIsNotSentPastItsMemory(t *testing.T) {
-	s := start(t, settings(), 2) // one worker a group
-	s.warm(7)
-	r := s.arrive(7, 1)
-	s.change(WorkerInfo{ID: s.at(r), Cell: int(s.at(r)+1) % 2, Started: UnknownStart, State: Draining})
-	s.end(r, Error, ColdStartUnknown)
-	s.pass(1100 * ms)
-	if s.answers[r] != "failed" || len(s.sentTo[r]) != 1 {
-		t.Errorf("answer %q after %d attempts, want failed after 1", s.answers[r], len(s.sentTo[r]))
+	h := start(t, settings(), 2) // one worker a group
+	h.warm(7)
+	r := h.request(7, 1)
+	h.changeWorker(WorkerInfo{ID: h.workerOf(r), Cell: int(h.workerOf(r)+1) % 2, Started: UnknownStart, State: Draining})
+	h.endAttempt(r, Error, ColdStartUnknown)
+	h.advance(1100 * ms)
+	if h.answers[r] != "failed" || len(h.sentTo[r]) != 1 {
+		t.Errorf("answer %q after %d attempts, want failed after 1", h.answers[r], len(h.sentTo[r]))
 	}
 }
 
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Removed} {
-		s := start(t, settings(), 4)
-		w := s.warm(7)
-		s.change(WorkerInfo{ID: w, Started: UnknownStart, State: state})
-		s.asks = nil
+		h := start(t, settings(), 4)
+		w := h.warm(7)
+		h.changeWorker(WorkerInfo{ID: w, Started: UnknownStart, State: state})
+		h.queries = nil
 		for range 8 {
-			r := s.arrive(7, 0)
-			s.answerAsks(1, 2, 3, 4)
-			if s.at(r) == w {
+			r := h.request(7, 0)
+			h.answerQueries(1, 2, 3, 4)
+			if h.workerOf(r) == w {
 				t.Fatalf("sent to a worker in state %d", state)
 			}
-			s.now += 50 * ms
-			s.end(r, OK, WarmStart)
+			h.now += 50 * ms
+			h.endAttempt(r, OK, WarmStart)
 		}
 	}
 }
@@ -362,15 +371,15 @@
 		for seed := range uint64(400) { // each stands for one of as many front ends
 			set := settings()
 			set.Seed, set.FrontEndCount = seed, frontEnds
-			s := start(t, set, 1)
-			s.change(WorkerInfo{ID: 1, Started: s.now, State: Ready})
+			h := start(t, set, 1)
+			h.changeWorker(WorkerInfo{ID: 1, Started: h.now, State: Ready})
 			for f := range FunctionID(6) {
-				s.arrive(f, 0)
-				s.answerAsks()
-				s.answerAsks()
+				h.request(f, 0)
+				h.answerQueries()
+				h.answerQueries()
 			}
-			s.pass(time.Second)
-			sent += s.count("send")
+			h.advance(time.Second)
+			sent += h.count("send")
 		}
 		if sent == 0 || sent > most {
 			t.Errorf("%d calls of 400 front ends to a worker that has just started, each told of %d; want some, %d at most",
@@ -380,251 +389,251 @@
 }
 
 func TestSilentWorkerIsLeft(t *testing.T) {
-	s := start(t, settings(), 4)
-	w := s.warm(7)
-	r, unsafe := s.arrive(7, 0), s.arrive(7, 2)
-	if s.at(r) != w {
+	h := start(t, settings(), 4)
+	w := h.warm(7)
+	r, unsafe := h.request(7, 0), h.request(7, 2)
+	if h.workerOf(r) != w {
 		t.Fatal("not sent to the warm worker")
 	}
-	s.pass(2900 * ms)
-	if s.count(fmt.Sprintf("cancel %d", r)) == 0 {
+	h.advance(2900 * ms)
+	if h.count(fmt.Sprintf("cancel %d", r)) == 0 {
 		t.Error("a safe call was left with a worker that answers nothing")
 	}
-	if s.count(fmt.Sprintf("cancel %d", unsafe)) != 0 {
+	if h.count(fmt.Sprintf("cancel %d", unsafe)) != 0 {
 		t.Error("an unsafe call was called back, though it may not be sent again")
 	}
-	if !s.avoids(w, 7) {
+	if !h.avoidsWorker(w, 7) {
 		t.Error("a new call went to the silent worker")
 	}
 }
 
 func TestFailingWorkerIsPassedOver(t *testing.T) {
-	s := start(t, settings(), 4)
-	w := s.warm(7)
+	h := start(t, settings(), 4)
+	w := h.warm(7)
 	for range 3 {
-		r := s.arrive(7, 2)
-		if len(s.sentTo[r]) == 0 || s.at(r) != w {
+		r := h.request(7, 2)
+		if len(h.sentTo[r]) == 0 || h.workerOf(r) != w {
 			break
 		}
-		s.end(r, Error, ColdStartUnknown)
+		h.endAttempt(r, Error, ColdStartUnknown)
 	}
-	if !s.avoids(w, 7) {
+	if !h.avoidsWorker(w, 7) {
 		t.Error("a worker that failed its last calls is still the first choice")
 	}
 }
 
 func TestSlowTimeoutIsNotHeldAgainstAWorkerThatAnswers(t *testing.T) {
-	s := start(t, settings(), 4)
-	w := s.warm(7)
+	h := start(t, settings(), 4)
+	w := h.warm(7)
 	for range 6 {
-		slow, quick := s.arrive(7, 0), s.arrive(7, 0)
-		s.now += 100 * ms
-		s.end(quick, OK, WarmStart)
-		s.end(slow, Timeout, ColdStartUnknown)
-		s.now += 100 * ms
-		s.answerAsks(w)
-		for r := slow; r <= s.nextID; r++ {
-			if s.answers[r] == "" && s.c.requests[r] != nil && s.c.requests[r].at != nil {
-				s.end(r, OK, WarmStart)
+		slow, quick := h.request(7, 0), h.request(7, 0)
+		h.now += 100 * ms
+		h.endAttempt(quick, OK, WarmStart)
+		h.endAttempt(slow, Timeout, ColdStartUnknown)
+		h.now += 100 * ms
+		h.answerQueries(w)
+		for r := slow; r <= h.nextID; r++ {
+			if h.answers[r] == "" && h.scheduler.requests[r] != nil && h.scheduler.requests[r].replica != nil {
+				h.endAttempt(r, OK, WarmStart)
 			}
 		}
 	}
-	if s.c.workers[w].health[0].suspect {
+	if h.scheduler.endpoints.byID[w].healthByClass[0].ejected {
 		t.Error("a worker that answers became suspect through calls whose clients were in a hurry")
 	}
 }
 
 func TestHurriedClientsSayNothingOfAWorker(t *testing.T) {
-	s := start(t, settings(), 4)
-	w := s.c.workers[s.warm(7)]
-	w.wait = fading{float64(400 * ms), s.now, s.now}
+	h := start(t, settings(), 4)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	worker.queueDelay = estimate.NewDecayed(float64(400*ms), h.now)
 	for range 6 {
-		s.nextID++
-		s.c.RequestReceived(s.now, Request{ID: s.nextID, Class: 2, Function: 7, Timeout: 700 * ms, ReplicaConcurrency: 2})
-		s.answerAsks(w.ID)
-		s.now += 100 * ms
-		s.end(s.nextID, Timeout, ColdStartUnknown)
+		h.nextID++
+		h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Class: 2, Function: 7, Timeout: 700 * ms, ReplicaConcurrency: 2})
+		h.answerQueries(worker.ID)
+		h.now += 100 * ms
+		h.endAttempt(h.nextID, Timeout, ColdStartUnknown)
 	}
-	if w.health[0].suspect || s.c.waitOf(w) < 280*ms {
-		t.Errorf("suspect %v, wait of 400 ms counts as %v after calls given up within 100 ms", w.health[0].suspect, s.c.waitOf(w))
+	if worker.healthByClass[0].ejected || h.scheduler.queueDelay(worker) < 280*ms {
+		t.Errorf("suspect %v, wait of 400 ms counts as %v after calls given up within 100 ms", worker.healthByClass[0].ejected, h.scheduler.queueDelay(worker))
 	}
 }
 
 func TestFullCutsWhatAWorkerMayHold(t *testing.T) {
-	s := start(t, settings(), 1)
-	w := s.c.workers[s.warm(7)]
-	before := w.limit
-	s.arrive(7, 0)
-	s.now += 200 * ms
-	s.end(s.nextID, Overloaded, ColdStartUnknown)
-	if w.limit >= before {
-		t.Errorf("limit %.1f after a call was turned away, %.1f before", w.limit, before)
+	h := start(t, settings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	before := worker.concurrencyLimit
+	h.request(7, 0)
+	h.now += 200 * ms
+	h.endAttempt(h.nextID, Overloaded, ColdStartUnknown)
+	if worker.concurrencyLimit >= before {
+		t.Errorf("limit %.1f after a call was turned away, %.1f before", worker.concurrencyLimit, before)
 	}
 }
 
 func TestOverloadOfAllIsNotTheUsual(t *testing.T) {
-	s := start(t, settings(), 2)
-	s.warm(7)
-	quick := s.c.quiet(0)
+	h := start(t, settings(), 2)
+	h.warm(7)
+	quick := h.scheduler.unloadedRunTime(0)
 	for range 10 {
-		r := s.arrive(7, 0)
-		s.pass(time.Second)
-		s.end(r, OK, WarmStart)
-		s.answerAsks()
-		for _, w := range s.c.list {
-			w.wait = fading{} // long forgotten when the next one comes
+		r := h.request(7, 0)
+		h.advance(time.Second)
+		h.endAttempt(r, OK, WarmStart)
+		h.answerQueries()
+		for _, worker := range h.scheduler.endpoints.list {
+			worker.queueDelay = estimate.Decayed{} // long forgotten when the next one comes
 		}
 	}
-	if now := s.c.quiet(0); now > quick+quick/2 {
+	if now := h.scheduler.unloadedRunTime(0); now > quick+quick/2 {
 		t.Errorf("the run of a quiet worker rose from %v to %v while all were slow", quick, now)
 	}
 }
 
 func TestLoadsUnderWayAreFew(t *testing.T) {
-	s := start(t, settings(), 20)
-	s.c.work.add(s.now, shareFade, float64(time.Hour)) // of other functions
-	for f := range FunctionID(3 * loadsMost) {
-		s.warm(f)
+	h := start(t, settings(), 20)
+	h.scheduler.demand.runTime.Add(h.now, demandMemory, float64(time.Hour)) // of other functions
+	for f := range FunctionID(3 * maxLoadsInFlight) {
+		h.warm(f)
 	}
-	s.pass(2 * s.c.set.ReplicaIdleTimeout) // nothing is believed any more
-	before := s.count("send")
-	for f := range FunctionID(3 * loadsMost) {
-		s.arrive(f, 0)
-		s.answerAsks()
-		s.answerAsks()
+	h.advance(2 * h.scheduler.settings.ReplicaIdleTimeout) // nothing is believed any more
+	before := h.count("send")
+	for f := range FunctionID(3 * maxLoadsInFlight) {
+		h.request(f, 0)
+		h.answerQueries()
+		h.answerQueries()
 	}
-	if sent := s.count("send") - before; sent != loadsMost {
-		t.Errorf("%d loads under way at once, want %d", sent, loadsMost)
+	if sent := h.count("send") - before; sent != maxLoadsInFlight {
+		t.Errorf("%d loads under way at once, want %d", sent, maxLoadsInFlight)
 	}
 }
 
 // TestAStoppedStoreIsLeftAlone: each load fails at once, and its call is sent to the next worker. After a few that
 // failed loads are kept back and tried one at a time; the first that works ends that.
 func TestAStoppedStoreIsLeftAlone(t *testing.T) {
-	s := start(t, settings(), 20)
+	h := start(t, settings(), 20)
 	tried := func(as Status, warmth ColdStart) (loads int) {
 		for range 100 {
-			r := s.arrive(7, 0)
-			s.answerAsks()
-			s.answerAsks()
+			r := h.request(7, 0)
+			h.answerQueries()
+			h.answerQueries()
 			for id := RequestID(1); id <= r; id++ {
-				for n := 0; s.answers[id] == "" && s.c.requests[id] != nil && s.c.requests[id].at != nil && n < 50; n++ {
+				for n := 0; h.answers[id] == "" && h.scheduler.requests[id] != nil && h.scheduler.requests[id].replica != nil && n < 50; n++ {
 					loads++
-					s.end(id, as, warmth)
+					h.endAttempt(id, as, warmth)
 				}
 			}
-			s.pass(20 * ms)
+			h.advance(20 * ms)
 		}
 		return loads
 	}
 	if loads := tried(NotLoaded, ColdStartFailed); loads < 4 || loads > 12 {
 		t.Errorf("%d loads were tried in 2 s of a stopped store", loads)
 	}
-	s.pass(2 * barMost)
+	h.advance(2 * breakerOpenMax)
 	if loads := tried(OK, ColdStartTriggered); loads < 80 {
 		t.Errorf("%d calls of 100 were sent once the store was back", loads)
 	}
 }
 
 func TestNobodyToSendTo(t *testing.T) {
-	s := start(t, settings(), 0)
-	r := s.arrive(7, 0)
-	s.pass(2990 * ms)
-	if s.answers[r] != "refused" {
-		t.Errorf("with no worker known the answer is %q", s.answers[r])
+	h := start(t, settings(), 0)
+	r := h.request(7, 0)
+	h.advance(2990 * ms)
+	if h.answers[r] != "refused" {
+		t.Errorf("with no worker known the answer is %q", h.answers[r])
 	}
 }
 
 func TestShortBudgetIsAnsweredAtOnce(t *testing.T) {
-	s := start(t, settings(), 0)
-	s.c.RequestReceived(s.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
-	if s.answers[1] != "refused" {
-		t.Errorf("answer %q to a request that no tick will see in time", s.answers[1])
+	h := start(t, settings(), 0)
+	h.scheduler.RequestReceived(h.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
+	if h.answers[1] != "refused" {
+		t.Errorf("answer %q to a request that no tick will see in time", h.answers[1])
 	}
 }
 
 func TestEmptyPipeIsNoEndlessWait(t *testing.T) {
-	s := start(t, settings(), 1)
-	w := s.c.workers[s.warm(7)]
-	w.limit = 1
-	s.arrive(8, 0) // takes the only place
-	s.answerAsks(1)
-	r := s.arrive(7, 0)
-	s.pass(100 * ms)
-	if s.answers[r] != "" {
-		t.Errorf("request %s though a warm worker is about to have room", s.answers[r])
+	h := start(t, settings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	worker.concurrencyLimit = 1
+	h.request(8, 0) // takes the only place
+	h.answerQueries(1)
+	r := h.request(7, 0)
+	h.advance(100 * ms)
+	if h.answers[r] != "" {
+		t.Errorf("request %s though a warm worker is about to have room", h.answers[r])
 	}
 }
 
 func TestExcessIsCountedAndComesLast(t *testing.T) {
-	s := start(t, settings(), 1)
-	w := s.c.workers[s.warm(7)]
-	for range shareMemory {
-		s.c.excess(1)
+	h := start(t, settings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	for range quotaWindow {
+		h.scheduler.tenants.exceeds(1, 0.5)
 	}
 	counted := 0
 	for range 20 { // a tenant that takes all, with half the service as its share
-		if s.c.excess(1) {
+		if h.scheduler.tenants.exceeds(1, 0.5) {
 			counted++
 		}
 	}
 	if counted < 5 || counted > 10 {
 		t.Errorf("%d of 20 calls counted as too many, want about two in five", counted)
 	}
-	within, beyond := s.arrive(7, 0), s.arrive(7, 0)
-	s.c.requests[beyond].excess = true
-	w.limit = 4
-	if !s.c.roomFor(w, s.c.requests[within]) || s.c.roomFor(w, s.c.requests[beyond]) {
+	within, beyond := h.request(7, 0), h.request(7, 0)
+	h.scheduler.requests[beyond].overQuota = true
+	worker.concurrencyLimit = 4
+	if !h.scheduler.hasHeadroom(worker, h.scheduler.requests[within]) || h.scheduler.hasHeadroom(worker, h.scheduler.requests[beyond]) {
 		t.Error("with two of four places taken there is room for a call within its share, none beyond")
 	}
 }
 
 func TestLateCallsWithoutRoomAreRefusedAtOnce(t *testing.T) {
-	s := start(t, settings(), 1)
-	w := s.c.workers[s.warm(7)]
-	w.limit = 2
+	h := start(t, settings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	worker.concurrencyLimit = 2
 	var ids []RequestID
 	for range 40 { // two lanes at 100 ms a run: the last would wait for two seconds
-		ids = append(ids, s.arrive(7, 0))
+		ids = append(ids, h.request(7, 0))
 	}
-	s.pass(2 * tick)
-	if s.answers[ids[39]] != "refused" || s.answers[ids[4]] != "" {
+	h.advance(2 * tickInterval)
+	if h.answers[ids[39]] != "refused" || h.answers[ids[4]] != "" {
 		t.Errorf("answers %q to the last and %q to an early one of 40, want refused and none",
-			s.answers[ids[39]], s.answers[ids[4]])
+			h.answers[ids[39]], h.answers[ids[4]])
 	}
 }
 
 func TestFreedRoomGoesToTheMostWorth(t *testing.T) {
 	set := settings()
 	set.Classes[2].PriorityWeight = 6
-	s := start(t, set, 1)
-	s.warm(7)
-	dear := s.arrive(8, 2)
-	s.answerAsks(1)
-	s.end(dear, OK, WarmStart)
-	s.c.workers[1].limit = 1
-	out := s.arrive(7, 0)
-	cheap, dear := s.arrive(7, 0), s.arrive(8, 2)
-	if len(s.sentTo[cheap])+len(s.sentTo[dear]) != 0 {
+	h := start(t, set, 1)
+	h.warm(7)
+	dear := h.request(8, 2)
+	h.answerQueries(1)
+	h.endAttempt(dear, OK, WarmStart)
+	h.scheduler.endpoints.byID[1].concurrencyLimit = 1
+	out := h.request(7, 0)
+	cheap, dear := h.request(7, 0), h.request(8, 2)
+	if len(h.sentTo[cheap])+len(h.sentTo[dear]) != 0 {
 		t.Fatal("sent beyond the worker's limit")
 	}
-	s.now += 50 * ms
-	s.end(out, OK, WarmStart)
-	sent := func(r RequestID) int { return slices.Index(s.actions, fmt.Sprintf("send %d", r)) }
+	h.now += 50 * ms
+	h.endAttempt(out, OK, WarmStart)
+	sent := func(r RequestID) int { return slices.Index(h.actions, fmt.Sprintf("send %d", r)) }
 	if sent(dear) < 0 || sent(cheap) >= 0 && sent(cheap) < sent(dear) {
-		t.Errorf("the room that came free went to worth 1 before worth 6: %v", s.actions)
+		t.Errorf("the room that came free went to worth 1 before worth 6: %v", h.actions)
 	}
 }
 
 func TestLostWorkerIsLeftThenTried(t *testing.T) {
-	s := start(t, settings(), 2)
-	w := s.warm(7)
-	s.end(s.arrive(7, 0), ConnectFailed, ColdStartUnknown)
-	if s.avoids(w, 8); !s.c.workers[w].health[0].suspect || s.c.usable(s.c.workers[w], 0) {
+	h := start(t, settings(), 2)
+	w := h.warm(7)
+	h.endAttempt(h.request(7, 0), ConnectFailed, ColdStartUnknown)
+	if h.avoidsWorker(w, 8); !h.scheduler.endpoints.byID[w].healthByClass[0].ejected || h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
 		t.Error("a worker that took no connection is still sent calls")
 	}
-	s.pass(backoffMin + tick)
-	if !s.c.usable(s.c.workers[w], 0) {
+	h.advance(ejectionTimeMin + tickInterval)
+	if !h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
 		t.Error("a worker that took no connection is not tried again after its pause")
 	}
 }
@@ -632,10 +641,10 @@
 func TestListIsAskedForAgain(t *testing.T) {
 	set := settings()
 	set.WatchOnStart = true
-	s := start(t, set, 0)
-	s.c.WatchFailed(s.now)
-	s.c.TimerFired(s.now+time.Second, 1)
-	if s.count("follow") != 2 {
-		t.Errorf("%d times asked for the list, want 2", s.count("follow"))
+	h := start(t, set, 0)
+	h.scheduler.WatchFailed(h.now)
+	h.scheduler.TimerFired(h.now+time.Second, 1)
+	if h.count("follow") != 2 {
+		t.Errorf("%d times asked for the list, want 2", h.count("follow"))
 	}
 }
