--- /dev/null
+++ b/scheduler/admission_test.go
@@ -0,0 +1,213 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"havencart/internal/estimate"
+)
+
+func TestAdmission_NoWorkers_RejectsBeforeDeadline(t *testing.T) {
+	h := start(t, settings(), 0)
+	r := h.request(7, 0)
+	h.advance(2990 * ms)
+	if h.answers[r] != "rejected" {
+		t.Errorf("with no worker known the answer is %q", h.answers[r])
+	}
+}
+
+func TestAdmission_TimeoutBeforeNextTick_RejectsAtOnce(t *testing.T) {
+	h := start(t, settings(), 0)
+	h.scheduler.RequestReceived(h.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
+	if h.answers[1] != "rejected" {
+		t.Errorf("answer %q to a request that no tick will see in time", h.answers[1])
+	}
+}
+
+func TestAdmission_WarmWorkerAboutToHaveHeadroom_KeepsRequest(t *testing.T) {
+	h := start(t, settings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	worker.concurrencyLimit = 1
+	h.request(8, 0) // takes the only slot
+	h.answerQueries(1)
+	r := h.request(7, 0)
+	h.advance(100 * ms)
+	if h.answers[r] != "" {
+		t.Errorf("request %s though a warm worker is about to have headroom", h.answers[r])
+	}
+}
+
+func TestTenantQuota_TenantOverShare_ComesLast(t *testing.T) {
+	h := start(t, settings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	for range quotaWindow {
+		h.scheduler.tenants.exceeds(1, 0.5)
+	}
+	counted := 0
+	for range 20 { // a tenant that sends all requests, with half the service as its share
+		if h.scheduler.tenants.exceeds(1, 0.5) {
+			counted++
+		}
+	}
+	if counted < 5 || counted > 10 {
+		t.Errorf("%d of 20 requests counted as over quota, want about two in five", counted)
+	}
+	within, beyond := h.request(7, 0), h.request(7, 0)
+	h.scheduler.requests[beyond].overQuota = true
+	worker.concurrencyLimit = 4
+	if !h.scheduler.hasHeadroom(worker, h.scheduler.requests[within]) || h.scheduler.hasHeadroom(worker, h.scheduler.requests[beyond]) {
+		t.Error("with two of four slots in use there must be headroom for a request in quota, none for one over it")
+	}
+}
+
+func TestAdmission_LateWithoutHeadroom_RejectsAtOnce(t *testing.T) {
+	h := start(t, settings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	worker.concurrencyLimit = 2
+	var ids []RequestID
+	for range 40 { // concurrency 2 at 100 ms a run: the last would wait for two seconds
+		ids = append(ids, h.request(7, 0))
+	}
+	h.advance(2 * tickInterval)
+	if h.answers[ids[39]] != "rejected" || h.answers[ids[4]] != "" {
+		t.Errorf("answers %q to the last and %q to an early one of 40, want rejected and none",
+			h.answers[ids[39]], h.answers[ids[4]])
+	}
+}
+
+func TestShedding_OverloadOfAllWorkers_RejectsMostAtRandom(t *testing.T) {
+	rejected := func(waits ...time.Duration) (n int) {
+		h := start(t, settings(), 6)
+		h.warm(7)
+		for i, wait := range waits {
+			worker := h.scheduler.endpoints.byID[WorkerID(i+1)]
+			worker.queueDelay, worker.observedDelay = estimate.NewDecayed(float64(wait), h.now), float64(wait)
+		}
+		h.advance(tickInterval)
+		for range 100 {
+			r := h.request(7, 0)
+			if h.answers[r] == "rejected" {
+				n++
+			}
+		}
+		return n
+	}
+	long, short := 700*ms, 5*ms
+	if n := rejected(long, long, long, long, long, long); n < 50 || n == 100 {
+		t.Errorf("%d of 100 requests are rejected at once while all workers have requests wait for %v, want most, not all", n, long)
+	}
+	if n := rejected(long, long, short, short, short, short); n != 0 {
+		t.Errorf("%d of 100 requests are rejected at once while four workers of six have headroom", n)
+	}
+	if n := rejected(long, long, long); n != 0 {
+		t.Errorf("%d of 100 requests are rejected by the queue delays of three workers", n)
+	}
+}
+
+func TestShedding_ValueDensity_DecidesByClass(t *testing.T) {
+	set := settings()
+	set.Classes[1].PriorityWeight, set.Classes[2].LatencyObjective = 3, 2*time.Second
+	h := start(t, set, 6)
+	for i := range 3 {
+		h.warm(FunctionID(7 + i))
+	}
+	for _, worker := range h.scheduler.endpoints.list {
+		worker.queueDelay, worker.observedDelay = estimate.NewDecayed(float64(300*ms), h.now), float64(300*ms)
+	}
+	h.advance(tickInterval)
+	var rejected [3]int
+	for range 200 {
+		for class := range 3 {
+			if h.answers[h.request(FunctionID(7+class), class)] == "rejected" {
+				rejected[class]++
+			}
+		}
+	}
+	if rejected[1] >= rejected[0]*3/4 {
+		t.Errorf("of 200 requests each %d are rejected of the class of weight 3 and %d of weight 1, for the same work", rejected[1], rejected[0])
+	}
+	if d := rejected[2] - rejected[0]; d < -30 || d > 30 {
+		t.Errorf("of 200 requests each %d are rejected of the class that can wait and %d of the urgent one, which is starved",
+			rejected[2], rejected[0])
+	}
+}
+
+func TestQueueDelayBudget_UnusedClass_DoesNotCount(t *testing.T) {
+	set := settings()
+	set.Classes[2].LatencyObjective = ms
+	h := start(t, set, 2)
+	h.warm(7)
+	if slack := h.scheduler.queueDelayBudget(); slack < 600*ms {
+		t.Errorf("requests may wait %v by a class that nobody uses; the objective of the others is 800ms", slack)
+	}
+}
+
+func TestAdmission_BurstBeforeFirstRun_IsNotRejected(t *testing.T) {
+	set := settings()
+	set.Classes[0].LatencyObjective = 400 * ms
+	h := start(t, set, 1)
+	first := h.request(7, 0)
+	h.answerQueries()
+	h.advance(40 * ms)
+	h.endAttempt(first, OK, ColdStartTriggered)
+	for range 16 {
+		h.request(7, 0)
+	}
+	h.advance(40 * ms)
+	if n := h.count("reject"); n != 0 {
+		t.Errorf("%d of 16 requests rejected before any run was seen", n)
+	}
+	for id := first + 1; id <= first+2; id++ {
+		h.endAttempt(id, OK, WarmStart)
+	}
+	for range 200 {
+		h.request(7, 0)
+	}
+	h.advance(40 * ms)
+	if h.count("reject") == 0 {
+		t.Error("none of 200 requests rejected that runs of 40 ms make late")
+	}
+}
+
+// TestShedding_DelayBelowUnloadedRun_AdmitsAll holds that queue delays of less than a run are no overload, however urgent a class.
+func TestShedding_DelayBelowUnloadedRun_AdmitsAll(t *testing.T) {
+	set := settings()
+	for i := range set.Classes {
+		set.Classes[i].LatencyObjective = 400 * ms
+	}
+	h := start(t, set, 6)
+	h.warm(7)
+	for range 2 * unloadedMinSamples {
+		h.advance(300 * ms)
+		h.endAttempt(h.request(7, 0), OK, WarmStart)
+	}
+	quiet := h.scheduler.unloadedRunTime(0)
+	rejected := func(wait time.Duration) (n int) {
+		h.scheduler.delay.contactedMedian = float64(wait)
+		for id := range RequestID(200) {
+			function := h.scheduler.trackFunction(FunctionID(1000), 0) // of which no replica is known
+			if h.scheduler.shouldShed(&requestRecord{Request: Request{ID: 5000 + id}, class: &h.scheduler.settings.Classes[0], function: function}) {
+				n++
+			}
+		}
+		return n
+	}
+	if few, many := rejected(quiet*9/10), rejected(10*quiet+time.Second); few > 0 || many < 100 {
+		t.Errorf("of 200 requests %d are rejected at a queue delay of 0.9 unloaded runs, %d at one of over 10", few, many)
+	}
+}
+
+func TestAdmission_RunsOfNoTime_LeaveNoRequestUnanswered(t *testing.T) {
+	h := start(t, settings(), 2)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	for range 30 {
+		h.endAttempt(h.request(7, 0), OK, WarmStart)
+	}
+	worker.concurrencyLimit = 1
+	h.request(7, 0)
+	held := h.request(7, 0)
+	h.advance(3 * time.Second)
+	if h.answers[held] == "" {
+		t.Errorf("no answer for a request queued behind runs of no time, expected run %v", h.scheduler.expectedRunTime(h.scheduler.functions.byID[7]))
+	}
+}
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// These tests are of what many front ends, each with a Controller of its own and no word between them, send together to
-// one cold worker.
+// These tests hold what many front ends, each with a Scheduler of its own and no communication between them, send
+// together to one cold worker.
 
-// fleet is many Controllers before the same workers, in virtual time.
+// fleet is many Schedulers before the same workers, in virtual time.
 type fleet struct {
 	rng        *rand.Rand
 	set        Settings
 	now        time.Duration
 	fronts     []*fleetFront
 	list       []WorkerInfo
-	replicas   map[replicaKey]time.Duration // since when a copy stands
+	replicas   map[replicaKey]time.Duration // when a replica is or will be loaded
 	run        time.Duration
 	load       time.Duration
 	pending    fleetEvents
@@ -35,7 +35,7 @@
 type fleetFront struct {
 	*fleet
 	scheduler     *Scheduler
-	trafficWeight float64 // of the fleet's traffic
+	trafficWeight float64 // relative to the other front ends
 	incarnation   int
 	nextID        RequestID
 	attempts      map[RequestID]int
@@ -141,7 +141,7 @@
 func (frontEnd *fleetFront) WatchEndpoints()                 {}
 func (frontEnd *fleetFront) Log(string)                      {}
 
-// arrivals has calls come to x at its part of rate.
+// arrivals has requests come to x at its part of the rate.
 func (frontEnd *fleetFront) arrivals(rate float64) {
 	var next func()
 	next = func() {
@@ -153,8 +153,8 @@
 }
 
 const (
-	fleetLoad         = 0.6 // of what warm workers can do, that is asked for: as the platform's large days have it, at most
-	requestsPerWorker = 20  // calls a second that a warm worker can do
+	fleetLoad         = 0.6 // of what warm workers can serve, that is requested, as on the platform's large scenarios at most
+	requestsPerWorker = 20  // requests a second that a warm worker can serve
 )
 
 // newFleet starts a fleet whose front ends have unequal traffic: a tenth of them has four times what the others have.
@@ -188,7 +188,7 @@
 	return f
 }
 
-// worst is the largest count of sends to the cold worker in a window, beside what may be sent in that window.
+// worstOverload is the largest count of sends to the cold worker in a window, beside what may be sent in that window.
 func (f *fleet) worstOverload(began time.Duration) (over float64, text string) {
 	from := 0
 	over = math.Inf(-1)
@@ -207,7 +207,7 @@
 	return over, text
 }
 
-// there returns functions that every front end would load at the cold worker first.
+// functionsPlacedOnColdWorker returns functions that every front end would load at the cold worker first.
 func (f *fleet) functionsPlacedOnColdWorker(n int) (out []FunctionID) {
 	s := f.fronts[0].scheduler
 	for id := FunctionID(1 << 20); len(out) < n; id++ {
@@ -218,9 +218,9 @@
 	return out
 }
 
-// TestAFleetPushesNoColdWorkerOver holds rule 4 for the sum of all front ends: over the window that the settings name,
-// N + 2 sqrt N + 2 calls, N being what the settings allow the worker at that age.
-func TestAFleetPushesNoColdWorkerOver(t *testing.T) {
+// TestFleet_ColdWorker_IsNotOverloaded holds the slow start limit for the sum of all front ends: over the window that the settings name,
+// N + 2 sqrt N + 2 requests, N being what the settings allow the worker at that age.
+func TestFleet_ColdWorker_IsNotOverloaded(t *testing.T) {
 	for _, size := range []struct {
 		fronts, workers int
 		seeds           uint64
@@ -268,10 +268,10 @@
 	}
 }
 
-// TestNewVersionsBringNoStormOfLoads: on a quiet day four in ten of the copies that stand are void at once, as what they
-// hold comes in a new version. Each is loaded again where it is called; hundreds of front ends that see calls take
-// longer there do not load it at other workers as well.
-func TestNewVersionsBringNoStormOfLoads(t *testing.T) {
+// TestFleet_NewVersions_BringNoStormOfLoads: four in ten of the loaded replicas become stale at once, as their
+// functions come in a new version. Each is loaded again where it is requested; hundreds of front ends that see
+// requests take longer there do not load it at other workers as well.
+func TestFleet_NewVersions_BringNoStormOfLoads(t *testing.T) {
 	for _, size := range []struct{ fronts, workers int }{{30, 12}, {300, 60}} {
 		t.Run(fmt.Sprint(size.fronts, " front ends"), func(t *testing.T) {
 			f := newFleet(1, size.fronts, size.workers, 200, settings())
@@ -288,7 +288,7 @@
 			}
 			f.advanceTo(f.now + 3*time.Second)
 			if got := f.loads - before; got < void/4 || got > void+void/4+usual {
-				t.Errorf("%d copies void; %d loads in the 3 s after it, %d in the 3 s before", void, got, usual)
+				t.Errorf("%d replicas stale; %d loads in the 3 s after it, %d in the 3 s before", void, got, usual)
 			}
 		})
 	}
--- /dev/null
+++ b/scheduler/harness_test.go
@@ -0,0 +1,203 @@
+package scheduler
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// harness reports events to a Scheduler and notes its actions. It is the front end only: what workers answer is
+// written in each test.
+type harness struct {
+	t         *testing.T
+	scheduler *Scheduler
+	now       time.Duration
+	actions   []string
+	sentTo    map[RequestID][]WorkerID
+	queries   []replicaKey
+	orders    []replicaKey
+	answers   map[RequestID]string
+	nextID    RequestID
+}
+
+func (h *harness) note(format string, args ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(format, args...))
+}
+
+func (h *harness) Send(r RequestID, w WorkerID, _ time.Duration) {
+	h.sentTo[r] = append(h.sentTo[r], w)
+	h.note("send %d", r)
+}
+
+func (h *harness) Reject(r RequestID, after time.Duration) {
+	h.answers[r] = "rejected"
+	h.note("reject %d", r)
+}
+func (h *harness) Fail(r RequestID)                { h.answers[r] = "failed"; h.note("fail %d", r) }
+func (h *harness) Cancel(r RequestID, attempt int) { h.note("cancel %d", r) }
+func (h *harness) Unload(w WorkerID, f FunctionID) { h.note("unload") }
+func (h *harness) CheckHealth(w WorkerID)          { h.note("check health %d", w) }
+func (h *harness) SetTimer(time.Duration, uint64)  {}
+func (h *harness) WatchEndpoints()                 { h.note("watch") }
+func (h *harness) Log(string)                      {}
+func (h *harness) Load(w WorkerID, f FunctionID, copies int) {
+	if copies == 0 {
+		h.queries = append(h.queries, replicaKey{w, f})
+	} else {
+		h.orders = append(h.orders, replicaKey{w, f})
+		h.note("load %d", w)
+	}
+}
+
+// settings are those of three front ends whose workers load what they lack.
+func settings() Settings {
+	return Settings{
+		Seed: 1, FrontEndCount: 3, ReplicaIdleTimeout: 10 * time.Second, LoadOrdersAllowed: true, HealthChecksAllowed: true, CancelAllowed: true,
+		ReportsColdStart: true, MaxAttempts: 4, MaxRetryAfter: 500 * ms, SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2,
+		OverloadWindow: 2 * time.Second, Resolution: 2 * ms, Classes: []Class{
+			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: Idempotent},
+			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: IdempotentByKey, KeyScope: ScopeCell, KeyRetention: time.Second},
+			{LatencyObjective: 800 * ms, Timeout: 3 * time.Second, PriorityWeight: 1, Idempotency: NonIdempotent},
+		}, Tenants: []Tenant{{Share: 0.5}, {Share: 0.5}},
+	}
+}
+
+func start(t *testing.T, set Settings, workers int) *harness {
+	h := &harness{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, answers: map[RequestID]string{}}
+	h.scheduler = New(h.now, set, h)
+	var list []WorkerInfo
+	for i := range workers {
+		list = append(list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready})
+	}
+	h.scheduler.WorkersChanged(h.now, list, true)
+	return h
+}
+
+func (h *harness) changeWorker(info WorkerInfo) {
+	h.scheduler.WorkersChanged(h.now, []WorkerInfo{info}, false)
+}
+
+func (h *harness) request(f FunctionID, class int) RequestID {
+	h.nextID++
+	h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Class: class, Function: f, Timeout: 3 * time.Second, ReplicaConcurrency: 2})
+	return h.nextID
+}
+
+// advance lets time go by, with ticks.
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(end, h.now+tickInterval)
+		h.scheduler.TimerFired(h.now, 0)
+	}
+}
+
+// answerQueries answers every residency query: the replicas at holders are loaded.
+func (h *harness) answerQueries(holders ...WorkerID) {
+	for len(h.queries) > 0 {
+		a := h.queries[0]
+		h.queries = h.queries[1:]
+		copies := 0
+		if slices.Contains(holders, a.worker) {
+			copies = 1
+		}
+		h.scheduler.LoadEnded(h.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms, Replicas: copies})
+	}
+}
+
+// workerOf is the worker of the latest attempt of r.
+func (h *harness) workerOf(r RequestID) WorkerID {
+	h.t.Helper()
+	if len(h.sentTo[r]) == 0 {
+		h.t.Fatalf("request %d was not sent; actions %v", r, h.actions)
+	}
+	return h.sentTo[r][len(h.sentTo[r])-1]
+}
+
+// inFlightFor is how long the latest attempt of r has been in flight.
+func (h *harness) inFlightFor(r RequestID) time.Duration {
+	if q := h.scheduler.requests[r]; q != nil {
+		return h.now - q.sentAt
+	}
+	return 0
+}
+
+func (h *harness) endAttempt(r RequestID, status Status, warmth ColdStart) {
+	h.t.Helper()
+	w, n := h.workerOf(r), len(h.sentTo[r])
+	h.scheduler.AttemptEnded(h.now, Outcome{
+		Request: r, Attempt: n - 1, Worker: w, Status: status, Latency: h.inFlightFor(r),
+		RequestClosed: status == OK, ColdStart: warmth,
+	})
+}
+
+// avoidsWorker is whether a new request for f, with replicas found loaded at every worker, goes elsewhere than to w.
+func (h *harness) avoidsWorker(w WorkerID, f FunctionID) bool {
+	h.t.Helper()
+	r := h.request(f, 0)
+	h.answerQueries(1, 2, 3, 4)
+	return h.workerOf(r) != w
+}
+
+// warm makes one worker known to have f loaded, with a run of 100 ms, and returns it.
+func (h *harness) warm(f FunctionID) WorkerID {
+	h.t.Helper()
+	r := h.request(f, 0)
+	h.answerQueries()
+	h.answerQueries()
+	w := h.workerOf(r)
+	h.advance(600 * ms)
+	h.endAttempt(r, OK, ColdStartTriggered)
+	for range 4 {
+		r = h.request(f, 0)
+		h.advance(100 * ms)
+		h.endAttempt(r, OK, WarmStart)
+	}
+	return w
+}
+
+func (h *harness) count(action string) (n int) {
+	for _, a := range h.actions {
+		if strings.HasPrefix(a, action) {
+			n++
+		}
+	}
+	return n
+}
+
+// makePopular makes f a tenth of this front end's work, known to be loaded at one worker.
+func (h *harness) makePopular(f FunctionID) WorkerID {
+	h.t.Helper()
+	w := h.warm(f)
+	for h.scheduler.functions.byID[f].requestedRunTime.Value < float64(2*time.Second) {
+		r := h.request(f, 0)
+		h.advance(20 * ms)
+		h.endAttempt(r, OK, WarmStart)
+	}
+	h.scheduler.demand.runTime.Add(h.now, demandMemory, 9*h.scheduler.demand.runTime.Read(h.now, demandMemory)) // of other functions
+	return w
+}
+
+// countColdRequests is how many requests at once may go to a cold worker, where 3000 were completed lately.
+func (h *harness) countColdRequests(id WorkerID) (n int) {
+	h.scheduler.demand.completions.Add(h.now, completionMemory, 3000)
+	worker, request := h.scheduler.endpoints.byID[id], &requestRecord{function: h.scheduler.trackFunction(7, 0)}
+	for h.scheduler.slowStartAllows(worker, request) {
+		worker.sendTimes = append(worker.sendTimes, h.now)
+		n++
+	}
+	return n
+}
+
+// endAttemptWithQueueDepth ends the latest attempt of r as a worker does that held so many requests for the function
+// when it arrived.
+func (h *harness) endAttemptWithQueueDepth(r RequestID, status Status, crowd int) {
+	h.t.Helper()
+	h.scheduler.AttemptEnded(h.now, Outcome{
+		Request: r, Attempt: len(h.sentTo[r]) - 1, Worker: h.workerOf(r), Status: status,
+		Latency: h.inFlightFor(r), RequestClosed: status == OK, ColdStart: WarmStart, QueueDepth: crowd,
+	})
+}
--- a/scheduler/rules_test.go
+++ b/scheduler/invariants_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// referee plays random legal events and checks the five rules on every action. It knows nothing of servers:
-// outcomes are drawn at random among those that the wire allows.
+// invariantChecker reports random legal events and checks the five rules on every action. It models no worker:
+// outcomes are drawn at random among those that the protocols allow.
 type invariantChecker struct {
 	t             *testing.T
 	set           Settings
@@ -19,7 +19,7 @@
 	workers       map[WorkerID]WorkerInfo
 	ids           []WorkerID
 	open          map[RequestID]*trackedRequest
-	order         []RequestID // open, in order of arrival
+	order         []RequestID // open, oldest first
 	pendingLoads  []replicaKey
 	pendingCounts []int
 	loads         []time.Duration
@@ -62,18 +62,18 @@
 	case r == nil || r.answered:
 		f.violate("rule 1", "request %d sent after its end", id)
 	case r.worker != 0:
-		f.violate("rule 2", "two attempts of %d are out", id)
+		f.violate("rule 2", "two attempts of %d are in flight", id)
 	case r.attempts >= f.set.MaxAttempts:
 		f.violate("limits", "attempt %d of %d", r.attempts+1, id)
 	case info.State != Ready:
 		f.violate("rule 3", "request %d sent to worker %d in state %d", id, w, info.State)
 	case r.mayHaveExecuted && r.class.Idempotency == NonIdempotent:
-		f.violate("rule 2", "unsafe request %d sent again", id)
+		f.violate("rule 2", "non-idempotent request %d sent again", id)
 	case r.mayHaveExecuted && r.class.Idempotency == IdempotentByKey:
 		same := r.class.KeyScope == ScopeAll || r.class.KeyScope == ScopeZone && info.Zone == r.firstWorker.Zone ||
 			r.class.KeyScope == ScopeCell && info.Cell == r.firstWorker.Cell
 		if !same || f.now-r.firstSentAt > r.class.KeyRetention {
-			f.violate("rule 2", "keyed request %d sent outside its group or past its memory", id)
+			f.violate("rule 2", "keyed request %d sent outside its key scope or past its key retention", id)
 		}
 	}
 	if age := f.now - info.Started; info.Started != UnknownStart && age < f.set.SlowStartDuration {
@@ -82,30 +82,30 @@
 		most := max(1, f.set.OverloadFactor*part*1000*f.set.OverloadWindow.Seconds()/float64(len(f.ids)))
 		f.sends[w] = append(dropBefore(f.sends[w], f.now-f.set.OverloadWindow), f.now)
 		if float64(len(f.sends[w])) > most {
-			f.violate("rule 4", "%d calls to a cold worker, %.0f at most", len(f.sends[w]), most)
+			f.violate("rule 4", "%d requests to a cold worker, %.0f at most", len(f.sends[w]), most)
 		}
 	}
 	r.attempts++
 	r.worker, r.sentAt = w, f.now
 }
 
-func (f *invariantChecker) answer(id RequestID, refused bool) {
+func (f *invariantChecker) answer(id RequestID, rejected bool) {
 	r := f.open[id]
 	switch {
 	case r == nil || r.answered:
 		f.violate("rule 1", "a second answer for %d", id)
 	case f.now > r.deadline+8*ms:
 		f.violate("rule 1", "answer for %d comes %v late", id, f.now-r.deadline)
-	case refused && r.mayHaveExecuted && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != ScopeAll):
-		f.violate("rule 2", "request %d refused though it may have run", id)
-	case refused && r.worker != 0 && r.class.Idempotency != Idempotent:
-		f.violate("rule 2", "request %d refused with an attempt out", id)
+	case rejected && r.mayHaveExecuted && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != ScopeAll):
+		f.violate("rule 2", "request %d rejected though it may have executed", id)
+	case rejected && r.worker != 0 && r.class.Idempotency != Idempotent:
+		f.violate("rule 2", "request %d rejected with an attempt in flight", id)
 	}
 	r.answered = true
 }
 
 func (f *invariantChecker) Reject(id RequestID, _ time.Duration) {
-	f.note("refuse %d", id)
+	f.note("reject %d", id)
 	f.answer(id, true)
 }
 
@@ -131,8 +131,8 @@
 
 func (f *invariantChecker) Cancel(id RequestID, attempt int) { f.note("cancel %d %d", id, attempt) }
 func (f *invariantChecker) Unload(w WorkerID, fn FunctionID) { f.note("unload %d %d", w, fn) }
-func (f *invariantChecker) CheckHealth(w WorkerID)           { f.note("probe %d", w) }
-func (f *invariantChecker) WatchEndpoints()                  { f.note("follow") }
+func (f *invariantChecker) CheckHealth(w WorkerID)           { f.note("check health %d", w) }
+func (f *invariantChecker) WatchEndpoints()                  { f.note("watch") }
 func (f *invariantChecker) Log(string)                       {}
 func (f *invariantChecker) SetTimer(after time.Duration, token uint64) {
 	f.timers = append(f.timers, pendingTimer{f.now + max(after, ms), token})
@@ -185,7 +185,7 @@
 	f.scheduler.AttemptEnded(f.now, o)
 }
 
-// step lets a millisecond pass and plays what falls due and what the dice say.
+// step lets a millisecond pass and plays what falls due and what the random numbers say.
 func (f *invariantChecker) step() {
 	f.now += ms
 	for i := 0; i < len(f.timers); i++ {
@@ -257,7 +257,7 @@
 	return set
 }
 
-func TestFiveRulesOnRandomEvents(t *testing.T) {
+func TestInvariants_RandomEvents_Hold(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			f := newInvariantChecker(t, seed, ruleSettings(seed))
@@ -265,13 +265,13 @@
 				f.step()
 			}
 			if len(f.trace) < 1000 {
-				t.Errorf("only %d actions: the events reach too little", len(f.trace))
+				t.Errorf("only %d actions: the events cover too little", len(f.trace))
 			}
 		})
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestDeterminism_SameEvents_SameActions(t *testing.T) {
 	first, second := newInvariantChecker(t, 5, ruleSettings(5)), newInvariantChecker(t, 5, ruleSettings(5))
 	for range 10000 {
 		first.step()
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -26,8 +26,8 @@
 	return files
 }
 
-// TestModuleStaysSmall holds the limits that let the module be ported by hand.
-func TestModuleStaysSmall(t *testing.T) {
+// TestPolicyFiles_Size_IsLimited holds the limits that let the module be ported by hand.
+func TestPolicyFiles_Size_IsLimited(t *testing.T) {
 	const mostLines, mostWidth = 860, 110
 	files, lines := policyFiles(t), 0
 	for _, file := range files {
--- /dev/null
+++ b/scheduler/queue_delay_test.go
@@ -0,0 +1,107 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"havencart/internal/estimate"
+)
+
+func TestConcurrencyLimit_OverloadedWorker_IsDecreased(t *testing.T) {
+	h := start(t, settings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	before := worker.concurrencyLimit
+	h.request(7, 0)
+	h.now += 200 * ms
+	h.endAttempt(h.nextID, Overloaded, ColdStartUnknown)
+	if worker.concurrencyLimit >= before {
+		t.Errorf("limit %.1f after a request was rejected as overloaded, %.1f before", worker.concurrencyLimit, before)
+	}
+}
+
+func TestUnloadedRunTime_OverloadOfAllWorkers_RisesSlowly(t *testing.T) {
+	h := start(t, settings(), 2)
+	h.warm(7)
+	quick := h.scheduler.unloadedRunTime(0)
+	for range 10 {
+		r := h.request(7, 0)
+		h.advance(time.Second)
+		h.endAttempt(r, OK, WarmStart)
+		h.answerQueries()
+		for _, worker := range h.scheduler.endpoints.list {
+			worker.queueDelay = estimate.Decayed{} // decayed when the next one comes
+		}
+	}
+	if now := h.scheduler.unloadedRunTime(0); now > quick+quick/2 {
+		t.Errorf("the unloaded run time rose from %v to %v while all were slow", quick, now)
+	}
+}
+
+func TestContactedDelay_LatestContacted_ShowOverload(t *testing.T) {
+	h := start(t, settings(), 60)
+	for i, worker := range h.scheduler.endpoints.list {
+		met, wait := h.now-5*time.Second, float64(ms)
+		if i < contactedLatest {
+			met, wait = h.now-1500*ms, float64(2*time.Second)
+		}
+		worker.queueDelay, worker.observedDelay = estimate.NewDecayed(wait, met), wait
+	}
+	if now := h.scheduler.contactedDelay(); now < float64(time.Second) {
+		t.Errorf("the queue delay is %v by the workers contacted in ten seconds; at those contacted last it is 2s", time.Duration(now))
+	}
+}
+
+func TestQueueDelay_OverloadedResponse_CountsAsLongDelay(t *testing.T) {
+	h := start(t, settings(), 4)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	h.endAttemptWithQueueDepth(h.request(7, 0), Overloaded, 20)
+	if worker.observedDelay < float64(time.Second) {
+		t.Errorf("a worker that rejected a request as overloaded counts as one where requests wait %v", time.Duration(worker.observedDelay))
+	}
+}
+
+// TestContactedDelay_LongRun_IsNoQueueDelay holds that a long run is not taken for a queue delay: among several
+// requests in flight at a worker one has always been so for long.
+func TestContactedDelay_LongRun_IsNoQueueDelay(t *testing.T) {
+	h := start(t, settings(), 4)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	for _, other := range h.scheduler.endpoints.list {
+		other.queueDelay, other.observedDelay = estimate.NewDecayed(0, h.now), 0
+	}
+	if r := h.request(7, 0); h.workerOf(r) != worker.ID {
+		t.Fatalf("the request went to worker %d, a replica is loaded at %d", h.workerOf(r), worker.ID)
+	}
+	h.advance(responseTimeoutFloor)
+	if now := h.scheduler.contactedDelay(); now > 0 {
+		t.Errorf("a request in flight for %v counts as a queue delay of %v", responseTimeoutFloor, time.Duration(now))
+	}
+}
+
+// TestQueueDelay_FrequentContacts_ShortenMemory holds that a front end with many requests for few workers does not
+// avoid one for long after a queue delay that passed.
+func TestQueueDelay_FrequentContacts_ShortenMemory(t *testing.T) {
+	h := start(t, settings(), 4)
+	h.warm(7)
+	h.advance(tickInterval)
+	seldom := h.scheduler.delay.memory
+	for range 400 {
+		h.endAttempt(h.request(7, 0), OK, WarmStart)
+		h.advance(tickInterval)
+	}
+	if often := h.scheduler.delay.memory; seldom != delayMemoryMax || often > delayMemoryMax/4 || often < delayMemoryMin {
+		t.Errorf("queue delays are remembered for %v with few requests, %v with many", seldom, often)
+	}
+}
+
+func TestQueueDelay_OldObservation_Decays(t *testing.T) {
+	h := start(t, settings(), 4)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	r := h.request(7, 0)
+	h.advance(2500 * ms)
+	h.endAttempt(r, OK, WarmStart)
+	before := h.scheduler.queueDelay(worker)
+	h.advance(2 * delayMemoryMax)
+	if after := h.scheduler.queueDelay(worker); before < time.Second || after > before/4 {
+		t.Errorf("a queue delay of %v counts as %v %v later", before, after, 2*delayMemoryMax)
+	}
+}
--- /dev/null
+++ b/scheduler/residency_test.go
@@ -0,0 +1,141 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"havencart/internal/estimate"
+)
+
+func TestReplicaBelief_Evidence_EndsIt(t *testing.T) {
+	tests := map[string]func(*harness, WorkerID){
+		"idle timeout": func(h *harness, w WorkerID) { h.advance(10*time.Second + tickInterval) },
+		"process restarted": func(h *harness, w WorkerID) {
+			h.changeWorker(WorkerInfo{ID: w, Cell: int(w+1) % 2, Started: h.now - time.Second, State: Ready})
+		},
+		"not loaded": func(h *harness, w WorkerID) {
+			r := h.request(7, 0)
+			h.endAttempt(r, NotLoaded, ColdStartUnknown)
+		},
+		"connection lost": func(h *harness, w WorkerID) {
+			r := h.request(7, 0)
+			h.endAttempt(r, Reset, ColdStartUnknown)
+		},
+	}
+	for name, end := range tests {
+		t.Run(name, func(t *testing.T) {
+			h := start(t, settings(), 4)
+			w := h.warm(7)
+			end(h, w)
+			if h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[w]) != nil {
+				t.Error("the replica is still believed to be loaded")
+			}
+		})
+	}
+}
+
+func TestResidencyQuery_ReplicaElsewhere_IsUsed(t *testing.T) {
+	h := start(t, settings(), 8)
+	r := h.request(7, 0)
+	if len(h.queries) != residencyQueryFanout || len(h.sentTo[r]) != 0 {
+		t.Fatalf("%d workers queried before a load, want %d; sent %v", len(h.queries), residencyQueryFanout, h.sentTo[r])
+	}
+	holder := h.queries[1].worker
+	h.answerQueries(holder)
+	if h.workerOf(r) != holder {
+		t.Errorf("sent to %d, the replica is loaded at %d", h.workerOf(r), holder)
+	}
+}
+
+func TestResidencyQuery_Unanswered_KeepsRequests(t *testing.T) {
+	h := start(t, settings(), 8)
+	var ids []RequestID
+	for range 6 {
+		ids = append(ids, h.request(7, 0)) // the answers to the queries are still on their way
+	}
+	h.advance(tickInterval)
+	for _, r := range ids {
+		if h.answers[r] != "" {
+			t.Fatalf("request %d was %s before it was known whether a replica is loaded", r, h.answers[r])
+		}
+	}
+}
+
+func TestResidencyQuery_QueueDelayAtWarmReplica_PrecedesLoad(t *testing.T) {
+	h := start(t, settings(), 4)
+	w := h.warm(7)
+	h.advance(2 * time.Second)
+	h.scheduler.endpoints.byID[w].queueDelay = estimate.NewDecayed(float64(5*time.Second), h.now)
+	other := w%4 + 1
+	r := h.request(7, 0)
+	if len(h.sentTo[r]) != 0 {
+		t.Fatalf("sent to worker %d before it was known whether a replica is loaded elsewhere", h.workerOf(r))
+	}
+	for _, a := range h.queries {
+		if a.worker == w {
+			t.Error("the worker whose replica is known is queried")
+		}
+	}
+	h.answerQueries(other)
+	if h.workerOf(r) != other || h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[other]).loading {
+		t.Errorf("sent to worker %d, loading; a replica is loaded at %d", h.workerOf(r), other)
+	}
+}
+
+func TestResidencyQuery_OldQueryUnanswered_QueriesAgain(t *testing.T) {
+	h := start(t, settings(), 8)
+	h.request(7, 0)
+	hung := h.queries[0].worker
+	h.queries = h.queries[1:]
+	h.answerQueries()
+	h.advance(2 * freshnessWindow) // a load began without the last answer
+	function := h.scheduler.functions.byID[7]
+	function.replicas = nil
+	h.request(7, 0)
+	if len(h.queries) != residencyQueryFanout-1 || len(function.replicas) > 0 {
+		t.Errorf("%d workers are queried and %d loads begun while an answer from long ago is still awaited",
+			len(h.queries), len(function.replicas))
+	}
+	h.scheduler.LoadEnded(h.now, LoadResult{Worker: hung, Function: 7, Status: Timeout})
+	h.answerQueries()
+	if function.pendingQueries != 0 {
+		t.Errorf("%d answers awaited after all have come", function.pendingQueries)
+	}
+}
+
+// TestResidencyQuery_LoadsTooSlow_KeepsRequest holds that a request is not rejected as too late for a load while
+// a query may yet find a loaded replica.
+func TestResidencyQuery_LoadsTooSlow_KeepsRequest(t *testing.T) {
+	h := start(t, settings(), 8)
+	for range 3 {
+		h.warm(7)
+	}
+	h.scheduler.latency.loadTime.Add(float64(5*time.Second), averageWindow) // loads take longer than any request may
+	h.scheduler.breaker.lastLoadAt = h.now
+	r := h.request(8, 0)
+	if len(h.sentTo[r]) > 0 || !h.scheduler.awaitsResidency(h.scheduler.functions.byID[8]) {
+		t.Fatalf("no worker was queried; actions %v", h.actions)
+	}
+	h.advance(tickInterval)
+	if h.scheduler.requests[r] == nil {
+		t.Errorf("rejected while queries are pending; actions %v", h.actions)
+	}
+}
+
+func TestResidencyQuery_ManyWorkers_QueriesFirstInOrder(t *testing.T) {
+	for _, workers := range []int{3, 60} {
+		h := start(t, settings(), workers)
+		r := h.request(7, 0)
+		if n := len(h.queries); n != min(workers, residencyQueryFanout) {
+			t.Errorf("%d of %d workers queried, want %d", n, workers, min(workers, residencyQueryFanout))
+		}
+		for range h.queries {
+			a := h.queries[0]
+			h.queries = h.queries[1:]
+			h.scheduler.LoadEnded(h.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms})
+		}
+		if first := h.scheduler.rendezvousOrder(h.scheduler.functions.byID[7])[0].ID; len(h.queries) != 0 || h.workerOf(r) != first {
+			t.Errorf("of %d workers %d more were queried, the request went to worker %d, not %d", workers, len(h.queries), h.workerOf(r), first)
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/retry_test.go
@@ -0,0 +1,86 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRetry_OutcomeByIdempotency_EndsOrGoesOn(t *testing.T) {
+	tests := []struct {
+		name   string
+		class  int
+		status Status
+		want   string // the final answer, or "" for another attempt or queueing
+	}{
+		{"idempotent is retried", 0, Error, ""},
+		{"non-idempotent that may have executed fails", 2, Error, "failed"},
+		{"non-idempotent reset fails", 2, Reset, "failed"},
+		{"non-idempotent timed out fails", 2, Timeout, "failed"},
+		{"non-idempotent that never executed is retried", 2, Overloaded, ""},
+		{"keyed is retried in its key scope", 1, Error, ""},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			h := start(t, settings(), 4)
+			h.warm(7)
+			r := h.request(7, test.class)
+			first := h.workerOf(r)
+			h.now += 50 * ms
+			h.endAttempt(r, test.status, ColdStartUnknown)
+			h.answerQueries()
+			h.answerQueries()
+			h.advance(300 * ms)
+			if h.answers[r] != test.want {
+				t.Errorf("final answer %q, want %q", h.answers[r], test.want)
+			}
+			if again := h.sentTo[r][1:]; test.class == 1 && len(again) > 0 && (again[0]-first)%2 != 0 {
+				t.Errorf("a keyed request went from worker %d to %d, another key scope", first, again[0])
+			}
+		})
+	}
+}
+
+func TestRetry_KeyRetentionPassed_Fails(t *testing.T) {
+	h := start(t, settings(), 2) // one worker a cell
+	h.warm(7)
+	r := h.request(7, 1)
+	h.changeWorker(WorkerInfo{ID: h.workerOf(r), Cell: int(h.workerOf(r)+1) % 2, Started: UnknownStart, State: Draining})
+	h.endAttempt(r, Error, ColdStartUnknown)
+	h.advance(1100 * ms)
+	if h.answers[r] != "failed" || len(h.sentTo[r]) != 1 {
+		t.Errorf("answer %q after %d attempts, want failed after 1", h.answers[r], len(h.sentTo[r]))
+	}
+}
+
+func TestRetry_OverloadedWorker_GoesElsewhere(t *testing.T) {
+	h := start(t, settings(), 4)
+	w := h.warm(7)
+	r := h.request(7, 0)
+	h.endAttemptWithQueueDepth(r, Overloaded, 20)
+	h.answerQueries()
+	if sent := h.sentTo[r]; len(sent) != 2 || sent[1] == w {
+		t.Errorf("a request rejected as overloaded at worker %d went on to %v", w, sent)
+	}
+}
+
+func TestClientDisconnected_AttemptInFlight_IsCancelled(t *testing.T) {
+	for _, mayCancel := range []bool{true, false} {
+		set := settings()
+		set.CancelAllowed = mayCancel
+		h := start(t, set, 1)
+		h.warm(7)
+		r := h.request(7, 0)
+		h.scheduler.ClientDisconnected(h.now, r)
+		if called := h.count("cancel") == 1; called != mayCancel {
+			t.Errorf("cancelled %v after its client left, allowed %v", called, mayCancel)
+		}
+		h.advance(time.Second)
+		h.endAttempt(r, Cancelled, ColdStartUnknown)
+		if worker := h.scheduler.endpoints.byID[h.workerOf(r)]; h.scheduler.queueDelay(worker) < 400*ms {
+			t.Errorf("a request cancelled after a second tells of a queue delay of %v", h.scheduler.queueDelay(worker))
+		}
+		if h.answers[r] != "" || len(h.sentTo[r]) != 1 {
+			t.Errorf("a request whose client left got answer %q, sent %d times", h.answers[r], len(h.sentTo[r]))
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/scale_out_test.go
@@ -0,0 +1,178 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"havencart/internal/estimate"
+)
+
+func TestScaleOut_DeepQueue_StartsLoadForFewRequests(t *testing.T) {
+	h := start(t, settings(), 4)
+	w := h.warm(7)
+	for range 20 {
+		h.request(7, 0)
+	}
+	h.answerQueries() // no replica is loaded elsewhere
+	lent := map[WorkerID]int{}
+	for r, at := range h.sentTo {
+		if at[0] != w && h.scheduler.requests[r] != nil {
+			lent[at[0]]++
+		}
+	}
+	if len(lent) == 0 {
+		t.Error("20 requests at 100 ms at concurrency 2 were all kept for a worker that needs a second for them")
+	}
+	for w, n := range lent {
+		if n > 2 {
+			t.Errorf("%d requests wait for the load at worker %d, 2 at most", n, w)
+		}
+	}
+}
+
+func TestStartLoad_WorkersAnswerNotLoaded_OrdersLoadFirst(t *testing.T) {
+	set := settings()
+	set.AnswersNotLoaded = true
+	h := start(t, set, 4)
+	r := h.request(7, 0)
+	h.answerQueries()
+	h.answerQueries()
+	h.advance(100 * ms)
+	if len(h.orders) != 1 || len(h.sentTo[r]) != 0 {
+		t.Fatalf("%d orders, request sent to %v before the replica is loaded", len(h.orders), h.sentTo[r])
+	}
+	h.now += 400 * ms
+	h.scheduler.LoadEnded(h.now, LoadResult{Worker: h.orders[0].worker, Function: 7, Status: OK, Latency: 400 * ms, Replicas: 1})
+	if h.workerOf(r) != h.orders[0].worker {
+		t.Error("the request was not sent once its load order succeeded")
+	}
+}
+
+// TestStartLoad_FirstRequestFails_LeavesNoLoadInFlight holds that requests for functions that do not exist, and requests
+// that were never sent, are no loads in flight: so many of them kept back the loads of all others.
+func TestStartLoad_FirstRequestFails_LeavesNoLoadInFlight(t *testing.T) {
+	for _, end := range []Status{Error, NotSent} {
+		set := settings()
+		set.LoadOrdersAllowed = false
+		h := start(t, set, 4)
+		for i := range 3 * maxLoadsInFlight {
+			r := h.request(FunctionID(100+i), 2)
+			if h.workerOf(r) == 0 {
+				t.Fatalf("the first request of function %d is not sent after %d that ended with %d", 100+i, i, end)
+			}
+			h.endAttempt(r, end, ColdStartUnknown)
+			h.scheduler.ClientDisconnected(h.now, r)
+			h.advance(tickInterval)
+		}
+		for _, worker := range h.scheduler.endpoints.list {
+			if worker.healthByClass[2].ejected {
+				t.Errorf("worker %d is ejected for functions that never ran anywhere (%d)", worker.ID, end)
+			}
+		}
+	}
+}
+
+func TestScaleOut_QueueDelayByOthers_StartsLoad(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		took  time.Duration
+		crowd int
+		load  bool
+	}{
+		{"quick", 100 * ms, 0, false},
+		{"late behind others", 2500 * ms, 20, true},
+		{"late at a slow worker", 2500 * ms, 0, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h := start(t, settings(), 4)
+			w := h.warm(7)
+			r := h.request(7, 0)
+			h.advance(test.took)
+			h.endAttemptWithQueueDepth(r, OK, test.crowd)
+			h.advance(time.Second)
+			r = h.request(7, 0)
+			h.answerQueries() // no replica is loaded elsewhere
+			if moved := h.workerOf(r) != w; moved != test.load {
+				t.Errorf("after an answer in %v with %d others there the next request loads elsewhere: %v", test.took, test.crowd, moved)
+			}
+		})
+	}
+}
+
+func TestLoadCost_ReplicasFoundGone_Rises(t *testing.T) {
+	h := start(t, settings(), 4)
+	h.warm(7)
+	function := h.scheduler.functions.byID[7]
+	before := h.scheduler.loadCost(function)
+	for range 3 {
+		r := h.request(7, 0)
+		h.advance(700 * ms)
+		h.endAttempt(r, OK, ColdStartTriggered) // the replica that we counted on was gone
+	}
+	if after := h.scheduler.loadCost(function); after < before+h.scheduler.expectedLoadTime(function)/2 {
+		t.Errorf("a load costs %v after replicas were found gone, %v before", after, before)
+	}
+}
+
+func TestExpectedLoadTime_FirstResponse_IsLearned(t *testing.T) {
+	h := start(t, settings(), 2)
+	h.warm(7) // 600 ms for the first answer, 100 ms a run
+	function := h.scheduler.functions.byID[7]
+	if load := h.scheduler.expectedLoadTime(function); load < 400*ms || load > 600*ms {
+		t.Errorf("a load is taken for %v, want 600 ms less a run", load)
+	}
+	if run := h.scheduler.expectedRunTime(function); run < 90*ms || run > 110*ms {
+		t.Errorf("a run is taken for %v, want 100 ms", run)
+	}
+}
+
+func TestTimeToDrain_LoadingReplica_Counts(t *testing.T) {
+	h := start(t, settings(), 4)
+	h.warm(7)
+	function := h.scheduler.functions.byID[7]
+	before := h.scheduler.timeToDrain(function, 40, ownBacklog)
+	worker := h.scheduler.pickColdWorker(function, &requestRecord{class: &h.scheduler.settings.Classes[0], function: function, objectiveAt: never}, 0)
+	function.replicas = append(function.replicas, &replicaBelief{worker: worker, function: function, loading: true, loadStartedAt: h.now})
+	if during := h.scheduler.timeToDrain(function, 40, ownBacklog); during >= before || during <= h.scheduler.expectedLoadTime(function) {
+		t.Errorf("40 requests take %v with a load in flight, %v without", during, before)
+	}
+}
+
+func TestScaleOut_WorkerIdleForLong_IsProbed(t *testing.T) {
+	for _, idle := range []time.Duration{idleProbeAfter / 2, idleProbeAfter} {
+		h := start(t, settings(), 2)
+		w := h.warm(7)
+		for range int(idle / time.Second) { // the replica at w stays believed, the other worker is not contacted
+			r := h.request(7, 0)
+			h.now += 100 * ms
+			h.endAttempt(r, OK, WarmStart)
+			h.now += 900 * ms
+		}
+		for range 2 + 1 {
+			h.request(7, 0)
+		}
+		probes := 0
+		for _, at := range h.sentTo {
+			if at[len(at)-1] != w {
+				probes++
+			}
+		}
+		if want := int(idle / idleProbeAfter); probes != want {
+			t.Errorf("%d requests sent as probes after %v, want %d", probes, idle, want)
+		}
+	}
+}
+
+func TestStartLoad_SlowerWorker_TakesOneRequest(t *testing.T) {
+	h := start(t, settings(), 2)
+	warm := h.warm(7)
+	cold := h.scheduler.endpoints.byID[3-warm]
+	cold.queueDelay = estimate.NewDecayed(float64(100*ms), h.now)
+	for range 30 {
+		h.request(7, 0)
+	}
+	h.answerQueries()
+	if len(cold.inFlight) != 1 {
+		t.Errorf("%d requests wait for the load at a worker half as fast, want 1", len(cold.inFlight))
+	}
+}
