--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestAdmission_NoWorkers_RejectsBeforeDeadline(t *testing.T) {
-	h := start(t, settings(), 0)
+	h := newHarness(t, testSettings(), 0)
 	r := h.request(7, 0)
 	h.advance(2990 * ms)
 	if h.answers[r] != "rejected" {
@@ -17,7 +17,7 @@
 }
 
 func TestAdmission_TimeoutBeforeNextTick_RejectsAtOnce(t *testing.T) {
-	h := start(t, settings(), 0)
+	h := newHarness(t, testSettings(), 0)
 	h.scheduler.RequestReceived(h.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
 	if h.answers[1] != "rejected" {
 		t.Errorf("answer %q to a request that no tick will see in time", h.answers[1])
@@ -25,7 +25,7 @@
 }
 
 func TestAdmission_WarmWorkerAboutToHaveHeadroom_KeepsRequest(t *testing.T) {
-	h := start(t, settings(), 1)
+	h := newHarness(t, testSettings(), 1)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	worker.concurrencyLimit = 1
 	h.request(8, 0) // takes the only slot
@@ -38,7 +38,7 @@
 }
 
 func TestTenantQuota_TenantOverShare_ComesLast(t *testing.T) {
-	h := start(t, settings(), 1)
+	h := newHarness(t, testSettings(), 1)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	for range quotaWindow {
 		h.scheduler.tenants.exceeds(1, 0.5)
@@ -61,7 +61,7 @@
 }
 
 func TestAdmission_LateWithoutHeadroom_RejectsAtOnce(t *testing.T) {
-	h := start(t, settings(), 1)
+	h := newHarness(t, testSettings(), 1)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	worker.concurrencyLimit = 2
 	var ids []RequestID
@@ -76,12 +76,12 @@
 }
 
 func TestShedding_OverloadOfAllWorkers_RejectsMostAtRandom(t *testing.T) {
-	rejected := func(waits ...time.Duration) (n int) {
-		h := start(t, settings(), 6)
+	rejected := func(delays ...time.Duration) (n int) {
+		h := newHarness(t, testSettings(), 6)
 		h.warm(7)
-		for i, wait := range waits {
+		for i, delay := range delays {
 			worker := h.scheduler.endpoints.byID[WorkerID(i+1)]
-			worker.queueDelay, worker.observedDelay = estimate.NewDecayed(float64(wait), h.now), float64(wait)
+			worker.queueDelay, worker.observedDelay = estimate.NewDecayed(float64(delay), h.now), float64(delay)
 		}
 		h.advance(tickInterval)
 		for range 100 {
@@ -105,9 +105,9 @@
 }
 
 func TestShedding_ValueDensity_DecidesByClass(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Classes[1].PriorityWeight, set.Classes[2].LatencyObjective = 3, 2*time.Second
-	h := start(t, set, 6)
+	h := newHarness(t, set, 6)
 	for i := range 3 {
 		h.warm(FunctionID(7 + i))
 	}
@@ -133,9 +133,9 @@
 }
 
 func TestQueueDelayBudget_UnusedClass_DoesNotCount(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Classes[2].LatencyObjective = ms
-	h := start(t, set, 2)
+	h := newHarness(t, set, 2)
 	h.warm(7)
 	if slack := h.scheduler.queueDelayBudget(); slack < 600*ms {
 		t.Errorf("requests may wait %v by a class that nobody uses; the objective of the others is 800ms", slack)
@@ -143,9 +143,9 @@
 }
 
 func TestAdmission_BurstBeforeFirstRun_IsNotRejected(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Classes[0].LatencyObjective = 400 * ms
-	h := start(t, set, 1)
+	h := newHarness(t, set, 1)
 	first := h.request(7, 0)
 	h.answerQueries()
 	h.advance(40 * ms)
@@ -171,19 +171,19 @@
 
 // TestShedding_DelayBelowUnloadedRun_AdmitsAll holds that queue delays of less than a run are no overload, however urgent a class.
 func TestShedding_DelayBelowUnloadedRun_AdmitsAll(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective = 400 * ms
 	}
-	h := start(t, set, 6)
+	h := newHarness(t, set, 6)
 	h.warm(7)
 	for range 2 * unloadedMinSamples {
 		h.advance(300 * ms)
 		h.endAttempt(h.request(7, 0), OK, WarmStart)
 	}
-	quiet := h.scheduler.unloadedRunTime(0)
-	rejected := func(wait time.Duration) (n int) {
-		h.scheduler.delay.contactedMedian = float64(wait)
+	unloaded := h.scheduler.unloadedRunTime(0)
+	rejected := func(delay time.Duration) (n int) {
+		h.scheduler.delay.contactedMedian = float64(delay)
 		for id := range RequestID(200) {
 			function := h.scheduler.trackFunction(FunctionID(1000), 0) // of which no replica is known
 			if h.scheduler.shouldShed(&requestRecord{Request: Request{ID: 5000 + id}, class: &h.scheduler.settings.Classes[0], function: function}) {
@@ -192,22 +192,22 @@
 		}
 		return n
 	}
-	if few, many := rejected(quiet*9/10), rejected(10*quiet+time.Second); few > 0 || many < 100 {
+	if few, many := rejected(unloaded*9/10), rejected(10*unloaded+time.Second); few > 0 || many < 100 {
 		t.Errorf("of 200 requests %d are rejected at a queue delay of 0.9 unloaded runs, %d at one of over 10", few, many)
 	}
 }
 
 func TestAdmission_RunsOfNoTime_LeaveNoRequestUnanswered(t *testing.T) {
-	h := start(t, settings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	for range 30 {
 		h.endAttempt(h.request(7, 0), OK, WarmStart)
 	}
 	worker.concurrencyLimit = 1
 	h.request(7, 0)
-	held := h.request(7, 0)
+	queued := h.request(7, 0)
 	h.advance(3 * time.Second)
-	if h.answers[held] == "" {
+	if h.answers[queued] == "" {
 		t.Errorf("no answer for a request queued behind runs of no time, expected run %v", h.scheduler.expectedRunTime(h.scheduler.functions.byID[7]))
 	}
 }
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -10,25 +10,25 @@
 )
 
 func TestDispatch_MoreRequestsThanConcurrency_QueuesTheRest(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	w := h.warm(7)
-	var sent, held int
+	var sent, queued int
 	for range 5 {
 		r := h.request(7, 0)
 		switch {
 		case len(h.sentTo[r]) == 0:
-			held++
+			queued++
 		case h.workerOf(r) == w:
 			sent++
 		}
 	}
-	if sent != 2 || held != 3 {
-		t.Errorf("%d sent to the warm worker and %d queued; its concurrency is 2", sent, held)
+	if sent != 2 || queued != 3 {
+		t.Errorf("%d sent to the warm worker and %d queued; its concurrency is 2", sent, queued)
 	}
 }
 
 func TestDispatch_AttemptEnds_SendsNextQueuedRequest(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	h.warm(7)
 	first := h.request(7, 0)
 	last := first
@@ -44,29 +44,29 @@
 }
 
 func TestDispatch_HeadroomFreed_GoesToHighestPriority(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Classes[2].PriorityWeight = 6
-	h := start(t, set, 1)
+	h := newHarness(t, set, 1)
 	h.warm(7)
-	dear := h.request(8, 2)
+	highPriority := h.request(8, 2)
 	h.answerQueries(1)
-	h.endAttempt(dear, OK, WarmStart)
+	h.endAttempt(highPriority, OK, WarmStart)
 	h.scheduler.endpoints.byID[1].concurrencyLimit = 1
-	out := h.request(7, 0)
-	cheap, dear := h.request(7, 0), h.request(8, 2)
-	if len(h.sentTo[cheap])+len(h.sentTo[dear]) != 0 {
+	inFlight := h.request(7, 0)
+	lowPriority, highPriority := h.request(7, 0), h.request(8, 2)
+	if len(h.sentTo[lowPriority])+len(h.sentTo[highPriority]) != 0 {
 		t.Fatal("sent beyond the worker's limit")
 	}
 	h.now += 50 * ms
-	h.endAttempt(out, OK, WarmStart)
+	h.endAttempt(inFlight, OK, WarmStart)
 	sent := func(r RequestID) int { return slices.Index(h.actions, fmt.Sprintf("send %d", r)) }
-	if sent(dear) < 0 || sent(cheap) >= 0 && sent(cheap) < sent(dear) {
+	if sent(highPriority) < 0 || sent(lowPriority) >= 0 && sent(lowPriority) < sent(highPriority) {
 		t.Errorf("the headroom that came free went to weight 1 before weight 6: %v", h.actions)
 	}
 }
 
 func TestPickWarmReplica_OtherZone_CostsMore(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	for _, worker := range h.scheduler.endpoints.list {
 		worker.Zone = int(worker.ID) % 2 // front ends are in zone 0
 	}
@@ -82,7 +82,7 @@
 }
 
 func TestPickWarmReplica_QueueDelayPastObjective_Rejects(t *testing.T) {
-	h := start(t, settings(), 1)
+	h := newHarness(t, testSettings(), 1)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	worker.queueDelay = estimate.NewDecayed(float64(900*ms), h.now)
 	r := h.request(7, 0) // objective 800 ms, timeout 3 s
@@ -95,43 +95,43 @@
 // TestPickWarmReplica_ObjectiveBelowDefaultRun_StillSends holds where requests
 // tolerate less queue delay than the default run time, before a run was seen.
 func TestPickWarmReplica_ObjectiveBelowDefaultRun_StillSends(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Classes[0] = Class{LatencyObjective: 80 * ms, Timeout: 120 * ms, PriorityWeight: 1, Idempotency: Idempotent}
-	h := start(t, set, 4)
-	hurried := func() RequestID {
+	h := newHarness(t, set, 4)
+	sendUrgent := func() RequestID {
 		h.nextID++
 		h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Function: 7, Timeout: 120 * ms, ReplicaConcurrency: 2, LoadTimeEstimate: 50 * ms})
 		h.answerQueries()
 		return h.nextID
 	}
-	first := hurried()
+	first := sendUrgent()
 	w := h.workerOf(first)
 	h.advance(60 * ms)
 	h.endAttempt(first, OK, ColdStartTriggered)
-	if got := h.workerOf(hurried()); got != w {
+	if got := h.workerOf(sendUrgent()); got != w {
 		t.Errorf("the second request went to worker %d, a replica is loaded at %d", got, w)
 	}
 }
 
 func TestPickWarmReplica_QueueDelayPastTimeout_Rejects(t *testing.T) {
 	for _, test := range []struct {
-		budget time.Duration
-		answer string
+		timeout time.Duration
+		answer  string
 	}{{3 * time.Second, ""}, {450 * ms, "rejected"}} {
-		h := start(t, settings(), 1)
+		h := newHarness(t, testSettings(), 1)
 		worker := h.scheduler.endpoints.byID[h.warm(7)]
 		worker.queueDelay = estimate.NewDecayed(float64(400*ms), h.now)
 		h.nextID++
-		h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Function: 7, Timeout: test.budget, ReplicaConcurrency: 2})
+		h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Function: 7, Timeout: test.timeout, ReplicaConcurrency: 2})
 		h.advance(350 * ms)
 		if sent := len(h.sentTo[h.nextID]) > 0; sent != (test.answer == "") || h.answers[h.nextID] != test.answer {
-			t.Errorf("a request with %v left, for a worker where requests wait 400 ms: sent %v, answer %q", test.budget, sent, h.answers[h.nextID])
+			t.Errorf("a request with %v left, for a worker where requests wait 400 ms: sent %v, answer %q", test.timeout, sent, h.answers[h.nextID])
 		}
 	}
 }
 
 func TestPickWarmReplica_Ties_Rotate(t *testing.T) {
-	h := start(t, settings(), 3)
+	h := newHarness(t, testSettings(), 3)
 	r := h.request(7, 0)
 	h.answerQueries(1, 2, 3)
 	h.endAttempt(r, OK, WarmStart)
@@ -148,7 +148,7 @@
 }
 
 func TestPickWarmReplica_FewestInFlight_IsPicked(t *testing.T) {
-	h := start(t, settings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	first := h.request(7, 0)
 	h.answerQueries(1, 2)
 	if second := h.request(7, 0); h.workerOf(second) == h.workerOf(first) {
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -7,7 +7,7 @@
 
 func TestEndpoints_DrainingOrRemoved_GetNothing(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Removed} {
-		h := start(t, settings(), 4)
+		h := newHarness(t, testSettings(), 4)
 		w := h.warm(7)
 		h.changeWorker(WorkerInfo{ID: w, Started: UnknownStart, State: state})
 		h.queries = nil
@@ -24,9 +24,9 @@
 }
 
 func TestEndpoints_WatchFailed_IsRetried(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.WatchOnStart = true
-	h := start(t, set, 0)
+	h := newHarness(t, set, 0)
 	h.scheduler.WatchFailed(h.now)
 	h.scheduler.TimerFired(h.now+time.Second, 1)
 	if h.count("watch") != 2 {
@@ -37,9 +37,9 @@
 // TestEndpoints_RemovedWorkers_AreForgotten holds that workers that are replaced all the time leave nothing
 // behind: neither memory nor a part in the means over all workers.
 func TestEndpoints_RemovedWorkers_AreForgotten(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.SlowStartDuration = 10 * time.Second
-	h := start(t, set, 4)
+	h := newHarness(t, set, 4)
 	for i := range 50 {
 		id := WorkerID(100 + i)
 		h.scheduler.WorkersChanged(h.now, []WorkerInfo{{ID: id, State: Ready, Scale: 1, Started: h.now}}, false)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -106,30 +106,30 @@
 	if w == frontEnd.coldWorker {
 		frontEnd.sends = append(frontEnd.sends, frontEnd.now)
 	}
-	if _, stands := frontEnd.replicas[key]; !stands {
+	if _, isLoaded := frontEnd.replicas[key]; !isLoaded {
 		frontEnd.replicas[key] = frontEnd.now + frontEnd.load
 		frontEnd.loads++
 	}
-	took := max(0, frontEnd.replicas[key]-frontEnd.now) + time.Duration(frontEnd.rng.ExpFloat64()*float64(frontEnd.run))
-	frontEnd.later(took, func() {
+	latency := max(0, frontEnd.replicas[key]-frontEnd.now) + time.Duration(frontEnd.rng.ExpFloat64()*float64(frontEnd.run))
+	frontEnd.later(latency, func() {
 		frontEnd.served++
-		frontEnd.scheduler.AttemptEnded(frontEnd.now, Outcome{Request: r, Attempt: attempt, Worker: w, Status: OK, Latency: took, RequestClosed: true, QueueDepth: -1})
+		frontEnd.scheduler.AttemptEnded(frontEnd.now, Outcome{Request: r, Attempt: attempt, Worker: w, Status: OK, Latency: latency, RequestClosed: true, QueueDepth: -1})
 	})
 }
 
-func (frontEnd *fleetFront) Load(w WorkerID, fn FunctionID, copies int) {
-	stand := 0
-	if since, stands := frontEnd.replicas[replicaKey{w, fn}]; stands && since <= frontEnd.now {
-		stand = 1
+func (frontEnd *fleetFront) Load(w WorkerID, fn FunctionID, replicas int) {
+	loaded := 0
+	if since, isLoaded := frontEnd.replicas[replicaKey{w, fn}]; isLoaded && since <= frontEnd.now {
+		loaded = 1
 	}
-	took := ms
-	if copies > 0 && stand == 0 {
-		took, stand = frontEnd.load, 1
+	latency := ms
+	if replicas > 0 && loaded == 0 {
+		latency, loaded = frontEnd.load, 1
 		frontEnd.loads++
 		frontEnd.replicas[replicaKey{w, fn}] = frontEnd.now + frontEnd.load
 	}
-	frontEnd.later(took, func() {
-		frontEnd.scheduler.LoadEnded(frontEnd.now, LoadResult{Worker: w, Function: fn, Status: OK, Latency: took, Replicas: stand})
+	frontEnd.later(latency, func() {
+		frontEnd.scheduler.LoadEnded(frontEnd.now, LoadResult{Worker: w, Function: fn, Status: OK, Latency: latency, Replicas: loaded})
 	})
 }
 
@@ -237,7 +237,7 @@
 		} {
 			t.Run(fmt.Sprintf("%d front ends, %s", size.fronts, test.name), func(t *testing.T) {
 				for seed := range size.seeds {
-					f := newFleet(seed, size.fronts, size.workers, 400, settings())
+					f := newFleet(seed, size.fronts, size.workers, 400, testSettings())
 					f.advanceTo(f.now + 4*time.Second)
 					began := f.now
 					f.list[size.workers-1].State, f.list[size.workers-1].Started = Ready, began
@@ -274,21 +274,21 @@
 func TestFleet_NewVersions_BringNoStormOfLoads(t *testing.T) {
 	for _, size := range []struct{ fronts, workers int }{{30, 12}, {300, 60}} {
 		t.Run(fmt.Sprint(size.fronts, " front ends"), func(t *testing.T) {
-			f := newFleet(1, size.fronts, size.workers, 200, settings())
+			f := newFleet(1, size.fronts, size.workers, 200, testSettings())
 			f.advanceTo(f.now + 8*time.Second)
-			usual := f.loads
+			normalLoads := f.loads
 			f.advanceTo(f.now + 3*time.Second)
-			usual = f.loads - usual
-			void, before := 0, f.loads
+			normalLoads = f.loads - normalLoads
+			stale, before := 0, f.loads
 			for key := range f.replicas {
 				if key.function%10 < 4 {
 					delete(f.replicas, key)
-					void++
+					stale++
 				}
 			}
 			f.advanceTo(f.now + 3*time.Second)
-			if got := f.loads - before; got < void/4 || got > void+void/4+usual {
-				t.Errorf("%d replicas stale; %d loads in the 3 s after it, %d in the 3 s before", void, got, usual)
+			if got := f.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
+				t.Errorf("%d replicas stale; %d loads in the 3 s after it, %d in the 3 s before", stale, got, normalLoads)
 			}
 		})
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -44,8 +44,8 @@
 func (h *harness) SetTimer(time.Duration, uint64)  {}
 func (h *harness) WatchEndpoints()                 { h.note("watch") }
 func (h *harness) Log(string)                      {}
-func (h *harness) Load(w WorkerID, f FunctionID, copies int) {
-	if copies == 0 {
+func (h *harness) Load(w WorkerID, f FunctionID, replicas int) {
+	if replicas == 0 {
 		h.queries = append(h.queries, replicaKey{w, f})
 	} else {
 		h.orders = append(h.orders, replicaKey{w, f})
@@ -53,8 +53,8 @@
 	}
 }
 
-// settings are those of three front ends whose workers load what they lack.
-func settings() Settings {
+// testSettings are those of three front ends whose workers load what they lack.
+func testSettings() Settings {
 	return Settings{
 		Seed: 1, FrontEndCount: 3, ReplicaIdleTimeout: 10 * time.Second, LoadOrdersAllowed: true, HealthChecksAllowed: true, CancelAllowed: true,
 		ReportsColdStart: true, MaxAttempts: 4, MaxRetryAfter: 500 * ms, SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2,
@@ -66,7 +66,8 @@
 	}
 }
 
-func start(t *testing.T, set Settings, workers int) *harness {
+// newHarness starts a Scheduler and reports so many workers to it.
+func newHarness(t *testing.T, set Settings, workers int) *harness {
 	h := &harness{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, answers: map[RequestID]string{}}
 	h.scheduler = New(h.now, set, h)
 	var list []WorkerInfo
@@ -81,6 +82,7 @@
 	h.scheduler.WorkersChanged(h.now, []WorkerInfo{info}, false)
 }
 
+// request reports a request for f and returns its identifier.
 func (h *harness) request(f FunctionID, class int) RequestID {
 	h.nextID++
 	h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Class: class, Function: f, Timeout: 3 * time.Second, ReplicaConcurrency: 2})
@@ -100,11 +102,11 @@
 	for len(h.queries) > 0 {
 		a := h.queries[0]
 		h.queries = h.queries[1:]
-		copies := 0
+		replicas := 0
 		if slices.Contains(holders, a.worker) {
-			copies = 1
+			replicas = 1
 		}
-		h.scheduler.LoadEnded(h.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms, Replicas: copies})
+		h.scheduler.LoadEnded(h.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms, Replicas: replicas})
 	}
 }
 
@@ -125,12 +127,13 @@
 	return 0
 }
 
-func (h *harness) endAttempt(r RequestID, status Status, warmth ColdStart) {
+// endAttempt ends the latest attempt of r now.
+func (h *harness) endAttempt(r RequestID, status Status, coldStart ColdStart) {
 	h.t.Helper()
 	w, n := h.workerOf(r), len(h.sentTo[r])
 	h.scheduler.AttemptEnded(h.now, Outcome{
 		Request: r, Attempt: n - 1, Worker: w, Status: status, Latency: h.inFlightFor(r),
-		RequestClosed: status == OK, ColdStart: warmth,
+		RequestClosed: status == OK, ColdStart: coldStart,
 	})
 }
 
@@ -159,6 +162,7 @@
 	return w
 }
 
+// count counts the actions noted that begin so.
 func (h *harness) count(action string) (n int) {
 	for _, a := range h.actions {
 		if strings.HasPrefix(a, action) {
@@ -194,10 +198,10 @@
 
 // endAttemptWithQueueDepth ends the latest attempt of r as a worker does that held so many requests for the function
 // when it arrived.
-func (h *harness) endAttemptWithQueueDepth(r RequestID, status Status, crowd int) {
+func (h *harness) endAttemptWithQueueDepth(r RequestID, status Status, queueDepth int) {
 	h.t.Helper()
 	h.scheduler.AttemptEnded(h.now, Outcome{
 		Request: r, Attempt: len(h.sentTo[r]) - 1, Worker: h.workerOf(r), Status: status,
-		Latency: h.inFlightFor(r), RequestClosed: status == OK, ColdStart: WarmStart, QueueDepth: crowd,
+		Latency: h.inFlightFor(r), RequestClosed: status == OK, ColdStart: WarmStart, QueueDepth: queueDepth,
 	})
 }
--- a/scheduler/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -114,9 +114,9 @@
 	f.answer(id, false)
 }
 
-func (f *invariantChecker) Load(w WorkerID, fn FunctionID, copies int) {
-	f.note("load %d %d %d", w, fn, copies)
-	if copies > 0 {
+func (f *invariantChecker) Load(w WorkerID, fn FunctionID, replicas int) {
+	f.note("load %d %d %d", w, fn, replicas)
+	if replicas > 0 {
 		if f.workers[w].State != Ready {
 			f.violate("rule 3", "order to load to worker %d in state %d", w, f.workers[w].State)
 		}
@@ -126,7 +126,7 @@
 			f.violate("rule 5", "%d orders in the window, %.1f at most", len(f.loads), most)
 		}
 	}
-	f.pendingLoads, f.pendingCounts = append(f.pendingLoads, replicaKey{w, fn}), append(f.pendingCounts, copies)
+	f.pendingLoads, f.pendingCounts = append(f.pendingLoads, replicaKey{w, fn}), append(f.pendingCounts, replicas)
 }
 
 func (f *invariantChecker) Cancel(id RequestID, attempt int) { f.note("cancel %d %d", id, attempt) }
@@ -156,13 +156,13 @@
 func (f *invariantChecker) receiveRequest() {
 	f.nextID++
 	class := f.rng.IntN(len(f.set.Classes))
-	budget := time.Duration(1+f.rng.IntN(3000)) * ms
-	f.open[f.nextID] = &trackedRequest{class: f.set.Classes[class], deadline: f.now + budget}
+	timeout := time.Duration(1+f.rng.IntN(3000)) * ms
+	f.open[f.nextID] = &trackedRequest{class: f.set.Classes[class], deadline: f.now + timeout}
 	f.order = append(f.order, f.nextID)
 	f.received = append(f.received, f.now)
 	f.scheduler.RequestReceived(f.now, Request{
 		ID: f.nextID, Class: class, Tenant: f.rng.IntN(2),
-		Function: FunctionID(f.rng.IntN(12)), Timeout: budget, ReplicaConcurrency: 1 + f.rng.IntN(4),
+		Function: FunctionID(f.rng.IntN(12)), Timeout: timeout, ReplicaConcurrency: 1 + f.rng.IntN(4),
 	})
 }
 
@@ -247,7 +247,7 @@
 }
 
 func ruleSettings(seed uint64) Settings {
-	set := settings()
+	set := testSettings()
 	set.Classes[1].KeyScope = KeyScope(seed % 3)
 	set.AnswersNotLoaded = seed%2 == 0
 	set.ReportsQueueDepth = seed%3 == 0
--- a/scheduler/load_limits_test.go
+++ b/scheduler/load_limits_test.go
@@ -6,9 +6,9 @@
 )
 
 func TestLoadRateLimit_BurstUsed_AllowsNoMoreOrders(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.AnswersNotLoaded, set.LoadRateWindow, set.LoadRateBurst, set.LoadRatePerRequest = true, 5*time.Second, 2, 0
-	h := start(t, set, 4)
+	h := newHarness(t, set, 4)
 	for f := range FunctionID(6) {
 		h.request(f, 0)
 		h.answerQueries()
@@ -21,7 +21,7 @@
 }
 
 func TestStartLoad_ManyColdFunctions_LimitsLoadsInFlight(t *testing.T) {
-	h := start(t, settings(), 20)
+	h := newHarness(t, testSettings(), 20)
 	h.scheduler.demand.runTime.Add(h.now, demandMemory, float64(time.Hour)) // of other functions
 	for f := range FunctionID(3 * maxLoadsInFlight) {
 		h.warm(f)
@@ -41,8 +41,8 @@
 // TestLoadBreaker_StoppedStore_OpensUntilALoadSucceeds: each load fails at once, and its request is sent to the next
 // worker. After a few failures the breaker opens, then lets one load through at a time; the first success closes it.
 func TestLoadBreaker_StoppedStore_OpensUntilALoadSucceeds(t *testing.T) {
-	h := start(t, settings(), 20)
-	tried := func(as Status, warmth ColdStart) (loads int) {
+	h := newHarness(t, testSettings(), 20)
+	tried := func(as Status, coldStart ColdStart) (loads int) {
 		for range 100 {
 			r := h.request(7, 0)
 			h.answerQueries()
@@ -50,7 +50,7 @@
 			for id := RequestID(1); id <= r; id++ {
 				for n := 0; h.answers[id] == "" && h.scheduler.requests[id] != nil && h.scheduler.requests[id].replica != nil && n < 50; n++ {
 					loads++
-					h.endAttempt(id, as, warmth)
+					h.endAttempt(id, as, coldStart)
 				}
 			}
 			h.advance(20 * ms)
@@ -67,9 +67,9 @@
 }
 
 func TestLoadRateLimit_WindowEdge_CountsAgainstOrder(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.LoadRateWindow, set.LoadRateBurst, set.LoadRatePerRequest = 5*time.Second, 0, 1
-	h := start(t, set, 4)
+	h := newHarness(t, set, 4)
 	for range 3 {
 		h.scheduler.loadRate.requestTimes = append(h.scheduler.loadRate.requestTimes, h.now)
 	}
--- a/scheduler/outlier_ejection_test.go
+++ b/scheduler/outlier_ejection_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestOutlierEjection_SilentWorker_IsEjectedAndSafeRequestsCancelled(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	w := h.warm(7)
 	r, unsafe := h.request(7, 0), h.request(7, 2)
 	if h.workerOf(r) != w {
@@ -27,7 +27,7 @@
 }
 
 func TestOutlierEjection_FailingWorker_IsPassedOver(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	w := h.warm(7)
 	for range 3 {
 		r := h.request(7, 2)
@@ -42,7 +42,7 @@
 }
 
 func TestOutlierEjection_TimeoutAtAnsweringWorker_DoesNotEject(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	w := h.warm(7)
 	for range 6 {
 		slow, quick := h.request(7, 0), h.request(7, 0)
@@ -63,7 +63,7 @@
 }
 
 func TestOutlierEjection_ImpatientClients_SayNothingOfWorker(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	worker.queueDelay = estimate.NewDecayed(float64(400*ms), h.now)
 	for range 6 {
@@ -79,7 +79,7 @@
 }
 
 func TestOutlierEjection_ConnectFailed_IsTriedAfterEjectionTime(t *testing.T) {
-	h := start(t, settings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	w := h.warm(7)
 	h.endAttempt(h.request(7, 0), ConnectFailed, ColdStartUnknown)
 	if h.avoidsWorker(w, 8); !h.scheduler.endpoints.byID[w].healthByClass[0].ejected || h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
@@ -92,9 +92,9 @@
 }
 
 func TestOutlierEjection_OneClassUnanswered_EjectsForThatClass(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
-	deaf := h.request(7, 0)
+	unanswered := h.request(7, 0)
 	for range 4 { // the other class is answered all the while
 		r := h.request(8, 2)
 		h.answerQueries(worker.ID)
@@ -109,12 +109,12 @@
 			worker.healthByClass[0].ejected, worker.healthByClass[2].ejected)
 	}
 	if h.count("cancel") == 0 {
-		t.Errorf("request %d, which may run twice, was not cancelled: %v", deaf, h.actions)
+		t.Errorf("request %d, which may run twice, was not cancelled: %v", unanswered, h.actions)
 	}
 }
 
 func TestOutlierEjection_OwnStall_IsNotTakenForSilence(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	r := h.request(7, 0)
 	h.now += 2500 * ms // stalled; then the tick comes first, and the answer with it
@@ -134,7 +134,7 @@
 }
 
 func TestOutlierEjection_QueryConnectFailed_ForgetsReplicas(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	w := h.warm(7)
 	h.request(8, 0)
 	h.scheduler.LoadEnded(h.now, LoadResult{Worker: w, Function: 8, Status: ConnectFailed})
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -8,31 +8,31 @@
 )
 
 func TestPrewarm_PopularFunction_IsOrderedAtOwnPlace(t *testing.T) {
-	set := settings()
-	places := map[WorkerID]bool{}
-	for self := range 12 {
-		set.FrontEndIndex, set.FrontEndCount = self, 200
-		h := start(t, set, 30)
+	set := testSettings()
+	orderedAt := map[WorkerID]bool{}
+	for index := range 12 {
+		set.FrontEndIndex, set.FrontEndCount = index, 200
+		h := newHarness(t, set, 30)
 		w := h.makePopular(7)
 		h.orders = nil
 		r := h.request(7, 0)
 		if h.workerOf(r) != w {
-			t.Errorf("front end %d sent a request to worker %d while a replica was loaded at %d", self, h.workerOf(r), w)
+			t.Errorf("front end %d sent a request to worker %d while a replica was loaded at %d", index, h.workerOf(r), w)
 		}
 		for _, o := range h.orders {
-			places[o.worker] = true
+			orderedAt[o.worker] = true
 		}
 		if rank := h.scheduler.placementOrder(h.scheduler.functions.byID[7])[0]; h.scheduler.functions.byID[7].replicaOn(rank) == nil {
-			t.Errorf("front end %d has no replica ordered at its own place", self)
+			t.Errorf("front end %d has no replica ordered at its own place", index)
 		}
 	}
-	if len(places) < 4 {
-		t.Errorf("12 front ends of 200 order a function with a tenth of the work at %d workers of 30", len(places))
+	if len(orderedAt) < 4 {
+		t.Errorf("12 front ends of 200 order a function with a tenth of the work at %d workers of 30", len(orderedAt))
 	}
 }
 
 func TestTargetReplicaCount_RareFunction_IsOne(t *testing.T) {
-	h := start(t, settings(), 30)
+	h := newHarness(t, testSettings(), 30)
 	for f := range FunctionID(100) {
 		h.request(1000+f, 0)
 	}
@@ -43,10 +43,10 @@
 }
 
 func TestRendezvousOrder_ScaleIsCapacity_IsWeighted(t *testing.T) {
-	firsts := func(sized bool) int {
-		set := settings()
+	countFirstPlaces := func(sized bool) int {
+		set := testSettings()
 		set.ScaleIsCapacity = sized
-		h := start(t, set, 0)
+		h := newHarness(t, set, 0)
 		var list []WorkerInfo
 		for i := range 20 { // the first ten are three times as large
 			list = append(list, WorkerInfo{ID: WorkerID(i + 1), Scale: 3 - 2*float64(i/10), Started: UnknownStart, State: Ready})
@@ -60,16 +60,16 @@
 		}
 		return n
 	}
-	if n := firsts(true); n < 270 || n > 330 {
+	if n := countFirstPlaces(true); n < 270 || n > 330 {
 		t.Errorf("ten workers with three quarters of all size come first for %d of 400 functions, want about 300", n)
 	}
-	if n := firsts(false); n < 170 || n > 230 {
+	if n := countFirstPlaces(false); n < 170 || n > 230 {
 		t.Errorf("ten of twenty workers come first for %d of 400 functions where sizes are not advertised, want about 200", n)
 	}
 }
 
 func TestPickColdWorker_WorkerWithoutResponses_DoesNotLookIdle(t *testing.T) {
-	h := start(t, settings(), 8)
+	h := newHarness(t, testSettings(), 8)
 	function := h.scheduler.trackFunction(7, 0)
 	order := h.scheduler.rendezvousOrder(function)
 	for _, worker := range order[:6] {
--- a/scheduler/queue_delay_test.go
+++ b/scheduler/queue_delay_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestConcurrencyLimit_OverloadedWorker_IsDecreased(t *testing.T) {
-	h := start(t, settings(), 1)
+	h := newHarness(t, testSettings(), 1)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	before := worker.concurrencyLimit
 	h.request(7, 0)
@@ -20,9 +20,9 @@
 }
 
 func TestUnloadedRunTime_OverloadOfAllWorkers_RisesSlowly(t *testing.T) {
-	h := start(t, settings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	h.warm(7)
-	quick := h.scheduler.unloadedRunTime(0)
+	before := h.scheduler.unloadedRunTime(0)
 	for range 10 {
 		r := h.request(7, 0)
 		h.advance(time.Second)
@@ -32,19 +32,19 @@
 			worker.queueDelay = estimate.Decayed{} // decayed when the next one comes
 		}
 	}
-	if now := h.scheduler.unloadedRunTime(0); now > quick+quick/2 {
-		t.Errorf("the unloaded run time rose from %v to %v while all were slow", quick, now)
+	if now := h.scheduler.unloadedRunTime(0); now > before+before/2 {
+		t.Errorf("the unloaded run time rose from %v to %v while all were slow", before, now)
 	}
 }
 
 func TestContactedDelay_LatestContacted_ShowOverload(t *testing.T) {
-	h := start(t, settings(), 60)
+	h := newHarness(t, testSettings(), 60)
 	for i, worker := range h.scheduler.endpoints.list {
-		met, wait := h.now-5*time.Second, float64(ms)
+		contactedAt, delay := h.now-5*time.Second, float64(ms)
 		if i < contactedLatest {
-			met, wait = h.now-1500*ms, float64(2*time.Second)
+			contactedAt, delay = h.now-1500*ms, float64(2*time.Second)
 		}
-		worker.queueDelay, worker.observedDelay = estimate.NewDecayed(wait, met), wait
+		worker.queueDelay, worker.observedDelay = estimate.NewDecayed(delay, contactedAt), delay
 	}
 	if now := h.scheduler.contactedDelay(); now < float64(time.Second) {
 		t.Errorf("the queue delay is %v by the workers contacted in ten seconds; at those contacted last it is 2s", time.Duration(now))
@@ -52,7 +52,7 @@
 }
 
 func TestQueueDelay_OverloadedResponse_CountsAsLongDelay(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	h.endAttemptWithQueueDepth(h.request(7, 0), Overloaded, 20)
 	if worker.observedDelay < float64(time.Second) {
@@ -63,7 +63,7 @@
 // TestContactedDelay_LongRun_IsNoQueueDelay holds that a long run is not taken for a queue delay: among several
 // requests in flight at a worker one has always been so for long.
 func TestContactedDelay_LongRun_IsNoQueueDelay(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	for _, other := range h.scheduler.endpoints.list {
 		other.queueDelay, other.observedDelay = estimate.NewDecayed(0, h.now), 0
@@ -80,21 +80,21 @@
 // TestQueueDelay_FrequentContacts_ShortenMemory holds that a front end with many requests for few workers does not
 // avoid one for long after a queue delay that passed.
 func TestQueueDelay_FrequentContacts_ShortenMemory(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	h.warm(7)
 	h.advance(tickInterval)
-	seldom := h.scheduler.delay.memory
+	rarelyContacted := h.scheduler.delay.memory
 	for range 400 {
 		h.endAttempt(h.request(7, 0), OK, WarmStart)
 		h.advance(tickInterval)
 	}
-	if often := h.scheduler.delay.memory; seldom != delayMemoryMax || often > delayMemoryMax/4 || often < delayMemoryMin {
-		t.Errorf("queue delays are remembered for %v with few requests, %v with many", seldom, often)
+	if frequentlyContacted := h.scheduler.delay.memory; rarelyContacted != delayMemoryMax || frequentlyContacted > delayMemoryMax/4 || frequentlyContacted < delayMemoryMin {
+		t.Errorf("queue delays are remembered for %v with few requests, %v with many", rarelyContacted, frequentlyContacted)
 	}
 }
 
 func TestQueueDelay_OldObservation_Decays(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	r := h.request(7, 0)
 	h.advance(2500 * ms)
--- a/scheduler/residency_test.go
+++ b/scheduler/residency_test.go
@@ -24,7 +24,7 @@
 	}
 	for name, end := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := start(t, settings(), 4)
+			h := newHarness(t, testSettings(), 4)
 			w := h.warm(7)
 			end(h, w)
 			if h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[w]) != nil {
@@ -35,7 +35,7 @@
 }
 
 func TestResidencyQuery_ReplicaElsewhere_IsUsed(t *testing.T) {
-	h := start(t, settings(), 8)
+	h := newHarness(t, testSettings(), 8)
 	r := h.request(7, 0)
 	if len(h.queries) != residencyQueryFanout || len(h.sentTo[r]) != 0 {
 		t.Fatalf("%d workers queried before a load, want %d; sent %v", len(h.queries), residencyQueryFanout, h.sentTo[r])
@@ -48,7 +48,7 @@
 }
 
 func TestResidencyQuery_Unanswered_KeepsRequests(t *testing.T) {
-	h := start(t, settings(), 8)
+	h := newHarness(t, testSettings(), 8)
 	var ids []RequestID
 	for range 6 {
 		ids = append(ids, h.request(7, 0)) // the answers to the queries are still on their way
@@ -62,7 +62,7 @@
 }
 
 func TestResidencyQuery_QueueDelayAtWarmReplica_PrecedesLoad(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	w := h.warm(7)
 	h.advance(2 * time.Second)
 	h.scheduler.endpoints.byID[w].queueDelay = estimate.NewDecayed(float64(5*time.Second), h.now)
@@ -83,9 +83,9 @@
 }
 
 func TestResidencyQuery_OldQueryUnanswered_QueriesAgain(t *testing.T) {
-	h := start(t, settings(), 8)
+	h := newHarness(t, testSettings(), 8)
 	h.request(7, 0)
-	hung := h.queries[0].worker
+	unanswered := h.queries[0].worker
 	h.queries = h.queries[1:]
 	h.answerQueries()
 	h.advance(2 * freshnessWindow) // a load began without the last answer
@@ -96,7 +96,7 @@
 		t.Errorf("%d workers are queried and %d loads begun while an answer from long ago is still awaited",
 			len(h.queries), len(function.replicas))
 	}
-	h.scheduler.LoadEnded(h.now, LoadResult{Worker: hung, Function: 7, Status: Timeout})
+	h.scheduler.LoadEnded(h.now, LoadResult{Worker: unanswered, Function: 7, Status: Timeout})
 	h.answerQueries()
 	if function.pendingQueries != 0 {
 		t.Errorf("%d answers awaited after all have come", function.pendingQueries)
@@ -106,7 +106,7 @@
 // TestResidencyQuery_LoadsTooSlow_KeepsRequest holds that a request is not rejected as too late for a load while
 // a query may yet find a loaded replica.
 func TestResidencyQuery_LoadsTooSlow_KeepsRequest(t *testing.T) {
-	h := start(t, settings(), 8)
+	h := newHarness(t, testSettings(), 8)
 	for range 3 {
 		h.warm(7)
 	}
@@ -124,7 +124,7 @@
 
 func TestResidencyQuery_ManyWorkers_QueriesFirstInOrder(t *testing.T) {
 	for _, workers := range []int{3, 60} {
-		h := start(t, settings(), workers)
+		h := newHarness(t, testSettings(), workers)
 		r := h.request(7, 0)
 		if n := len(h.queries); n != min(workers, residencyQueryFanout) {
 			t.Errorf("%d of %d workers queried, want %d", n, workers, min(workers, residencyQueryFanout))
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			h := start(t, settings(), 4)
+			h := newHarness(t, testSettings(), 4)
 			h.warm(7)
 			r := h.request(7, test.class)
 			first := h.workerOf(r)
@@ -41,7 +41,7 @@
 }
 
 func TestRetry_KeyRetentionPassed_Fails(t *testing.T) {
-	h := start(t, settings(), 2) // one worker a cell
+	h := newHarness(t, testSettings(), 2) // one worker a cell
 	h.warm(7)
 	r := h.request(7, 1)
 	h.changeWorker(WorkerInfo{ID: h.workerOf(r), Cell: int(h.workerOf(r)+1) % 2, Started: UnknownStart, State: Draining})
@@ -53,7 +53,7 @@
 }
 
 func TestRetry_OverloadedWorker_GoesElsewhere(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	w := h.warm(7)
 	r := h.request(7, 0)
 	h.endAttemptWithQueueDepth(r, Overloaded, 20)
@@ -65,14 +65,14 @@
 
 func TestClientDisconnected_AttemptInFlight_IsCancelled(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
-		set := settings()
+		set := testSettings()
 		set.CancelAllowed = mayCancel
-		h := start(t, set, 1)
+		h := newHarness(t, set, 1)
 		h.warm(7)
 		r := h.request(7, 0)
 		h.scheduler.ClientDisconnected(h.now, r)
-		if called := h.count("cancel") == 1; called != mayCancel {
-			t.Errorf("cancelled %v after its client left, allowed %v", called, mayCancel)
+		if cancelled := h.count("cancel") == 1; cancelled != mayCancel {
+			t.Errorf("cancelled %v after its client left, allowed %v", cancelled, mayCancel)
 		}
 		h.advance(time.Second)
 		h.endAttempt(r, Cancelled, ColdStartUnknown)
--- a/scheduler/scale_out_test.go
+++ b/scheduler/scale_out_test.go
@@ -8,22 +8,22 @@
 )
 
 func TestScaleOut_DeepQueue_StartsLoadForFewRequests(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	w := h.warm(7)
 	for range 20 {
 		h.request(7, 0)
 	}
 	h.answerQueries() // no replica is loaded elsewhere
-	lent := map[WorkerID]int{}
+	waitingForLoad := map[WorkerID]int{}
 	for r, at := range h.sentTo {
 		if at[0] != w && h.scheduler.requests[r] != nil {
-			lent[at[0]]++
+			waitingForLoad[at[0]]++
 		}
 	}
-	if len(lent) == 0 {
+	if len(waitingForLoad) == 0 {
 		t.Error("20 requests at 100 ms at concurrency 2 were all kept for a worker that needs a second for them")
 	}
-	for w, n := range lent {
+	for w, n := range waitingForLoad {
 		if n > 2 {
 			t.Errorf("%d requests wait for the load at worker %d, 2 at most", n, w)
 		}
@@ -31,9 +31,9 @@
 }
 
 func TestStartLoad_WorkersAnswerNotLoaded_OrdersLoadFirst(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.AnswersNotLoaded = true
-	h := start(t, set, 4)
+	h := newHarness(t, set, 4)
 	r := h.request(7, 0)
 	h.answerQueries()
 	h.answerQueries()
@@ -52,9 +52,9 @@
 // that were never sent, are no loads in flight: so many of them kept back the loads of all others.
 func TestStartLoad_FirstRequestFails_LeavesNoLoadInFlight(t *testing.T) {
 	for _, end := range []Status{Error, NotSent} {
-		set := settings()
+		set := testSettings()
 		set.LoadOrdersAllowed = false
-		h := start(t, set, 4)
+		h := newHarness(t, set, 4)
 		for i := range 3 * maxLoadsInFlight {
 			r := h.request(FunctionID(100+i), 2)
 			if h.workerOf(r) == 0 {
@@ -74,33 +74,33 @@
 
 func TestScaleOut_QueueDelayByOthers_StartsLoad(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		took  time.Duration
-		crowd int
-		load  bool
+		name           string
+		latency        time.Duration
+		queueDepth     int
+		loadsElsewhere bool
 	}{
 		{"quick", 100 * ms, 0, false},
 		{"late behind others", 2500 * ms, 20, true},
 		{"late at a slow worker", 2500 * ms, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := start(t, settings(), 4)
+			h := newHarness(t, testSettings(), 4)
 			w := h.warm(7)
 			r := h.request(7, 0)
-			h.advance(test.took)
-			h.endAttemptWithQueueDepth(r, OK, test.crowd)
+			h.advance(test.latency)
+			h.endAttemptWithQueueDepth(r, OK, test.queueDepth)
 			h.advance(time.Second)
 			r = h.request(7, 0)
 			h.answerQueries() // no replica is loaded elsewhere
-			if moved := h.workerOf(r) != w; moved != test.load {
-				t.Errorf("after an answer in %v with %d others there the next request loads elsewhere: %v", test.took, test.crowd, moved)
+			if isElsewhere := h.workerOf(r) != w; isElsewhere != test.loadsElsewhere {
+				t.Errorf("after an answer in %v with %d others there the next request loads elsewhere: %v", test.latency, test.queueDepth, isElsewhere)
 			}
 		})
 	}
 }
 
 func TestLoadCost_ReplicasFoundGone_Rises(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	h.warm(7)
 	function := h.scheduler.functions.byID[7]
 	before := h.scheduler.loadCost(function)
@@ -115,7 +115,7 @@
 }
 
 func TestExpectedLoadTime_FirstResponse_IsLearned(t *testing.T) {
-	h := start(t, settings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	h.warm(7) // 600 ms for the first answer, 100 ms a run
 	function := h.scheduler.functions.byID[7]
 	if load := h.scheduler.expectedLoadTime(function); load < 400*ms || load > 600*ms {
@@ -127,7 +127,7 @@
 }
 
 func TestTimeToDrain_LoadingReplica_Counts(t *testing.T) {
-	h := start(t, settings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	h.warm(7)
 	function := h.scheduler.functions.byID[7]
 	before := h.scheduler.timeToDrain(function, 40, ownBacklog)
@@ -140,7 +140,7 @@
 
 func TestScaleOut_WorkerIdleForLong_IsProbed(t *testing.T) {
 	for _, idle := range []time.Duration{idleProbeAfter / 2, idleProbeAfter} {
-		h := start(t, settings(), 2)
+		h := newHarness(t, testSettings(), 2)
 		w := h.warm(7)
 		for range int(idle / time.Second) { // the replica at w stays believed, the other worker is not contacted
 			r := h.request(7, 0)
@@ -164,7 +164,7 @@
 }
 
 func TestStartLoad_SlowerWorker_TakesOneRequest(t *testing.T) {
-	h := start(t, settings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	warm := h.warm(7)
 	cold := h.scheduler.endpoints.byID[3-warm]
 	cold.queueDelay = estimate.NewDecayed(float64(100*ms), h.now)
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -11,9 +11,9 @@
 	for frontEnds, most := range map[int]int{1: 4 * 400, 4: 400, 400: 400 / 3} {
 		sent := 0
 		for seed := range uint64(400) { // each is one of as many front ends
-			set := settings()
+			set := testSettings()
 			set.Seed, set.FrontEndCount = seed, frontEnds
-			h := start(t, set, 1)
+			h := newHarness(t, set, 1)
 			h.changeWorker(WorkerInfo{ID: 1, Started: h.now, State: Ready})
 			for f := range FunctionID(6) {
 				h.request(f, 0)
@@ -31,10 +31,10 @@
 }
 
 func TestSlowStart_ScaleIsCapacity_BudgetFollowsScale(t *testing.T) {
-	takes := func(scale float64) int {
-		set := settings()
+	countRequests := func(scale float64) int {
+		set := testSettings()
 		set.ScaleIsCapacity, set.FrontEndCount = true, 1
-		h := start(t, set, 0)
+		h := newHarness(t, set, 0)
 		list := []WorkerInfo{{ID: 1, Scale: scale, Started: h.now, State: Ready}}
 		for i := range 4 {
 			list = append(list, WorkerInfo{ID: WorkerID(i + 2), Scale: 1, Started: UnknownStart, State: Ready})
@@ -42,7 +42,7 @@
 		h.scheduler.WorkersChanged(h.now, list, true)
 		return h.countColdRequests(1)
 	}
-	if small, large := takes(0.5), takes(2); float64(large) < 2.5*float64(small) {
+	if small, large := countRequests(0.5), countRequests(2); float64(large) < 2.5*float64(small) {
 		t.Errorf("a cold worker gets %d requests at half the size and %d at twice the size", small, large)
 	}
 }
@@ -51,12 +51,12 @@
 // then for a worker that just started, four times as often as for the mean worker, as after half of them went down.
 func TestSlowStart_HundredsOfFrontEnds_DoNotOverloadColdWorker(t *testing.T) {
 	const frontEnds, workers, each, wanted = 500, 100, 3.0, 4 // each worker serves so many requests a second of all front ends
-	set := settings()
+	set := testSettings()
 	set.FrontEndCount, set.OverloadWindow = frontEnds, 2*time.Second
 	sent, windows := 0, 40
 	for i := range frontEnds {
 		set.Seed = uint64(i)
-		h := start(t, set, workers)
+		h := newHarness(t, set, workers)
 		h.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: h.now, State: Ready})
 		h.now += set.SlowStartDuration / 2
 		worker, request := h.scheduler.endpoints.byID[1], &requestRecord{function: h.scheduler.trackFunction(7, 0)}
@@ -64,8 +64,8 @@
 			h.now += set.OverloadWindow
 			h.scheduler.now, worker.Started = h.now, h.now-set.SlowStartDuration/2-time.Duration(n)
 			h.scheduler.demand.completions = estimate.NewDecayed(each*workers/frontEnds*completionMemory.Seconds(), h.now)
-			lot := estimate.Mix(uint64(i), uint64(n)+1000)
-			if estimate.UnitInterval(lot) < wanted*each*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
+			draw := estimate.Mix(uint64(i), uint64(n)+1000)
+			if estimate.UnitInterval(draw) < wanted*each*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
 				worker.sendTimes = append(worker.sendTimes, h.now)
 				sent++
 			}
@@ -80,16 +80,16 @@
 // TestSlowStart_OtherColdWorkers_CountByCapacityFraction holds that the low throughput of
 // others that just started says nothing of what a warm worker can serve.
 func TestSlowStart_OtherColdWorkers_CountByCapacityFraction(t *testing.T) {
-	takes := func(others int) int {
-		set := settings()
+	countRequests := func(others int) int {
+		set := testSettings()
 		set.FrontEndCount = 1
-		h := start(t, set, 4)
+		h := newHarness(t, set, 4)
 		for i := range others + 1 {
 			h.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: h.now, State: Ready})
 		}
 		return h.countColdRequests(10)
 	}
-	if alone, among := takes(0), takes(8); float64(among) < 0.6*float64(alone) {
+	if alone, among := countRequests(0), countRequests(8); float64(among) < 0.6*float64(alone) {
 		t.Errorf("a cold worker gets %d requests among eight others that are cold, %d alone", among, alone)
 	}
 }
