--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -74,7 +74,7 @@
 			}
 			totalDelay = ownDelay
 		}
-		if s.missesDeadline(request, ownDelay) || s.isNotWorthWaiting(request, totalDelay) ||
+		if s.missesDeadline(request, ownDelay) || s.shouldGiveUp(request, totalDelay) ||
 			request.boundToKeyScope() && s.keyExpires(request) {
 			s.rejectOrFail(request)
 		}
@@ -87,11 +87,11 @@
 	return s.now+delay+run+2*s.settings.Resolution >= request.deadline
 }
 
-// isNotWorthWaiting is whether a queued request is over quota, or would be past its objective after delay,
+// shouldGiveUp is whether a queued request is over quota, or would be past its objective after delay,
 // and finds no headroom. It guards against spending an overload on work of little value. It acts when no
 // replica is loading or queried for, and not by a guessed run time: before a run of the class was seen, a
 // burst at the start would be rejected that a fast worker soon works off.
-func (s *Scheduler) isNotWorthWaiting(request *requestRecord, delay time.Duration) bool {
+func (s *Scheduler) shouldGiveUp(request *requestRecord, delay time.Duration) bool {
 	function := request.function
 	if !request.overQuota {
 		runSeen := s.latency.runTimeByClass[function.class].Samples > 0
--- a/scheduler/clone.go
+++ b/scheduler/clone.go
@@ -29,7 +29,7 @@
 	clone.loadRate.orderTimes = slices.Clone(s.loadRate.orderTimes)
 	clone.loadRate.requestTimes = slices.Clone(s.loadRate.requestTimes)
 	clone.tenants.usage = slices.Clone(s.tenants.usage)
-	clone.tenants.excess = slices.Clone(s.tenants.excess)
+	clone.tenants.overage = slices.Clone(s.tenants.overage)
 	return &clone
 }
 
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -163,8 +163,8 @@
 	return sum
 }
 
-// takesLoads is whether a function may be loaded at a worker now, which then has memory for it as far as is known.
-func (s *Scheduler) takesLoads(worker *workerRecord) bool {
+// acceptsLoads is whether a function may be loaded at a worker now, which then has memory for it as far as is known.
+func (s *Scheduler) acceptsLoads(worker *workerRecord) bool {
 	return worker.State == Ready && s.now >= worker.noLoadsUntil
 }
 
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -71,7 +71,7 @@
 	usage   []tenantUsage // by tenant
 	total   float64       // of all tenants, decayed as theirs
 	counted uint64        // requests of all tenants
-	excess  []float64     // by tenant: what it is over quota by, in requests, and was not counted against it yet
+	overage []float64     // by tenant: what it is over quota by, in requests, and was not counted against it yet
 }
 
 // tenantUsage counts the requests of a tenant, decayed with each request of any.
@@ -81,7 +81,7 @@
 }
 
 func newTenantQuotas(tenants int) tenantQuotas {
-	return tenantQuotas{usage: make([]tenantUsage, tenants), excess: make([]float64, tenants)}
+	return tenantQuotas{usage: make([]tenantUsage, tenants), overage: make([]float64, tenants)}
 }
 
 // has is whether there is such a tenant.
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -26,7 +26,7 @@
 	healthy, leastDelay := s.healthyCount(function.class), never
 	for _, worker := range s.placementOrder(function) {
 		delay := max(s.delay.median, s.queueDelay(worker))
-		if !s.takesLoads(worker) || function.replicaOn(worker) != nil || !s.mayExecuteOn(request, worker) {
+		if !s.acceptsLoads(worker) || function.replicaOn(worker) != nil || !s.mayExecuteOn(request, worker) {
 			continue
 		}
 		if !s.hasHeadroom(worker, request) {
@@ -76,7 +76,7 @@
 		return
 	}
 	for _, worker := range s.placementOrder(function)[:target] {
-		if !s.takesLoads(worker) || worker.isEjected(function.class) {
+		if !s.acceptsLoads(worker) || worker.isEjected(function.class) {
 			continue
 		}
 		if s.queueDelay(worker) > s.delay.median+s.unloadedRunTime(function.class) {
--- a/scheduler/tenant_quota.go
+++ b/scheduler/tenant_quota.go
@@ -11,11 +11,11 @@
 func (q *tenantQuotas) exceeds(tenant int, quota float64) bool {
 	share := q.countRequest(tenant)
 	if allowed := quotaTolerance * quota; share > allowed {
-		q.excess[tenant] += 1 - allowed/share
+		q.overage[tenant] += 1 - allowed/share
 	}
-	if q.excess[tenant] < 1 {
+	if q.overage[tenant] < 1 {
 		return false
 	}
-	q.excess[tenant]--
+	q.overage[tenant]--
 	return true
 }
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -1,6 +1,17 @@
-// Package scheduler decides where a front end sends its calls, what it holds,
-// what it loads and what it gives up on. It knows no wire: a front end feeds a
-// Controller its events and carries out what the Controller asks of Actions.
+// Package scheduler decides where a front end sends its requests, which requests wait, where functions are loaded, and
+// which requests are rejected.
+//
+// Per function, a front end keeps as many requests in flight at every worker that it believes to have the function loaded
+// as one replica executes at a time, and queues the rest. It loads the function on a cold worker only when draining the
+// queue would take the warm ones longer than a load plus one run. docs/design.md says what was kept of the design's
+// source, what was changed, and when each exception acts.
+//
+// The package knows no protocol and does no I/O. An owner (internal/gateway, internal/simhost, internal/shadow) reports
+// events to a Scheduler with their times and carries out its Actions. All times are durations since a start that the owner
+// chooses, the same for all events. No call returns an error: what is unknown or stale is ignored.
+//
+// The files that deploy/balancer.toml names under policy hold all decisions and tuned values, one concern a file; the
+// others hold types, records and estimates.
 package scheduler
 
 import "time"
@@ -9,186 +20,204 @@
 type (
 	// WorkerID names a worker; it survives a restart of the worker's process.
 	WorkerID uint64
-	// FunctionID names the function that a call needs loaded.
+	// FunctionID names the function that a request needs loaded.
 	FunctionID uint64
-	// RequestID names one request of one client try; it is never used again.
+	// RequestID names one request as received once; a client's retry is another request. It is never used again.
 	RequestID uint32
 )
 
-// Repeat says what another attempt of a request may do.
+// Idempotency says what another attempt of a request may do.
 type Idempotency int
 
-// The kinds of class.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // a group of workers drops repeats for a while
-	NonIdempotent                      // must never run twice
+	Idempotent      Idempotency = iota // may execute any number of times
+	IdempotentByKey                    // workers that share a KeyScope drop repeats within KeyRetention
+	NonIdempotent                      // must not execute twice
 )
 
-// Scope is the group of workers that drops the repeats of a keyed request.
+// KeyScope is the group of workers that drops the repeats of a request that is IdempotentByKey.
 type KeyScope int
 
-// The scopes of a key.
+// The scopes of an idempotency key.
 const (
-	ScopeAll KeyScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  KeyScope = iota // all workers
+	ScopeZone                 // the workers of the zone where it was first sent
+	ScopeCell                 // the workers of the cell where it was first sent
 )
 
 // Class describes one class of request.
 type Class struct {
-	LatencyObjective, Timeout  time.Duration // wanted within, given up after
-	PriorityWeight, LateWeight float64       // of an answer in time; share of it left when late
-	Idempotency                Idempotency
-	KeyScope                   KeyScope      // for Keyed
-	KeyRetention               time.Duration // for Keyed: how long the group remembers
+	LatencyObjective time.Duration // within which a response is in time, from when the request was received
+	Timeout          time.Duration // after which the client gives up
+	PriorityWeight   float64       // value of a response in time
+	LateWeight       float64       // part of PriorityWeight that a later response still has
+	Idempotency      Idempotency
+	KeyScope         KeyScope      // for IdempotentByKey
+	KeyRetention     time.Duration // for IdempotentByKey: how long repeats are dropped
 }
 
 // Tenant describes one customer.
 type Tenant struct {
-	Share float64 // of the service
+	Share float64 // of the requests of a front end, 0 to 1
 	Quota float64 // requests a second over all front ends
 }
 
-// Settings are what a front end is told at its start.
+// Settings are what a front end is configured with at its start. A Scheduler keeps its copy and changes nothing in it.
 type Settings struct {
-	Seed          uint64
-	FrontEndIndex int // this front end's number
-	FrontEndCount int // how many there are
-	Zone          int // where this front end stands
+	Seed          uint64 // of all that is drawn at random
+	FrontEndIndex int    // of this front end, from 0
+	FrontEndCount int
+	Zone          int // of this front end
 	Classes       []Class
 	Tenants       []Tenant
 
-	AnswersNotLoaded   bool          // a worker without the function answers Miss instead of loading it
-	LoadOrdersAllowed  bool          // Load and Unload may be used
-	ReportsColdStart   bool          // answers say whether a copy stood loaded
-	ReportsQueueDepth  bool          // answers say how many calls of the function the worker held
-	ReplicaIdleTimeout time.Duration // an idle copy stays at least this long
-	LoadOrderTimeout   time.Duration // a Load order without an answer ends after this
-	LoadRateWindow     time.Duration // ration of orders: within this window (0: no ration) at most
-	LoadRateBurst      float64       // this many, and
-	LoadRatePerRequest float64       // this share of the requests taken in the window
-
-	HealthChecksAllowed, CancelAllowed, HedgingAllowed bool
-	MaxAttempts                                        int
-	MaxRetryAfter, ConnectTimeout                      time.Duration
-	WatchOnStart                                       bool // the list of workers comes only when followed
-
-	DrainGrace        time.Duration // nothing new to a worker later than this after a notice
-	SlowStartFraction float64       // a started worker has at least this share of its capacity
-	SlowStartDuration time.Duration // and is warm within this
-	OverloadFactor    float64       // sent more than this many times its capacity
-	OverloadWindow    time.Duration // for this long, it falls over
-	Resolution        time.Duration // shortest gap between events
+	AnswersNotLoaded   bool          // a worker without the function answers NotLoaded instead of loading it
+	LoadOrdersAllowed  bool          // Actions.Load and Actions.Unload may be used
+	ReportsColdStart   bool          // responses say whether the replica was loaded
+	ReportsQueueDepth  bool          // responses say how many requests for the function the worker held
+	ReplicaIdleTimeout time.Duration // for which an idle replica stays loaded at least
+	LoadOrderTimeout   time.Duration // after which a load order without an answer ends
+	LoadRateWindow     time.Duration // of the load rate limit; 0: there is none
+	LoadRateBurst      float64       // load orders within the window, and
+	LoadRatePerRequest float64       // so many more for each request received within it
+
+	HealthChecksAllowed bool          // Actions.CheckHealth may be used
+	CancelAllowed       bool          // Actions.Cancel may be used
+	HedgingAllowed      bool          // a request may have two attempts in flight; the Scheduler never has
+	MaxAttempts         int           // of a request
+	MaxRetryAfter       time.Duration // the longest advice that clients follow
+	ConnectTimeout      time.Duration
+	WatchOnStart        bool // the endpoint list comes only after Actions.WatchEndpoints
+
+	DrainGrace        time.Duration // after the notice of draining, for which new requests are still accepted
+	SlowStartFraction float64       // of its warm capacity, that a worker has when its process starts
+	SlowStartDuration time.Duration // until it has all, linearly
+	OverloadFactor    float64       // sent more than so many times its capacity
+	OverloadWindow    time.Duration // for so long, a worker that is not warmed up fails
+	Resolution        time.Duration // shortest time between two events
 	LoadReportFields  []string      // names of the values of a load report
-	ScaleIsCapacity   bool          // the Scale of a worker tells its size, and stays
+	ScaleIsCapacity   bool          // WorkerInfo.Scale is the worker's relative capacity, and constant
 }
 
-// WorkerState is what the list of workers says of a worker's process.
+// WorkerState is what the endpoint list says of a worker's process.
 type WorkerState int
 
 // The states of a worker.
 const (
-	Ready WorkerState = iota + 1
-	Draining
-	Removed
+	Ready    WorkerState = iota + 1 // may be sent requests and load orders
+	Draining                        // ends what it has, may be sent nothing new
+	Removed                         // is not there
 )
 
-// WorkerInfo is one entry of the list of workers.
+// WorkerInfo is one entry of the endpoint list.
 type WorkerInfo struct {
-	ID         WorkerID
-	Zone, Cell int
-	Kind       int
-	Scale      float64
-	Started    time.Duration // when its process last started; LongAgo if never told
-	State      WorkerState
+	ID      WorkerID
+	Zone    int
+	Cell    int
+	Kind    int
+	Scale   float64       // see Settings.ScaleIsCapacity
+	Started time.Duration // when its process last started; UnknownStart if that was never told
+	State   WorkerState
 }
 
-// LongAgo stands for a start before anyone remembers.
+// UnknownStart stands for the start of a process that is taken to be warm.
 const UnknownStart = time.Duration(-1 << 62)
 
-// Request is one client try that this front end took on.
+// Request is a request that this front end received.
 type Request struct {
 	ID                 RequestID
-	Class              int
-	Tenant             int
+	Class              int // index into Settings.Classes
+	Tenant             int // index into Settings.Tenants; others have no quota
 	Function           FunctionID
 	Timeout            time.Duration // until the client gives up, from now
-	WorkEstimate       time.Duration // rough work, 0 if not told
-	ReplicaMemoryMB    float64       // of one loaded copy
-	ReplicaConcurrency int           // calls that one copy runs at a time
+	WorkEstimate       time.Duration // rough run time, 0 if not told
+	ReplicaMemoryMB    float64       // of one replica
+	ReplicaConcurrency int           // requests that one replica executes at a time
 	LoadTimeEstimate   time.Duration // usual time of a load, 0 if not told
 }
 
-// Status is how an attempt, a probe or an order ended.
+// Status is how an attempt, a health check or a load order ended.
 type Status int
 
 // The outcomes.
 const (
 	OK            Status = iota + 1
-	Error                // answered with an error; it may have run
-	Overloaded           // turned away unseen
-	Timeout              // nothing heard in time; it may have run or still run
-	ConnectFailed        // no connection; it never ran
-	Reset                // connection lost; it may have run
-	Cancelled            // withdrawn; it may have run
-	NotSent              // never sent
-	NotLoaded            // the function is not loaded there; it never ran
+	Error                // error response; it may have executed
+	Overloaded           // rejected as overloaded; it did not execute
+	Timeout              // no response in time; it may have executed or still execute
+	ConnectFailed        // no connection; it did not execute
+	Reset                // connection lost; it may have executed
+	Cancelled            // cancelled by Actions.Cancel or for a disconnected client; it may have executed
+	NotSent              // not sent; it did not execute
+	NotLoaded            // the function is not loaded there; it did not execute
 )
 
-// Warmth is what an answer says of the copy that served it.
+// ColdStart is what a response says of the replica that it came from.
 type ColdStart int
 
-// The notes on an answer.
+// The kinds of start.
 const (
-	ColdStartUnknown ColdStart = iota
-	WarmStart
-	ColdStartTriggered
-	ColdStartAwaited
-	ColdStartFailed
+	ColdStartUnknown   ColdStart = iota // not told
+	WarmStart                           // the replica was loaded
+	ColdStartTriggered                  // the request triggered the load
+	ColdStartAwaited                    // the request waited for a load that another one triggered
+	ColdStartFailed                     // the load failed
 )
 
 // Outcome is the end of one attempt.
 type Outcome struct {
 	Request       RequestID
-	Attempt       int
+	Attempt       int // from 0
 	Worker        WorkerID
 	Status        Status
-	Latency       time.Duration
-	RequestClosed bool // the request is over; no answer is owed
+	Latency       time.Duration // from when it was sent
+	RequestClosed bool          // no answer is owed to the client any more
 	ColdStart     ColdStart
-	QueueDepth    int       // calls of the function held there on arrival, -1 if not told
-	LoadReport    []float64 // load report, nil if none
+	QueueDepth    int       // requests for the function that the worker held on arrival, -1 if not told
+	LoadReport    []float64 // in the order of Settings.LoadReportFields, nil if there is none
 }
 
-// Probed is the answer to a probe.
+// HealthCheckResult is the answer to Actions.CheckHealth.
 type HealthCheckResult struct {
 	Worker     WorkerID
 	Status     Status
 	Latency    time.Duration
-	LoadReport []float64
+	LoadReport []float64 // in the order of Settings.LoadReportFields, nil if there is none
 }
 
-// Loaded is the answer to a Load order.
+// LoadResult is the answer to Actions.Load.
 type LoadResult struct {
 	Worker   WorkerID
 	Function FunctionID
 	Status   Status
 	Latency  time.Duration
-	Replicas int // that stand loaded now
+	Replicas int // that are loaded now
 }
 
-// Actions is what a Controller asks of its front end. Each takes effect at the
-// time of the event being handled, in the order of the calls.
+// Actions is what a Scheduler asks of its owner while it handles an event. Each call takes effect at the time of that
+// event, in the order of the calls; none may call the Scheduler back.
 type Actions interface {
-	Send(r RequestID, w WorkerID, until time.Duration) // until 0: as long as the client waits
-	Reject(r RequestID, retryAfter time.Duration)
-	Fail(r RequestID)
-	Cancel(r RequestID, attempt int)
-	Load(w WorkerID, f FunctionID, copies int) // copies 0 only asks
-	Unload(w WorkerID, f FunctionID)
-	CheckHealth(w WorkerID)
+	// Send starts an attempt of a request at a worker. It ends with the client's timeout, or at until where that is
+	// not 0, and is answered by one AttemptEnded.
+	Send(request RequestID, worker WorkerID, until time.Duration)
+	// Reject answers the client that nothing was executed, or that a repeat does no harm, and when to retry.
+	Reject(request RequestID, retryAfter time.Duration)
+	// Fail answers the client that the request failed and may have executed.
+	Fail(request RequestID)
+	// Cancel withdraws an attempt in flight, counted from 0; it is still answered by AttemptEnded.
+	Cancel(request RequestID, attempt int)
+	// Load orders a worker to load replicas of a function, or with 0 only asks how many are loaded. It is answered by
+	// LoadEnded.
+	Load(worker WorkerID, function FunctionID, replicas int)
+	// Unload orders a worker to unload a function.
+	Unload(worker WorkerID, function FunctionID)
+	// CheckHealth sends a health check, answered by HealthChecked.
+	CheckHealth(worker WorkerID)
+	// SetTimer calls TimerFired with the token after a time.
 	SetTimer(after time.Duration, token uint64)
-	WatchEndpoints() // asks for the list of workers and its changes
+	// WatchEndpoints asks for the endpoint list and its changes, which come by WorkersChanged, or WatchFailed.
+	WatchEndpoints()
+	// Log writes a line to the owner's log.
 	Log(text string)
 }
