--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -44,6 +44,16 @@
 	backoff        time.Duration // how long it was last ejected
 }
 
+// ejectionReason says in the log why a worker was ejected.
+type ejectionReason string
+
+const (
+	failures       ejectionReason = "failures"
+	lostConnection ejectionReason = "connection lost"
+	noResponse     ejectionReason = "no response"
+	silence        ejectionReason = "silent"
+)
+
 // newWorker returns the record of a process that was just listed, with what its predecessor under that name has in
 // flight.
 func (s *Scheduler) newWorker(predecessor *workerRecord) workerRecord {
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -27,7 +27,7 @@
 	if !succeeded {
 		health.failureShare += (1 - health.failureShare) * failureWeight
 		if health.failureShare >= ejectionThreshold {
-			s.eject(worker, class, ejectionTimeMin, "fails")
+			s.eject(worker, class, ejectionTimeMin, failures)
 		}
 		return
 	}
@@ -43,13 +43,13 @@
 
 // eject takes a worker out of use for a class for at least minTime; one that is ejected already stays as it
 // is.
-func (s *Scheduler) eject(worker *workerRecord, class int, minTime time.Duration, reason string) {
+func (s *Scheduler) eject(worker *workerRecord, class int, minTime time.Duration, reason ejectionReason) {
 	health := &worker.healthByClass[class]
 	if health.ejected && s.now < health.ejectedUntil {
 		return
 	}
 	if !health.ejected {
-		s.actions.Log(fmt.Sprintf("worker %x suspect for class %d: %s, failed %.2f, out %d",
+		s.actions.Log(fmt.Sprintf("worker %x ejected for class %d: %s, failure share %.2f, in flight %d",
 			worker.ID, class, reason, health.failureShare, len(worker.inFlight)))
 	}
 	health.backoff = min(ejectionTimeMax, max(minTime, 2*health.backoff))
@@ -83,11 +83,11 @@
 		} else if request.triggeredLoad {
 			loadAllowance *= 2
 		}
-		silence := s.now - max(request.sentAt, health.lastResponseAt)
-		if request.streamed || silence <= s.responseTimeout(request)+loadAllowance {
+		silentFor := s.now - max(request.sentAt, health.lastResponseAt)
+		if request.streamed || silentFor <= s.responseTimeout(request)+loadAllowance {
 			continue
 		}
-		s.eject(worker, class, silentEjectionTimeMin, "silent")
+		s.eject(worker, class, silentEjectionTimeMin, silence)
 		if s.settings.CancelAllowed && !request.closed && s.mayRetry(request) {
 			s.actions.Cancel(request.ID, request.attempts-1)
 		}
