--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -126,9 +126,13 @@
 	}
 }
 
+// TestMix_Values_AreUniformAndFixed pins two values: placement on workers and all random draws follow from them.
 func TestMix_Values_AreUniformAndFixed(t *testing.T) {
-	if Mix(1, 2) == Mix(2, 1) || Mix(1, 2) != Mix(1, 2) {
-		t.Error("the hash must depend on the order of its parts, and on nothing else")
+	if first, second := Mix(1, 2), Mix(42, 1<<63); first != 0xc6c62fe4e45e3f6f || second != 0xde7518d6b83e4283 {
+		t.Errorf("hashes are %#x and %#x, want those of before", first, second)
+	}
+	if Mix(1, 2) == Mix(2, 1) {
+		t.Error("the hash does not depend on the order of its parts")
 	}
 	const draws = 10000
 	sum := 0.0
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -135,7 +135,8 @@
 // a hash of both identifiers in (0, 1), -ln(1-u) / capacity. A worker comes first for as large a part of the functions
 // as it has of the capacity.
 //
-// Thaler, Ravishankar: "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking, 1998.
+// Thaler, Ravishankar: "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking, 1998;
+// with weights: Schindelhauer, Schomaker: "Weighted distributed hash tables", SPAA 2005.
 func (s *Scheduler) rendezvousRank(function *functionRecord, worker *workerRecord) float64 {
 	draw := estimate.UnitInterval(estimate.Mix(uint64(function.id), uint64(worker.ID))) + 0.5/(1<<53)
 	return -math.Log1p(-draw) / s.relativeCapacity(worker)
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -237,7 +237,7 @@
 
 // updateQueueDelays sets how long queue delays are remembered, and their medians over the workers.
 func (s *Scheduler) updateQueueDelays() {
-	s.delay.memory = min(delayMemoryMax, max(delayMemoryMin, delayMemoryContacts*s.contactInterval()))
+	s.delay.memory = min(maxDelayMemory, max(minDelayMemory, delayMemoryContacts*s.contactInterval()))
 	s.delay.median, s.delay.contactedMedian = s.medianDelay(), s.contactedDelay()
 }
 
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -70,7 +70,7 @@
 
 // ResponseStarted takes the news that a streamed response began: the request may no longer be cancelled, as neither
 // its timeout nor its latency objective holds any longer.
-func (s *Scheduler) ResponseStarted(now time.Duration, id RequestID) {
+func (s *Scheduler) ResponseStarted(_ time.Duration, id RequestID) {
 	if request := s.requests[id]; request != nil {
 		request.streamed = true
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -33,17 +33,17 @@
 	h.note("send %d", r)
 }
 
-func (h *harness) Reject(r RequestID, after time.Duration) {
+func (h *harness) Reject(r RequestID, _ time.Duration) {
 	h.answers[r] = "rejected"
 	h.note("reject %d", r)
 }
-func (h *harness) Fail(r RequestID)                { h.answers[r] = "failed"; h.note("fail %d", r) }
-func (h *harness) Cancel(r RequestID, attempt int) { h.note("cancel %d", r) }
-func (h *harness) Unload(w WorkerID, f FunctionID) { h.note("unload") }
-func (h *harness) CheckHealth(w WorkerID)          { h.note("check health %d", w) }
-func (h *harness) SetTimer(time.Duration, uint64)  {}
-func (h *harness) WatchEndpoints()                 { h.note("watch") }
-func (h *harness) Log(string)                      {}
+func (h *harness) Fail(r RequestID)               { h.answers[r] = "failed"; h.note("fail %d", r) }
+func (h *harness) Cancel(r RequestID, _ int)      { h.note("cancel %d", r) }
+func (h *harness) Unload(WorkerID, FunctionID)    { h.note("unload") }
+func (h *harness) CheckHealth(w WorkerID)         { h.note("check health %d", w) }
+func (h *harness) SetTimer(time.Duration, uint64) {}
+func (h *harness) WatchEndpoints()                { h.note("watch") }
+func (h *harness) Log(string)                     {}
 func (h *harness) Load(w WorkerID, f FunctionID, replicas int) {
 	if replicas == 0 {
 		h.queries = append(h.queries, replicaKey{w, f})
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -1,6 +1,9 @@
 package scheduler
 
 import (
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -48,3 +51,64 @@
 		t.Errorf("%d lines that are not blank in %d files, 1 to %d allowed", lines, len(files), mostLines)
 	}
 }
+
+// literalsAllowed are the declarations of files that hold no decision in which numbers other than 0, 1 and 2 stand:
+// sentinels and the arithmetic of hashes.
+var literalsAllowed = map[string]bool{"never": true, "UnknownStart": true, "rendezvousRank": true}
+
+// TestOtherFiles_HoldNoTunedValue holds that each file of the package that is not listed as policy is types and
+// bookkeeping: it has no number but 0, 1 and 2 and no unit of time.
+func TestOtherFiles_HoldNoTunedValue(t *testing.T) {
+	listed := map[string]bool{}
+	for _, file := range policyFiles(t) {
+		listed[filepath.Base(file)] = true
+	}
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	others := 0
+	for _, name := range files {
+		if listed[name] || strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		others++
+		checkNoTunedValue(t, name)
+	}
+	if others == 0 || len(listed) == 0 {
+		t.Errorf("%d files listed as policy, %d others: both should be some", len(listed), others)
+	}
+}
+
+// checkNoTunedValue reports the numbers and units of time in a file's declarations, but for those allowed.
+func checkNoTunedValue(t *testing.T, name string) {
+	t.Helper()
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, name, nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	small := map[string]bool{"0": true, "1": true, "2": true, "1.0": true}
+	units := map[string]bool{
+		"Nanosecond": true, "Microsecond": true, "Millisecond": true, "Second": true, "Minute": true, "Hour": true,
+	}
+	inspect := func(n ast.Node) bool {
+		switch n := n.(type) {
+		case *ast.FuncDecl:
+			return !literalsAllowed[n.Name.Name]
+		case *ast.ValueSpec:
+			return !literalsAllowed[n.Names[0].Name]
+		case *ast.BasicLit:
+			isNumber := n.Kind == token.INT || n.Kind == token.FLOAT
+			if isNumber && !small[n.Value] {
+				t.Errorf("%s has the number %s: a tuned value belongs into a policy file", fileSet.Position(n.Pos()), n.Value)
+			}
+		case *ast.SelectorExpr:
+			if x, isIdent := n.X.(*ast.Ident); isIdent && x.Name == "time" && units[n.Sel.Name] {
+				t.Errorf("%s uses time.%s: a tuned value belongs into a policy file", fileSet.Position(n.Pos()), n.Sel.Name)
+			}
+		}
+		return true
+	}
+	ast.Inspect(file, inspect)
+}
--- a/scheduler/load_breaker.go
+++ b/scheduler/load_breaker.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	maxLoadsInFlight = 8                      // of this front end
-	breakerThreshold = 3                      // loads failed, none succeeded between, that open it
-	breakerOpenMin   = 100 * time.Millisecond // for so long, doubled by each load that fails then
-	breakerOpenMax   = 2 * time.Second
+	maxLoadsInFlight   = 8                      // of this front end
+	breakerThreshold   = 3                      // loads failed, none succeeded between, that open it
+	minBreakerOpenTime = 100 * time.Millisecond // for so long, doubled by each load that fails then
+	maxBreakerOpenTime = 2 * time.Second
 )
 
 // allows is whether another load may start: few at once, none while the breaker is open, then one at a time.
@@ -26,7 +26,7 @@
 // where a few workers fail each load that they start: the others' loads wait too.
 func (b *loadBreaker) recordFailure(now time.Duration, seed uint64) {
 	if b.failures++; b.failures >= breakerThreshold && now >= b.openUntil {
-		b.openFor = min(breakerOpenMax, max(breakerOpenMin, 2*b.openFor))
+		b.openFor = min(maxBreakerOpenTime, max(minBreakerOpenTime, 2*b.openFor))
 		jitter := time.Duration(estimate.Mix(seed, uint64(now)) % uint64(b.openFor))
 		b.openUntil = now + b.openFor/2 + jitter
 	}
--- a/scheduler/load_limits_test.go
+++ b/scheduler/load_limits_test.go
@@ -60,7 +60,7 @@
 	if loads := tried(NotLoaded, ColdStartFailed); loads < 4 || loads > 12 {
 		t.Errorf("%d loads were tried in 2 s of a stopped store", loads)
 	}
-	h.advance(2 * breakerOpenMax)
+	h.advance(2 * maxBreakerOpenTime)
 	if loads := tried(OK, ColdStartTriggered); loads < 80 {
 		t.Errorf("%d requests of 100 were sent once the store was back", loads)
 	}
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -51,7 +51,7 @@
 			return
 		}
 		if silent && outcome.Latency > s.responseTimeout(request) {
-			s.eject(worker, function.class, silentEjectionTimeMin, noResponse)
+			s.eject(worker, function.class, minSilentEjectionTime, noResponse)
 		} else if outcome.Latency > s.queueDelay(worker) { // else its client was impatient
 			s.recordQueueDelay(worker, function.class, outcome.Latency)
 		}
@@ -109,6 +109,6 @@
 func (s *Scheduler) connectionLost(worker *workerRecord) {
 	s.forgetReplicas(worker)
 	for class := range worker.healthByClass {
-		s.eject(worker, class, ejectionTimeMin, lostConnection)
+		s.eject(worker, class, minEjectionTime, lostConnection)
 	}
 }
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -11,9 +11,9 @@
 	failureWeight         = 0.2                    // of one more attempt in that share
 	probationRelief       = 0.6                    // of that share that is left by a success while ejected
 	ejectedFailureShare   = 0.5                    // of that share after an ejection, at least
-	ejectionTimeMin       = 500 * time.Millisecond // until a worker is tried, doubled by each failure
-	ejectionTimeMax       = 16 * time.Second
-	silentEjectionTimeMin = 6 * time.Second        // the same for a silent one: each try costs a late request
+	minEjectionTime       = 500 * time.Millisecond // until a worker is tried, doubled by each failure
+	maxEjectionTime       = 16 * time.Second
+	minSilentEjectionTime = 6 * time.Second        // the same for a silent one: each try costs a late request
 	responseTimeoutFloor  = 300 * time.Millisecond // silence that is never held against a worker
 	responseTimeoutRuns   = 3                      // silence beyond it, in runs of the waiting request
 	stallTicks            = 3                      // ticks late that tell of a stall of this front end
@@ -27,7 +27,7 @@
 	if !succeeded {
 		health.failureShare += (1 - health.failureShare) * failureWeight
 		if health.failureShare >= ejectionThreshold {
-			s.eject(worker, class, ejectionTimeMin, failures)
+			s.eject(worker, class, minEjectionTime, failures)
 		}
 		return
 	}
@@ -52,7 +52,7 @@
 		s.actions.Log(fmt.Sprintf("worker %x ejected for class %d: %s, failure share %.2f, in flight %d",
 			worker.ID, class, reason, health.failureShare, len(worker.inFlight)))
 	}
-	health.backoff = min(ejectionTimeMax, max(minTime, 2*health.backoff))
+	health.backoff = min(maxEjectionTime, max(minTime, 2*health.backoff))
 	health.ejected, health.ejectedUntil = true, s.now+health.backoff
 	health.failureShare = max(health.failureShare, ejectedFailureShare)
 }
@@ -87,7 +87,7 @@
 		if request.streamed || silentFor <= s.responseTimeout(request)+loadAllowance {
 			continue
 		}
-		s.eject(worker, class, silentEjectionTimeMin, silence)
+		s.eject(worker, class, minSilentEjectionTime, silence)
 		if s.settings.CancelAllowed && !request.closed && s.mayRetry(request) {
 			s.actions.Cancel(request.ID, request.attempts-1)
 		}
--- a/scheduler/outlier_ejection_test.go
+++ b/scheduler/outlier_ejection_test.go
@@ -85,7 +85,7 @@
 	if h.avoidsWorker(w, 8); !h.scheduler.endpoints.byID[w].healthByClass[0].ejected || h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
 		t.Error("a worker that refused the connection is still sent requests")
 	}
-	h.advance(ejectionTimeMin + tickInterval)
+	h.advance(minEjectionTime + tickInterval)
 	if !h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
 		t.Error("a worker that refused the connection is not tried again after its ejection time")
 	}
--- a/scheduler/queue_delay.go
+++ b/scheduler/queue_delay.go
@@ -7,21 +7,22 @@
 	limitDecrease           = 0.9                    // of the limit, left after a slow run or a rejection
 	limitDecreaseInterval   = 100 * time.Millisecond // between two decreases of a limit
 	slowDelayRuns           = 2.5                    // queue delay of a slow worker, in unloaded run times
-	delayMemoryMin          = time.Second            // after which an observed queue delay is stale, at least
-	delayMemoryMax          = 10 * time.Second       // and at most, where workers are seldom contacted
+	minDelayMemory          = time.Second            // after which an observed queue delay is stale, at least
+	maxDelayMemory          = 10 * time.Second       // and at most, where workers are seldom contacted
 	delayMemoryContacts     = 15                     // contacts of a worker, between the two
 	contactedDivisor        = 2                      // one in so many contacted workers has less delay
 	contactedLatest         = 16                     // workers contacted last that count for it
-	contactedMinSamples     = 4                      // of them that it takes
+	contactedMinSamples     = 4                      // of them that it takes to tell
 	unloadedDivisor         = 4                      // one in so many workers runs faster
-	unloadedMinSamples      = 3                      // responses of a worker that it takes
+	unloadedMinSamples      = 3                      // responses of a worker that it takes to count
 	unloadedRefreshInterval = 500 * time.Millisecond // for which it stands
 	unloadedRiseDivisor     = 400                    // part of a rise of it that is believed each time
 )
 
 // recordQueueDelay learns how long requests wait at a worker beyond an unloaded run, and from it the limit of
-// our requests there: additive increase, multiplicative decrease. It guards against queues of whatever cause:
-// neighbours, other front ends' requests, a cold or dying worker, more concurrency than cores.
+// our requests there: additive increase, multiplicative decrease (Chiu, Jain 1989). It guards against queues
+// of whatever cause: neighbours, other front ends' requests, a cold or dying worker, more concurrency than
+// cores.
 func (s *Scheduler) recordQueueDelay(worker *workerRecord, class int, latency time.Duration) {
 	unloaded := float64(s.unloadedRunTime(class))
 	delay := max(0, float64(latency)-unloaded)
--- a/scheduler/queue_delay_test.go
+++ b/scheduler/queue_delay_test.go
@@ -88,7 +88,7 @@
 		h.endAttempt(h.request(7, 0), OK, WarmStart)
 		h.advance(tickInterval)
 	}
-	if frequentlyContacted := h.scheduler.delay.memory; rarelyContacted != delayMemoryMax || frequentlyContacted > delayMemoryMax/4 || frequentlyContacted < delayMemoryMin {
+	if frequentlyContacted := h.scheduler.delay.memory; rarelyContacted != maxDelayMemory || frequentlyContacted > maxDelayMemory/4 || frequentlyContacted < minDelayMemory {
 		t.Errorf("queue delays are remembered for %v with few requests, %v with many", rarelyContacted, frequentlyContacted)
 	}
 }
@@ -100,8 +100,8 @@
 	h.advance(2500 * ms)
 	h.endAttempt(r, OK, WarmStart)
 	before := h.scheduler.queueDelay(worker)
-	h.advance(2 * delayMemoryMax)
+	h.advance(2 * maxDelayMemory)
 	if after := h.scheduler.queueDelay(worker); before < time.Second || after > before/4 {
-		t.Errorf("a queue delay of %v counts as %v %v later", before, after, 2*delayMemoryMax)
+		t.Errorf("a queue delay of %v counts as %v %v later", before, after, 2*maxDelayMemory)
 	}
 }
--- a/scheduler/residency_test.go
+++ b/scheduler/residency_test.go
@@ -9,15 +9,15 @@
 
 func TestReplicaBelief_Evidence_EndsIt(t *testing.T) {
 	tests := map[string]func(*harness, WorkerID){
-		"idle timeout": func(h *harness, w WorkerID) { h.advance(10*time.Second + tickInterval) },
+		"idle timeout": func(h *harness, _ WorkerID) { h.advance(10*time.Second + tickInterval) },
 		"process restarted": func(h *harness, w WorkerID) {
 			h.changeWorker(WorkerInfo{ID: w, Cell: int(w+1) % 2, Started: h.now - time.Second, State: Ready})
 		},
-		"not loaded": func(h *harness, w WorkerID) {
+		"not loaded": func(h *harness, _ WorkerID) {
 			r := h.request(7, 0)
 			h.endAttempt(r, NotLoaded, ColdStartUnknown)
 		},
-		"connection lost": func(h *harness, w WorkerID) {
+		"connection lost": func(h *harness, _ WorkerID) {
 			r := h.request(7, 0)
 			h.endAttempt(r, Reset, ColdStartUnknown)
 		},
--- a/scheduler/scale_out.go
+++ b/scheduler/scale_out.go
@@ -10,7 +10,7 @@
 const (
 	idleProbeAfter  = 60 * time.Second // without contact until a worker is probed: 12 times the source's 5 s
 	evictionMemory  = 10 * time.Second // memory of what loads evicted
-	evictionCostMax = 3.0              // loads that one load may cost others, at most
+	maxEvictionCost = 3.0              // loads that one load may cost others, at most
 	noisePart       = 5                // a queue delay of this part of a run is noise
 	notSlowerWaits  = 2                // requests that wait for a load at a worker that is not slower
 	leastRunPart    = 4                // of the expected run, that a run without its delay takes at least
@@ -56,7 +56,7 @@
 // evicts: as often as replicas that we counted on were found gone for each load of ours.
 func (s *Scheduler) loadCost(function *functionRecord) time.Duration {
 	lost := s.evictions.lostReplicas.Read(s.now, evictionMemory)
-	reloads := min(evictionCostMax, lost/max(1, s.evictions.startedLoads.Read(s.now, evictionMemory)))
+	reloads := min(maxEvictionCost, lost/max(1, s.evictions.startedLoads.Read(s.now, evictionMemory)))
 	return time.Duration(float64(s.expectedLoadTime(function)) * (1 + reloads))
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -51,7 +51,7 @@
 		loadOrders: map[replicaKey]int{},
 		stall:      stallDetector{lastTickAt: now},
 		latency:    newLatencyEstimates(len(settings.Classes)),
-		delay:      queueDelayEstimates{memory: delayMemoryMax},
+		delay:      queueDelayEstimates{memory: maxDelayMemory},
 		tenants:    newTenantQuotas(len(settings.Tenants)),
 	}
 }
