--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -196,7 +196,7 @@
 // reportViolation responds with an error to a request that breaks the protocol, where it has a number.
 func (c *conn) reportViolation(number uint32, reason error) {
 	c.server.protocolErrors.Add(1)
-	c.server.log.Info().Err(reason).Msg("a client broke the protocol")
+	c.server.log.Info().Err(reason).Msg("protocol violation by a client")
 	if number > 0 {
 		c.enqueue(func(output []byte) []byte { return rpcframe.AppendMalformed(output, number) })
 	}
--- a/internal/platform/rpcserver/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -35,13 +35,13 @@
 	AcceptGracePeriod time.Duration // for which connections in the listener's backlog are still accepted during a shutdown
 }
 
-// Counts are totals of a Server since its start. Their names in logs are documented for operators and stay.
+// Counts are totals of a Server since its start, as its log line and docs/oncall.md name them.
 type Counts struct {
 	Accepted       uint64 // connections accepted
-	Rejected       uint64 `json:"TurnedAway"` // connections closed at once as there were too many
+	Rejected       uint64 // connections closed at once as there were too many
 	Evicted        uint64 // idle connections closed to make room
-	IdleClosed     uint64 `json:"Closed"` // connections closed for sending no request in time
-	ProtocolErrors uint64 `json:"Broken"` // requests that broke the protocol
+	IdleClosed     uint64 // connections closed for sending no request in time
+	ProtocolErrors uint64 // requests that broke the protocol
 }
 
 // Server serves clients' connections. Its methods may be called from any goroutine.
