--- a/internal/workerconn/send_queue_test.go
+++ b/internal/workerconn/send_queue_test.go
@@ -24,59 +24,62 @@
 	return &LoadOrder{Load: muxframe.LoadOrder{Replicas: replicas}}
 }
 
-func TestAbandon_InEachState_ReportsWhetherItMayHaveBeenSent(t *testing.T) {
-	for name, test := range map[string]struct {
-		prepare         func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], attempt *Attempt)
-		wasInFlight     bool
-		mayHaveBeenSent bool
-	}{
-		"queued": {
-			prepare: func(*SendQueue[testFrame], *WriteBatch[testFrame], *Attempt) {},
-		},
-		"being written": {
-			prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
-				queue.NextBatch(batch, encodeByNumber)
-			},
-			wasInFlight: true, mayHaveBeenSent: true,
-		},
-		"written whole": {
-			prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
-				queue.NextBatch(batch, encodeByNumber)
-				queue.BatchWritten(batch, 10)
-			},
-			wasInFlight: true, mayHaveBeenSent: true,
+// abandonCases bring an attempt into each of its states, by name, and tell what Abandon reports of it there.
+var abandonCases = map[string]struct {
+	prepare         func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], attempt *Attempt)
+	wasInFlight     bool
+	mayHaveBeenSent bool
+}{
+	"queued": {
+		prepare: func(*SendQueue[testFrame], *WriteBatch[testFrame], *Attempt) {},
+	},
+	"being written": {
+		prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
+			queue.NextBatch(batch, encodeByNumber)
 		},
-		"written in part": {
-			prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
-				queue.NextBatch(batch, encodeByNumber)
-				queue.BatchWritten(batch, 9)
-			},
+		wasInFlight: true, mayHaveBeenSent: true,
+	},
+	"written whole": {
+		prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
+			queue.NextBatch(batch, encodeByNumber)
+			queue.BatchWritten(batch, 10)
 		},
-		"finished": {
-			prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
-				queue.NextBatch(batch, encodeByNumber)
-				queue.BatchWritten(batch, 10)
-				queue.FinishAttempt(1)
-			},
-			mayHaveBeenSent: true,
+		wasInFlight: true, mayHaveBeenSent: true,
+	},
+	"written in part": {
+		prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
+			queue.NextBatch(batch, encodeByNumber)
+			queue.BatchWritten(batch, 9)
 		},
-		"lost with its connection": {
-			prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
-				queue.NextBatch(batch, encodeByNumber)
-				queue.BatchWritten(batch, 10)
-				queue.RemoveInFlight()
-			},
-			mayHaveBeenSent: true,
+	},
+	"finished": {
+		prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
+			queue.NextBatch(batch, encodeByNumber)
+			queue.BatchWritten(batch, 10)
+			queue.FinishAttempt(1)
 		},
-		"cancelled": {
-			prepare: func(queue *SendQueue[testFrame], _ *WriteBatch[testFrame], attempt *Attempt) {
-				queue.CancelUnsent(attempt)
-			},
+		mayHaveBeenSent: true,
+	},
+	"lost with its connection": {
+		prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
+			queue.NextBatch(batch, encodeByNumber)
+			queue.BatchWritten(batch, 10)
+			queue.RemoveInFlight()
 		},
-		"rejected": {
-			prepare: func(_ *SendQueue[testFrame], _ *WriteBatch[testFrame], attempt *Attempt) { attempt.Reject() },
+		mayHaveBeenSent: true,
+	},
+	"cancelled": {
+		prepare: func(queue *SendQueue[testFrame], _ *WriteBatch[testFrame], attempt *Attempt) {
+			queue.CancelUnsent(attempt)
 		},
-	} {
+	},
+	"rejected": {
+		prepare: func(_ *SendQueue[testFrame], _ *WriteBatch[testFrame], attempt *Attempt) { attempt.Reject() },
+	},
+}
+
+func TestAbandon_InEachState_ReportsWhetherItMayHaveBeenSent(t *testing.T) {
+	for name, test := range abandonCases {
 		t.Run(name, func(t *testing.T) {
 			queue := NewSendQueue[testFrame]()
 			attempt := &Attempt{}
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -8,85 +8,85 @@
 )
 
 func TestAdmission_NoWorkers_RejectsBeforeDeadline(t *testing.T) {
-	h := newHarness(t, testSettings(), 0)
-	r := h.request(7, 0)
-	h.advance(2990 * ms)
-	if h.answers[r] != "rejected" {
-		t.Errorf("with no worker known the answer is %q", h.answers[r])
+	script := newHarness(t, testSettings(), 0)
+	r := script.request(7, 0)
+	script.advance(2990 * ms)
+	if script.answers[r] != "rejected" {
+		t.Errorf("with no worker known the answer is %q", script.answers[r])
 	}
 }
 
 func TestAdmission_TimeoutBeforeNextTick_RejectsAtOnce(t *testing.T) {
-	h := newHarness(t, testSettings(), 0)
-	h.scheduler.RequestReceived(h.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
-	if h.answers[1] != "rejected" {
-		t.Errorf("answer %q to a request that no tick will see in time", h.answers[1])
+	script := newHarness(t, testSettings(), 0)
+	script.scheduler.RequestReceived(script.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
+	if script.answers[1] != "rejected" {
+		t.Errorf("answer %q to a request that no tick will see in time", script.answers[1])
 	}
 }
 
 func TestAdmission_WarmWorkerAboutToHaveHeadroom_KeepsRequest(t *testing.T) {
-	h := newHarness(t, testSettings(), 1)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	script := newHarness(t, testSettings(), 1)
+	worker := script.scheduler.endpoints.byID[script.warm(7)]
 	worker.concurrencyLimit = 1
-	h.request(8, 0) // takes the only slot
-	h.answerQueries(1)
-	r := h.request(7, 0)
-	h.advance(100 * ms)
-	if h.answers[r] != "" {
-		t.Errorf("request %s though a warm worker is about to have headroom", h.answers[r])
+	script.request(8, 0) // takes the only slot
+	script.answerQueries(1)
+	r := script.request(7, 0)
+	script.advance(100 * ms)
+	if script.answers[r] != "" {
+		t.Errorf("request %s though a warm worker is about to have headroom", script.answers[r])
 	}
 }
 
 func TestTenantQuota_TenantOverShare_ComesLast(t *testing.T) {
-	h := newHarness(t, testSettings(), 1)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	script := newHarness(t, testSettings(), 1)
+	worker := script.scheduler.endpoints.byID[script.warm(7)]
 	for range quotaWindow {
-		h.scheduler.tenants.exceeds(1, 0.5)
+		script.scheduler.tenants.exceeds(1, 0.5)
 	}
 	counted := 0
 	for range 20 { // a tenant that sends all requests, with half the service as its share
-		if h.scheduler.tenants.exceeds(1, 0.5) {
+		if script.scheduler.tenants.exceeds(1, 0.5) {
 			counted++
 		}
 	}
 	if counted < 5 || counted > 10 {
 		t.Errorf("%d of 20 requests counted as over quota, want about two in five", counted)
 	}
-	within, beyond := h.request(7, 0), h.request(7, 0)
-	h.scheduler.requests[beyond].overQuota = true
+	within, beyond := script.request(7, 0), script.request(7, 0)
+	script.scheduler.requests[beyond].overQuota = true
 	worker.concurrencyLimit = 4
-	if !h.scheduler.hasHeadroom(worker, h.scheduler.requests[within]) || h.scheduler.hasHeadroom(worker, h.scheduler.requests[beyond]) {
+	if !script.scheduler.hasHeadroom(worker, script.scheduler.requests[within]) || script.scheduler.hasHeadroom(worker, script.scheduler.requests[beyond]) {
 		t.Error("with two of four slots in use there must be headroom for a request in quota, none for one over it")
 	}
 }
 
 func TestAdmission_LateWithoutHeadroom_RejectsAtOnce(t *testing.T) {
-	h := newHarness(t, testSettings(), 1)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	script := newHarness(t, testSettings(), 1)
+	worker := script.scheduler.endpoints.byID[script.warm(7)]
 	worker.concurrencyLimit = 2
 	var ids []RequestID
 	for range 40 { // concurrency 2 at 100 ms a run: the last would wait for two seconds
-		ids = append(ids, h.request(7, 0))
+		ids = append(ids, script.request(7, 0))
 	}
-	h.advance(2 * tickInterval)
-	if h.answers[ids[39]] != "rejected" || h.answers[ids[4]] != "" {
+	script.advance(2 * tickInterval)
+	if script.answers[ids[39]] != "rejected" || script.answers[ids[4]] != "" {
 		t.Errorf("answers %q to the last and %q to an early one of 40, want rejected and none",
-			h.answers[ids[39]], h.answers[ids[4]])
+			script.answers[ids[39]], script.answers[ids[4]])
 	}
 }
 
 func TestShedding_OverloadOfAllWorkers_RejectsMostAtRandom(t *testing.T) {
 	rejected := func(delays ...time.Duration) (n int) {
-		h := newHarness(t, testSettings(), 6)
-		h.warm(7)
+		script := newHarness(t, testSettings(), 6)
+		script.warm(7)
 		for i, delay := range delays {
-			worker := h.scheduler.endpoints.byID[WorkerID(i+1)]
-			worker.queueDelay, worker.observedDelay = estimate.NewDecayed(float64(delay), h.now), float64(delay)
+			worker := script.scheduler.endpoints.byID[WorkerID(i+1)]
+			worker.queueDelay, worker.observedDelay = estimate.NewDecayed(float64(delay), script.now), float64(delay)
 		}
-		h.advance(tickInterval)
+		script.advance(tickInterval)
 		for range 100 {
-			r := h.request(7, 0)
-			if h.answers[r] == "rejected" {
+			r := script.request(7, 0)
+			if script.answers[r] == "rejected" {
 				n++
 			}
 		}
@@ -107,18 +107,18 @@
 func TestShedding_ValueDensity_DecidesByClass(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].PriorityWeight, set.Classes[2].LatencyObjective = 3, 2*time.Second
-	h := newHarness(t, set, 6)
+	script := newHarness(t, set, 6)
 	for i := range 3 {
-		h.warm(FunctionID(7 + i))
+		script.warm(FunctionID(7 + i))
 	}
-	for _, worker := range h.scheduler.endpoints.list {
-		worker.queueDelay, worker.observedDelay = estimate.NewDecayed(float64(300*ms), h.now), float64(300*ms)
+	for _, worker := range script.scheduler.endpoints.list {
+		worker.queueDelay, worker.observedDelay = estimate.NewDecayed(float64(300*ms), script.now), float64(300*ms)
 	}
-	h.advance(tickInterval)
+	script.advance(tickInterval)
 	var rejected [3]int
 	for range 200 {
 		for class := range 3 {
-			if h.answers[h.request(FunctionID(7+class), class)] == "rejected" {
+			if script.answers[script.request(FunctionID(7+class), class)] == "rejected" {
 				rejected[class]++
 			}
 		}
@@ -135,9 +135,9 @@
 func TestQueueDelayBudget_UnusedClass_DoesNotCount(t *testing.T) {
 	set := testSettings()
 	set.Classes[2].LatencyObjective = ms
-	h := newHarness(t, set, 2)
-	h.warm(7)
-	if slack := h.scheduler.queueDelayBudget(); slack < 600*ms {
+	script := newHarness(t, set, 2)
+	script.warm(7)
+	if slack := script.scheduler.queueDelayBudget(); slack < 600*ms {
 		t.Errorf("requests may wait %v by a class that nobody uses; the objective of the others is 800ms", slack)
 	}
 }
@@ -145,26 +145,26 @@
 func TestAdmission_BurstBeforeFirstRun_IsNotRejected(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective = 400 * ms
-	h := newHarness(t, set, 1)
-	first := h.request(7, 0)
-	h.answerQueries()
-	h.advance(40 * ms)
-	h.endAttempt(first, OK, ColdStartTriggered)
+	script := newHarness(t, set, 1)
+	first := script.request(7, 0)
+	script.answerQueries()
+	script.advance(40 * ms)
+	script.endAttempt(first, OK, ColdStartTriggered)
 	for range 16 {
-		h.request(7, 0)
+		script.request(7, 0)
 	}
-	h.advance(40 * ms)
-	if n := h.count("reject"); n != 0 {
+	script.advance(40 * ms)
+	if n := script.count("reject"); n != 0 {
 		t.Errorf("%d of 16 requests rejected before any run was seen", n)
 	}
 	for id := first + 1; id <= first+2; id++ {
-		h.endAttempt(id, OK, WarmStart)
+		script.endAttempt(id, OK, WarmStart)
 	}
 	for range 200 {
-		h.request(7, 0)
+		script.request(7, 0)
 	}
-	h.advance(40 * ms)
-	if h.count("reject") == 0 {
+	script.advance(40 * ms)
+	if script.count("reject") == 0 {
 		t.Error("none of 200 requests rejected that runs of 40 ms make late")
 	}
 }
@@ -175,18 +175,18 @@
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective = 400 * ms
 	}
-	h := newHarness(t, set, 6)
-	h.warm(7)
+	script := newHarness(t, set, 6)
+	script.warm(7)
 	for range 2 * unloadedMinSamples {
-		h.advance(300 * ms)
-		h.endAttempt(h.request(7, 0), OK, WarmStart)
+		script.advance(300 * ms)
+		script.endAttempt(script.request(7, 0), OK, WarmStart)
 	}
-	unloaded := h.scheduler.unloadedRunTime(0)
+	unloaded := script.scheduler.unloadedRunTime(0)
 	rejected := func(delay time.Duration) (n int) {
-		h.scheduler.delay.contactedMedian = float64(delay)
+		script.scheduler.delay.contactedMedian = float64(delay)
 		for id := range RequestID(200) {
-			function := h.scheduler.trackFunction(FunctionID(1000), 0) // of which no replica is known
-			if h.scheduler.shouldShed(&requestRecord{Request: Request{ID: 5000 + id}, class: &h.scheduler.settings.Classes[0], function: function}) {
+			function := script.scheduler.trackFunction(FunctionID(1000), 0) // of which no replica is known
+			if script.scheduler.shouldShed(&requestRecord{Request: Request{ID: 5000 + id}, class: &script.scheduler.settings.Classes[0], function: function}) {
 				n++
 			}
 		}
@@ -198,16 +198,16 @@
 }
 
 func TestAdmission_RunsOfNoTime_LeaveNoRequestUnanswered(t *testing.T) {
-	h := newHarness(t, testSettings(), 2)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	script := newHarness(t, testSettings(), 2)
+	worker := script.scheduler.endpoints.byID[script.warm(7)]
 	for range 30 {
-		h.endAttempt(h.request(7, 0), OK, WarmStart)
+		script.endAttempt(script.request(7, 0), OK, WarmStart)
 	}
 	worker.concurrencyLimit = 1
-	h.request(7, 0)
-	queued := h.request(7, 0)
-	h.advance(3 * time.Second)
-	if h.answers[queued] == "" {
-		t.Errorf("no answer for a request queued behind runs of no time, expected run %v", h.scheduler.expectedRunTime(h.scheduler.functions.byID[7]))
+	script.request(7, 0)
+	queued := script.request(7, 0)
+	script.advance(3 * time.Second)
+	if script.answers[queued] == "" {
+		t.Errorf("no answer for a request queued behind runs of no time, expected run %v", script.scheduler.expectedRunTime(script.scheduler.functions.byID[7]))
 	}
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -159,33 +159,33 @@
 
 // newFleet starts a fleet whose front ends have unequal traffic: a tenth of them has four times what the others have.
 func newFleet(seed uint64, fronts, workers, functions int, set Settings) *fleet {
-	f := &fleet{
+	fleetRun := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Minute, replicas: map[replicaKey]time.Duration{},
 		run: 100 * ms, load: 500 * ms, coldWorker: WorkerID(workers),
 	}
-	f.set.FrontEndCount = fronts
+	fleetRun.set.FrontEndCount = fronts
 	for i := range workers {
-		f.list = append(f.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
+		fleetRun.list = append(fleetRun.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
 	}
-	f.list[workers-1].State = Removed
+	fleetRun.list[workers-1].State = Removed
 	all := 0.0
 	for i := range fronts {
-		frontEnd := &fleetFront{fleet: f, trafficWeight: 1}
+		frontEnd := &fleetFront{fleet: fleetRun, trafficWeight: 1}
 		if i%10 == 0 {
 			frontEnd.trafficWeight = 4
 		}
 		all += frontEnd.trafficWeight
-		f.fronts = append(f.fronts, frontEnd)
+		fleetRun.fronts = append(fleetRun.fronts, frontEnd)
 	}
-	zipf := rand.NewZipf(f.rng, 1.3, 2, uint64(functions-1))
-	f.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
+	zipf := rand.NewZipf(fleetRun.rng, 1.3, 2, uint64(functions-1))
+	fleetRun.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
 	rate := fleetLoad * requestsPerWorker * float64(workers-1)
-	for i, frontEnd := range f.fronts {
+	for i, frontEnd := range fleetRun.fronts {
 		frontEnd.trafficWeight /= all
-		f.after(time.Duration(i)*set.Resolution, func() { f.start(frontEnd, i) })
-		f.after(time.Second, func() { frontEnd.arrivals(rate) })
+		fleetRun.after(time.Duration(i)*set.Resolution, func() { fleetRun.start(frontEnd, i) })
+		fleetRun.after(time.Second, func() { frontEnd.arrivals(rate) })
 	}
-	return f
+	return fleetRun
 }
 
 // worstOverload is the largest count of sends to the cold worker in a window, beside what may be sent in that window.
@@ -237,28 +237,28 @@
 		} {
 			t.Run(fmt.Sprintf("%d front ends, %s", size.fronts, test.name), func(t *testing.T) {
 				for seed := range size.seeds {
-					f := newFleet(seed, size.fronts, size.workers, 400, testSettings())
-					f.advanceTo(f.now + 4*time.Second)
-					began := f.now
-					f.list[size.workers-1].State, f.list[size.workers-1].Started = Ready, began
-					for _, frontEnd := range f.fronts {
-						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
+					fleetRun := newFleet(seed, size.fronts, size.workers, 400, testSettings())
+					fleetRun.advanceTo(fleetRun.now + 4*time.Second)
+					began := fleetRun.now
+					fleetRun.list[size.workers-1].State, fleetRun.list[size.workers-1].Started = Ready, began
+					for _, frontEnd := range fleetRun.fronts {
+						frontEnd.scheduler.WorkersChanged(fleetRun.now, fleetRun.list, true)
 					}
 					if test.few > 0 {
-						few := f.functionsPlacedOnColdWorker(test.few)
-						f.draw = func() FunctionID { return few[f.rng.IntN(len(few))] }
+						few := fleetRun.functionsPlacedOnColdWorker(test.few)
+						fleetRun.draw = func() FunctionID { return few[fleetRun.rng.IntN(len(few))] }
 					}
 					if test.restarts > 0 {
-						f.advanceTo(f.now + test.restarts)
-						for i, frontEnd := range f.fronts {
+						fleetRun.advanceTo(fleetRun.now + test.restarts)
+						for i, frontEnd := range fleetRun.fronts {
 							if i%10 < 7 {
-								f.start(frontEnd, i)
+								fleetRun.start(frontEnd, i)
 							}
 						}
 					}
-					f.advanceTo(began + 5*time.Second)
-					over, text := f.worstOverload(began)
-					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(f.sends), f.served)
+					fleetRun.advanceTo(began + 5*time.Second)
+					over, text := fleetRun.worstOverload(began)
+					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(fleetRun.sends), fleetRun.served)
 					if over > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
@@ -274,20 +274,20 @@
 func TestFleet_NewVersions_BringNoStormOfLoads(t *testing.T) {
 	for _, size := range []struct{ fronts, workers int }{{30, 12}, {300, 60}} {
 		t.Run(fmt.Sprint(size.fronts, " front ends"), func(t *testing.T) {
-			f := newFleet(1, size.fronts, size.workers, 200, testSettings())
-			f.advanceTo(f.now + 8*time.Second)
-			normalLoads := f.loads
-			f.advanceTo(f.now + 3*time.Second)
-			normalLoads = f.loads - normalLoads
-			stale, before := 0, f.loads
-			for key := range f.replicas {
+			fleetRun := newFleet(1, size.fronts, size.workers, 200, testSettings())
+			fleetRun.advanceTo(fleetRun.now + 8*time.Second)
+			normalLoads := fleetRun.loads
+			fleetRun.advanceTo(fleetRun.now + 3*time.Second)
+			normalLoads = fleetRun.loads - normalLoads
+			stale, before := 0, fleetRun.loads
+			for key := range fleetRun.replicas {
 				if key.function%10 < 4 {
-					delete(f.replicas, key)
+					delete(fleetRun.replicas, key)
 					stale++
 				}
 			}
-			f.advanceTo(f.now + 3*time.Second)
-			if got := f.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
+			fleetRun.advanceTo(fleetRun.now + 3*time.Second)
+			if got := fleetRun.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
 				t.Errorf("%d replicas stale; %d loads in the 3 s after it, %d in the 3 s before", stale, got, normalLoads)
 			}
 		})
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -12,17 +12,17 @@
 	orderedAt := map[WorkerID]bool{}
 	for index := range 12 {
 		set.FrontEndIndex, set.FrontEndCount = index, 200
-		h := newHarness(t, set, 30)
-		w := h.makePopular(7)
-		h.orders = nil
-		r := h.request(7, 0)
-		if h.workerOf(r) != w {
-			t.Errorf("front end %d sent a request to worker %d while a replica was loaded at %d", index, h.workerOf(r), w)
+		script := newHarness(t, set, 30)
+		w := script.makePopular(7)
+		script.orders = nil
+		r := script.request(7, 0)
+		if script.workerOf(r) != w {
+			t.Errorf("front end %d sent a request to worker %d while a replica was loaded at %d", index, script.workerOf(r), w)
 		}
-		for _, o := range h.orders {
+		for _, o := range script.orders {
 			orderedAt[o.worker] = true
 		}
-		if rank := h.scheduler.placementOrder(h.scheduler.functions.byID[7])[0]; h.scheduler.functions.byID[7].replicaOn(rank) == nil {
+		if rank := script.scheduler.placementOrder(script.scheduler.functions.byID[7])[0]; script.scheduler.functions.byID[7].replicaOn(rank) == nil {
 			t.Errorf("front end %d has no replica ordered at its own place", index)
 		}
 	}
@@ -32,13 +32,13 @@
 }
 
 func TestTargetReplicaCount_RareFunction_IsOne(t *testing.T) {
-	h := newHarness(t, testSettings(), 30)
+	script := newHarness(t, testSettings(), 30)
 	for f := range FunctionID(100) {
-		h.request(1000+f, 0)
+		script.request(1000+f, 0)
 	}
-	h.request(7, 0)
-	if n := h.scheduler.targetReplicaCount(h.scheduler.functions.byID[7]); n != 1 || len(h.orders) != 0 {
-		t.Errorf("a function requested once in a hundred requests has a target of %d replicas and %d orders, want 1 and none", n, len(h.orders))
+	script.request(7, 0)
+	if n := script.scheduler.targetReplicaCount(script.scheduler.functions.byID[7]); n != 1 || len(script.orders) != 0 {
+		t.Errorf("a function requested once in a hundred requests has a target of %d replicas and %d orders, want 1 and none", n, len(script.orders))
 	}
 }
 
@@ -46,15 +46,15 @@
 	countFirstPlaces := func(sized bool) int {
 		set := testSettings()
 		set.ScaleIsCapacity = sized
-		h := newHarness(t, set, 0)
+		script := newHarness(t, set, 0)
 		var list []WorkerInfo
 		for i := range 20 { // the first ten are three times as large
 			list = append(list, WorkerInfo{ID: WorkerID(i + 1), Scale: 3 - 2*float64(i/10), Started: UnknownStart, State: Ready})
 		}
-		h.scheduler.WorkersChanged(h.now, list, true)
+		script.scheduler.WorkersChanged(script.now, list, true)
 		n := 0
 		for f := range FunctionID(400) {
-			if h.scheduler.rendezvousOrder(&functionRecord{id: f})[0].ID <= 10 {
+			if script.scheduler.rendezvousOrder(&functionRecord{id: f})[0].ID <= 10 {
 				n++
 			}
 		}
@@ -69,19 +69,19 @@
 }
 
 func TestPickColdWorker_WorkerWithoutResponses_DoesNotLookIdle(t *testing.T) {
-	h := newHarness(t, testSettings(), 8)
-	function := h.scheduler.trackFunction(7, 0)
-	order := h.scheduler.rendezvousOrder(function)
+	script := newHarness(t, testSettings(), 8)
+	function := script.scheduler.trackFunction(7, 0)
+	order := script.scheduler.rendezvousOrder(function)
 	for _, worker := range order[:6] {
-		worker.queueDelay = estimate.NewDecayed(float64(time.Second), h.now)
+		worker.queueDelay = estimate.NewDecayed(float64(time.Second), script.now)
 	}
-	h.scheduler.delay.median = h.scheduler.medianDelay()
-	request := &requestRecord{class: &h.scheduler.settings.Classes[0], function: function, objectiveAt: never}
-	if worker := h.scheduler.pickColdWorker(function, request, 0); worker != order[0] {
+	script.scheduler.delay.median = script.scheduler.medianDelay()
+	request := &requestRecord{class: &script.scheduler.settings.Classes[0], function: function, objectiveAt: never}
+	if worker := script.scheduler.pickColdWorker(function, request, 0); worker != order[0] {
 		t.Errorf("worker %d is to load, want the first rank %d, no busier than the median", worker.ID, order[0].ID)
 	}
 	order[0].queueDelay.Value *= 3
-	if worker := h.scheduler.pickColdWorker(function, request, 0); worker != order[1] {
+	if worker := script.scheduler.pickColdWorker(function, request, 0); worker != order[1] {
 		t.Errorf("worker %d is to load, want the second rank %d, the first is busier than the median", worker.ID, order[1].ID)
 	}
 }
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -21,19 +21,19 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			h := newHarness(t, testSettings(), 4)
-			h.warm(7)
-			r := h.request(7, test.class)
-			first := h.workerOf(r)
-			h.now += 50 * ms
-			h.endAttempt(r, test.status, ColdStartUnknown)
-			h.answerQueries()
-			h.answerQueries()
-			h.advance(300 * ms)
-			if h.answers[r] != test.want {
-				t.Errorf("final answer %q, want %q", h.answers[r], test.want)
+			script := newHarness(t, testSettings(), 4)
+			script.warm(7)
+			r := script.request(7, test.class)
+			first := script.workerOf(r)
+			script.now += 50 * ms
+			script.endAttempt(r, test.status, ColdStartUnknown)
+			script.answerQueries()
+			script.answerQueries()
+			script.advance(300 * ms)
+			if script.answers[r] != test.want {
+				t.Errorf("final answer %q, want %q", script.answers[r], test.want)
 			}
-			if again := h.sentTo[r][1:]; test.class == 1 && len(again) > 0 && (again[0]-first)%2 != 0 {
+			if again := script.sentTo[r][1:]; test.class == 1 && len(again) > 0 && (again[0]-first)%2 != 0 {
 				t.Errorf("a keyed request went from worker %d to %d, another key scope", first, again[0])
 			}
 		})
@@ -41,24 +41,24 @@
 }
 
 func TestRetry_KeyRetentionPassed_Fails(t *testing.T) {
-	h := newHarness(t, testSettings(), 2) // one worker a cell
-	h.warm(7)
-	r := h.request(7, 1)
-	h.changeWorker(WorkerInfo{ID: h.workerOf(r), Cell: int(h.workerOf(r)+1) % 2, Started: UnknownStart, State: Draining})
-	h.endAttempt(r, Error, ColdStartUnknown)
-	h.advance(1100 * ms)
-	if h.answers[r] != "failed" || len(h.sentTo[r]) != 1 {
-		t.Errorf("answer %q after %d attempts, want failed after 1", h.answers[r], len(h.sentTo[r]))
+	script := newHarness(t, testSettings(), 2) // one worker a cell
+	script.warm(7)
+	r := script.request(7, 1)
+	script.changeWorker(WorkerInfo{ID: script.workerOf(r), Cell: int(script.workerOf(r)+1) % 2, Started: UnknownStart, State: Draining})
+	script.endAttempt(r, Error, ColdStartUnknown)
+	script.advance(1100 * ms)
+	if script.answers[r] != "failed" || len(script.sentTo[r]) != 1 {
+		t.Errorf("answer %q after %d attempts, want failed after 1", script.answers[r], len(script.sentTo[r]))
 	}
 }
 
 func TestRetry_OverloadedWorker_GoesElsewhere(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	w := h.warm(7)
-	r := h.request(7, 0)
-	h.endAttemptWithQueueDepth(r, Overloaded, 20)
-	h.answerQueries()
-	if sent := h.sentTo[r]; len(sent) != 2 || sent[1] == w {
+	script := newHarness(t, testSettings(), 4)
+	w := script.warm(7)
+	r := script.request(7, 0)
+	script.endAttemptWithQueueDepth(r, Overloaded, 20)
+	script.answerQueries()
+	if sent := script.sentTo[r]; len(sent) != 2 || sent[1] == w {
 		t.Errorf("a request rejected as overloaded at worker %d went on to %v", w, sent)
 	}
 }
@@ -67,20 +67,20 @@
 	for _, mayCancel := range []bool{true, false} {
 		set := testSettings()
 		set.CancelAllowed = mayCancel
-		h := newHarness(t, set, 1)
-		h.warm(7)
-		r := h.request(7, 0)
-		h.scheduler.ClientDisconnected(h.now, r)
-		if cancelled := h.count("cancel") == 1; cancelled != mayCancel {
+		script := newHarness(t, set, 1)
+		script.warm(7)
+		r := script.request(7, 0)
+		script.scheduler.ClientDisconnected(script.now, r)
+		if cancelled := script.count("cancel") == 1; cancelled != mayCancel {
 			t.Errorf("cancelled %v after its client left, allowed %v", cancelled, mayCancel)
 		}
-		h.advance(time.Second)
-		h.endAttempt(r, Cancelled, ColdStartUnknown)
-		if worker := h.scheduler.endpoints.byID[h.workerOf(r)]; h.scheduler.queueDelay(worker) < 400*ms {
-			t.Errorf("a request cancelled after a second tells of a queue delay of %v", h.scheduler.queueDelay(worker))
+		script.advance(time.Second)
+		script.endAttempt(r, Cancelled, ColdStartUnknown)
+		if worker := script.scheduler.endpoints.byID[script.workerOf(r)]; script.scheduler.queueDelay(worker) < 400*ms {
+			t.Errorf("a request cancelled after a second tells of a queue delay of %v", script.scheduler.queueDelay(worker))
 		}
-		if h.answers[r] != "" || len(h.sentTo[r]) != 1 {
-			t.Errorf("a request whose client left got answer %q, sent %d times", h.answers[r], len(h.sentTo[r]))
+		if script.answers[r] != "" || len(script.sentTo[r]) != 1 {
+			t.Errorf("a request whose client left got answer %q, sent %d times", script.answers[r], len(script.sentTo[r]))
 		}
 	}
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -13,15 +13,15 @@
 		for seed := range uint64(400) { // each is one of as many front ends
 			set := testSettings()
 			set.Seed, set.FrontEndCount = seed, frontEnds
-			h := newHarness(t, set, 1)
-			h.changeWorker(WorkerInfo{ID: 1, Started: h.now, State: Ready})
+			script := newHarness(t, set, 1)
+			script.changeWorker(WorkerInfo{ID: 1, Started: script.now, State: Ready})
 			for f := range FunctionID(6) {
-				h.request(f, 0)
-				h.answerQueries()
-				h.answerQueries()
+				script.request(f, 0)
+				script.answerQueries()
+				script.answerQueries()
 			}
-			h.advance(time.Second)
-			sent += h.count("send")
+			script.advance(time.Second)
+			sent += script.count("send")
 		}
 		if sent == 0 || sent > most {
 			t.Errorf("%d requests of 400 front ends to a worker that has just started, each configured for %d; want some, %d at most",
@@ -34,13 +34,13 @@
 	countRequests := func(scale float64) int {
 		set := testSettings()
 		set.ScaleIsCapacity, set.FrontEndCount = true, 1
-		h := newHarness(t, set, 0)
-		list := []WorkerInfo{{ID: 1, Scale: scale, Started: h.now, State: Ready}}
+		script := newHarness(t, set, 0)
+		list := []WorkerInfo{{ID: 1, Scale: scale, Started: script.now, State: Ready}}
 		for i := range 4 {
 			list = append(list, WorkerInfo{ID: WorkerID(i + 2), Scale: 1, Started: UnknownStart, State: Ready})
 		}
-		h.scheduler.WorkersChanged(h.now, list, true)
-		return h.countColdRequests(1)
+		script.scheduler.WorkersChanged(script.now, list, true)
+		return script.countColdRequests(1)
 	}
 	if small, large := countRequests(0.5), countRequests(2); float64(large) < 2.5*float64(small) {
 		t.Errorf("a cold worker gets %d requests at half the size and %d at twice the size", small, large)
@@ -56,17 +56,17 @@
 	sent, windows := 0, 40
 	for i := range frontEnds {
 		set.Seed = uint64(i)
-		h := newHarness(t, set, workers)
-		h.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: h.now, State: Ready})
-		h.now += set.SlowStartDuration / 2
-		worker, request := h.scheduler.endpoints.byID[1], &requestRecord{function: h.scheduler.trackFunction(7, 0)}
+		script := newHarness(t, set, workers)
+		script.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: script.now, State: Ready})
+		script.now += set.SlowStartDuration / 2
+		worker, request := script.scheduler.endpoints.byID[1], &requestRecord{function: script.scheduler.trackFunction(7, 0)}
 		for n := range windows {
-			h.now += set.OverloadWindow
-			h.scheduler.now, worker.Started = h.now, h.now-set.SlowStartDuration/2-time.Duration(n)
-			h.scheduler.demand.completions = estimate.NewDecayed(each*workers/frontEnds*completionMemory.Seconds(), h.now)
+			script.now += set.OverloadWindow
+			script.scheduler.now, worker.Started = script.now, script.now-set.SlowStartDuration/2-time.Duration(n)
+			script.scheduler.demand.completions = estimate.NewDecayed(each*workers/frontEnds*completionMemory.Seconds(), script.now)
 			draw := estimate.Mix(uint64(i), uint64(n)+1000)
-			if estimate.UnitInterval(draw) < wanted*each*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
-				worker.sendTimes = append(worker.sendTimes, h.now)
+			if estimate.UnitInterval(draw) < wanted*each*set.OverloadWindow.Seconds()/frontEnds && script.scheduler.slowStartAllows(worker, request) {
+				worker.sendTimes = append(worker.sendTimes, script.now)
 				sent++
 			}
 		}
@@ -83,11 +83,11 @@
 	countRequests := func(others int) int {
 		set := testSettings()
 		set.FrontEndCount = 1
-		h := newHarness(t, set, 4)
+		script := newHarness(t, set, 4)
 		for i := range others + 1 {
-			h.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: h.now, State: Ready})
+			script.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: script.now, State: Ready})
 		}
-		return h.countColdRequests(10)
+		return script.countColdRequests(10)
 	}
 	if alone, among := countRequests(0), countRequests(8); float64(among) < 0.6*float64(alone) {
 		t.Errorf("a cold worker gets %d requests among eight others that are cold, %d alone", among, alone)
