--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -88,7 +88,7 @@
 	if w.state == state {
 		return
 	}
-	f.log.Info().Str("worker", w.Name).Str("state", workerStateName(state)).Msg("worker state changed")
+	w.named(f.log.Info()).Str("state", workerStateName(state)).Msg("worker state changed")
 	previous := w.state
 	w.state = state
 	switch {
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -2,8 +2,11 @@
 
 import (
 	"slices"
+	"strconv"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"havencart/internal/discovery"
 	"havencart/internal/native/muxframe"
 	"havencart/scheduler"
@@ -20,6 +23,11 @@
 	disconnected    bool            // reported since it was last connected
 }
 
+// named adds the worker to a line of the log, by its name and by the identifier that the scheduler's lines have.
+func (w *worker) named(line *zerolog.Event) *zerolog.Event {
+	return line.Str("worker", w.Name).Str("worker-id", strconv.FormatUint(uint64(w.id), 16))
+}
+
 // cancelUnsent takes an attempt back from the client that has it, if none of it was written, and reports whether it
 // did.
 func (w *worker) cancelUnsent(attempt *requestAttempt) bool {
@@ -47,10 +55,10 @@
 	}
 	w.disconnected = false
 	uptime := time.Duration(welcome.UptimeMillis) * time.Millisecond
-	f.log.Debug().Str("worker", w.Name).Dur("uptime", uptime).Msg("worker connected")
+	w.named(f.log.Debug()).Dur("uptime", uptime).Msg("worker connected")
 	info, restarted := f.incarnations.ObserveConnection(now, id, welcome.Incarnation, uptime)
 	if restarted && w.state == scheduler.Ready {
-		f.log.Info().Str("worker", w.Name).Dur("uptime", uptime).Msg("worker restarted, as its handshake reports")
+		w.named(f.log.Info()).Dur("uptime", uptime).Msg("worker restarted, as its handshake reports")
 		f.scheduler.WorkersChanged(now, []scheduler.WorkerInfo{info}, false)
 	}
 	f.runDeferred()
@@ -64,7 +72,7 @@
 		return
 	}
 	w.disconnected = true
-	f.log.Warn().Str("worker", w.Name).Err(cause).Msg("worker disconnected")
+	w.named(f.log.Warn()).Err(cause).Msg("worker disconnected")
 }
 
 // CheckHealth implements scheduler.Actions: it asks a worker for its load.
