--- /dev/null
+++ b/lab/experiment/key.go
@@ -0,0 +1,125 @@
+package experiment
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/rs/zerolog"
+
+	"havencart/lab/loadgen"
+	"havencart/lab/scenario"
+	"havencart/lab/simulation"
+)
+
+// keyedConfig is a simulation.Config as it enters a cell's key: printed with %+v, so the names and the order of
+// these fields decide whether a run that an earlier build stored is found again. Types of other packages are
+// repeated here where they are printed by their fields.
+type keyedConfig struct {
+	Workers   int
+	Cells     int
+	FrontEnds int
+	Worker    keyedWorker
+	Store     keyedStore
+	Settings  string
+	Net       time.Duration
+	Jitter    float64
+	Handshake time.Duration
+	Zones     int
+	ListLag   time.Duration
+	Mix       keyedMix
+	Lasts     time.Duration
+	Troubles  []scenario.Trouble // printed by its String method
+	Seed      uint64
+	LogLevel  zerolog.Level
+	Policy    string
+}
+
+type keyedWorker struct {
+	Name, Cell  string
+	Cores       float64
+	Speed       float64
+	MemoryMB    float64
+	Queue       int
+	LoadsAtOnce int
+	KeepAlive   time.Duration
+	MissAnswers bool
+	MoreCopies  bool
+	StopsRuns   bool
+	ColdFrom    float64
+	ColdTime    time.Duration
+	TipMultiple float64
+	TipWindow   time.Duration
+	KeyMemory   time.Duration
+}
+
+type keyedStore struct {
+	Places       float64
+	Limit        int
+	FallMultiple float64
+	FallAfter    time.Duration
+	FallFor      time.Duration
+}
+
+type keyedMix struct {
+	Rate         float64
+	Shape        loadgen.Shape
+	Functions    int
+	Zipf         float64
+	Once         float64
+	Drift        time.Duration
+	Work         time.Duration
+	WorkSigma    float64
+	Load         time.Duration
+	MemoryMB     float64
+	Reply        int
+	Patience     time.Duration
+	Habit        loadgen.Habit
+	Retries      int
+	OwnFunctions bool
+}
+
+// keyed is cfg in the form that enters a key. All fields are converted in the order of their declaration.
+func keyed(cfg *simulation.Config) keyedConfig {
+	return keyedConfig{
+		Workers:   cfg.Workers,
+		Cells:     cfg.Cells,
+		FrontEnds: cfg.FrontEnds,
+		Worker:    keyedWorker(cfg.Worker),
+		Store:     keyedStore(cfg.Store),
+		Settings:  cfg.Settings,
+		Net:       cfg.Net,
+		Jitter:    cfg.Jitter,
+		Handshake: cfg.Handshake,
+		Zones:     cfg.Zones,
+		ListLag:   cfg.ListLag,
+		Mix:       keyedMix(cfg.Mix),
+		Lasts:     cfg.Lasts,
+		Troubles:  cfg.Troubles,
+		Seed:      cfg.Seed,
+		LogLevel:  cfg.LogLevel,
+		Policy:    cfg.Policy,
+	}
+}
+
+// key is a hash of all that a run depends on, the program that plays it included.
+func (s *Spec) key(v Variant, d Day, seed, program uint64) string {
+	h := xxhash.New()
+	cfg := s.config(v, d, seed)
+	fmt.Fprintf(h, "%+v %x", keyed(&cfg), program)
+	return strconv.FormatUint(h.Sum64(), 16)
+}
+
+// fingerprint is a hash of a program, of this one if the path is empty; 0 where it cannot be read.
+func fingerprint(program string) uint64 {
+	if program == "" {
+		program, _ = os.Executable()
+	}
+	raw, err := os.ReadFile(program)
+	if err != nil {
+		return 0
+	}
+	return xxhash.Sum64(raw)
+}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -9,12 +9,9 @@
 	"io/fs"
 	"os"
 	"os/exec"
-	"strconv"
 	"strings"
 	"sync"
 
-	"github.com/cespare/xxhash/v2"
-
 	"havencart/lab/simulation"
 )
 
@@ -132,25 +129,6 @@
 	return list
 }
 
-// key is a hash of all that a run depends on, the program that plays it included.
-func (s *Spec) key(v Variant, d Day, seed, program uint64) string {
-	h := xxhash.New()
-	fmt.Fprintf(h, "%+v %x", s.config(v, d, seed), program)
-	return strconv.FormatUint(h.Sum64(), 16)
-}
-
-// fingerprint is a hash of a program, of this one if the path is empty; 0 where it cannot be read.
-func fingerprint(program string) uint64 {
-	if program == "" {
-		program, _ = os.Executable()
-	}
-	raw, err := os.ReadFile(program)
-	if err != nil {
-		return 0
-	}
-	return xxhash.Sum64(raw)
-}
-
 // one plays one cell, here or by another program. A variant that fails is told, and the others go on.
 func (s *Spec) one(ctx context.Context, c *Cell) {
 	v, d := s.find(c.Variant, c.Day)
@@ -159,9 +137,11 @@
 		return
 	}
 	out, err := exec.CommandContext(ctx, v.Program, "cell", s.Path, c.Variant, c.Day, fmt.Sprint(c.Seed)).Output()
+	var stored StoredResult
 	if err == nil {
-		err = json.Unmarshal(out, &c.Result)
+		err = json.Unmarshal(out, &stored)
 	}
+	c.Result = stored.Result()
 	if err != nil {
 		c.Failed = err.Error()
 	}
@@ -181,13 +161,14 @@
 	return r, ""
 }
 
-// Play plays one cell by name: what another program is asked for.
-func (s *Spec) Play(variant, day string, seed uint64) (simulation.Result, error) {
+// Play plays one cell by name: what another program is asked for. It returns the result as that program writes it.
+func (s *Spec) Play(variant, day string, seed uint64) (StoredResult, error) {
 	v, d := s.find(variant, day)
 	if v.Name == "" || d.Name == "" {
-		return simulation.Result{}, fmt.Errorf("%w: no variant %q or day %q", ErrSpec, variant, day)
+		return StoredResult{}, fmt.Errorf("%w: no variant %q or day %q", ErrSpec, variant, day)
 	}
-	return simulation.Run(s.config(v, d, seed))
+	r, err := simulation.Run(s.config(v, d, seed))
+	return ResultOf(&r), err
 }
 
 func (s *Spec) find(variant, day string) (v Variant, d Day) {
--- /dev/null
+++ b/lab/experiment/stored.go
@@ -0,0 +1,288 @@
+package experiment
+
+import (
+	"encoding/json"
+
+	"havencart/internal/gateway"
+	"havencart/internal/shadow"
+	"havencart/lab/invariant"
+	"havencart/lab/model"
+	"havencart/lab/simulation"
+)
+
+// storedCell is one line of a results file. The stored types below fix the names that such files have had from
+// the start, whatever the types of a run are called: users resume from files that earlier builds wrote, and a
+// variant may be run by another build.
+type storedCell struct {
+	Variant string       `json:"Variant"`
+	Day     string       `json:"Day"`
+	Seed    uint64       `json:"Seed"`
+	Key     string       `json:"Key"`
+	Failed  string       `json:"Failed"`
+	Result  StoredResult `json:"Result"`
+}
+
+// StoredResult is a simulation.Result as results files and `havencart experiment cell` write it. ResultOf makes
+// one, Result reads it.
+type StoredResult struct {
+	Tally  storedTally    `json:"Tally"`
+	Breaks []storedBreak  `json:"Breaks"`
+	Score  storedScore    `json:"Score"`
+	Counts storedCounts   `json:"Counts"`
+	Store  storedStore    `json:"Store"`
+	Trace  uint64         `json:"Trace"`
+	Seen   map[string]int `json:"Seen"`
+	Series []storedSample `json:"Series"`
+	Told   []string       `json:"Told"`
+}
+
+type storedTally struct {
+	Asked    int `json:"Asked"`
+	Served   int `json:"Served"`
+	Refused  int `json:"Refused"`
+	Failed   int `json:"Failed"`
+	Left     int `json:"Left"`
+	Killed   int `json:"Killed"`
+	Attempts int `json:"Attempts"`
+	Runs     int `json:"Runs"`
+	Orders   int `json:"Orders"`
+	Falls    int `json:"Falls"`
+}
+
+type storedBreak struct {
+	Rule string `json:"Rule"`
+	What string `json:"What"`
+}
+
+type storedPart struct {
+	Asked float64 `json:"Asked"`
+	Got   float64 `json:"Got"`
+}
+
+type storedCourse struct {
+	storedPart
+	Seconds []storedPart `json:"Seconds"`
+}
+
+type storedScore struct {
+	storedCourse
+	Calls    int                      `json:"Calls"`
+	ByClass  map[string]*storedCourse `json:"ByClass"`
+	ByTenant map[string]*storedCourse `json:"ByTenant"`
+}
+
+type storedCounts struct {
+	Taken      uint64       `json:"Taken"`
+	Served     uint64       `json:"Served"`
+	Refused    uint64       `json:"Refused"`
+	Failed     uint64       `json:"Failed"`
+	Left       uint64       `json:"Left"`
+	TurnedAway uint64       `json:"TurnedAway"`
+	Attempts   uint64       `json:"Attempts"`
+	Loads      uint64       `json:"Loads"`
+	Asks       uint64       `json:"Asks"`
+	Probes     uint64       `json:"Probes"`
+	Late       uint64       `json:"Late"`
+	Overdue    uint64       `json:"Overdue"`
+	Otherwise  storedShadow `json:"Otherwise"`
+}
+
+type storedShadow struct {
+	Looked     uint64 `json:"Looked"`
+	Worker     uint64 `json:"Worker"`
+	Held       uint64 `json:"Held"`
+	Answer     uint64 `json:"Answer"`
+	Load       uint64 `json:"Load"`
+	Ask        uint64 `json:"Ask"`
+	CalledBack uint64 `json:"CalledBack"`
+}
+
+type storedStore struct {
+	Fetches int `json:"Fetches"`
+	Refused int `json:"Refused"`
+	Falls   int `json:"Falls"`
+}
+
+type storedSample struct {
+	InHand   int    `json:"InHand"`
+	Copies   int    `json:"Copies"`
+	Waiting  int    `json:"Waiting"`
+	Served   uint64 `json:"Served"`
+	Refused  uint64 `json:"Refused"`
+	Failed   uint64 `json:"Failed"`
+	Attempts uint64 `json:"Attempts"`
+	Loads    uint64 `json:"Loads"`
+	Fetches  int    `json:"Fetches"`
+}
+
+// MarshalJSON implements json.Marshaler: it writes a line of a results file, without its end.
+func (c Cell) MarshalJSON() ([]byte, error) {
+	return json.Marshal(storedCell{
+		Variant: c.Variant,
+		Day:     c.Day,
+		Seed:    c.Seed,
+		Key:     c.Key,
+		Failed:  c.Failed,
+		Result:  ResultOf(&c.Result),
+	})
+}
+
+// UnmarshalJSON implements json.Unmarshaler: it reads what MarshalJSON writes.
+func (c *Cell) UnmarshalJSON(raw []byte) error {
+	var s storedCell
+	if err := json.Unmarshal(raw, &s); err != nil {
+		return err
+	}
+	*c = Cell{
+		Variant: s.Variant,
+		Day:     s.Day,
+		Seed:    s.Seed,
+		Key:     s.Key,
+		Failed:  s.Failed,
+		Result:  s.Result.Result(),
+	}
+	return nil
+}
+
+// ResultOf is a result in its stored form.
+func ResultOf(r *simulation.Result) StoredResult {
+	return StoredResult{
+		Tally:  storedTally(r.Tally),
+		Breaks: convertAll(r.Breaks, func(b invariant.Break) storedBreak { return storedBreak(b) }),
+		Score: storedScore{
+			storedCourse: courseOf(r.Score.Course),
+			Calls:        r.Score.Calls,
+			ByClass:      coursesOf(r.Score.ByClass),
+			ByTenant:     coursesOf(r.Score.ByTenant),
+		},
+		Counts: countsOf(r.Counts),
+		Store:  storedStore(r.Store),
+		Trace:  r.Trace,
+		Seen:   r.Seen,
+		Series: convertAll(r.Series, sampleOf),
+		Told:   r.Told,
+	}
+}
+
+// Result is the result that was stored.
+func (s *StoredResult) Result() simulation.Result {
+	return simulation.Result{
+		Tally:  invariant.Tally(s.Tally),
+		Breaks: convertAll(s.Breaks, func(b storedBreak) invariant.Break { return invariant.Break(b) }),
+		Score: invariant.Score{
+			Course:   s.Score.course(),
+			Calls:    s.Score.Calls,
+			ByClass:  readCourses(s.Score.ByClass),
+			ByTenant: readCourses(s.Score.ByTenant),
+		},
+		Counts: s.Counts.counts(),
+		Store:  model.StoreTotals(s.Store),
+		Trace:  s.Trace,
+		Seen:   s.Seen,
+		Series: convertAll(s.Series, storedSample.sample),
+		Told:   s.Told,
+	}
+}
+
+// convertAll converts each element; nil stays nil, which JSON tells from an empty list.
+func convertAll[From, To any](list []From, convert func(From) To) []To {
+	if list == nil {
+		return nil
+	}
+	converted := make([]To, 0, len(list))
+	for _, x := range list {
+		converted = append(converted, convert(x))
+	}
+	return converted
+}
+
+// convertValues converts the values of a table; nil stays nil.
+func convertValues[From, To any](table map[string]*From, convert func(From) To) map[string]*To {
+	if table == nil {
+		return nil
+	}
+	converted := make(map[string]*To, len(table))
+	for name, x := range table {
+		value := convert(*x)
+		converted[name] = &value
+	}
+	return converted
+}
+
+func courseOf(c invariant.Course) storedCourse {
+	return storedCourse{
+		storedPart: storedPart(c.Part),
+		Seconds:    convertAll(c.Seconds, func(p invariant.Part) storedPart { return storedPart(p) }),
+	}
+}
+
+func (s storedCourse) course() invariant.Course {
+	return invariant.Course{
+		Part:    invariant.Part(s.storedPart),
+		Seconds: convertAll(s.Seconds, func(p storedPart) invariant.Part { return invariant.Part(p) }),
+	}
+}
+
+func coursesOf(table map[string]*invariant.Course) map[string]*storedCourse {
+	return convertValues(table, courseOf)
+}
+
+func readCourses(table map[string]*storedCourse) map[string]*invariant.Course {
+	return convertValues(table, storedCourse.course)
+}
+
+func countsOf(c gateway.Counts) storedCounts {
+	return storedCounts{
+		Taken:      c.Admitted,
+		Served:     c.Served,
+		Refused:    c.Rejected,
+		Failed:     c.Failed,
+		Left:       c.Disconnected,
+		TurnedAway: c.Shed,
+		Attempts:   c.Attempts,
+		Loads:      c.LoadOrders,
+		Asks:       c.ResidencyQueries,
+		Probes:     c.HealthChecks,
+		Late:       c.LateResponses,
+		Overdue:    c.PastDeadline,
+		Otherwise: storedShadow{
+			Looked:     c.ShadowDifferences.Compared,
+			Worker:     c.ShadowDifferences.OtherWorker,
+			Held:       c.ShadowDifferences.OtherQueueing,
+			Answer:     c.ShadowDifferences.OtherResponse,
+			Load:       c.ShadowDifferences.LoadOrder,
+			Ask:        c.ShadowDifferences.ResidencyQuery,
+			CalledBack: c.ShadowDifferences.Cancellation,
+		},
+	}
+}
+
+func (s storedCounts) counts() gateway.Counts {
+	return gateway.Counts{
+		Admitted:         s.Taken,
+		Served:           s.Served,
+		Rejected:         s.Refused,
+		Failed:           s.Failed,
+		Disconnected:     s.Left,
+		Shed:             s.TurnedAway,
+		Attempts:         s.Attempts,
+		LoadOrders:       s.Loads,
+		ResidencyQueries: s.Asks,
+		HealthChecks:     s.Probes,
+		LateResponses:    s.Late,
+		PastDeadline:     s.Overdue,
+		ShadowDifferences: shadow.Counts{
+			Compared:       s.Otherwise.Looked,
+			OtherWorker:    s.Otherwise.Worker,
+			OtherQueueing:  s.Otherwise.Held,
+			OtherResponse:  s.Otherwise.Answer,
+			LoadOrder:      s.Otherwise.Load,
+			ResidencyQuery: s.Otherwise.Ask,
+			Cancellation:   s.Otherwise.CalledBack,
+		},
+	}
+}
+
+func sampleOf(x simulation.Sample) storedSample { return storedSample(x) }
+
+func (s storedSample) sample() simulation.Sample { return simulation.Sample(s) }
--- /dev/null
+++ b/lab/experiment/stored_test.go
@@ -0,0 +1,168 @@
+package experiment
+
+import (
+	"context"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"havencart/internal/gateway"
+	"havencart/internal/shadow"
+	"havencart/lab/simulation"
+)
+
+// storedFile was written by the build before types and fields of a run were renamed: a run of the spec below, a
+// variant whose program does not exist, and a cell in which every field has a value of its own.
+const storedFile = "testdata/results-before-renames.jsonl"
+
+const storedSpec = `
+title "a stored result"
+seeds 1
+variant module
+  set max-attempts 2
+end
+variant missing
+  program /does/not/exist
+end
+day crash
+  lasts 4s
+  rate 30
+  functions 2
+  at 1s crash 30% for 1s
+  at 2s flood palermo factor 2 for 1s
+end
+`
+
+func storedLines(t *testing.T) []string {
+	t.Helper()
+	raw, err := os.ReadFile(storedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Split(strings.TrimSuffix(string(raw), "\n"), "\n")
+}
+
+func readLine(t *testing.T, line string) (c Cell) {
+	t.Helper()
+	if err := json.Unmarshal([]byte(line), &c); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// TestCell_LineOfAnEarlierBuild_IsWrittenTheSame: nothing of a stored line is lost or changed by reading and
+// writing it, byte for byte.
+func TestCell_LineOfAnEarlierBuild_IsWrittenTheSame(t *testing.T) {
+	lines := storedLines(t)
+	if len(lines) != 3 {
+		t.Fatalf("%d lines, 3 are stored", len(lines))
+	}
+	for _, line := range lines {
+		c := readLine(t, line)
+		written, err := json.Marshal(&c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(written) != line {
+			t.Errorf("stored  %s\nwritten %s", line, written)
+		}
+	}
+}
+
+// TestCell_LineOfAnEarlierBuild_FillsEveryField: the cell whose fields all had values of their own is read with no
+// field left at zero, and the renamed counters have the values that their old names had.
+func TestCell_LineOfAnEarlierBuild_FillsEveryField(t *testing.T) {
+	c := readLine(t, storedLines(t)[2])
+	if path := zeroField(reflect.ValueOf(c), "Cell"); path != "" {
+		t.Errorf("%s is zero", path)
+	}
+	want := gateway.Counts{
+		Admitted: 90, Served: 91, Rejected: 92, Failed: 93, Disconnected: 94, Shed: 95, Attempts: 96, LoadOrders: 97,
+		ResidencyQueries: 98, HealthChecks: 99, LateResponses: 100, PastDeadline: 101,
+		ShadowDifferences: shadow.Counts{
+			Compared: 103, OtherWorker: 104, OtherQueueing: 105, OtherResponse: 106, LoadOrder: 107, ResidencyQuery: 108,
+			Cancellation: 109,
+		},
+	}
+	if c.Result.Counts != want {
+		t.Errorf("read %+v, stored %+v", c.Result.Counts, want)
+	}
+}
+
+// zeroField returns the path of the first field of v that is zero, empty if there is none.
+func zeroField(v reflect.Value, path string) string {
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if zero := zeroField(v.Field(i), path+"."+v.Type().Field(i).Name); zero != "" {
+				return zero
+			}
+		}
+		return ""
+	case reflect.Pointer:
+		if !v.IsNil() {
+			return zeroField(v.Elem(), path)
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			if zero := zeroField(v.Index(i), path); zero != "" {
+				return zero
+			}
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			if zero := zeroField(v.MapIndex(key), path); zero != "" {
+				return zero
+			}
+		}
+	}
+	if v.IsZero() {
+		return path
+	}
+	return ""
+}
+
+// TestRun_ResultsOfAnEarlierBuild_AreResumed: a run of a program that did not change has the key that the earlier
+// build gave it, and is not run again.
+func TestRun_ResultsOfAnEarlierBuild_AreResumed(t *testing.T) {
+	s := parse(t, storedSpec)
+	stored := readLine(t, storedLines(t)[1])
+	cells := s.cells()
+	if missing := cells[1]; missing.Variant != "missing" || missing.Key != stored.Key {
+		t.Fatalf("key %s of variant %s, stored %s of variant %s", missing.Key, missing.Variant, stored.Key, stored.Variant)
+	}
+	path := filepath.Join(t.TempDir(), "results")
+	if err := os.WriteFile(path, []byte(storedLines(t)[1]+"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var first string
+	if _, err := s.Run(context.Background(), path, 1, func(text string) {
+		if first == "" {
+			first = text
+		}
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if !strings.HasPrefix(first, "2 runs, 1 of them known") {
+		t.Errorf("%q", first)
+	}
+}
+
+// TestResultOf_ResultOfARun_IsReadBack covers empty tables and lists, which JSON tells from missing ones.
+func TestResultOf_ResultOfARun_IsReadBack(t *testing.T) {
+	r := simulation.Result{Seen: map[string]int{}, Series: []simulation.Sample{}, Told: []string{}}
+	raw, err := json.Marshal(ResultOf(&r))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var s StoredResult
+	if err := json.Unmarshal(raw, &s); err != nil {
+		t.Fatal(err)
+	}
+	if got := s.Result(); !reflect.DeepEqual(got, r) {
+		t.Errorf("%+v became %+v", r, got)
+	}
+}
