--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -10,6 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"havencart/lab/loadgen"
+	"havencart/lab/model"
 	"havencart/lab/scenario"
 	"havencart/lab/simulation"
 )
@@ -81,21 +82,21 @@
 	OwnFunctions bool
 }
 
-// keyed is cfg in the form that enters a key. All fields are converted in the order of their declaration.
+// keyed is cfg in the form that enters a key.
 func keyed(cfg *simulation.Config) keyedConfig {
 	return keyedConfig{
 		Workers:   cfg.Workers,
 		Cells:     cfg.Cells,
 		FrontEnds: cfg.FrontEnds,
-		Worker:    keyedWorker(cfg.Worker),
-		Store:     keyedStore(cfg.Store),
+		Worker:    keyedWorkerOf(&cfg.Worker),
+		Store:     keyedStoreOf(&cfg.Store),
 		Settings:  cfg.Settings,
 		Net:       cfg.Net,
 		Jitter:    cfg.Jitter,
 		Handshake: cfg.Handshake,
 		Zones:     cfg.Zones,
 		ListLag:   cfg.ListLag,
-		Mix:       keyedMix(cfg.Mix),
+		Mix:       keyedMixOf(&cfg.Mix),
 		Lasts:     cfg.Lasts,
 		Troubles:  cfg.Troubles,
 		Seed:      cfg.Seed,
@@ -104,6 +105,57 @@
 	}
 }
 
+func keyedWorkerOf(x *model.WorkerConfig) keyedWorker {
+	return keyedWorker{
+		Name:        x.Name,
+		Cell:        x.Cell,
+		Cores:       x.Cores,
+		Speed:       x.Speed,
+		MemoryMB:    x.MemoryMB,
+		Queue:       x.Queue,
+		LoadsAtOnce: x.LoadsAtOnce,
+		KeepAlive:   x.KeepAlive,
+		MissAnswers: x.MissAnswers,
+		MoreCopies:  x.MoreCopies,
+		StopsRuns:   x.StopsRuns,
+		ColdFrom:    x.ColdFrom,
+		ColdTime:    x.ColdTime,
+		TipMultiple: x.TipMultiple,
+		TipWindow:   x.TipWindow,
+		KeyMemory:   x.KeyMemory,
+	}
+}
+
+func keyedStoreOf(x *model.StoreConfig) keyedStore {
+	return keyedStore{
+		Places:       x.Places,
+		Limit:        x.Limit,
+		FallMultiple: x.FallMultiple,
+		FallAfter:    x.FallAfter,
+		FallFor:      x.FallFor,
+	}
+}
+
+func keyedMixOf(x *loadgen.Mix) keyedMix {
+	return keyedMix{
+		Rate:         x.Rate,
+		Shape:        x.Shape,
+		Functions:    x.Functions,
+		Zipf:         x.Zipf,
+		Once:         x.Once,
+		Drift:        x.Drift,
+		Work:         x.Work,
+		WorkSigma:    x.WorkSigma,
+		Load:         x.Load,
+		MemoryMB:     x.MemoryMB,
+		Reply:        x.Reply,
+		Patience:     x.Patience,
+		Habit:        x.Habit,
+		Retries:      x.Retries,
+		OwnFunctions: x.OwnFunctions,
+	}
+}
+
 // key is a hash of all that a run depends on, the program that plays it included.
 func (s *Spec) key(v Variant, d Day, seed, program uint64) string {
 	h := xxhash.New()
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -147,8 +147,8 @@
 // ResultOf is a result in its stored form.
 func ResultOf(r *simulation.Result) StoredResult {
 	return StoredResult{
-		Tally:  storedTally(r.Tally),
-		Breaks: convertAll(r.Breaks, func(b invariant.Break) storedBreak { return storedBreak(b) }),
+		Tally:  tallyOf(r.Tally),
+		Breaks: convertAll(r.Breaks, breakOf),
 		Score: storedScore{
 			storedCourse: courseOf(r.Score.Course),
 			Calls:        r.Score.Calls,
@@ -156,7 +156,7 @@
 			ByTenant:     coursesOf(r.Score.ByTenant),
 		},
 		Counts: countsOf(r.Counts),
-		Store:  storedStore(r.Store),
+		Store:  storeOf(r.Store),
 		Trace:  r.Trace,
 		Seen:   r.Seen,
 		Series: convertAll(r.Series, sampleOf),
@@ -167,8 +167,8 @@
 // Result is the result that was stored.
 func (s *StoredResult) Result() simulation.Result {
 	return simulation.Result{
-		Tally:  invariant.Tally(s.Tally),
-		Breaks: convertAll(s.Breaks, func(b storedBreak) invariant.Break { return invariant.Break(b) }),
+		Tally:  s.Tally.tally(),
+		Breaks: convertAll(s.Breaks, storedBreak.violation),
 		Score: invariant.Score{
 			Course:   s.Score.course(),
 			Calls:    s.Score.Calls,
@@ -176,7 +176,7 @@
 			ByTenant: readCourses(s.Score.ByTenant),
 		},
 		Counts: s.Counts.counts(),
-		Store:  model.StoreTotals(s.Store),
+		Store:  s.Store.totals(),
 		Trace:  s.Trace,
 		Seen:   s.Seen,
 		Series: convertAll(s.Series, storedSample.sample),
@@ -211,15 +211,15 @@
 
 func courseOf(c invariant.Course) storedCourse {
 	return storedCourse{
-		storedPart: storedPart(c.Part),
-		Seconds:    convertAll(c.Seconds, func(p invariant.Part) storedPart { return storedPart(p) }),
+		storedPart: partOf(c.Part),
+		Seconds:    convertAll(c.Seconds, partOf),
 	}
 }
 
 func (s storedCourse) course() invariant.Course {
 	return invariant.Course{
-		Part:    invariant.Part(s.storedPart),
-		Seconds: convertAll(s.Seconds, func(p storedPart) invariant.Part { return invariant.Part(p) }),
+		Part:    s.storedPart.part(),
+		Seconds: convertAll(s.Seconds, storedPart.part),
 	}
 }
 
@@ -283,6 +283,104 @@
 	}
 }
 
-func sampleOf(x simulation.Sample) storedSample { return storedSample(x) }
+func tallyOf(x invariant.Tally) storedTally {
+	return storedTally{
+		Asked:    x.Asked,
+		Served:   x.Served,
+		Refused:  x.Refused,
+		Failed:   x.Failed,
+		Left:     x.Left,
+		Killed:   x.Killed,
+		Attempts: x.Attempts,
+		Runs:     x.Runs,
+		Orders:   x.Orders,
+		Falls:    x.Falls,
+	}
+}
+
+func (s storedTally) tally() invariant.Tally {
+	return invariant.Tally{
+		Asked:    s.Asked,
+		Served:   s.Served,
+		Refused:  s.Refused,
+		Failed:   s.Failed,
+		Left:     s.Left,
+		Killed:   s.Killed,
+		Attempts: s.Attempts,
+		Runs:     s.Runs,
+		Orders:   s.Orders,
+		Falls:    s.Falls,
+	}
+}
+
+func breakOf(x invariant.Break) storedBreak {
+	return storedBreak{
+		Rule: x.Rule,
+		What: x.What,
+	}
+}
+
+func (s storedBreak) violation() invariant.Break {
+	return invariant.Break{
+		Rule: s.Rule,
+		What: s.What,
+	}
+}
+
+func partOf(x invariant.Part) storedPart {
+	return storedPart{
+		Asked: x.Asked,
+		Got:   x.Got,
+	}
+}
 
-func (s storedSample) sample() simulation.Sample { return simulation.Sample(s) }
+func (s storedPart) part() invariant.Part {
+	return invariant.Part{
+		Asked: s.Asked,
+		Got:   s.Got,
+	}
+}
+
+func storeOf(x model.StoreTotals) storedStore {
+	return storedStore{
+		Fetches: x.Fetches,
+		Refused: x.Refused,
+		Falls:   x.Falls,
+	}
+}
+
+func (s storedStore) totals() model.StoreTotals {
+	return model.StoreTotals{
+		Fetches: s.Fetches,
+		Refused: s.Refused,
+		Falls:   s.Falls,
+	}
+}
+
+func sampleOf(x simulation.Sample) storedSample {
+	return storedSample{
+		InHand:   x.InHand,
+		Copies:   x.Copies,
+		Waiting:  x.Waiting,
+		Served:   x.Served,
+		Refused:  x.Refused,
+		Failed:   x.Failed,
+		Attempts: x.Attempts,
+		Loads:    x.Loads,
+		Fetches:  x.Fetches,
+	}
+}
+
+func (s storedSample) sample() simulation.Sample {
+	return simulation.Sample{
+		InHand:   s.InHand,
+		Copies:   s.Copies,
+		Waiting:  s.Waiting,
+		Served:   s.Served,
+		Refused:  s.Refused,
+		Failed:   s.Failed,
+		Attempts: s.Attempts,
+		Loads:    s.Loads,
+		Fetches:  s.Fetches,
+	}
+}
