--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -113,16 +113,16 @@
 		Speed:       x.Speed,
 		MemoryMB:    x.MemoryMB,
 		Queue:       x.Queue,
-		LoadsAtOnce: x.LoadsAtOnce,
+		LoadsAtOnce: x.MaxConcurrentLoads,
 		KeepAlive:   x.KeepAlive,
 		MissAnswers: x.MissAnswers,
-		MoreCopies:  x.MoreCopies,
-		StopsRuns:   x.StopsRuns,
-		ColdFrom:    x.ColdFrom,
-		ColdTime:    x.ColdTime,
-		TipMultiple: x.TipMultiple,
-		TipWindow:   x.TipWindow,
-		KeyMemory:   x.KeyMemory,
+		MoreCopies:  x.ScalesOut,
+		StopsRuns:   x.CancelStopsWork,
+		ColdFrom:    x.ColdCapacity,
+		ColdTime:    x.SlowStart,
+		TipMultiple: x.OverloadMultiple,
+		TipWindow:   x.OverloadWindow,
+		KeyMemory:   x.KeyRetention,
 	}
 }
 
@@ -130,9 +130,9 @@
 	return keyedStore{
 		Places:       x.Places,
 		Limit:        x.Limit,
-		FallMultiple: x.FallMultiple,
-		FallAfter:    x.FallAfter,
-		FallFor:      x.FallFor,
+		FallMultiple: x.OutageMultiple,
+		FallAfter:    x.OutageAfter,
+		FallFor:      x.OutageDuration,
 	}
 }
 
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -344,16 +344,16 @@
 func storeOf(x model.StoreTotals) storedStore {
 	return storedStore{
 		Fetches: x.Fetches,
-		Refused: x.Refused,
-		Falls:   x.Falls,
+		Refused: x.Rejected,
+		Falls:   x.Outages,
 	}
 }
 
 func (s storedStore) totals() model.StoreTotals {
 	return model.StoreTotals{
 		Fetches: s.Fetches,
-		Refused: s.Refused,
-		Falls:   s.Falls,
+		Rejected: s.Refused,
+		Outages:   s.Falls,
 	}
 }
 
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -61,13 +61,13 @@
 
 // DemoWorker is one emulated worker of the demo.
 func DemoWorker() model.WorkerConfig {
-	return model.WorkerConfig{Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 100, LoadsAtOnce: 4, KeepAlive: 10 * time.Second,
-		ColdFrom: 0.2, ColdTime: 4 * time.Second, TipMultiple: 3, TipWindow: time.Second, KeyMemory: 6 * time.Second}
+	return model.WorkerConfig{Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 100, MaxConcurrentLoads: 4, KeepAlive: 10 * time.Second,
+		ColdCapacity: 0.2, SlowStart: 4 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, KeyRetention: 6 * time.Second}
 }
 
 // DemoStore is the demo's function store.
 func DemoStore() model.StoreConfig {
-	return model.StoreConfig{Places: 8, Limit: 40, FallMultiple: 3, FallAfter: 3 * time.Second, FallFor: 2 * time.Second}
+	return model.StoreConfig{Places: 8, Limit: 40, OutageMultiple: 3, OutageAfter: 3 * time.Second, OutageDuration: 2 * time.Second}
 }
 
 // Demo is a whole installation with a load and a script of troubles.
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -44,7 +44,7 @@
 type Fleet struct {
 	cfg       Config
 	Settings  *gatewayconfig.Settings
-	World     *model.World
+	World     *model.RealClock
 	Book      *invariant.Book
 	Origin    *functionstore.Server
 	Directory *discoveryserver.Server
@@ -89,11 +89,11 @@
 	if f.Directory, err = discoveryserver.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	groups := model.Groups(f.cfg.Cells)
+	groups := model.NewKeyCaches(f.cfg.Cells)
 	f.network = model.NewNetwork(f.World, model.NetworkConfig{Zones: f.cfg.Zones}, rand.New(rand.NewPCG(1, 0x6e6574)))
 	f.skew = make([]time.Duration, f.cfg.Workers)
 	for i := range f.cfg.Workers {
-		wc, cell := f.cfg.Worker.Numbered(i, len(groups))
+		wc, cell := f.cfg.Worker.ForWorker(i, len(groups))
 		w, err := worker.Start(f.World, worker.Config{WorkerConfig: wc, Address: "127.0.0.1:0", Work: 50 * time.Millisecond,
 			Ways: f.ways(i)}, f.fetcher, groups[cell], f.Book)
 		if err != nil {
@@ -116,14 +116,14 @@
 }
 
 // ways are the ways of worker i to front ends, by their numbers.
-func (f *Fleet) ways(i int) func(frontEnd string) (in, out *model.Way) {
+func (f *Fleet) ways(i int) func(frontEnd string) (in, out *model.Path) {
 	if f.cfg.Zones == 0 {
 		return nil
 	}
-	return func(frontEnd string) (in, out *model.Way) {
+	return func(frontEnd string) (in, out *model.Path) {
 		n, _ := strconv.Atoi(frontEnd[strings.LastIndexByte(frontEnd, '-')+1:]) // the fleet named it so
 		near, far := f.network.Zone(n), f.network.Zone(i)
-		return f.network.Way(near, far), f.network.Way(far, near)
+		return f.network.NewPath(near, far), f.network.NewPath(far, near)
 	}
 }
 
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 func small(workers, frontEnds int) Config {
 	cfg := Config{Workers: workers, Cells: 2, FrontEnds: frontEnds, Settings: threeClasses, Slack: time.Second, Log: zerolog.Nop(),
 		Worker: DemoWorker(), Store: model.StoreConfig{Places: 20, Limit: 100}}
-	cfg.Worker.MemoryMB, cfg.Worker.Queue, cfg.Worker.ColdTime, cfg.Worker.KeyMemory = 8000, 200, 3*time.Second, 4*time.Second
+	cfg.Worker.MemoryMB, cfg.Worker.Queue, cfg.Worker.SlowStart, cfg.Worker.KeyRetention = 8000, 200, 3*time.Second, 4*time.Second
 	return cfg
 }
 
--- a/lab/fleet/hard_test.go
+++ b/lab/fleet/hard_test.go
@@ -77,7 +77,7 @@
 	cfg := small(2, 2)
 	cfg.Cells = 1
 	cfg.Settings = "keep-alive 10s\nclass log\nrepeat keyed\nscope all\nmemory 10s\nend\n"
-	cfg.Worker.KeyMemory = 10 * time.Second
+	cfg.Worker.KeyRetention = 10 * time.Second
 	f := start(t, cfg)
 	until(t, "the lists", func() bool { return len(f.Directory.Notices()) >= 2 })
 	f.command(t, "hang on", 0, 1)
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -69,9 +69,9 @@
 
 func (s *stage) Demand(change func(*loadgen.Demand)) error { return s.Clients.change(change) }
 
-func (s *stage) Network(t model.NetTrouble) (end func()) {
+func (s *stage) Network(t model.NetworkFault) (end func()) {
 	var over func()
-	s.World.Do(func() { over = s.network.Begin(t) })
+	s.World.Do(func() { over = s.network.AddFault(t) })
 	return func() { s.World.Do(over) }
 }
 
--- a/lab/fleet/rogue_test.go
+++ b/lab/fleet/rogue_test.go
@@ -214,7 +214,7 @@
 		}
 		r.link(r.f.Workers[0]).send("a", "unlock", 0, time.Millisecond)
 		for received := 0; received == 0; {
-			r.f.Workers[0].Do(func(m *model.Worker) { received = m.Waiting() })
+			r.f.Workers[0].Do(func(m *model.Worker) { received = m.QueueLength() })
 		}
 		r.link(r.f.Workers[1]).run("a", "unlock", 1, time.Millisecond)
 		r.caught("twice", "may have run it")
@@ -290,7 +290,7 @@
 }
 
 func TestTheAuditorFindsAColdWorkerPushedOver(t *testing.T) {
-	r := startRogue(t, func(c *Config) { c.Worker.ColdTime, c.Worker.TipWindow = time.Hour, time.Hour })
+	r := startRogue(t, func(c *Config) { c.Worker.SlowStart, c.Worker.OverloadWindow = time.Hour, time.Hour })
 	if err := r.f.Workers[0].Command("start"); err != nil {
 		t.Fatal(err)
 	}
--- a/lab/functionstore/origin.go
+++ b/lab/functionstore/origin.go
@@ -16,7 +16,7 @@
 
 // Server is a running store.
 type Server struct {
-	world *model.World
+	world *model.RealClock
 	store *model.Store
 	http  http.Server
 	addr  string
@@ -24,7 +24,7 @@
 }
 
 // Start starts a store at address; port 0 takes a free one.
-func Start(world *model.World, cfg model.StoreConfig, address string) (*Server, error) {
+func Start(world *model.RealClock, cfg model.StoreConfig, address string) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("function store: %w", err)
@@ -54,13 +54,13 @@
 func (s *Server) Do(f func(*model.Store)) { s.world.Do(func() { f(s.store) }) }
 
 // Stop makes the store turn everything away for d.
-func (s *Server) Stop(d time.Duration) { s.Do(func(m *model.Store) { m.Stop(d) }) }
+func (s *Server) Stop(d time.Duration) { s.Do(func(m *model.Store) { m.StartOutage(d) }) }
 
 // Slow makes fetches take factor times as long; 1 ends it.
-func (s *Server) Slow(factor float64) { s.Do(func(m *model.Store) { m.Slow(factor) }) }
+func (s *Server) Slow(factor float64) { s.Do(func(m *model.Store) { m.SetSlowdown(factor) }) }
 
 // Fail makes a share of the fetches fail.
-func (s *Server) Fail(share float64) { s.Do(func(m *model.Store) { m.Fail(share) }) }
+func (s *Server) Fail(share float64) { s.Do(func(m *model.Store) { m.SetFailureShare(share) }) }
 
 // fetch answers 200 once an artefact has been served, 503 where the store turns it away.
 func (s *Server) fetch(w http.ResponseWriter, r *http.Request) {
@@ -82,7 +82,7 @@
 
 // Client fetches for the workers of one world.
 type Client struct {
-	world  *model.World
+	world  *model.RealClock
 	url    string
 	http   *http.Client
 	ctx    context.Context
@@ -91,7 +91,7 @@
 }
 
 // NewClient returns a client of the store at address.
-func NewClient(world *model.World, address string) *Client {
+func NewClient(world *model.RealClock, address string) *Client {
 	c := &Client{world: world, url: "http://" + address, http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64}}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
--- a/lab/invariant/judge.go
+++ b/lab/invariant/judge.go
@@ -164,7 +164,7 @@
 }
 
 // mayHaveRun says whether an attempt that a worker received may have had its effect.
-func mayHaveRun(r *Receipt) bool { return r.Answered != model.Full && r.Answered != model.Miss }
+func mayHaveRun(r *Receipt) bool { return r.Answered != model.Overloaded && r.Answered != model.NotLoaded }
 
 func (j *judge) unsafe(id string, list []*Receipt) {
 	runs := 0
--- a/lab/invariant/record.go
+++ b/lab/invariant/record.go
@@ -81,7 +81,7 @@
 	mu       sync.Mutex
 	asks     []*Ask
 	receipts []*Receipt
-	open     map[*model.Call]*Receipt
+	open     map[*model.Request]*Receipt
 	orders   []Order
 	notices  []Notice
 	falls    []Fall
@@ -97,7 +97,7 @@
 
 // NewBookOn returns an empty Book on a clock that shows 0 at start.
 func NewBookOn(start time.Time, clock func() time.Duration) *Book {
-	return &Book{start: start, clock: clock, open: map[*model.Call]*Receipt{}}
+	return &Book{start: start, clock: clock, open: map[*model.Request]*Receipt{}}
 }
 
 // Now is the Book's time.
@@ -151,21 +151,21 @@
 }
 
 // Received implements model.Observer, as do the methods that follow.
-func (b *Book) Received(w *model.Worker, c *model.Call) {
+func (b *Book) RequestReceived(w *model.Worker, c *model.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := &Receipt{At: b.Now(), Worker: w.Config.Name, Cell: w.Config.Cell, Life: w.Life(), FrontEnd: c.FrontEnd,
-		ID: c.ID, Class: c.Class, Key: c.Key, Attempt: c.Attempt, Work: c.Work}
+	r := &Receipt{At: b.Now(), Worker: w.Config.Name, Cell: w.Config.Cell, Life: w.Incarnation(), FrontEnd: c.FrontEnd,
+		ID: c.ID, Class: c.Class, Key: c.IdempotencyKey, Attempt: c.Attempt, Work: c.Work}
 	if w.Cold() {
-		r.Capacity, r.TipMultiple = w.Capacity(), w.Config.TipMultiple
-		r.TipWindowInSec = w.Config.TipWindow.Seconds()
+		r.Capacity, r.TipMultiple = w.Capacity(), w.Config.OverloadMultiple
+		r.TipWindowInSec = w.Config.OverloadWindow.Seconds()
 	}
 	b.receipts = append(b.receipts, r)
 	b.open[c] = r
 }
 
 // Answered notes how an attempt was answered.
-func (b *Book) Answered(_ *model.Worker, c *model.Call, o model.Outcome) {
+func (b *Book) ResponseSent(_ *model.Worker, c *model.Request, o model.Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.open[c]; r != nil {
@@ -175,7 +175,7 @@
 }
 
 // Ran notes an effect.
-func (b *Book) Ran(_ *model.Worker, c *model.Call) {
+func (b *Book) RequestExecuted(_ *model.Worker, c *model.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.open[c]; r != nil {
@@ -184,14 +184,14 @@
 }
 
 // Ordered notes an order to load.
-func (b *Book) Ordered(w *model.Worker, frontEnd, function string, copies int) {
+func (b *Book) LoadOrderReceived(w *model.Worker, frontEnd, function string, copies int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.orders = append(b.orders, Order{b.Now(), w.Config.Name, frontEnd, function, copies})
 }
 
 // Fell notes a worker that fell over.
-func (b *Book) Fell(w *model.Worker) {
+func (b *Book) WorkerCrashed(w *model.Worker) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.falls = append(b.falls, Fall{b.Now(), w.Config.Name})
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -147,11 +147,11 @@
 // quiet sees nothing: a Book would grow with each call.
 type quiet struct{}
 
-func (quiet) Received(*model.Worker, *model.Call)                {}
-func (quiet) Answered(*model.Worker, *model.Call, model.Outcome) {}
-func (quiet) Ran(*model.Worker, *model.Call)                     {}
-func (quiet) Ordered(*model.Worker, string, string, int)         {}
-func (quiet) Fell(*model.Worker)                                 {}
+func (quiet) RequestReceived(*model.Worker, *model.Request)                {}
+func (quiet) ResponseSent(*model.Worker, *model.Request, model.Outcome) {}
+func (quiet) RequestExecuted(*model.Worker, *model.Request)                     {}
+func (quiet) LoadOrderReceived(*model.Worker, string, string, int)         {}
+func (quiet) WorkerCrashed(*model.Worker)                                 {}
 
 // worker starts one emulated worker in a world of its own, with an HTTP face beside its socket.
 func (r *rig) worker(i int) (*worker.Server, string, error) {
@@ -164,7 +164,7 @@
 	fetcher := functionstore.NewClient(world, store.Address())
 	r.later(fetcher.Close)
 	w, err := worker.Start(world, worker.Config{Address: "127.0.0.1:0", Work: r.cfg.Work, WorkerConfig: model.WorkerConfig{
-		Name: fmt.Sprint("w", i), Cell: "c", Cores: 64, Speed: 1, MemoryMB: 1e6, Queue: 100000, LoadsAtOnce: 4,
+		Name: fmt.Sprint("w", i), Cell: "c", Cores: 64, Speed: 1, MemoryMB: 1e6, Queue: 100000, MaxConcurrentLoads: 4,
 		KeepAlive: time.Hour}}, fetcher, model.NewGroup(), quiet{})
 	if err != nil {
 		return nil, "", err
@@ -189,7 +189,7 @@
 
 // face is an emulated worker's HTTP face: the same model, reached without the worker protocol.
 type face struct {
-	world *model.World
+	world *model.RealClock
 	w     *worker.Server
 }
 
@@ -199,10 +199,10 @@
 		return
 	}
 	work, reply := worker.ParseBody(string(body), 0)
-	answer := make(chan model.Answer, 1)
+	answer := make(chan model.Response, 1)
 	f.w.Do(func(m *model.Worker) {
-		m.Handle(&model.Call{Function: "echo", MemoryMB: 100, Lanes: 64, Load: time.Millisecond, Work: work,
-			Expires: f.world.Now() + time.Minute}, func(a model.Answer) { answer <- a })
+		m.Handle(&model.Request{Function: "echo", MemoryMB: 100, Concurrency: 64, LoadTime: time.Millisecond, Work: work,
+			Deadline: f.world.Now() + time.Minute}, func(a model.Response) { answer <- a })
 	})
 	select {
 	case a := <-answer:
--- a/lab/model/clock.go
+++ b/lab/model/clock.go
@@ -19,26 +19,26 @@
 }
 
 // World is a Clock in real time. Code from outside enters it by Do, so that it never overlaps a callback.
-type World struct {
+type RealClock struct {
 	mu    sync.Mutex
 	start time.Time
 }
 
 // NewWorld returns a World whose time begins now.
-func NewWorld() *World { return &World{start: time.Now()} }
+func NewWorld() *RealClock { return &RealClock{start: time.Now()} }
 
 // Do runs f between callbacks.
-func (w *World) Do(f func()) {
+func (w *RealClock) Do(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
 // Now is the time since the World began.
-func (w *World) Now() time.Duration { return time.Since(w.start) }
+func (w *RealClock) Now() time.Duration { return time.Since(w.start) }
 
 // After calls f once d has passed; it is called within the World.
-func (w *World) After(d time.Duration, f func()) func() {
+func (w *RealClock) After(d time.Duration, f func()) func() {
 	stopped := false // read and written within the World only
 	t := time.AfterFunc(d, func() {
 		w.mu.Lock()
@@ -55,51 +55,51 @@
 
 // Sim is a Clock in virtual time: Run goes from event to event. Events of one time come in the order in which
 // they were set. It is one goroutine's.
-type Sim struct {
+type VirtualClock struct {
 	now    time.Duration
-	seq    uint64
-	events simEvents
+	sequence    uint64
+	timers timerQueue
 }
 
-type simEvent struct {
+type timer struct {
 	at      time.Duration
-	seq     uint64
-	f       func()
+	sequence     uint64
+	callback       func()
 	stopped bool
 }
 
 // Now is the virtual time.
-func (s *Sim) Now() time.Duration { return s.now }
+func (s *VirtualClock) Now() time.Duration { return s.now }
 
 // After calls f once d of virtual time has passed.
-func (s *Sim) After(d time.Duration, f func()) func() {
-	s.seq++
-	e := &simEvent{at: s.now + max(0, d), seq: s.seq, f: f}
-	heap.Push(&s.events, e)
-	return func() { e.stopped, e.f = true, nil }
+func (s *VirtualClock) After(d time.Duration, f func()) func() {
+	s.sequence++
+	e := &timer{at: s.now + max(0, d), sequence: s.sequence, callback: f}
+	heap.Push(&s.timers, e)
+	return func() { e.stopped, e.callback = true, nil }
 }
 
 // Run plays all events up to and at until.
-func (s *Sim) Run(until time.Duration) {
-	for len(s.events) > 0 && s.events[0].at <= until {
-		e := heap.Pop(&s.events).(*simEvent)
+func (s *VirtualClock) Run(until time.Duration) {
+	for len(s.timers) > 0 && s.timers[0].at <= until {
+		e := heap.Pop(&s.timers).(*timer)
 		if !e.stopped {
 			s.now = e.at
-			e.f()
+			e.callback()
 		}
 	}
 	s.now = max(s.now, until)
 }
 
-type simEvents []*simEvent
+type timerQueue []*timer
 
-func (l simEvents) Len() int { return len(l) }
-func (l simEvents) Less(i, j int) bool {
-	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].seq < l[j].seq
+func (l timerQueue) Len() int { return len(l) }
+func (l timerQueue) Less(i, j int) bool {
+	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].sequence < l[j].sequence
 }
-func (l simEvents) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *simEvents) Push(x any)   { *l = append(*l, x.(*simEvent)) }
-func (l *simEvents) Pop() any {
+func (l timerQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *timerQueue) Push(x any)   { *l = append(*l, x.(*timer)) }
+func (l *timerQueue) Pop() any {
 	old := *l
 	x := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -108,4 +108,4 @@
 }
 
 // Pending is the number of events that are set, stopped ones included.
-func (s *Sim) Pending() int { return len(s.events) }
+func (s *VirtualClock) Pending() int { return len(s.timers) }
--- a/lab/model/command.go
+++ b/lab/model/command.go
@@ -16,33 +16,33 @@
 	argument = strings.TrimSpace(argument)
 	switch verb {
 	case "die":
-		w.Die()
+		w.Crash()
 	case "start":
 		w.Start()
 	case "flush":
-		w.Flush(argument)
+		w.InvalidateReplicas(argument)
 	case "re-release":
 		share, salt, _ := strings.Cut(argument, " ")
 		x, err := strconv.ParseFloat(share, 64)
 		if err != nil || !(x >= 0 && x <= 1) {
 			return true, fmt.Errorf("%q is no share", share)
 		}
-		w.ReRelease(x, salt)
+		w.InvalidateShare(x, salt)
 	case "slow", "fail":
 		x, err := strconv.ParseFloat(argument, 64)
 		if err != nil || x < 0 {
 			return true, fmt.Errorf("%q is no factor or share", argument)
 		}
 		if verb == "slow" {
-			w.Slow(x)
+			w.SetSlowdown(x)
 		} else {
-			w.Fail(x)
+			w.SetFailureShare(x)
 		}
 	case "drain", "hang", "pause":
 		if argument != "on" && argument != "off" {
 			return true, fmt.Errorf("%q is neither on nor off", argument)
 		}
-		map[string]func(bool){"drain": w.Drain, "hang": w.Hang, "pause": w.Pause}[verb](argument == "on")
+		map[string]func(bool){"drain": w.SetDraining, "hang": w.SetHung, "pause": w.SetPaused}[verb](argument == "on")
 	default:
 		return false, nil
 	}
--- a/lab/model/network.go
+++ b/lab/model/network.go
@@ -9,7 +9,7 @@
 // NetworkConfig describes the ways between machines that stand in zones 1 to Zones.
 type NetworkConfig struct {
 	Zones  int
-	Net    time.Duration // one way, without troubles
+	Latency    time.Duration // one way, without troubles
 	Jitter float64       // share of it that is drawn anew for each message
 }
 
@@ -20,11 +20,11 @@
 	cfg      NetworkConfig
 	clock    Clock
 	rng      *rand.Rand
-	troubles []*NetTrouble
+	faults []*NetworkFault
 }
 
 // NetTrouble is a trouble of the ways between two zones, in both directions; From may be To.
-type NetTrouble struct {
+type NetworkFault struct {
 	From, To int
 	Delay    time.Duration // that each message takes longer
 	Loss     float64       // share of messages that are lost, 1: cut
@@ -33,8 +33,8 @@
 // A lost message is sent again after resendFirst, then after twice as long each time (RFC 6298, with the
 // shortest wait that is in common use).
 const (
-	resendFirst = 200 * time.Millisecond
-	resendMost  = 10 * time.Second
+	firstRetransmitWait = 200 * time.Millisecond
+	maxRetransmitWait  = 10 * time.Second
 )
 
 // NewNetwork returns a Network without troubles.
@@ -46,26 +46,26 @@
 func (n *Network) Zone(machine int) int { return machine%max(1, n.cfg.Zones) + 1 }
 
 // Begin begins a trouble; the returned function ends it.
-func (n *Network) Begin(t NetTrouble) (end func()) {
-	n.troubles = append(n.troubles, &t)
-	return func() { n.troubles = slices.DeleteFunc(n.troubles, func(x *NetTrouble) bool { return x == &t }) }
+func (n *Network) AddFault(t NetworkFault) (end func()) {
+	n.faults = append(n.faults, &t)
+	return func() { n.faults = slices.DeleteFunc(n.faults, func(x *NetworkFault) bool { return x == &t }) }
 }
 
 // Troubled says whether anything ails the ways between two zones.
-func (n *Network) Troubled(from, to int) bool {
-	delay, loss := n.troubled(from, to)
+func (n *Network) HasFault(from, to int) bool {
+	delay, loss := n.impairment(from, to)
 	return delay > 0 || loss > 0
 }
 
 // Delay is how long one message takes that is on no troubled way.
 func (n *Network) Delay() time.Duration {
-	return time.Duration(float64(n.cfg.Net) * (1 + n.cfg.Jitter*(2*n.rng.Float64()-1)))
+	return time.Duration(float64(n.cfg.Latency) * (1 + n.cfg.Jitter*(2*n.rng.Float64()-1)))
 }
 
 // troubled is what troubles add on a way now.
-func (n *Network) troubled(from, to int) (delay time.Duration, loss float64) {
+func (n *Network) impairment(from, to int) (delay time.Duration, loss float64) {
 	through := 1.0
-	for _, t := range n.troubles {
+	for _, t := range n.faults {
 		if t.From == from && t.To == to || t.From == to && t.To == from {
 			delay += t.Delay
 			through *= 1 - t.Loss
@@ -75,7 +75,7 @@
 }
 
 // Way is one direction of one connection.
-type Way struct {
+type Path struct {
 	net      *Network
 	from, to int
 	queue    []*message // sent and not delivered, in the order of sending
@@ -83,44 +83,44 @@
 }
 
 type message struct {
-	came   bool
-	arrive func()
+	received   bool
+	deliver func()
 }
 
 // Way returns a new connection's way from a zone to a zone.
-func (n *Network) Way(from, to int) *Way { return &Way{net: n, from: from, to: to} }
+func (n *Network) NewPath(from, to int) *Path { return &Path{net: n, from: from, to: to} }
 
 // Carry calls arrive when a message sent now has come and all before it have.
-func (w *Way) Carry(arrive func()) {
-	m := &message{arrive: arrive}
+func (w *Path) Send(arrive func()) {
+	m := &message{deliver: arrive}
 	w.queue = append(w.queue, m)
-	w.send(m, resendFirst)
+	w.transmit(m, firstRetransmitWait)
 }
 
 // Close drops all that is on the way.
-func (w *Way) Close() { w.closed, w.queue = true, nil }
+func (w *Path) Close() { w.closed, w.queue = true, nil }
 
 // send sends a message, again after a wait where it is lost.
-func (w *Way) send(m *message, wait time.Duration) {
+func (w *Path) transmit(m *message, wait time.Duration) {
 	if w.closed {
 		return
 	}
-	delay, loss := w.net.troubled(w.from, w.to)
+	delay, loss := w.net.impairment(w.from, w.to)
 	if loss > 0 && w.net.rng.Float64() < loss {
-		w.net.clock.After(wait, func() { w.send(m, min(2*wait, resendMost)) })
+		w.net.clock.After(wait, func() { w.transmit(m, min(2*wait, maxRetransmitWait)) })
 		return
 	}
 	w.net.clock.After(w.net.Delay()+delay, func() {
-		m.came = true
-		w.deliver()
+		m.received = true
+		w.deliverReceived()
 	})
 }
 
 // deliver hands on what has come, up to the first that has not.
-func (w *Way) deliver() {
-	for len(w.queue) > 0 && w.queue[0].came {
+func (w *Path) deliverReceived() {
+	for len(w.queue) > 0 && w.queue[0].received {
 		m := w.queue[0]
 		w.queue = w.queue[1:]
-		m.arrive()
+		m.deliver()
 	}
 }
--- a/lab/model/network_test.go
+++ b/lab/model/network_test.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-func network() (*Sim, *Network) {
-	clock := &Sim{}
-	return clock, NewNetwork(clock, NetworkConfig{Zones: 2, Net: time.Millisecond, Jitter: 0.9}, rand.New(rand.NewPCG(1, 1)))
+func network() (*VirtualClock, *Network) {
+	clock := &VirtualClock{}
+	return clock, NewNetwork(clock, NetworkConfig{Zones: 2, Latency: time.Millisecond, Jitter: 0.9}, rand.New(rand.NewPCG(1, 1)))
 }
 
 // carryAll sends a message each millisecond for two seconds and returns their numbers and times as they came.
-func carryAll(clock *Sim, w *Way) (order []int, at []time.Duration) {
+func sendAll(clock *VirtualClock, w *Path) (order []int, at []time.Duration) {
 	for i := range 2000 {
 		clock.After(time.Duration(i)*time.Millisecond, func() {
-			w.Carry(func() { order, at = append(order, i), append(at, clock.Now()) })
+			w.Send(func() { order, at = append(order, i), append(at, clock.Now()) })
 		})
 	}
 	clock.Run(time.Minute)
 	return order, at
 }
 
-func TestNothingIsLostForGoodAndNothingOvertakes(t *testing.T) {
+func TestPath_WithLoss_DeliversAllInOrder(t *testing.T) {
 	clock, n := network()
-	n.Begin(NetTrouble{From: 1, To: 2, Loss: 0.05})
-	order, at := carryAll(clock, n.Way(2, 1))
+	n.AddFault(NetworkFault{From: 1, To: 2, Loss: 0.05})
+	order, at := sendAll(clock, n.NewPath(2, 1))
 	if len(order) != 2000 || !slices.IsSorted(order) {
 		t.Fatalf("%d of 2000 came, in order: %v", len(order), slices.IsSorted(order))
 	}
@@ -34,40 +34,40 @@
 	for i, x := range order {
 		longest = max(longest, at[i]-time.Duration(x)*time.Millisecond)
 	}
-	if longest < resendFirst {
+	if longest < firstRetransmitWait {
 		t.Errorf("no message waited for one sent again: the longest took %v", longest)
 	}
 }
 
-func TestACutHoldsAllBackUntilItEnds(t *testing.T) {
+func TestPath_CutBetweenZones_DeliversAfterItsEnd(t *testing.T) {
 	clock, n := network()
-	end := n.Begin(NetTrouble{From: 1, To: 2, Loss: 1})
+	end := n.AddFault(NetworkFault{From: 1, To: 2, Loss: 1})
 	clock.After(5*time.Second, end)
-	_, at := carryAll(clock, n.Way(1, 2))
+	_, at := sendAll(clock, n.NewPath(1, 2))
 	if at[0] < 5*time.Second || len(at) != 2000 {
 		t.Errorf("%d came, the first at %v", len(at), at[0])
 	}
 }
 
-func TestATroubleIsItsZonesAlone(t *testing.T) {
+func TestNetwork_FaultBetweenZones_LeavesOtherPathsAlone(t *testing.T) {
 	clock, n := network()
-	n.Begin(NetTrouble{From: 1, To: 2, Delay: time.Second})
-	_, slow := carryAll(clock, n.Way(2, 1))
-	if !n.Troubled(2, 1) || n.Troubled(1, 1) {
+	n.AddFault(NetworkFault{From: 1, To: 2, Delay: time.Second})
+	_, slow := sendAll(clock, n.NewPath(2, 1))
+	if !n.HasFault(2, 1) || n.HasFault(1, 1) {
 		t.Error("troubled where it is not, or not where it is")
 	}
 	clock, n = network()
-	n.Begin(NetTrouble{From: 1, To: 2, Delay: time.Second})
-	_, quick := carryAll(clock, n.Way(1, 1))
+	n.AddFault(NetworkFault{From: 1, To: 2, Delay: time.Second})
+	_, quick := sendAll(clock, n.NewPath(1, 1))
 	if slow[0] < time.Second || quick[0] > 2*time.Millisecond {
 		t.Errorf("first after %v across and %v within", slow[0], quick[0])
 	}
 }
 
-func TestWhatIsOnAClosedWayIsGone(t *testing.T) {
+func TestPath_Close_DropsMessagesUnderWay(t *testing.T) {
 	clock, n := network()
-	w := n.Way(1, 1)
-	w.Carry(func() { t.Error("arrived on a closed way") })
+	w := n.NewPath(1, 1)
+	w.Send(func() { t.Error("arrived on a closed way") })
 	w.Close()
 	clock.Run(time.Second)
 }
--- a/lab/model/portion.go
+++ b/lab/model/portion.go
@@ -1,16 +1,16 @@
 package model
 
 // Portion picks exactly a share of what comes, spread evenly.
-type Portion struct {
+type Sampler struct {
 	Share float64
-	due   float64
+	accumulated   float64
 }
 
 // Next says whether the next one is picked.
-func (p *Portion) Next() bool {
-	if p.due += p.Share; p.due < 1 {
+func (p *Sampler) Next() bool {
+	if p.accumulated += p.Share; p.accumulated < 1 {
 		return false
 	}
-	p.due--
+	p.accumulated--
 	return true
 }
--- a/lab/model/shared.go
+++ b/lab/model/shared.go
@@ -7,110 +7,110 @@
 
 // Shared serves jobs side by side, as cores or a disk do: alone a job takes its own time, and where more than
 // places jobs are there they share what there is alike (processor sharing).
-type Shared struct {
+type ProcessorSharing struct {
 	clock  Clock
-	places float64
+	capacity float64
 	speed  float64 // 1: as told; 0: stands still
 	jobs   []*Job
-	at     time.Duration
-	stop   func()
+	updatedAt     time.Duration
+	cancelTimer   func()
 	Used   time.Duration // work done so far, in time of one place at speed 1
 }
 
 // Job is one piece of work at a Shared.
 type Job struct {
-	left float64 // in ns at speed 1
+	remaining float64 // in ns at speed 1
 	done func()
 }
 
 // NewShared returns a Shared with places, at speed 1.
-func NewShared(c Clock, places float64) *Shared {
-	return &Shared{clock: c, places: places, speed: 1, at: c.Now()}
+func NewProcessorSharing(c Clock, places float64) *ProcessorSharing {
+	return &ProcessorSharing{clock: c, capacity: places, speed: 1, updatedAt: c.Now()}
 }
 
 // Add begins a job that takes work alone at speed 1; done is called at its end.
-func (s *Shared) Add(work time.Duration, done func()) *Job {
-	s.settle()
-	j := &Job{left: float64(max(0, work)), done: done}
+func (s *ProcessorSharing) Add(work time.Duration, done func()) *Job {
+	s.advance()
+	j := &Job{remaining: float64(max(0, work)), done: done}
 	s.jobs = append(s.jobs, j)
-	s.plan()
+	s.schedule()
 	return j
 }
 
 // Remove takes a job away unfinished.
-func (s *Shared) Remove(j *Job) {
-	s.settle()
+func (s *ProcessorSharing) Remove(j *Job) {
+	s.advance()
 	s.jobs = slices.DeleteFunc(s.jobs, func(x *Job) bool { return x == j })
-	s.plan()
+	s.schedule()
 }
 
 // Clear takes all jobs away unfinished.
-func (s *Shared) Clear() {
-	s.settle()
+func (s *ProcessorSharing) Clear() {
+	s.advance()
 	s.jobs = nil
-	s.plan()
+	s.schedule()
 }
 
 // SetSpeed changes the speed from now on.
-func (s *Shared) SetSpeed(speed float64) {
+func (s *ProcessorSharing) SetSpeed(speed float64) {
 	if speed != s.speed {
-		s.settle()
+		s.advance()
 		s.speed = speed
-		s.plan()
+		s.schedule()
 	}
 }
 
 // Len is the number of jobs.
-func (s *Shared) Len() int { return len(s.jobs) }
+func (s *ProcessorSharing) Len() int { return len(s.jobs) }
 
 // rate is the progress of each job.
-func (s *Shared) rate() float64 {
+func (s *ProcessorSharing) rate() float64 {
 	if len(s.jobs) == 0 {
 		return 0
 	}
-	return s.speed * min(1, s.places/float64(len(s.jobs)))
+	return s.speed * min(1, s.capacity/float64(len(s.jobs)))
 }
 
 // settle counts what was done since it was last called.
-func (s *Shared) settle() {
+func (s *ProcessorSharing) advance() {
 	now := s.clock.Now()
-	part := s.rate() * float64(now-s.at)
-	s.at = now
+	part := s.rate() * float64(now-s.updatedAt)
+	s.updatedAt = now
 	for _, j := range s.jobs {
-		j.left -= part
+		j.remaining -= part
 		s.Used += time.Duration(part)
 	}
 }
 
 // plan sets the timer for the job that ends next.
-func (s *Shared) plan() {
-	if s.stop != nil {
-		s.stop()
-		s.stop = nil
+func (s *ProcessorSharing) schedule() {
+	if s.cancelTimer != nil {
+		s.cancelTimer()
+		s.cancelTimer = nil
 	}
 	rate := s.rate()
 	if rate == 0 {
 		return
 	}
-	least := s.jobs[0].left
+	least := s.jobs[0].remaining
 	for _, j := range s.jobs {
-		least = min(least, j.left)
+		least = min(least, j.remaining)
 	}
-	s.stop = s.clock.After(time.Duration(max(0, least)/rate)+1, s.fire)
+	s.cancelTimer = s.clock.After(time.Duration(max(0, least)/rate)+1, s.completeJobs)
 }
 
 // fire ends the jobs that are done, in the order in which they came.
-func (s *Shared) fire() {
-	s.settle()
+func (s *ProcessorSharing) completeJobs() {
+	s.advance()
 	var done []*Job
 	s.jobs = slices.DeleteFunc(s.jobs, func(j *Job) bool {
-		if j.left < 1 {
+		if j.remaining < 1 {
 			done = append(done, j)
 			return true
 		}
 		return false
 	})
-	s.plan()
+	s.schedule()
 	for _, j := range done {
 		j.done()
 	}
--- a/lab/scenario/play.go
+++ b/lab/scenario/play.go
@@ -27,7 +27,7 @@
 	DirectoryPart(share float64)
 	DirectoryBack()
 	// Network begins a trouble of the ways between zones; the returned function ends it.
-	Network(model.NetTrouble) (end func())
+	Network(model.NetworkFault) (end func())
 	// Demand changes what clients ask for.
 	Demand(change func(*loadgen.Demand)) error
 	FrontEnds() int
--- a/lab/scenario/verbs.go
+++ b/lab/scenario/verbs.go
@@ -50,11 +50,11 @@
 	{"directory-part", []Word{Share, For}, "the list names a share of the workers only", (*Play).directoryPart},
 	{"directory-back", nil, "the directory loses its index and tells the list anew", (*Play).directoryBack},
 	{"net-delay", []Word{Zone, OtherZone, By, For}, "messages between two zones take longer, both ways; a zone may be named twice",
-		network(func(t Trouble) model.NetTrouble { return model.NetTrouble{Delay: t.By} })},
+		network(func(t Trouble) model.NetworkFault { return model.NetworkFault{Delay: t.By} })},
 	{"net-loss", []Word{Zone, OtherZone, Rate, For}, "a share of the messages is lost and comes when it is sent again; all behind it wait",
-		network(func(t Trouble) model.NetTrouble { return model.NetTrouble{Loss: t.Factor} })},
+		network(func(t Trouble) model.NetworkFault { return model.NetworkFault{Loss: t.Factor} })},
 	{"net-cut", []Word{Zone, OtherZone, For}, "nothing passes between two zones",
-		network(func(Trouble) model.NetTrouble { return model.NetTrouble{Loss: 1} })},
+		network(func(Trouble) model.NetworkFault { return model.NetworkFault{Loss: 1} })},
 	{"leave", []Word{Share, For}, "clients close their connections early", (*Play).leave},
 	{"surge", []Word{Factor, For}, "calls come at so many times their rate", (*Play).surge},
 	{"flood", []Word{Tenant, Factor, For}, "one tenant asks so many times what it usually does", (*Play).flood},
@@ -243,7 +243,7 @@
 }
 
 // network makes a trouble of the ways between two zones.
-func network(of func(Trouble) model.NetTrouble) func(*Play, Trouble) error {
+func network(of func(Trouble) model.NetworkFault) func(*Play, Trouble) error {
 	return func(p *Play, t Trouble) error {
 		x := of(t)
 		x.From, x.To = t.Number, t.To
--- a/lab/simulation/front.go
+++ b/lab/simulation/front.go
@@ -230,10 +230,10 @@
 }
 
 // StoreStop stops the store.
-func (s *Sim) StoreStop(d time.Duration) { s.store.Stop(d) }
+func (s *Sim) StoreStop(d time.Duration) { s.store.StartOutage(d) }
 
 // StoreSlow slows the store.
-func (s *Sim) StoreSlow(factor float64) { s.store.Slow(factor) }
+func (s *Sim) StoreSlow(factor float64) { s.store.SetSlowdown(factor) }
 
 // DirectoryLag makes changes be told later.
 func (s *Sim) DirectoryLag(d time.Duration) { s.lag = d }
@@ -262,14 +262,14 @@
 func (s *Sim) Clock(i int, by time.Duration) { s.skew[i] = by }
 
 // StoreFail makes the store fail a share of the fetches.
-func (s *Sim) StoreFail(share float64) { s.store.Fail(share) }
+func (s *Sim) StoreFail(share float64) { s.store.SetFailureShare(share) }
 
 // Demand changes what clients ask for.
 func (s *Sim) Demand(change func(*loadgen.Demand)) error { return s.source.Change(change) }
 
 // Network begins a trouble of the ways between zones.
-func (s *Sim) Network(t model.NetTrouble) (end func()) {
-	end = s.net.Begin(t)
+func (s *Sim) Network(t model.NetworkFault) (end func()) {
+	end = s.net.AddFault(t)
 	for _, f := range s.fronts {
 		for _, l := range f.links {
 			l.watch()
--- a/lab/simulation/large_test.go
+++ b/lab/simulation/large_test.go
@@ -13,7 +13,7 @@
 	cfg := Config{Workers: 70, Cells: 14, FrontEnds: 240, Lasts: lasts, Seed: 1, Jitter: 0.3}
 	base := small(&testing.T{}, "", lasts)
 	cfg.Worker, cfg.Settings, cfg.LogLevel = base.Worker, base.Settings, base.LogLevel
-	cfg.Store = model.StoreConfig{Places: 40, Limit: 200, FallMultiple: 3, FallAfter: 3 * time.Second, FallFor: 2 * time.Second}
+	cfg.Store = model.StoreConfig{Places: 40, Limit: 200, OutageMultiple: 3, OutageAfter: 3 * time.Second, OutageDuration: 2 * time.Second}
 	cfg.Mix = loadgen.Mix{Rate: 3000, Functions: 60, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 600 * time.Millisecond,
 		MemoryMB: 300, Patience: 2 * time.Second, Habit: loadgen.Advised, Retries: 1}
 	return cfg
--- a/lab/simulation/link.go
+++ b/lab/simulation/link.go
@@ -37,7 +37,7 @@
 	breaking  bool   // it broke, and the front end does not know yet
 	stopped   bool
 	draining  bool
-	out, in   *model.Way           // of the connection
+	out, in   *model.Path           // of the connection
 	pulse     *reconnect.Keepalive // kept while something ails the way
 	zone, far int                  // of the front end and of the worker
 	index     int                  // of the worker
@@ -57,11 +57,11 @@
 }
 
 // to does f at the worker, after the way there, unless the connection broke meanwhile.
-func (l *link) to(f func()) { l.out.Carry(f) }
+func (l *link) to(f func()) { l.out.Send(f) }
 
 // from does f at the front end, after the way back.
 func (l *link) from(f func()) {
-	l.in.Carry(func() {
+	l.in.Send(func() {
 		if l.pulse != nil {
 			l.pulse.Received(l.sim.clock.Now())
 		}
@@ -72,7 +72,7 @@
 // open gives the link the ways of a new connection.
 func (l *link) open() {
 	l.shut()
-	l.out, l.in = l.sim.net.Way(l.zone, l.far), l.sim.net.Way(l.far, l.zone)
+	l.out, l.in = l.sim.net.NewPath(l.zone, l.far), l.sim.net.NewPath(l.far, l.zone)
 }
 
 // shut drops what is on the ways of the last connection.
@@ -99,10 +99,10 @@
 			l.lost(errTimeout)
 		}
 	})
-	l.out.Carry(func() {
-		l.in.Carry(func() {
-			l.out.Carry(func() {
-				l.sim.clock.After(l.sim.cfg.Handshake+l.sim.shakes[l.index], func() { l.in.Carry(func() { over(); l.met() }) })
+	l.out.Send(func() {
+		l.in.Send(func() {
+			l.out.Send(func() {
+				l.sim.clock.After(l.sim.cfg.Handshake+l.sim.shakes[l.index], func() { l.in.Send(func() { over(); l.met() }) })
 			})
 		})
 	})
@@ -124,7 +124,7 @@
 	up := l.worker.Uptime()
 	l.front.do(func(now time.Duration) {
 		l.front.gate.WorkerConnected(now, l.id, muxframe.Welcome{Version: muxframe.Version, Worker: l.worker.Config.Name,
-			Incarnation: uint64(l.worker.Life()), UptimeMillis: up.Milliseconds()})
+			Incarnation: uint64(l.worker.Incarnation()), UptimeMillis: up.Milliseconds()})
 	})
 	l.watch()
 	l.flush()
@@ -132,7 +132,7 @@
 
 // watch takes the connection's pulse as long as something ails its way. On a sound way there is nothing to find.
 func (l *link) watch() {
-	if l.connected && l.pulse == nil && l.sim.net.Troubled(l.zone, l.far) {
+	if l.connected && l.pulse == nil && l.sim.net.HasFault(l.zone, l.far) {
 		l.pulse = reconnect.NewKeepalive(l.sim.clock.Now())
 		l.check(l.pulse)
 	}
@@ -149,7 +149,7 @@
 		return
 	case verdict == reconnect.Ping:
 		l.to(func() { l.from(func() {}) })
-	case !l.sim.net.Troubled(l.zone, l.far):
+	case !l.sim.net.HasFault(l.zone, l.far):
 		l.pulse = nil
 		return
 	}
@@ -188,7 +188,7 @@
 	l.connected, l.breaking = false, true
 	l.open()
 	l.pulse = pulse
-	l.in.Carry(func() { l.broken(errReset) })
+	l.in.Send(func() { l.broken(errReset) })
 }
 
 // lost ends what was under way, or waited for a connection that cannot be had.
@@ -252,31 +252,31 @@
 	}
 }
 
-var statuses = map[model.Outcome]scheduler.Status{model.OK: scheduler.OK, model.Failed: scheduler.Error, model.Full: scheduler.Overloaded,
-	model.Miss: scheduler.NotLoaded}
+var statuses = map[model.Outcome]scheduler.Status{model.OK: scheduler.OK, model.Failed: scheduler.Error, model.Overloaded: scheduler.Overloaded,
+	model.NotLoaded: scheduler.NotLoaded}
 
-var warmths = map[model.Warmth]scheduler.ColdStart{model.Warm: scheduler.WarmStart, model.Began: scheduler.ColdStartTriggered,
-	model.Waited: scheduler.ColdStartAwaited, model.LoadBroke: scheduler.ColdStartFailed}
+var warmths = map[model.ColdStart]scheduler.ColdStart{model.WarmStart: scheduler.WarmStart, model.ColdStartTriggered: scheduler.ColdStartTriggered,
+	model.ColdStartAwaited: scheduler.ColdStartAwaited, model.ColdStartFailed: scheduler.ColdStartFailed}
 
 // handle gives an attempt to the worker.
 func (l *link) handle(a *muxclient.Attempt) {
 	c := &a.Request
 	work, _ := worker.ParseBody(string(a.Body), 0)
-	l.worker.Handle(&model.Call{ID: c.ID, Attempt: c.Attempt, FrontEnd: l.front.name, Class: c.Class, Key: c.IdempotencyKey,
-		Function: c.Replica.Function, MemoryMB: c.Replica.MemoryMB, Lanes: max(1, c.Replica.Concurrency), Work: work, Expires: a.Deadline,
-		Load: c.Replica.LoadTime()}, func(r model.Answer) {
+	l.worker.Handle(&model.Request{ID: c.ID, Attempt: c.Attempt, FrontEnd: l.front.name, Class: c.Class, IdempotencyKey: c.IdempotencyKey,
+		Function: c.Replica.Function, MemoryMB: c.Replica.MemoryMB, Concurrency: max(1, c.Replica.Concurrency), Work: work, Deadline: a.Deadline,
+		LoadTime: c.Replica.LoadTime()}, func(r model.Response) {
 		l.from(func() { l.answered(a, r) })
 	})
 }
 
-func (l *link) answered(a *muxclient.Attempt, r model.Answer) {
+func (l *link) answered(a *muxclient.Attempt, r model.Response) {
 	if !slices.Contains(l.attempts, a) {
 		l.front.do(l.front.gate.LateResponse)
 		return
 	}
 	l.drop(a)
-	result := muxclient.Result{Status: statuses[r.Outcome], ColdStart: warmths[r.Warmth], QueueDepth: r.Crowd,
-		LoadReport: []float64{float64(r.Waiting)}, RunTime: r.Ran, Response: &muxclient.Response{}}
+	result := muxclient.Result{Status: statuses[r.Outcome], ColdStart: warmths[r.ColdStart], QueueDepth: r.QueueDepth,
+		LoadReport: []float64{float64(r.Waiting)}, RunTime: r.RunTime, Response: &muxclient.Response{}}
 	l.ending = append(l.ending, a)
 	l.front.do(func(now time.Duration) {
 		l.heard(a)
@@ -296,7 +296,7 @@
 // order gives an order to the worker.
 func (l *link) order(o *muxclient.LoadOrder) {
 	c := o.Load.Replica
-	l.worker.Order(l.front.name, c.Function, o.Load.Replicas, c.MemoryMB, max(1, c.Concurrency),
+	l.worker.HandleLoadOrder(l.front.name, c.Function, o.Load.Replicas, c.MemoryMB, max(1, c.Concurrency),
 		c.LoadTime(), func(r model.Outcome, copies int) {
 			l.from(func() {
 				if !slices.Contains(l.orders, o) {
@@ -368,7 +368,7 @@
 // Probe asks for a load report.
 func (l *link) CheckHealth() {
 	l.push(func() {
-		report := []float64{float64(l.worker.Waiting())}
+		report := []float64{float64(l.worker.QueueLength())}
 		l.from(func() {
 			l.front.do(func(now time.Duration) { l.front.gate.HealthChecked(now, l.id, scheduler.OK, report) })
 		})
--- a/lab/simulation/sim.go
+++ b/lab/simulation/sim.go
@@ -86,8 +86,8 @@
 		x.Attempts, x.Loads = x.Attempts+c.Attempts, x.Loads+c.LoadOrders
 	}
 	for _, w := range s.workers {
-		x.Copies += w.Copies()
-		x.Waiting += w.Waiting()
+		x.Copies += w.ReplicaCount()
+		x.Waiting += w.QueueLength()
 	}
 	x.Fetches = s.store.Fetches
 	s.series = append(s.series, x)
@@ -111,7 +111,7 @@
 type Sim struct {
 	cfg     Config
 	set     *gatewayconfig.Settings
-	clock   *model.Sim
+	clock   *model.VirtualClock
 	rng     *rand.Rand
 	trace   *xxhash.Digest
 	book    *invariant.Book
@@ -203,17 +203,17 @@
 		return nil, err
 	}
 	set.FrontEnds = cfg.FrontEnds
-	s := &Sim{cfg: cfg, set: set, clock: &model.Sim{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x73696d)), trace: xxhash.New(),
+	s := &Sim{cfg: cfg, set: set, clock: &model.VirtualClock{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x73696d)), trace: xxhash.New(),
 		catalog: gateway.NewCatalog(set), part: 1, seen: map[string]int{},
 		byID: map[scheduler.WorkerID]int{}, functions: map[scheduler.FunctionID]string{}}
 	s.book = invariant.NewBookOn(epoch, s.clock.Now)
-	s.net = model.NewNetwork(s.clock, model.NetworkConfig{Zones: max(cfg.Zones, scenario.Zones(cfg.Troubles)), Net: cfg.Net,
+	s.net = model.NewNetwork(s.clock, model.NetworkConfig{Zones: max(cfg.Zones, scenario.Zones(cfg.Troubles)), Latency: cfg.Net,
 		Jitter: cfg.Jitter}, s.rng)
 	s.skew, s.shakes = make([]time.Duration, cfg.Workers), make([]time.Duration, cfg.Workers)
 	s.store = model.NewStore(s.clock, cfg.Store)
-	groups := model.Groups(cfg.Cells)
+	groups := model.NewKeyCaches(cfg.Cells)
 	for i := range cfg.Workers {
-		wc, cell := cfg.Worker.Numbered(i, len(groups))
+		wc, cell := cfg.Worker.ForWorker(i, len(groups))
 		w := model.NewWorker(s.clock, wc, fetcher{s}, groups[cell], observer{s.book, s})
 		s.workers = append(s.workers, w)
 		s.byID[gateway.WorkerID(wc.Name)] = i
@@ -295,23 +295,23 @@
 	s *Sim
 }
 
-func (o observer) Received(w *model.Worker, c *model.Call) {
+func (o observer) RequestReceived(w *model.Worker, c *model.Request) {
 	o.s.note("received"+w.Config.Name+c.ID, uint64(c.Attempt))
-	o.Book.Received(w, c)
+	o.Book.RequestReceived(w, c)
 }
 
-func (o observer) Answered(w *model.Worker, c *model.Call, out model.Outcome) {
+func (o observer) ResponseSent(w *model.Worker, c *model.Request, out model.Outcome) {
 	o.s.note("answered"+w.Config.Name+c.ID, uint64(out))
-	o.Book.Answered(w, c, out)
+	o.Book.ResponseSent(w, c, out)
 }
 
-func (o observer) Ordered(w *model.Worker, frontEnd, function string, copies int) {
+func (o observer) LoadOrderReceived(w *model.Worker, frontEnd, function string, copies int) {
 	o.s.note("ordered"+w.Config.Name+frontEnd+function, uint64(copies))
-	o.Book.Ordered(w, frontEnd, function, copies)
+	o.Book.LoadOrderReceived(w, frontEnd, function, copies)
 }
 
-func (o observer) Fell(w *model.Worker) {
-	o.Book.Fell(w)
+func (o observer) WorkerCrashed(w *model.Worker) {
+	o.Book.WorkerCrashed(w)
 	o.s.clock.After(0, func() { o.s.broke(w) })
 }
 
--- a/lab/worker/conn.go
+++ b/lab/worker/conn.go
@@ -29,7 +29,7 @@
 	done    chan struct{}
 	once    sync.Once
 	streams map[uint32]*outgoing
-	calls   map[uint32]*model.Call
+	calls   map[uint32]*model.Request
 }
 
 // outgoing is an answer that is being sent in parts.
@@ -37,7 +37,7 @@
 
 func (s *Server) serve(nc net.Conn) {
 	c := &conn{s: s, raw: nc, net: nc, kick: make(chan struct{}, 1), done: make(chan struct{}),
-		streams: map[uint32]*outgoing{}, calls: map[uint32]*model.Call{}}
+		streams: map[uint32]*outgoing{}, calls: map[uint32]*model.Request{}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -177,7 +177,7 @@
 	case muxframe.TypeHealthCheck:
 		c.s.Do(func(w *model.Worker) {
 			c.send(muxframe.TypeHealthReport, 0, muxframe.HealthReport{Status: muxframe.StatusOK,
-				LoadReport: []float64{float64(w.Waiting())}}, nil)
+				LoadReport: []float64{float64(w.QueueLength())}}, nil)
 		})
 	case muxframe.TypePing:
 		c.send(muxframe.TypePong, 0, nil, nil)
@@ -219,20 +219,20 @@
 	work, reply := ParseBody(string(f.Body), c.s.cfg.Work)
 	number, window := f.StreamID, int(in.Window)
 	c.s.Do(func(w *model.Worker) {
-		call := &model.Call{ID: in.ID, Attempt: in.Attempt, FrontEnd: c.frontEnd, Class: in.Class, Key: in.IdempotencyKey,
-			Function: in.Replica.Function, MemoryMB: in.Replica.MemoryMB, Lanes: max(1, in.Replica.Concurrency),
-			Load: in.Replica.LoadTime(), Work: work,
-			Expires: c.s.world.Now() + time.Duration(in.TimeoutMillis)*time.Millisecond}
+		call := &model.Request{ID: in.ID, Attempt: in.Attempt, FrontEnd: c.frontEnd, Class: in.Class, IdempotencyKey: in.IdempotencyKey,
+			Function: in.Replica.Function, MemoryMB: in.Replica.MemoryMB, Concurrency: max(1, in.Replica.Concurrency),
+			LoadTime: in.Replica.LoadTime(), Work: work,
+			Deadline: c.s.world.Now() + time.Duration(in.TimeoutMillis)*time.Millisecond}
 		c.mu.Lock()
 		c.calls[number] = call
 		c.mu.Unlock()
-		w.Handle(call, func(a model.Answer) { c.answer(number, window, reply, a) })
+		w.Handle(call, func(a model.Response) { c.answer(number, window, reply, a) })
 	})
 	return nil
 }
 
 // answer sends a worker's answer, with the troubles that the socket has. It is called within the world.
-func (c *conn) answer(number uint32, window, size int, a model.Answer) {
+func (c *conn) answer(number uint32, window, size int, a model.Response) {
 	t := c.s.troubles()
 	if t.late > 0 {
 		c.s.world.After(t.late, func() { c.reply(number, window, size, a, t) })
@@ -241,7 +241,7 @@
 	c.reply(number, window, size, a, t)
 }
 
-func (c *conn) reply(number uint32, window, size int, a model.Answer, t faults) {
+func (c *conn) reply(number uint32, window, size int, a model.Response, t faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.calls, number)
@@ -250,9 +250,9 @@
 		c.append(muxframe.TypePong, 0, nil, nil)
 		return
 	}
-	crowd := a.Crowd
-	head := muxframe.Response{Status: muxframe.Status(a.Outcome), ColdStart: muxframe.ColdStart(a.Warmth), QueueDepth: &crowd,
-		LoadReport: []float64{float64(a.Waiting)}, ContentType: "text/plain", RunMillis: float64(a.Ran) / float64(time.Millisecond)}
+	crowd := a.QueueDepth
+	head := muxframe.Response{Status: muxframe.Status(a.Outcome), ColdStart: muxframe.ColdStart(a.ColdStart), QueueDepth: &crowd,
+		LoadReport: []float64{float64(a.Waiting)}, ContentType: "text/plain", RunMillis: float64(a.RunTime) / float64(time.Millisecond)}
 	if a.Outcome != model.OK {
 		head.Problem, size = "emulated", 0
 	}
@@ -316,7 +316,7 @@
 	}
 	number := f.StreamID
 	c.s.Do(func(w *model.Worker) {
-		w.Order(c.frontEnd, in.Replica.Function, in.Replicas, in.Replica.MemoryMB, in.Replica.Concurrency, in.Replica.LoadTime(),
+		w.HandleLoadOrder(c.frontEnd, in.Replica.Function, in.Replicas, in.Replica.MemoryMB, in.Replica.Concurrency, in.Replica.LoadTime(),
 			func(o model.Outcome, copies int) {
 				c.send(muxframe.TypeLoadResult, number, muxframe.LoadResult{Status: muxframe.Status(o), Replicas: copies}, nil)
 			})
--- a/lab/worker/shaped.go
+++ b/lab/worker/shaped.go
@@ -14,8 +14,8 @@
 // shaped is a connection whose bytes take the ways of a model.Network once it has them.
 type shaped struct {
 	net.Conn
-	world   *model.World
-	out, in *model.Way // within world; nil: no way has been given yet
+	world   *model.RealClock
+	out, in *model.Path // within world; nil: no way has been given yet
 	done    chan struct{}
 	once    sync.Once
 	came    chan chunk // from the peer, in order
@@ -31,7 +31,7 @@
 }
 
 // shape wraps a connection. The two tasks end with it.
-func shape(c net.Conn, world *model.World, tasks *sync.WaitGroup) *shaped {
+func shape(c net.Conn, world *model.RealClock, tasks *sync.WaitGroup) *shaped {
 	s := &shaped{Conn: c, world: world, done: make(chan struct{}), came: make(chan chunk, chunksMost),
 		leaves: make(chan []byte, chunksMost), going: make(chan struct{}, chunksMost), coming: make(chan struct{}, chunksMost)}
 	tasks.Go(s.pull)
@@ -40,13 +40,13 @@
 }
 
 // take gives the connection its ways from now on.
-func (s *shaped) take(in, out *model.Way) { s.world.Do(func() { s.in, s.out = in, out }) }
+func (s *shaped) take(in, out *model.Path) { s.world.Do(func() { s.in, s.out = in, out }) }
 
 // carry does f when what is sent now has come.
-func (s *shaped) carry(way func() *model.Way, f func()) {
+func (s *shaped) carry(way func() *model.Path, f func()) {
 	s.world.Do(func() {
 		if w := way(); w != nil {
-			w.Carry(f)
+			w.Send(f)
 		} else {
 			f()
 		}
@@ -63,7 +63,7 @@
 		}
 		b := make([]byte, 4<<10)
 		n, err := s.Conn.Read(b)
-		s.carry(func() *model.Way { return s.in }, func() { s.came <- chunk{b[:n], err} })
+		s.carry(func() *model.Path { return s.in }, func() { s.came <- chunk{b[:n], err} })
 		if err != nil {
 			return
 		}
@@ -112,7 +112,7 @@
 		return 0, net.ErrClosed
 	}
 	c := append([]byte(nil), b...)
-	s.carry(func() *model.Way { return s.out }, func() { s.leaves <- c })
+	s.carry(func() *model.Path { return s.out }, func() { s.leaves <- c })
 	return len(b), nil
 }
 
--- a/lab/worker/worker.go
+++ b/lab/worker/worker.go
@@ -18,13 +18,13 @@
 	Address string        // host:port; port 0 takes a free one
 	Work    time.Duration // of a call whose body does not tell
 	// Ways are the ways from and to a front end; nil: there is nothing between them.
-	Ways func(frontEnd string) (in, out *model.Way)
+	Ways func(frontEnd string) (in, out *model.Path)
 }
 
 // Server is one emulated worker.
 type Server struct {
 	cfg   Config
-	world *model.World
+	world *model.RealClock
 	model *model.Worker // within world
 
 	mu       sync.Mutex
@@ -45,7 +45,7 @@
 }
 
 // Start starts a worker that runs since long ago.
-func Start(world *model.World, cfg Config, store model.Fetcher, group *model.Group, seen model.Observer) (*Server, error) {
+func Start(world *model.RealClock, cfg Config, store model.Fetcher, group *model.KeyCache, seen model.Observer) (*Server, error) {
 	s := &Server{cfg: cfg, world: world, conns: map[*conn]bool{}, address: cfg.Address}
 	world.Do(func() { s.model = model.NewWorker(world, cfg.WorkerConfig, store, group, fallen{seen, s}) })
 	if err := s.listen(); err != nil {
@@ -60,8 +60,8 @@
 	s *Server
 }
 
-func (f fallen) Fell(w *model.Worker) {
-	f.Observer.Fell(w)
+func (f fallen) WorkerCrashed(w *model.Worker) {
+	f.Observer.WorkerCrashed(w)
 	f.s.unplug()
 }
 
@@ -108,14 +108,14 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.world.Do(s.model.Die)
+	s.world.Do(s.model.Crash)
 	s.unplug()
 	s.tasks.Wait()
 }
 
 // Running says whether the process runs, and since when by its own clock.
 func (s *Server) Running() (up bool, uptime time.Duration, life int) {
-	s.world.Do(func() { up, uptime, life = s.model.Up(), s.model.Uptime(), s.model.Life() })
+	s.world.Do(func() { up, uptime, life = s.model.Up(), s.model.Uptime(), s.model.Incarnation() })
 	return up, uptime, life
 }
 
