--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -21,8 +21,10 @@
 
 // New returns what makes a policy by its name, nil for "module" and for a name that is none.
 func New(name string) func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Scheduler {
-	pick := map[string]picker{"random": random, "round-robin": roundRobin, "least-out": leastOut, "two-choices": twoChoices,
-		"rendezvous": rendezvous}[name]
+	pick := map[string]picker{
+		"random": random, "round-robin": roundRobin, "least-out": leastOut, "two-choices": twoChoices,
+		"rendezvous": rendezvous,
+	}[name]
 	if pick == nil {
 		return nil
 	}
@@ -69,8 +71,10 @@
 const tick = 20 * time.Millisecond
 
 func newPolicy(now time.Duration, set scheduler.Settings, a scheduler.Actions, pick picker) *policy {
-	p := &policy{set: set, act: a, pick: pick, now: now, requests: map[scheduler.RequestID]*request{},
-		rng: rand.New(rand.NewPCG(set.Seed, 0x62617365))}
+	p := &policy{
+		set: set, act: a, pick: pick, now: now, requests: map[scheduler.RequestID]*request{},
+		rng: rand.New(rand.NewPCG(set.Seed, 0x62617365)),
+	}
 	a.SetTimer(tick, 0)
 	return p
 }
@@ -237,8 +241,10 @@
 func (p *policy) LoadEnded(now time.Duration, _ scheduler.LoadResult)            { p.now = now }
 func (p *policy) ResponseStarted(now time.Duration, _ scheduler.RequestID)       { p.now = now }
 func (p *policy) HealthChecked(now time.Duration, _ scheduler.HealthCheckResult) { p.now = now }
-func random(p *policy, _ *request, among []*worker) *worker                      { return among[p.rng.IntN(len(among))] }
-func leastOut(p *policy, _ *request, among []*worker) *worker                    { p.turn++; return fewest(among, p.turn) }
+func random(p *policy, _ *request, among []*worker) *worker { return among[p.rng.IntN(len(among))] }
+
+func leastOut(p *policy, _ *request, among []*worker) *worker { p.turn++; return fewest(among, p.turn) }
+
 func roundRobin(p *policy, _ *request, among []*worker) *worker {
 	p.turn++
 	return among[p.turn%len(among)]
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -31,7 +31,7 @@
 type Pool struct {
 	Name    string // of the front end
 	Address string
-	Book    *invariant.Book
+	Book    *invariant.History
 	Grace   time.Duration // how much longer than its patience a client listens, to note a late answer
 
 	mu   sync.Mutex
@@ -50,22 +50,24 @@
 	if err != nil {
 		return Seen{}, err
 	}
-	ask := p.Book.Ask(invariant.Ask{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, FrontEnd: p.Name,
-		Patience: c.Patience})
+	ask := p.Book.RequestSent(invariant.Request{
+		ID: c.ID, Class: c.Class, Tenant: c.Tenant, IdempotencyKey: c.IdempotencyKey, FrontEnd: p.Name,
+		Timeout: c.Timeout,
+	})
 	began := time.Now() // before the timer, so that a client that left took as long as it waits at least
-	if c.LeaveAfter > 0 {
-		timer := time.AfterFunc(c.LeaveAfter, func() { n.Close() })
+	if c.DisconnectAfter > 0 {
+		timer := time.AfterFunc(c.DisconnectAfter, func() { n.Close() })
 		defer timer.Stop()
 	}
 	seen, err := p.exchange(n, ask, c)
 	seen.Took = time.Since(began)
 	if err != nil {
 		n.Close()
-		p.Book.End(ask, c.LeaveAfter > 0 && seen.Took >= c.LeaveAfter)
+		p.Book.RequestEnded(ask, c.DisconnectAfter > 0 && seen.Took >= c.DisconnectAfter)
 		return seen, nil
 	}
 	if n.in.Buffered() > 0 { // more than one answer to one call
-		p.Book.Reply(ask, "unasked", false)
+		p.Book.ResponseReceived(ask, "unasked", false)
 		n.Close()
 		return seen, nil
 	}
@@ -124,8 +126,8 @@
 	p.free = nil
 }
 
-func (p *Pool) exchange(n *conn, ask *invariant.Ask, c loadgen.Call) (Seen, error) {
-	_ = n.SetDeadline(time.Now().Add(c.Patience + p.Grace))
+func (p *Pool) exchange(n *conn, ask *invariant.Request, c loadgen.Call) (Seen, error) {
+	_ = n.SetDeadline(time.Now().Add(c.Timeout + p.Grace))
 	if _, err := n.Write(request(c)); err != nil {
 		return Seen{}, err
 	}
@@ -140,9 +142,9 @@
 		seen.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
 	if id := r.Header.Get("Call-Id"); seen.Outcome != "invalid" && id != "" && id != c.ID {
-		p.Book.Reply(ask, "another call's", false)
+		p.Book.ResponseReceived(ask, "another call's", false)
 	}
-	p.Book.Reply(ask, seen.Outcome, err == nil)
+	p.Book.ResponseReceived(ask, seen.Outcome, err == nil)
 	if r.Close || err != nil {
 		n.Close() // found dead when it is next taken
 	}
@@ -150,19 +152,22 @@
 }
 
 func request(c loadgen.Call) []byte {
-	body := append(worker.Body(c.Work, c.Reply), bytes.Repeat([]byte(" "), c.Pad)...)
+	body := append(worker.Body(c.Work, c.ResponseBytes), bytes.Repeat([]byte(" "), c.PaddingBytes)...)
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "POST /call/%s HTTP/1.1\r\nHost: lab\r\nContent-Length: %d\r\nCall-Id: %s\r\nCall-Patience: %d\r\n",
-		c.Function, len(body), c.ID, c.Patience.Milliseconds())
-	for _, h := range []struct{ name, value string }{{"Call-Class", c.Class}, {"Call-Tenant", c.Tenant},
-		{"Idempotency-Key", c.Key}} {
+		c.Function, len(body), c.ID, c.Timeout.Milliseconds())
+	for _, h := range []struct{ name, value string }{
+		{"Call-Class", c.Class},
+		{"Call-Tenant", c.Tenant},
+		{"Idempotency-Key", c.IdempotencyKey},
+	} {
 		if h.value != "" {
 			fmt.Fprintf(&out, "%s: %s\r\n", h.name, h.value)
 		}
 	}
 	if c.MemoryMB > 0 {
-		fmt.Fprintf(&out, "Call-Memory: %g\r\nCall-Lanes: %d\r\nCall-Load: %v\r\n", c.MemoryMB, max(1, c.Lanes),
-			max(time.Millisecond, c.Load))
+		fmt.Fprintf(&out, "Call-Memory: %g\r\nCall-Lanes: %d\r\nCall-Load: %v\r\n", c.MemoryMB, max(1, c.Concurrency),
+			max(time.Millisecond, c.LoadTime))
 	}
 	out.WriteString("\r\n")
 	out.Write(body)
--- a/lab/client/run.go
+++ b/lab/client/run.go
@@ -55,9 +55,9 @@
 			seen.Outcome = "unreachable"
 		}
 		o.Outcome, o.Took, o.Tries = seen.Outcome, time.Since(due), try+1
-		o.Lost = seen.Outcome == "" && c.LeaveAfter == 0
-		wait, again := c.Again(try, seen.Outcome, seen.RetryAfter)
-		if !again || c.LeaveAfter > 0 || !Sleep(ctx, wait) {
+		o.Lost = seen.Outcome == "" && c.DisconnectAfter == 0
+		wait, again := c.Retry(try, seen.Outcome, seen.RetryAfter)
+		if !again || c.DisconnectAfter > 0 || !Sleep(ctx, wait) {
 			return o
 		}
 	}
--- a/lab/discoveryserver/directory.go
+++ b/lab/discoveryserver/directory.go
@@ -54,8 +54,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("directory: %w", err)
 	}
-	s := &Server{addr: l.Addr().String(), done: make(chan struct{}), entries: map[string]Entry{}, index: 1,
-		change: make(chan struct{}), partial: 1}
+	s := &Server{
+		addr: l.Addr().String(), done: make(chan struct{}), entries: map[string]Entry{}, index: 1,
+		change: make(chan struct{}), partial: 1,
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/health/service/{name}", s.health)
 	s.http.Handler = mux
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"havencart/lab/simulation"
 )
 
-const short = `
+const quickSpec = `
 title "a test"
 seeds 3
 variant module
@@ -44,15 +44,17 @@
 	return s
 }
 
-func silent(string) {}
+func ignore(string) {}
 
-func TestAllErrorsOfASpecAreTold(t *testing.T) {
+func TestParse_ManyErrors_ReportsAll(t *testing.T) {
 	_, err := Parse("spec", "seeds 0\nvariant a\npolicy best\nend\nvariant b\nset\nend\nvariant c\nset colour red\nend\nday d\nrate -1\nat noon crash 5% for 1s\nlasts 3s\nend\n")
 	if !errors.Is(err, ErrSpec) {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"spec:1:7: seeds", "spec:6:1: set", "spec:12:6: rate", "spec:13:4: found \"noon\"", `variant "a" on day "d": no policy "best"`,
-		`variant "c" on day "d"`, `found "colour"`} {
+	for _, want := range []string{
+		"spec:1:7: seeds", "spec:6:1: set", "spec:12:6: rate", "spec:13:4: found \"noon\"", `variant "a" on day "d": no policy "best"`,
+		`variant "c" on day "d"`, `found "colour"`,
+	} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("no %q in:\n%v", want, err)
 		}
@@ -60,8 +62,8 @@
 }
 
 // TestAnExperimentThatWasKilledGoesOn: known runs are not played again, a line cut off by the kill is.
-func TestAnExperimentThatWasKilledGoesOn(t *testing.T) {
-	s := parse(t, short)
+func TestRun_InterruptedExperiment_Resumes(t *testing.T) {
+	s := parse(t, quickSpec)
 	path := filepath.Join(t.TempDir(), "results")
 	ctx, cancel := context.WithCancel(context.Background())
 	n := 0
@@ -85,20 +87,20 @@
 	if err != nil || len(cells) != 18 || played != 18-kept+1 {
 		t.Errorf("%d cells, %d played after %d were kept, error %v", len(cells), played, kept, err)
 	}
-	whole, err := s.Run(context.Background(), filepath.Join(t.TempDir(), "results"), 4, silent)
+	whole, err := s.Run(context.Background(), filepath.Join(t.TempDir(), "results"), 4, ignore)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range cells {
 		if cells[i].Result.Trace != whole[i].Result.Trace || cells[i].Result.Tally != whole[i].Result.Tally {
-			t.Errorf("%s on %s, seed %d differs from a run in one go", cells[i].Variant, cells[i].Day, cells[i].Seed)
+			t.Errorf("%s on %s, seed %d differs from a run in one go", cells[i].Variant, cells[i].Scenario, cells[i].Seed)
 		}
 	}
 }
 
-func TestAVariantThatCrashesIsToldAndTheOthersGoOn(t *testing.T) {
-	s := parse(t, strings.Replace(short, "  policy random\n", "  program /does/not/exist\n", 1))
-	cells, err := s.Run(context.Background(), filepath.Join(t.TempDir(), "results"), 2, silent)
+func TestRun_VariantThatCrashes_IsReportedAndOthersRun(t *testing.T) {
+	s := parse(t, strings.Replace(quickSpec, "  policy random\n", "  program /does/not/exist\n", 1))
+	cells, err := s.Run(context.Background(), filepath.Join(t.TempDir(), "results"), 2, ignore)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,18 +118,18 @@
 }
 
 // cells makes runs with services that a test names, by variant and seed on one day.
-func made(s *Spec, service map[string][]float64) (list []Cell) {
+func cellsWithService(s *Spec, service map[string][]float64) (list []Cell) {
 	for name, values := range service {
 		for i, v := range values {
-			r := simulation.Result{Score: invariant.Score{Course: invariant.Course{Part: invariant.Part{Asked: 1, Got: v}}}}
-			list = append(list, Cell{Variant: name, Day: "quiet", Seed: uint64(s.First + i), Result: r})
+			r := simulation.Result{Score: invariant.Score{Timeline: invariant.Timeline{ServiceLevel: invariant.ServiceLevel{Offered: 1, Earned: v}}}}
+			list = append(list, Cell{Variant: name, Scenario: "quiet", Seed: uint64(s.FirstSeed + i), Result: r})
 		}
 	}
 	return list
 }
 
-func TestVerdictsFollowTheSpread(t *testing.T) {
-	s := parse(t, strings.Replace(short, "seeds 3", "seeds 8", 1))
+func TestCompareScenario_DifferenceAndSpread_DecideVerdict(t *testing.T) {
+	s := parse(t, strings.Replace(quickSpec, "seeds 3", "seeds 8", 1))
 	first := []float64{0.5, 0.7, 0.6, 0.9, 0.4, 0.8, 0.55, 0.65} // days differ far more than variants
 	shifted := func(by, spread float64) (out []float64) {
 		for i, x := range first {
@@ -138,20 +140,20 @@
 	for _, x := range []struct {
 		by, spread float64
 		want       Verdict
-	}{{0.02, 0.005, Better}, {-0.02, 0.005, Worse}, {0.002, 0.05, Alike}, {0, 0, Alike}} {
-		list := s.CompareDay(made(s, map[string][]float64{"module": first, "random": shifted(x.by, x.spread)}), "quiet")
+	}{{0.02, 0.005, Better}, {-0.02, 0.005, Worse}, {0.002, 0.05, Inconclusive}, {0, 0, Inconclusive}} {
+		list := s.CompareScenario(cellsWithService(s, map[string][]float64{"module": first, "random": shifted(x.by, x.spread)}), "quiet")
 		c := list[1]
-		if c.Verdict != x.want || c.Low > c.Effect || c.High < c.Effect {
+		if c.Verdict != x.want || c.Low > c.Difference || c.High < c.Difference {
 			t.Errorf("by %v, spread %v: %+v", x.by, x.spread, c)
 		}
-		if (x.spread == 0.05) != (c.More > 0) {
-			t.Errorf("by %v, spread %v: %d more seeds", x.by, x.spread, c.More)
+		if (x.spread == 0.05) != (c.SeedsNeeded > 0) {
+			t.Errorf("by %v, spread %v: %d more seeds", x.by, x.spread, c.SeedsNeeded)
 		}
 	}
 }
 
 // TestIntervalsHoldWhatTheySay: of 95% intervals over pairs without a difference, about 95% hold 0.
-func TestIntervalsHoldWhatTheySay(t *testing.T) {
+func TestEstimate_NoDifference_IntervalHoldsZeroNinetyFivePercent(t *testing.T) {
 	rng, misses, rounds := rand.New(rand.NewPCG(7, 7)), 0, 400
 	for range rounds {
 		var diffs []float64
@@ -159,8 +161,8 @@
 			diffs = append(diffs, rng.NormFloat64())
 		}
 		var c Comparison
-		c.judge([][]float64{diffs})
-		if c.Verdict != Alike {
+		c.estimate([][]float64{diffs})
+		if c.Verdict != Inconclusive {
 			misses++
 		}
 	}
@@ -169,22 +171,22 @@
 	}
 }
 
-func TestARunWithABrokenRuleCountsForNothing(t *testing.T) {
-	s := parse(t, short)
-	cells := made(s, map[string][]float64{"module": {0.9, 0.9, 0.9}, "random": {0.9, 0.9, 0.9}})
+func TestCompareScenario_RunWithViolation_CountsZero(t *testing.T) {
+	s := parse(t, quickSpec)
+	cells := cellsWithService(s, map[string][]float64{"module": {0.9, 0.9, 0.9}, "random": {0.9, 0.9, 0.9}})
 	for i := range cells {
 		if cells[i].Variant == "random" {
-			cells[i].Result.Breaks = []invariant.Break{{Rule: "cold", What: "x"}}
+			cells[i].Result.Violations = []invariant.Violation{{Rule: "cold", What: "x"}}
 		}
 	}
-	c := s.CompareDay(cells, "quiet")[1]
-	if c.Mean != 0 || c.Broken != 3 || c.Verdict != Worse {
+	c := s.CompareScenario(cells, "quiet")[1]
+	if c.Mean != 0 || c.InvalidRuns != 3 || c.Verdict != Worse {
 		t.Errorf("%+v", c)
 	}
 }
 
-func TestSettingsAreOverriddenOutsideBlocksOnly(t *testing.T) {
-	got := override("keep-alive 10s\nclass a\n  aim 1s\nend\naim 3s\n", []string{"keep-alive 5s", "aim 2s"})
+func TestOverrideSettings_LinesInBlocks_StayUnchanged(t *testing.T) {
+	got := overrideSettings("keep-alive 10s\nclass a\n  aim 1s\nend\naim 3s\n", []string{"keep-alive 5s", "aim 2s"})
 	if want := "class a\n  aim 1s\nend\n\nkeep-alive 5s\naim 2s\n"; got != want {
 		t.Errorf("%q", got)
 	}
--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -32,7 +32,7 @@
 	ListLag   time.Duration
 	Mix       keyedMix
 	Lasts     time.Duration
-	Troubles  []scenario.Trouble // printed by its String method
+	Troubles  []scenario.Fault // printed by its String method
 	Seed      uint64
 	LogLevel  zerolog.Level
 	Policy    string
@@ -91,14 +91,14 @@
 		Worker:    keyedWorkerOf(&cfg.Worker),
 		Store:     keyedStoreOf(&cfg.Store),
 		Settings:  cfg.Settings,
-		Net:       cfg.Net,
+		Net:       cfg.NetworkLatency,
 		Jitter:    cfg.Jitter,
 		Handshake: cfg.Handshake,
 		Zones:     cfg.Zones,
-		ListLag:   cfg.ListLag,
+		ListLag:   cfg.DiscoveryLag,
 		Mix:       keyedMixOf(&cfg.Mix),
-		Lasts:     cfg.Lasts,
-		Troubles:  cfg.Troubles,
+		Lasts:     cfg.Duration,
+		Troubles:  cfg.Faults,
 		Seed:      cfg.Seed,
 		LogLevel:  cfg.LogLevel,
 		Policy:    cfg.Policy,
@@ -157,7 +157,7 @@
 }
 
 // key is a hash of all that a run depends on, the program that plays it included.
-func (s *Spec) key(v Variant, d Day, seed, program uint64) string {
+func (s *Spec) key(v Variant, d Scenario, seed, program uint64) string {
 	h := xxhash.New()
 	cfg := s.config(v, d, seed)
 	fmt.Fprintf(h, "%+v %x", keyed(&cfg), program)
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -17,21 +17,21 @@
 
 // Cell is one run: a variant on a day with a seed.
 type Cell struct {
-	Variant string
-	Day     string
-	Seed    uint64
-	Key     string // of all that the run depends on
-	Failed  string // why the variant could not be played to its end
-	Result  simulation.Result
+	Variant  string
+	Scenario string
+	Seed     uint64
+	Key      string // of all that the run depends on
+	Failed   string // why the variant could not be played to its end
+	Result   simulation.Result
 }
 
 // Void is why the run counts for nothing, empty where it counts.
-func (c *Cell) Void() string {
+func (c *Cell) InvalidReason() string {
 	switch r := &c.Result; {
 	case c.Failed != "":
 		return "failed: " + c.Failed
-	case len(r.Breaks) > 0:
-		return fmt.Sprintf("broke rule %s (%d times): %s", r.Breaks[0].Rule, len(r.Breaks), r.Breaks[0].What)
+	case len(r.Violations) > 0:
+		return fmt.Sprintf("broke rule %s (%d times): %s", r.Violations[0].Rule, len(r.Violations), r.Violations[0].What)
 	case !r.Tally.Balanced():
 		return fmt.Sprintf("does not account for all calls: %v", r.Tally)
 	}
@@ -40,7 +40,7 @@
 
 // Service is what the run counts.
 func (c *Cell) Service() float64 {
-	if c.Void() != "" {
+	if c.InvalidReason() != "" {
 		return 0
 	}
 	return c.Result.Score.Service()
@@ -49,7 +49,7 @@
 // Run plays all cells that results does not have yet, several at a time, and appends each to that file as it
 // ends: a run that was killed goes on where it stood. tell is told how it goes.
 func (s *Spec) Run(ctx context.Context, results string, parallel int, tell func(string)) ([]Cell, error) {
-	known, err := read(results)
+	known, err := readResults(results)
 	if err != nil {
 		return nil, err
 	}
@@ -68,14 +68,14 @@
 		}
 	}
 	tell(fmt.Sprintf("%d runs, %d of them known from %s", len(cells), len(cells)-len(todo), results))
-	if err := s.play(ctx, todo, out, parallel, tell); err != nil {
+	if err := s.runCells(ctx, todo, out, parallel, tell); err != nil {
 		return nil, err
 	}
 	return cells, ctx.Err()
 }
 
 // play plays cells, several at a time.
-func (s *Spec) play(ctx context.Context, todo []*Cell, out *os.File, parallel int, tell func(string)) error {
+func (s *Spec) runCells(ctx context.Context, todo []*Cell, out *os.File, parallel int, tell func(string)) error {
 	var tasks sync.WaitGroup
 	var mu sync.Mutex
 	var firstErr error
@@ -83,7 +83,7 @@
 	for range parallel {
 		tasks.Go(func() {
 			for c := range next {
-				s.one(ctx, c)
+				s.runCell(ctx, c)
 				mu.Lock()
 				if ctx.Err() == nil {
 					line, err := json.Marshal(c)
@@ -91,7 +91,7 @@
 						_, err = out.Write(append(line, '\n'))
 					}
 					firstErr = errors.Join(firstErr, err)
-					tell(fmt.Sprintf("%-12s %-12s seed %d: %.3f %s", c.Variant, c.Day, c.Seed, c.Service(), c.Failed))
+					tell(fmt.Sprintf("%-12s %-12s seed %d: %.3f %s", c.Variant, c.Scenario, c.Seed, c.Service(), c.Failed))
 				}
 				mu.Unlock()
 			}
@@ -118,11 +118,11 @@
 			programs[v.Program] = fingerprint(v.Program)
 		}
 	}
-	for _, d := range s.Days {
+	for _, d := range s.Scenarios {
 		for i := range s.Seeds {
 			for _, v := range s.Variants {
-				seed := uint64(s.First + i)
-				list = append(list, Cell{Variant: v.Name, Day: d.Name, Seed: seed, Key: s.key(v, d, seed, programs[v.Program])})
+				seed := uint64(s.FirstSeed + i)
+				list = append(list, Cell{Variant: v.Name, Scenario: d.Name, Seed: seed, Key: s.key(v, d, seed, programs[v.Program])})
 			}
 		}
 	}
@@ -130,13 +130,13 @@
 }
 
 // one plays one cell, here or by another program. A variant that fails is told, and the others go on.
-func (s *Spec) one(ctx context.Context, c *Cell) {
-	v, d := s.find(c.Variant, c.Day)
+func (s *Spec) runCell(ctx context.Context, c *Cell) {
+	v, d := s.find(c.Variant, c.Scenario)
 	if v.Program == "" {
-		c.Result, c.Failed = here(s.config(v, d, c.Seed))
+		c.Result, c.Failed = runHere(s.config(v, d, c.Seed))
 		return
 	}
-	out, err := exec.CommandContext(ctx, v.Program, "cell", s.Path, c.Variant, c.Day, fmt.Sprint(c.Seed)).Output()
+	out, err := exec.CommandContext(ctx, v.Program, "cell", s.Path, c.Variant, c.Scenario, fmt.Sprint(c.Seed)).Output()
 	var stored StoredResult
 	if err == nil {
 		err = json.Unmarshal(out, &stored)
@@ -148,7 +148,7 @@
 }
 
 // here plays a run in this process; a panic of the variant is its failure.
-func here(cfg simulation.Config) (r simulation.Result, failed string) {
+func runHere(cfg simulation.Config) (r simulation.Result, failed string) {
 	defer func() {
 		if trouble := recover(); trouble != nil {
 			failed = fmt.Sprint("panic: ", trouble)
@@ -171,13 +171,13 @@
 	return ResultOf(&r), err
 }
 
-func (s *Spec) find(variant, day string) (v Variant, d Day) {
+func (s *Spec) find(variant, day string) (v Variant, d Scenario) {
 	for _, x := range s.Variants {
 		if x.Name == variant {
 			v = x
 		}
 	}
-	for _, x := range s.Days {
+	for _, x := range s.Scenarios {
 		if x.Name == day {
 			d = x
 		}
@@ -186,7 +186,7 @@
 }
 
 // read reads the cells of a results file. A last line that was cut off by a kill is passed over.
-func read(path string) (map[string]Cell, error) {
+func readResults(path string) (map[string]Cell, error) {
 	known := map[string]Cell{}
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/lab/experiment/spec.go
+++ b/lab/experiment/spec.go
@@ -23,96 +23,98 @@
 
 // Spec is an experiment as its file has it.
 type Spec struct {
-	Path     string
-	Title    string
-	Seeds    int
-	First    int
-	Days     []Day
-	Variants []Variant
+	Path      string
+	Title     string
+	Seeds     int
+	FirstSeed int
+	Scenarios []Scenario
+	Variants  []Variant
 }
 
 // Day is an installation, its clients and its troubles.
-type Day struct {
+type Scenario struct {
 	Name                      string
 	Workers, Cells, FrontEnds int
-	Lasts                     time.Duration
-	Lag                       time.Duration
+	Duration                  time.Duration
+	DiscoveryLag              time.Duration
 	Mix                       loadgen.Mix
-	Queue                     int
-	Memory                    float64
-	Cores                     float64
-	Miss                      bool
-	StorePlaces               float64
+	WorkerQueue               int
+	WorkerMemoryMB            float64
+	WorkerCores               float64
+	ReportsNotLoaded          bool
+	StoreConcurrency          float64
 	StoreLimit                int
 	Tenants                   int
-	Quota                     float64
-	Troubles                  []scenario.Trouble
+	TenantQuota               float64
+	Faults                    []scenario.Fault
 }
 
 // Variant is what is set beside others.
 type Variant struct {
-	Name    string
-	Policy  string
-	Set     []string // lines of settings
-	Program string   // another build of havencart, by path; empty: this one
+	Name      string
+	Policy    string
+	Overrides []string // lines of settings
+	Program   string   // another build of havencart, by path; empty: this one
 }
 
-const hour = time.Hour
+const maxDuration = time.Hour
 
 var specTable = []directive.Directive[Spec]{
 	directive.Text("title", "words in quotes", "", "what it is about", func(s *Spec) *string { return &s.Title }),
 	directive.Number("seeds", 1, 10000, "8", "runs of each variant on each day", func(s *Spec) *int { return &s.Seeds }),
-	directive.Number("first-seed", 0, 1<<30, "1", "the first seed", func(s *Spec) *int { return &s.First }),
+	directive.Number("first-seed", 0, 1<<30, "1", "the first seed", func(s *Spec) *int { return &s.FirstSeed }),
 }
 
-var dayTable = []directive.Directive[Day]{
-	directive.Number("workers", 1, 10000, "12", "emulated workers", func(d *Day) *int { return &d.Workers }),
-	directive.Number("cells", 1, 1000, "3", "groups of workers that share keys", func(d *Day) *int { return &d.Cells }),
-	directive.Number("front-ends", 1, 10000, "3", "front ends", func(d *Day) *int { return &d.FrontEnds }),
-	directive.Duration("lasts", time.Second, hour, "30s", "how long clients call", func(d *Day) *time.Duration { return &d.Lasts }),
-	directive.Duration("list-lag", time.Millisecond, hour, "1s", "mean time until a front end hears of a change",
-		func(d *Day) *time.Duration { return &d.Lag }),
-	directive.Real("rate", 0.1, 1e6, "150", "calls a second", func(d *Day) *float64 { return &d.Mix.Rate }),
+var scenarioTable = []directive.Directive[Scenario]{
+	directive.Number("workers", 1, 10000, "12", "emulated workers", func(d *Scenario) *int { return &d.Workers }),
+	directive.Number("cells", 1, 1000, "3", "groups of workers that share keys", func(d *Scenario) *int { return &d.Cells }),
+	directive.Number("front-ends", 1, 10000, "3", "front ends", func(d *Scenario) *int { return &d.FrontEnds }),
+	directive.Duration("lasts", time.Second, maxDuration, "30s", "how long clients call", func(d *Scenario) *time.Duration { return &d.Duration }),
+	directive.Duration("list-lag", time.Millisecond, maxDuration, "1s", "mean time until a front end hears of a change",
+		func(d *Scenario) *time.Duration { return &d.DiscoveryLag }),
+	directive.Real("rate", 0.1, 1e6, "150", "calls a second", func(d *Scenario) *float64 { return &d.Mix.Rate }),
 	directive.Choice("shape", []string{"steady", "bursty", "ramp", "daily"}, []loadgen.Shape{loadgen.Steady, loadgen.Bursty, loadgen.Ramp, loadgen.Daily},
-		"steady", "how the rate changes", func(d *Day) *loadgen.Shape { return &d.Mix.Shape }),
-	directive.Number("functions", 1, 1e6, "12", "functions of each class", func(d *Day) *int { return &d.Mix.Functions }),
-	directive.Real("zipf", 1.01, 10, "1.3", "exponent of their popularity", func(d *Day) *float64 { return &d.Mix.Zipf }),
-	directive.Real("once", 0, 1, "0", "share of calls for functions wanted once", func(d *Day) *float64 { return &d.Mix.Once }),
-	directive.Duration("drift", 0, hour, "0s", "a fifth of the functions give way after each; 0s: never",
-		func(d *Day) *time.Duration { return &d.Mix.Drift }),
-	directive.Duration("work", 0, hour, "60ms", "mean work of a call", func(d *Day) *time.Duration { return &d.Mix.Work }),
-	directive.Real("sigma", 0, 3, "0.6", "of its lognormal distribution", func(d *Day) *float64 { return &d.Mix.WorkSigma }),
-	directive.Duration("load", 0, hour, "600ms", "time of a load", func(d *Day) *time.Duration { return &d.Mix.Load }),
-	directive.Real("size", 1, 1e6, "400", "megabytes of a copy", func(d *Day) *float64 { return &d.Mix.MemoryMB }),
-	directive.Duration("patience", time.Millisecond, hour, "2s", "of clients, at most", func(d *Day) *time.Duration { return &d.Mix.Patience }),
+		"steady", "how the rate changes", func(d *Scenario) *loadgen.Shape { return &d.Mix.Shape }),
+	directive.Number("functions", 1, 1e6, "12", "functions of each class", func(d *Scenario) *int { return &d.Mix.Functions }),
+	directive.Real("zipf", 1.01, 10, "1.3", "exponent of their popularity", func(d *Scenario) *float64 { return &d.Mix.Zipf }),
+	directive.Real("once", 0, 1, "0", "share of calls for functions wanted once", func(d *Scenario) *float64 { return &d.Mix.Once }),
+	directive.Duration("drift", 0, maxDuration, "0s", "a fifth of the functions give way after each; 0s: never",
+		func(d *Scenario) *time.Duration { return &d.Mix.Drift }),
+	directive.Duration("work", 0, maxDuration, "60ms", "mean work of a call", func(d *Scenario) *time.Duration { return &d.Mix.Work }),
+	directive.Real("sigma", 0, 3, "0.6", "of its lognormal distribution", func(d *Scenario) *float64 { return &d.Mix.WorkSigma }),
+	directive.Duration("load", 0, maxDuration, "600ms", "time of a load", func(d *Scenario) *time.Duration { return &d.Mix.Load }),
+	directive.Real("size", 1, 1e6, "400", "megabytes of a copy", func(d *Scenario) *float64 { return &d.Mix.MemoryMB }),
+	directive.Duration("patience", time.Millisecond, maxDuration, "2s", "of clients, at most", func(d *Scenario) *time.Duration { return &d.Mix.Patience }),
 	directive.Choice("habit", []string{"never", "at-once", "wait", "advised", "impolite"},
 		[]loadgen.Habit{loadgen.Never, loadgen.AtOnce, loadgen.Wait, loadgen.Advised, loadgen.Impolite}, "advised", "what clients do after a refusal",
-		func(d *Day) *loadgen.Habit { return &d.Mix.Habit }),
-	directive.Number("retries", 0, 100, "1", "times at most", func(d *Day) *int { return &d.Mix.Retries }),
-	directive.Real("cores", 0.1, 1000, "4", "of a worker", func(d *Day) *float64 { return &d.Cores }),
-	directive.Real("memory", 1, 1e9, "4000", "megabytes of a worker", func(d *Day) *float64 { return &d.Memory }),
-	directive.Number("queue", 1, 1e6, "100", "calls that may wait at a worker", func(d *Day) *int { return &d.Queue }),
-	directive.OnOff("miss", "off", "workers answer miss in place of loading", func(d *Day) *bool { return &d.Miss }),
-	directive.Real("store-places", 0.1, 1e6, "8", "fetches that the store serves at full pace", func(d *Day) *float64 { return &d.StorePlaces }),
+		func(d *Scenario) *loadgen.Habit { return &d.Mix.Habit }),
+	directive.Number("retries", 0, 100, "1", "times at most", func(d *Scenario) *int { return &d.Mix.Retries }),
+	directive.Real("cores", 0.1, 1000, "4", "of a worker", func(d *Scenario) *float64 { return &d.WorkerCores }),
+	directive.Real("memory", 1, 1e9, "4000", "megabytes of a worker", func(d *Scenario) *float64 { return &d.WorkerMemoryMB }),
+	directive.Number("queue", 1, 1e6, "100", "calls that may wait at a worker", func(d *Scenario) *int { return &d.WorkerQueue }),
+	directive.OnOff("miss", "off", "workers answer miss in place of loading", func(d *Scenario) *bool { return &d.ReportsNotLoaded }),
+	directive.Real("store-places", 0.1, 1e6, "8", "fetches that the store serves at full pace", func(d *Scenario) *float64 { return &d.StoreConcurrency }),
 	directive.Number("tenants", 0, 100000, "0", "t1, t2 and so on with equal shares, in place of the demo's two; 0: those",
-		func(d *Day) *int { return &d.Tenants }),
+		func(d *Scenario) *int { return &d.Tenants }),
 	directive.Real("tenant-quota", 0, 1e9, "0", "calls a second that each of them may make; 0: no limit",
-		func(d *Day) *float64 { return &d.Quota }),
-	directive.OnOff("own-functions", "off", "each tenant calls functions of its own", func(d *Day) *bool { return &d.Mix.OwnFunctions }),
-	directive.Number("store-limit", 1, 1e6, "40", "fetches in hand beyond which it refuses", func(d *Day) *int { return &d.StoreLimit }),
+		func(d *Scenario) *float64 { return &d.TenantQuota }),
+	directive.OnOff("own-functions", "off", "each tenant calls functions of its own", func(d *Scenario) *bool { return &d.Mix.OwnFunctions }),
+	directive.Number("store-limit", 1, 1e6, "40", "fetches in hand beyond which it refuses", func(d *Scenario) *int { return &d.StoreLimit }),
 }
 
 var variantTable = []directive.Directive[Variant]{
 	directive.Text("policy", "module, oracle, random, round-robin, least-out, two-choices or rendezvous", "module", "what decides",
 		func(v *Variant) *string { return &v.Policy }),
-	{Name: "set", Takes: "a line of settings", Help: "in place of the line of that directive", Words: -1, Many: true,
+	{
+		Name: "set", Takes: "a line of settings", Help: "in place of the line of that directive", Words: -1, Many: true,
 		Set: func(v *Variant, words []string) error {
 			if len(words) < 2 {
 				return directive.ErrValue
 			}
-			v.Set = append(v.Set, strings.Join(words, " "))
+			v.Overrides = append(v.Overrides, strings.Join(words, " "))
 			return nil
-		}},
+		},
+	},
 	directive.Text("program", "a path", "", "another build of havencart, say of another commit", func(v *Variant) *string { return &v.Program }),
 }
 
@@ -132,8 +134,8 @@
 	p.Top = func(at directive.Place, words []directive.Word) {
 		switch words[0].Text {
 		case "day":
-			directive.Block(p, at, words, dayTable, func(d *Day) *string { return &d.Name }, &s.Days, func(d *Day, at directive.Place, w []directive.Word) bool {
-				return d.trouble(p, at, w)
+			directive.Block(p, at, words, scenarioTable, func(d *Scenario) *string { return &d.Name }, &s.Scenarios, func(d *Scenario, at directive.Place, w []directive.Word) bool {
+				return d.parseFault(p, at, w)
 			})
 		case "variant":
 			directive.Block(p, at, words, variantTable, func(v *Variant) *string { return &v.Name }, &s.Variants, nil)
@@ -142,11 +144,11 @@
 		}
 	}
 	p.Parse(path, text)
-	if len(s.Days) == 0 || len(s.Variants) == 0 {
-		p.Fail(directive.Place{File: path}, 0, "%d days and %d variants; at least one of each is needed", len(s.Days), len(s.Variants))
+	if len(s.Scenarios) == 0 || len(s.Variants) == 0 {
+		p.Fail(directive.Place{File: path}, 0, "%d days and %d variants; at least one of each is needed", len(s.Scenarios), len(s.Variants))
 	}
 	for _, v := range s.Variants {
-		for _, d := range s.Days {
+		for _, d := range s.Scenarios {
 			if _, err := simulation.Check(s.config(v, d, 1)); err != nil {
 				p.Fail(directive.Place{File: path}, 0, "variant %q on day %q: %v", v.Name, d.Name, err)
 			}
@@ -159,7 +161,7 @@
 }
 
 // trouble takes the lines of a day that are a script's: troubles, and scripts by file.
-func (d *Day) trouble(p *directive.Parser, at directive.Place, words []directive.Word) bool {
+func (d *Scenario) parseFault(p *directive.Parser, at directive.Place, words []directive.Word) bool {
 	switch words[0].Text {
 	case "at":
 		line, _, _ := strings.Cut(at.Text, "#")
@@ -169,7 +171,7 @@
 			return true
 		}
 		t.Line = at.Line
-		d.Troubles = append(d.Troubles, t)
+		d.Faults = append(d.Faults, t)
 	case "script":
 		if len(words) != 2 {
 			p.Fail(at, words[0].Column, "script takes one file")
@@ -180,7 +182,7 @@
 		if err != nil {
 			p.Fail(at, words[1].Column, "%v", err)
 		}
-		d.Troubles = append(d.Troubles, list...)
+		d.Faults = append(d.Faults, list...)
 	default:
 		return false
 	}
@@ -188,34 +190,36 @@
 }
 
 // config is a variant on a day with a seed.
-func (s *Spec) config(v Variant, d Day, seed uint64) simulation.Config {
+func (s *Spec) config(v Variant, d Scenario, seed uint64) simulation.Config {
 	worker := fleet.DemoWorker()
-	worker.Cores, worker.MemoryMB, worker.Queue, worker.MissAnswers = d.Cores, d.Memory, d.Queue, d.Miss
+	worker.Cores, worker.MemoryMB, worker.Queue, worker.MissAnswers = d.WorkerCores, d.WorkerMemoryMB, d.WorkerQueue, d.ReportsNotLoaded
 	store := fleet.DemoStore()
-	store.Places, store.Limit = d.StorePlaces, d.StoreLimit
-	set := v.Set
-	if d.Miss {
+	store.Places, store.Limit = d.StoreConcurrency, d.StoreLimit
+	set := v.Overrides
+	if d.ReportsNotLoaded {
 		set = append([]string{"on-miss miss"}, set...)
 	}
-	return simulation.Config{Workers: d.Workers, Cells: d.Cells, FrontEnds: d.FrontEnds, Worker: worker, Settings: override(d.settings(), set),
-		Store: store, Mix: d.Mix, Lasts: d.Lasts, ListLag: d.Lag, Jitter: 0.3, Troubles: d.Troubles, Seed: seed, Policy: v.Policy, LogLevel: zerolog.InfoLevel}
+	return simulation.Config{
+		Workers: d.Workers, Cells: d.Cells, FrontEnds: d.FrontEnds, Worker: worker, Settings: overrideSettings(d.settings(), set),
+		Store: store, Mix: d.Mix, Duration: d.Duration, DiscoveryLag: d.DiscoveryLag, Jitter: 0.3, Faults: d.Faults, Seed: seed, Policy: v.Policy, LogLevel: zerolog.InfoLevel,
+	}
 }
 
 // settings are the demo's, with the day's tenants.
-func (d *Day) settings() string {
+func (d *Scenario) settings() string {
 	if d.Tenants == 0 {
 		return fleet.DemoSettings
 	}
 	var text strings.Builder
 	text.WriteString(fleet.DemoClasses)
 	for i := range d.Tenants {
-		fmt.Fprintf(&text, "tenant t%d\n  share %v\n  quota %v\nend\n", i+1, 1/float64(d.Tenants), d.Quota)
+		fmt.Fprintf(&text, "tenant t%d\n  share %v\n  quota %v\nend\n", i+1, 1/float64(d.Tenants), d.TenantQuota)
 	}
 	return text.String()
 }
 
 // override puts lines in place of those of the same directive outside blocks.
-func override(text string, set []string) string {
+func overrideSettings(text string, set []string) string {
 	given := map[string]bool{}
 	for _, line := range set {
 		given[strings.Fields(line)[0]] = true
--- a/lab/experiment/stats.go
+++ b/lab/experiment/stats.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	resamples = 4000
-	smallest  = 0.01 // difference of service that is worth telling apart
+	resamples          = 4000
+	smallestDifference = 0.01 // difference of service that is worth telling apart
 )
 
 // Verdict is what can be said of a variant beside the first one.
@@ -18,21 +18,21 @@
 
 // The verdicts.
 const (
-	Better Verdict = "better"
-	Worse  Verdict = "worse"
-	Alike  Verdict = "not told apart"
+	Better       Verdict = "better"
+	Worse        Verdict = "worse"
+	Inconclusive Verdict = "not told apart"
 )
 
 // Comparison sets a variant beside the first one, on the same days and seeds.
 type Comparison struct {
-	Variant   string
-	Mean      float64 // service
-	Goodput   float64 // worth got a second, where no rule broke
-	Effect    float64 // mean difference to the first
-	Low, High float64 // 95% interval of it, by the paired bootstrap
-	Verdict   Verdict
-	More      int // seeds a day that it would take besides to tell it, or a difference of 0.01, apart; 0: none
-	Broken    int // runs in which a rule broke or the variant failed
+	Variant     string
+	Mean        float64 // service
+	Goodput     float64 // worth got a second, where no rule broke
+	Difference  float64 // mean difference to the first
+	Low, High   float64 // 95% interval of it, by the paired bootstrap
+	Verdict     Verdict
+	SeedsNeeded int // seeds a day that it would take besides to tell it, or a difference of 0.01, apart; 0: none
+	InvalidRuns int // runs in which a rule broke or the variant failed
 }
 
 // Compare compares all variants with the first of the Spec. Differences are drawn again with replacement
@@ -42,7 +42,7 @@
 }
 
 // CompareDay compares them on one day.
-func (s *Spec) CompareDay(cells []Cell, day string) []Comparison {
+func (s *Spec) CompareScenario(cells []Cell, day string) []Comparison {
 	return s.compare(cells, func(d string) bool { return d == day })
 }
 
@@ -56,17 +56,17 @@
 	broken := map[string]int{}
 	for i := range cells {
 		c := &cells[i]
-		if !wanted(c.Day) {
+		if !wanted(c.Scenario) {
 			continue
 		}
 		if service[c.Variant] == nil {
 			service[c.Variant] = map[run]float64{}
 		}
-		service[c.Variant][run{c.Day, c.Seed}] = c.Service()
+		service[c.Variant][run{c.Scenario, c.Seed}] = c.Service()
 		if seconds := len(c.Result.Score.Seconds); seconds > 0 && c.Service() > 0 {
-			worth[c.Variant] = append(worth[c.Variant], c.Result.Score.Got/float64(seconds))
+			worth[c.Variant] = append(worth[c.Variant], c.Result.Score.Earned/float64(seconds))
 		}
-		if c.Void() != "" {
+		if c.InvalidReason() != "" {
 			broken[c.Variant]++
 		}
 	}
@@ -75,10 +75,10 @@
 	for _, v := range s.Variants {
 		var byDay [][]float64
 		var all []float64
-		for _, d := range s.Days {
+		for _, d := range s.Scenarios {
 			var diffs []float64
 			for i := range s.Seeds {
-				r := run{d.Name, uint64(s.First + i)}
+				r := run{d.Name, uint64(s.FirstSeed + i)}
 				x, here := service[v.Name][r]
 				if y, there := first[r]; here && there {
 					diffs, all = append(diffs, x-y), append(all, x)
@@ -88,23 +88,23 @@
 				byDay = append(byDay, diffs)
 			}
 		}
-		c := Comparison{Variant: v.Name, Mean: stat.Mean(all, nil), Broken: broken[v.Name]}
+		c := Comparison{Variant: v.Name, Mean: stat.Mean(all, nil), InvalidRuns: broken[v.Name]}
 		if len(worth[v.Name]) > 0 {
 			c.Goodput = stat.Mean(worth[v.Name], nil)
 		}
-		c.judge(byDay)
+		c.estimate(byDay)
 		list = append(list, c)
 	}
 	return list
 }
 
 // judge fills the comparison from the differences by day.
-func (c *Comparison) judge(byDay [][]float64) {
+func (c *Comparison) estimate(byDay [][]float64) {
 	if len(byDay) == 0 {
-		c.Verdict = Alike
+		c.Verdict = Inconclusive
 		return
 	}
-	c.Effect = meanOfMeans(byDay)
+	c.Difference = meanOfMeans(byDay)
 	rng := rand.New(rand.NewPCG(1, 2)) // the same cells give the same interval
 	means := make([]float64, resamples)
 	drawn := make([][]float64, len(byDay))
@@ -127,8 +127,8 @@
 	case c.High < 0:
 		c.Verdict = Worse
 	default:
-		c.Verdict = Alike
-		c.More = more(byDay, max(math.Abs(c.Effect), smallest))
+		c.Verdict = Inconclusive
+		c.SeedsNeeded = seedsNeeded(byDay, max(math.Abs(c.Difference), smallestDifference))
 	}
 }
 
@@ -141,7 +141,7 @@
 }
 
 // more is how many more seeds a day it would take to tell an effect apart at 95%, by the spread seen.
-func more(byDay [][]float64, effect float64) int {
+func seedsNeeded(byDay [][]float64, effect float64) int {
 	variance, least := 0.0, len(byDay[0])
 	for _, day := range byDay {
 		least = min(least, len(day))
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -119,7 +119,7 @@
 func (c Cell) MarshalJSON() ([]byte, error) {
 	return json.Marshal(storedCell{
 		Variant: c.Variant,
-		Day:     c.Day,
+		Day:     c.Scenario,
 		Seed:    c.Seed,
 		Key:     c.Key,
 		Failed:  c.Failed,
@@ -134,12 +134,12 @@
 		return err
 	}
 	*c = Cell{
-		Variant: s.Variant,
-		Day:     s.Day,
-		Seed:    s.Seed,
-		Key:     s.Key,
-		Failed:  s.Failed,
-		Result:  s.Result.Result(),
+		Variant:  s.Variant,
+		Scenario: s.Day,
+		Seed:     s.Seed,
+		Key:      s.Key,
+		Failed:   s.Failed,
+		Result:   s.Result.Result(),
 	}
 	return nil
 }
@@ -148,39 +148,39 @@
 func ResultOf(r *simulation.Result) StoredResult {
 	return StoredResult{
 		Tally:  tallyOf(r.Tally),
-		Breaks: convertAll(r.Breaks, breakOf),
+		Breaks: convertAll(r.Violations, breakOf),
 		Score: storedScore{
-			storedCourse: courseOf(r.Score.Course),
-			Calls:        r.Score.Calls,
+			storedCourse: courseOf(r.Score.Timeline),
+			Calls:        r.Score.Requests,
 			ByClass:      coursesOf(r.Score.ByClass),
 			ByTenant:     coursesOf(r.Score.ByTenant),
 		},
 		Counts: countsOf(r.Counts),
 		Store:  storeOf(r.Store),
 		Trace:  r.Trace,
-		Seen:   r.Seen,
-		Series: convertAll(r.Series, sampleOf),
-		Told:   r.Told,
+		Seen:   r.Outcomes,
+		Series: convertAll(r.Samples, sampleOf),
+		Told:   r.Log,
 	}
 }
 
 // Result is the result that was stored.
 func (s *StoredResult) Result() simulation.Result {
 	return simulation.Result{
-		Tally:  s.Tally.tally(),
-		Breaks: convertAll(s.Breaks, storedBreak.violation),
+		Tally:      s.Tally.tally(),
+		Violations: convertAll(s.Breaks, storedBreak.violation),
 		Score: invariant.Score{
-			Course:   s.Score.course(),
-			Calls:    s.Score.Calls,
+			Timeline: s.Score.course(),
+			Requests: s.Score.Calls,
 			ByClass:  readCourses(s.Score.ByClass),
 			ByTenant: readCourses(s.Score.ByTenant),
 		},
-		Counts: s.Counts.counts(),
-		Store:  s.Store.totals(),
-		Trace:  s.Trace,
-		Seen:   s.Seen,
-		Series: convertAll(s.Series, storedSample.sample),
-		Told:   s.Told,
+		Counts:   s.Counts.counts(),
+		Store:    s.Store.totals(),
+		Trace:    s.Trace,
+		Outcomes: s.Seen,
+		Samples:  convertAll(s.Series, storedSample.sample),
+		Log:      s.Told,
 	}
 }
 
@@ -209,25 +209,25 @@
 	return converted
 }
 
-func courseOf(c invariant.Course) storedCourse {
+func courseOf(c invariant.Timeline) storedCourse {
 	return storedCourse{
-		storedPart: partOf(c.Part),
+		storedPart: partOf(c.ServiceLevel),
 		Seconds:    convertAll(c.Seconds, partOf),
 	}
 }
 
-func (s storedCourse) course() invariant.Course {
-	return invariant.Course{
-		Part:    s.storedPart.part(),
-		Seconds: convertAll(s.Seconds, storedPart.part),
+func (s storedCourse) course() invariant.Timeline {
+	return invariant.Timeline{
+		ServiceLevel: s.storedPart.part(),
+		Seconds:      convertAll(s.Seconds, storedPart.part),
 	}
 }
 
-func coursesOf(table map[string]*invariant.Course) map[string]*storedCourse {
+func coursesOf(table map[string]*invariant.Timeline) map[string]*storedCourse {
 	return convertValues(table, courseOf)
 }
 
-func readCourses(table map[string]*storedCourse) map[string]*invariant.Course {
+func readCourses(table map[string]*storedCourse) map[string]*invariant.Timeline {
 	return convertValues(table, storedCourse.course)
 }
 
@@ -285,59 +285,59 @@
 
 func tallyOf(x invariant.Tally) storedTally {
 	return storedTally{
-		Asked:    x.Asked,
+		Asked:    x.Sent,
 		Served:   x.Served,
-		Refused:  x.Refused,
+		Refused:  x.Rejected,
 		Failed:   x.Failed,
-		Left:     x.Left,
-		Killed:   x.Killed,
+		Left:     x.Disconnected,
+		Killed:   x.AtKilledFrontEnds,
 		Attempts: x.Attempts,
-		Runs:     x.Runs,
-		Orders:   x.Orders,
-		Falls:    x.Falls,
+		Runs:     x.Executions,
+		Orders:   x.LoadOrders,
+		Falls:    x.WorkerCrashes,
 	}
 }
 
 func (s storedTally) tally() invariant.Tally {
 	return invariant.Tally{
-		Asked:    s.Asked,
-		Served:   s.Served,
-		Refused:  s.Refused,
-		Failed:   s.Failed,
-		Left:     s.Left,
-		Killed:   s.Killed,
-		Attempts: s.Attempts,
-		Runs:     s.Runs,
-		Orders:   s.Orders,
-		Falls:    s.Falls,
+		Sent:              s.Asked,
+		Served:            s.Served,
+		Rejected:          s.Refused,
+		Failed:            s.Failed,
+		Disconnected:      s.Left,
+		AtKilledFrontEnds: s.Killed,
+		Attempts:          s.Attempts,
+		Executions:        s.Runs,
+		LoadOrders:        s.Orders,
+		WorkerCrashes:     s.Falls,
 	}
 }
 
-func breakOf(x invariant.Break) storedBreak {
+func breakOf(x invariant.Violation) storedBreak {
 	return storedBreak{
 		Rule: x.Rule,
 		What: x.What,
 	}
 }
 
-func (s storedBreak) violation() invariant.Break {
-	return invariant.Break{
+func (s storedBreak) violation() invariant.Violation {
+	return invariant.Violation{
 		Rule: s.Rule,
 		What: s.What,
 	}
 }
 
-func partOf(x invariant.Part) storedPart {
+func partOf(x invariant.ServiceLevel) storedPart {
 	return storedPart{
-		Asked: x.Asked,
-		Got:   x.Got,
+		Asked: x.Offered,
+		Got:   x.Earned,
 	}
 }
 
-func (s storedPart) part() invariant.Part {
-	return invariant.Part{
-		Asked: s.Asked,
-		Got:   s.Got,
+func (s storedPart) part() invariant.ServiceLevel {
+	return invariant.ServiceLevel{
+		Offered: s.Asked,
+		Earned:  s.Got,
 	}
 }
 
@@ -351,36 +351,36 @@
 
 func (s storedStore) totals() model.StoreTotals {
 	return model.StoreTotals{
-		Fetches: s.Fetches,
+		Fetches:  s.Fetches,
 		Rejected: s.Refused,
-		Outages:   s.Falls,
+		Outages:  s.Falls,
 	}
 }
 
 func sampleOf(x simulation.Sample) storedSample {
 	return storedSample{
-		InHand:   x.InHand,
-		Copies:   x.Copies,
-		Waiting:  x.Waiting,
+		InHand:   x.InFlight,
+		Copies:   x.Replicas,
+		Waiting:  x.Queued,
 		Served:   x.Served,
-		Refused:  x.Refused,
+		Refused:  x.Rejected,
 		Failed:   x.Failed,
 		Attempts: x.Attempts,
-		Loads:    x.Loads,
+		Loads:    x.LoadOrders,
 		Fetches:  x.Fetches,
 	}
 }
 
 func (s storedSample) sample() simulation.Sample {
 	return simulation.Sample{
-		InHand:   s.InHand,
-		Copies:   s.Copies,
-		Waiting:  s.Waiting,
-		Served:   s.Served,
-		Refused:  s.Refused,
-		Failed:   s.Failed,
-		Attempts: s.Attempts,
-		Loads:    s.Loads,
-		Fetches:  s.Fetches,
+		InFlight:   s.InHand,
+		Replicas:   s.Copies,
+		Queued:     s.Waiting,
+		Served:     s.Served,
+		Rejected:   s.Refused,
+		Failed:     s.Failed,
+		Attempts:   s.Attempts,
+		LoadOrders: s.Loads,
+		Fetches:    s.Fetches,
 	}
 }
--- a/lab/experiment/stored_test.go
+++ b/lab/experiment/stored_test.go
@@ -153,7 +153,7 @@
 
 // TestResultOf_ResultOfARun_IsReadBack covers empty tables and lists, which JSON tells from missing ones.
 func TestResultOf_ResultOfARun_IsReadBack(t *testing.T) {
-	r := simulation.Result{Seen: map[string]int{}, Series: []simulation.Sample{}, Told: []string{}}
+	r := simulation.Result{Outcomes: map[string]int{}, Samples: []simulation.Sample{}, Log: []string{}}
 	raw, err := json.Marshal(ResultOf(&r))
 	if err != nil {
 		t.Fatal(err)
--- a/lab/faultsearch/hunt.go
+++ b/lab/faultsearch/hunt.go
@@ -30,7 +30,7 @@
 
 // Find is a bad day.
 type Find struct {
-	Troubles       []scenario.Trouble
+	Troubles       []scenario.Fault
 	Module, Oracle float64 // service
 	Broken         string  // a rule that the module broke, and how
 }
@@ -95,7 +95,7 @@
 
 // round tries new scripts, half of them mutations of what was found, and keeps the worst of different kinds.
 func (h *hunter) round() error {
-	var tries [][]scenario.Trouble
+	var tries [][]scenario.Fault
 	for i := range h.cfg.Width {
 		if i%2 == 0 || len(h.best) == 0 {
 			tries = append(tries, h.draw())
@@ -121,17 +121,17 @@
 }
 
 // kind tells scripts apart by what they are made of, so that one trouble does not fill all places.
-func kind(list []scenario.Trouble) string {
+func kind(list []scenario.Fault) string {
 	var verbs []string
 	for _, t := range list {
-		verbs = append(verbs, t.Verb)
+		verbs = append(verbs, t.Kind)
 	}
 	slices.Sort(verbs)
 	return strings.Join(slices.Compact(verbs), " ")
 }
 
 // all judges scripts, several at a time; the order of the result is theirs.
-func (h *hunter) all(tries [][]scenario.Trouble) ([]Find, error) {
+func (h *hunter) all(tries [][]scenario.Fault) ([]Find, error) {
 	finds, errs := make([]Find, len(tries)), make([]error, len(tries))
 	var tasks sync.WaitGroup
 	slots := make(chan struct{}, max(1, h.cfg.Parallel))
@@ -152,9 +152,9 @@
 }
 
 // judge plays a script with the module and with the oracle.
-func (h *hunter) judge(troubles []scenario.Trouble) (Find, error) {
+func (h *hunter) judge(troubles []scenario.Fault) (Find, error) {
 	cfg := h.cfg.Base
-	cfg.Troubles = troubles
+	cfg.Faults = troubles
 	module, err := simulation.Run(cfg)
 	if err != nil {
 		return Find{}, err
@@ -166,8 +166,8 @@
 	}
 	f := Find{Troubles: troubles, Module: module.Score.Service(), Oracle: oracle.Score.Service()}
 	switch {
-	case len(module.Breaks) > 0:
-		f.Broken = module.Breaks[0].Rule + ": " + module.Breaks[0].What
+	case len(module.Violations) > 0:
+		f.Broken = module.Violations[0].Rule + ": " + module.Violations[0].What
 	case !module.Tally.Balanced():
 		f.Broken = "lost: " + module.Tally.String()
 	}
@@ -175,52 +175,54 @@
 }
 
 // verbs that a hunt uses. Kills of front ends and lists that are partial say little of the decisions.
-var verbs = []string{"crash", "deploy", "take-out", "fail", "hang", "pause", "pauses", "slow", "neighbour", "reset", "flush",
+var verbs = []string{
+	"crash", "deploy", "take-out", "fail", "hang", "pause", "pauses", "slow", "neighbour", "reset", "flush",
 	"re-release", "clock-jump", "ageing", "handshake", "heavy", "store-stop", "store-slow", "store-fail", "directory-lag", "directory-down", "net-delay",
-	"net-loss", "net-cut", "leave", "surge", "hot", "scan", "stall"}
+	"net-loss", "net-cut", "leave", "surge", "hot", "scan", "stall",
+}
 
-func (h *hunter) draw() (list []scenario.Trouble) {
+func (h *hunter) draw() (list []scenario.Fault) {
 	for range 1 + h.rng.IntN(4) {
 		list = append(list, h.trouble())
 	}
-	scenario.Sort(list)
+	scenario.SortByTime(list)
 	return list
 }
 
 // trouble draws one trouble, in tenths of a second and whole percents.
-func (h *hunter) trouble() scenario.Trouble {
-	t := scenario.Trouble{Verb: verbs[h.rng.IntN(len(verbs))]}
-	lasts := int(h.cfg.Base.Lasts / (100 * time.Millisecond))
+func (h *hunter) trouble() scenario.Fault {
+	t := scenario.Fault{Kind: verbs[h.rng.IntN(len(verbs))]}
+	lasts := int(h.cfg.Base.Duration / (100 * time.Millisecond))
 	t.At = h.tenths(lasts/20, lasts*3/4)
 	draws := []struct {
-		word scenario.Word
+		word scenario.Parameter
 		draw func()
 	}{
-		{scenario.Share, func() { t.Share = float64(5+h.rng.IntN(46)) / 100 }},
-		{scenario.FrontEnd, func() { t.Number = 1 + h.rng.IntN(h.cfg.Base.FrontEnds) }},
-		{scenario.Zone, func() { t.Number = 1 + h.rng.IntN(zones) }},
-		{scenario.OtherZone, func() { t.To = 1 + h.rng.IntN(zones) }},
-		{scenario.Functions, func() { t.Number = 1 + h.rng.IntN(4) }},
-		{scenario.Rate, func() { t.Factor = float64(3+h.rng.IntN(8)) / 10 }},
-		{scenario.Factor, func() { t.Factor = float64(2 + h.rng.IntN(8)) }},
-		{scenario.By, func() { t.By = h.tenths(1, 50) }},
-		{scenario.Skew, func() { t.By = h.tenths(1, 50) }},
-		{scenario.Stop, func() { t.Stop = h.tenths(1, 6) }},
-		{scenario.Every, func() { t.Every = h.tenths(8, 30) }},
-		{scenario.Over, func() { t.Over = h.tenths(10, lasts/2) }},
-		{scenario.Drain, func() { t.Drain = h.tenths(2, 20) }},
-		{scenario.For, func() { t.For = h.tenths(3, lasts/3) }},
+		{scenario.ShareParameter, func() { t.Share = float64(5+h.rng.IntN(46)) / 100 }},
+		{scenario.FrontEndParameter, func() { t.Number = 1 + h.rng.IntN(h.cfg.Base.FrontEnds) }},
+		{scenario.ZoneParameter, func() { t.Number = 1 + h.rng.IntN(zones) }},
+		{scenario.OtherZoneParameter, func() { t.OtherZone = 1 + h.rng.IntN(zones) }},
+		{scenario.FunctionsParameter, func() { t.Number = 1 + h.rng.IntN(4) }},
+		{scenario.RateParameter, func() { t.Factor = float64(3+h.rng.IntN(8)) / 10 }},
+		{scenario.FactorParameter, func() { t.Factor = float64(2 + h.rng.IntN(8)) }},
+		{scenario.OffsetParameter, func() { t.Offset = h.tenths(1, 50) }},
+		{scenario.SkewParameter, func() { t.Offset = h.tenths(1, 50) }},
+		{scenario.PauseLengthParameter, func() { t.PauseLength = h.tenths(1, 6) }},
+		{scenario.IntervalParameter, func() { t.Interval = h.tenths(8, 30) }},
+		{scenario.SpreadParameter, func() { t.Spread = h.tenths(10, lasts/2) }},
+		{scenario.DrainTimeParameter, func() { t.DrainTime = h.tenths(2, 20) }},
+		{scenario.DurationParameter, func() { t.Duration = h.tenths(3, lasts/3) }},
 	}
 	for _, d := range draws {
-		if scenario.Takes(t.Verb, d.word) {
+		if scenario.HasParameter(t.Kind, d.word) {
 			d.draw()
 		}
 	}
-	switch t.Verb {
+	switch t.Kind {
 	case "deploy", "flush", "re-release":
 		t.Share = float64(30+h.rng.IntN(71)) / 100
 	case "pause", "stall":
-		t.For = h.tenths(2, 8)
+		t.Duration = h.tenths(2, 8)
 	case "surge":
 		t.Factor = 1 + t.Factor/10
 	case "net-loss":
@@ -237,7 +239,7 @@
 }
 
 // mutate changes, adds or takes away a trouble.
-func (h *hunter) mutate(list []scenario.Trouble) []scenario.Trouble {
+func (h *hunter) mutate(list []scenario.Fault) []scenario.Fault {
 	list = slices.Clone(list)
 	i := h.rng.IntN(len(list))
 	switch x := h.rng.IntN(4); {
@@ -250,11 +252,11 @@
 	default:
 		fresh := h.trouble()
 		list[i].At = fresh.At
-		if list[i].For > 0 {
-			list[i].For = list[i].For * time.Duration(5+h.rng.IntN(11)) / 10
+		if list[i].Duration > 0 {
+			list[i].Duration = list[i].Duration * time.Duration(5+h.rng.IntN(11)) / 10
 		}
 	}
-	scenario.Sort(list)
+	scenario.SortByTime(list)
 	return list
 }
 
@@ -265,14 +267,14 @@
 func (h *hunter) shrink(f Find) (Find, error) {
 	for again := true; again; {
 		again = false
-		var tries [][]scenario.Trouble
+		var tries [][]scenario.Fault
 		for i := range f.Troubles {
 			if len(f.Troubles) > 1 {
 				tries = append(tries, slices.Delete(slices.Clone(f.Troubles), i, i+1))
 			}
-			if t := f.Troubles[i]; t.For > time.Second {
+			if t := f.Troubles[i]; t.Duration > time.Second {
 				list := slices.Clone(f.Troubles)
-				list[i].For = (t.For / 2).Round(100 * time.Millisecond)
+				list[i].Duration = (t.Duration / 2).Round(100 * time.Millisecond)
 				tries = append(tries, list)
 			}
 		}
--- a/lab/fleet/badday_test.go
+++ b/lab/fleet/badday_test.go
@@ -25,8 +25,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := Demo{Workers: 12, FrontEnds: 3, Mix: DemoMix(120), Lasts: lasts, Script: string(text), Seed: 7,
-		Log: zerolog.Nop(), Tell: func(s string) { t.Log(s) }}
+	d := Demo{
+		Workers: 12, FrontEnds: 3, Mix: DemoMix(120), Lasts: lasts, Script: string(text), Seed: 7,
+		Log: zerolog.Nop(), Tell: func(s string) { t.Log(s) },
+	}
 	r, err := d.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +40,7 @@
 	if !r.Tally.Balanced() {
 		t.Error("not every call is accounted for")
 	}
-	if tl := r.Tally; tl.Served < tl.Asked/2 || tl.Left+tl.Refused == 0 {
+	if tl := r.Tally; tl.Served < tl.Sent/2 || tl.Disconnected+tl.Rejected == 0 {
 		t.Errorf("%v: a day on which next to nothing was served, or no trouble showed, proves nothing", tl)
 	}
 }
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -61,8 +61,10 @@
 
 // DemoWorker is one emulated worker of the demo.
 func DemoWorker() model.WorkerConfig {
-	return model.WorkerConfig{Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 100, MaxConcurrentLoads: 4, KeepAlive: 10 * time.Second,
-		ColdCapacity: 0.2, SlowStart: 4 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, KeyRetention: 6 * time.Second}
+	return model.WorkerConfig{
+		Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 100, MaxConcurrentLoads: 4, KeepAlive: 10 * time.Second,
+		ColdCapacity: 0.2, SlowStart: 4 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, KeyRetention: 6 * time.Second,
+	}
 }
 
 // DemoStore is the demo's function store.
@@ -86,7 +88,7 @@
 type Result struct {
 	Seen   map[string]int // clients' calls by how they ended, with their repeats counted as one
 	Tally  invariant.Tally
-	Breaks []invariant.Break
+	Breaks []invariant.Violation
 	Score  invariant.Score
 }
 
@@ -96,9 +98,11 @@
 	if err != nil {
 		return Result{}, err
 	}
-	f, err := Start(Config{Workers: d.Workers, Cells: 3, FrontEnds: d.FrontEnds, Zones: scenario.Zones(troubles), Worker: DemoWorker(),
+	f, err := Start(Config{
+		Workers: d.Workers, Cells: 3, FrontEnds: d.FrontEnds, Zones: scenario.MaxZone(troubles), Worker: DemoWorker(),
 		Store:    DemoStore(),
-		Settings: strings.Join(append(d.Set, DemoSettings), "\n"), Slack: time.Second, Log: d.Log})
+		Settings: strings.Join(append(d.Set, DemoSettings), "\n"), Slack: time.Second, Log: d.Log,
+	})
 	if err != nil {
 		return Result{}, err
 	}
@@ -127,8 +131,10 @@
 
 // DemoMix is what the demo's clients ask for.
 func DemoMix(rate float64) loadgen.Mix {
-	return loadgen.Mix{Rate: rate, Functions: 8, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 400 * time.Millisecond,
-		MemoryMB: 300, Reply: 2000, Patience: 2 * time.Second, Habit: loadgen.Advised, Retries: 1}
+	return loadgen.Mix{
+		Rate: rate, Functions: 8, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 400 * time.Millisecond,
+		MemoryMB: 300, Reply: 2000, Patience: 2 * time.Second, Habit: loadgen.Advised, Retries: 1,
+	}
 }
 
 // watch tells the front ends' totals each second.
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -45,7 +45,7 @@
 	cfg       Config
 	Settings  *gatewayconfig.Settings
 	World     *model.RealClock
-	Book      *invariant.Book
+	Book      *invariant.History
 	Origin    *functionstore.Server
 	Directory *discoveryserver.Server
 	Workers   []*worker.Server
@@ -94,8 +94,10 @@
 	f.skew = make([]time.Duration, f.cfg.Workers)
 	for i := range f.cfg.Workers {
 		wc, cell := f.cfg.Worker.ForWorker(i, len(groups))
-		w, err := worker.Start(f.World, worker.Config{WorkerConfig: wc, Address: "127.0.0.1:0", Work: 50 * time.Millisecond,
-			Ways: f.ways(i)}, f.fetcher, groups[cell], f.Book)
+		w, err := worker.Start(f.World, worker.Config{
+			WorkerConfig: wc, Address: "127.0.0.1:0", Work: 50 * time.Millisecond,
+			Ways: f.ways(i),
+		}, f.fetcher, groups[cell], f.Book)
 		if err != nil {
 			return err
 		}
@@ -135,8 +137,10 @@
 	}
 	cell := ""
 	w.Do(func(m *model.Worker) { cell = m.Config.Cell })
-	f.Directory.Set(discoveryserver.Entry{Name: w.Name(), Address: w.Address(), Cell: cell, Started: time.Now().Add(-up),
-		State: state})
+	f.Directory.Set(discoveryserver.Entry{
+		Name: w.Name(), Address: w.Address(), Cell: cell, Started: time.Now().Add(-up),
+		State: state,
+	})
 }
 
 // Close ends the installation: front ends first, each with a clean stop.
@@ -159,16 +163,16 @@
 }
 
 // Judge judges all that was seen. It is to be called when everything has ended.
-func (f *Fleet) Judge() ([]invariant.Break, invariant.Tally) {
+func (f *Fleet) Judge() ([]invariant.Violation, invariant.Tally) {
 	for _, n := range f.Directory.Notices() {
-		f.Book.Notice(invariant.Notice{At: f.Book.At(n.At), FrontEnd: n.Client, States: n.States})
+		f.Book.EndpointsUpdated(invariant.EndpointUpdate{At: f.Book.Elapsed(n.At), FrontEnd: n.Client, States: n.States})
 	}
-	return f.Book.Judge(invariant.TermsOf(f.Settings, f.cfg.Slack))
+	return f.Book.Check(invariant.RulesOf(f.Settings, f.cfg.Slack))
 }
 
 // Score is the service that clients saw.
 func (f *Fleet) Score() invariant.Score {
-	return f.Book.Score(invariant.TermsOf(f.Settings, 0).Classes)
+	return f.Book.Score(invariant.RulesOf(f.Settings, 0).Classes)
 }
 
 // Name is the front end's name, as workers and the directory hear it.
@@ -234,7 +238,7 @@
 	e.mu.Lock()
 	cancel, done, pool, service := e.cancel, e.done, e.pool, e.service
 	e.mu.Unlock()
-	e.fleet.Book.Kill(e.Name())
+	e.fleet.Book.FrontEndKilled(e.Name())
 	service.Kill()
 	cancel()
 	<-done
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -49,8 +49,10 @@
 `
 
 func small(workers, frontEnds int) Config {
-	cfg := Config{Workers: workers, Cells: 2, FrontEnds: frontEnds, Settings: threeClasses, Slack: time.Second, Log: zerolog.Nop(),
-		Worker: DemoWorker(), Store: model.StoreConfig{Places: 20, Limit: 100}}
+	cfg := Config{
+		Workers: workers, Cells: 2, FrontEnds: frontEnds, Settings: threeClasses, Slack: time.Second, Log: zerolog.Nop(),
+		Worker: DemoWorker(), Store: model.StoreConfig{Places: 20, Limit: 100},
+	}
 	cfg.Worker.MemoryMB, cfg.Worker.Queue, cfg.Worker.SlowStart, cfg.Worker.KeyRetention = 8000, 200, 3*time.Second, 4*time.Second
 	return cfg
 }
@@ -71,9 +73,11 @@
 	for i := range 60 {
 		all.Go(func() {
 			class := []string{"quote", "log", "unlock"}[i%3]
-			seen, err := f.FrontEnds[i%2].Pool().Do(loadgen.Call{ID: fmt.Sprint("call-", i), Class: class,
-				Function: class + "-f", Patience: 2 * time.Second, Work: 2 * time.Millisecond, Reply: 100000 * (i % 2),
-				Load: 50 * time.Millisecond, MemoryMB: 200, Lanes: 2})
+			seen, err := f.FrontEnds[i%2].Pool().Do(loadgen.Call{
+				ID: fmt.Sprint("call-", i), Class: class,
+				Function: class + "-f", Timeout: 2 * time.Second, Work: 2 * time.Millisecond, ResponseBytes: 100000 * (i % 2),
+				LoadTime: 50 * time.Millisecond, MemoryMB: 200, Concurrency: 2,
+			})
 			if err != nil || seen.Outcome != "served" || seen.Bytes != 100000*(i%2) {
 				t.Errorf("call %d: %+v, %v", i, seen, err)
 			}
@@ -86,7 +90,7 @@
 		}
 	}
 	breaks, tally := f.Judge()
-	if len(breaks) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Runs != 60 {
+	if len(breaks) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Executions != 60 {
 		t.Errorf("%v; broken: %v", tally, breaks)
 	}
 }
--- a/lab/fleet/hard_test.go
+++ b/lab/fleet/hard_test.go
@@ -22,8 +22,10 @@
 const patience = 2 * time.Second
 
 func ask(id, class string, work time.Duration) loadgen.Call {
-	return loadgen.Call{ID: id, Class: class, Function: class + "-f", Key: "key-" + id, Patience: patience, Work: work,
-		Load: 10 * time.Millisecond, MemoryMB: 50, Lanes: 2}
+	return loadgen.Call{
+		ID: id, Class: class, Function: class + "-f", IdempotencyKey: "key-" + id, Timeout: patience, Work: work,
+		LoadTime: 10 * time.Millisecond, MemoryMB: 50, Concurrency: 2,
+	}
 }
 
 func (f *Fleet) command(t *testing.T, line string, workers ...int) {
@@ -82,13 +84,13 @@
 	until(t, "the lists", func() bool { return len(f.Directory.Notices()) >= 2 })
 	f.command(t, "hang on", 0, 1)
 	first := ask("a.0", "log", time.Millisecond)
-	first.Key = "one"
+	first.IdempotencyKey = "one"
 	if seen := f.do(t, 0, first); seen.Outcome == "served" {
 		t.Fatalf("%+v from workers that hang", seen)
 	}
 	f.command(t, "hang off", 1)
 	second := ask("a.1", "log", time.Millisecond)
-	second.Key = "one"
+	second.IdempotencyKey = "one"
 	until(t, "the repeat to be served", func() bool {
 		seen := f.do(t, 1, second)
 		second.ID += "x"
@@ -100,7 +102,7 @@
 		third.ID += "x"
 		return f.do(t, 0, third).Outcome == "served"
 	})
-	effects := f.Book.Effects("one")
+	effects := f.Book.ExecutionCount("one")
 	if effects != 1 {
 		t.Errorf("%d effects of one key", effects)
 	}
@@ -118,11 +120,11 @@
 	done := make(chan client.Seen)
 	go func() {
 		c := ask("second", "unlock", 100*time.Millisecond)
-		c.Patience = 400 * time.Millisecond
+		c.Timeout = 400 * time.Millisecond
 		done <- f.do(t, 0, c)
 	}()
-	until(t, "the attempt", func() bool { return f.Book.Attempts("second") > 0 })
-	f.Book.Stall(f.FrontEnds[0].Name(), 600*time.Millisecond)
+	until(t, "the attempt", func() bool { return f.Book.AttemptCount("second") > 0 })
+	f.Book.FrontEndStalled(f.FrontEnds[0].Name(), 600*time.Millisecond)
 	f.FrontEnds[0].Service().Stall(600 * time.Millisecond)
 	if seen := <-done; seen.Outcome != "served" {
 		t.Errorf("%+v: the answer was there", seen)
@@ -131,8 +133,10 @@
 }
 
 func TestATroubledWorkerLosesNoCall(t *testing.T) {
-	for _, fault := range []string{"handshake never", "handshake 400ms", "garbage on", "twice on", "late 50ms", "reset", "die",
-		"drain on", "fail 1", "hang on"} {
+	for _, fault := range []string{
+		"handshake never", "handshake 400ms", "garbage on", "twice on", "late 50ms", "reset", "die",
+		"drain on", "fail 1", "hang on",
+	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			f := start(t, small(3, 1))
@@ -214,7 +218,7 @@
 	for i := range 300 {
 		all.Go(func() {
 			c := ask(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], time.Millisecond)
-			c.Patience = 20 * time.Second // as long as the class allows
+			c.Timeout = 20 * time.Second // as long as the class allows
 			if seen, err := f.FrontEnds[0].Pool().Do(c); err != nil || seen.Outcome == "" {
 				t.Errorf("call %d: %+v, %v", i, seen, err)
 			}
@@ -336,7 +340,7 @@
 	for i := range 60 { // how many are served is the machine's speed; that each is answered once is not
 		all.Go(func() {
 			c := ask(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], time.Millisecond)
-			c.Function, c.Pad = fmt.Sprint(c.Function, i%12), 900_000
+			c.Function, c.PaddingBytes = fmt.Sprint(c.Function, i%12), 900_000
 			f.do(t, 0, c)
 		})
 	}
@@ -406,7 +410,7 @@
 		t.Errorf("%v", seen)
 	}
 	f.fair(t)
-	if _, tally := f.Judge(); tally.Orders == 0 {
+	if _, tally := f.Judge(); tally.LoadOrders == 0 {
 		t.Error("no order was given")
 	}
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -14,11 +14,11 @@
 
 // Play carries out a script's troubles, each at its time, until ctx ends. Which workers are hit is drawn from
 // seed.
-func (f *Fleet) Play(ctx context.Context, troubles []scenario.Trouble, seed uint64, tell func(string)) error {
+func (f *Fleet) Play(ctx context.Context, troubles []scenario.Fault, seed uint64, tell func(string)) error {
 	s := &stage{Fleet: f}
 	clock := model.NewWorld() // of its own: the troubles reach into the workers' world
-	var play *scenario.Play
-	clock.Do(func() { play = scenario.Begin(clock, s, troubles, seed, tell) })
+	var play *scenario.Player
+	clock.Do(func() { play = scenario.Start(clock, s, troubles, seed, tell) })
 	<-ctx.Done()
 	clock.Do(func() { s.note(play.End()) })
 	s.tasks.Wait()
@@ -41,44 +41,47 @@
 	}
 }
 
-func (s *stage) Workers() int                            { return len(s.Fleet.Workers) }
-func (s *stage) Command(w int, line string) error        { return s.Fleet.Workers[w].Command(line) }
-func (s *stage) List(w int, state scheduler.WorkerState) { s.Fleet.List(s.Fleet.Workers[w], state) }
-func (s *stage) StoreStop(d time.Duration)               { s.Origin.Stop(d) }
-func (s *stage) StoreSlow(factor float64)                { s.Origin.Slow(factor) }
-func (s *stage) DirectoryLag(d time.Duration)            { s.Directory.Lag(d) }
-func (s *stage) DirectoryDown(on bool)                   { s.Directory.Down(on) }
-func (s *stage) DirectoryPart(share float64)             { s.Directory.Partial(share) }
-func (s *stage) DirectoryBack()                          { s.Directory.Back() }
-func (s *stage) StoreFail(share float64)                 { s.Origin.Fail(share) }
-func (s *stage) FrontEnds() int                          { return len(s.Fleet.FrontEnds) }
-
-func (s *stage) Kill(i int) error {
+func (s *stage) Workers() int { return len(s.Fleet.Workers) }
+func (s *stage) CommandWorker(w int, line string) error { return s.Fleet.Workers[w].Command(line) }
+
+func (s *stage) ListWorker(w int, state scheduler.WorkerState) {
+	s.Fleet.List(s.Fleet.Workers[w], state)
+}
+func (s *stage) StopStore(d time.Duration)      { s.Origin.Stop(d) }
+func (s *stage) SlowStore(factor float64)       { s.Origin.Slow(factor) }
+func (s *stage) DelayDiscovery(d time.Duration) { s.Directory.Lag(d) }
+func (s *stage) SetDiscoveryDown(on bool)       { s.Directory.Down(on) }
+func (s *stage) LimitDiscovery(share float64)   { s.Directory.Partial(share) }
+func (s *stage) ResetDiscovery()                { s.Directory.Back() }
+func (s *stage) FailStore(share float64)        { s.Origin.Fail(share) }
+func (s *stage) FrontEnds() int                 { return len(s.Fleet.FrontEnds) }
+
+func (s *stage) KillFrontEnd(i int) error {
 	s.Fleet.FrontEnds[i].Kill()
 	return nil
 }
 
-func (s *stage) Stall(i int, d time.Duration) error {
+func (s *stage) StallFrontEnd(i int, d time.Duration) error {
 	e := s.Fleet.FrontEnds[i]
-	s.Book.Stall(e.Name(), d)
+	s.Book.FrontEndStalled(e.Name(), d)
 	e.Service().Stall(d)
 	return nil
 }
 
-func (s *stage) Clock(w int, by time.Duration) { s.Fleet.skew[w] = by }
+func (s *stage) SetClockSkew(w int, by time.Duration) { s.Fleet.skew[w] = by }
 
-func (s *stage) Demand(change func(*loadgen.Demand)) error { return s.Clients.change(change) }
+func (s *stage) ChangeDemand(change func(*loadgen.Demand)) error { return s.Clients.change(change) }
 
-func (s *stage) Network(t model.NetworkFault) (end func()) {
+func (s *stage) AddNetworkFault(t model.NetworkFault) (end func()) {
 	var over func()
 	s.World.Do(func() { over = s.network.AddFault(t) })
 	return func() { s.World.Do(over) }
 }
 
-func (s *stage) Start(i int) error { return s.Fleet.FrontEnds[i].Start() }
+func (s *stage) StartFrontEnd(i int) error { return s.Fleet.FrontEnds[i].Start() }
 
 // Restart stops a front end cleanly, which takes its time, and starts it.
-func (s *stage) Restart(i int) error {
+func (s *stage) RestartFrontEnd(i int) error {
 	e := s.Fleet.FrontEnds[i]
 	s.tasks.Go(func() {
 		err := e.Stop()
@@ -119,11 +122,13 @@
 	f.Clients.begin(source)
 	var mu sync.Mutex
 	seen := map[string]int{}
-	client.Runner{Fronts: len(f.FrontEnds), Pools: func(i int) *client.Pool { return f.FrontEnds[i].Pool() },
+	client.Runner{
+		Fronts: len(f.FrontEnds), Pools: func(i int) *client.Pool { return f.FrontEnds[i].Pool() },
 		Next: source.Next, Observe: func(o client.Observation) {
 			mu.Lock()
 			defer mu.Unlock()
 			seen[o.Outcome]++
-		}}.Run(ctx)
+		},
+	}.Run(ctx)
 	return seen
 }
--- a/lab/fleet/rogue_test.go
+++ b/lab/fleet/rogue_test.go
@@ -122,22 +122,26 @@
 func (l *link) send(id, class string, attempt int, work time.Duration) {
 	l.Helper()
 	l.last++
-	l.write(muxframe.TypeRequest, l.last, muxframe.Request{Replica: muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 9},
-		ID: id, Class: class, Attempt: attempt, TimeoutMillis: 5000, IdempotencyKey: map[string]string{"log": "key-" + id}[class]},
+	l.write(muxframe.TypeRequest, l.last, muxframe.Request{
+		Replica: muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 9},
+		ID:      id, Class: class, Attempt: attempt, TimeoutMillis: 5000, IdempotencyKey: map[string]string{"log": "key-" + id}[class],
+	},
 		worker.Body(work, 0))
 }
 
 func (l *link) order(copies int) {
 	l.Helper()
 	l.last++
-	l.write(muxframe.TypeLoadOrder, l.last, muxframe.LoadOrder{Replica: muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 1},
-		Replicas: copies}, nil)
+	l.write(muxframe.TypeLoadOrder, l.last, muxframe.LoadOrder{
+		Replica:  muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 1},
+		Replicas: copies,
+	}, nil)
 	l.next(muxframe.TypeLoadResult)
 }
 
 func (r *rogue) ask(id, class string) {
 	r.Helper()
-	if _, err := r.pool.Do(loadgen.Call{ID: id, Function: "f", Class: class, Patience: 300 * time.Millisecond}); err != nil {
+	if _, err := r.pool.Do(loadgen.Call{ID: id, Function: "f", Class: class, Timeout: 300 * time.Millisecond}); err != nil {
 		r.Fatal(err)
 	}
 }
@@ -254,8 +258,10 @@
 
 func TestTheAuditorFindsWorkAfterADrain(t *testing.T) {
 	told := func(r *rogue, state scheduler.WorkerState, ago time.Duration) {
-		r.f.Book.Notice(invariant.Notice{At: r.f.Book.Now() - ago, FrontEnd: "rogue",
-			States: map[string]scheduler.WorkerState{"worker-1": state}})
+		r.f.Book.EndpointsUpdated(invariant.EndpointUpdate{
+			At: r.f.Book.Now() - ago, FrontEnd: "rogue",
+			States: map[string]scheduler.WorkerState{"worker-1": state},
+		})
 	}
 	t.Run("call", func(t *testing.T) {
 		r := startRogue(t, nil)
@@ -265,7 +271,7 @@
 	})
 	t.Run("order to a worker that is listed no longer", func(t *testing.T) {
 		r := startRogue(t, nil)
-		r.f.Book.Notice(invariant.Notice{At: 0, FrontEnd: "rogue"})
+		r.f.Book.EndpointsUpdated(invariant.EndpointUpdate{At: 0, FrontEnd: "rogue"})
 		l := r.link(r.f.Workers[0])
 		r.f.Settings.DrainGrace, r.f.cfg.Slack = 0, 0
 		l.order(1)
--- a/lab/functionstore/origin.go
+++ b/lab/functionstore/origin.go
@@ -93,7 +93,8 @@
 // NewClient returns a client of the store at address.
 func NewClient(world *model.RealClock, address string) *Client {
 	c := &Client{world: world, url: "http://" + address, http: &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: 64}}}
+		MaxIdleConnsPerHost: 64,
+	}}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
--- a/lab/loadgen/demand.go
+++ b/lab/loadgen/demand.go
@@ -9,30 +9,30 @@
 
 // Demand is what troubles change of what clients ask for, beside their Mix.
 type Demand struct {
-	Leaving      float64        // share of clients that leave early
-	Surge        float64        // times the rate
-	Hot          float64        // share of calls for functions that nobody called before
-	HotFunctions int            // so many of each class
-	HotSpell     int            // counts the spells: each has functions of its own
-	Scan         float64        // share of calls for functions wanted once only, beside the Mix's
-	Patience     float64        // times the patience
-	Work         float64        // times the work
-	Tenants      map[string]Own // what single tenants do beside the others
+	DisconnectShare float64                 // share of clients that leave early
+	RateFactor      float64                 // times the rate
+	HotShare        float64                 // share of calls for functions that nobody called before
+	HotFunctions    int                     // so many of each class
+	HotSpell        int                     // counts the spells: each has functions of its own
+	ScanShare       float64                 // share of calls for functions wanted once only, beside the Mix's
+	TimeoutFactor   float64                 // times the patience
+	WorkFactor      float64                 // times the work
+	Tenants         map[string]TenantDemand // what single tenants do beside the others
 }
 
 // Own is what one tenant does beside the others; the zero value changes nothing.
-type Own struct {
-	Flood   float64 // times what it usually asks
-	Silent  bool    // it asks nothing
-	Repeats int     // its clients repeat at once so many times, whatever they are told
-	Scan    float64 // share of its calls for functions wanted once only
-	Work    float64 // times the work of its calls
+type TenantDemand struct {
+	RateFactor float64 // times what it usually asks
+	Silent     bool    // it asks nothing
+	Repeats    int     // its clients repeat at once so many times, whatever they are told
+	ScanShare  float64 // share of its calls for functions wanted once only
+	WorkFactor float64 // times the work of its calls
 }
 
 // Of changes what one tenant does.
-func (d *Demand) Of(tenant string, f func(*Own)) {
+func (d *Demand) ChangeTenant(tenant string, f func(*TenantDemand)) {
 	own := d.Tenants[tenant]
-	if f(&own); own == (Own{}) {
+	if f(&own); own == (TenantDemand{}) {
 		delete(d.Tenants, tenant)
 	} else {
 		d.Tenants[tenant] = own
@@ -54,7 +54,7 @@
 }
 
 // flood is what floods add, in shares of the mean rate, by tenant and in all.
-func (s *Source) flood() (by []float64, all float64) {
+func (s *Source) floodShares() (by []float64, all float64) {
 	if len(s.demand.Tenants) == 0 {
 		return nil, 0
 	}
@@ -64,7 +64,7 @@
 	}
 	by = make([]float64, len(s.tenants))
 	for i, name := range s.tenants {
-		if times := s.demand.Tenants[name].Flood; times > 1 {
+		if times := s.demand.Tenants[name].RateFactor; times > 1 {
 			by[i] = (times - 1) * s.shares[i] / total
 			all += by[i]
 		}
@@ -73,16 +73,16 @@
 }
 
 // own changes a drawn call as its tenant's own ways say.
-func (s *Source) own(c *Call) {
+func (s *Source) applyTenantDemand(c *Call) {
 	own := s.demand.Tenants[c.Tenant]
 	if own.Repeats > 0 {
-		c.Habit, c.Retries = Impolite, own.Repeats
+		c.RetryPolicy, c.Retries = Impolite, own.Repeats
 	}
-	if own.Work > 0 {
-		c.Work = time.Duration(own.Work * float64(c.Work))
+	if own.WorkFactor > 0 {
+		c.Work = time.Duration(own.WorkFactor * float64(c.Work))
 	}
-	if own.Scan > 0 && s.rng.Float64() < own.Scan {
-		c.Function = fmt.Sprintf("%s-once-%d", c.Class, s.n)
+	if own.ScanShare > 0 && s.rng.Float64() < own.ScanShare {
+		c.Function = fmt.Sprintf("%s-once-%d", c.Class, s.count)
 	}
 	if s.mix.OwnFunctions {
 		c.Function = c.Tenant + "-" + c.Function
--- a/lab/loadgen/load.go
+++ b/lab/loadgen/load.go
@@ -15,17 +15,17 @@
 
 // Call is what a client asks for.
 type Call struct {
-	ID, Function, Class, Tenant, Key string
-	Patience                         time.Duration
-	Work                             time.Duration // that the worker is to do
-	Reply                            int           // bytes that the worker is to answer
-	Pad                              int           // bytes added to the call's body
-	MemoryMB                         float64
-	Lanes                            int
-	Load                             time.Duration
-	LeaveAfter                       time.Duration // the client closes then; 0: it stays
-	Habit                            Habit
-	Retries                          int
+	ID, Function, Class, Tenant, IdempotencyKey string
+	Timeout                                     time.Duration
+	Work                                        time.Duration // that the worker is to do
+	ResponseBytes                               int           // bytes that the worker is to answer
+	PaddingBytes                                int           // bytes added to the call's body
+	MemoryMB                                    float64
+	Concurrency                                 int
+	LoadTime                                    time.Duration
+	DisconnectAfter                             time.Duration // the client closes then; 0: it stays
+	RetryPolicy                                 Habit
+	Retries                                     int
 }
 
 // Shape is how the rate of arrivals changes over a run.
@@ -73,15 +73,15 @@
 
 // Source draws the calls of a Mix one after another.
 type Source struct {
-	mix     Mix
-	lasts   time.Duration
-	classes []string
-	tenants []string
-	shares  []float64
-	rng     *rand.Rand
-	zipf    *rand.Zipf
-	at      time.Duration
-	n       int
+	mix      Mix
+	duration time.Duration
+	classes  []string
+	tenants  []string
+	shares   []float64
+	rng      *rand.Rand
+	zipf     *rand.Zipf
+	time     time.Duration
+	count    int
 
 	mu     sync.Mutex
 	demand Demand
@@ -90,9 +90,11 @@
 // NewSource returns the calls that a run of lasts draws. Tenants ask by their shares.
 func NewSource(m Mix, lasts time.Duration, classes, tenants []string, shares []float64, seed uint64) *Source {
 	rng := rand.New(rand.NewPCG(seed, 0x6c6f6164))
-	return &Source{mix: m, lasts: lasts, classes: classes, tenants: tenants, shares: shares, rng: rng,
-		demand: Demand{Surge: 1, Patience: 1, Work: 1, Tenants: map[string]Own{}},
-		zipf:   rand.NewZipf(rng, cmp.Or(m.Zipf, 1.3), 2, uint64(max(1, m.Functions)-1))}
+	return &Source{
+		mix: m, duration: lasts, classes: classes, tenants: tenants, shares: shares, rng: rng,
+		demand: Demand{RateFactor: 1, TimeoutFactor: 1, WorkFactor: 1, Tenants: map[string]TenantDemand{}},
+		zipf:   rand.NewZipf(rng, cmp.Or(m.Zipf, 1.3), 2, uint64(max(1, m.Functions)-1)),
+	}
 }
 
 // ForSettings returns the calls that a run draws for the classes and tenants of settings.
@@ -109,8 +111,8 @@
 }
 
 // pace is the rate at a time, of the mean rate.
-func (s *Source) pace(at time.Duration) float64 {
-	part := float64(at) / float64(max(1, s.lasts))
+func (s *Source) relativeRate(at time.Duration) float64 {
+	part := float64(at) / float64(max(1, s.duration))
 	switch s.mix.Shape {
 	case Bursty:
 		if at%(10*time.Second) < 2*time.Second {
@@ -141,50 +143,52 @@
 // draw draws a call, also of a tenant that is silent.
 func (s *Source) draw() (time.Duration, Call, bool) {
 	m := &s.mix
-	floods, flood := s.flood()
-	rate := m.Rate * s.pace(s.at) * s.demand.Surge
-	s.at += time.Duration(s.rng.ExpFloat64() / (rate * (1 + flood)) * float64(time.Second))
-	if s.at >= s.lasts {
+	floods, flood := s.floodShares()
+	rate := m.Rate * s.relativeRate(s.time) * s.demand.RateFactor
+	s.time += time.Duration(s.rng.ExpFloat64() / (rate * (1 + flood)) * float64(time.Second))
+	if s.time >= s.duration {
 		return 0, Call{}, false
 	}
-	s.n++
+	s.count++
 	class := s.classes[s.rng.IntN(len(s.classes))]
-	c := Call{ID: fmt.Sprintf("c%d", s.n), Key: fmt.Sprintf("k%d", s.n), Class: class, Function: s.function(class),
-		Patience: m.Patience/2 + time.Duration(s.rng.Float64()*float64(m.Patience/2)), MemoryMB: m.MemoryMB, Lanes: 2, Load: m.Load,
-		Habit: m.Habit, Retries: m.Retries}
-	c.Patience = time.Duration(s.demand.Patience * float64(c.Patience))
+	c := Call{
+		ID: fmt.Sprintf("c%d", s.count), IdempotencyKey: fmt.Sprintf("k%d", s.count), Class: class, Function: s.drawFunction(class),
+		Timeout: m.Patience/2 + time.Duration(s.rng.Float64()*float64(m.Patience/2)), MemoryMB: m.MemoryMB, Concurrency: 2, LoadTime: m.Load,
+		RetryPolicy: m.Habit, Retries: m.Retries,
+	}
+	c.Timeout = time.Duration(s.demand.TimeoutFactor * float64(c.Timeout))
 	sigma := m.WorkSigma
-	c.Work = time.Duration(s.demand.Work * float64(m.Work) * math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2))
+	c.Work = time.Duration(s.demand.WorkFactor * float64(m.Work) * math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2))
 	if m.Reply > 0 {
-		c.Reply = s.rng.IntN(m.Reply)
+		c.ResponseBytes = s.rng.IntN(m.Reply)
 	}
 	if len(s.tenants) > 0 {
 		shares := s.shares
 		if s.rng.Float64() < flood/(1+flood) {
 			shares = floods
 		}
-		c.Tenant = s.tenant(shares)
+		c.Tenant = s.drawTenant(shares)
 	}
-	s.own(&c)
-	if s.rng.Float64() < s.demand.Leaving {
-		c.LeaveAfter = 1 + time.Duration(s.rng.Float64()*float64(c.Patience/2))
+	s.applyTenantDemand(&c)
+	if s.rng.Float64() < s.demand.DisconnectShare {
+		c.DisconnectAfter = 1 + time.Duration(s.rng.Float64()*float64(c.Timeout/2))
 	}
-	return s.at, c, true
+	return s.time, c, true
 }
 
 // function draws the function of a call.
-func (s *Source) function(class string) string {
+func (s *Source) drawFunction(class string) string {
 	d := &s.demand
-	once := s.mix.Once + d.Scan
+	once := s.mix.Once + d.ScanShare
 	switch x := s.rng.Float64(); {
 	case x < once:
-		return fmt.Sprintf("%s-once-%d", class, s.n)
-	case x < once+d.Hot:
+		return fmt.Sprintf("%s-once-%d", class, s.count)
+	case x < once+d.HotShare:
 		return fmt.Sprintf("%s-hot-%d-%d", class, d.HotSpell, s.rng.IntN(max(1, d.HotFunctions)))
 	}
 	rank := s.zipf.Uint64()
 	if s.mix.Drift > 0 {
-		if spells := int(s.at / s.mix.Drift); int(rank)%5 == spells%5 {
+		if spells := int(s.time / s.mix.Drift); int(rank)%5 == spells%5 {
 			return fmt.Sprintf("%s-%d-%d", class, rank, spells)
 		}
 	}
@@ -192,7 +196,7 @@
 }
 
 // tenant draws a tenant by shares.
-func (s *Source) tenant(shares []float64) string {
+func (s *Source) drawTenant(shares []float64) string {
 	total := 0.0
 	for _, x := range shares {
 		total += x
@@ -207,14 +211,14 @@
 }
 
 // Again says whether a client tries again after its try (from 0) ended so, and after which wait.
-func (c *Call) Again(try int, outcome string, advice time.Duration) (time.Duration, bool) {
+func (c *Call) Retry(try int, outcome string, advice time.Duration) (time.Duration, bool) {
 	if try >= c.Retries || outcome == "served" {
 		return 0, false
 	}
 	if outcome != "refused" && outcome != "unreachable" {
-		return 0, c.Habit == Impolite
+		return 0, c.RetryPolicy == Impolite
 	}
-	switch c.Habit {
+	switch c.RetryPolicy {
 	case AtOnce, Impolite:
 		return 0, true
 	case Wait:
--- a/lab/loadgen/load_test.go
+++ b/lab/loadgen/load_test.go
@@ -78,8 +78,8 @@
 }
 
 func TestAFloodIsOneTenants(t *testing.T) {
-	times, calls := drawTroubled(t, func(d *Demand) { d.Of("u", func(o *Own) { o.Flood = 10 }) },
-		func(d *Demand) { d.Of("u", func(o *Own) { o.Flood = 0 }) })
+	times, calls := drawTroubled(t, func(d *Demand) { d.ChangeTenant("u", func(o *TenantDemand) { o.RateFactor = 10 }) },
+		func(d *Demand) { d.ChangeTenant("u", func(o *TenantDemand) { o.RateFactor = 0 }) })
 	flooded, after := within(times, calls, func(c Call) bool { return c.Tenant == "u" })
 	others, _ := within(times, calls, func(c Call) bool { return c.Tenant == "t" })
 	if math.Abs(float64(flooded)-2000) > 200 || math.Abs(float64(others)-800) > 120 || math.Abs(float64(after)-200) > 60 {
@@ -89,17 +89,17 @@
 
 func TestAFloodOfNobodyIsRefused(t *testing.T) {
 	s := NewSource(Mix{Rate: 1}, time.Second, []string{"a"}, []string{"t"}, []float64{1}, 1)
-	if err := s.Change(func(d *Demand) { d.Of("x", func(o *Own) { o.Flood = 2 }) }); err == nil {
+	if err := s.Change(func(d *Demand) { d.ChangeTenant("x", func(o *TenantDemand) { o.RateFactor = 2 }) }); err == nil {
 		t.Error("taken")
 	}
-	if _, all := s.flood(); all != 0 {
+	if _, all := s.floodShares(); all != 0 {
 		t.Errorf("adds %v", all)
 	}
 }
 
 func TestHotAndScannedFunctionsAreNewOnes(t *testing.T) {
-	times, calls := drawTroubled(t, func(d *Demand) { d.Hot, d.HotFunctions, d.HotSpell, d.Scan = 0.3, 2, 1, 0.2 },
-		func(d *Demand) { d.Hot, d.Scan = 0, 0 })
+	times, calls := drawTroubled(t, func(d *Demand) { d.HotShare, d.HotFunctions, d.HotSpell, d.ScanShare = 0.3, 2, 1, 0.2 },
+		func(d *Demand) { d.HotShare, d.ScanShare = 0, 0 })
 	names := map[string]int{}
 	hot, after := within(times, calls, func(c Call) bool {
 		names[c.Function]++
@@ -115,21 +115,27 @@
 }
 
 func TestATenantMayRepeatWhateverItIsTold(t *testing.T) {
-	times, calls := drawTroubled(t, func(d *Demand) { d.Of("u", func(o *Own) { o.Repeats = 3 }); d.Patience, d.Work = 0.5, 2 },
-		func(d *Demand) { d.Of("u", func(o *Own) { o.Repeats = 0 }); d.Patience, d.Work = 1, 1 })
-	abuse := func(c Call) bool { return c.Habit == Impolite && c.Retries == 3 }
+	times, calls := drawTroubled(t, func(d *Demand) {
+		d.ChangeTenant("u", func(o *TenantDemand) { o.Repeats = 3 })
+		d.TimeoutFactor, d.WorkFactor = 0.5, 2
+	},
+		func(d *Demand) {
+			d.ChangeTenant("u", func(o *TenantDemand) { o.Repeats = 0 })
+			d.TimeoutFactor, d.WorkFactor = 1, 1
+		})
+	abuse := func(c Call) bool { return c.RetryPolicy == Impolite && c.Retries == 3 }
 	during, after := within(times, calls, abuse)
 	if math.Abs(float64(during)-200) > 60 || after > 1 { // the first call after the time still has the old demand
 		t.Errorf("%d calls during, %d after", during, after)
 	}
-	long := func(c Call) bool { return c.Patience > 500*time.Millisecond }
+	long := func(c Call) bool { return c.Timeout > 500*time.Millisecond }
 	if during, after := within(times, calls, long); during > 1 || after < 900 {
 		t.Errorf("%d patient clients during, %d after", during, after)
 	}
 }
 
 func TestASurgeMultipliesTheRate(t *testing.T) {
-	times, calls := drawTroubled(t, func(d *Demand) { d.Surge = 3 }, func(d *Demand) { d.Surge = 1 })
+	times, calls := drawTroubled(t, func(d *Demand) { d.RateFactor = 3 }, func(d *Demand) { d.RateFactor = 1 })
 	during, after := within(times, calls, func(Call) bool { return true })
 	if math.Abs(float64(during)-3000) > 250 || math.Abs(float64(after)-1000) > 150 {
 		t.Errorf("%d during, %d after", during, after)
@@ -142,14 +148,21 @@
 		outcome string
 		wait    time.Duration
 		again   bool
-	}{{Never, "refused", 0, false}, {AtOnce, "refused", 0, true}, {AtOnce, "failed", 0, false}, {Advised, "refused", 7, true},
-		{Wait, "refused", 50 * time.Millisecond, true}, {Impolite, "failed", 0, true}, {Impolite, "served", 0, false},
-		{Advised, "unreachable", 7, true}} {
-		c := Call{Habit: x.habit, Retries: 1}
-		if wait, again := c.Again(0, x.outcome, 7); wait != x.wait || again != x.again {
+	}{
+		{Never, "refused", 0, false},
+		{AtOnce, "refused", 0, true},
+		{AtOnce, "failed", 0, false},
+		{Advised, "refused", 7, true},
+		{Wait, "refused", 50 * time.Millisecond, true},
+		{Impolite, "failed", 0, true},
+		{Impolite, "served", 0, false},
+		{Advised, "unreachable", 7, true},
+	} {
+		c := Call{RetryPolicy: x.habit, Retries: 1}
+		if wait, again := c.Retry(0, x.outcome, 7); wait != x.wait || again != x.again {
 			t.Errorf("%+v: %v, %t", x, wait, again)
 		}
-		if _, again := c.Again(1, x.outcome, 7); again {
+		if _, again := c.Retry(1, x.outcome, 7); again {
 			t.Errorf("%+v: more than it may", x)
 		}
 	}
@@ -180,8 +193,8 @@
 	s := NewSource(Mix{Rate: 1000, Functions: 5, Work: 10 * time.Millisecond, OwnFunctions: true}, 10*time.Second, []string{"a"},
 		[]string{"t", "u", "v"}, []float64{1, 1, 1}, 1)
 	err := s.Change(func(d *Demand) {
-		d.Of("t", func(o *Own) { o.Silent = true })
-		d.Of("u", func(o *Own) { o.Work, o.Scan = 20, 1 })
+		d.ChangeTenant("t", func(o *TenantDemand) { o.Silent = true })
+		d.ChangeTenant("u", func(o *TenantDemand) { o.WorkFactor, o.ScanShare = 20, 1 })
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/lab/loadgen/replay.go
+++ b/lab/loadgen/replay.go
@@ -36,9 +36,9 @@
 			continue
 		}
 		n := len(list) + 1
-		c.ID, c.Key = fmt.Sprintf("c%d", n), fmt.Sprintf("k%d", n)
-		c.Patience, c.MemoryMB, c.Lanes, c.Load = m.Patience, m.MemoryMB, 2, m.Load
-		c.Habit, c.Retries = m.Habit, m.Retries
+		c.ID, c.IdempotencyKey = fmt.Sprintf("c%d", n), fmt.Sprintf("k%d", n)
+		c.Timeout, c.MemoryMB, c.Concurrency, c.LoadTime = m.Patience, m.MemoryMB, 2, m.Load
+		c.RetryPolicy, c.Retries = m.Habit, m.Retries
 		list = append(list, arrival{at, c})
 	}
 	if len(errs) > 0 {
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -139,19 +139,22 @@
 		return err
 	}
 	r.dir = dir.URL()
-	r.ways = []*Way{{Name: "direct", Address: faces}, {Name: "proxy", Address: []string{proxy}},
-		{Name: "gateway", Address: []string{gate.Address()}}}
+	r.ways = []*Way{
+		{Name: "direct", Address: faces},
+		{Name: "proxy", Address: []string{proxy}},
+		{Name: "gateway", Address: []string{gate.Address()}},
+	}
 	return nil
 }
 
 // quiet sees nothing: a Book would grow with each call.
 type quiet struct{}
 
-func (quiet) RequestReceived(*model.Worker, *model.Request)                {}
+func (quiet) RequestReceived(*model.Worker, *model.Request)             {}
 func (quiet) ResponseSent(*model.Worker, *model.Request, model.Outcome) {}
-func (quiet) RequestExecuted(*model.Worker, *model.Request)                     {}
-func (quiet) LoadOrderReceived(*model.Worker, string, string, int)         {}
-func (quiet) WorkerCrashed(*model.Worker)                                 {}
+func (quiet) RequestExecuted(*model.Worker, *model.Request)             {}
+func (quiet) LoadOrderReceived(*model.Worker, string, string, int)      {}
+func (quiet) WorkerCrashed(*model.Worker)                               {}
 
 // worker starts one emulated worker in a world of its own, with an HTTP face beside its socket.
 func (r *rig) worker(i int) (*worker.Server, string, error) {
@@ -165,7 +168,8 @@
 	r.later(fetcher.Close)
 	w, err := worker.Start(world, worker.Config{Address: "127.0.0.1:0", Work: r.cfg.Work, WorkerConfig: model.WorkerConfig{
 		Name: fmt.Sprint("w", i), Cell: "c", Cores: 64, Speed: 1, MemoryMB: 1e6, Queue: 100000, MaxConcurrentLoads: 4,
-		KeepAlive: time.Hour}}, fetcher, model.NewGroup(), quiet{})
+		KeepAlive: time.Hour,
+	}}, fetcher, model.NewGroup(), quiet{})
 	if err != nil {
 		return nil, "", err
 	}
@@ -201,8 +205,10 @@
 	work, reply := worker.ParseBody(string(body), 0)
 	answer := make(chan model.Response, 1)
 	f.w.Do(func(m *model.Worker) {
-		m.Handle(&model.Request{Function: "echo", MemoryMB: 100, Concurrency: 64, LoadTime: time.Millisecond, Work: work,
-			Deadline: f.world.Now() + time.Minute}, func(a model.Response) { answer <- a })
+		m.Handle(&model.Request{
+			Function: "echo", MemoryMB: 100, Concurrency: 64, LoadTime: time.Millisecond, Work: work,
+			Deadline: f.world.Now() + time.Minute,
+		}, func(a model.Response) { answer <- a })
 	})
 	select {
 	case a := <-answer:
--- a/lab/measure/overload.go
+++ b/lab/measure/overload.go
@@ -18,7 +18,7 @@
 	Offered float64 // calls a second
 	Worth   float64 // served in time, a second
 	Tally   invariant.Tally
-	Breaks  []invariant.Break
+	Breaks  []invariant.Violation
 }
 
 // OverloadConfig says what is overloaded.
@@ -50,14 +50,18 @@
 func (cfg OverloadConfig) point(ctx context.Context, factor, rate float64) (Point, error) {
 	w := fleet.DemoWorker()
 	w.Cores = overloadCores
-	f, err := fleet.Start(fleet.Config{Workers: cfg.Workers, Cells: 2, FrontEnds: cfg.FrontEnds, Worker: w,
-		Store: model.StoreConfig{Places: 8, Limit: 40}, Settings: fleet.DemoSettings, Slack: time.Second, Log: zerolog.Nop()})
+	f, err := fleet.Start(fleet.Config{
+		Workers: cfg.Workers, Cells: 2, FrontEnds: cfg.FrontEnds, Worker: w,
+		Store: model.StoreConfig{Places: 8, Limit: 40}, Settings: fleet.DemoSettings, Slack: time.Second, Log: zerolog.Nop(),
+	})
 	if err != nil {
 		return Point{}, err
 	}
 	defer f.Close()
-	f.Run(ctx, loadgen.Mix{Rate: rate, Functions: 4, Work: cfg.Work, WorkSigma: 0.5, Load: 300 * time.Millisecond, MemoryMB: 300,
-		Reply: 500, Patience: 2 * time.Second, Habit: loadgen.Never}, cfg.Lasts, cfg.Seed)
+	f.Run(ctx, loadgen.Mix{
+		Rate: rate, Functions: 4, Work: cfg.Work, WorkSigma: 0.5, Load: 300 * time.Millisecond, MemoryMB: 300,
+		Reply: 500, Patience: 2 * time.Second, Habit: loadgen.Never,
+	}, cfg.Lasts, cfg.Seed)
 	for _, e := range f.FrontEnds {
 		if err := e.Stop(); err != nil {
 			return Point{}, err
@@ -68,7 +72,7 @@
 	seconds := f.Score().Seconds
 	from := len(seconds) / 4
 	for _, s := range seconds[from:] {
-		p.Worth += s.Got / float64(len(seconds)-from)
+		p.Worth += s.Earned / float64(len(seconds)-from)
 	}
 	return p, ctx.Err()
 }
--- a/lab/model/clock.go
+++ b/lab/model/clock.go
@@ -56,16 +56,16 @@
 // Sim is a Clock in virtual time: Run goes from event to event. Events of one time come in the order in which
 // they were set. It is one goroutine's.
 type VirtualClock struct {
-	now    time.Duration
-	sequence    uint64
-	timers timerQueue
+	now      time.Duration
+	sequence uint64
+	timers   timerQueue
 }
 
 type timer struct {
-	at      time.Duration
-	sequence     uint64
-	callback       func()
-	stopped bool
+	at       time.Duration
+	sequence uint64
+	callback func()
+	stopped  bool
 }
 
 // Now is the virtual time.
--- a/lab/model/network.go
+++ b/lab/model/network.go
@@ -8,18 +8,18 @@
 
 // NetworkConfig describes the ways between machines that stand in zones 1 to Zones.
 type NetworkConfig struct {
-	Zones  int
-	Latency    time.Duration // one way, without troubles
-	Jitter float64       // share of it that is drawn anew for each message
+	Zones   int
+	Latency time.Duration // one way, without troubles
+	Jitter  float64       // share of it that is drawn anew for each message
 }
 
 // Network is the model of the ways between zones, as a stream over them sees it: nothing is lost for good and
 // nothing overtakes, but a message that was lost comes when it is sent again, and all behind it wait. It is
 // driven within its Clock.
 type Network struct {
-	cfg      NetworkConfig
-	clock    Clock
-	rng      *rand.Rand
+	cfg    NetworkConfig
+	clock  Clock
+	rng    *rand.Rand
 	faults []*NetworkFault
 }
 
@@ -34,7 +34,7 @@
 // shortest wait that is in common use).
 const (
 	firstRetransmitWait = 200 * time.Millisecond
-	maxRetransmitWait  = 10 * time.Second
+	maxRetransmitWait   = 10 * time.Second
 )
 
 // NewNetwork returns a Network without troubles.
@@ -83,8 +83,8 @@
 }
 
 type message struct {
-	received   bool
-	deliver func()
+	received bool
+	deliver  func()
 }
 
 // Way returns a new connection's way from a zone to a zone.
--- a/lab/model/portion.go
+++ b/lab/model/portion.go
@@ -2,8 +2,8 @@
 
 // Portion picks exactly a share of what comes, spread evenly.
 type Sampler struct {
-	Share float64
-	accumulated   float64
+	Share       float64
+	accumulated float64
 }
 
 // Next says whether the next one is picked.
--- a/lab/model/shared.go
+++ b/lab/model/shared.go
@@ -8,19 +8,19 @@
 // Shared serves jobs side by side, as cores or a disk do: alone a job takes its own time, and where more than
 // places jobs are there they share what there is alike (processor sharing).
 type ProcessorSharing struct {
-	clock  Clock
-	capacity float64
-	speed  float64 // 1: as told; 0: stands still
-	jobs   []*Job
-	updatedAt     time.Duration
-	cancelTimer   func()
-	Used   time.Duration // work done so far, in time of one place at speed 1
+	clock       Clock
+	capacity    float64
+	speed       float64 // 1: as told; 0: stands still
+	jobs        []*Job
+	updatedAt   time.Duration
+	cancelTimer func()
+	Used        time.Duration // work done so far, in time of one place at speed 1
 }
 
 // Job is one piece of work at a Shared.
 type Job struct {
 	remaining float64 // in ns at speed 1
-	done func()
+	done      func()
 }
 
 // NewShared returns a Shared with places, at speed 1.
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -4,24 +4,24 @@
 
 // StoreConfig describes the function store that all workers share.
 type StoreConfig struct {
-	Places       float64       // fetches that it serves at full pace
-	Limit        int           // fetches in hand beyond which it turns away
+	Places         float64       // fetches that it serves at full pace
+	Limit          int           // fetches in hand beyond which it turns away
 	OutageMultiple float64       // with more than this many times Places asked for, turned away included,
 	OutageAfter    time.Duration // for so long, it stops
-	OutageDuration      time.Duration // for so long
+	OutageDuration time.Duration // for so long
 }
 
 // Store is the model of the function store: slow when crowded, refusing beyond a limit, and stopped for a
 // while when it is pushed far over what it can do.
 type Store struct {
-	cfg    StoreConfig
-	clock  Clock
-	shared *ProcessorSharing
+	cfg      StoreConfig
+	clock    Clock
+	shared   *ProcessorSharing
 	outages  int // under way
-	slowdown   float64
-	failures  Sampler
-	asked  []time.Duration // since FallAfter ago: when, and
-	work   []time.Duration // how much
+	slowdown float64
+	failures Sampler
+	asked    []time.Duration // since FallAfter ago: when, and
+	work     []time.Duration // how much
 
 	StoreTotals
 }
--- a/lab/model/worker.go
+++ b/lab/model/worker.go
@@ -11,33 +11,33 @@
 
 // WorkerConfig describes one emulated worker.
 type WorkerConfig struct {
-	Name, Cell  string
-	Cores       float64
-	Speed       float64 // of a core, 1 is the yardstick
-	MemoryMB    float64
-	Queue       int           // calls that may wait
+	Name, Cell         string
+	Cores              float64
+	Speed              float64 // of a core, 1 is the yardstick
+	MemoryMB           float64
+	Queue              int           // calls that may wait
 	MaxConcurrentLoads int           // and twice as many may wait
-	KeepAlive   time.Duration // an idle copy is unloaded after this
-	MissAnswers bool          // answers Miss where a function is not loaded, else it loads
-	ScalesOut  bool          // starts another copy by itself when all lanes are taken
-	CancelStopsWork   bool          // a cancel stops work that runs
-	ColdCapacity    float64       // share of its capacity that it starts with, 0 for a warm start always
-	SlowStart    time.Duration // and is warm after
-	OverloadMultiple float64       // sent more than this many times what it can do
-	OverloadWindow   time.Duration // for so long, it falls over
-	KeyRetention   time.Duration // how long its cell remembers a key
+	KeepAlive          time.Duration // an idle copy is unloaded after this
+	MissAnswers        bool          // answers Miss where a function is not loaded, else it loads
+	ScalesOut          bool          // starts another copy by itself when all lanes are taken
+	CancelStopsWork    bool          // a cancel stops work that runs
+	ColdCapacity       float64       // share of its capacity that it starts with, 0 for a warm start always
+	SlowStart          time.Duration // and is warm after
+	OverloadMultiple   float64       // sent more than this many times what it can do
+	OverloadWindow     time.Duration // for so long, it falls over
+	KeyRetention       time.Duration // how long its cell remembers a key
 }
 
 // Call is one attempt of a call at a worker.
 type Request struct {
 	ID, FrontEnd, Class, IdempotencyKey string
-	Attempt                  int
-	Function                 string
-	MemoryMB                 float64
-	Concurrency                    int
-	LoadTime                     time.Duration // a load of the function, alone
-	Work                     time.Duration // of this call, on one core at speed 1
-	Deadline                  time.Duration // nobody waits after this
+	Attempt                             int
+	Function                            string
+	MemoryMB                            float64
+	Concurrency                         int
+	LoadTime                            time.Duration // a load of the function, alone
+	Work                                time.Duration // of this call, on one core at speed 1
+	Deadline                            time.Duration // nobody waits after this
 }
 
 // Outcome is how a worker answers.
@@ -65,11 +65,11 @@
 
 // Answer is a worker's answer to a Call.
 type Response struct {
-	Outcome Outcome
+	Outcome    Outcome
 	ColdStart  ColdStart
-	QueueDepth   int // calls of the function held on arrival
-	Waiting int // calls waiting now: its load report
-	RunTime     time.Duration
+	QueueDepth int // calls of the function held on arrival
+	Waiting    int // calls waiting now: its load report
+	RunTime    time.Duration
 }
 
 // Fetcher fetches artefacts for loads.
@@ -115,62 +115,62 @@
 
 // Worker is the model of one worker process.
 type Worker struct {
-	Config WorkerConfig
-	clock  Clock
-	store  Fetcher
-	keys  *KeyCache
-	observer   Observer
-
-	cpu      *ProcessorSharing
-	replicas   []*replica
-	loads    []*load // under way and waiting, oldest first
-	queue  []*attempt
-	running  []*attempt
-	recentWork []arrival // while cold, for the tip-over
-	incarnation     int
-	startedAt    time.Duration
-	up       bool
-	draining bool
-	slowdown float64
-	failures    Sampler
-	paused   bool
-	hung     bool
+	Config   WorkerConfig
+	clock    Clock
+	store    Fetcher
+	keys     *KeyCache
+	observer Observer
+
+	cpu           *ProcessorSharing
+	replicas      []*replica
+	loads         []*load // under way and waiting, oldest first
+	queue         []*attempt
+	running       []*attempt
+	recentWork    []arrival // while cold, for the tip-over
+	incarnation   int
+	startedAt     time.Duration
+	up            bool
+	draining      bool
+	slowdown      float64
+	failures      Sampler
+	paused        bool
+	hung          bool
 	stopSlowStart func()
 }
 
 type replica struct {
-	function string
-	memoryMB   float64
-	concurrency    int
-	busy     int
-	idleSince     time.Duration
-	cancelUnload     func()
-	invalid     bool // of a release that is over: unloaded as soon as it is idle
+	function     string
+	memoryMB     float64
+	concurrency  int
+	busy         int
+	idleSince    time.Duration
+	cancelUnload func()
+	invalid      bool // of a release that is over: unloaded as soon as it is idle
 }
 
 type load struct {
-	function string
-	memoryMB   float64
-	concurrency    int
-	duration     time.Duration
-	started    bool
-	orders   []*loadOrder
+	function    string
+	memoryMB    float64
+	concurrency int
+	duration    time.Duration
+	started     bool
+	orders      []*loadOrder
 }
 
 type loadOrder struct {
 	replicas int
-	reply  func(Outcome, int)
+	reply    func(Outcome, int)
 }
 
 type attempt struct {
 	*Request
-	reply  func(Response)
-	queueDepth  int
-	coldStart ColdStart
-	job    *Job
-	replica   *replica
+	reply      func(Response)
+	queueDepth int
+	coldStart  ColdStart
+	job        *Job
+	replica    *replica
 	startedAt  time.Duration // of its run
-	abandoned   bool
+	abandoned  bool
 }
 
 type arrival struct {
@@ -180,8 +180,10 @@
 
 // NewWorker returns a worker that runs since long ago.
 func NewWorker(c Clock, cfg WorkerConfig, store Fetcher, group *KeyCache, seen Observer) *Worker {
-	w := &Worker{Config: cfg, clock: c, store: store, keys: group, observer: seen, slowdown: 1, up: true, incarnation: 1,
-		startedAt: -time.Hour}
+	w := &Worker{
+		Config: cfg, clock: c, store: store, keys: group, observer: seen, slowdown: 1, up: true, incarnation: 1,
+		startedAt: -time.Hour,
+	}
 	w.cpu = NewProcessorSharing(c, cfg.Cores)
 	w.updateSpeed()
 	return w
@@ -577,7 +579,8 @@
 
 // Order takes an order to hold copies of a function; reply is called once, unless the worker dies or hangs.
 func (w *Worker) HandleLoadOrder(frontEnd, function string, copies int, memory float64, lanes int, took time.Duration,
-	reply func(Outcome, int)) {
+	reply func(Outcome, int),
+) {
 	w.observer.LoadOrderReceived(w, frontEnd, function, copies)
 	if !w.up || w.hung {
 		return
@@ -708,7 +711,8 @@
 // that the worker and the store hold; false where it would not be answered, or would push a cold worker over. It
 // is for oracles: no front end sees this.
 func (w *Worker) Estimate(function string, memory float64, lanes int, load, work time.Duration,
-	store *Store) (wait, rest time.Duration, may bool) {
+	store *Store,
+) (wait, rest time.Duration, may bool) {
 	speed := w.Config.Speed * w.capacityShare() / w.slowdown
 	if !w.up || w.hung || w.draining || w.paused || w.failures.Share > 0 || len(w.queue) >= w.Config.Queue {
 		return 0, 0, false
@@ -740,7 +744,8 @@
 // laneWait is how long a call waits for a lane of its function: where none stands, for a load, at the pace that
 // the store has now, and as the copy that it pushes out must be loaded again, for that one too.
 func (w *Worker) estimateReplicaWait(function string, memory float64, load, work time.Duration, speed float64,
-	store *Store) (wait, lane time.Duration) {
+	store *Store,
+) (wait, lane time.Duration) {
 	free, all, ahead := 0, 0, w.queuedFor(function)
 	used := memory
 	for _, c := range w.replicas {
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -31,8 +31,8 @@
 // broken lists the runs that count for nothing.
 func (r Report) broken() (list []string) {
 	for i := range r.Cells {
-		if c := &r.Cells[i]; c.Void() != "" {
-			list = append(list, fmt.Sprintf("%s on %s, seed %d %s", c.Variant, c.Day, c.Seed, c.Void()))
+		if c := &r.Cells[i]; c.InvalidReason() != "" {
+			list = append(list, fmt.Sprintf("%s on %s, seed %d %s", c.Variant, c.Scenario, c.Seed, c.InvalidReason()))
 		}
 	}
 	return list
@@ -50,7 +50,7 @@
 
 // Text writes the report for a terminal. Broken rules come first.
 func (r Report) Text(out io.Writer) {
-	fmt.Fprintf(out, "%s: %d days, %d seeds, %d variants; all emulated, in virtual time\n\n", r.Spec.Title, len(r.Spec.Days),
+	fmt.Fprintf(out, "%s: %d days, %d seeds, %d variants; all emulated, in virtual time\n\n", r.Spec.Title, len(r.Spec.Scenarios),
 		r.Spec.Seeds, len(r.Spec.Variants))
 	if list := r.broken(); len(list) > 0 {
 		fmt.Fprintf(out, "%d runs count for nothing:\n", len(list))
@@ -63,8 +63,8 @@
 		fmt.Fprintln(out)
 	}
 	r.table(out, "all days", r.Spec.Compare(r.Cells))
-	for _, d := range r.Spec.Days {
-		r.table(out, "day "+d.Name, r.Spec.CompareDay(r.Cells, d.Name))
+	for _, d := range r.Spec.Scenarios {
+		r.table(out, "day "+d.Name, r.Spec.CompareScenario(r.Cells, d.Name))
 		r.tenants(out, d)
 	}
 	fmt.Fprintln(out, "totals by the auditor")
@@ -80,18 +80,18 @@
 	}
 	fmt.Fprintf(out, "%s\n  %-14s %7s %8s %9s %20s %7s  %s\n", title, "variant", "service", "worth/s", "to first", "95% interval", "of top", "verdict")
 	for i, c := range list {
-		fmt.Fprintf(out, "  %-14s %7.3f %8.0f %+9.3f %20s %7.2f  %s\n", c.Variant, c.Mean, c.Goodput, c.Effect,
+		fmt.Fprintf(out, "  %-14s %7.3f %8.0f %+9.3f %20s %7.2f  %s\n", c.Variant, c.Mean, c.Goodput, c.Difference,
 			fmt.Sprintf("%+.3f to %+.3f", c.Low, c.High), share(c.Mean, top), verdict(i, c))
 	}
 	fmt.Fprintln(out)
 }
 
 // tenants writes the service of each tenant that a day's troubles name, and of the others together.
-func (r Report) tenants(out io.Writer, d experiment.Day) {
+func (r Report) tenants(out io.Writer, d experiment.Scenario) {
 	var named []string
-	for _, t := range d.Troubles {
-		if t.Name != "" && !slices.Contains(named, t.Name) {
-			named = append(named, t.Name)
+	for _, t := range d.Faults {
+		if t.Tenant != "" && !slices.Contains(named, t.Tenant) {
+			named = append(named, t.Tenant)
 		}
 	}
 	if len(named) == 0 {
@@ -102,7 +102,7 @@
 		parts := r.byTenant(v.Name, d.Name, named)
 		for _, name := range append(named, "others") {
 			p := parts[name]
-			fmt.Fprintf(out, "  %s %.3f of %.0f", name, p.Share(), p.Asked)
+			fmt.Fprintf(out, "  %s %.3f of %.0f", name, p.Share(), p.Offered)
 		}
 		fmt.Fprintln(out)
 	}
@@ -110,11 +110,11 @@
 }
 
 // byTenant adds what tenants asked and got on a day, over all seeds, those not named as "others".
-func (r Report) byTenant(variant, day string, named []string) map[string]invariant.Part {
-	parts := map[string]invariant.Part{}
+func (r Report) byTenant(variant, day string, named []string) map[string]invariant.ServiceLevel {
+	parts := map[string]invariant.ServiceLevel{}
 	for i := range r.Cells {
 		c := &r.Cells[i]
-		if c.Variant != variant || c.Day != day || c.Void() != "" {
+		if c.Variant != variant || c.Scenario != day || c.InvalidReason() != "" {
 			continue
 		}
 		for name, course := range c.Result.Score.ByTenant {
@@ -122,7 +122,7 @@
 				name = "others"
 			}
 			p := parts[name]
-			parts[name] = invariant.Part{Asked: p.Asked + course.Asked, Got: p.Got + course.Got}
+			parts[name] = invariant.ServiceLevel{Offered: p.Offered + course.Offered, Earned: p.Earned + course.Earned}
 		}
 	}
 	return parts
@@ -140,11 +140,11 @@
 	switch {
 	case i == 0:
 		text = "the first"
-	case c.More > 0:
-		text += fmt.Sprintf(" (%d more seeds a day would)", c.More)
+	case c.SeedsNeeded > 0:
+		text += fmt.Sprintf(" (%d more seeds a day would)", c.SeedsNeeded)
 	}
-	if c.Broken > 0 {
-		text += fmt.Sprintf("; %d runs count for nothing", c.Broken)
+	if c.InvalidRuns > 0 {
+		text += fmt.Sprintf("; %d runs count for nothing", c.InvalidRuns)
 	}
 	return text
 }
@@ -156,7 +156,7 @@
 	for _, v := range r.Spec.Variants {
 		page.Totals = append(page.Totals, fmt.Sprintf("%s: %v", v.Name, r.Total(v.Name)))
 	}
-	for _, d := range r.Spec.Days {
+	for _, d := range r.Spec.Scenarios {
 		day, err := r.day(d.Name)
 		if err != nil {
 			return fmt.Errorf("day %s: %w", d.Name, err)
@@ -169,7 +169,7 @@
 // first is a variant's run of a day with the first seed.
 func (r Report) first(variant, day string) *experiment.Cell {
 	for i := range r.Cells {
-		if c := &r.Cells[i]; c.Variant == variant && c.Day == day {
+		if c := &r.Cells[i]; c.Variant == variant && c.Scenario == day {
 			return c
 		}
 	}
@@ -177,7 +177,7 @@
 }
 
 func (r Report) day(name string) (htmlDay, error) {
-	d := htmlDay{Name: name, Table: htmlTable{"day " + name, r.Spec.CompareDay(r.Cells, name)}}
+	d := htmlDay{Name: name, Table: htmlTable{"day " + name, r.Spec.CompareScenario(r.Cells, name)}}
 	var first *experiment.Cell
 	curves := map[string][]curve{}
 	for _, v := range r.Spec.Variants {
@@ -191,7 +191,7 @@
 		add := func(plot string, values []float64) { curves[plot] = append(curves[plot], curve{v.Name, values}) }
 		add("service, by the second of the first try", service(c.Result.Score.Seconds))
 		for _, s := range series {
-			add(s.name, s.of(c.Result.Series))
+			add(s.name, s.of(c.Result.Samples))
 		}
 	}
 	if first == nil {
@@ -207,7 +207,7 @@
 	score := first.Result.Score
 	for _, by := range []struct {
 		kind  string
-		table map[string]*invariant.Course
+		table map[string]*invariant.Timeline
 	}{{"class", score.ByClass}, {"tenant", score.ByTenant}} {
 		svg, err := draws(fmt.Sprintf("service of %s, by %s", first.Variant, by.kind), courses(by.table))
 		if err != nil {
@@ -216,27 +216,27 @@
 		d.Plots = append(d.Plots, template.HTML(svg))
 	}
 	d.Parts = append(parts("class", score.ByClass), parts("tenant", score.ByTenant)...)
-	d.Told, d.Of = first.Result.Told, first.Variant
+	d.Told, d.Of = first.Result.Log, first.Variant
 	return d, nil
 }
 
 // courses are the parts of a score over time.
-func courses(table map[string]*invariant.Course) (list []curve) {
+func courses(table map[string]*invariant.Timeline) (list []curve) {
 	for _, name := range slices.Sorted(maps.Keys(table)) {
 		list = append(list, curve{name, service(table[name].Seconds)})
 	}
 	return list
 }
 
-func parts(kind string, table map[string]*invariant.Course) (list []htmlPart) {
+func parts(kind string, table map[string]*invariant.Timeline) (list []htmlPart) {
 	for name, p := range table {
-		list = append(list, htmlPart{kind, name, p.Asked, p.Got, p.Share()})
+		list = append(list, htmlPart{kind, name, p.Offered, p.Earned, p.Share()})
 	}
 	slices.SortFunc(list, func(a, b htmlPart) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
-func service(seconds []invariant.Part) (values []float64) {
+func service(seconds []invariant.ServiceLevel) (values []float64) {
 	for _, p := range seconds {
 		values = append(values, p.Share())
 	}
@@ -248,13 +248,13 @@
 	name string
 	of   func([]simulation.Sample) []float64
 }{
-	{"calls in hand at front ends", now(func(s simulation.Sample) int { return s.InHand })},
-	{"calls waiting at workers", now(func(s simulation.Sample) int { return s.Waiting })},
-	{"copies loaded", now(func(s simulation.Sample) int { return s.Copies })},
+	{"calls in hand at front ends", now(func(s simulation.Sample) int { return s.InFlight })},
+	{"calls waiting at workers", now(func(s simulation.Sample) int { return s.Queued })},
+	{"copies loaded", now(func(s simulation.Sample) int { return s.Replicas })},
 	{"attempts a second", rate(func(s simulation.Sample) uint64 { return s.Attempts })},
-	{"refusals a second", rate(func(s simulation.Sample) uint64 { return s.Refused })},
+	{"refusals a second", rate(func(s simulation.Sample) uint64 { return s.Rejected })},
 	{"failures a second", rate(func(s simulation.Sample) uint64 { return s.Failed })},
-	{"orders to load a second", rate(func(s simulation.Sample) uint64 { return s.Loads })},
+	{"orders to load a second", rate(func(s simulation.Sample) uint64 { return s.LoadOrders })},
 	{"store's fetches a second", rate(func(s simulation.Sample) uint64 { return uint64(s.Fetches) })},
 }
 
@@ -294,9 +294,16 @@
 }
 
 // colours tell up to eight variants apart, also for readers who see few colours (M. Okabe, K. Ito, 2008).
-var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
-	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{0, 0, 0, 255},
-	color.RGBA{128, 128, 128, 255}}
+var colours = []color.Color{
+	color.RGBA{0, 114, 178, 255},
+	color.RGBA{213, 94, 0, 255},
+	color.RGBA{0, 158, 115, 255},
+	color.RGBA{204, 121, 167, 255},
+	color.RGBA{86, 180, 233, 255},
+	color.RGBA{230, 159, 0, 255},
+	color.RGBA{0, 0, 0, 255},
+	color.RGBA{128, 128, 128, 255},
+}
 
 // draws draws curves over the seconds as SVG.
 func draws(title string, curves []curve) (string, error) {
@@ -381,7 +388,7 @@
 {{if .Broken}}<div class="broken"><b>{{len .Broken}} runs count for nothing</b><ul>{{range .Broken}}<li>{{.}}</li>{{end}}</ul></div>{{end}}
 <p>{{.Seeds}} seeds a day; all emulated, in virtual time. Service is the worth answered in time over the worth asked.</p>
 {{define "table"}}<h3>{{.Title}}</h3><table><tr><th>variant</th><th>service</th><th>worth a second</th><th>to the first</th><th>95% interval</th><th>broken</th><th>verdict</th></tr>
-{{range .Rows}}<tr><td>{{.Variant}}</td><td>{{printf "%.3f" .Mean}}</td><td>{{printf "%.0f" .Goodput}}</td><td>{{printf "%+.3f" .Effect}}</td><td>{{printf "%+.3f to %+.3f" .Low .High}}</td><td>{{.Broken}}</td><td>{{.Verdict}}{{if .More}} ({{.More}} more seeds a day would){{end}}</td></tr>{{end}}</table>{{end}}
+{{range .Rows}}<tr><td>{{.Variant}}</td><td>{{printf "%.3f" .Mean}}</td><td>{{printf "%.0f" .Goodput}}</td><td>{{printf "%+.3f" .Difference}}</td><td>{{printf "%+.3f to %+.3f" .Low .High}}</td><td>{{.InvalidRuns}}</td><td>{{.Verdict}}{{if .SeedsNeeded}} ({{.SeedsNeeded}} more seeds a day would){{end}}</td></tr>{{end}}</table>{{end}}
 {{range .Tables}}{{template "table" .}}{{end}}
 <h3>Totals by the auditor</h3><ul>{{range .Totals}}<li>{{.}}</li>{{end}}</ul>
 {{range .Days}}<h2>Day {{.Name}}</h2>{{template "table" .Table}}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -41,13 +41,13 @@
 		for _, c := range r.Cells {
 			if c.Variant == variant {
 				x := c.Result.Tally
-				sum.Asked, sum.Served, sum.Refused = sum.Asked+x.Asked, sum.Served+x.Served, sum.Refused+x.Refused
-				sum.Failed, sum.Left, sum.Killed = sum.Failed+x.Failed, sum.Left+x.Left, sum.Killed+x.Killed
-				sum.Attempts, sum.Runs, sum.Orders = sum.Attempts+x.Attempts, sum.Runs+x.Runs, sum.Orders+x.Orders
+				sum.Sent, sum.Served, sum.Rejected = sum.Sent+x.Sent, sum.Served+x.Served, sum.Rejected+x.Rejected
+				sum.Failed, sum.Disconnected, sum.AtKilledFrontEnds = sum.Failed+x.Failed, sum.Disconnected+x.Disconnected, sum.AtKilledFrontEnds+x.AtKilledFrontEnds
+				sum.Attempts, sum.Executions, sum.LoadOrders = sum.Attempts+x.Attempts, sum.Executions+x.Executions, sum.LoadOrders+x.LoadOrders
 			}
 		}
 		want := fmt.Sprint(sum)
-		if sum.Asked == 0 || !strings.Contains(text.String(), want) || !strings.Contains(html.UnescapeString(page.String()), want) {
+		if sum.Sent == 0 || !strings.Contains(text.String(), want) || !strings.Contains(html.UnescapeString(page.String()), want) {
 			t.Errorf("%s: no %q", variant, want)
 		}
 	}
@@ -73,20 +73,20 @@
 func TestThePartsAddUpToTheWhole(t *testing.T) {
 	for _, c := range made(t).Cells {
 		s := c.Result.Score
-		for _, table := range []map[string]*invariant.Course{s.ByClass, s.ByTenant} {
-			var all invariant.Course
+		for _, table := range []map[string]*invariant.Timeline{s.ByClass, s.ByTenant} {
+			var all invariant.Timeline
 			for _, part := range table {
-				var seconds invariant.Part
+				var seconds invariant.ServiceLevel
 				for _, x := range part.Seconds {
-					seconds.Asked, seconds.Got = seconds.Asked+x.Asked, seconds.Got+x.Got
+					seconds.Offered, seconds.Earned = seconds.Offered+x.Offered, seconds.Earned+x.Earned
 				}
-				if math.Abs(seconds.Asked-part.Asked)+math.Abs(seconds.Got-part.Got) > 1e-6 {
-					t.Errorf("%s: seconds %v, in all %v", c.Variant, seconds, part.Part)
+				if math.Abs(seconds.Offered-part.Offered)+math.Abs(seconds.Earned-part.Earned) > 1e-6 {
+					t.Errorf("%s: seconds %v, in all %v", c.Variant, seconds, part.ServiceLevel)
 				}
-				all.Asked, all.Got = all.Asked+part.Asked, all.Got+part.Got
+				all.Offered, all.Earned = all.Offered+part.Offered, all.Earned+part.Earned
 			}
-			if math.Abs(all.Asked-s.Asked)+math.Abs(all.Got-s.Got) > 1e-6 || s.Asked == 0 {
-				t.Errorf("%s: parts %v, in all %v", c.Variant, all.Part, s.Part)
+			if math.Abs(all.Offered-s.Offered)+math.Abs(all.Earned-s.Earned) > 1e-6 || s.Offered == 0 {
+				t.Errorf("%s: parts %v, in all %v", c.Variant, all.ServiceLevel, s.ServiceLevel)
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 
 func TestBrokenRulesLeadTheReport(t *testing.T) {
 	r := made(t)
-	r.Cells[0].Result.Breaks = []invariant.Break{{Rule: "twice", What: "an effect"}}
+	r.Cells[0].Result.Violations = []invariant.Violation{{Rule: "twice", What: "an effect"}}
 	var text bytes.Buffer
 	r.Text(&text)
 	broken, table := strings.Index(text.String(), "broke rule twice"), strings.Index(text.String(), "all days")
@@ -106,7 +106,7 @@
 // TestARunThatLostCallsIsTold: it counts for nothing, so the report must say so.
 func TestARunThatLostCallsIsTold(t *testing.T) {
 	r := made(t)
-	r.Cells[0].Result.Tally.Asked++
+	r.Cells[0].Result.Tally.Sent++
 	var text bytes.Buffer
 	r.Text(&text)
 	if r.Cells[0].Service() != 0 || !strings.Contains(text.String(), "does not account for all calls") {
--- a/lab/reportimport/course.go
+++ b/lab/reportimport/course.go
@@ -12,23 +12,23 @@
 // named says how a trouble that a report names is written. A report tells when it was and how many it struck, not
 // how strong it was: that is assumed.
 var named = map[string]struct {
-	trouble scenario.Trouble
+	trouble scenario.Fault
 	assumed string
 }{
-	"crash":          {scenario.Trouble{Verb: "crash"}, ""},
-	"hang":           {scenario.Trouble{Verb: "hang"}, ""},
-	"slow":           {scenario.Trouble{Verb: "slow", Factor: 4}, "factor assumed"},
-	"fast_errors":    {scenario.Trouble{Verb: "fail", Factor: 0.6}, "rate assumed"},
-	"pauses":         {scenario.Trouble{Verb: "pauses", Stop: 200 * time.Millisecond, Every: 2 * time.Second}, "pauses assumed"},
-	"neighbour":      {scenario.Trouble{Verb: "neighbour", Factor: 2, Every: 2 * time.Second}, "factor assumed"},
-	"ageing":         {scenario.Trouble{Verb: "ageing", Factor: 6}, "factor assumed"},
-	"handshake_slow": {scenario.Trouble{Verb: "handshake", By: 300 * time.Millisecond}, "time assumed"},
-	"give_up":        {scenario.Trouble{Verb: "patience", Factor: 0.5}, "factor assumed"},
-	"shift":          {scenario.Trouble{Verb: "heavy", Factor: 1.5}, "factor assumed"},
-	"origin_slow":    {scenario.Trouble{Verb: "store-slow", Factor: 4}, "factor assumed"},
-	"flush":          {scenario.Trouble{Verb: "re-release", Share: 0.6}, "share assumed"},
-	"scan":           {scenario.Trouble{Verb: "scan", Share: 0.1}, "share assumed"},
-	"hot_key":        {scenario.Trouble{Verb: "hot", Share: 0.1, Number: 2}, "share assumed"},
+	"crash":          {scenario.Fault{Kind: "crash"}, ""},
+	"hang":           {scenario.Fault{Kind: "hang"}, ""},
+	"slow":           {scenario.Fault{Kind: "slow", Factor: 4}, "factor assumed"},
+	"fast_errors":    {scenario.Fault{Kind: "fail", Factor: 0.6}, "rate assumed"},
+	"pauses":         {scenario.Fault{Kind: "pauses", PauseLength: 200 * time.Millisecond, Interval: 2 * time.Second}, "pauses assumed"},
+	"neighbour":      {scenario.Fault{Kind: "neighbour", Factor: 2, Interval: 2 * time.Second}, "factor assumed"},
+	"ageing":         {scenario.Fault{Kind: "ageing", Factor: 6}, "factor assumed"},
+	"handshake_slow": {scenario.Fault{Kind: "handshake", Offset: 300 * time.Millisecond}, "time assumed"},
+	"give_up":        {scenario.Fault{Kind: "patience", Factor: 0.5}, "factor assumed"},
+	"shift":          {scenario.Fault{Kind: "heavy", Factor: 1.5}, "factor assumed"},
+	"origin_slow":    {scenario.Fault{Kind: "store-slow", Factor: 4}, "factor assumed"},
+	"flush":          {scenario.Fault{Kind: "re-release", Share: 0.6}, "share assumed"},
+	"scan":           {scenario.Fault{Kind: "scan", Share: 0.1}, "share assumed"},
+	"hot_key":        {scenario.Fault{Kind: "hot", Share: 0.1, Number: 2}, "share assumed"},
 }
 
 // course makes troubles of the events.
@@ -40,21 +40,21 @@
 		_, change, _ := strings.Cut(e.text, " changed: ")
 		switch {
 		case what == "begins" && r.begun(i, name, struck):
-		case what == "ends" && named[name].trouble.Verb != "":
+		case what == "ends" && named[name].trouble.Kind != "":
 		case change != "" && scan(change, "%d ready, %d draining, %d gone", &ready, &draining, &gone):
 			f.changed(e.at, ready, draining, gone)
 		case scan(e.text, "%d balancer(s) stopped", &stopped):
 			for n := range min(stopped, r.day.FrontEnds) {
-				r.add(scenario.Trouble{At: e.at, Verb: "kill", Number: n + 1, For: downFor}, "which ones and how long assumed")
+				r.add(scenario.Fault{At: e.at, Kind: "kill", Number: n + 1, Duration: downFor}, "which ones and how long assumed")
 			}
 		case strings.HasPrefix(e.text, "a release of the servers"): // told by the changes of the list
 		default:
 			r.day.Unread = append(r.day.Unread, fmt.Sprintf("%v %s", e.at, e.text))
 		}
 	}
-	crashes := slices.ContainsFunc(r.day.Troubles, func(t scenario.Trouble) bool { return t.Verb == "crash" })
+	crashes := slices.ContainsFunc(r.day.Troubles, func(t scenario.Fault) bool { return t.Kind == "crash" })
 	for _, t := range f.troubles(r.day.Lasts, r.day.Workers) {
-		if t.Verb != "crash" || !crashes { // else the list tells of what was named
+		if t.Kind != "crash" || !crashes { // else the list tells of what was named
 			r.add(t, "")
 		}
 	}
@@ -84,10 +84,10 @@
 		return false
 	}
 	t := known.trouble
-	t.At, t.For = r.events[i].at, max(0, r.day.Lasts-r.events[i].at)
+	t.At, t.Duration = r.events[i].at, max(0, r.day.Lasts-r.events[i].at)
 	for _, e := range r.events[i+1:] {
 		if n, what, hit := begins(e.text); n == name && what == "ends" && hit == struck {
-			t.For = e.at - t.At
+			t.Duration = e.at - t.At
 			break
 		}
 	}
@@ -95,7 +95,7 @@
 	switch {
 	case struck > 0:
 		t.Share = share(struck, r.day.Workers)
-	case t.Share == 0 && scenario.Takes(t.Verb, scenario.Share):
+	case t.Share == 0 && scenario.HasParameter(t.Kind, scenario.ShareParameter):
 		t.Share, assumed = 0.1, "share assumed"
 	}
 	r.add(t, assumed)
@@ -144,7 +144,7 @@
 }
 
 // troubles are the fates as troubles, those of one course together.
-func (f *fates) troubles(lasts time.Duration, workers int) (list []scenario.Trouble) {
+func (f *fates) troubles(lasts time.Duration, workers int) (list []scenario.Fault) {
 	groups := map[fate]int{}
 	var order []fate
 	for _, x := range f.list {
@@ -159,9 +159,9 @@
 		}
 	}
 	for _, x := range order {
-		t := scenario.Trouble{At: x.drains, Verb: "crash", Share: share(groups[x], workers), For: max(0, x.back-x.drains)}
+		t := scenario.Fault{At: x.drains, Kind: "crash", Share: share(groups[x], workers), Duration: max(0, x.back-x.drains)}
 		if x.drained {
-			t.Verb, t.Drain = "take-out", max(0, x.ends-x.drains)
+			t.Kind, t.DrainTime = "take-out", max(0, x.ends-x.drains)
 		}
 		list = append(list, t)
 	}
--- a/lab/reportimport/transcript.go
+++ b/lab/reportimport/transcript.go
@@ -24,7 +24,7 @@
 	Lasts              time.Duration
 	Requests           int
 	Tries              float64 // tries a request, at most
-	Troubles           []scenario.Trouble
+	Troubles           []scenario.Fault
 	Notes              map[int]string // what was assumed, by the Line of a trouble
 	Unread             []string       // lines of the day's course that were not understood
 }
@@ -175,7 +175,7 @@
 }
 
 // add adds a trouble, with what was assumed of it.
-func (r *reader) add(t scenario.Trouble, assumed string) {
+func (r *reader) add(t scenario.Fault, assumed string) {
 	r.lines++
 	t.Line = r.lines
 	r.day.Troubles = append(r.day.Troubles, t)
@@ -207,7 +207,7 @@
 	}
 	r.surges()
 	r.course()
-	scenario.Sort(d.Troubles)
+	scenario.SortByTime(d.Troubles)
 	return nil
 }
 
@@ -232,7 +232,7 @@
 		factor := float64(w.requests) / (end - w.from).Seconds() / r.day.Rate()
 		factor = math.Round(100*max(factor, 0.01)) / 100
 		if math.Abs(factor-1) > 0.02 && factor <= 1000 {
-			r.add(scenario.Trouble{At: w.from, Verb: "surge", Factor: factor, For: end - w.from}, "")
+			r.add(scenario.Fault{At: w.from, Kind: "surge", Factor: factor, Duration: end - w.from}, "")
 		}
 	}
 }
--- a/lab/scenario/script.go
+++ b/lab/scenario/script.go
@@ -22,115 +22,117 @@
 var ErrScript = errors.New("script")
 
 // Trouble is one line of a script.
-type Trouble struct {
-	At     time.Duration
-	Verb   string
-	Share  float64 // of the workers, clients, calls or functions, 0 to 1
-	Number int     // of a front end or a zone, or how many functions
-	To     int     // the other zone
-	Name   string  // of a tenant
-	Factor float64 // of slowness or rate, or the share that fails or is lost
-	By     time.Duration
-	Stop   time.Duration // length of one pause
-	Every  time.Duration
-	Over   time.Duration
-	Drain  time.Duration
-	For    time.Duration
-	Line   int
+type Fault struct {
+	At          time.Duration
+	Kind        string
+	Share       float64 // of the workers, clients, calls or functions, 0 to 1
+	Number      int     // of a front end or a zone, or how many functions
+	OtherZone   int     // the other zone
+	Tenant      string  // of a tenant
+	Factor      float64 // of slowness or rate, or the share that fails or is lost
+	Offset      time.Duration
+	PauseLength time.Duration // length of one pause
+	Interval    time.Duration
+	Spread      time.Duration
+	DrainTime   time.Duration
+	Duration    time.Duration
+	Line        int
 }
 
 // Word is a kind of word that may follow a verb.
-type Word int
+type Parameter int
 
 // The kinds.
 const (
-	Share Word = iota + 1
-	FrontEnd
-	Zone
-	OtherZone
-	Tenant
-	Functions
-	Times
-	Rate
-	Factor
-	By
-	Skew
-	Stop
-	Every
-	Over
-	Drain
-	For
+	ShareParameter Parameter = iota + 1
+	FrontEndParameter
+	ZoneParameter
+	OtherZoneParameter
+	TenantParameter
+	FunctionsParameter
+	RepeatsParameter
+	RateParameter
+	FactorParameter
+	OffsetParameter
+	SkewParameter
+	PauseLengthParameter
+	IntervalParameter
+	SpreadParameter
+	DrainTimeParameter
+	DurationParameter
 )
 
 // word says how a kind is written, read and set. A keyword comes before it where there is one.
-type word struct {
-	key     string
+type syntax struct {
+	keyword string
 	example string
-	read    func(t *Trouble, text string) error
-	write   func(t Trouble) string
+	read    func(t *Fault, text string) error
+	write   func(t Fault) string
 }
 
-var words = map[Word]word{
-	Share: {"", "25%", func(t *Trouble, s string) (err error) { t.Share, err = percent(s); return err },
-		func(t Trouble) string { return strconv.FormatFloat(100*t.Share, 'g', 6, 64) + "%" }},
-	FrontEnd:  whole("", "2", "a front end's number", func(t *Trouble) *int { return &t.Number }),
-	Zone:      whole("", "1", "a zone's number", func(t *Trouble) *int { return &t.Number }),
-	OtherZone: whole("", "2", "a zone's number", func(t *Trouble) *int { return &t.To }),
-	Functions: whole("functions", "3", "a number of functions", func(t *Trouble) *int { return &t.Number }),
-	Times:     whole("times", "3", "a number of repeats", func(t *Trouble) *int { return &t.Number }),
-	Tenant: {"", "palermo", func(t *Trouble, s string) error {
-		if t.Name = s; s == "" {
+var parameters = map[Parameter]syntax{
+	ShareParameter: {
+		"", "25%", func(t *Fault, s string) (err error) { t.Share, err = parseShare(s); return err },
+		func(t Fault) string { return strconv.FormatFloat(100*t.Share, 'g', 6, 64) + "%" },
+	},
+	FrontEndParameter:  countSyntax("", "2", "a front end's number", func(t *Fault) *int { return &t.Number }),
+	ZoneParameter:      countSyntax("", "1", "a zone's number", func(t *Fault) *int { return &t.Number }),
+	OtherZoneParameter: countSyntax("", "2", "a zone's number", func(t *Fault) *int { return &t.OtherZone }),
+	FunctionsParameter: countSyntax("functions", "3", "a number of functions", func(t *Fault) *int { return &t.Number }),
+	RepeatsParameter:   countSyntax("times", "3", "a number of repeats", func(t *Fault) *int { return &t.Number }),
+	TenantParameter: {"", "palermo", func(t *Fault, s string) error {
+		if t.Tenant = s; s == "" {
 			return errors.New("found the end of the line; allowed: a tenant's name")
 		}
 		return nil
-	}, func(t Trouble) string { return t.Name }},
-	Rate:   number("rate", "0.5", 0, 1),
-	Factor: number("factor", "4", 0.01, 1000),
-	By:     span("by", "600ms", 0, func(t *Trouble) *time.Duration { return &t.By }),
-	Skew:   span("by", "-30s", -day, func(t *Trouble) *time.Duration { return &t.By }),
-	Stop:   span("stop", "200ms", 0, func(t *Trouble) *time.Duration { return &t.Stop }),
-	Every:  span("every", "2s", time.Millisecond, func(t *Trouble) *time.Duration { return &t.Every }),
-	Over:   span("over", "4s", 0, func(t *Trouble) *time.Duration { return &t.Over }),
-	Drain:  span("drain", "400ms", 0, func(t *Trouble) *time.Duration { return &t.Drain }),
-	For:    span("for", "3s", 0, func(t *Trouble) *time.Duration { return &t.For }),
+	}, func(t Fault) string { return t.Tenant }},
+	RateParameter:        numberSyntax("rate", "0.5", 0, 1),
+	FactorParameter:      numberSyntax("factor", "4", 0.01, 1000),
+	OffsetParameter:      durationSyntax("by", "600ms", 0, func(t *Fault) *time.Duration { return &t.Offset }),
+	SkewParameter:        durationSyntax("by", "-30s", -maxDuration, func(t *Fault) *time.Duration { return &t.Offset }),
+	PauseLengthParameter: durationSyntax("stop", "200ms", 0, func(t *Fault) *time.Duration { return &t.PauseLength }),
+	IntervalParameter:    durationSyntax("every", "2s", time.Millisecond, func(t *Fault) *time.Duration { return &t.Interval }),
+	SpreadParameter:      durationSyntax("over", "4s", 0, func(t *Fault) *time.Duration { return &t.Spread }),
+	DrainTimeParameter:   durationSyntax("drain", "400ms", 0, func(t *Fault) *time.Duration { return &t.DrainTime }),
+	DurationParameter:    durationSyntax("for", "3s", 0, func(t *Fault) *time.Duration { return &t.Duration }),
 }
 
-const day = 24 * time.Hour
+const maxDuration = 24 * time.Hour
 
-func whole(key, example, what string, field func(*Trouble) *int) word {
-	return word{key, example, func(t *Trouble, s string) (err error) {
+func countSyntax(key, example, what string, field func(*Fault) *int) syntax {
+	return syntax{key, example, func(t *Fault, s string) (err error) {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 1 || n > 10000 {
 			return fmt.Errorf("found %q; allowed: %s, from 1", s, what)
 		}
 		*field(t) = n
 		return nil
-	}, func(t Trouble) string { return strconv.Itoa(*field(&t)) }}
+	}, func(t Fault) string { return strconv.Itoa(*field(&t)) }}
 }
 
-func span(key, example string, least time.Duration, field func(*Trouble) *time.Duration) word {
-	return word{key, example, func(t *Trouble, s string) error {
+func durationSyntax(key, example string, least time.Duration, field func(*Fault) *time.Duration) syntax {
+	return syntax{key, example, func(t *Fault, s string) error {
 		d, err := time.ParseDuration(s)
-		if err != nil || d < least || d > day {
+		if err != nil || d < least || d > maxDuration {
 			return fmt.Errorf("found %q; allowed: a time as 1.5s, from %v to 24h", s, least)
 		}
 		*field(t) = d
 		return nil
-	}, func(t Trouble) string { return field(&t).String() }}
+	}, func(t Fault) string { return field(&t).String() }}
 }
 
-func number(key, example string, least, most float64) word {
-	return word{key, example, func(t *Trouble, s string) error {
+func numberSyntax(key, example string, least, most float64) syntax {
+	return syntax{key, example, func(t *Fault, s string) error {
 		x, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(x >= least && x <= most) {
 			return fmt.Errorf("found %q; allowed: a number, %v to %v", s, least, most)
 		}
 		t.Factor = x
 		return nil
-	}, func(t Trouble) string { return strconv.FormatFloat(t.Factor, 'g', 6, 64) }}
+	}, func(t Fault) string { return strconv.FormatFloat(t.Factor, 'g', 6, 64) }}
 }
 
-func percent(text string) (float64, error) {
+func parseShare(text string) (float64, error) {
 	digits, found := strings.CutSuffix(text, "%")
 	x, err := strconv.ParseFloat(digits, 64)
 	if !found || err != nil || !(x > 0 && x <= 100) {
@@ -140,7 +142,7 @@
 }
 
 // Load reads the script in a file.
-func Load(path string) ([]Trouble, error) {
+func Load(path string) ([]Fault, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrScript, err)
@@ -149,8 +151,8 @@
 }
 
 // Parse reads a script. Errors name line and column, what was found and what is allowed; all are told at once.
-func Parse(name, text string) ([]Trouble, error) {
-	var list []Trouble
+func Parse(name, text string) ([]Fault, error) {
+	var list []Fault
 	var errs []error
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
@@ -168,23 +170,23 @@
 	if len(errs) > 0 {
 		return nil, fmt.Errorf("%w:\n%w", ErrScript, errors.Join(errs...))
 	}
-	Sort(list)
+	SortByTime(list)
 	return list, nil
 }
 
 // Sort puts troubles in the order of their times.
-func Sort(list []Trouble) {
-	slices.SortStableFunc(list, func(a, b Trouble) int { return int(a.At - b.At) })
+func SortByTime(list []Fault) {
+	slices.SortStableFunc(list, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
 // cursor goes through the words of a line.
-type cursor struct {
+type tokenizer struct {
 	line   string
 	at     int // where the next word is looked for
 	column int // of the last word, from 1
 }
 
-func (c *cursor) next() string {
+func (c *tokenizer) next() string {
 	for c.at < len(c.line) && (c.line[c.at] == ' ' || c.line[c.at] == '\t') {
 		c.at++
 	}
@@ -197,24 +199,24 @@
 }
 
 // ParseLine reads one line without its comment. An error comes with its column.
-func ParseLine(line string) (t Trouble, column int, err error) {
-	c := &cursor{line: line}
+func ParseLine(line string) (t Fault, column int, err error) {
+	c := &tokenizer{line: line}
 	if w := c.next(); w != "at" {
 		return t, c.column, fmt.Errorf("found %q; allowed: at TIME TROUBLE", w)
 	}
-	if t.At, err = atTime(c.next()); err != nil {
+	if t.At, err = parseTime(c.next()); err != nil {
 		return t, c.column, err
 	}
-	t.Verb = c.next()
-	v := verbOf(t.Verb)
+	t.Kind = c.next()
+	v := kindOf(t.Kind)
 	if v == nil {
-		return t, c.column, fmt.Errorf("found %q; allowed: %s", t.Verb, strings.Join(Verbs(), ", "))
+		return t, c.column, fmt.Errorf("found %q; allowed: %s", t.Kind, strings.Join(Kinds(), ", "))
 	}
-	for _, w := range v.takes {
-		w := words[w]
-		if w.key != "" {
-			if found := c.next(); found != w.key {
-				return t, c.column, fmt.Errorf("found %q; allowed here: %q", found, w.key)
+	for _, w := range v.parameters {
+		w := parameters[w]
+		if w.keyword != "" {
+			if found := c.next(); found != w.keyword {
+				return t, c.column, fmt.Errorf("found %q; allowed here: %q", found, w.keyword)
 			}
 		}
 		if err := w.read(&t, c.next()); err != nil {
@@ -227,48 +229,48 @@
 	return t, 0, nil
 }
 
-func atTime(s string) (time.Duration, error) {
-	var t Trouble
-	err := words[For].read(&t, s)
-	return t.For, err
+func parseTime(s string) (time.Duration, error) {
+	var t Fault
+	err := parameters[DurationParameter].read(&t, s)
+	return t.Duration, err
 }
 
 // Verbs names all troubles.
-func Verbs() (names []string) {
-	for _, v := range table {
+func Kinds() (names []string) {
+	for _, v := range kinds {
 		names = append(names, v.name)
 	}
 	return names
 }
 
 // Takes says whether a verb takes a kind of word.
-func Takes(verb string, w Word) bool {
-	v := verbOf(verb)
-	return v != nil && slices.Contains(v.takes, w)
+func HasParameter(verb string, w Parameter) bool {
+	v := kindOf(verb)
+	return v != nil && slices.Contains(v.parameters, w)
 }
 
 // Zones is the highest number of a zone that troubles name, 0 for none.
-func Zones(list []Trouble) (most int) {
+func MaxZone(list []Fault) (most int) {
 	for _, t := range list {
-		if Takes(t.Verb, Zone) {
-			most = max(most, t.Number, t.To)
+		if HasParameter(t.Kind, ZoneParameter) {
+			most = max(most, t.Number, t.OtherZone)
 		}
 	}
 	return most
 }
 
 // Format writes a trouble as the line that ParseLine reads.
-func Format(t Trouble) string { return fmt.Sprintf("at %v %v", t.At, t) }
+func Format(t Fault) string { return fmt.Sprintf("at %v %v", t.At, t) }
 
 // String is the trouble in the script's words, without its time.
-func (t Trouble) String() string {
-	out := t.Verb
-	if v := verbOf(t.Verb); v != nil {
-		for _, w := range v.takes {
-			if key := words[w].key; key != "" {
+func (t Fault) String() string {
+	out := t.Kind
+	if v := kindOf(t.Kind); v != nil {
+		for _, w := range v.parameters {
+			if key := parameters[w].keyword; key != "" {
 				out += " " + key
 			}
-			out += " " + words[w].write(t)
+			out += " " + parameters[w].write(t)
 		}
 	}
 	return out
@@ -287,13 +289,13 @@
 | trouble, as an example | what happens |
 | --- | --- |
 `)
-	for _, v := range table {
+	for _, v := range kinds {
 		example := v.name
-		for _, w := range v.takes {
-			if key := words[w].key; key != "" {
+		for _, w := range v.parameters {
+			if key := parameters[w].keyword; key != "" {
 				example += " " + key
 			}
-			example += " " + words[w].example
+			example += " " + parameters[w].example
 		}
 		fmt.Fprintf(&out, "| `%s` | %s |\n", example, v.help)
 	}
--- a/lab/simulation/front.go
+++ b/lab/simulation/front.go
@@ -17,150 +17,150 @@
 )
 
 // front is one front end: the real gateway.Front, with a loop in virtual time.
-type front struct {
-	sim    *Sim
-	number int
-	name   string
-	alive  bool
-	life   int
-	gate   *gateway.FrontEnd
-	links  []*link
-	asks   []*client
-	counts gateway.Counts // of earlier lives
-	stalls int            // under way
-	missed []func(now time.Duration)
-	queue  []func(now time.Duration) // arrivals, while it stands still
-
-	wakeAt   time.Duration
-	stopWake func()
-	follows  bool // the directory tells it changes
-	version  int  // of the list that it was told last
+type frontEnd struct {
+	sim              *Simulation
+	number           int
+	name             string
+	alive            bool
+	incarnation      int
+	gateway          *gateway.FrontEnd
+	workers          []*workerClient
+	requests         []*clientAttempt
+	counts           gateway.Counts // of earlier lives
+	stalls           int            // under way
+	deferredEvents   []func(now time.Duration)
+	deferredRequests []func(now time.Duration) // arrivals, while it stands still
+
+	timerAt         time.Duration
+	cancelTimer     func()
+	watching        bool // the directory tells it changes
+	endpointVersion int  // of the list that it was told last
 }
 
 // start begins a life.
-func (f *front) start() {
+func (f *frontEnd) start() {
 	s := f.sim
-	f.alive, f.follows = true, true
-	f.life++
-	set := gateway.FrontEndSettings(s.set, f.number, epoch, s.cfg.Seed^uint64(f.number)<<20^uint64(f.life))
-	set.NewScheduler = s.policy
-	f.wakeAt, f.version = -1, -1
-	f.stalls, f.missed, f.queue = 0, nil, nil
-	f.gate = gateway.New(s.clock.Now(), set, f, zerolog.New(s).Level(s.cfg.LogLevel).With().Str("of", f.name).Logger())
-	f.plan()
-	s.tell(f, s.delay())
+	f.alive, f.watching = true, true
+	f.incarnation++
+	set := gateway.FrontEndSettings(s.settings, f.number, epoch, s.cfg.Seed^uint64(f.number)<<20^uint64(f.incarnation))
+	set.NewScheduler = s.newScheduler
+	f.timerAt, f.endpointVersion = -1, -1
+	f.stalls, f.deferredEvents, f.deferredRequests = 0, nil, nil
+	f.gateway = gateway.New(s.clock.Now(), set, f, zerolog.New(s).Level(s.cfg.LogLevel).With().Str("of", f.name).Logger())
+	f.scheduleTimer()
+	s.deliverEndpointsAfter(f, s.networkDelay())
 }
 
 // stall makes the front end stand still for d; then all that came meanwhile is there at once.
-func (f *front) stall(d time.Duration) {
-	life := f.life
-	f.sim.book.Stall(f.name, d)
+func (f *frontEnd) stall(d time.Duration) {
+	life := f.incarnation
+	f.sim.history.FrontEndStalled(f.name, d)
 	f.stalls++
 	f.sim.clock.After(d, func() {
-		if f.life != life {
+		if f.incarnation != life {
 			return
 		}
 		if f.stalls--; f.stalls > 0 {
 			return
 		}
 		// As the loop does it: the events that are there, the timers, then the arrivals.
-		missed, queue := f.missed, f.queue
-		f.missed, f.queue = nil, nil
-		for _, event := range slices.Concat(missed, []func(time.Duration){f.gate.FireTimers}, queue) {
+		missed, queue := f.deferredEvents, f.deferredRequests
+		f.deferredEvents, f.deferredRequests = nil, nil
+		for _, event := range slices.Concat(missed, []func(time.Duration){f.gateway.FireTimers}, queue) {
 			f.do(event)
 		}
 	})
 }
 
 // arrive hands a call over, as soon as the front end takes calls.
-func (f *front) arrive(c *gateway.Request) {
-	event := func(now time.Duration) { f.gate.RequestReceived(now, c) }
+func (f *frontEnd) requestReceived(c *gateway.Request) {
+	event := func(now time.Duration) { f.gateway.RequestReceived(now, c) }
 	if f.stalls > 0 {
-		f.queue = append(f.queue, event)
+		f.deferredRequests = append(f.deferredRequests, event)
 		return
 	}
 	f.do(event)
 }
 
 // do tells the Front something and plans its next turn.
-func (f *front) do(event func(now time.Duration)) {
+func (f *frontEnd) do(event func(now time.Duration)) {
 	if f.stalls > 0 {
-		f.missed = append(f.missed, event)
+		f.deferredEvents = append(f.deferredEvents, event)
 		return
 	}
 	event(f.sim.clock.Now())
-	f.plan()
+	f.scheduleTimer()
 }
 
 // plan sets the timer that the Front wants.
-func (f *front) plan() {
-	next := f.gate.NextTimer()
-	if next == f.wakeAt {
+func (f *frontEnd) scheduleTimer() {
+	next := f.gateway.NextTimer()
+	if next == f.timerAt {
 		return
 	}
-	if f.stopWake != nil {
-		f.stopWake()
+	if f.cancelTimer != nil {
+		f.cancelTimer()
 	}
-	f.wakeAt = next
-	f.stopWake = f.sim.clock.After(next-f.sim.clock.Now(), func() {
-		f.wakeAt, f.stopWake = -1, nil
+	f.timerAt = next
+	f.cancelTimer = f.sim.clock.After(next-f.sim.clock.Now(), func() {
+		f.timerAt, f.cancelTimer = -1, nil
 		if f.stalls == 0 {
-			f.do(f.gate.FireTimers)
+			f.do(f.gateway.FireTimers)
 		}
 	})
 }
 
 // kill ends a life as kill -9 does.
-func (f *front) kill() {
+func (f *frontEnd) kill() {
 	if !f.alive {
 		return
 	}
-	f.alive, f.follows = false, false
-	f.counts.Add(f.gate.Counts())
-	if f.stopWake != nil {
-		f.stopWake()
-		f.stopWake = nil
+	f.alive, f.watching = false, false
+	f.counts.Add(f.gateway.Counts())
+	if f.cancelTimer != nil {
+		f.cancelTimer()
+		f.cancelTimer = nil
 	}
-	for _, l := range f.links {
+	for _, l := range f.workers {
 		l.Stop()
 	}
-	f.links = nil
-	f.sim.book.Kill(f.name)
-	asks := f.asks
-	f.asks = nil
+	f.workers = nil
+	f.sim.history.FrontEndKilled(f.name)
+	asks := f.requests
+	f.requests = nil
 	for _, t := range asks {
-		f.sim.clock.After(f.sim.delay(), t.lost)
+		f.sim.clock.After(f.sim.networkDelay(), t.connectionLost)
 	}
 }
 
 // Open implements gateway.Outside.
-func (f *front) OpenWorker(id scheduler.WorkerID, _ discovery.Worker) gateway.WorkerClient {
-	l := newLink(f, id)
-	f.links = append(slices.DeleteFunc(f.links, func(x *link) bool { return x.stopped }), l)
+func (f *frontEnd) OpenWorker(id scheduler.WorkerID, _ discovery.Worker) gateway.WorkerClient {
+	l := newWorkerClient(f, id)
+	f.workers = append(slices.DeleteFunc(f.workers, func(x *workerClient) bool { return x.stopped }), l)
 	return l
 }
 
 // Follow implements gateway.Outside: the directory is asked, and answers or fails.
-func (f *front) WatchEndpoints() {
-	life := f.life
-	f.sim.clock.After(2*f.sim.delay(), func() {
-		if !f.alive || f.life != life {
+func (f *frontEnd) WatchEndpoints() {
+	life := f.incarnation
+	f.sim.clock.After(2*f.sim.networkDelay(), func() {
+		if !f.alive || f.incarnation != life {
 			return
 		}
-		if f.sim.down {
-			f.do(func(now time.Duration) { f.gate.WatchFailed(now, errDown) })
+		if f.sim.discoveryDown {
+			f.do(func(now time.Duration) { f.gateway.WatchFailed(now, errDown) })
 			return
 		}
-		f.follows = true
-		f.sim.deliver(f, f.sim.listed(), f.sim.version)
+		f.watching = true
+		f.sim.deliverEndpoints(f, f.sim.listedEndpoints(), f.sim.endpointVersion)
 	})
 }
 
 // listed is the list as the directory tells it now.
-func (s *Sim) listed() []discovery.Worker {
-	n := int(s.part*float64(len(s.entries)) + 0.5)
+func (s *Simulation) listedEndpoints() []discovery.Worker {
+	n := int(s.listedShare*float64(len(s.endpoints)) + 0.5)
 	var list []discovery.Worker
-	for _, e := range s.entries[:n] {
+	for _, e := range s.endpoints[:n] {
 		if e.State != scheduler.Removed {
 			list = append(list, e)
 		}
@@ -169,126 +169,126 @@
 }
 
 // changed tells all front ends that follow of a change, each after its own lag.
-func (s *Sim) changed() {
-	s.version++
+func (s *Simulation) endpointsChanged() {
+	s.endpointVersion++
 	for _, f := range s.fronts {
-		if f.alive && f.follows {
-			s.tell(f, s.lag+time.Duration(float64(s.cfg.ListLag)*(0.5+s.rng.Float64())))
+		if f.alive && f.watching {
+			s.deliverEndpointsAfter(f, s.extraDiscoveryLag+time.Duration(float64(s.cfg.DiscoveryLag)*(0.5+s.rng.Float64())))
 		}
 	}
 }
 
 // tell delivers the list as it is now after a lag, unless a newer one was delivered before.
-func (s *Sim) tell(f *front, lag time.Duration) {
-	list, version, life := s.listed(), s.version, f.life
+func (s *Simulation) deliverEndpointsAfter(f *frontEnd, lag time.Duration) {
+	list, version, life := s.listedEndpoints(), s.endpointVersion, f.incarnation
 	s.clock.After(lag, func() {
-		if f.alive && f.life == life && f.follows && version > f.version {
-			s.deliver(f, list, version)
+		if f.alive && f.incarnation == life && f.watching && version > f.endpointVersion {
+			s.deliverEndpoints(f, list, version)
 		}
 	})
 }
 
-func (s *Sim) deliver(f *front, list []discovery.Worker, version int) {
-	f.version = version
+func (s *Simulation) deliverEndpoints(f *frontEnd, list []discovery.Worker, version int) {
+	f.endpointVersion = version
 	states := map[string]scheduler.WorkerState{}
 	for _, e := range list {
 		states[e.Name] = e.State
 	}
-	s.book.Notice(invariant.Notice{At: s.clock.Now(), FrontEnd: f.name, States: states})
-	f.do(func(now time.Duration) { f.gate.EndpointsChanged(now, list) })
+	s.history.EndpointsUpdated(invariant.EndpointUpdate{At: s.clock.Now(), FrontEnd: f.name, States: states})
+	f.do(func(now time.Duration) { f.gateway.EndpointsChanged(now, list) })
 }
 
 // The methods below make a Sim the script.Stage on which troubles are played.
 
 // Workers is their number.
-func (s *Sim) Workers() int { return len(s.workers) }
+func (s *Simulation) Workers() int { return len(s.workers) }
 
 // Command gives a worker a command.
-func (s *Sim) Command(i int, line string) error {
+func (s *Simulation) CommandWorker(i int, line string) error {
 	w := s.workers[i]
 	if line == "reset" {
-		s.broke(w)
+		s.workerConnectionsBroke(w)
 		return nil
 	}
 	if argument, shake := strings.CutPrefix(line, "handshake "); shake {
 		d, err := time.ParseDuration(argument)
-		s.shakes[i] = d
+		s.handshakeDelay[i] = d
 		return err
 	}
 	_, err := w.Command(line)
 	if line == "die" {
-		s.broke(w)
+		s.workerConnectionsBroke(w)
 	}
 	return err
 }
 
 // List tells the directory of a worker.
-func (s *Sim) List(i int, state scheduler.WorkerState) {
-	s.entries[i].State = state
-	s.entries[i].Started = epoch.Add(s.clock.Now() - s.workers[i].Uptime() + s.skew[i])
-	s.changed()
+func (s *Simulation) ListWorker(i int, state scheduler.WorkerState) {
+	s.endpoints[i].State = state
+	s.endpoints[i].Started = epoch.Add(s.clock.Now() - s.workers[i].Uptime() + s.clockSkew[i])
+	s.endpointsChanged()
 }
 
 // StoreStop stops the store.
-func (s *Sim) StoreStop(d time.Duration) { s.store.StartOutage(d) }
+func (s *Simulation) StopStore(d time.Duration) { s.store.StartOutage(d) }
 
 // StoreSlow slows the store.
-func (s *Sim) StoreSlow(factor float64) { s.store.SetSlowdown(factor) }
+func (s *Simulation) SlowStore(factor float64) { s.store.SetSlowdown(factor) }
 
 // DirectoryLag makes changes be told later.
-func (s *Sim) DirectoryLag(d time.Duration) { s.lag = d }
+func (s *Simulation) DelayDiscovery(d time.Duration) { s.extraDiscoveryLag = d }
 
 // DirectoryDown makes the directory fail its followers.
-func (s *Sim) DirectoryDown(on bool) {
-	s.down = on
+func (s *Simulation) SetDiscoveryDown(on bool) {
+	s.discoveryDown = on
 	if !on {
 		return
 	}
 	for _, f := range s.fronts {
-		if f.alive && f.follows {
-			f.follows = false
-			f.do(func(now time.Duration) { f.gate.WatchFailed(now, errDown) })
+		if f.alive && f.watching {
+			f.watching = false
+			f.do(func(now time.Duration) { f.gateway.WatchFailed(now, errDown) })
 		}
 	}
 }
 
 // DirectoryPart makes the list name a share of the workers.
-func (s *Sim) DirectoryPart(share float64) { s.part = share; s.changed() }
+func (s *Simulation) LimitDiscovery(share float64) { s.listedShare = share; s.endpointsChanged() }
 
 // DirectoryBack is a loss of the directory's index: the list is told anew.
-func (s *Sim) DirectoryBack() { s.changed() }
+func (s *Simulation) ResetDiscovery() { s.endpointsChanged() }
 
 // Clock sets how far a worker's wall clock is off.
-func (s *Sim) Clock(i int, by time.Duration) { s.skew[i] = by }
+func (s *Simulation) SetClockSkew(i int, by time.Duration) { s.clockSkew[i] = by }
 
 // StoreFail makes the store fail a share of the fetches.
-func (s *Sim) StoreFail(share float64) { s.store.SetFailureShare(share) }
+func (s *Simulation) FailStore(share float64) { s.store.SetFailureShare(share) }
 
 // Demand changes what clients ask for.
-func (s *Sim) Demand(change func(*loadgen.Demand)) error { return s.source.Change(change) }
+func (s *Simulation) ChangeDemand(change func(*loadgen.Demand)) error { return s.source.Change(change) }
 
 // Network begins a trouble of the ways between zones.
-func (s *Sim) Network(t model.NetworkFault) (end func()) {
-	end = s.net.AddFault(t)
+func (s *Simulation) AddNetworkFault(t model.NetworkFault) (end func()) {
+	end = s.network.AddFault(t)
 	for _, f := range s.fronts {
-		for _, l := range f.links {
-			l.watch()
+		for _, l := range f.workers {
+			l.startKeepalive()
 		}
 	}
 	return end
 }
 
 // Stall makes a front end stand still.
-func (s *Sim) Stall(i int, d time.Duration) error { s.fronts[i].stall(d); return nil }
+func (s *Simulation) StallFrontEnd(i int, d time.Duration) error { s.fronts[i].stall(d); return nil }
 
 // FrontEnds is their number.
-func (s *Sim) FrontEnds() int { return len(s.fronts) }
+func (s *Simulation) FrontEnds() int { return len(s.fronts) }
 
 // Kill kills a front end.
-func (s *Sim) Kill(i int) error { s.fronts[i].kill(); return nil }
+func (s *Simulation) KillFrontEnd(i int) error { s.fronts[i].kill(); return nil }
 
 // Start starts a front end that was killed.
-func (s *Sim) Start(i int) error {
+func (s *Simulation) StartFrontEnd(i int) error {
 	if !s.fronts[i].alive {
 		s.fronts[i].start()
 	}
@@ -296,13 +296,13 @@
 }
 
 // Restart kills and starts: a clean stop takes a front end out of the clients' way, which is not modelled here.
-func (s *Sim) Restart(i int) error {
+func (s *Simulation) RestartFrontEnd(i int) error {
 	s.fronts[i].kill()
 	s.clock.After(100*time.Millisecond, s.fronts[i].start)
 	return nil
 }
 
 // drawn is a generator of a link's own, so that links do not depend on each other's order.
-func (f *front) drawn(name uint64) *rand.Rand {
+func (f *frontEnd) newRand(name uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(f.sim.cfg.Seed^name, uint64(f.number)))
 }
--- a/lab/simulation/large_test.go
+++ b/lab/simulation/large_test.go
@@ -9,25 +9,27 @@
 )
 
 // Large is a day of 240 front ends and 70 workers.
-func large(t testing.TB, lasts time.Duration) Config {
-	cfg := Config{Workers: 70, Cells: 14, FrontEnds: 240, Lasts: lasts, Seed: 1, Jitter: 0.3}
-	base := small(&testing.T{}, "", lasts)
+func largeInstallation(t testing.TB, lasts time.Duration) Config {
+	cfg := Config{Workers: 70, Cells: 14, FrontEnds: 240, Duration: lasts, Seed: 1, Jitter: 0.3}
+	base := smallInstallation(&testing.T{}, "", lasts)
 	cfg.Worker, cfg.Settings, cfg.LogLevel = base.Worker, base.Settings, base.LogLevel
 	cfg.Store = model.StoreConfig{Places: 40, Limit: 200, OutageMultiple: 3, OutageAfter: 3 * time.Second, OutageDuration: 2 * time.Second}
-	cfg.Mix = loadgen.Mix{Rate: 3000, Functions: 60, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 600 * time.Millisecond,
-		MemoryMB: 300, Patience: 2 * time.Second, Habit: loadgen.Advised, Retries: 1}
+	cfg.Mix = loadgen.Mix{
+		Rate: 3000, Functions: 60, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 600 * time.Millisecond,
+		MemoryMB: 300, Patience: 2 * time.Second, Habit: loadgen.Advised, Retries: 1,
+	}
 	return cfg
 }
 
 // BenchmarkLargeMinute plays a minute of 240 front ends and 70 workers.
 func BenchmarkLargeMinute(b *testing.B) {
 	for b.Loop() {
-		r, err := Run(large(b, time.Minute))
+		r, err := Run(largeInstallation(b, time.Minute))
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.ReportMetric(r.Score.Service(), "service")
-		b.ReportMetric(float64(r.Tally.Asked), "calls")
-		b.ReportMetric(float64(len(r.Breaks)), "broken")
+		b.ReportMetric(float64(r.Tally.Sent), "calls")
+		b.ReportMetric(float64(len(r.Violations)), "broken")
 	}
 }
--- a/lab/simulation/link.go
+++ b/lab/simulation/link.go
@@ -24,181 +24,185 @@
 
 // link is the in-memory way from a front end to a worker. It tells the Front what workerlink.Link tells it of
 // the same events: what never left, what may have run, what was answered.
-type link struct {
-	front  *front
-	sim    *Sim
-	id     scheduler.WorkerID
-	worker *model.Worker
-	redial *reconnect.Backoff
-
-	connected bool
-	dialing   bool
-	redialing func() // takes the next dialling back
-	breaking  bool   // it broke, and the front end does not know yet
-	stopped   bool
-	draining  bool
-	out, in   *model.Path           // of the connection
-	pulse     *reconnect.Keepalive // kept while something ails the way
-	zone, far int                  // of the front end and of the worker
-	index     int                  // of the worker
-	queue     []any                // *workerlink.Attempt, *workerlink.Order, or func() to be sent
-	attempts  []*muxclient.Attempt
-	orders    []*muxclient.LoadOrder
-	ending    []*muxclient.Attempt // whose end the front end is still to hear
-}
-
-func newLink(f *front, id scheduler.WorkerID) *link {
-	i := f.sim.byID[id]
-	l := &link{front: f, sim: f.sim, id: id, worker: f.sim.workers[i], index: i, zone: f.sim.net.Zone(f.number),
-		far: f.sim.net.Zone(i)}
-	l.redial = reconnect.NewBackoff(f.drawn(uint64(id)).Uint64())
+type workerClient struct {
+	frontEnd *frontEnd
+	sim      *Simulation
+	id       scheduler.WorkerID
+	worker   *model.Worker
+	backoff  *reconnect.Backoff
+
+	connected            bool
+	dialing              bool
+	cancelDial           func() // takes the next dialling back
+	breaking             bool   // it broke, and the front end does not know yet
+	stopped              bool
+	draining             bool
+	toWorker, fromWorker *model.Path          // of the connection
+	keepalive            *reconnect.Keepalive // kept while something ails the way
+	zone, workerZone     int                  // of the front end and of the worker
+	index                int                  // of the worker
+	unsent               []any                // *workerlink.Attempt, *workerlink.Order, or func() to be sent
+	attempts             []*muxclient.Attempt
+	loadOrders           []*muxclient.LoadOrder
+	endedUnheard         []*muxclient.Attempt // whose end the front end is still to hear
+}
+
+func newWorkerClient(f *frontEnd, id scheduler.WorkerID) *workerClient {
+	i := f.sim.workerIndex[id]
+	l := &workerClient{
+		frontEnd: f, sim: f.sim, id: id, worker: f.sim.workers[i], index: i, zone: f.sim.network.Zone(f.number),
+		workerZone: f.sim.network.Zone(i),
+	}
+	l.backoff = reconnect.NewBackoff(f.newRand(uint64(id)).Uint64())
 	l.dial()
 	return l
 }
 
 // to does f at the worker, after the way there, unless the connection broke meanwhile.
-func (l *link) to(f func()) { l.out.Send(f) }
+func (l *workerClient) sendToWorker(f func()) { l.toWorker.Send(f) }
 
 // from does f at the front end, after the way back.
-func (l *link) from(f func()) {
-	l.in.Send(func() {
-		if l.pulse != nil {
-			l.pulse.Received(l.sim.clock.Now())
+func (l *workerClient) sendToFrontEnd(f func()) {
+	l.fromWorker.Send(func() {
+		if l.keepalive != nil {
+			l.keepalive.Received(l.sim.clock.Now())
 		}
 		f()
 	})
 }
 
 // open gives the link the ways of a new connection.
-func (l *link) open() {
-	l.shut()
-	l.out, l.in = l.sim.net.NewPath(l.zone, l.far), l.sim.net.NewPath(l.far, l.zone)
+func (l *workerClient) openPaths() {
+	l.closePaths()
+	l.toWorker, l.fromWorker = l.sim.network.NewPath(l.zone, l.workerZone), l.sim.network.NewPath(l.workerZone, l.zone)
 }
 
 // shut drops what is on the ways of the last connection.
-func (l *link) shut() {
-	if l.out != nil {
-		l.out.Close()
-		l.in.Close()
+func (l *workerClient) closePaths() {
+	if l.toWorker != nil {
+		l.toWorker.Close()
+		l.fromWorker.Close()
 	}
-	l.pulse = nil
+	l.keepalive = nil
 }
 
 // dial begins to connect: a round trip for the connection, one for hello and welcome, and the handshake, all
 // within the time that the settings give it.
-func (l *link) dial() {
+func (l *workerClient) dial() {
 	if l.connected || l.dialing || l.breaking || l.stopped {
 		return
 	}
 	l.dialing = true
-	l.open()
-	over := l.sim.clock.After(l.sim.set.ConnectTimeout, func() {
+	l.openPaths()
+	over := l.sim.clock.After(l.sim.settings.ConnectTimeout, func() {
 		l.dialing = false
-		l.shut()
+		l.closePaths()
 		if !l.stopped {
-			l.lost(errTimeout)
+			l.failPending(errTimeout)
 		}
 	})
-	l.out.Send(func() {
-		l.in.Send(func() {
-			l.out.Send(func() {
-				l.sim.clock.After(l.sim.cfg.Handshake+l.sim.shakes[l.index], func() { l.in.Send(func() { over(); l.met() }) })
+	l.toWorker.Send(func() {
+		l.fromWorker.Send(func() {
+			l.toWorker.Send(func() {
+				l.sim.clock.After(l.sim.cfg.Handshake+l.sim.handshakeDelay[l.index], func() { l.fromWorker.Send(func() { over(); l.handshakeDone() }) })
 			})
 		})
 	})
 }
 
 // met takes the end of the handshake.
-func (l *link) met() {
+func (l *workerClient) handshakeDone() {
 	l.dialing = false
 	if l.stopped {
 		return
 	}
 	if !l.worker.Up() {
-		l.shut()
-		l.lost(errRefused)
+		l.closePaths()
+		l.failPending(errRefused)
 		return
 	}
 	l.connected = true
-	l.redial.Connected()
+	l.backoff.Connected()
 	up := l.worker.Uptime()
-	l.front.do(func(now time.Duration) {
-		l.front.gate.WorkerConnected(now, l.id, muxframe.Welcome{Version: muxframe.Version, Worker: l.worker.Config.Name,
-			Incarnation: uint64(l.worker.Incarnation()), UptimeMillis: up.Milliseconds()})
+	l.frontEnd.do(func(now time.Duration) {
+		l.frontEnd.gateway.WorkerConnected(now, l.id, muxframe.Welcome{
+			Version: muxframe.Version, Worker: l.worker.Config.Name,
+			Incarnation: uint64(l.worker.Incarnation()), UptimeMillis: up.Milliseconds(),
+		})
 	})
-	l.watch()
+	l.startKeepalive()
 	l.flush()
 }
 
 // watch takes the connection's pulse as long as something ails its way. On a sound way there is nothing to find.
-func (l *link) watch() {
-	if l.connected && l.pulse == nil && l.sim.net.HasFault(l.zone, l.far) {
-		l.pulse = reconnect.NewKeepalive(l.sim.clock.Now())
-		l.check(l.pulse)
+func (l *workerClient) startKeepalive() {
+	if l.connected && l.keepalive == nil && l.sim.network.HasFault(l.zone, l.workerZone) {
+		l.keepalive = reconnect.NewKeepalive(l.sim.clock.Now())
+		l.checkKeepalive(l.keepalive)
 	}
 }
 
-func (l *link) check(pulse *reconnect.Keepalive) {
-	if l.pulse != pulse || l.stopped {
+func (l *workerClient) checkKeepalive(pulse *reconnect.Keepalive) {
+	if l.keepalive != pulse || l.stopped {
 		return
 	}
 	verdict, next := pulse.Check(l.sim.clock.Now())
 	switch {
 	case verdict == reconnect.Dead:
-		l.broken(errSilent)
+		l.connectionEnded(errSilent)
 		return
 	case verdict == reconnect.Ping:
-		l.to(func() { l.from(func() {}) })
-	case !l.sim.net.HasFault(l.zone, l.far):
-		l.pulse = nil
+		l.sendToWorker(func() { l.sendToFrontEnd(func() {}) })
+	case !l.sim.network.HasFault(l.zone, l.workerZone):
+		l.keepalive = nil
 		return
 	}
-	l.sim.clock.After(next-l.sim.clock.Now(), func() { l.check(pulse) })
+	l.sim.clock.After(next-l.sim.clock.Now(), func() { l.checkKeepalive(pulse) })
 }
 
 // broken takes the end of the connection as the front end sees it.
-func (l *link) broken(why error) {
+func (l *workerClient) connectionEnded(why error) {
 	l.connected, l.breaking = false, false
-	l.shut()
-	l.lost(why)
+	l.closePaths()
+	l.failPending(why)
 }
 
 // wanted sees that the link is dialled soon, as something waits for it.
-func (l *link) wanted() {
+func (l *workerClient) requestDial() {
 	if !l.connected && !l.dialing {
-		l.redial.Requested()
-		l.again()
+		l.backoff.Requested()
+		l.scheduleDial()
 	}
 }
 
 // again dials when the next attempt is due; there is one such time only, however many calls want it.
-func (l *link) again() {
-	if l.redialing != nil {
-		l.redialing()
+func (l *workerClient) scheduleDial() {
+	if l.cancelDial != nil {
+		l.cancelDial()
 	}
-	l.redialing = l.sim.clock.After(l.redial.NextDial()-l.sim.clock.Now(), l.dial)
+	l.cancelDial = l.sim.clock.After(l.backoff.NextDial()-l.sim.clock.Now(), l.dial)
 }
 
 // brokeAt breaks the connection at the worker: the front end learns of it after the way back, or by its silence.
-func (l *link) brokeAt() {
+func (l *workerClient) breakAtWorker() {
 	if !l.connected || l.stopped {
 		return
 	}
-	pulse := l.pulse
+	pulse := l.keepalive
 	l.connected, l.breaking = false, true
-	l.open()
-	l.pulse = pulse
-	l.in.Send(func() { l.broken(errReset) })
+	l.openPaths()
+	l.keepalive = pulse
+	l.fromWorker.Send(func() { l.connectionEnded(errReset) })
 }
 
 // lost ends what was under way, or waited for a connection that cannot be had.
-func (l *link) lost(why error) {
-	l.redial.Failed(l.sim.clock.Now())
-	queue, attempts, orders := l.queue, l.attempts, l.orders
-	l.queue, l.attempts, l.orders = nil, nil, nil
-	l.ending = append(l.ending, attempts...)
-	l.front.do(func(now time.Duration) {
-		g := l.front.gate
+func (l *workerClient) failPending(why error) {
+	l.backoff.Failed(l.sim.clock.Now())
+	queue, attempts, orders := l.unsent, l.attempts, l.loadOrders
+	l.unsent, l.attempts, l.loadOrders = nil, nil, nil
+	l.endedUnheard = append(l.endedUnheard, attempts...)
+	l.frontEnd.do(func(now time.Duration) {
+		g := l.frontEnd.gateway
 		for _, x := range queue {
 			switch x := x.(type) {
 			case *muxclient.Attempt:
@@ -208,7 +212,7 @@
 			}
 		}
 		for _, a := range attempts {
-			l.heard(a)
+			l.forgetEnded(a)
 			g.AttemptEnded(now, a, muxclient.Result{Status: scheduler.Reset, Reason: why.Error(), QueueDepth: -1})
 		}
 		for _, o := range orders {
@@ -216,103 +220,111 @@
 		}
 		g.WorkerDisconnected(now, l.id, why)
 	})
-	l.again()
+	l.scheduleDial()
 }
 
 // flush sends what waited for the connection.
-func (l *link) flush() {
-	queue := l.queue
-	l.queue = nil
+func (l *workerClient) flush() {
+	queue := l.unsent
+	l.unsent = nil
 	for _, x := range queue {
-		l.leave(x)
+		l.transmit(x)
 	}
 }
 
 // push sends x, or keeps it until there is a connection.
-func (l *link) push(x any) {
+func (l *workerClient) push(x any) {
 	if !l.connected {
-		l.queue = append(l.queue, x)
-		l.wanted()
+		l.unsent = append(l.unsent, x)
+		l.requestDial()
 		return
 	}
-	l.leave(x)
+	l.transmit(x)
 }
 
 // leave sends x: from now on the worker may have it.
-func (l *link) leave(x any) {
+func (l *workerClient) transmit(x any) {
 	switch x := x.(type) {
 	case *muxclient.Attempt:
 		l.attempts = append(l.attempts, x)
-		l.to(func() { l.handle(x) })
+		l.sendToWorker(func() { l.deliverAttempt(x) })
 	case *muxclient.LoadOrder:
-		l.orders = append(l.orders, x)
-		l.to(func() { l.order(x) })
+		l.loadOrders = append(l.loadOrders, x)
+		l.sendToWorker(func() { l.deliverLoadOrder(x) })
 	case func():
-		l.to(x)
+		l.sendToWorker(x)
 	}
 }
 
-var statuses = map[model.Outcome]scheduler.Status{model.OK: scheduler.OK, model.Failed: scheduler.Error, model.Overloaded: scheduler.Overloaded,
-	model.NotLoaded: scheduler.NotLoaded}
+var statuses = map[model.Outcome]scheduler.Status{
+	model.OK: scheduler.OK, model.Failed: scheduler.Error, model.Overloaded: scheduler.Overloaded,
+	model.NotLoaded: scheduler.NotLoaded,
+}
 
-var warmths = map[model.ColdStart]scheduler.ColdStart{model.WarmStart: scheduler.WarmStart, model.ColdStartTriggered: scheduler.ColdStartTriggered,
-	model.ColdStartAwaited: scheduler.ColdStartAwaited, model.ColdStartFailed: scheduler.ColdStartFailed}
+var coldStarts = map[model.ColdStart]scheduler.ColdStart{
+	model.WarmStart: scheduler.WarmStart, model.ColdStartTriggered: scheduler.ColdStartTriggered,
+	model.ColdStartAwaited: scheduler.ColdStartAwaited, model.ColdStartFailed: scheduler.ColdStartFailed,
+}
 
 // handle gives an attempt to the worker.
-func (l *link) handle(a *muxclient.Attempt) {
+func (l *workerClient) deliverAttempt(a *muxclient.Attempt) {
 	c := &a.Request
 	work, _ := worker.ParseBody(string(a.Body), 0)
-	l.worker.Handle(&model.Request{ID: c.ID, Attempt: c.Attempt, FrontEnd: l.front.name, Class: c.Class, IdempotencyKey: c.IdempotencyKey,
+	l.worker.Handle(&model.Request{
+		ID: c.ID, Attempt: c.Attempt, FrontEnd: l.frontEnd.name, Class: c.Class, IdempotencyKey: c.IdempotencyKey,
 		Function: c.Replica.Function, MemoryMB: c.Replica.MemoryMB, Concurrency: max(1, c.Replica.Concurrency), Work: work, Deadline: a.Deadline,
-		LoadTime: c.Replica.LoadTime()}, func(r model.Response) {
-		l.from(func() { l.answered(a, r) })
+		LoadTime: c.Replica.LoadTime(),
+	}, func(r model.Response) {
+		l.sendToFrontEnd(func() { l.responseReceived(a, r) })
 	})
 }
 
-func (l *link) answered(a *muxclient.Attempt, r model.Response) {
+func (l *workerClient) responseReceived(a *muxclient.Attempt, r model.Response) {
 	if !slices.Contains(l.attempts, a) {
-		l.front.do(l.front.gate.LateResponse)
+		l.frontEnd.do(l.frontEnd.gateway.LateResponse)
 		return
 	}
-	l.drop(a)
-	result := muxclient.Result{Status: statuses[r.Outcome], ColdStart: warmths[r.ColdStart], QueueDepth: r.QueueDepth,
-		LoadReport: []float64{float64(r.Waiting)}, RunTime: r.RunTime, Response: &muxclient.Response{}}
-	l.ending = append(l.ending, a)
-	l.front.do(func(now time.Duration) {
-		l.heard(a)
-		l.front.gate.AttemptEnded(now, a, result)
+	l.removeAttempt(a)
+	result := muxclient.Result{
+		Status: statuses[r.Outcome], ColdStart: coldStarts[r.ColdStart], QueueDepth: r.QueueDepth,
+		LoadReport: []float64{float64(r.Waiting)}, RunTime: r.RunTime, Response: &muxclient.Response{},
+	}
+	l.endedUnheard = append(l.endedUnheard, a)
+	l.frontEnd.do(func(now time.Duration) {
+		l.forgetEnded(a)
+		l.frontEnd.gateway.AttemptEnded(now, a, result)
 	})
 }
 
 // heard notes that the front end hears of an attempt's end.
-func (l *link) heard(a *muxclient.Attempt) {
-	l.ending = slices.DeleteFunc(l.ending, func(x *muxclient.Attempt) bool { return x == a })
+func (l *workerClient) forgetEnded(a *muxclient.Attempt) {
+	l.endedUnheard = slices.DeleteFunc(l.endedUnheard, func(x *muxclient.Attempt) bool { return x == a })
 }
 
-func (l *link) drop(a *muxclient.Attempt) {
+func (l *workerClient) removeAttempt(a *muxclient.Attempt) {
 	l.attempts = slices.DeleteFunc(l.attempts, func(x *muxclient.Attempt) bool { return x == a })
 }
 
 // order gives an order to the worker.
-func (l *link) order(o *muxclient.LoadOrder) {
+func (l *workerClient) deliverLoadOrder(o *muxclient.LoadOrder) {
 	c := o.Load.Replica
-	l.worker.HandleLoadOrder(l.front.name, c.Function, o.Load.Replicas, c.MemoryMB, max(1, c.Concurrency),
+	l.worker.HandleLoadOrder(l.frontEnd.name, c.Function, o.Load.Replicas, c.MemoryMB, max(1, c.Concurrency),
 		c.LoadTime(), func(r model.Outcome, copies int) {
-			l.from(func() {
-				if !slices.Contains(l.orders, o) {
+			l.sendToFrontEnd(func() {
+				if !slices.Contains(l.loadOrders, o) {
 					return
 				}
 				l.AbandonLoad(o)
-				l.front.do(func(now time.Duration) { l.front.gate.LoadEnded(now, o, statuses[r], copies) })
+				l.frontEnd.do(func(now time.Duration) { l.frontEnd.gateway.LoadEnded(now, o, statuses[r], copies) })
 			})
 		})
 }
 
-var _ gateway.WorkerClient = (*link)(nil)
+var _ gateway.WorkerClient = (*workerClient)(nil)
 
 // Send implements gateway.Link, as do the methods below.
-func (l *link) Send(a *muxclient.Attempt) *muxclient.Result {
-	l.sim.note("send"+l.front.name+a.Request.ID, uint64(l.id), uint64(a.Request.Attempt))
+func (l *workerClient) Send(a *muxclient.Attempt) *muxclient.Result {
+	l.sim.recordTrace("send"+l.frontEnd.name+a.Request.ID, uint64(l.id), uint64(a.Request.Attempt))
 	switch {
 	case l.draining:
 		return &muxclient.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
@@ -324,28 +336,28 @@
 }
 
 // Withdraw takes back an attempt that has not left.
-func (l *link) CancelUnsent(a *muxclient.Attempt) bool {
-	n := len(l.queue)
-	l.queue = slices.DeleteFunc(l.queue, func(x any) bool { return x == any(a) })
-	return len(l.queue) < n
+func (l *workerClient) CancelUnsent(a *muxclient.Attempt) bool {
+	n := len(l.unsent)
+	l.unsent = slices.DeleteFunc(l.unsent, func(x any) bool { return x == any(a) })
+	return len(l.unsent) < n
 }
 
 // Abandon gives an attempt up and says whether it may have left.
-func (l *link) Abandon(a *muxclient.Attempt) bool {
+func (l *workerClient) Abandon(a *muxclient.Attempt) bool {
 	if slices.Contains(l.attempts, a) {
-		l.drop(a)
+		l.removeAttempt(a)
 		if l.connected {
-			l.to(func() { l.worker.Cancel(a.Request.ID, a.Request.Attempt) })
+			l.sendToWorker(func() { l.worker.Cancel(a.Request.ID, a.Request.Attempt) })
 		}
 		return true
 	}
 	l.CancelUnsent(a)
-	return slices.Contains(l.ending, a)
+	return slices.Contains(l.endedUnheard, a)
 }
 
 // Load gives an order.
-func (l *link) Load(o *muxclient.LoadOrder) scheduler.Status {
-	l.sim.note("load"+l.front.name+o.Load.Replica.Function, uint64(l.id), uint64(o.Load.Replicas))
+func (l *workerClient) Load(o *muxclient.LoadOrder) scheduler.Status {
+	l.sim.recordTrace("load"+l.frontEnd.name+o.Load.Replica.Function, uint64(l.id), uint64(o.Load.Replicas))
 	switch {
 	case l.draining && o.Load.Replicas > 0:
 		return scheduler.Overloaded
@@ -357,28 +369,28 @@
 }
 
 // AbandonOrder gives an order up.
-func (l *link) AbandonLoad(o *muxclient.LoadOrder) {
-	l.orders = slices.DeleteFunc(l.orders, func(x *muxclient.LoadOrder) bool { return x == o })
-	l.queue = slices.DeleteFunc(l.queue, func(x any) bool { return x == any(o) })
+func (l *workerClient) AbandonLoad(o *muxclient.LoadOrder) {
+	l.loadOrders = slices.DeleteFunc(l.loadOrders, func(x *muxclient.LoadOrder) bool { return x == o })
+	l.unsent = slices.DeleteFunc(l.unsent, func(x any) bool { return x == any(o) })
 }
 
 // Unload unloads idle copies.
-func (l *link) Unload(function string) { l.push(func() { l.worker.Unload(function) }) }
+func (l *workerClient) Unload(function string) { l.push(func() { l.worker.Unload(function) }) }
 
 // Probe asks for a load report.
-func (l *link) CheckHealth() {
+func (l *workerClient) CheckHealth() {
 	l.push(func() {
 		report := []float64{float64(l.worker.QueueLength())}
-		l.from(func() {
-			l.front.do(func(now time.Duration) { l.front.gate.HealthChecked(now, l.id, scheduler.OK, report) })
+		l.sendToFrontEnd(func() {
+			l.frontEnd.do(func(now time.Duration) { l.frontEnd.gateway.HealthChecked(now, l.id, scheduler.OK, report) })
 		})
 	})
 }
 
 // Drain takes back what waits for a connection; in virtual time a frame leaves at once when there is one.
-func (l *link) Drain(time.Duration) (attempts []*muxclient.Attempt, orders []*muxclient.LoadOrder) {
+func (l *workerClient) Drain(time.Duration) (attempts []*muxclient.Attempt, orders []*muxclient.LoadOrder) {
 	l.draining = true
-	l.queue = slices.DeleteFunc(l.queue, func(x any) bool {
+	l.unsent = slices.DeleteFunc(l.unsent, func(x any) bool {
 		switch x := x.(type) {
 		case *muxclient.Attempt:
 			attempts = append(attempts, x)
@@ -395,16 +407,16 @@
 }
 
 // Resume lets new work through again.
-func (l *link) Resume() { l.draining = false }
+func (l *workerClient) Resume() { l.draining = false }
 
 // Busy says whether anything is under way.
-func (l *link) Busy() bool { return len(l.queue)+len(l.attempts)+len(l.orders) > 0 }
+func (l *workerClient) Busy() bool { return len(l.unsent)+len(l.attempts)+len(l.loadOrders) > 0 }
 
 // Stop ends the link.
-func (l *link) Stop() {
+func (l *workerClient) Stop() {
 	l.stopped = true
-	l.shut()
-	if l.redialing != nil {
-		l.redialing()
+	l.closePaths()
+	if l.cancelDial != nil {
+		l.cancelDial()
 	}
 }
--- a/lab/simulation/link_test.go
+++ b/lab/simulation/link_test.go
@@ -8,14 +8,14 @@
 
 // TestALinkToADeadWorkerHasOneTimer guards against a timer for each call that wants the connection: a day of many
 // dead workers then took all memory.
-func TestALinkToADeadWorkerHasOneTimer(t *testing.T) {
-	cfg := small(t, "at 1s crash 100% for 20s\n", 15*time.Second)
+func TestWorkerClient_CrashedWorker_HasOneTimer(t *testing.T) {
+	cfg := smallInstallation(t, "at 1s crash 100% for 20s\n", 15*time.Second)
 	cfg.Policy = "random"
-	s, err := newSim(cfg)
+	s, err := newSimulation(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.play(); err != nil {
+	if err := s.runScenario(); err != nil {
 		t.Fatal(err)
 	}
 	if n := s.clock.Pending(); n > 500 {
@@ -25,13 +25,13 @@
 
 // TestAResultKeepsNothingOfItsRun guards against results that hold the whole installation alive: an experiment
 // keeps hundreds of them.
-func TestAResultKeepsNothingOfItsRun(t *testing.T) {
-	cfg := small(t, "", 2*time.Second)
-	s, err := newSim(cfg)
+func TestResult_KeepsNothingOfItsRun(t *testing.T) {
+	cfg := smallInstallation(t, "", 2*time.Second)
+	s, err := newSimulation(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.play(); err != nil {
+	if err := s.runScenario(); err != nil {
 		t.Fatal(err)
 	}
 	freed := make(chan struct{})
--- a/lab/simulation/sim_test.go
+++ b/lab/simulation/sim_test.go
@@ -17,19 +17,21 @@
 )
 
 // small is the demo's installation in virtual time.
-func small(t *testing.T, day string, lasts time.Duration) Config {
+func smallInstallation(t *testing.T, day string, lasts time.Duration) Config {
 	t.Helper()
 	troubles, err := scenario.Parse("day", day)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Config{Workers: 12, Cells: 3, FrontEnds: 3, Worker: fleet.DemoWorker(), Settings: fleet.DemoSettings,
+	return Config{
+		Workers: 12, Cells: 3, FrontEnds: 3, Worker: fleet.DemoWorker(), Settings: fleet.DemoSettings,
 		Store: fleet.DemoStore(),
-		Mix:   fleet.DemoMix(150), Lasts: lasts, Troubles: troubles, Seed: 1, LogLevel: zerolog.WarnLevel, ListLag: 20 * time.Millisecond,
-		Jitter: 0.3}
+		Mix:   fleet.DemoMix(150), Duration: lasts, Faults: troubles, Seed: 1, LogLevel: zerolog.WarnLevel, DiscoveryLag: 20 * time.Millisecond,
+		Jitter: 0.3,
+	}
 }
 
-func day(t *testing.T, name string) string {
+func scenarioText(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("../scenarios/" + name + ".day")
 	if err != nil {
@@ -38,13 +40,13 @@
 	return string(text)
 }
 
-func play(t *testing.T, cfg Config) Result {
+func runChecked(t *testing.T, cfg Config) Result {
 	t.Helper()
 	r, err := Run(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, b := range r.Breaks {
+	for i, b := range r.Violations {
 		if i < 10 {
 			t.Errorf("rule %s broken: %s", b.Rule, b.What)
 		}
@@ -55,8 +57,8 @@
 	return r
 }
 
-func TestAQuietDayIsServed(t *testing.T) {
-	r := play(t, small(t, "", 20*time.Second))
+func TestRun_WithoutFaults_ServesRequests(t *testing.T) {
+	r := runChecked(t, smallInstallation(t, "", 20*time.Second))
 	if got := r.Score.Service(); got < 0.97 || r.Tally.Failed > 0 {
 		t.Errorf("service %.3f, %v", got, r.Tally)
 	}
@@ -64,29 +66,29 @@
 
 // TestTheSameSeedGivesTheSameRun compares every message, answer and time of two runs, and holds that another
 // seed gives another run. It catches whatever follows the order of a hash table or of goroutines.
-func TestTheSameSeedGivesTheSameRun(t *testing.T) {
+func TestRun_SameSeed_GivesTheSameTrace(t *testing.T) {
 	for _, name := range []string{"bad", "ways"} {
-		cfg := small(t, day(t, name), 22*time.Second)
-		first := play(t, cfg)
+		cfg := smallInstallation(t, scenarioText(t, name), 22*time.Second)
+		first := runChecked(t, cfg)
 		for range 2 {
-			if again := play(t, cfg); again.Trace != first.Trace || again.Tally != first.Tally {
+			if again := runChecked(t, cfg); again.Trace != first.Trace || again.Tally != first.Tally {
 				t.Fatalf("%s: two runs differ: %v and %v", name, first.Tally, again.Tally)
 			}
 		}
 		cfg.Seed = 2
-		if other := play(t, cfg); other.Trace == first.Trace {
+		if other := runChecked(t, cfg); other.Trace == first.Trace {
 			t.Errorf("%s: another seed gives the same run: the trace tells nothing", name)
 		}
 	}
 }
 
-func TestBadDaysBreakNoRule(t *testing.T) {
+func TestRun_FaultScenarios_KeepInvariants(t *testing.T) {
 	for _, name := range []string{"bad", "ways"} {
 		for seed := range uint64(5) {
-			cfg := small(t, day(t, name), 22*time.Second)
+			cfg := smallInstallation(t, scenarioText(t, name), 22*time.Second)
 			cfg.Seed = seed
-			r := play(t, cfg)
-			if r.Tally.Served < r.Tally.Asked/2 || r.Tally.Refused+r.Tally.Left == 0 {
+			r := runChecked(t, cfg)
+			if r.Tally.Served < r.Tally.Sent/2 || r.Tally.Rejected+r.Tally.Disconnected == 0 {
 				t.Errorf("%s, seed %d: %v", name, seed, r.Tally)
 			}
 		}
@@ -95,10 +97,10 @@
 
 // TestPoliciesRankAsTheyShould: the oracle stands above all, the module above what does not know where copies
 // stand. (Rules that a baseline breaks are its own: only the tally is held to.)
-func TestPoliciesRankAsTheyShould(t *testing.T) {
+func TestRun_Policies_RankAsExpected(t *testing.T) {
 	service := map[string]float64{}
 	for _, policy := range append([]string{"module", "oracle"}, baseline.Names...) {
-		cfg := small(t, "at 3s crash 25% for 3s\nat 8s deploy 50% over 4s drain 300ms\n", 20*time.Second)
+		cfg := smallInstallation(t, "at 3s crash 25% for 3s\nat 8s deploy 50% over 4s drain 300ms\n", 20*time.Second)
 		cfg.Policy = policy
 		cfg.Mix.Rate = 250
 		r, err := Run(cfg)
@@ -108,13 +110,13 @@
 		if !r.Tally.Balanced() {
 			t.Errorf("%s: not all accounted for: %v", policy, r.Tally)
 		}
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			if b.Rule != "cold" {
 				t.Errorf("%s: rule %s broken: %s", policy, b.Rule, b.What)
 			}
 		}
 		service[policy] = r.Score.Service()
-		t.Logf("%-12s %.3f broken %d", policy, r.Score.Service(), len(r.Breaks))
+		t.Logf("%-12s %.3f broken %d", policy, r.Score.Service(), len(r.Violations))
 	}
 	for policy, got := range service {
 		if policy != "oracle" && got > service["oracle"]+0.01 { // on easy days they come close
@@ -128,24 +130,26 @@
 
 // TestBothClocksTellTheSame plays one day behind sockets in real time and in virtual time: the same clients, the
 // same models, the same troubles. What is compared may differ by what sockets and the scheduler add.
-func TestBothClocksTellTheSame(t *testing.T) {
+func TestRun_RealAndVirtualTime_AgreeWithinTolerance(t *testing.T) {
 	const day, lasts = "at 2s crash 25% for 2s\nat 5s store-slow factor 3 for 2s\nat 6s slow 25% factor 3 for 2s\n", 9 * time.Second
-	d := fleet.Demo{Workers: 12, FrontEnds: 3, Mix: fleet.DemoMix(150), Lasts: lasts, Script: day, Seed: 1, Log: zerolog.Nop(),
-		Tell: func(string) {}}
+	d := fleet.Demo{
+		Workers: 12, FrontEnds: 3, Mix: fleet.DemoMix(150), Lasts: lasts, Script: day, Seed: 1, Log: zerolog.Nop(),
+		Tell: func(string) {},
+	}
 	real, err := d.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	virtual := play(t, small(t, day, lasts))
+	virtual := runChecked(t, smallInstallation(t, day, lasts))
 	t.Logf("real %v, service %.3f", real.Tally, real.Score.Service())
 	t.Logf("virtual %v, service %.3f", virtual.Tally, virtual.Score.Service())
-	if a, b := real.Score.Calls, virtual.Score.Calls; a != b {
+	if a, b := real.Score.Requests, virtual.Score.Requests; a != b {
 		t.Errorf("%d calls in real time, %d in virtual", a, b)
 	}
 	for what, x := range map[string][2]float64{
 		"service":  {real.Score.Service(), virtual.Score.Service()},
-		"served":   {float64(real.Tally.Served) / float64(real.Score.Calls), float64(virtual.Tally.Served) / float64(virtual.Score.Calls)},
-		"attempts": {float64(real.Tally.Attempts) / float64(real.Score.Calls), float64(virtual.Tally.Attempts) / float64(virtual.Score.Calls)},
+		"served":   {float64(real.Tally.Served) / float64(real.Score.Requests), float64(virtual.Tally.Served) / float64(virtual.Score.Requests)},
+		"attempts": {float64(real.Tally.Attempts) / float64(real.Score.Requests), float64(virtual.Tally.Attempts) / float64(virtual.Score.Requests)},
 	} {
 		if math.Abs(x[0]-x[1]) > 0.1 {
 			t.Errorf("%s: %.3f in real time, %.3f in virtual", what, x[0], x[1])
@@ -156,17 +160,17 @@
 // TestAQuietTenantKeepsItsServiceInARush: while the other floods, calls what nobody called before, calls what takes
 // twenty times as long, or repeats, the quiet tenant has 0.85 of what it has alone, on this seed. Calls count from 5 s on:
 // before, all load what they need.
-func TestAQuietTenantKeepsItsServiceInARush(t *testing.T) {
+func TestRun_TenantOverload_LeavesOtherTenantsService(t *testing.T) {
 	const lasts, from = 30 * time.Second, 5
 	service := func(day string) float64 {
-		cfg := small(t, day, lasts)
+		cfg := smallInstallation(t, day, lasts)
 		cfg.Settings = "shares work\n" + strings.NewReplacer("share 0.8", "share 0.5", "share 0.2", "share 0.5").Replace(cfg.Settings)
 		cfg.Mix.Rate, cfg.Mix.Functions, cfg.Mix.OwnFunctions = 400, 6, true
 		cfg.Mix.Work, cfg.Mix.MemoryMB = 30*time.Millisecond, 200
-		var sum invariant.Part
-		for _, p := range play(t, cfg).Score.ByTenant["catania"].Seconds[from:] {
-			sum.Asked += p.Asked
-			sum.Got += p.Got
+		var sum invariant.ServiceLevel
+		for _, p := range runChecked(t, cfg).Score.ByTenant["catania"].Seconds[from:] {
+			sum.Offered += p.Offered
+			sum.Earned += p.Earned
 		}
 		return sum.Share()
 	}
--- a/lab/worker/conn.go
+++ b/lab/worker/conn.go
@@ -36,8 +36,10 @@
 type outgoing struct{ left, credit int }
 
 func (s *Server) serve(nc net.Conn) {
-	c := &conn{s: s, raw: nc, net: nc, kick: make(chan struct{}, 1), done: make(chan struct{}),
-		streams: map[uint32]*outgoing{}, calls: map[uint32]*model.Request{}}
+	c := &conn{
+		s: s, raw: nc, net: nc, kick: make(chan struct{}, 1), done: make(chan struct{}),
+		streams: map[uint32]*outgoing{}, calls: map[uint32]*model.Request{},
+	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -145,8 +147,10 @@
 		ways.take(c.s.cfg.Ways(c.frontEnd))
 	}
 	_, up, life := c.s.Running()
-	welcome := muxframe.Welcome{Version: muxframe.Version, Worker: c.s.cfg.Name, Incarnation: uint64(life),
-		UptimeMillis: up.Milliseconds(), LoadReportFields: []string{"queue"}}
+	welcome := muxframe.Welcome{
+		Version: muxframe.Version, Worker: c.s.cfg.Name, Incarnation: uint64(life),
+		UptimeMillis: up.Milliseconds(), LoadReportFields: []string{"queue"},
+	}
 	if hello.Version != muxframe.Version {
 		welcome.Rejection = fmt.Sprintf("version %d is not spoken here", hello.Version)
 	}
@@ -176,8 +180,10 @@
 		c.s.Do(func(w *model.Worker) { w.Unload(in.Function) })
 	case muxframe.TypeHealthCheck:
 		c.s.Do(func(w *model.Worker) {
-			c.send(muxframe.TypeHealthReport, 0, muxframe.HealthReport{Status: muxframe.StatusOK,
-				LoadReport: []float64{float64(w.QueueLength())}}, nil)
+			c.send(muxframe.TypeHealthReport, 0, muxframe.HealthReport{
+				Status:     muxframe.StatusOK,
+				LoadReport: []float64{float64(w.QueueLength())},
+			}, nil)
 		})
 	case muxframe.TypePing:
 		c.send(muxframe.TypePong, 0, nil, nil)
@@ -219,10 +225,12 @@
 	work, reply := ParseBody(string(f.Body), c.s.cfg.Work)
 	number, window := f.StreamID, int(in.Window)
 	c.s.Do(func(w *model.Worker) {
-		call := &model.Request{ID: in.ID, Attempt: in.Attempt, FrontEnd: c.frontEnd, Class: in.Class, IdempotencyKey: in.IdempotencyKey,
+		call := &model.Request{
+			ID: in.ID, Attempt: in.Attempt, FrontEnd: c.frontEnd, Class: in.Class, IdempotencyKey: in.IdempotencyKey,
 			Function: in.Replica.Function, MemoryMB: in.Replica.MemoryMB, Concurrency: max(1, in.Replica.Concurrency),
 			LoadTime: in.Replica.LoadTime(), Work: work,
-			Deadline: c.s.world.Now() + time.Duration(in.TimeoutMillis)*time.Millisecond}
+			Deadline: c.s.world.Now() + time.Duration(in.TimeoutMillis)*time.Millisecond,
+		}
 		c.mu.Lock()
 		c.calls[number] = call
 		c.mu.Unlock()
@@ -251,8 +259,10 @@
 		return
 	}
 	crowd := a.QueueDepth
-	head := muxframe.Response{Status: muxframe.Status(a.Outcome), ColdStart: muxframe.ColdStart(a.ColdStart), QueueDepth: &crowd,
-		LoadReport: []float64{float64(a.Waiting)}, ContentType: "text/plain", RunMillis: float64(a.RunTime) / float64(time.Millisecond)}
+	head := muxframe.Response{
+		Status: muxframe.Status(a.Outcome), ColdStart: muxframe.ColdStart(a.ColdStart), QueueDepth: &crowd,
+		LoadReport: []float64{float64(a.Waiting)}, ContentType: "text/plain", RunMillis: float64(a.RunTime) / float64(time.Millisecond),
+	}
 	if a.Outcome != model.OK {
 		head.Problem, size = "emulated", 0
 	}
--- a/lab/worker/shaped.go
+++ b/lab/worker/shaped.go
@@ -32,8 +32,10 @@
 
 // shape wraps a connection. The two tasks end with it.
 func shape(c net.Conn, world *model.RealClock, tasks *sync.WaitGroup) *shaped {
-	s := &shaped{Conn: c, world: world, done: make(chan struct{}), came: make(chan chunk, chunksMost),
-		leaves: make(chan []byte, chunksMost), going: make(chan struct{}, chunksMost), coming: make(chan struct{}, chunksMost)}
+	s := &shaped{
+		Conn: c, world: world, done: make(chan struct{}), came: make(chan chunk, chunksMost),
+		leaves: make(chan []byte, chunksMost), going: make(chan struct{}, chunksMost), coming: make(chan struct{}, chunksMost),
+	}
 	tasks.Go(s.pull)
 	tasks.Go(s.push)
 	return s
