--- a/lab/model/command.go
+++ b/lab/model/command.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Commands names the commands that Command takes, each with its argument.
+// Commands names the commands that Command accepts, each with its arguments.
 const Commands = "die | start | drain on|off | hang on|off | pause on|off | slow FACTOR | fail SHARE | flush [FUNCTION] | re-release SHARE SALT"
 
-// Command makes the worker's process misbehave, or behave again. known tells whether it is a command of the
-// process; the others are the socket's.
+// Command injects a fault into the worker's process or ends one. known reports whether it is a command of the
+// process; the others are commands of its socket.
 func (w *Worker) Command(line string) (known bool, err error) {
 	verb, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
 	argument = strings.TrimSpace(argument)
@@ -22,29 +22,47 @@
 	case "flush":
 		w.InvalidateReplicas(argument)
 	case "re-release":
-		share, salt, _ := strings.Cut(argument, " ")
-		x, err := strconv.ParseFloat(share, 64)
-		if err != nil || !(x >= 0 && x <= 1) {
-			return true, fmt.Errorf("%q is no share", share)
-		}
-		w.InvalidateShare(x, salt)
-	case "slow", "fail":
-		x, err := strconv.ParseFloat(argument, 64)
-		if err != nil || x < 0 {
-			return true, fmt.Errorf("%q is no factor or share", argument)
-		}
-		if verb == "slow" {
-			w.SetSlowdown(x)
-		} else {
-			w.SetFailureShare(x)
-		}
-	case "drain", "hang", "pause":
-		if argument != "on" && argument != "off" {
-			return true, fmt.Errorf("%q is neither on nor off", argument)
-		}
-		map[string]func(bool){"drain": w.SetDraining, "hang": w.SetHung, "pause": w.SetPaused}[verb](argument == "on")
+		return true, w.reRelease(argument)
+	case "slow":
+		return true, applyFactor(argument, w.SetSlowdown)
+	case "fail":
+		return true, applyFactor(argument, w.SetFailureShare)
+	case "drain":
+		return true, applySwitch(argument, w.SetDraining)
+	case "hang":
+		return true, applySwitch(argument, w.SetHung)
+	case "pause":
+		return true, applySwitch(argument, w.SetPaused)
 	default:
 		return false, nil
 	}
 	return true, nil
 }
+
+// reRelease reads "SHARE SALT".
+func (w *Worker) reRelease(argument string) error {
+	text, salt, _ := strings.Cut(argument, " ")
+	share, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(share >= 0 && share <= 1) {
+		return fmt.Errorf("%q is no share", text)
+	}
+	w.InvalidateShare(share, salt)
+	return nil
+}
+
+func applyFactor(argument string, set func(float64)) error {
+	x, err := strconv.ParseFloat(argument, 64)
+	if err != nil || x < 0 {
+		return fmt.Errorf("%q is no factor or share", argument)
+	}
+	set(x)
+	return nil
+}
+
+func applySwitch(argument string, set func(bool)) error {
+	if argument != "on" && argument != "off" {
+		return fmt.Errorf("%q is neither on nor off", argument)
+	}
+	set(argument == "on")
+	return nil
+}
--- a/lab/model/network.go
+++ b/lab/model/network.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// NetworkConfig describes the ways between machines that stand in zones 1 to Zones.
+// NetworkConfig describes the network between machines in zones 1 to Zones.
 type NetworkConfig struct {
 	Zones   int
-	Latency time.Duration // one way, without troubles
-	Jitter  float64       // share of it that is drawn anew for each message
+	Latency time.Duration // one way, without faults
+	Jitter  float64       // share of the latency that is drawn anew for each message
 }
 
-// Network is the model of the ways between zones, as a stream over them sees it: nothing is lost for good and
-// nothing overtakes, but a message that was lost comes when it is sent again, and all behind it wait. It is
-// driven within its Clock.
+// Network is the model of the network between zones as a stream over it sees it: nothing is lost for good and nothing
+// is reordered, but a lost message arrives when it is retransmitted, and all behind it wait. It is driven within its
+// Clock.
 type Network struct {
 	cfg    NetworkConfig
 	clock  Clock
@@ -23,60 +23,68 @@
 	faults []*NetworkFault
 }
 
-// NetTrouble is a trouble of the ways between two zones, in both directions; From may be To.
+// NetworkFault is a fault between two zones, in both directions. From and To may be the same zone.
 type NetworkFault struct {
 	From, To int
-	Delay    time.Duration // that each message takes longer
-	Loss     float64       // share of messages that are lost, 1: cut
+	Delay    time.Duration // added to each message
+	Loss     float64       // share of messages that are lost; 1: partitioned
 }
 
-// A lost message is sent again after resendFirst, then after twice as long each time (RFC 6298, with the
-// shortest wait that is in common use).
+// connects reports whether the fault is on the path between two zones.
+func (f *NetworkFault) connects(from, to int) bool {
+	if f.From == from && f.To == to {
+		return true
+	}
+	return f.From == to && f.To == from
+}
+
+// A lost message is retransmitted after firstRetransmitWait, then after twice as long each time (RFC 6298, with the
+// shortest wait in common use).
 const (
 	firstRetransmitWait = 200 * time.Millisecond
 	maxRetransmitWait   = 10 * time.Second
 )
 
-// NewNetwork returns a Network without troubles.
+// NewNetwork returns a Network without faults.
 func NewNetwork(c Clock, cfg NetworkConfig, rng *rand.Rand) *Network {
 	return &Network{cfg: cfg, clock: c, rng: rng}
 }
 
-// Zone is where machine n stands: they are dealt out one by one.
+// Zone is the zone of a machine by its number: machines are assigned to zones round robin.
 func (n *Network) Zone(machine int) int { return machine%max(1, n.cfg.Zones) + 1 }
 
-// Begin begins a trouble; the returned function ends it.
-func (n *Network) AddFault(t NetworkFault) (end func()) {
-	n.faults = append(n.faults, &t)
-	return func() { n.faults = slices.DeleteFunc(n.faults, func(x *NetworkFault) bool { return x == &t }) }
+// AddFault starts a fault. The returned function ends it.
+func (n *Network) AddFault(f NetworkFault) (end func()) {
+	n.faults = append(n.faults, &f)
+	return func() { n.faults = slices.DeleteFunc(n.faults, func(x *NetworkFault) bool { return x == &f }) }
 }
 
-// Troubled says whether anything ails the ways between two zones.
+// HasFault reports whether any fault is on the path between two zones.
 func (n *Network) HasFault(from, to int) bool {
 	delay, loss := n.impairment(from, to)
 	return delay > 0 || loss > 0
 }
 
-// Delay is how long one message takes that is on no troubled way.
+// Delay draws how long one message takes on a path without faults.
 func (n *Network) Delay() time.Duration {
 	return time.Duration(float64(n.cfg.Latency) * (1 + n.cfg.Jitter*(2*n.rng.Float64()-1)))
 }
 
-// troubled is what troubles add on a way now.
+// impairment is what faults add on a path now.
 func (n *Network) impairment(from, to int) (delay time.Duration, loss float64) {
-	through := 1.0
-	for _, t := range n.faults {
-		if t.From == from && t.To == to || t.From == to && t.To == from {
-			delay += t.Delay
-			through *= 1 - t.Loss
+	delivered := 1.0
+	for _, f := range n.faults {
+		if f.connects(from, to) {
+			delay += f.Delay
+			delivered *= 1 - f.Loss
 		}
 	}
-	return delay, 1 - through
+	return delay, 1 - delivered
 }
 
-// Way is one direction of one connection.
+// Path is one direction of one connection.
 type Path struct {
-	net      *Network
+	network  *Network
 	from, to int
 	queue    []*message // sent and not delivered, in the order of sending
 	closed   bool
@@ -87,40 +95,40 @@
 	deliver  func()
 }
 
-// Way returns a new connection's way from a zone to a zone.
-func (n *Network) NewPath(from, to int) *Path { return &Path{net: n, from: from, to: to} }
+// NewPath returns one direction of a new connection, between two zones.
+func (n *Network) NewPath(from, to int) *Path { return &Path{network: n, from: from, to: to} }
 
-// Carry calls arrive when a message sent now has come and all before it have.
-func (w *Path) Send(arrive func()) {
-	m := &message{deliver: arrive}
-	w.queue = append(w.queue, m)
-	w.transmit(m, firstRetransmitWait)
+// Send calls deliver when a message that is sent now and all messages before it were received.
+func (p *Path) Send(deliver func()) {
+	m := &message{deliver: deliver}
+	p.queue = append(p.queue, m)
+	p.transmit(m, firstRetransmitWait)
 }
 
-// Close drops all that is on the way.
-func (w *Path) Close() { w.closed, w.queue = true, nil }
+// Close drops all messages under way.
+func (p *Path) Close() { p.closed, p.queue = true, nil }
 
-// send sends a message, again after a wait where it is lost.
-func (w *Path) transmit(m *message, wait time.Duration) {
-	if w.closed {
+// transmit sends a message; where it is lost, it is sent again after wait.
+func (p *Path) transmit(m *message, wait time.Duration) {
+	if p.closed {
 		return
 	}
-	delay, loss := w.net.impairment(w.from, w.to)
-	if loss > 0 && w.net.rng.Float64() < loss {
-		w.net.clock.After(wait, func() { w.transmit(m, min(2*wait, maxRetransmitWait)) })
+	delay, loss := p.network.impairment(p.from, p.to)
+	if loss > 0 && p.network.rng.Float64() < loss {
+		p.network.clock.After(wait, func() { p.transmit(m, min(2*wait, maxRetransmitWait)) })
 		return
 	}
-	w.net.clock.After(w.net.Delay()+delay, func() {
+	p.network.clock.After(p.network.Delay()+delay, func() {
 		m.received = true
-		w.deliverReceived()
+		p.deliverReceived()
 	})
 }
 
-// deliver hands on what has come, up to the first that has not.
-func (w *Path) deliverReceived() {
-	for len(w.queue) > 0 && w.queue[0].received {
-		m := w.queue[0]
-		w.queue = w.queue[1:]
+// deliverReceived delivers messages up to the first that was not received.
+func (p *Path) deliverReceived() {
+	for len(p.queue) > 0 && p.queue[0].received {
+		m := p.queue[0]
+		p.queue = p.queue[1:]
 		m.deliver()
 	}
 }
--- a/lab/model/network_test.go
+++ b/lab/model/network_test.go
@@ -12,7 +12,7 @@
 	return clock, NewNetwork(clock, NetworkConfig{Zones: 2, Latency: time.Millisecond, Jitter: 0.9}, rand.New(rand.NewPCG(1, 1)))
 }
 
-// carryAll sends a message each millisecond for two seconds and returns their numbers and times as they came.
+// sendAll sends a message each millisecond for two seconds and returns their numbers and times in the order of delivery.
 func sendAll(clock *VirtualClock, w *Path) (order []int, at []time.Duration) {
 	for i := range 2000 {
 		clock.After(time.Duration(i)*time.Millisecond, func() {
@@ -28,14 +28,14 @@
 	n.AddFault(NetworkFault{From: 1, To: 2, Loss: 0.05})
 	order, at := sendAll(clock, n.NewPath(2, 1))
 	if len(order) != 2000 || !slices.IsSorted(order) {
-		t.Fatalf("%d of 2000 came, in order: %v", len(order), slices.IsSorted(order))
+		t.Fatalf("%d of 2000 were delivered, in order: %v", len(order), slices.IsSorted(order))
 	}
 	longest := time.Duration(0)
 	for i, x := range order {
 		longest = max(longest, at[i]-time.Duration(x)*time.Millisecond)
 	}
 	if longest < firstRetransmitWait {
-		t.Errorf("no message waited for one sent again: the longest took %v", longest)
+		t.Errorf("no message waited for a retransmitted one: the longest took %v", longest)
 	}
 }
 
@@ -45,7 +45,7 @@
 	clock.After(5*time.Second, end)
 	_, at := sendAll(clock, n.NewPath(1, 2))
 	if at[0] < 5*time.Second || len(at) != 2000 {
-		t.Errorf("%d came, the first at %v", len(at), at[0])
+		t.Errorf("%d were delivered, the first at %v", len(at), at[0])
 	}
 }
 
@@ -54,7 +54,7 @@
 	n.AddFault(NetworkFault{From: 1, To: 2, Delay: time.Second})
 	_, slow := sendAll(clock, n.NewPath(2, 1))
 	if !n.HasFault(2, 1) || n.HasFault(1, 1) {
-		t.Error("troubled where it is not, or not where it is")
+		t.Error("a fault where there is none, or none where there is one")
 	}
 	clock, n = network()
 	n.AddFault(NetworkFault{From: 1, To: 2, Delay: time.Second})
@@ -67,7 +67,7 @@
 func TestPath_Close_DropsMessagesUnderWay(t *testing.T) {
 	clock, n := network()
 	w := n.NewPath(1, 1)
-	w.Send(func() { t.Error("arrived on a closed way") })
+	w.Send(func() { t.Error("delivered on a closed path") })
 	w.Close()
 	clock.Run(time.Second)
 }
--- /dev/null
+++ b/lab/model/replica.go
@@ -0,0 +1,131 @@
+package model
+
+import (
+	"slices"
+	"time"
+)
+
+// replica is a loaded copy of a function. It executes up to concurrency requests at a time.
+type replica struct {
+	function     string
+	memoryMB     float64
+	concurrency  int
+	busy         int // requests that execute
+	idleSince    time.Duration
+	cancelUnload func() // of the idle timer; nil while it is not set
+	invalid      bool   // of an old release: unloaded as soon as it is idle
+}
+
+// hasRoom reports whether the replica can execute another request of a function.
+func (r *replica) hasRoom(function string) bool {
+	return r.serves(function) && r.busy < r.concurrency
+}
+
+// serves reports whether the replica is a valid one of a function.
+func (r *replica) serves(function string) bool { return r.function == function && !r.invalid }
+
+// stopIdleTimer stops the timer that unloads the replica.
+func (r *replica) stopIdleTimer() {
+	if r.cancelUnload != nil {
+		r.cancelUnload()
+		r.cancelUnload = nil
+	}
+}
+
+// replicaWithRoom is the first replica that can execute another request of a function, nil if there is none.
+func (w *Worker) replicaWithRoom(function string) *replica {
+	for _, r := range w.replicas {
+		if r.hasRoom(function) {
+			return r
+		}
+	}
+	return nil
+}
+
+// replicaCounts counts the valid replicas of a function and the loads that will add to them.
+func (w *Worker) replicaCounts(function string) (loaded, loading int) {
+	for _, r := range w.replicas {
+		if r.serves(function) {
+			loaded++
+		}
+	}
+	for _, l := range w.loads {
+		if l.function == function {
+			loading++
+		}
+	}
+	return loaded, loading
+}
+
+// release ends an execution on a replica.
+func (w *Worker) release(r *replica) {
+	r.busy--
+	if r.busy == 0 {
+		w.startIdle(r)
+	}
+}
+
+// startIdle starts a replica's keep-alive time anew, or unloads the replica where it is invalid.
+func (w *Worker) startIdle(r *replica) {
+	if r.invalid {
+		w.removeReplica(r)
+		return
+	}
+	r.idleSince = w.clock.Now()
+	r.stopIdleTimer()
+	r.cancelUnload = w.clock.After(w.Config.KeepAlive, func() { w.removeReplica(r) })
+}
+
+func (w *Worker) removeReplica(r *replica) {
+	r.stopIdleTimer()
+	w.replicas = slices.DeleteFunc(w.replicas, func(x *replica) bool { return x == r })
+}
+
+// Unload unloads the idle replicas of a function.
+func (w *Worker) Unload(function string) {
+	for _, r := range slices.Clone(w.replicas) {
+		if r.function == function && r.busy == 0 {
+			w.removeReplica(r)
+		}
+	}
+}
+
+// makeRoom makes room for a replica by unloading idle ones, least recently used first. It reports whether there is
+// room now.
+func (w *Worker) makeRoom(memoryMB float64) bool {
+	used := w.memoryWith(memoryMB)
+	for used > w.Config.MemoryMB {
+		oldest := w.longestIdle()
+		if oldest == nil {
+			return false
+		}
+		used -= oldest.memoryMB
+		w.removeReplica(oldest)
+	}
+	return true
+}
+
+// memoryWith is the memory of the replicas that are loaded or being loaded, and of another one.
+func (w *Worker) memoryWith(memoryMB float64) float64 {
+	used := memoryMB
+	for _, r := range w.replicas {
+		used += r.memoryMB
+	}
+	for _, l := range w.loads {
+		used += l.memoryMB
+	}
+	return used
+}
+
+// longestIdle is the replica that has been idle longest, nil if none is idle.
+func (w *Worker) longestIdle() (oldest *replica) {
+	for _, r := range w.replicas {
+		if r.busy > 0 {
+			continue
+		}
+		if oldest == nil || r.idleSince < oldest.idleSince {
+			oldest = r
+		}
+	}
+	return oldest
+}
--- /dev/null
+++ b/lab/model/sampler.go
@@ -0,0 +1,17 @@
+package model
+
+// Sampler selects an exact share of a sequence, spread evenly. The zero Sampler selects nothing.
+type Sampler struct {
+	Share       float64 // 0 to 1
+	accumulated float64
+}
+
+// Next reports whether the next element is selected.
+func (s *Sampler) Next() bool {
+	s.accumulated += s.Share
+	if s.accumulated < 1 {
+		return false
+	}
+	s.accumulated--
+	return true
+}
--- a/lab/simulation/link.go
+++ b/lab/simulation/link.go
@@ -308,16 +308,23 @@
 // order gives an order to the worker.
 func (l *workerClient) deliverLoadOrder(o *muxclient.LoadOrder) {
 	c := o.Load.Replica
-	l.worker.HandleLoadOrder(l.frontEnd.name, c.Function, o.Load.Replicas, c.MemoryMB, max(1, c.Concurrency),
-		c.LoadTime(), func(r model.Outcome, copies int) {
-			l.sendToFrontEnd(func() {
-				if !slices.Contains(l.loadOrders, o) {
-					return
-				}
-				l.AbandonLoad(o)
-				l.frontEnd.do(func(now time.Duration) { l.frontEnd.gateway.LoadEnded(now, o, statuses[r], copies) })
-			})
+	order := model.LoadOrder{
+		FrontEnd:    l.frontEnd.name,
+		Function:    c.Function,
+		Replicas:    o.Load.Replicas,
+		MemoryMB:    c.MemoryMB,
+		Concurrency: max(1, c.Concurrency),
+		LoadTime:    c.LoadTime(),
+	}
+	l.worker.HandleLoadOrder(order, func(outcome model.Outcome, replicas int) {
+		l.sendToFrontEnd(func() {
+			if !slices.Contains(l.loadOrders, o) {
+				return
+			}
+			l.AbandonLoad(o)
+			l.frontEnd.do(func(now time.Duration) { l.frontEnd.gateway.LoadEnded(now, o, statuses[outcome], replicas) })
 		})
+	})
 }
 
 var _ gateway.WorkerClient = (*workerClient)(nil)
--- a/lab/simulation/sim.go
+++ b/lab/simulation/sim.go
@@ -258,7 +258,13 @@
 // Estimate implements baseline.Truth.
 func (t workerTruth) Estimate(id scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, may bool) {
 	w := t.s.workers[t.s.workerIndex[id]]
-	return w.Estimate(t.s.functionNames[f], r.ReplicaMemoryMB, r.ReplicaConcurrency, r.LoadTimeEstimate, t.s.cfg.Mix.Work, t.s.store)
+	return w.Estimate(&model.Request{
+		Function:    t.s.functionNames[f],
+		MemoryMB:    r.ReplicaMemoryMB,
+		Concurrency: r.ReplicaConcurrency,
+		LoadTime:    r.LoadTimeEstimate,
+		Work:        t.s.cfg.Mix.Work,
+	}, t.s.store)
 }
 
 // note adds to the trace what happened now.
--- a/lab/worker/conn.go
+++ b/lab/worker/conn.go
@@ -326,10 +326,17 @@
 	}
 	number := f.StreamID
 	c.s.Do(func(w *model.Worker) {
-		w.HandleLoadOrder(c.frontEnd, in.Replica.Function, in.Replicas, in.Replica.MemoryMB, in.Replica.Concurrency, in.Replica.LoadTime(),
-			func(o model.Outcome, copies int) {
-				c.send(muxframe.TypeLoadResult, number, muxframe.LoadResult{Status: muxframe.Status(o), Replicas: copies}, nil)
-			})
+		order := model.LoadOrder{
+			FrontEnd:    c.frontEnd,
+			Function:    in.Replica.Function,
+			Replicas:    in.Replicas,
+			MemoryMB:    in.Replica.MemoryMB,
+			Concurrency: in.Replica.Concurrency,
+			LoadTime:    in.Replica.LoadTime(),
+		}
+		w.HandleLoadOrder(order, func(o model.Outcome, replicas int) {
+			c.send(muxframe.TypeLoadResult, number, muxframe.LoadResult{Status: muxframe.Status(o), Replicas: replicas}, nil)
+		})
 	})
 	return nil
 }
