--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -61,13 +61,13 @@
 	}
 }
 
-// TestAnExperimentThatWasKilledGoesOn: known runs are not played again, a line cut off by the kill is.
+// TestRun_InterruptedExperiment_Resumes: stored runs are not run again, but the one whose line was cut off is.
 func TestRun_InterruptedExperiment_Resumes(t *testing.T) {
 	s := parse(t, quickSpec)
 	path := filepath.Join(t.TempDir(), "results")
 	ctx, cancel := context.WithCancel(context.Background())
 	n := 0
-	if _, err := s.Run(ctx, path, 1, func(text string) {
+	if _, err := s.Run(ctx, path, 1, func(string) {
 		if n++; n == 6 {
 			cancel()
 		}
@@ -82,7 +82,7 @@
 	if err := os.WriteFile(path, raw[:len(raw)-10], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	played := -1 // the first line tells what is known
+	played := -1 // the first line of progress reports what is known
 	cells, err := s.Run(context.Background(), path, 2, func(string) { played++ })
 	if err != nil || len(cells) != 18 || played != 18-kept+1 {
 		t.Errorf("%d cells, %d played after %d were kept, error %v", len(cells), played, kept, err)
@@ -117,7 +117,7 @@
 	}
 }
 
-// cells makes runs with services that a test names, by variant and seed on one day.
+// cellsWithService makes runs with given services, by variant and seed, in one scenario.
 func cellsWithService(s *Spec, service map[string][]float64) (list []Cell) {
 	for name, values := range service {
 		for i, v := range values {
@@ -130,7 +130,7 @@
 
 func TestCompareScenario_DifferenceAndSpread_DecideVerdict(t *testing.T) {
 	s := parse(t, strings.Replace(quickSpec, "seeds 3", "seeds 8", 1))
-	first := []float64{0.5, 0.7, 0.6, 0.9, 0.4, 0.8, 0.55, 0.65} // days differ far more than variants
+	first := []float64{0.5, 0.7, 0.6, 0.9, 0.4, 0.8, 0.55, 0.65} // scenarios differ far more than variants
 	shifted := func(by, spread float64) (out []float64) {
 		for i, x := range first {
 			out = append(out, x+by+spread*float64(i%2*2-1))
@@ -152,7 +152,8 @@
 	}
 }
 
-// TestIntervalsHoldWhatTheySay: of 95% intervals over pairs without a difference, about 95% hold 0.
+// TestEstimate_NoDifference_IntervalHoldsZeroNinetyFivePercent: of 95% intervals over pairs without a difference, about
+// 95% hold 0.
 func TestEstimate_NoDifference_IntervalHoldsZeroNinetyFivePercent(t *testing.T) {
 	rng, misses, rounds := rand.New(rand.NewPCG(7, 7)), 0, 400
 	for range rounds {
--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -156,20 +156,20 @@
 	}
 }
 
-// key is a hash of all that a run depends on, the program that plays it included.
-func (s *Spec) key(v Variant, d Scenario, seed, program uint64) string {
+// key is a hash of all that a run depends on, the program that runs it included.
+func (s *Spec) key(v Variant, sc Scenario, seed, program uint64) string {
 	h := xxhash.New()
-	cfg := s.config(v, d, seed)
-	fmt.Fprintf(h, "%+v %x", keyed(&cfg), program)
+	cfg := s.config(v, sc, seed)
+	_, _ = fmt.Fprintf(h, "%+v %x", keyed(&cfg), program) // a hash never fails
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// fingerprint is a hash of a program, of this one if the path is empty; 0 where it cannot be read.
-func fingerprint(program string) uint64 {
-	if program == "" {
-		program, _ = os.Executable()
+// programHash is a hash of a program, of this one if path is empty; 0 where it cannot be read.
+func programHash(path string) uint64 {
+	if path == "" {
+		path, _ = os.Executable()
 	}
-	raw, err := os.ReadFile(program)
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		return 0
 	}
--- /dev/null
+++ b/lab/experiment/parse.go
@@ -0,0 +1,103 @@
+package experiment
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"havencart/internal/directive"
+	"havencart/lab/scenario"
+	"havencart/lab/simulation"
+)
+
+// Load reads an experiment's file.
+func Load(path string) (*Spec, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrSpec, err)
+	}
+	return Parse(path, string(raw))
+}
+
+// Parse reads the text of an experiment; path is its name in errors, and where the files that it names are. All errors
+// are reported at once; they wrap ErrSpec.
+func Parse(path, text string) (*Spec, error) {
+	s, p := &Spec{Path: path}, &directive.Parser{}
+	directive.Defaults(s, specTable)
+	p.Top = func(at directive.Place, words []directive.Word) { s.parseDirective(p, at, words) }
+	p.Parse(path, text)
+	s.check(p)
+	if err := p.Err(); err != nil {
+		return nil, fmt.Errorf("%w:\n%w", ErrSpec, err)
+	}
+	return s, nil
+}
+
+// parseDirective reads a directive outside of blocks, or the beginning of a block.
+func (s *Spec) parseDirective(p *directive.Parser, at directive.Place, words []directive.Word) {
+	switch words[0].Text {
+	case "day":
+		name := func(sc *Scenario) *string { return &sc.Name }
+		other := func(sc *Scenario, at directive.Place, w []directive.Word) bool { return sc.parseFault(p, at, w) }
+		directive.Block(p, at, words, scenarioTable, name, &s.Scenarios, other)
+	case "variant":
+		name := func(v *Variant) *string { return &v.Name }
+		directive.Block(p, at, words, variantTable, name, &s.Variants, nil)
+	default:
+		directive.Apply(p, at, words, s, specTable, "day, variant, include")
+	}
+}
+
+// check reports what cannot be run.
+func (s *Spec) check(p *directive.Parser) {
+	file := directive.Place{File: s.Path}
+	if len(s.Scenarios) == 0 || len(s.Variants) == 0 {
+		p.Fail(file, 0, "%d days and %d variants; at least one of each is needed", len(s.Scenarios), len(s.Variants))
+	}
+	for _, v := range s.Variants {
+		for _, sc := range s.Scenarios {
+			if _, err := simulation.Check(s.config(v, sc, 1)); err != nil {
+				p.Fail(file, 0, "variant %q on day %q: %v", v.Name, sc.Name, err)
+			}
+		}
+	}
+}
+
+// parseFault reads the lines of a scenario that describe faults: a line of a scenario file, or such a file by its
+// path. It reports false for other lines.
+func (sc *Scenario) parseFault(p *directive.Parser, at directive.Place, words []directive.Word) bool {
+	switch words[0].Text {
+	case "at":
+		sc.parseFaultLine(p, at)
+	case "script":
+		sc.parseFaultFile(p, at, words)
+	default:
+		return false
+	}
+	return true
+}
+
+func (sc *Scenario) parseFaultLine(p *directive.Parser, at directive.Place) {
+	line, _, _ := strings.Cut(at.Text, "#")
+	f, column, err := scenario.ParseLine(line)
+	if err != nil {
+		p.Fail(at, column, "%v", err)
+		return
+	}
+	f.Line = at.Line
+	sc.Faults = append(sc.Faults, f)
+}
+
+func (sc *Scenario) parseFaultFile(p *directive.Parser, at directive.Place, words []directive.Word) {
+	if len(words) != 2 {
+		p.Fail(at, words[0].Column, "script takes one file")
+		return
+	}
+	path := filepath.Join(filepath.Dir(at.File), words[1].Text)
+	faults, err := scenario.Load(path)
+	if err != nil {
+		p.Fail(at, words[1].Column, "%v", err)
+	}
+	sc.Faults = append(sc.Faults, faults...)
+}
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -218,7 +218,7 @@
 
 func (s storedCourse) course() invariant.Timeline {
 	return invariant.Timeline{
-		ServiceLevel: s.storedPart.part(),
+		ServiceLevel: s.part(),
 		Seconds:      convertAll(s.Seconds, storedPart.part),
 	}
 }
