--- /dev/null
+++ b/lab/simulation/connection.go
@@ -0,0 +1,220 @@
+package simulation
+
+import (
+	"errors"
+	"time"
+
+	"havencart/internal/decide/reconnect"
+	"havencart/internal/native/muxclient"
+	"havencart/internal/native/muxframe"
+	"havencart/scheduler"
+)
+
+// Reasons for which a connection ends.
+var (
+	errRefused = errors.New("connection refused")
+	errReset   = errors.New("connection reset")
+	errTimeout = errors.New("connection timed out")
+	errSilent  = errors.New("no sign of life")
+)
+
+// connectionState is the state of a front end's connection to a worker.
+type connectionState int
+
+const (
+	disconnected connectionState = iota
+	dialing
+	connected
+	breaking // broken at the worker; the front end has not noticed yet
+)
+
+// openPaths opens the two directions of a new connection.
+func (c *workerClient) openPaths() {
+	c.closePaths()
+	c.toWorker = c.sim.network.NewPath(c.zone, c.workerZone)
+	c.fromWorker = c.sim.network.NewPath(c.workerZone, c.zone)
+}
+
+// closePaths drops what is under way on the last connection.
+func (c *workerClient) closePaths() {
+	if c.toWorker != nil {
+		c.toWorker.Close()
+		c.fromWorker.Close()
+	}
+	c.keepalive = nil
+}
+
+// sendToWorker calls f at the worker after the network's delay, unless the connection breaks meanwhile.
+func (c *workerClient) sendToWorker(f func()) { c.toWorker.Send(f) }
+
+// sendToFrontEnd calls f at the front end after the network's delay, unless the connection breaks meanwhile.
+func (c *workerClient) sendToFrontEnd(f func()) {
+	c.fromWorker.Send(func() {
+		if c.keepalive != nil {
+			c.keepalive.Received(c.sim.clock.Now())
+		}
+		f()
+	})
+}
+
+// dial starts to connect: a round trip for the connection, one for the hello and the welcome, and the handshake, all
+// within the connect timeout of the settings.
+func (c *workerClient) dial() {
+	if c.state != disconnected || c.stopped {
+		return
+	}
+	c.state = dialing
+	c.openPaths()
+	cancelTimeout := c.sim.clock.After(c.sim.settings.ConnectTimeout, c.dialTimedOut)
+	welcome := func() {
+		cancelTimeout()
+		c.handshakeDone()
+	}
+	handshake := func() {
+		duration := c.sim.cfg.Handshake + c.sim.handshakeDelay[c.index]
+		c.sim.clock.After(duration, func() { c.fromWorker.Send(welcome) })
+	}
+	c.toWorker.Send(func() {
+		c.fromWorker.Send(func() {
+			c.toWorker.Send(handshake)
+		})
+	})
+}
+
+func (c *workerClient) dialTimedOut() {
+	c.dialEnded()
+	c.closePaths()
+	if !c.stopped {
+		c.failPending(errTimeout)
+	}
+}
+
+// dialEnded ends the dialing state. A handshake that outlasted an earlier dial's timeout may have ended it before.
+func (c *workerClient) dialEnded() {
+	if c.state == dialing {
+		c.state = disconnected
+	}
+}
+
+// handshakeDone handles the end of the handshake.
+func (c *workerClient) handshakeDone() {
+	c.dialEnded()
+	if c.stopped {
+		return
+	}
+	if !c.worker.Up() {
+		c.closePaths()
+		c.failPending(errRefused)
+		return
+	}
+	c.state = connected
+	c.backoff.Connected()
+	welcome := muxframe.Welcome{
+		Version:      muxframe.Version,
+		Worker:       c.worker.Config.Name,
+		Incarnation:  uint64(c.worker.Incarnation()),
+		UptimeMillis: c.worker.Uptime().Milliseconds(),
+	}
+	c.frontEnd.do(func(now time.Duration) { c.frontEnd.gateway.WorkerConnected(now, c.id, welcome) })
+	c.startKeepalive()
+	c.flush()
+}
+
+// startKeepalive checks the connection for as long as the network between the zones has a fault. Without one there is
+// nothing to find.
+func (c *workerClient) startKeepalive() {
+	if c.state != connected || c.keepalive != nil {
+		return
+	}
+	if c.sim.network.HasFault(c.zone, c.workerZone) {
+		c.keepalive = reconnect.NewKeepalive(c.sim.clock.Now())
+		c.checkKeepalive(c.keepalive)
+	}
+}
+
+func (c *workerClient) checkKeepalive(keepalive *reconnect.Keepalive) {
+	if c.keepalive != keepalive || c.stopped {
+		return
+	}
+	verdict, next := keepalive.Check(c.sim.clock.Now())
+	switch {
+	case verdict == reconnect.Dead:
+		c.connectionEnded(errSilent)
+		return
+	case verdict == reconnect.Ping:
+		c.sendToWorker(func() { c.sendToFrontEnd(func() {}) })
+	case !c.sim.network.HasFault(c.zone, c.workerZone):
+		c.keepalive = nil
+		return
+	}
+	c.sim.clock.After(next-c.sim.clock.Now(), func() { c.checkKeepalive(keepalive) })
+}
+
+// breakAtWorker breaks the connection at the worker. The front end learns of it after the network's delay, or by the
+// keepalive.
+func (c *workerClient) breakAtWorker() {
+	if c.state != connected || c.stopped {
+		return
+	}
+	c.state = breaking
+	keepalive := c.keepalive
+	c.openPaths()
+	c.keepalive = keepalive
+	c.fromWorker.Send(func() { c.connectionEnded(errReset) })
+}
+
+// connectionEnded handles the end of the connection as the front end notices it.
+func (c *workerClient) connectionEnded(reason error) {
+	c.state = disconnected
+	c.closePaths()
+	c.failPending(reason)
+}
+
+// requestDial dials soon, as something waits for the connection.
+func (c *workerClient) requestDial() {
+	if c.state == connected || c.state == dialing {
+		return
+	}
+	c.backoff.Requested()
+	c.scheduleDial()
+}
+
+// scheduleDial dials when the next attempt is due. There is one timer only, however many requests want the connection.
+func (c *workerClient) scheduleDial() {
+	if c.cancelDial != nil {
+		c.cancelDial()
+	}
+	c.cancelDial = c.sim.clock.After(c.backoff.NextDial()-c.sim.clock.Now(), c.dial)
+}
+
+// failPending ends what was in flight, or waited for a connection that could not be had.
+func (c *workerClient) failPending(reason error) {
+	c.backoff.Failed(c.sim.clock.Now())
+	unsent, attempts, loadOrders := c.unsent, c.attempts, c.loadOrders
+	c.unsent, c.attempts, c.loadOrders = nil, nil, nil
+	c.unreported = append(c.unreported, attempts...)
+	c.frontEnd.do(func(now time.Duration) {
+		gateway := c.frontEnd.gateway
+		for _, m := range unsent {
+			switch {
+			case m.attempt != nil:
+				gateway.AttemptEnded(now, m.attempt, failedResult(scheduler.ConnectFailed, reason))
+			case m.loadOrder != nil:
+				gateway.LoadEnded(now, m.loadOrder, scheduler.ConnectFailed, 0)
+			}
+		}
+		for _, a := range attempts {
+			c.reported(a)
+			gateway.AttemptEnded(now, a, failedResult(scheduler.Reset, reason))
+		}
+		for _, o := range loadOrders {
+			gateway.LoadEnded(now, o, scheduler.Reset, 0)
+		}
+		gateway.WorkerDisconnected(now, c.id, reason)
+	})
+	c.scheduleDial()
+}
+
+func failedResult(status scheduler.Status, reason error) muxclient.Result {
+	return muxclient.Result{Status: status, Reason: reason.Error(), QueueDepth: unknownQueueDepth}
+}
--- /dev/null
+++ b/lab/simulation/installation.go
@@ -0,0 +1,179 @@
+package simulation
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"havencart/internal/config/gatewayconfig"
+	"havencart/internal/discovery"
+	"havencart/internal/gateway"
+	"havencart/lab/baseline"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
+	"havencart/lab/model"
+	"havencart/lab/scenario"
+	"havencart/scheduler"
+)
+
+const (
+	defaultNetworkLatency = 200 * time.Microsecond
+	defaultDiscoveryLag   = time.Second
+	randomStream          = 0x73696d // of the simulation's generator, beside those with the same seed
+)
+
+// epoch is the wall time at 0 of the virtual clock.
+var epoch = time.Unix(0, 0)
+
+// Simulation is a run under way. It implements scenario.Installation.
+type Simulation struct {
+	cfg      Config
+	settings *gatewayconfig.Settings
+	clock    *model.VirtualClock
+	rng      *rand.Rand
+	network  *model.Network
+	store    *model.Store
+	workers  []*model.Worker
+	fronts   []*frontEnd
+	catalog  *gateway.Catalog
+	source   *loadgen.Source
+
+	newScheduler  schedulerConstructor
+	workerIndex   map[scheduler.WorkerID]int      // in workers
+	functionNames map[scheduler.FunctionID]string // for the oracle
+
+	// Endpoint discovery.
+	endpoints         []discovery.Worker
+	endpointVersion   int
+	listedShare       float64 // share of the workers that the list names
+	discoveryDown     bool
+	extraDiscoveryLag time.Duration
+
+	// Faults of single workers.
+	clockSkew      []time.Duration
+	handshakeDelay []time.Duration
+
+	// What is reported.
+	history  *invariant.History
+	trace    *xxhash.Digest
+	outcomes map[string]int
+	samples  []Sample
+	logLines []string
+}
+
+// newSimulation sets an installation up. No virtual time has passed.
+func newSimulation(cfg Config) (*Simulation, error) {
+	cfg.NetworkLatency = cmp.Or(cfg.NetworkLatency, defaultNetworkLatency)
+	cfg.DiscoveryLag = cmp.Or(cfg.DiscoveryLag, defaultDiscoveryLag)
+	settings, err := gatewayconfig.Parse("settings", "name fe\ndirectory file none\n"+cfg.Settings)
+	if err != nil {
+		return nil, err
+	}
+	settings.FrontEnds = cfg.FrontEnds
+	s := &Simulation{
+		cfg:            cfg,
+		settings:       settings,
+		clock:          &model.VirtualClock{},
+		rng:            rand.New(rand.NewPCG(cfg.Seed, randomStream)),
+		catalog:        gateway.NewCatalog(settings),
+		workerIndex:    map[scheduler.WorkerID]int{},
+		functionNames:  map[scheduler.FunctionID]string{},
+		listedShare:    1,
+		clockSkew:      make([]time.Duration, cfg.Workers),
+		handshakeDelay: make([]time.Duration, cfg.Workers),
+		trace:          xxhash.New(),
+		outcomes:       map[string]int{},
+	}
+	s.history = invariant.NewHistoryAt(epoch, s.clock.Now)
+	s.network = model.NewNetwork(s.clock, model.NetworkConfig{
+		Zones:   max(cfg.Zones, scenario.MaxZone(cfg.Faults)),
+		Latency: cfg.NetworkLatency,
+		Jitter:  cfg.Jitter,
+	}, s.rng)
+	s.store = model.NewStore(s.clock, cfg.Store)
+	s.addWorkers()
+	if s.newScheduler, err = s.schedulerConstructor(); err != nil {
+		return nil, err
+	}
+	s.startFrontEnds()
+	s.source = loadgen.ForSettings(cfg.Mix, cfg.Duration, settings, cfg.Seed)
+	return s, nil
+}
+
+func (s *Simulation) addWorkers() {
+	keyCaches := model.NewKeyCaches(s.cfg.Cells)
+	for i := range s.cfg.Workers {
+		cfg, cell := s.cfg.Worker.ForWorker(i, len(keyCaches))
+		w := model.NewWorker(s.clock, cfg, storeFetcher{s}, keyCaches[cell], tracingObserver{s.history, s})
+		s.workers = append(s.workers, w)
+		s.workerIndex[gateway.WorkerID(cfg.Name)] = i
+		s.endpoints = append(s.endpoints, discovery.Worker{
+			Name:    cfg.Name,
+			Address: cfg.Name + ":1",
+			Cell:    cfg.Cell,
+			Scale:   1,
+			Started: epoch.Add(-w.Uptime()),
+			State:   scheduler.Ready,
+		})
+	}
+}
+
+func (s *Simulation) startFrontEnds() {
+	for i := range s.cfg.FrontEnds {
+		f := &frontEnd{sim: s, number: i, name: fmt.Sprintf("fe-%d", i)}
+		s.fronts = append(s.fronts, f)
+		f.start()
+	}
+}
+
+// storeFetcher connects the workers to the store.
+type storeFetcher struct{ s *Simulation }
+
+// Fetch implements model.Fetcher.
+func (f storeFetcher) Fetch(_ string, work time.Duration, done func(ok bool)) {
+	f.s.store.Fetch(work, done)
+}
+
+// Policies beside those of package baseline.
+const (
+	policyDefault = ""
+	policyModule  = "module" // the scheduler
+	policyOracle  = "oracle" // the best of the oracles
+)
+
+// schedulerConstructor makes the scheduler of a front end; nil stands for the real one.
+type schedulerConstructor func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Scheduler
+
+// schedulerConstructor is the constructor of the configured policy.
+func (s *Simulation) schedulerConstructor() (schedulerConstructor, error) {
+	switch s.cfg.Policy {
+	case policyDefault, policyModule, policyOracle: // runBestOracle sets the name of one oracle
+		return nil, nil
+	}
+	if constructor := baseline.Oracle(s.cfg.Policy, workerTruth{s}); constructor != nil {
+		return constructor, nil
+	}
+	if constructor := baseline.New(s.cfg.Policy); constructor != nil {
+		return constructor, nil
+	}
+	return nil, fmt.Errorf("no policy %q; allowed: module, oracle, %s", s.cfg.Policy, strings.Join(baseline.Names, ", "))
+}
+
+// workerTruth is what an oracle sees.
+type workerTruth struct{ s *Simulation }
+
+// Estimate implements baseline.Truth.
+func (t workerTruth) Estimate(id scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, usable bool) {
+	w := t.s.workers[t.s.workerIndex[id]]
+	return w.Estimate(&model.Request{
+		Function:    t.s.functionNames[f],
+		MemoryMB:    r.ReplicaMemoryMB,
+		Concurrency: r.ReplicaConcurrency,
+		LoadTime:    r.LoadTimeEstimate,
+		Work:        t.s.cfg.Mix.Work,
+	}, t.s.store)
+}
--- a/lab/simulation/large_test.go
+++ b/lab/simulation/large_test.go
@@ -8,10 +8,10 @@
 	"havencart/lab/model"
 )
 
-// Large is a day of 240 front ends and 70 workers.
-func largeInstallation(t testing.TB, lasts time.Duration) Config {
-	cfg := Config{Workers: 70, Cells: 14, FrontEnds: 240, Duration: lasts, Seed: 1, Jitter: 0.3}
-	base := smallInstallation(&testing.T{}, "", lasts)
+// largeInstallation has 240 front ends and 70 workers.
+func largeInstallation(duration time.Duration) Config {
+	cfg := Config{Workers: 70, Cells: 14, FrontEnds: 240, Duration: duration, Seed: 1, Jitter: 0.3}
+	base := smallInstallation(&testing.T{}, "", duration)
 	cfg.Worker, cfg.Settings, cfg.LogLevel = base.Worker, base.Settings, base.LogLevel
 	cfg.Store = model.StoreConfig{Places: 40, Limit: 200, OutageMultiple: 3, OutageAfter: 3 * time.Second, OutageDuration: 2 * time.Second}
 	cfg.Mix = loadgen.Mix{
@@ -24,7 +24,7 @@
 // BenchmarkLargeMinute plays a minute of 240 front ends and 70 workers.
 func BenchmarkLargeMinute(b *testing.B) {
 	for b.Loop() {
-		r, err := Run(largeInstallation(b, time.Minute))
+		r, err := Run(largeInstallation(time.Minute))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/lab/simulation/sim_test.go
+++ b/lab/simulation/simulation_test.go
@@ -16,18 +16,27 @@
 	"havencart/lab/scenario"
 )
 
-// small is the demo's installation in virtual time.
-func smallInstallation(t *testing.T, day string, lasts time.Duration) Config {
+// smallInstallation is the demo's installation in virtual time.
+func smallInstallation(t *testing.T, script string, duration time.Duration) Config {
 	t.Helper()
-	troubles, err := scenario.Parse("day", day)
+	faults, err := scenario.Parse("day", script)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return Config{
-		Workers: 12, Cells: 3, FrontEnds: 3, Worker: fleet.DemoWorker(), Settings: fleet.DemoSettings,
-		Store: fleet.DemoStore(),
-		Mix:   fleet.DemoMix(150), Duration: lasts, Faults: troubles, Seed: 1, LogLevel: zerolog.WarnLevel, DiscoveryLag: 20 * time.Millisecond,
-		Jitter: 0.3,
+		Workers:      12,
+		Cells:        3,
+		FrontEnds:    3,
+		Worker:       fleet.DemoWorker(),
+		Store:        fleet.DemoStore(),
+		Settings:     fleet.DemoSettings,
+		Mix:          fleet.DemoMix(150),
+		Duration:     duration,
+		Faults:       faults,
+		Seed:         1,
+		LogLevel:     zerolog.WarnLevel,
+		DiscoveryLag: 20 * time.Millisecond,
+		Jitter:       0.3,
 	}
 }
 
@@ -64,8 +73,8 @@
 	}
 }
 
-// TestTheSameSeedGivesTheSameRun compares every message, answer and time of two runs, and holds that another
-// seed gives another run. It catches whatever follows the order of a hash table or of goroutines.
+// TestRun_SameSeed_GivesTheSameTrace compares every message, response and time of two runs, and that another seed gives
+// another run. It catches whatever follows the order of a hash table or of goroutines.
 func TestRun_SameSeed_GivesTheSameTrace(t *testing.T) {
 	for _, name := range []string{"bad", "ways"} {
 		cfg := smallInstallation(t, scenarioText(t, name), 22*time.Second)
@@ -95,8 +104,8 @@
 	}
 }
 
-// TestPoliciesRankAsTheyShould: the oracle stands above all, the module above what does not know where copies
-// stand. (Rules that a baseline breaks are its own: only the tally is held to.)
+// TestRun_Policies_RankAsExpected: the oracle is best, and the scheduler better than what does not know where replicas
+// are. (A baseline may violate invariants: only its tally is checked.)
 func TestRun_Policies_RankAsExpected(t *testing.T) {
 	service := map[string]float64{}
 	for _, policy := range append([]string{"module", "oracle"}, baseline.Names...) {
@@ -128,28 +137,28 @@
 	}
 }
 
-// TestBothClocksTellTheSame plays one day behind sockets in real time and in virtual time: the same clients, the
-// same models, the same troubles. What is compared may differ by what sockets and the scheduler add.
+// TestRun_RealAndVirtualTime_AgreeWithinTolerance runs one scenario behind sockets in real time and in virtual time: the
+// same clients, models and faults. What is compared may differ by what sockets and the operating system add.
 func TestRun_RealAndVirtualTime_AgreeWithinTolerance(t *testing.T) {
-	const day, lasts = "at 2s crash 25% for 2s\nat 5s store-slow factor 3 for 2s\nat 6s slow 25% factor 3 for 2s\n", 9 * time.Second
+	const script, duration = "at 2s crash 25% for 2s\nat 5s store-slow factor 3 for 2s\nat 6s slow 25% factor 3 for 2s\n", 9 * time.Second
 	d := fleet.Demo{
-		Workers: 12, FrontEnds: 3, Mix: fleet.DemoMix(150), Lasts: lasts, Script: day, Seed: 1, Log: zerolog.Nop(),
+		Workers: 12, FrontEnds: 3, Mix: fleet.DemoMix(150), Lasts: duration, Script: script, Seed: 1, Log: zerolog.Nop(),
 		Tell: func(string) {},
 	}
-	real, err := d.Run(context.Background())
+	realTime, err := d.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	virtual := runChecked(t, smallInstallation(t, day, lasts))
-	t.Logf("real %v, service %.3f", real.Tally, real.Score.Service())
+	virtual := runChecked(t, smallInstallation(t, script, duration))
+	t.Logf("real %v, service %.3f", realTime.Tally, realTime.Score.Service())
 	t.Logf("virtual %v, service %.3f", virtual.Tally, virtual.Score.Service())
-	if a, b := real.Score.Requests, virtual.Score.Requests; a != b {
+	if a, b := realTime.Score.Requests, virtual.Score.Requests; a != b {
 		t.Errorf("%d calls in real time, %d in virtual", a, b)
 	}
 	for what, x := range map[string][2]float64{
-		"service":  {real.Score.Service(), virtual.Score.Service()},
-		"served":   {float64(real.Tally.Served) / float64(real.Score.Requests), float64(virtual.Tally.Served) / float64(virtual.Score.Requests)},
-		"attempts": {float64(real.Tally.Attempts) / float64(real.Score.Requests), float64(virtual.Tally.Attempts) / float64(virtual.Score.Requests)},
+		"service":  {realTime.Score.Service(), virtual.Score.Service()},
+		"served":   {float64(realTime.Tally.Served) / float64(realTime.Score.Requests), float64(virtual.Tally.Served) / float64(virtual.Score.Requests)},
+		"attempts": {float64(realTime.Tally.Attempts) / float64(realTime.Score.Requests), float64(virtual.Tally.Attempts) / float64(virtual.Score.Requests)},
 	} {
 		if math.Abs(x[0]-x[1]) > 0.1 {
 			t.Errorf("%s: %.3f in real time, %.3f in virtual", what, x[0], x[1])
@@ -157,13 +166,13 @@
 	}
 }
 
-// TestAQuietTenantKeepsItsServiceInARush: while the other floods, calls what nobody called before, calls what takes
-// twenty times as long, or repeats, the quiet tenant has 0.85 of what it has alone, on this seed. Calls count from 5 s on:
-// before, all load what they need.
+// TestRun_TenantOverload_LeavesOtherTenantsService: while one tenant floods, requests new functions, requests that take
+// twenty times as long, or retries, the other one has 0.85 of the service that it has alone, with this seed. Requests
+// count from 5 s on: before, all load what they need.
 func TestRun_TenantOverload_LeavesOtherTenantsService(t *testing.T) {
-	const lasts, from = 30 * time.Second, 5
-	service := func(day string) float64 {
-		cfg := smallInstallation(t, day, lasts)
+	const duration, from = 30 * time.Second, 5
+	service := func(script string) float64 {
+		cfg := smallInstallation(t, script, duration)
 		cfg.Settings = "shares work\n" + strings.NewReplacer("share 0.8", "share 0.5", "share 0.2", "share 0.5").Replace(cfg.Settings)
 		cfg.Mix.Rate, cfg.Mix.Functions, cfg.Mix.OwnFunctions = 400, 6, true
 		cfg.Mix.Work, cfg.Mix.MemoryMB = 30*time.Millisecond, 200
--- a/lab/simulation/link_test.go
+++ b/lab/simulation/worker_client_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestALinkToADeadWorkerHasOneTimer guards against a timer for each call that wants the connection: a day of many
-// dead workers then took all memory.
+// TestWorkerClient_CrashedWorker_HasOneTimer guards against a timer for each request that wants the connection: a
+// scenario of many crashed workers then took all memory.
 func TestWorkerClient_CrashedWorker_HasOneTimer(t *testing.T) {
 	cfg := smallInstallation(t, "at 1s crash 100% for 20s\n", 15*time.Second)
 	cfg.Policy = "random"
@@ -19,12 +19,12 @@
 		t.Fatal(err)
 	}
 	if n := s.clock.Pending(); n > 500 {
-		t.Errorf("%d events are set", n)
+		t.Errorf("%d timers are set", n)
 	}
 }
 
-// TestAResultKeepsNothingOfItsRun guards against results that hold the whole installation alive: an experiment
-// keeps hundreds of them.
+// TestResult_KeepsNothingOfItsRun guards against results that hold the whole installation alive: an experiment keeps
+// hundreds of them.
 func TestResult_KeepsNothingOfItsRun(t *testing.T) {
 	cfg := smallInstallation(t, "", 2*time.Second)
 	s, err := newSimulation(cfg)
