--- /dev/null
+++ b/lab/invariant/check_executions.go
@@ -0,0 +1,95 @@
+package invariant
+
+import (
+	"slices"
+
+	"havencart/lab/model"
+	"havencart/scheduler"
+)
+
+// checkExecutions checks the attempts of each request: what may have executed is not sent again beyond what its class
+// allows, its effect takes place once, and what executed is not rejected.
+func (c *checker) checkExecutions() {
+	byRequest := map[string][]*Attempt{}
+	for _, a := range c.attempts {
+		c.tally.Attempts++
+		c.tally.Executions += a.Executions
+		byRequest[a.RequestID] = append(byRequest[a.RequestID], a)
+	}
+	for id, attempts := range byRequest {
+		class := c.rules.Classes[attempts[0].Class]
+		slices.SortFunc(attempts, func(a, b *Attempt) int { return a.Number - b.Number })
+		switch class.Idempotency {
+		case scheduler.NonIdempotent:
+			c.checkNonIdempotent(id, attempts)
+		case scheduler.IdempotentByKey:
+			c.checkIdempotentByKey(id, attempts, class)
+		}
+	}
+	for _, r := range c.requests {
+		if !rejected(r) || retryIsSafe(c.rules.Classes[r.Class]) {
+			continue
+		}
+		if slices.ContainsFunc(byRequest[r.ID], mayHaveExecuted) {
+			c.violated(ruleExecution, "call %s: refused, yet a worker may have run it", r.ID)
+		}
+	}
+}
+
+func rejected(r *Request) bool {
+	return len(r.Responses) > 0 && r.Responses[0].Outcome == OutcomeRejected
+}
+
+// retryIsSafe reports whether a client may retry a request of a class anywhere, also where it was executed.
+func retryIsSafe(class scheduler.Class) bool {
+	if class.Idempotency == scheduler.Idempotent {
+		return true
+	}
+	return class.Idempotency == scheduler.IdempotentByKey && class.KeyScope == scheduler.ScopeAll
+}
+
+// mayHaveExecuted reports whether an attempt that a worker received may have had its effect.
+func mayHaveExecuted(a *Attempt) bool {
+	return a.Outcome != model.Overloaded && a.Outcome != model.NotLoaded
+}
+
+func (c *checker) checkNonIdempotent(id string, attempts []*Attempt) {
+	executions := 0
+	for i, a := range attempts {
+		executions += a.Executions
+		if i > 0 && mayHaveExecuted(attempts[i-1]) {
+			c.violated(ruleExecution, "unsafe call %s: sent to %s after %s may have run it", id, a.Worker,
+				attempts[i-1].Worker)
+		}
+	}
+	if executions > 1 {
+		c.violated(ruleExecution, "unsafe call %s: %d effects", id, executions)
+	}
+}
+
+func (c *checker) checkIdempotentByKey(id string, attempts []*Attempt, class scheduler.Class) {
+	executions := 0
+	var first *Attempt // that may have executed
+	for _, a := range attempts {
+		executions += a.Executions
+		if first != nil {
+			c.checkKeyedRetry(id, first, a, class)
+		} else if mayHaveExecuted(a) {
+			first = a
+		}
+	}
+	if executions > 1 {
+		c.violated(ruleExecution, "keyed call %s: %d effects", id, executions)
+	}
+}
+
+// checkKeyedRetry checks that a retry stays within the scope and the retention of the idempotency key.
+func (c *checker) checkKeyedRetry(id string, first, retry *Attempt, class scheduler.Class) {
+	elapsed := retry.At - first.At
+	switch {
+	case class.KeyScope == scheduler.ScopeCell && retry.Cell != first.Cell:
+		c.violated(ruleExecution, "keyed call %s: sent to cell %s after cell %s may have run it", id, retry.Cell, first.Cell)
+	case elapsed > class.KeyRetention+c.rules.Tolerance:
+		c.violated(ruleExecution, "keyed call %s: sent again after %v, the memory is %v", id, elapsed, class.KeyRetention)
+	}
+}
--- /dev/null
+++ b/lab/invariant/check_load.go
@@ -0,0 +1,63 @@
+package invariant
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// checkColdWorkers checks the work that reached each cold worker within its overload window against its capacity.
+func (c *checker) checkColdWorkers() {
+	for _, crash := range c.crashes {
+		c.tally.WorkerCrashes++
+		c.violated(ruleColdStart, "%s fell over at %v", crash.Worker, crash.At)
+	}
+	recent := map[string][]*Attempt{} // by worker and incarnation
+	for _, a := range c.attempts {
+		if a.Capacity == 0 { // it was warm
+			continue
+		}
+		window := time.Duration(a.OverloadWindowSeconds * float64(time.Second))
+		id := fmt.Sprint(a.Worker, a.Incarnation)
+		recent[id] = slices.DeleteFunc(append(recent[id], a), func(x *Attempt) bool { return x.At <= a.At-window })
+		total := time.Duration(0)
+		for _, x := range recent[id] {
+			total += x.Work
+		}
+		allowed := time.Duration(a.OverloadMultiple * a.Capacity * float64(window))
+		if window > 0 && total > allowed {
+			c.violated(ruleColdStart, "%s was sent %v of work within %v, %v would push it over", a.Worker, total, window, allowed)
+		}
+	}
+}
+
+// checkLoadRate checks each front end's load orders within the window against the requests that it received in it.
+func (c *checker) checkLoadRate() {
+	if c.rules.LoadWindow <= 0 {
+		return
+	}
+	orderTimes, requestTimes := map[string][]time.Duration{}, map[string][]time.Duration{}
+	for _, r := range c.requests {
+		requestTimes[r.FrontEnd] = append(requestTimes[r.FrontEnd], r.SentAt)
+	}
+	for _, o := range c.loadOrders {
+		if o.Replicas == 0 { // a residency query
+			continue
+		}
+		orderTimes[o.FrontEnd] = append(orderTimes[o.FrontEnd], o.At)
+		orders := countWithin(orderTimes[o.FrontEnd], o.At-c.rules.LoadWindow+c.rules.Tolerance, o.At)
+		requests := countWithin(requestTimes[o.FrontEnd], o.At-c.rules.LoadWindow-c.rules.Tolerance, o.At)
+		if float64(orders) > c.rules.LoadFree+c.rules.LoadShare*float64(requests) {
+			c.violated(ruleLoadRate, "%s gave %d orders for %d calls within %v", o.FrontEnd, orders, requests, c.rules.LoadWindow)
+		}
+	}
+}
+
+// countWithin counts the times after from, up to and at to. They are in ascending order.
+func countWithin(times []time.Duration, from, to time.Duration) int {
+	countUpTo := func(t time.Duration) int {
+		i, _ := slices.BinarySearch(times, t+1)
+		return i
+	}
+	return countUpTo(to) - countUpTo(from)
+}
--- a/lab/invariant/score.go
+++ b/lab/invariant/score.go
@@ -7,46 +7,47 @@
 	"havencart/scheduler"
 )
 
-// Score is service: the worth answered in time over the worth asked, a client's repeats counted as part of its
-// first try. An answer after its aim earns what the class keeps of a late one.
+// Score is the service of a run: the priority weight earned by responses in time over the weight offered by requests.
+// A client's retries count as part of its request. A response after the class's latency objective earns the class's late
+// weight.
 type Score struct {
 	Timeline
-	Requests int // first tries
+	Requests int // without retries
 	ByClass  map[string]*Timeline
 	ByTenant map[string]*Timeline
 }
 
-// Course is a part of a Score over time.
+// Timeline is a service level over time.
 type Timeline struct {
 	ServiceLevel
-	Seconds []ServiceLevel // by the second of the first try
+	Seconds []ServiceLevel // by the second in which the request was first sent
 }
 
-func (c *Timeline) add(second int, asked, got float64) {
-	c.Offered += asked
-	c.Earned += got
-	for len(c.Seconds) <= second {
-		c.Seconds = append(c.Seconds, ServiceLevel{})
+func (t *Timeline) add(second int, offered, earned float64) {
+	t.Offered += offered
+	t.Earned += earned
+	for len(t.Seconds) <= second {
+		t.Seconds = append(t.Seconds, ServiceLevel{})
 	}
-	c.Seconds[second].Offered += asked
-	c.Seconds[second].Earned += got
+	t.Seconds[second].Offered += offered
+	t.Seconds[second].Earned += earned
 }
 
-// Part is a part of a Score.
-type ServiceLevel struct{ Offered, Earned float64 } // worth
+// ServiceLevel is the priority weight that requests offered, and what was earned of it.
+type ServiceLevel struct{ Offered, Earned float64 }
 
-// Share is the part's service, 1 where nothing was asked.
-func (p ServiceLevel) Share() float64 {
-	if p.Offered == 0 {
+// Share is the share that was earned, 1 where nothing was offered.
+func (l ServiceLevel) Share() float64 {
+	if l.Offered == 0 {
 		return 1
 	}
-	return p.Earned / p.Offered
+	return l.Earned / l.Offered
 }
 
-// Service is the whole run's.
+// Service is the share that was earned in the whole run.
 func (s Score) Service() float64 { return s.Share() }
 
-// Worst is the least service of any stretch of so many seconds.
+// Worst is the least service over any period of so many seconds.
 func (s Score) Worst(seconds int) float64 {
 	worst := 1.0
 	for i := 0; i+seconds <= len(s.Seconds); i++ {
@@ -60,51 +61,55 @@
 	return worst
 }
 
-// Score scores what clients saw. Tries are told by their ids: "call.try".
-func (b *History) Score(classes map[string]scheduler.Class) Score {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Score computes the service that clients saw. The attempts of a request have identifiers "REQUEST.NUMBER".
+func (h *History) Score(classes map[string]scheduler.Class) Score {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	s := Score{ByClass: map[string]*Timeline{}, ByTenant: map[string]*Timeline{}}
 	first := map[string]*Request{}
-	got := map[string]float64{}
+	best := map[string]float64{} // earned by the best attempt
 	var order []string
-	for _, a := range b.requests {
-		id, _, _ := strings.Cut(a.ID, ".")
+	for _, r := range h.requests {
+		id, _, _ := strings.Cut(r.ID, ".")
 		if first[id] == nil {
-			first[id] = a
+			first[id] = r
 			order = append(order, id)
 		}
-		got[id] = max(got[id], earned(a, first[id].SentAt, classes[a.Class]))
+		best[id] = max(best[id], earned(r, first[id].SentAt, classes[r.Class]))
 	}
 	for _, id := range order {
-		a := first[id]
-		s.add(a, classes[a.Class].PriorityWeight, got[id])
+		r := first[id]
+		s.add(r, classes[r.Class].PriorityWeight, best[id])
 	}
 	return s
 }
 
-// earned is the worth of what a try brought, counted from the first try.
-func earned(a *Request, since time.Duration, class scheduler.Class) float64 {
-	if len(a.Responses) == 0 || a.Responses[0].Outcome != "served" || !a.Responses[0].Complete {
+// earned is the weight that an attempt earned, where the request was first sent at a time.
+func earned(r *Request, firstSentAt time.Duration, class scheduler.Class) float64 {
+	if len(r.Responses) == 0 {
 		return 0
 	}
-	if a.Responses[0].At-since <= class.LatencyObjective {
+	response := r.Responses[0]
+	if response.Outcome != OutcomeServed || !response.Complete {
+		return 0
+	}
+	if response.At-firstSentAt <= class.LatencyObjective {
 		return class.PriorityWeight
 	}
 	return class.PriorityWeight * class.LateWeight
 }
 
-func (s *Score) add(a *Request, asked, got float64) {
+func (s *Score) add(r *Request, offered, earned float64) {
 	s.Requests++
-	second := int(a.SentAt / time.Second)
-	s.Timeline.add(second, asked, got)
-	for _, x := range []struct {
-		table map[string]*Timeline
-		name  string
-	}{{s.ByClass, a.Class}, {s.ByTenant, a.Tenant}} {
-		if x.table[x.name] == nil {
-			x.table[x.name] = &Timeline{}
-		}
-		x.table[x.name].add(second, asked, got)
+	second := int(r.SentAt / time.Second)
+	s.Timeline.add(second, offered, earned)
+	addTo(s.ByClass, r.Class, second, offered, earned)
+	addTo(s.ByTenant, r.Tenant, second, offered, earned)
+}
+
+func addTo(timelines map[string]*Timeline, name string, second int, offered, earned float64) {
+	if timelines[name] == nil {
+		timelines[name] = &Timeline{}
 	}
+	timelines[name].add(second, offered, earned)
 }
