--- a/lab/scenario/script_test.go
+++ b/lab/scenario/scenario_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestWhatIsWrittenIsReadAgain reads the example of each trouble on the page and writes it back.
+// TestFormat_ExampleOfEachFault_IsParsedAgain parses the example of each fault on the page and formats it again.
 func TestFormat_ExampleOfEachFault_IsParsedAgain(t *testing.T) {
 	examples := 0
 	for _, line := range strings.Split(Reference(), "\n") {
@@ -83,6 +83,6 @@
 		}
 	}
 	if examples != len(kinds) {
-		t.Errorf("%d examples of %d troubles", examples, len(kinds))
+		t.Errorf("%d examples of %d faults", examples, len(kinds))
 	}
 }
