--- /dev/null
+++ b/lab/faultsearch/random.go
@@ -0,0 +1,113 @@
+package faultsearch
+
+import (
+	"slices"
+	"time"
+
+	"havencart/lab/scenario"
+)
+
+const (
+	timeUnit        = 100 * time.Millisecond // of all random times
+	zoneCount       = 3                      // of the base installation
+	maxRandomFaults = 4                      // of a random scenario
+	maxFaults       = 6                      // of a mutated one
+)
+
+// searchedKinds are the kinds of fault that a search uses. Kills of front ends and partial lists say little of the
+// scheduler's decisions.
+var searchedKinds = []string{
+	"crash", "deploy", "take-out", "fail", "hang", "pause", "pauses", "slow", "neighbour", "reset", "flush",
+	"re-release", "clock-jump", "ageing", "handshake", "heavy", "store-stop", "store-slow", "store-fail", "directory-lag",
+	"directory-down", "net-delay", "net-loss", "net-cut", "leave", "surge", "hot", "scan", "stall",
+}
+
+// randomScenario draws a scenario.
+func (s *search) randomScenario() (faults []scenario.Fault) {
+	for range 1 + s.rng.IntN(maxRandomFaults) {
+		faults = append(faults, s.randomFault())
+	}
+	scenario.SortByTime(faults)
+	return faults
+}
+
+// randomFault draws a fault, with times in tenths of a second and shares in whole percents.
+func (s *search) randomFault() scenario.Fault {
+	f := scenario.Fault{Kind: searchedKinds[s.rng.IntN(len(searchedKinds))]}
+	duration := int(s.cfg.Base.Duration / timeUnit)
+	f.At = s.randomDuration(duration/20, duration*3/4)
+	for _, p := range s.parameterDraws(&f, duration) {
+		if scenario.HasParameter(f.Kind, p.parameter) {
+			p.draw()
+		}
+	}
+	switch f.Kind {
+	case "deploy", "flush", "re-release":
+		f.Share = float64(30+s.rng.IntN(71)) / 100
+	case "pause", "stall":
+		f.Duration = s.randomDuration(2, 8)
+	case "surge":
+		f.Factor = 1 + f.Factor/10
+	case "net-loss":
+		f.Factor /= 10
+	}
+	return f
+}
+
+// parameterDraw draws one parameter of a fault.
+type parameterDraw struct {
+	parameter scenario.Parameter
+	draw      func()
+}
+
+// parameterDraws are the draws of a fault's parameters, in their order. duration is that of the scenario, in time
+// units.
+func (s *search) parameterDraws(f *scenario.Fault, duration int) []parameterDraw {
+	return []parameterDraw{
+		{scenario.ShareParameter, func() { f.Share = float64(5+s.rng.IntN(46)) / 100 }},
+		{scenario.FrontEndParameter, func() { f.Number = 1 + s.rng.IntN(s.cfg.Base.FrontEnds) }},
+		{scenario.ZoneParameter, func() { f.Number = 1 + s.rng.IntN(zoneCount) }},
+		{scenario.OtherZoneParameter, func() { f.OtherZone = 1 + s.rng.IntN(zoneCount) }},
+		{scenario.FunctionsParameter, func() { f.Number = 1 + s.rng.IntN(4) }},
+		{scenario.RateParameter, func() { f.Factor = float64(3+s.rng.IntN(8)) / 10 }},
+		{scenario.FactorParameter, func() { f.Factor = float64(2 + s.rng.IntN(8)) }},
+		{scenario.OffsetParameter, func() { f.Offset = s.randomDuration(1, 50) }},
+		{scenario.SkewParameter, func() { f.Offset = s.randomDuration(1, 50) }},
+		{scenario.PauseLengthParameter, func() { f.PauseLength = s.randomDuration(1, 6) }},
+		{scenario.IntervalParameter, func() { f.Interval = s.randomDuration(8, 30) }},
+		{scenario.SpreadParameter, func() { f.Spread = s.randomDuration(10, duration/2) }},
+		{scenario.DrainTimeParameter, func() { f.DrainTime = s.randomDuration(2, 20) }},
+		{scenario.DurationParameter, func() { f.Duration = s.randomDuration(3, duration/3) }},
+	}
+}
+
+// randomDuration draws a duration, in time units, from up to but not including to.
+func (s *search) randomDuration(from, to int) time.Duration {
+	return time.Duration(from+s.rng.IntN(max(1, to-from))) * timeUnit
+}
+
+// mutate changes, adds or removes a fault.
+func (s *search) mutate(faults []scenario.Fault) []scenario.Fault {
+	faults = slices.Clone(faults)
+	i := s.rng.IntN(len(faults))
+	switch x := s.rng.IntN(4); {
+	case x == 0 && len(faults) < maxFaults:
+		faults = append(faults, s.randomFault())
+	case x == 1 && len(faults) > 1:
+		faults = slices.Delete(faults, i, i+1)
+	case x == 2:
+		faults[i] = s.randomFault()
+	default:
+		s.shift(&faults[i])
+	}
+	scenario.SortByTime(faults)
+	return faults
+}
+
+// shift moves a fault to the time of a new random one and changes its duration by up to a half.
+func (s *search) shift(f *scenario.Fault) {
+	f.At = s.randomFault().At
+	if f.Duration > 0 {
+		f.Duration = f.Duration * time.Duration(5+s.rng.IntN(11)) / 10
+	}
+}
--- a/lab/faultsearch/hunt_test.go
+++ b/lab/faultsearch/search_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"testing"
@@ -12,11 +13,11 @@
 	"havencart/lab/scenario"
 )
 
-func TestScriptsComeBackAsTheyWereWritten(t *testing.T) {
+func TestFinding_Text_IsParsedAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &hunter{cfg: Config{Base: Base(30 * time.Second)}, rng: rng(rapid.Uint64().Draw(t, "seed"))}
-		want := h.mutate(h.draw())
-		got, err := scenario.Parse("found", Find{Troubles: want}.Text())
+		s := &search{cfg: Config{Base: Base(30 * time.Second)}, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
+		want := s.mutate(s.randomScenario())
+		got, err := scenario.Parse("found", Finding{Faults: want}.Text())
 		if err != nil || len(got) != len(want) {
 			t.Fatalf("%v, %d of %d", err, len(got), len(want))
 		}
@@ -30,7 +31,7 @@
 	})
 }
 
-func TestAHuntFindsTheSameDaysAgain(t *testing.T) {
+func TestRun_SameSeed_GivesTheSameFindings(t *testing.T) {
 	cfg := Config{Base: Base(8 * time.Second), Rounds: 2, Width: 6, Keep: 2, Seed: 3, Parallel: 2, Tell: func(string) {}}
 	first, err := Run(context.Background(), cfg)
 	if err != nil {
@@ -42,34 +43,34 @@
 	}
 	for i := range first {
 		if first[i].Text() != again[i].Text() {
-			t.Errorf("find %d:\n%s\nand again:\n%s", i, first[i].Text(), again[i].Text())
+			t.Errorf("finding %d:\n%s\nand again:\n%s", i, first[i].Text(), again[i].Text())
 		}
 	}
 }
 
-// TestFoundDaysBreakNoRule plays the days that hunts found, which stay as regressions.
-func TestFoundDaysBreakNoRule(t *testing.T) {
+// TestFoundScenarios_KeepInvariants runs the scenarios that searches found, which stay as regressions.
+func TestFoundScenarios_KeepInvariants(t *testing.T) {
 	files, err := filepath.Glob("../scenarios/found/*.day")
 	if err != nil || len(files) < 10 {
-		t.Fatalf("%d found days, %v", len(files), err)
+		t.Fatalf("%d found scenarios, %v", len(files), err)
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		troubles, err := scenario.Parse(file, string(raw))
+		faults, err := scenario.Parse(file, string(raw))
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &hunter{cfg: Config{Base: Base(20 * time.Second)}}
-		f, err := h.judge(troubles)
+		s := &search{cfg: Config{Base: Base(20 * time.Second)}}
+		f, err := s.evaluate(faults)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: module %.3f, oracle %.3f", filepath.Base(file), f.Module, f.Oracle)
-		if f.Broken != "" {
-			t.Errorf("%s: %s", file, f.Broken)
+		t.Logf("%s: module %.3f, oracle %.3f", filepath.Base(file), f.SchedulerService, f.OracleService)
+		if f.Violation != "" {
+			t.Errorf("%s: %s", file, f.Violation)
 		}
 	}
 }
--- a/lab/fleet/badday_test.go
+++ b/lab/fleet/badday_test.go
@@ -11,16 +11,16 @@
 
 // TestBadDaysBreakNoRule plays days on 12 workers, 3 front ends and 3 classes, and lets the auditor judge what was
 // seen on the sockets.
-func TestBadDaysBreakNoRule(t *testing.T) {
+func TestRunScenario_FaultScenarios_KeepInvariants(t *testing.T) {
 	for name, lasts := range map[string]time.Duration{"bad": 22 * time.Second, "ways": 17 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			badDay(t, name, lasts)
+			runScenarioFile(t, name, lasts)
 		})
 	}
 }
 
-func badDay(t *testing.T, name string, lasts time.Duration) {
+func runScenarioFile(t *testing.T, name string, lasts time.Duration) {
 	text, err := os.ReadFile("../scenarios/" + name + ".day")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -101,7 +101,7 @@
 	f, err := Start(Config{
 		Workers: d.Workers, Cells: 3, FrontEnds: d.FrontEnds, Zones: scenario.MaxZone(troubles), Worker: DemoWorker(),
 		Store:    DemoStore(),
-		Settings: strings.Join(append(d.Set, DemoSettings), "\n"), Slack: time.Second, Log: d.Log,
+		Settings: strings.Join(append(d.Set, DemoSettings), "\n"), Tolerance: time.Second, Log: d.Log,
 	})
 	if err != nil {
 		return Result{}, err
@@ -111,10 +111,10 @@
 	played := make(chan error, 1)
 	day, end := context.WithCancel(ctx)
 	defer end()
-	go func() { played <- f.Play(day, troubles, d.Seed, d.Tell) }()
+	go func() { played <- f.RunScenario(day, troubles, d.Seed, d.Tell) }()
 	watched := make(chan struct{})
-	go func() { defer close(watched); f.watch(day, d.Tell) }()
-	seen := f.Run(ctx, d.Mix, d.Lasts, d.Seed)
+	go func() { defer close(watched); f.reportProgress(day, d.Tell) }()
+	seen := f.RunClients(ctx, d.Mix, d.Lasts, d.Seed)
 	end()
 	<-watched
 	if err := <-played; err != nil {
@@ -125,7 +125,7 @@
 			return Result{}, err
 		}
 	}
-	breaks, tally := f.Judge()
+	breaks, tally := f.Check()
 	return Result{seen, tally, breaks, f.Score()}, nil
 }
 
@@ -138,7 +138,7 @@
 }
 
 // watch tells the front ends' totals each second.
-func (f *Fleet) watch(ctx context.Context, tell func(string)) {
+func (f *Fleet) reportProgress(ctx context.Context, tell func(string)) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -36,7 +36,7 @@
 	Worker    model.WorkerConfig // of each; its name and cell are made
 	Store     model.StoreConfig
 	Settings  string        // text of the front ends' settings, without listen, directory, name and numbers
-	Slack     time.Duration // for the auditor
+	Tolerance     time.Duration // for the auditor
 	Log       zerolog.Logger
 }
 
@@ -44,16 +44,16 @@
 type Fleet struct {
 	cfg       Config
 	Settings  *gatewayconfig.Settings
-	World     *model.RealClock
-	Book      *invariant.History
-	Origin    *functionstore.Server
-	Directory *discoveryserver.Server
+	Clock     *model.RealClock
+	History      *invariant.History
+	Store    *functionstore.Server
+	Discovery *discoveryserver.Server
 	Workers   []*worker.Server
 	FrontEnds []*FrontEnd
 	Clients   Clients
 	fetcher   *functionstore.Client
 	network   *model.Network
-	skew      []time.Duration // of the workers' wall clocks, as a script sets it
+	clockSkew      []time.Duration // of the workers' wall clocks, as a script sets it
 }
 
 // FrontEnd is one front end of a Fleet and the way to it.
@@ -73,7 +73,7 @@
 
 // Start sets an installation up. Close ends it.
 func Start(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, World: model.NewWorld(), Book: invariant.NewBook()}
+	f := &Fleet{cfg: cfg, Clock: model.NewWorld(), History: invariant.NewBook()}
 	if err := f.start(); err != nil {
 		f.Close()
 		return nil, err
@@ -82,27 +82,27 @@
 }
 
 func (f *Fleet) start() (err error) {
-	if f.Origin, err = functionstore.Start(f.World, f.cfg.Store, "127.0.0.1:0"); err != nil {
+	if f.Store, err = functionstore.Start(f.Clock, f.cfg.Store, "127.0.0.1:0"); err != nil {
 		return err
 	}
-	f.fetcher = functionstore.NewClient(f.World, f.Origin.Address())
-	if f.Directory, err = discoveryserver.Start("127.0.0.1:0"); err != nil {
+	f.fetcher = functionstore.NewClient(f.Clock, f.Store.Address())
+	if f.Discovery, err = discoveryserver.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
 	groups := model.NewKeyCaches(f.cfg.Cells)
-	f.network = model.NewNetwork(f.World, model.NetworkConfig{Zones: f.cfg.Zones}, rand.New(rand.NewPCG(1, 0x6e6574)))
-	f.skew = make([]time.Duration, f.cfg.Workers)
+	f.network = model.NewNetwork(f.Clock, model.NetworkConfig{Zones: f.cfg.Zones}, rand.New(rand.NewPCG(1, 0x6e6574)))
+	f.clockSkew = make([]time.Duration, f.cfg.Workers)
 	for i := range f.cfg.Workers {
 		wc, cell := f.cfg.Worker.ForWorker(i, len(groups))
-		w, err := worker.Start(f.World, worker.Config{
+		w, err := worker.Start(f.Clock, worker.Config{
 			WorkerConfig: wc, Address: "127.0.0.1:0", Work: 50 * time.Millisecond,
-			Ways: f.ways(i),
-		}, f.fetcher, groups[cell], f.Book)
+			Paths: f.paths(i),
+		}, f.fetcher, groups[cell], f.History)
 		if err != nil {
 			return err
 		}
 		f.Workers = append(f.Workers, w)
-		f.List(w, scheduler.Ready)
+		f.ListWorker(w, scheduler.Ready)
 	}
 	if f.Settings, err = gatewayconfig.Parse("settings", "directory file none\n"+f.cfg.Settings); err != nil {
 		return err
@@ -118,7 +118,7 @@
 }
 
 // ways are the ways of worker i to front ends, by their numbers.
-func (f *Fleet) ways(i int) func(frontEnd string) (in, out *model.Path) {
+func (f *Fleet) paths(i int) func(frontEnd string) (in, out *model.Path) {
 	if f.cfg.Zones == 0 {
 		return nil
 	}
@@ -130,14 +130,14 @@
 }
 
 // List tells the directory of a worker as it is now.
-func (f *Fleet) List(w *worker.Server, state scheduler.WorkerState) {
+func (f *Fleet) ListWorker(w *worker.Server, state scheduler.WorkerState) {
 	_, up, _ := w.Running()
 	if i := slices.Index(f.Workers, w); i >= 0 {
-		up -= f.skew[i]
+		up -= f.clockSkew[i]
 	}
 	cell := ""
 	w.Do(func(m *model.Worker) { cell = m.Config.Cell })
-	f.Directory.Set(discoveryserver.Entry{
+	f.Discovery.Set(discoveryserver.Entry{
 		Name: w.Name(), Address: w.Address(), Cell: cell, Started: time.Now().Add(-up),
 		State: state,
 	})
@@ -148,8 +148,8 @@
 	for _, e := range f.FrontEnds {
 		_ = e.Stop() // told where a test asks for it
 	}
-	if f.Directory != nil {
-		f.Directory.Close()
+	if f.Discovery != nil {
+		f.Discovery.Close()
 	}
 	if f.fetcher != nil {
 		f.fetcher.Close()
@@ -157,22 +157,22 @@
 	for _, w := range f.Workers {
 		w.Close()
 	}
-	if f.Origin != nil {
-		f.Origin.Close()
+	if f.Store != nil {
+		f.Store.Close()
 	}
 }
 
 // Judge judges all that was seen. It is to be called when everything has ended.
-func (f *Fleet) Judge() ([]invariant.Violation, invariant.Tally) {
-	for _, n := range f.Directory.Notices() {
-		f.Book.EndpointsUpdated(invariant.EndpointUpdate{At: f.Book.Elapsed(n.At), FrontEnd: n.Client, States: n.States})
+func (f *Fleet) Check() ([]invariant.Violation, invariant.Tally) {
+	for _, n := range f.Discovery.Notices() {
+		f.History.EndpointsUpdated(invariant.EndpointUpdate{At: f.History.Elapsed(n.At), FrontEnd: n.Client, States: n.States})
 	}
-	return f.Book.Check(invariant.RulesOf(f.Settings, f.cfg.Slack))
+	return f.History.Check(invariant.RulesOf(f.Settings, f.cfg.Tolerance))
 }
 
 // Score is the service that clients saw.
 func (f *Fleet) Score() invariant.Score {
-	return f.Book.Score(invariant.RulesOf(f.Settings, 0).Classes)
+	return f.History.Score(invariant.RulesOf(f.Settings, 0).Classes)
 }
 
 // Name is the front end's name, as workers and the directory hear it.
@@ -190,7 +190,7 @@
 	f := e.fleet
 	loops := max(1, f.cfg.Loops)
 	text := fmt.Sprintf("name fe\nlisten %s\ndirectory consul %s workers\nloops %d\nfirst %d\nfront-ends %d\n%s", e.address,
-		f.Directory.URL(), loops, e.number*loops, f.cfg.FrontEnds*loops, f.cfg.Settings)
+		f.Discovery.URL(), loops, e.number*loops, f.cfg.FrontEnds*loops, f.cfg.Settings)
 	set, err := gatewayconfig.Parse(e.Name(), text)
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 	defer e.mu.Unlock()
 	e.address, e.service, e.cancel, e.done = service.Address(), service, cancel, done
 	if e.pool == nil {
-		e.pool = &client.Pool{Name: e.Name(), Address: e.address, Book: f.Book, Grace: f.cfg.Slack}
+		e.pool = &client.Pool{Name: e.Name(), Address: e.address, Book: f.History, Grace: f.cfg.Tolerance}
 	}
 	go func() {
 		defer close(done)
@@ -238,7 +238,7 @@
 	e.mu.Lock()
 	cancel, done, pool, service := e.cancel, e.done, e.pool, e.service
 	e.mu.Unlock()
-	e.fleet.Book.FrontEndKilled(e.Name())
+	e.fleet.History.FrontEndKilled(e.Name())
 	service.Kill()
 	cancel()
 	<-done
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -48,9 +48,9 @@
 end
 `
 
-func small(workers, frontEnds int) Config {
+func smallConfig(workers, frontEnds int) Config {
 	cfg := Config{
-		Workers: workers, Cells: 2, FrontEnds: frontEnds, Settings: threeClasses, Slack: time.Second, Log: zerolog.Nop(),
+		Workers: workers, Cells: 2, FrontEnds: frontEnds, Settings: threeClasses, Tolerance: time.Second, Log: zerolog.Nop(),
 		Worker: DemoWorker(), Store: model.StoreConfig{Places: 20, Limit: 100},
 	}
 	cfg.Worker.MemoryMB, cfg.Worker.Queue, cfg.Worker.SlowStart, cfg.Worker.KeyRetention = 8000, 200, 3*time.Second, 4*time.Second
@@ -67,8 +67,8 @@
 	return f
 }
 
-func TestCallsAreServedThroughSockets(t *testing.T) {
-	f := start(t, small(4, 2))
+func TestFleet_RequestsThroughSockets_AreServed(t *testing.T) {
+	f := start(t, smallConfig(4, 2))
 	var all sync.WaitGroup
 	for i := range 60 {
 		all.Go(func() {
@@ -89,17 +89,17 @@
 			t.Error(err)
 		}
 	}
-	breaks, tally := f.Judge()
+	breaks, tally := f.Check()
 	if len(breaks) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Executions != 60 {
 		t.Errorf("%v; broken: %v", tally, breaks)
 	}
 }
 
-func TestOtherSettingsAreWatchedThroughSockets(t *testing.T) {
-	cfg := small(4, 2)
+func TestFleet_ShadowSettings_CountDifferences(t *testing.T) {
+	cfg := smallConfig(4, 2)
 	cfg.Settings += "watch other\n  orders off\n  retry-after off\nend\n"
 	f := start(t, cfg)
-	until(t, "the lists", func() bool { return len(f.Directory.Notices()) >= 2 })
+	until(t, "the lists", func() bool { return len(f.Discovery.Notices()) >= 2 })
 	for i := range 12 {
 		if seen := f.do(t, i%2, ask(fmt.Sprint("w.", i), "quote", time.Millisecond)); seen.Outcome != "served" {
 			t.Errorf("call %d: %+v", i, seen)
--- a/lab/fleet/hard_test.go
+++ b/lab/fleet/hard_test.go
@@ -64,7 +64,7 @@
 			t.Error(err)
 		}
 	}
-	breaks, tally := f.Judge()
+	breaks, tally := f.Check()
 	for _, b := range breaks {
 		t.Errorf("rule %s broken: %s", b.Rule, b.What)
 	}
@@ -76,12 +76,12 @@
 // TestAKeyRepeatedThroughAnotherFrontEndHasOneEffect: its worker hangs and goes on after the time-out, while
 // the client repeats with the same key elsewhere.
 func TestAKeyRepeatedThroughAnotherFrontEndHasOneEffect(t *testing.T) {
-	cfg := small(2, 2)
+	cfg := smallConfig(2, 2)
 	cfg.Cells = 1
 	cfg.Settings = "keep-alive 10s\nclass log\nrepeat keyed\nscope all\nmemory 10s\nend\n"
 	cfg.Worker.KeyRetention = 10 * time.Second
 	f := start(t, cfg)
-	until(t, "the lists", func() bool { return len(f.Directory.Notices()) >= 2 })
+	until(t, "the lists", func() bool { return len(f.Discovery.Notices()) >= 2 })
 	f.command(t, "hang on", 0, 1)
 	first := ask("a.0", "log", time.Millisecond)
 	first.IdempotencyKey = "one"
@@ -102,7 +102,7 @@
 		third.ID += "x"
 		return f.do(t, 0, third).Outcome == "served"
 	})
-	effects := f.Book.ExecutionCount("one")
+	effects := f.History.ExecutionCount("one")
 	if effects != 1 {
 		t.Errorf("%d effects of one key", effects)
 	}
@@ -112,8 +112,8 @@
 // TestAnAnswerThatCameWhileTheFrontEndStoodStillIsTaken: the time of the attempt is over when the front end goes on,
 // and its answer is there.
 func TestAnAnswerThatCameWhileTheFrontEndStoodStillIsTaken(t *testing.T) {
-	f := start(t, small(1, 1))
-	until(t, "the list", func() bool { return len(f.Directory.Notices()) >= 1 })
+	f := start(t, smallConfig(1, 1))
+	until(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
 	if seen := f.do(t, 0, ask("first", "unlock", time.Millisecond)); seen.Outcome != "served" {
 		t.Fatalf("%+v", seen)
 	}
@@ -123,8 +123,8 @@
 		c.Timeout = 400 * time.Millisecond
 		done <- f.do(t, 0, c)
 	}()
-	until(t, "the attempt", func() bool { return f.Book.AttemptCount("second") > 0 })
-	f.Book.FrontEndStalled(f.FrontEnds[0].Name(), 600*time.Millisecond)
+	until(t, "the attempt", func() bool { return f.History.AttemptCount("second") > 0 })
+	f.History.FrontEndStalled(f.FrontEnds[0].Name(), 600*time.Millisecond)
 	f.FrontEnds[0].Service().Stall(600 * time.Millisecond)
 	if seen := <-done; seen.Outcome != "served" {
 		t.Errorf("%+v: the answer was there", seen)
@@ -139,8 +139,8 @@
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			f := start(t, small(3, 1))
-			until(t, "the list", func() bool { return len(f.Directory.Notices()) >= 1 })
+			f := start(t, smallConfig(3, 1))
+			until(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
 			f.do(t, 0, ask("first", "quote", time.Millisecond))
 			f.command(t, fault, 0)
 			if fault == "handshake never" || fault == "handshake 400ms" {
@@ -158,7 +158,7 @@
 			}
 			all.Wait()
 			f.fair(t)
-			if _, tally := f.Judge(); tally.Served < 45 {
+			if _, tally := f.Check(); tally.Served < 45 {
 				t.Errorf("%v: one worker's trouble took more than half", tally)
 			}
 		})
@@ -166,8 +166,8 @@
 }
 
 func TestAClientThatPipelinesTenAndClosesAfterThree(t *testing.T) {
-	f := start(t, small(2, 1))
-	until(t, "the list", func() bool { return len(f.Directory.Notices()) >= 1 })
+	f := start(t, smallConfig(2, 1))
+	until(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
 	f.do(t, 0, ask("first", "unlock", time.Millisecond))
 	conn, err := net.Dial("tcp", f.FrontEnds[0].Pool().Address)
 	if err != nil {
@@ -209,10 +209,10 @@
 
 // TestAStopWithHundredsHeldAnswersAll: SIGTERM ends Run's context; each call has its one answer.
 func TestAStopWithHundredsHeldAnswersAll(t *testing.T) {
-	cfg := small(1, 1)
+	cfg := smallConfig(1, 1)
 	cfg.Settings = "stop-wait 200ms\n" + cfg.Settings
 	f := start(t, cfg)
-	until(t, "the list", func() bool { return len(f.Directory.Notices()) >= 1 })
+	until(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
 	f.command(t, "hang on", 0)
 	var all sync.WaitGroup
 	for i := range 300 {
@@ -235,10 +235,10 @@
 
 // TestTwoHundredConnectionsAgainstAFullFrontEnd: each is refused at once, none is lost.
 func TestTwoHundredConnectionsAgainstAFullFrontEnd(t *testing.T) {
-	cfg := small(1, 1)
+	cfg := smallConfig(1, 1)
 	cfg.Settings = "max-calls 5\n" + cfg.Settings
 	f := start(t, cfg)
-	until(t, "the list", func() bool { return len(f.Directory.Notices()) >= 1 })
+	until(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
 	f.command(t, "hang on", 0)
 	var all sync.WaitGroup
 	for i := range 5 {
@@ -271,8 +271,8 @@
 // TestLongAnswersToSlowClientsHoldUpNobody: one client takes nothing of a long answer, others are served by the
 // same worker meanwhile.
 func TestLongAnswersToSlowClientsHoldUpNobody(t *testing.T) {
-	f := start(t, small(1, 1))
-	until(t, "the list", func() bool { return len(f.Directory.Notices()) >= 1 })
+	f := start(t, smallConfig(1, 1))
+	until(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
 	conn, err := net.Dial("tcp", f.FrontEnds[0].Pool().Address)
 	if err != nil {
 		t.Fatal(err)
@@ -299,7 +299,7 @@
 
 // TestAWorkerThatReadsNothingHoldsUpNobody: it shakes hands and then lets its socket fill with long calls.
 func TestAWorkerThatReadsNothingHoldsUpNobody(t *testing.T) {
-	f := start(t, small(2, 1))
+	f := start(t, smallConfig(2, 1))
 	stuck, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -327,9 +327,9 @@
 			})
 		}
 	})
-	f.Directory.Set(discoveryserver.Entry{Name: "stuck", Address: stuck.Addr().String(), Cell: "cell-1", State: scheduler.Ready})
+	f.Discovery.Set(discoveryserver.Entry{Name: "stuck", Address: stuck.Addr().String(), Cell: "cell-1", State: scheduler.Ready})
 	until(t, "the list", func() bool {
-		for _, n := range f.Directory.Notices() {
+		for _, n := range f.Discovery.Notices() {
 			if n.States["stuck"] == scheduler.Ready {
 				return true
 			}
@@ -358,12 +358,12 @@
 
 // TestSeveralLoopsInOneProcessAreFrontEndsOfTheirOwn: each has its own links and its own query of the list.
 func TestSeveralLoopsInOneProcessAreFrontEndsOfTheirOwn(t *testing.T) {
-	cfg := small(2, 1)
+	cfg := smallConfig(2, 1)
 	cfg.Loops = 3
 	f := start(t, cfg)
-	until(t, "three lists", func() bool { return len(f.Directory.Notices()) >= 3 })
+	until(t, "three lists", func() bool { return len(f.Discovery.Notices()) >= 3 })
 	asked := map[string]bool{}
-	for _, n := range f.Directory.Notices() {
+	for _, n := range f.Discovery.Notices() {
 		asked[n.Client] = true
 	}
 	if len(asked) != 3 {
@@ -386,11 +386,11 @@
 
 // TestWorkersThatAnswerMissAreGivenOrders within the ration, which the auditor judges.
 func TestWorkersThatAnswerMissAreGivenOrders(t *testing.T) {
-	cfg := small(4, 2)
+	cfg := smallConfig(4, 2)
 	cfg.Worker.MissAnswers = true
 	cfg.Settings = "on-miss miss\nload-window 2s\nload-free 3\nload-share 0.2\n" + cfg.Settings
 	f := start(t, cfg)
-	until(t, "the lists", func() bool { return len(f.Directory.Notices()) >= 2 })
+	until(t, "the lists", func() bool { return len(f.Discovery.Notices()) >= 2 })
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	seen := map[string]int{}
@@ -410,7 +410,7 @@
 		t.Errorf("%v", seen)
 	}
 	f.fair(t)
-	if _, tally := f.Judge(); tally.LoadOrders == 0 {
+	if _, tally := f.Check(); tally.LoadOrders == 0 {
 		t.Error("no order was given")
 	}
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -14,26 +14,26 @@
 
 // Play carries out a script's troubles, each at its time, until ctx ends. Which workers are hit is drawn from
 // seed.
-func (f *Fleet) Play(ctx context.Context, troubles []scenario.Fault, seed uint64, tell func(string)) error {
-	s := &stage{Fleet: f}
+func (f *Fleet) RunScenario(ctx context.Context, troubles []scenario.Fault, seed uint64, tell func(string)) error {
+	s := &installation{Fleet: f}
 	clock := model.NewWorld() // of its own: the troubles reach into the workers' world
 	var play *scenario.Player
 	clock.Do(func() { play = scenario.Start(clock, s, troubles, seed, tell) })
 	<-ctx.Done()
-	clock.Do(func() { s.note(play.End()) })
+	clock.Do(func() { s.recordError(play.End()) })
 	s.tasks.Wait()
 	return s.err
 }
 
 // stage is a Fleet on which a script is played.
-type stage struct {
+type installation struct {
 	*Fleet
 	tasks sync.WaitGroup
 	mu    sync.Mutex
 	err   error
 }
 
-func (s *stage) note(err error) {
+func (s *installation) recordError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil {
@@ -41,54 +41,54 @@
 	}
 }
 
-func (s *stage) Workers() int { return len(s.Fleet.Workers) }
-func (s *stage) CommandWorker(w int, line string) error { return s.Fleet.Workers[w].Command(line) }
+func (s *installation) Workers() int { return len(s.Fleet.Workers) }
+func (s *installation) CommandWorker(w int, line string) error { return s.Fleet.Workers[w].Command(line) }
 
-func (s *stage) ListWorker(w int, state scheduler.WorkerState) {
-	s.Fleet.List(s.Fleet.Workers[w], state)
+func (s *installation) ListWorker(w int, state scheduler.WorkerState) {
+	s.Fleet.ListWorker(s.Fleet.Workers[w], state)
 }
-func (s *stage) StopStore(d time.Duration)      { s.Origin.Stop(d) }
-func (s *stage) SlowStore(factor float64)       { s.Origin.Slow(factor) }
-func (s *stage) DelayDiscovery(d time.Duration) { s.Directory.Lag(d) }
-func (s *stage) SetDiscoveryDown(on bool)       { s.Directory.Down(on) }
-func (s *stage) LimitDiscovery(share float64)   { s.Directory.Partial(share) }
-func (s *stage) ResetDiscovery()                { s.Directory.Back() }
-func (s *stage) FailStore(share float64)        { s.Origin.Fail(share) }
-func (s *stage) FrontEnds() int                 { return len(s.Fleet.FrontEnds) }
-
-func (s *stage) KillFrontEnd(i int) error {
+func (s *installation) StopStore(d time.Duration)      { s.Store.Stop(d) }
+func (s *installation) SlowStore(factor float64)       { s.Store.Slow(factor) }
+func (s *installation) DelayDiscovery(d time.Duration) { s.Discovery.Lag(d) }
+func (s *installation) SetDiscoveryDown(on bool)       { s.Discovery.Down(on) }
+func (s *installation) LimitDiscovery(share float64)   { s.Discovery.Partial(share) }
+func (s *installation) ResetDiscovery()                { s.Discovery.Back() }
+func (s *installation) FailStore(share float64)        { s.Store.Fail(share) }
+func (s *installation) FrontEnds() int                 { return len(s.Fleet.FrontEnds) }
+
+func (s *installation) KillFrontEnd(i int) error {
 	s.Fleet.FrontEnds[i].Kill()
 	return nil
 }
 
-func (s *stage) StallFrontEnd(i int, d time.Duration) error {
+func (s *installation) StallFrontEnd(i int, d time.Duration) error {
 	e := s.Fleet.FrontEnds[i]
-	s.Book.FrontEndStalled(e.Name(), d)
+	s.History.FrontEndStalled(e.Name(), d)
 	e.Service().Stall(d)
 	return nil
 }
 
-func (s *stage) SetClockSkew(w int, by time.Duration) { s.Fleet.skew[w] = by }
+func (s *installation) SetClockSkew(w int, by time.Duration) { s.Fleet.clockSkew[w] = by }
 
-func (s *stage) ChangeDemand(change func(*loadgen.Demand)) error { return s.Clients.change(change) }
+func (s *installation) ChangeDemand(change func(*loadgen.Demand)) error { return s.Clients.change(change) }
 
-func (s *stage) AddNetworkFault(t model.NetworkFault) (end func()) {
+func (s *installation) AddNetworkFault(t model.NetworkFault) (end func()) {
 	var over func()
-	s.World.Do(func() { over = s.network.AddFault(t) })
-	return func() { s.World.Do(over) }
+	s.Clock.Do(func() { over = s.network.AddFault(t) })
+	return func() { s.Clock.Do(over) }
 }
 
-func (s *stage) StartFrontEnd(i int) error { return s.Fleet.FrontEnds[i].Start() }
+func (s *installation) StartFrontEnd(i int) error { return s.Fleet.FrontEnds[i].Start() }
 
 // Restart stops a front end cleanly, which takes its time, and starts it.
-func (s *stage) RestartFrontEnd(i int) error {
+func (s *installation) RestartFrontEnd(i int) error {
 	e := s.Fleet.FrontEnds[i]
 	s.tasks.Go(func() {
 		err := e.Stop()
 		if err == nil {
 			err = e.Start()
 		}
-		s.note(err)
+		s.recordError(err)
 	})
 	return nil
 }
@@ -109,7 +109,7 @@
 	return c.source.Change(f)
 }
 
-func (c *Clients) begin(s *loadgen.Source) {
+func (c *Clients) setSource(s *loadgen.Source) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.source = s
@@ -117,9 +117,9 @@
 
 // Run makes calls as m says for d, arrivals drawn from seed whatever becomes of earlier ones, and returns when
 // all have ended. It returns the clients' calls by how they ended, repeats counted as one.
-func (f *Fleet) Run(ctx context.Context, m loadgen.Mix, d time.Duration, seed uint64) map[string]int {
+func (f *Fleet) RunClients(ctx context.Context, m loadgen.Mix, d time.Duration, seed uint64) map[string]int {
 	source := loadgen.ForSettings(m, d, f.Settings, seed)
-	f.Clients.begin(source)
+	f.Clients.setSource(source)
 	var mu sync.Mutex
 	seen := map[string]int{}
 	client.Runner{
--- a/lab/fleet/rogue_test.go
+++ b/lab/fleet/rogue_test.go
@@ -21,21 +21,21 @@
 
 // rogue is a front end that breaks rules: it says to clients what a test wants and sends to workers what it
 // wants. The auditor sees it on the sockets as it would see any front end.
-type rogue struct {
+type misbehavingFrontEnd struct {
 	*testing.T
-	f      *Fleet
-	answer func(call *http.Request, out io.Writer)
+	fleet      *Fleet
+	respond func(call *http.Request, out io.Writer)
 	pool   *client.Pool
 }
 
-func startRogue(t *testing.T, change func(*Config)) *rogue {
+func startMisbehavingFrontEnd(t *testing.T, change func(*Config)) *misbehavingFrontEnd {
 	t.Helper()
-	cfg := small(4, 0)
-	cfg.Slack = 100 * time.Millisecond
+	cfg := smallConfig(4, 0)
+	cfg.Tolerance = 100 * time.Millisecond
 	if change != nil {
 		change(&cfg)
 	}
-	r := &rogue{T: t, f: start(t, cfg), answer: func(*http.Request, io.Writer) {}}
+	r := &misbehavingFrontEnd{T: t, fleet: start(t, cfg), respond: func(*http.Request, io.Writer) {}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,30 +55,30 @@
 					break
 				}
 				_, _ = io.Copy(io.Discard, call.Body)
-				r.answer(call, c)
+				r.respond(call, c)
 			}
 			c.Close()
 		}
 	}()
-	r.pool = &client.Pool{Name: "rogue", Address: l.Addr().String(), Book: r.f.Book, Grace: cfg.Slack}
+	r.pool = &client.Pool{Name: "rogue", Address: l.Addr().String(), Book: r.fleet.History, Grace: cfg.Tolerance}
 	t.Cleanup(func() { r.pool.Close(); l.Close(); <-done })
 	return r
 }
 
-func say(out io.Writer, outcome string) {
+func writeResponse(out io.Writer, outcome string) {
 	status := map[string]int{"served": 200, "refused": 503, "failed": 502}[outcome]
 	fmt.Fprintf(out, "HTTP/1.1 %d X\r\nCall-Outcome: %s\r\nContent-Length: 0\r\n\r\n", status, outcome)
 }
 
 // link is the rogue's connection to one worker.
-type link struct {
-	*rogue
+type workerConnection struct {
+	*misbehavingFrontEnd
 	conn net.Conn
 	in   *muxframe.Reader
 	last uint32
 }
 
-func (r *rogue) link(w *worker.Server) *link {
+func (r *misbehavingFrontEnd) connect(w *worker.Server) *workerConnection {
 	r.Helper()
 	c, err := net.Dial("tcp", w.Address())
 	if err != nil {
@@ -86,13 +86,13 @@
 	}
 	r.Cleanup(func() { c.Close() })
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	l := &link{rogue: r, conn: c, in: muxframe.NewReader(bufio.NewReader(c), 0)}
+	l := &workerConnection{misbehavingFrontEnd: r, conn: c, in: muxframe.NewReader(bufio.NewReader(c), 0)}
 	l.write(muxframe.TypeHello, 0, muxframe.Hello{Version: muxframe.Version, FrontEnd: "rogue"}, nil)
 	l.next(muxframe.TypeWelcome)
 	return l
 }
 
-func (l *link) write(kind muxframe.Type, number uint32, header any, body []byte) {
+func (l *workerConnection) write(kind muxframe.Type, number uint32, header any, body []byte) {
 	l.Helper()
 	raw, err := muxframe.Append(nil, kind, number, header, body)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (l *link) next(kind muxframe.Type) muxframe.Frame {
+func (l *workerConnection) next(kind muxframe.Type) muxframe.Frame {
 	l.Helper()
 	f, err := l.in.Next()
 	if err != nil || f.Type != kind {
@@ -113,13 +113,13 @@
 }
 
 // run sends an attempt and waits for the worker's answer.
-func (l *link) run(id, class string, attempt int, work time.Duration) {
+func (l *workerConnection) executeAttempt(id, class string, attempt int, work time.Duration) {
 	l.Helper()
-	l.send(id, class, attempt, work)
+	l.sendAttempt(id, class, attempt, work)
 	l.next(muxframe.TypeResponse)
 }
 
-func (l *link) send(id, class string, attempt int, work time.Duration) {
+func (l *workerConnection) sendAttempt(id, class string, attempt int, work time.Duration) {
 	l.Helper()
 	l.last++
 	l.write(muxframe.TypeRequest, l.last, muxframe.Request{
@@ -129,7 +129,7 @@
 		worker.Body(work, 0))
 }
 
-func (l *link) order(copies int) {
+func (l *workerConnection) sendLoadOrder(copies int) {
 	l.Helper()
 	l.last++
 	l.write(muxframe.TypeLoadOrder, l.last, muxframe.LoadOrder{
@@ -139,7 +139,7 @@
 	l.next(muxframe.TypeLoadResult)
 }
 
-func (r *rogue) ask(id, class string) {
+func (r *misbehavingFrontEnd) request(id, class string) {
 	r.Helper()
 	if _, err := r.pool.Do(loadgen.Call{ID: id, Function: "f", Class: class, Timeout: 300 * time.Millisecond}); err != nil {
 		r.Fatal(err)
@@ -147,9 +147,9 @@
 }
 
 // caught fails the test unless the auditor found that rule broken, and no other.
-func (r *rogue) caught(rule, word string) {
+func (r *misbehavingFrontEnd) expectViolation(rule, word string) {
 	r.Helper()
-	breaks, _ := r.f.Judge()
+	breaks, _ := r.fleet.Check()
 	found := false
 	for _, b := range breaks {
 		if b.Rule != rule {
@@ -162,164 +162,164 @@
 	}
 }
 
-func (r *rogue) innocent() {
+func (r *misbehavingFrontEnd) expectNoViolation() {
 	r.Helper()
-	if breaks, tally := r.f.Judge(); len(breaks) > 0 || !tally.Balanced() {
+	if breaks, tally := r.fleet.Check(); len(breaks) > 0 || !tally.Balanced() {
 		r.Errorf("an innocent front end: %+v, %v", breaks, tally)
 	}
 }
 
-func TestTheAuditorFindsLostCalls(t *testing.T) {
+func TestCheck_MissingLateOrDuplicateResponse_IsFound(t *testing.T) {
 	t.Run("no answer", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.ask("a", "quote")
-		r.caught("lost", "no answer")
+		r := startMisbehavingFrontEnd(t, nil)
+		r.request("a", "quote")
+		r.expectViolation("lost", "no answer")
 	})
 	t.Run("late", func(t *testing.T) {
-		r := startRogue(t, func(c *Config) { c.Slack = 0 })
+		r := startMisbehavingFrontEnd(t, func(c *Config) { c.Tolerance = 0 })
 		r.pool.Grace = 5 * time.Second
-		r.answer = func(_ *http.Request, out io.Writer) { time.Sleep(400 * time.Millisecond); say(out, "served") }
-		r.ask("a", "quote")
-		r.caught("lost", "the client waits")
+		r.respond = func(_ *http.Request, out io.Writer) { time.Sleep(400 * time.Millisecond); writeResponse(out, "served") }
+		r.request("a", "quote")
+		r.expectViolation("lost", "the client waits")
 	})
 	t.Run("twice", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.answer = func(_ *http.Request, out io.Writer) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.respond = func(_ *http.Request, out io.Writer) {
 			fmt.Fprint(out, strings.Repeat("HTTP/1.1 200 OK\r\nCall-Outcome: served\r\nContent-Length: 0\r\n\r\n", 2))
 		}
-		r.ask("a", "quote")
-		r.caught("lost", "2 final answers")
+		r.request("a", "quote")
+		r.expectViolation("lost", "2 final answers")
 	})
 	t.Run("the connection breaks", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.answer = func(_ *http.Request, out io.Writer) { out.(net.Conn).Close() }
-		r.ask("a", "quote")
-		r.caught("lost", "connection lost true")
+		r := startMisbehavingFrontEnd(t, nil)
+		r.respond = func(_ *http.Request, out io.Writer) { out.(net.Conn).Close() }
+		r.request("a", "quote")
+		r.expectViolation("lost", "connection lost true")
 	})
 	t.Run("none", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.answer = func(_ *http.Request, out io.Writer) { say(out, "refused") }
-		r.ask("a", "unlock")
-		r.innocent()
+		r := startMisbehavingFrontEnd(t, nil)
+		r.respond = func(_ *http.Request, out io.Writer) { writeResponse(out, "refused") }
+		r.request("a", "unlock")
+		r.expectNoViolation()
 	})
 }
 
-func TestTheAuditorFindsDoubleEffects(t *testing.T) {
+func TestCheck_SecondExecution_IsFound(t *testing.T) {
 	t.Run("unsafe", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.link(r.f.Workers[0]).run("a", "unlock", 0, time.Millisecond)
-		r.link(r.f.Workers[1]).run("a", "unlock", 1, time.Millisecond)
-		r.caught("twice", "2 effects")
+		r := startMisbehavingFrontEnd(t, nil)
+		r.connect(r.fleet.Workers[0]).executeAttempt("a", "unlock", 0, time.Millisecond)
+		r.connect(r.fleet.Workers[1]).executeAttempt("a", "unlock", 1, time.Millisecond)
+		r.expectViolation("twice", "2 effects")
 	})
 	t.Run("unsafe, sent again while the first is out", func(t *testing.T) {
-		r := startRogue(t, nil)
-		if err := r.f.Workers[0].Command("hang on"); err != nil {
+		r := startMisbehavingFrontEnd(t, nil)
+		if err := r.fleet.Workers[0].Command("hang on"); err != nil {
 			t.Fatal(err)
 		}
-		r.link(r.f.Workers[0]).send("a", "unlock", 0, time.Millisecond)
+		r.connect(r.fleet.Workers[0]).sendAttempt("a", "unlock", 0, time.Millisecond)
 		for received := 0; received == 0; {
-			r.f.Workers[0].Do(func(m *model.Worker) { received = m.QueueLength() })
+			r.fleet.Workers[0].Do(func(m *model.Worker) { received = m.QueueLength() })
 		}
-		r.link(r.f.Workers[1]).run("a", "unlock", 1, time.Millisecond)
-		r.caught("twice", "may have run it")
+		r.connect(r.fleet.Workers[1]).executeAttempt("a", "unlock", 1, time.Millisecond)
+		r.expectViolation("twice", "may have run it")
 	})
 	t.Run("keyed, outside its cell", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.link(r.f.Workers[0]).run("a", "log", 0, time.Millisecond)
-		r.link(r.f.Workers[1]).run("a", "log", 1, time.Millisecond)
-		r.caught("twice", "cell-2")
+		r := startMisbehavingFrontEnd(t, nil)
+		r.connect(r.fleet.Workers[0]).executeAttempt("a", "log", 0, time.Millisecond)
+		r.connect(r.fleet.Workers[1]).executeAttempt("a", "log", 1, time.Millisecond)
+		r.expectViolation("twice", "cell-2")
 	})
 	t.Run("keyed, within its cell", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.link(r.f.Workers[0]).run("a", "log", 0, time.Millisecond)
-		r.link(r.f.Workers[2]).run("a", "log", 1, time.Millisecond)
-		r.innocent()
+		r := startMisbehavingFrontEnd(t, nil)
+		r.connect(r.fleet.Workers[0]).executeAttempt("a", "log", 0, time.Millisecond)
+		r.connect(r.fleet.Workers[2]).executeAttempt("a", "log", 1, time.Millisecond)
+		r.expectNoViolation()
 	})
 	t.Run("refused after a run", func(t *testing.T) {
-		r := startRogue(t, nil)
-		l := r.link(r.f.Workers[0])
-		r.answer = func(_ *http.Request, out io.Writer) {
-			l.run("a", "unlock", 0, time.Millisecond)
-			say(out, "refused")
+		r := startMisbehavingFrontEnd(t, nil)
+		l := r.connect(r.fleet.Workers[0])
+		r.respond = func(_ *http.Request, out io.Writer) {
+			l.executeAttempt("a", "unlock", 0, time.Millisecond)
+			writeResponse(out, "refused")
 		}
-		r.ask("a", "unlock")
-		r.caught("twice", "refused")
+		r.request("a", "unlock")
+		r.expectViolation("twice", "refused")
 	})
 	t.Run("unsafe, turned away first", func(t *testing.T) {
-		r := startRogue(t, nil)
-		if err := r.f.Workers[0].Command("drain on"); err != nil {
+		r := startMisbehavingFrontEnd(t, nil)
+		if err := r.fleet.Workers[0].Command("drain on"); err != nil {
 			t.Fatal(err)
 		}
-		r.link(r.f.Workers[0]).run("a", "unlock", 0, time.Millisecond)
-		r.link(r.f.Workers[1]).run("a", "unlock", 1, time.Millisecond)
-		r.innocent()
+		r.connect(r.fleet.Workers[0]).executeAttempt("a", "unlock", 0, time.Millisecond)
+		r.connect(r.fleet.Workers[1]).executeAttempt("a", "unlock", 1, time.Millisecond)
+		r.expectNoViolation()
 	})
 }
 
-func TestTheAuditorFindsWorkAfterADrain(t *testing.T) {
-	told := func(r *rogue, state scheduler.WorkerState, ago time.Duration) {
-		r.f.Book.EndpointsUpdated(invariant.EndpointUpdate{
-			At: r.f.Book.Now() - ago, FrontEnd: "rogue",
+func TestCheck_WorkAfterDrain_IsFound(t *testing.T) {
+	told := func(r *misbehavingFrontEnd, state scheduler.WorkerState, ago time.Duration) {
+		r.fleet.History.EndpointsUpdated(invariant.EndpointUpdate{
+			At: r.fleet.History.Now() - ago, FrontEnd: "rogue",
 			States: map[string]scheduler.WorkerState{"worker-1": state},
 		})
 	}
 	t.Run("call", func(t *testing.T) {
-		r := startRogue(t, nil)
+		r := startMisbehavingFrontEnd(t, nil)
 		told(r, scheduler.Draining, time.Minute)
-		r.link(r.f.Workers[0]).run("a", "quote", 0, time.Millisecond)
-		r.caught("drains", "call a")
+		r.connect(r.fleet.Workers[0]).executeAttempt("a", "quote", 0, time.Millisecond)
+		r.expectViolation("drains", "call a")
 	})
 	t.Run("order to a worker that is listed no longer", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.f.Book.EndpointsUpdated(invariant.EndpointUpdate{At: 0, FrontEnd: "rogue"})
-		l := r.link(r.f.Workers[0])
-		r.f.Settings.DrainGrace, r.f.cfg.Slack = 0, 0
-		l.order(1)
-		r.caught("drains", "order")
+		r := startMisbehavingFrontEnd(t, nil)
+		r.fleet.History.EndpointsUpdated(invariant.EndpointUpdate{At: 0, FrontEnd: "rogue"})
+		l := r.connect(r.fleet.Workers[0])
+		r.fleet.Settings.DrainGrace, r.fleet.cfg.Tolerance = 0, 0
+		l.sendLoadOrder(1)
+		r.expectViolation("drains", "order")
 	})
 	t.Run("a question, and a call within the grace", func(t *testing.T) {
-		r := startRogue(t, nil)
-		r.f.Settings.DrainGrace = time.Hour
+		r := startMisbehavingFrontEnd(t, nil)
+		r.fleet.Settings.DrainGrace = time.Hour
 		told(r, scheduler.Draining, time.Minute)
-		l := r.link(r.f.Workers[0])
-		l.order(0)
-		l.run("a", "quote", 0, time.Millisecond)
-		r.innocent()
+		l := r.connect(r.fleet.Workers[0])
+		l.sendLoadOrder(0)
+		l.executeAttempt("a", "quote", 0, time.Millisecond)
+		r.expectNoViolation()
 	})
 	t.Run("a call once it is ready again", func(t *testing.T) {
-		r := startRogue(t, nil)
+		r := startMisbehavingFrontEnd(t, nil)
 		told(r, scheduler.Removed, time.Hour)
 		told(r, scheduler.Ready, time.Minute)
-		r.link(r.f.Workers[0]).run("a", "quote", 0, time.Millisecond)
-		r.innocent()
+		r.connect(r.fleet.Workers[0]).executeAttempt("a", "quote", 0, time.Millisecond)
+		r.expectNoViolation()
 	})
 }
 
-func TestTheAuditorFindsAColdWorkerPushedOver(t *testing.T) {
-	r := startRogue(t, func(c *Config) { c.Worker.SlowStart, c.Worker.OverloadWindow = time.Hour, time.Hour })
-	if err := r.f.Workers[0].Command("start"); err != nil {
+func TestCheck_OverloadedColdWorker_IsFound(t *testing.T) {
+	r := startMisbehavingFrontEnd(t, func(c *Config) { c.Worker.SlowStart, c.Worker.OverloadWindow = time.Hour, time.Hour })
+	if err := r.fleet.Workers[0].Command("start"); err != nil {
 		t.Fatal(err)
 	}
-	l := r.link(r.f.Workers[0])
-	l.run("a", "quote", 0, time.Millisecond)
-	l.send("b", "quote", 0, 24*time.Hour)
+	l := r.connect(r.fleet.Workers[0])
+	l.executeAttempt("a", "quote", 0, time.Millisecond)
+	l.sendAttempt("b", "quote", 0, 24*time.Hour)
 	for up := true; up; {
-		up, _, _ = r.f.Workers[0].Running()
+		up, _, _ = r.fleet.Workers[0].Running()
 	}
-	r.caught("cold", "fell over")
-	r.caught("cold", "would push it over")
+	r.expectViolation("cold", "fell over")
+	r.expectViolation("cold", "would push it over")
 }
 
-func TestTheAuditorFindsOrdersBeyondTheRation(t *testing.T) {
-	r := startRogue(t, func(c *Config) { c.Settings += "load-window 1h\nload-free 1\nload-share 0.5\n" })
-	r.answer = func(_ *http.Request, out io.Writer) { say(out, "refused") }
-	r.ask("a", "quote")
-	r.ask("b", "quote")
-	l := r.link(r.f.Workers[0])
-	l.order(1)
-	l.order(1)
-	l.order(0)
-	r.innocent()
-	l.order(1)
-	r.caught("loads", "3 orders for 2 calls")
+func TestCheck_LoadOrdersBeyondRateLimit_AreFound(t *testing.T) {
+	r := startMisbehavingFrontEnd(t, func(c *Config) { c.Settings += "load-window 1h\nload-free 1\nload-share 0.5\n" })
+	r.respond = func(_ *http.Request, out io.Writer) { writeResponse(out, "refused") }
+	r.request("a", "quote")
+	r.request("b", "quote")
+	l := r.connect(r.fleet.Workers[0])
+	l.sendLoadOrder(1)
+	l.sendLoadOrder(1)
+	l.sendLoadOrder(0)
+	r.expectNoViolation()
+	l.sendLoadOrder(1)
+	r.expectViolation("loads", "3 orders for 2 calls")
 }
--- a/lab/measure/overload.go
+++ b/lab/measure/overload.go
@@ -52,13 +52,13 @@
 	w.Cores = overloadCores
 	f, err := fleet.Start(fleet.Config{
 		Workers: cfg.Workers, Cells: 2, FrontEnds: cfg.FrontEnds, Worker: w,
-		Store: model.StoreConfig{Places: 8, Limit: 40}, Settings: fleet.DemoSettings, Slack: time.Second, Log: zerolog.Nop(),
+		Store: model.StoreConfig{Places: 8, Limit: 40}, Settings: fleet.DemoSettings, Tolerance: time.Second, Log: zerolog.Nop(),
 	})
 	if err != nil {
 		return Point{}, err
 	}
 	defer f.Close()
-	f.Run(ctx, loadgen.Mix{
+	f.RunClients(ctx, loadgen.Mix{
 		Rate: rate, Functions: 4, Work: cfg.Work, WorkSigma: 0.5, Load: 300 * time.Millisecond, MemoryMB: 300,
 		Reply: 500, Patience: 2 * time.Second, Habit: loadgen.Never,
 	}, cfg.Lasts, cfg.Seed)
@@ -68,7 +68,7 @@
 		}
 	}
 	p := Point{Factor: factor, Offered: rate}
-	p.Breaks, p.Tally = f.Judge()
+	p.Breaks, p.Tally = f.Check()
 	seconds := f.Score().Seconds
 	from := len(seconds) / 4
 	for _, s := range seconds[from:] {
--- a/lab/simulation/installation.go
+++ b/lab/simulation/installation.go
@@ -138,11 +138,11 @@
 	f.s.store.Fetch(work, done)
 }
 
-// Policies beside those of package baseline.
+// Policies of Config, beside baseline.Names.
 const (
-	policyDefault = ""
-	policyModule  = "module" // the scheduler
-	policyOracle  = "oracle" // the best of the oracles
+	PolicyDefault   = ""
+	PolicyScheduler = "module" // the scheduler
+	PolicyOracle    = "oracle" // the best of the oracles
 )
 
 // schedulerConstructor makes the scheduler of a front end; nil stands for the real one.
@@ -151,7 +151,7 @@
 // schedulerConstructor is the constructor of the configured policy.
 func (s *Simulation) schedulerConstructor() (schedulerConstructor, error) {
 	switch s.cfg.Policy {
-	case policyDefault, policyModule, policyOracle: // runBestOracle sets the name of one oracle
+	case PolicyDefault, PolicyScheduler, PolicyOracle: // runBestOracle sets the name of one oracle
 		return nil, nil
 	}
 	if constructor := baseline.Oracle(s.cfg.Policy, workerTruth{s}); constructor != nil {
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -64,7 +64,7 @@
 
 // Run simulates cfg until every request has ended.
 func Run(cfg Config) (Result, error) {
-	if cfg.Policy == policyOracle {
+	if cfg.Policy == PolicyOracle {
 		return runBestOracle(cfg)
 	}
 	return run(cfg)
--- a/lab/worker/conn.go
+++ b/lab/worker/conn.go
@@ -14,31 +14,31 @@
 )
 
 // partBytes is the most that goes into one frame of an answer; longer answers come in parts.
-const partBytes = 16 << 10
+const maxDataBytes = 16 << 10
 
 // conn is one front end's connection.
-type conn struct {
-	s        *Server
+type connection struct {
+	server        *Server
 	raw      net.Conn
-	net      net.Conn // raw, or the ways over it
+	stream      net.Conn // raw, or the ways over it
 	frontEnd string
 
 	mu      sync.Mutex
-	out     []byte
-	kick    chan struct{}
+	sendQueue     []byte
+	wakeWriter    chan struct{}
 	done    chan struct{}
 	once    sync.Once
-	streams map[uint32]*outgoing
-	calls   map[uint32]*model.Request
+	outgoing map[uint32]*responseBody
+	requests   map[uint32]*model.Request
 }
 
 // outgoing is an answer that is being sent in parts.
-type outgoing struct{ left, credit int }
+type responseBody struct{ remaining, credit int }
 
 func (s *Server) serve(nc net.Conn) {
-	c := &conn{
-		s: s, raw: nc, net: nc, kick: make(chan struct{}, 1), done: make(chan struct{}),
-		streams: map[uint32]*outgoing{}, calls: map[uint32]*model.Request{},
+	c := &connection{
+		server: s, raw: nc, stream: nc, wakeWriter: make(chan struct{}, 1), done: make(chan struct{}),
+		outgoing: map[uint32]*responseBody{}, requests: map[uint32]*model.Request{},
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,68 +46,68 @@
 		nc.Close()
 		return
 	}
-	s.conns[c] = true
-	if s.cfg.Ways != nil {
-		c.net = shape(nc, s.world, &s.tasks)
+	s.connections[c] = true
+	if s.cfg.Paths != nil {
+		c.stream = newDelayedConn(nc, s.clock, &s.tasks)
 	}
 	s.tasks.Go(c.write)
 	s.tasks.Go(func() {
 		_ = c.read() // however it ends, the connection is over; the front end judges why
 		c.close()
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.connections, c)
 		s.mu.Unlock()
 	})
 }
 
-func (c *conn) close() {
+func (c *connection) close() {
 	c.once.Do(func() {
 		close(c.done)
-		c.net.Close()
+		c.stream.Close()
 	})
 }
 
 // write writes what is queued, so that nobody within the world waits for a socket.
-func (c *conn) write() {
+func (c *connection) write() {
 	for {
 		select {
-		case <-c.kick:
+		case <-c.wakeWriter:
 		case <-c.done:
 			return
 		}
 		c.mu.Lock()
-		out := c.out
-		c.out = nil
+		out := c.sendQueue
+		c.sendQueue = nil
 		c.mu.Unlock()
-		if _, err := c.net.Write(out); err != nil {
+		if _, err := c.stream.Write(out); err != nil {
 			c.close()
 			return
 		}
 	}
 }
 
-func (c *conn) send(kind muxframe.Type, number uint32, header any, body []byte) {
+func (c *connection) send(kind muxframe.Type, number uint32, header any, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.append(kind, number, header, body)
+	c.appendFrame(kind, number, header, body)
 }
 
 // append queues a frame; the lock is held.
-func (c *conn) append(kind muxframe.Type, number uint32, header any, body []byte) {
-	out, err := muxframe.Append(c.out, kind, number, header, body)
+func (c *connection) appendFrame(kind muxframe.Type, number uint32, header any, body []byte) {
+	out, err := muxframe.Append(c.sendQueue, kind, number, header, body)
 	if err != nil {
 		panic(err) // the emulator's own messages are short
 	}
-	c.out = out
+	c.sendQueue = out
 	select {
-	case c.kick <- struct{}{}:
+	case c.wakeWriter <- struct{}{}:
 	default:
 	}
 }
 
-func (c *conn) read() error {
-	in := muxframe.NewReader(bufio.NewReader(c.net), 0)
-	if err := c.greet(in); err != nil {
+func (c *connection) read() error {
+	in := muxframe.NewReader(bufio.NewReader(c.stream), 0)
+	if err := c.handshake(in); err != nil {
 		return err
 	}
 	for {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (c *conn) greet(in *muxframe.Reader) error {
+func (c *connection) handshake(in *muxframe.Reader) error {
 	f, err := in.Next()
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 	if f.Type != muxframe.TypeHello || f.Decode(&hello) != nil {
 		return fmt.Errorf("%v in place of hello", f.Type)
 	}
-	if wait := c.s.troubles().handshake; wait != 0 {
+	if wait := c.server.currentFaults().handshake; wait != 0 {
 		if wait < 0 {
 			wait = time.Hour
 		}
@@ -143,12 +143,12 @@
 		}
 	}
 	c.frontEnd = hello.FrontEnd
-	if ways, ok := c.net.(*shaped); ok {
-		ways.take(c.s.cfg.Ways(c.frontEnd))
+	if ways, ok := c.stream.(*delayedConn); ok {
+		ways.setPaths(c.server.cfg.Paths(c.frontEnd))
 	}
-	_, up, life := c.s.Running()
+	_, up, life := c.server.Running()
 	welcome := muxframe.Welcome{
-		Version: muxframe.Version, Worker: c.s.cfg.Name, Incarnation: uint64(life),
+		Version: muxframe.Version, Worker: c.server.cfg.Name, Incarnation: uint64(life),
 		UptimeMillis: up.Milliseconds(), LoadReportFields: []string{"queue"},
 	}
 	if hello.Version != muxframe.Version {
@@ -158,10 +158,10 @@
 	return nil
 }
 
-func (c *conn) handle(f muxframe.Frame) error {
+func (c *connection) handle(f muxframe.Frame) error {
 	switch f.Type {
 	case muxframe.TypeRequest:
-		return c.call(f)
+		return c.handleRequest(f)
 	case muxframe.TypeCancel:
 		c.cancel(f.StreamID)
 	case muxframe.TypeCredit:
@@ -169,17 +169,17 @@
 		if err := f.Decode(&in); err != nil {
 			return err
 		}
-		c.credit(f.StreamID, int(in.Bytes))
+		c.addCredit(f.StreamID, int(in.Bytes))
 	case muxframe.TypeLoadOrder:
-		return c.load(f)
+		return c.handleLoadOrder(f)
 	case muxframe.TypeUnload:
 		var in muxframe.Unload
 		if err := f.Decode(&in); err != nil {
 			return err
 		}
-		c.s.Do(func(w *model.Worker) { w.Unload(in.Function) })
+		c.server.Do(func(w *model.Worker) { w.Unload(in.Function) })
 	case muxframe.TypeHealthCheck:
-		c.s.Do(func(w *model.Worker) {
+		c.server.Do(func(w *model.Worker) {
 			c.send(muxframe.TypeHealthReport, 0, muxframe.HealthReport{
 				Status:     muxframe.StatusOK,
 				LoadReport: []float64{float64(w.QueueLength())},
@@ -217,45 +217,45 @@
 	return work, reply
 }
 
-func (c *conn) call(f muxframe.Frame) error {
+func (c *connection) handleRequest(f muxframe.Frame) error {
 	var in muxframe.Request
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
-	work, reply := ParseBody(string(f.Body), c.s.cfg.Work)
+	work, reply := ParseBody(string(f.Body), c.server.cfg.Work)
 	number, window := f.StreamID, int(in.Window)
-	c.s.Do(func(w *model.Worker) {
+	c.server.Do(func(w *model.Worker) {
 		call := &model.Request{
 			ID: in.ID, Attempt: in.Attempt, FrontEnd: c.frontEnd, Class: in.Class, IdempotencyKey: in.IdempotencyKey,
 			Function: in.Replica.Function, MemoryMB: in.Replica.MemoryMB, Concurrency: max(1, in.Replica.Concurrency),
 			LoadTime: in.Replica.LoadTime(), Work: work,
-			Deadline: c.s.world.Now() + time.Duration(in.TimeoutMillis)*time.Millisecond,
+			Deadline: c.server.clock.Now() + time.Duration(in.TimeoutMillis)*time.Millisecond,
 		}
 		c.mu.Lock()
-		c.calls[number] = call
+		c.requests[number] = call
 		c.mu.Unlock()
-		w.Handle(call, func(a model.Response) { c.answer(number, window, reply, a) })
+		w.Handle(call, func(a model.Response) { c.respond(number, window, reply, a) })
 	})
 	return nil
 }
 
 // answer sends a worker's answer, with the troubles that the socket has. It is called within the world.
-func (c *conn) answer(number uint32, window, size int, a model.Response) {
-	t := c.s.troubles()
-	if t.late > 0 {
-		c.s.world.After(t.late, func() { c.reply(number, window, size, a, t) })
+func (c *connection) respond(number uint32, window, size int, a model.Response) {
+	t := c.server.currentFaults()
+	if t.responseDelay > 0 {
+		c.server.clock.After(t.responseDelay, func() { c.sendResponse(number, window, size, a, t) })
 		return
 	}
-	c.reply(number, window, size, a, t)
+	c.sendResponse(number, window, size, a, t)
 }
 
-func (c *conn) reply(number uint32, window, size int, a model.Response, t faults) {
+func (c *connection) sendResponse(number uint32, window, size int, a model.Response, t socketFaults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.calls, number)
-	if t.garbage {
-		c.out = append(c.out, "\x00\x00\x00\x03garbage, no frame"...)
-		c.append(muxframe.TypePong, 0, nil, nil)
+	delete(c.requests, number)
+	if t.garbageBeforeResponses {
+		c.sendQueue = append(c.sendQueue, "\x00\x00\x00\x03garbage, no frame"...)
+		c.appendFrame(muxframe.TypePong, 0, nil, nil)
 		return
 	}
 	crowd := a.QueueDepth
@@ -267,65 +267,65 @@
 		head.Problem, size = "emulated", 0
 	}
 	times := 1
-	if t.twice {
+	if t.duplicateResponses {
 		times = 2
 	}
 	for range times {
-		if size <= partBytes {
-			c.append(muxframe.TypeResponse, number, head, make([]byte, size))
+		if size <= maxDataBytes {
+			c.appendFrame(muxframe.TypeResponse, number, head, make([]byte, size))
 			continue
 		}
 		head.More, head.Length = true, int64(size)
-		c.append(muxframe.TypeResponse, number, head, nil)
-		c.streams[number] = &outgoing{left: size, credit: window}
-		c.pump(number)
+		c.appendFrame(muxframe.TypeResponse, number, head, nil)
+		c.outgoing[number] = &responseBody{remaining: size, credit: window}
+		c.sendBody(number)
 	}
 }
 
 // pump sends what the credit allows; the lock is held.
-func (c *conn) pump(number uint32) {
-	o := c.streams[number]
+func (c *connection) sendBody(number uint32) {
+	o := c.outgoing[number]
 	if o == nil {
 		return
 	}
-	for o.left > 0 && o.credit > 0 {
-		n := min(partBytes, o.left, o.credit)
-		c.append(muxframe.TypeData, number, nil, make([]byte, n))
-		o.left, o.credit = o.left-n, o.credit-n
+	for o.remaining > 0 && o.credit > 0 {
+		n := min(maxDataBytes, o.remaining, o.credit)
+		c.appendFrame(muxframe.TypeData, number, nil, make([]byte, n))
+		o.remaining, o.credit = o.remaining-n, o.credit-n
 	}
-	if o.left == 0 {
-		delete(c.streams, number)
-		c.append(muxframe.TypeEnd, number, muxframe.End{}, nil)
+	if o.remaining == 0 {
+		delete(c.outgoing, number)
+		c.appendFrame(muxframe.TypeEnd, number, muxframe.End{}, nil)
 	}
 }
 
-func (c *conn) credit(number uint32, n int) {
+func (c *connection) addCredit(number uint32, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o := c.streams[number]; o != nil {
+	if o := c.outgoing[number]; o != nil {
 		o.credit += n
-		c.pump(number)
+		c.sendBody(number)
 	}
 }
 
-func (c *conn) cancel(number uint32) {
+func (c *connection) cancel(number uint32) {
 	c.mu.Lock()
-	delete(c.streams, number)
-	call := c.calls[number]
-	delete(c.calls, number)
+	delete(c.outgoing, number)
+	call := c.requests[number]
+	delete(c.requests, number)
 	c.mu.Unlock()
 	if call != nil {
-		c.s.Do(func(w *model.Worker) { w.Cancel(call.ID, call.Attempt) })
+		c.server.Do(func(w *model.Worker) { w.Cancel(call.ID, call.Attempt) })
 	}
 }
 
-func (c *conn) load(f muxframe.Frame) error {
+func (c *connection) handleLoadOrder(f muxframe.Frame) error {
 	var in muxframe.LoadOrder
 	if err := f.Decode(&in); err != nil {
 		return err
 	}
 	number := f.StreamID
-	c.s.Do(func(w *model.Worker) {
+	c.server.Do(func(w *model.Worker) {
 		order := model.LoadOrder{
 			FrontEnd:    c.frontEnd,
 			Function:    in.Replica.Function,
--- a/lab/worker/worker.go
+++ b/lab/worker/worker.go
@@ -18,36 +18,36 @@
 	Address string        // host:port; port 0 takes a free one
 	Work    time.Duration // of a call whose body does not tell
 	// Ways are the ways from and to a front end; nil: there is nothing between them.
-	Ways func(frontEnd string) (in, out *model.Path)
+	Paths func(frontEnd string) (in, out *model.Path)
 }
 
 // Server is one emulated worker.
 type Server struct {
 	cfg   Config
-	world *model.RealClock
-	model *model.Worker // within world
+	clock *model.RealClock
+	worker *model.Worker // within world
 
 	mu       sync.Mutex
 	address  string
 	listener net.Listener
-	conns    map[*conn]bool
-	faults   faults
+	connections    map[*connection]bool
+	faults   socketFaults
 	closed   bool
 	tasks    sync.WaitGroup
 }
 
 // faults are the troubles of the socket; those of the process are the model's.
-type faults struct {
+type socketFaults struct {
 	handshake time.Duration // before welcome; negative: never
-	late      time.Duration // added to each answer
-	twice     bool
-	garbage   bool
+	responseDelay      time.Duration // added to each answer
+	duplicateResponses     bool
+	garbageBeforeResponses   bool
 }
 
 // Start starts a worker that runs since long ago.
 func Start(world *model.RealClock, cfg Config, store model.Fetcher, group *model.KeyCache, seen model.Observer) (*Server, error) {
-	s := &Server{cfg: cfg, world: world, conns: map[*conn]bool{}, address: cfg.Address}
-	world.Do(func() { s.model = model.NewWorker(world, cfg.WorkerConfig, store, group, fallen{seen, s}) })
+	s := &Server{cfg: cfg, clock: world, connections: map[*connection]bool{}, address: cfg.Address}
+	world.Do(func() { s.worker = model.NewWorker(world, cfg.WorkerConfig, store, group, crashObserver{seen, s}) })
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
@@ -55,14 +55,14 @@
 }
 
 // fallen closes the sockets of a worker that fell over.
-type fallen struct {
+type crashObserver struct {
 	model.Observer
 	s *Server
 }
 
-func (f fallen) WorkerCrashed(w *model.Worker) {
+func (f crashObserver) WorkerCrashed(w *model.Worker) {
 	f.Observer.WorkerCrashed(w)
-	f.s.unplug()
+	f.s.closeSockets()
 }
 
 // Address is where the worker listens.
@@ -94,11 +94,11 @@
 }
 
 // unplug closes the sockets as the end of a process does.
-func (s *Server) unplug() {
+func (s *Server) closeSockets() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listener.Close()
-	for c := range s.conns {
+	for c := range s.connections {
 		c.close()
 	}
 }
@@ -108,19 +108,19 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.world.Do(s.model.Crash)
-	s.unplug()
+	s.clock.Do(s.worker.Crash)
+	s.closeSockets()
 	s.tasks.Wait()
 }
 
 // Running says whether the process runs, and since when by its own clock.
 func (s *Server) Running() (up bool, uptime time.Duration, life int) {
-	s.world.Do(func() { up, uptime, life = s.model.Up(), s.model.Uptime(), s.model.Incarnation() })
+	s.clock.Do(func() { up, uptime, life = s.worker.Up(), s.worker.Uptime(), s.worker.Incarnation() })
 	return up, uptime, life
 }
 
 // Do runs f on the model, between its events.
-func (s *Server) Do(f func(*model.Worker)) { s.world.Do(func() { f(s.model) }) }
+func (s *Server) Do(f func(*model.Worker)) { s.clock.Do(func() { f(s.worker) }) }
 
 // Commands names the commands that Command takes, each with its argument.
 const Commands = model.Commands + " | reset | handshake DURATION|never | late DURATION | twice on|off | garbage on|off"
@@ -135,10 +135,10 @@
 	case !known:
 		err = s.socketCommand(verb, strings.TrimSpace(argument))
 	case verb == "die":
-		s.unplug()
+		s.closeSockets()
 	case verb == "start":
-		s.unplug()
-		s.fault(func(f *faults) { *f = faults{} })
+		s.closeSockets()
+		s.changeFaults(func(f *socketFaults) { *f = socketFaults{} })
 		err = s.listen()
 	}
 	if err != nil {
@@ -150,19 +150,19 @@
 func (s *Server) socketCommand(verb, argument string) error {
 	switch verb {
 	case "reset":
-		s.reset()
+		s.resetConnections()
 		return nil
 	case "handshake", "late":
-		return s.delay(verb, argument)
+		return s.delayCommand(verb, argument)
 	case "twice", "garbage":
 		if argument != "on" && argument != "off" {
 			return fmt.Errorf("%q is neither on nor off", argument)
 		}
-		s.fault(func(f *faults) {
+		s.changeFaults(func(f *socketFaults) {
 			if verb == "twice" {
-				f.twice = argument == "on"
+				f.duplicateResponses = argument == "on"
 			} else {
-				f.garbage = argument == "on"
+				f.garbageBeforeResponses = argument == "on"
 			}
 		})
 		return nil
@@ -170,7 +170,7 @@
 	return fmt.Errorf("unknown")
 }
 
-func (s *Server) delay(verb, argument string) error {
+func (s *Server) delayCommand(verb, argument string) error {
 	d, err := time.ParseDuration(argument)
 	if verb == "handshake" && argument == "never" {
 		d, err = -1, nil
@@ -178,9 +178,9 @@
 	if err != nil {
 		return err
 	}
-	s.fault(func(f *faults) {
+	s.changeFaults(func(f *socketFaults) {
 		if verb == "late" {
-			f.late = d
+			f.responseDelay = d
 		} else {
 			f.handshake = d
 		}
@@ -188,23 +188,23 @@
 	return nil
 }
 
-func (s *Server) fault(change func(*faults)) {
+func (s *Server) changeFaults(change func(*socketFaults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
 }
 
-func (s *Server) troubles() faults {
+func (s *Server) currentFaults() socketFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
 // reset breaks all connections with a reset; the process lives on.
-func (s *Server) reset() {
+func (s *Server) resetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
+	for c := range s.connections {
 		_ = c.raw.(*net.TCPConn).SetLinger(0)
 		c.close()
 	}
