--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -13,7 +13,7 @@
 	"havencart/lab/scenario"
 )
 
-// DemoDay is a short bad day.
+// DemoDay is a short scenario with several faults.
 const DemoDay = `
 at 2s  crash 25% for 2s
 at 4s  store-slow factor 3 for 2s
@@ -22,7 +22,7 @@
 at 9s  fail 10% rate 0.6 for 1s
 `
 
-// DemoSettings are those of the demo's front ends.
+// DemoSettings are the settings of the demo's front ends.
 const DemoSettings = DemoClasses + `tenant palermo
   share 0.8
 end
@@ -59,65 +59,94 @@
 end
 `
 
-// DemoWorker is one emulated worker of the demo.
+// DemoWorker is the configuration of each worker of the demo.
 func DemoWorker() model.WorkerConfig {
 	return model.WorkerConfig{
-		Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 100, MaxConcurrentLoads: 4, KeepAlive: 10 * time.Second,
-		ColdCapacity: 0.2, SlowStart: 4 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, KeyRetention: 6 * time.Second,
+		Cores:              4,
+		Speed:              1,
+		MemoryMB:           4000,
+		Queue:              100,
+		MaxConcurrentLoads: 4,
+		KeepAlive:          10 * time.Second,
+		ColdCapacity:       0.2,
+		SlowStart:          4 * time.Second,
+		OverloadMultiple:   3,
+		OverloadWindow:     time.Second,
+		KeyRetention:       6 * time.Second,
 	}
 }
 
-// DemoStore is the demo's function store.
+// DemoStore is the configuration of the demo's function store.
 func DemoStore() model.StoreConfig {
-	return model.StoreConfig{Places: 8, Limit: 40, OutageMultiple: 3, OutageAfter: 3 * time.Second, OutageDuration: 2 * time.Second}
+	return model.StoreConfig{
+		Places:         8,
+		Limit:          40,
+		OutageMultiple: 3,
+		OutageAfter:    3 * time.Second,
+		OutageDuration: 2 * time.Second,
+	}
 }
 
-// Demo is a whole installation with a load and a script of troubles.
+// DemoMix is what the demo's clients ask for, at a mean rate of requests a second.
+func DemoMix(rate float64) loadgen.Mix {
+	return loadgen.Mix{
+		Rate:      rate,
+		Functions: 8,
+		Work:      40 * time.Millisecond,
+		WorkSigma: 0.8,
+		Load:      400 * time.Millisecond,
+		MemoryMB:  300,
+		Reply:     2000,
+		Patience:  2 * time.Second,
+		Habit:     loadgen.Advised,
+		Retries:   1,
+	}
+}
+
+// Demo is a whole installation with a load and a scenario.
 type Demo struct {
 	Workers, FrontEnds int
 	Mix                loadgen.Mix
 	Lasts              time.Duration
-	Script             string
+	Script             string   // text of the scenario
 	Set                []string // lines of settings put before DemoSettings
 	Seed               uint64
 	Log                zerolog.Logger
-	Tell               func(string) // what happens, as it happens
+	Tell               func(string) // is called with the progress
 }
 
-// Result is how a Demo went.
+// Result is the outcome of a Demo.
 type Result struct {
-	Seen   map[string]int // clients' calls by how they ended, with their repeats counted as one
+	Seen   map[string]int // clients' requests by their outcomes, retries counted as one with their request
 	Tally  invariant.Tally
 	Breaks []invariant.Violation
 	Score  invariant.Score
 }
 
-// Run plays the demo until its time or ctx is over.
+// Run runs the demo until its time is over or ctx ends.
 func (d Demo) Run(ctx context.Context) (Result, error) {
-	troubles, err := scenario.Parse("script", d.Script)
+	faults, err := scenario.Parse("script", d.Script)
 	if err != nil {
 		return Result{}, err
 	}
 	f, err := Start(Config{
-		Workers: d.Workers, Cells: 3, FrontEnds: d.FrontEnds, Zones: scenario.MaxZone(troubles), Worker: DemoWorker(),
-		Store:    DemoStore(),
-		Settings: strings.Join(append(d.Set, DemoSettings), "\n"), Tolerance: time.Second, Log: d.Log,
+		Workers:   d.Workers,
+		Cells:     3,
+		FrontEnds: d.FrontEnds,
+		Zones:     scenario.MaxZone(faults),
+		Worker:    DemoWorker(),
+		Store:     DemoStore(),
+		Settings:  strings.Join(append(d.Set, DemoSettings), "\n"),
+		Tolerance: time.Second,
+		Log:       d.Log,
 	})
 	if err != nil {
 		return Result{}, err
 	}
 	defer f.Close()
 	d.Tell("front ends, emulated workers, store and directory run on loopback")
-	played := make(chan error, 1)
-	day, end := context.WithCancel(ctx)
-	defer end()
-	go func() { played <- f.RunScenario(day, troubles, d.Seed, d.Tell) }()
-	watched := make(chan struct{})
-	go func() { defer close(watched); f.reportProgress(day, d.Tell) }()
-	seen := f.RunClients(ctx, d.Mix, d.Lasts, d.Seed)
-	end()
-	<-watched
-	if err := <-played; err != nil {
+	outcomes, err := d.load(ctx, f, faults)
+	if err != nil {
 		return Result{}, err
 	}
 	for _, e := range f.FrontEnds {
@@ -125,28 +154,37 @@
 			return Result{}, err
 		}
 	}
-	breaks, tally := f.Check()
-	return Result{seen, tally, breaks, f.Score()}, nil
+	violations, tally := f.Check()
+	return Result{outcomes, tally, violations, f.Score()}, nil
 }
 
-// DemoMix is what the demo's clients ask for.
-func DemoMix(rate float64) loadgen.Mix {
-	return loadgen.Mix{
-		Rate: rate, Functions: 8, Work: 40 * time.Millisecond, WorkSigma: 0.8, Load: 400 * time.Millisecond,
-		MemoryMB: 300, Reply: 2000, Patience: 2 * time.Second, Habit: loadgen.Advised, Retries: 1,
-	}
+// load runs the clients, and beside them the scenario and the report of the progress.
+func (d Demo) load(ctx context.Context, f *Fleet, faults []scenario.Fault) (outcomes map[string]int, err error) {
+	besides, end := context.WithCancel(ctx)
+	defer end()
+	scenarioEnded := make(chan error, 1)
+	go func() { scenarioEnded <- f.RunScenario(besides, faults, d.Seed, d.Tell) }()
+	progressEnded := make(chan struct{})
+	go func() {
+		defer close(progressEnded)
+		f.reportProgress(besides, d.Tell)
+	}()
+	outcomes = f.RunClients(ctx, d.Mix, d.Lasts, d.Seed)
+	end()
+	<-progressEnded
+	return outcomes, <-scenarioEnded
 }
 
-// watch tells the front ends' totals each second.
-func (f *Fleet) reportProgress(ctx context.Context, tell func(string)) {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+// reportProgress reports the front ends' totals each second.
+func (f *Fleet) reportProgress(ctx context.Context, report func(string)) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-			tell(f.progress())
+		case <-ticker.C:
+			report(f.progress())
 		}
 	}
 }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -89,9 +89,9 @@
 			t.Error(err)
 		}
 	}
-	breaks, tally := f.Check()
-	if len(breaks) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Executions != 60 {
-		t.Errorf("%v; broken: %v", tally, breaks)
+	violations, tally := f.Check()
+	if len(violations) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Executions != 60 {
+		t.Errorf("%v; broken: %v", tally, violations)
 	}
 }
 
@@ -99,9 +99,9 @@
 	cfg := smallConfig(4, 2)
 	cfg.Settings += "watch other\n  orders off\n  retry-after off\nend\n"
 	f := start(t, cfg)
-	until(t, "the lists", func() bool { return len(f.Discovery.Notices()) >= 2 })
+	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Notices()) >= 2 })
 	for i := range 12 {
-		if seen := f.do(t, i%2, ask(fmt.Sprint("w.", i), "quote", time.Millisecond)); seen.Outcome != "served" {
+		if seen := f.send(t, i%2, newRequest(fmt.Sprint("w.", i), "quote", time.Millisecond)); seen.Outcome != "served" {
 			t.Errorf("call %d: %+v", i, seen)
 		}
 	}
@@ -113,5 +113,5 @@
 			t.Errorf("%s: %+v; every question would have been spared without orders, and nothing was refused", e.Name(), c)
 		}
 	}
-	f.fair(t)
+	f.stopAndCheck(t)
 }
--- /dev/null
+++ b/lab/fleet/helpers_test.go
@@ -0,0 +1,65 @@
+package fleet
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"havencart/internal/gateway"
+	"havencart/lab/client"
+	"havencart/lab/loadgen"
+)
+
+const clientTimeout = 2 * time.Second
+
+func newRequest(id, class string, work time.Duration) loadgen.Call {
+	return loadgen.Call{
+		ID: id, Class: class, Function: class + "-f", IdempotencyKey: "key-" + id, Timeout: clientTimeout, Work: work,
+		LoadTime: 10 * time.Millisecond, MemoryMB: 50, Concurrency: 2,
+	}
+}
+
+func (f *Fleet) commandWorkers(t *testing.T, line string, workers ...int) {
+	t.Helper()
+	for _, i := range workers {
+		if err := f.Workers[i].Command(line); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func (f *Fleet) send(t *testing.T, front int, c loadgen.Call) client.Seen {
+	t.Helper()
+	seen, err := f.FrontEnds[front].Pool().Do(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return seen
+}
+
+// waitUntil waits for a condition that must become true.
+func waitUntil(t *testing.T, what string, is func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain for %s", what)
+		}
+	}
+}
+
+// stopAndCheck stops all front ends and checks that no invariant was violated and every request is accounted for.
+func (f *Fleet) stopAndCheck(t *testing.T) {
+	t.Helper()
+	for _, e := range f.FrontEnds {
+		if err := e.Stop(); err != nil && !errors.Is(err, gateway.ErrUnclean) {
+			t.Error(err)
+		}
+	}
+	violations, tally := f.Check()
+	for _, b := range violations {
+		t.Errorf("rule %s broken: %s", b.Rule, b.What)
+	}
+	if !tally.Balanced() {
+		t.Errorf("not all accounted for: %v", tally)
+	}
+}
--- a/lab/fleet/rogue_test.go
+++ b/lab/fleet/invariants_test.go
@@ -19,13 +19,13 @@
 	"havencart/scheduler"
 )
 
-// rogue is a front end that breaks rules: it says to clients what a test wants and sends to workers what it
-// wants. The auditor sees it on the sockets as it would see any front end.
+// misbehavingFrontEnd is a front end that violates invariants: it sends clients and workers what a test wants. The
+// invariant checker sees it on the sockets as it would see any front end.
 type misbehavingFrontEnd struct {
 	*testing.T
-	fleet      *Fleet
+	fleet   *Fleet
 	respond func(call *http.Request, out io.Writer)
-	pool   *client.Pool
+	pool    *client.Pool
 }
 
 func startMisbehavingFrontEnd(t *testing.T, change func(*Config)) *misbehavingFrontEnd {
@@ -57,20 +57,20 @@
 				_, _ = io.Copy(io.Discard, call.Body)
 				r.respond(call, c)
 			}
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	r.pool = &client.Pool{Name: "rogue", Address: l.Addr().String(), Book: r.fleet.History, Grace: cfg.Tolerance}
-	t.Cleanup(func() { r.pool.Close(); l.Close(); <-done })
+	t.Cleanup(func() { r.pool.Close(); _ = l.Close(); <-done })
 	return r
 }
 
 func writeResponse(out io.Writer, outcome string) {
 	status := map[string]int{"served": 200, "refused": 503, "failed": 502}[outcome]
-	fmt.Fprintf(out, "HTTP/1.1 %d X\r\nCall-Outcome: %s\r\nContent-Length: 0\r\n\r\n", status, outcome)
+	_, _ = fmt.Fprintf(out, "HTTP/1.1 %d X\r\nCall-Outcome: %s\r\nContent-Length: 0\r\n\r\n", status, outcome)
 }
 
-// link is the rogue's connection to one worker.
+// workerConnection is the misbehaving front end's connection to one worker.
 type workerConnection struct {
 	*misbehavingFrontEnd
 	conn net.Conn
@@ -84,7 +84,7 @@
 	if err != nil {
 		r.Fatal(err)
 	}
-	r.Cleanup(func() { c.Close() })
+	r.Cleanup(func() { _ = c.Close() })
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	l := &workerConnection{misbehavingFrontEnd: r, conn: c, in: muxframe.NewReader(bufio.NewReader(c), 0)}
 	l.write(muxframe.TypeHello, 0, muxframe.Hello{Version: muxframe.Version, FrontEnd: "rogue"}, nil)
@@ -103,19 +103,21 @@
 	}
 }
 
-func (l *workerConnection) next(kind muxframe.Type) muxframe.Frame {
+func (l *workerConnection) next(kind muxframe.Type) {
 	l.Helper()
 	f, err := l.in.Next()
 	if err != nil || f.Type != kind {
 		l.Fatalf("%v %v in place of %v", f.Type, err, kind)
 	}
-	return f
 }
 
-// run sends an attempt and waits for the worker's answer.
-func (l *workerConnection) executeAttempt(id, class string, attempt int, work time.Duration) {
+// requestID is that of the request of which executeAttempt sends attempts.
+const requestID = "a"
+
+// executeAttempt sends a short attempt and waits for the worker's response.
+func (l *workerConnection) executeAttempt(class string, attempt int) {
 	l.Helper()
-	l.sendAttempt(id, class, attempt, work)
+	l.sendAttempt(requestID, class, attempt, time.Millisecond)
 	l.next(muxframe.TypeResponse)
 }
 
@@ -146,26 +148,26 @@
 	}
 }
 
-// caught fails the test unless the auditor found that rule broken, and no other.
+// expectViolation fails the test unless the checker found a violation of the rule, and of no other.
 func (r *misbehavingFrontEnd) expectViolation(rule, word string) {
 	r.Helper()
-	breaks, _ := r.fleet.Check()
+	violations, _ := r.fleet.Check()
 	found := false
-	for _, b := range breaks {
+	for _, b := range violations {
 		if b.Rule != rule {
 			r.Errorf("found broken too: %+v", b)
 		}
 		found = found || strings.Contains(b.What, word)
 	}
 	if !found {
-		r.Errorf("no break of %q with %q in %+v", rule, word, breaks)
+		r.Errorf("no violation of %q with %q in %+v", rule, word, violations)
 	}
 }
 
 func (r *misbehavingFrontEnd) expectNoViolation() {
 	r.Helper()
-	if breaks, tally := r.fleet.Check(); len(breaks) > 0 || !tally.Balanced() {
-		r.Errorf("an innocent front end: %+v, %v", breaks, tally)
+	if violations, tally := r.fleet.Check(); len(violations) > 0 || !tally.Balanced() {
+		r.Errorf("a front end without fault: %+v, %v", violations, tally)
 	}
 }
 
@@ -185,14 +187,14 @@
 	t.Run("twice", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		r.respond = func(_ *http.Request, out io.Writer) {
-			fmt.Fprint(out, strings.Repeat("HTTP/1.1 200 OK\r\nCall-Outcome: served\r\nContent-Length: 0\r\n\r\n", 2))
+			_, _ = fmt.Fprint(out, strings.Repeat("HTTP/1.1 200 OK\r\nCall-Outcome: served\r\nContent-Length: 0\r\n\r\n", 2))
 		}
 		r.request("a", "quote")
 		r.expectViolation("lost", "2 final answers")
 	})
-	t.Run("the connection breaks", func(t *testing.T) {
+	t.Run("the connection violations", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
-		r.respond = func(_ *http.Request, out io.Writer) { out.(net.Conn).Close() }
+		r.respond = func(_ *http.Request, out io.Writer) { _ = out.(net.Conn).Close() }
 		r.request("a", "quote")
 		r.expectViolation("lost", "connection lost true")
 	})
@@ -207,8 +209,8 @@
 func TestCheck_SecondExecution_IsFound(t *testing.T) {
 	t.Run("unsafe", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
-		r.connect(r.fleet.Workers[0]).executeAttempt("a", "unlock", 0, time.Millisecond)
-		r.connect(r.fleet.Workers[1]).executeAttempt("a", "unlock", 1, time.Millisecond)
+		r.connect(r.fleet.Workers[0]).executeAttempt("unlock", 0)
+		r.connect(r.fleet.Workers[1]).executeAttempt("unlock", 1)
 		r.expectViolation("twice", "2 effects")
 	})
 	t.Run("unsafe, sent again while the first is out", func(t *testing.T) {
@@ -220,26 +222,26 @@
 		for received := 0; received == 0; {
 			r.fleet.Workers[0].Do(func(m *model.Worker) { received = m.QueueLength() })
 		}
-		r.connect(r.fleet.Workers[1]).executeAttempt("a", "unlock", 1, time.Millisecond)
+		r.connect(r.fleet.Workers[1]).executeAttempt("unlock", 1)
 		r.expectViolation("twice", "may have run it")
 	})
 	t.Run("keyed, outside its cell", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
-		r.connect(r.fleet.Workers[0]).executeAttempt("a", "log", 0, time.Millisecond)
-		r.connect(r.fleet.Workers[1]).executeAttempt("a", "log", 1, time.Millisecond)
+		r.connect(r.fleet.Workers[0]).executeAttempt("log", 0)
+		r.connect(r.fleet.Workers[1]).executeAttempt("log", 1)
 		r.expectViolation("twice", "cell-2")
 	})
 	t.Run("keyed, within its cell", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
-		r.connect(r.fleet.Workers[0]).executeAttempt("a", "log", 0, time.Millisecond)
-		r.connect(r.fleet.Workers[2]).executeAttempt("a", "log", 1, time.Millisecond)
+		r.connect(r.fleet.Workers[0]).executeAttempt("log", 0)
+		r.connect(r.fleet.Workers[2]).executeAttempt("log", 1)
 		r.expectNoViolation()
 	})
 	t.Run("refused after a run", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		l := r.connect(r.fleet.Workers[0])
 		r.respond = func(_ *http.Request, out io.Writer) {
-			l.executeAttempt("a", "unlock", 0, time.Millisecond)
+			l.executeAttempt("unlock", 0)
 			writeResponse(out, "refused")
 		}
 		r.request("a", "unlock")
@@ -250,8 +252,8 @@
 		if err := r.fleet.Workers[0].Command("drain on"); err != nil {
 			t.Fatal(err)
 		}
-		r.connect(r.fleet.Workers[0]).executeAttempt("a", "unlock", 0, time.Millisecond)
-		r.connect(r.fleet.Workers[1]).executeAttempt("a", "unlock", 1, time.Millisecond)
+		r.connect(r.fleet.Workers[0]).executeAttempt("unlock", 0)
+		r.connect(r.fleet.Workers[1]).executeAttempt("unlock", 1)
 		r.expectNoViolation()
 	})
 }
@@ -266,7 +268,7 @@
 	t.Run("call", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		told(r, scheduler.Draining, time.Minute)
-		r.connect(r.fleet.Workers[0]).executeAttempt("a", "quote", 0, time.Millisecond)
+		r.connect(r.fleet.Workers[0]).executeAttempt("quote", 0)
 		r.expectViolation("drains", "call a")
 	})
 	t.Run("order to a worker that is listed no longer", func(t *testing.T) {
@@ -283,14 +285,14 @@
 		told(r, scheduler.Draining, time.Minute)
 		l := r.connect(r.fleet.Workers[0])
 		l.sendLoadOrder(0)
-		l.executeAttempt("a", "quote", 0, time.Millisecond)
+		l.executeAttempt("quote", 0)
 		r.expectNoViolation()
 	})
 	t.Run("a call once it is ready again", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		told(r, scheduler.Removed, time.Hour)
 		told(r, scheduler.Ready, time.Minute)
-		r.connect(r.fleet.Workers[0]).executeAttempt("a", "quote", 0, time.Millisecond)
+		r.connect(r.fleet.Workers[0]).executeAttempt("quote", 0)
 		r.expectNoViolation()
 	})
 }
@@ -301,7 +303,7 @@
 		t.Fatal(err)
 	}
 	l := r.connect(r.fleet.Workers[0])
-	l.executeAttempt("a", "quote", 0, time.Millisecond)
+	l.executeAttempt("quote", 0)
 	l.sendAttempt("b", "quote", 0, 24*time.Hour)
 	for up := true; up; {
 		up, _, _ = r.fleet.Workers[0].Running()
--- a/lab/fleet/badday_test.go
+++ b/lab/fleet/scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 )
 
-// TestBadDaysBreakNoRule plays days on 12 workers, 3 front ends and 3 classes, and lets the auditor judge what was
-// seen on the sockets.
+// TestRunScenario_FaultScenarios_KeepInvariants runs scenarios on 12 workers, 3 front ends and 3 classes, and checks what
+// was seen on the sockets.
 func TestRunScenario_FaultScenarios_KeepInvariants(t *testing.T) {
 	for name, lasts := range map[string]time.Duration{"bad": 22 * time.Second, "ways": 17 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -41,6 +41,6 @@
 		t.Error("not every call is accounted for")
 	}
 	if tl := r.Tally; tl.Served < tl.Sent/2 || tl.Disconnected+tl.Rejected == 0 {
-		t.Errorf("%v: a day on which next to nothing was served, or no trouble showed, proves nothing", tl)
+		t.Errorf("%v: a scenario in which next to nothing was served, or no fault showed, proves nothing", tl)
 	}
 }
--- /dev/null
+++ b/lab/worker/command.go
@@ -0,0 +1,104 @@
+package worker
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"havencart/lab/model"
+)
+
+// Commands names the commands that Command accepts, each with its arguments.
+const Commands = model.Commands + " | reset | handshake DURATION|never | late DURATION | twice on|off | garbage on|off"
+
+// never is the handshake delay of a worker that never sends its welcome.
+const never = -1
+
+// socketFaults are the faults of the socket; those of the process are the model's.
+type socketFaults struct {
+	handshake          time.Duration // before the welcome, or never
+	responseDelay      time.Duration
+	duplicateResponses bool
+	garbageResponses   bool // bytes that are no frame, in place of each response
+}
+
+// Command injects a fault or ends one. The error of an unknown command names those that are allowed.
+func (s *Server) Command(line string) error {
+	if err := s.command(line); err != nil {
+		return fmt.Errorf("command %q: %w; allowed: %s", line, err, Commands)
+	}
+	return nil
+}
+
+func (s *Server) command(line string) error {
+	var known bool
+	var err error
+	s.Do(func(w *model.Worker) { known, err = w.Command(line) })
+	if err != nil {
+		return err
+	}
+	verb, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
+	if !known {
+		return s.socketCommand(verb, strings.TrimSpace(argument))
+	}
+	switch verb {
+	case "die":
+		s.closeSockets()
+	case "start":
+		s.closeSockets()
+		s.changeFaults(func(f *socketFaults) { *f = socketFaults{} })
+		return s.listen()
+	}
+	return nil
+}
+
+func (s *Server) socketCommand(verb, argument string) error {
+	switch verb {
+	case "reset":
+		s.resetConnections()
+		return nil
+	case "handshake":
+		if argument == "never" {
+			s.changeFaults(func(f *socketFaults) { f.handshake = never })
+			return nil
+		}
+		return s.delayCommand(argument, func(f *socketFaults, d time.Duration) { f.handshake = d })
+	case "late":
+		return s.delayCommand(argument, func(f *socketFaults, d time.Duration) { f.responseDelay = d })
+	case "twice":
+		return s.switchCommand(argument, func(f *socketFaults, on bool) { f.duplicateResponses = on })
+	case "garbage":
+		return s.switchCommand(argument, func(f *socketFaults, on bool) { f.garbageResponses = on })
+	}
+	return errors.New("unknown")
+}
+
+func (s *Server) delayCommand(argument string, set func(*socketFaults, time.Duration)) error {
+	d, err := time.ParseDuration(argument)
+	if err != nil {
+		return err
+	}
+	s.changeFaults(func(f *socketFaults) { set(f, d) })
+	return nil
+}
+
+func (s *Server) switchCommand(argument string, set func(*socketFaults, bool)) error {
+	if argument != "on" && argument != "off" {
+		return fmt.Errorf("%q is neither on nor off", argument)
+	}
+	s.changeFaults(func(f *socketFaults) { set(f, argument == "on") })
+	return nil
+}
+
+func (s *Server) changeFaults(change func(*socketFaults)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	change(&s.faults)
+}
+
+func (s *Server) currentFaults() socketFaults {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.faults
+}
--- /dev/null
+++ b/lab/worker/connection.go
@@ -0,0 +1,198 @@
+package worker
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"havencart/internal/native/muxframe"
+	"havencart/lab/model"
+)
+
+// longestHandshake stands for a handshake that never ends: connections do not live as long.
+const longestHandshake = time.Hour
+
+// connection is one front end's connection.
+type connection struct {
+	server   *Server
+	raw      net.Conn
+	stream   net.Conn // raw, or the emulated network over it
+	frontEnd string   // from the handshake on
+
+	mu         sync.Mutex
+	sendQueue  []byte
+	outgoing   map[uint32]*responseBody // by stream
+	requests   map[uint32]*model.Request
+	wakeWriter chan struct{}
+	done       chan struct{}
+	once       sync.Once // closes done
+}
+
+// serve starts the goroutines of a connection.
+func (s *Server) serve(raw net.Conn) {
+	c := &connection{
+		server:     s,
+		raw:        raw,
+		stream:     raw,
+		outgoing:   map[uint32]*responseBody{},
+		requests:   map[uint32]*model.Request{},
+		wakeWriter: make(chan struct{}, 1),
+		done:       make(chan struct{}),
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		_ = raw.Close()
+		return
+	}
+	s.connections[c] = true
+	if s.cfg.Paths != nil {
+		c.stream = newDelayedConn(raw, s.clock, &s.tasks)
+	}
+	s.tasks.Go(c.write)
+	s.tasks.Go(func() {
+		_ = c.read() // however it ends, the connection is over; the front end reports why
+		c.close()
+		s.mu.Lock()
+		delete(s.connections, c)
+		s.mu.Unlock()
+	})
+}
+
+func (c *connection) close() {
+	c.once.Do(func() {
+		close(c.done)
+		_ = c.stream.Close()
+	})
+}
+
+// write writes what is queued, so that nothing within the clock waits for a socket.
+func (c *connection) write() {
+	for {
+		select {
+		case <-c.wakeWriter:
+		case <-c.done:
+			return
+		}
+		c.mu.Lock()
+		queued := c.sendQueue
+		c.sendQueue = nil
+		c.mu.Unlock()
+		if _, err := c.stream.Write(queued); err != nil {
+			c.close()
+			return
+		}
+	}
+}
+
+// send queues a frame without a body.
+func (c *connection) send(kind muxframe.Type, streamID uint32, header any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.appendFrame(kind, streamID, header, nil)
+}
+
+// appendFrame queues a frame. The lock is held.
+func (c *connection) appendFrame(kind muxframe.Type, streamID uint32, header any, body []byte) {
+	queue, err := muxframe.Append(c.sendQueue, kind, streamID, header, body)
+	if err != nil {
+		panic(err) // the emulator's own messages are short
+	}
+	c.sendQueue = queue
+	select {
+	case c.wakeWriter <- struct{}{}:
+	default:
+	}
+}
+
+// read handles frames until the connection ends.
+func (c *connection) read() error {
+	in := muxframe.NewReader(bufio.NewReader(c.stream), 0)
+	if err := c.handshake(in); err != nil {
+		return err
+	}
+	for {
+		f, err := in.Next()
+		if err != nil {
+			return err
+		}
+		if err := c.handle(f); err != nil {
+			return err
+		}
+	}
+}
+
+// handshake receives the hello and sends the welcome.
+func (c *connection) handshake(in *muxframe.Reader) error {
+	f, err := in.Next()
+	if err != nil {
+		return err
+	}
+	var hello muxframe.Hello
+	if f.Type != muxframe.TypeHello || f.Decode(&hello) != nil {
+		return fmt.Errorf("%v in place of hello", f.Type)
+	}
+	if !c.delayHandshake(c.server.currentFaults().handshake) {
+		return nil
+	}
+	c.frontEnd = hello.FrontEnd
+	if delayed, is := c.stream.(*delayedConn); is {
+		delayed.setPaths(c.server.cfg.Paths(c.frontEnd))
+	}
+	_, uptime, incarnation := c.server.Running()
+	welcome := muxframe.Welcome{
+		Version:          muxframe.Version,
+		Worker:           c.server.cfg.Name,
+		Incarnation:      uint64(incarnation),
+		UptimeMillis:     uptime.Milliseconds(),
+		LoadReportFields: []string{"queue"},
+	}
+	if hello.Version != muxframe.Version {
+		welcome.Rejection = fmt.Sprintf("version %d is not spoken here", hello.Version)
+	}
+	c.send(muxframe.TypeWelcome, 0, welcome)
+	return nil
+}
+
+// delayHandshake waits for a delay, or never. It reports false where the connection ended meanwhile.
+func (c *connection) delayHandshake(delay time.Duration) bool {
+	if delay == 0 {
+		return true
+	}
+	if delay < 0 {
+		delay = longestHandshake
+	}
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-c.done:
+		return false
+	}
+}
+
+func (c *connection) handle(f muxframe.Frame) error {
+	switch f.Type {
+	case muxframe.TypeRequest:
+		return c.handleRequest(f)
+	case muxframe.TypeCancel:
+		c.cancel(f.StreamID)
+	case muxframe.TypeCredit:
+		return c.handleCredit(f)
+	case muxframe.TypeLoadOrder:
+		return c.handleLoadOrder(f)
+	case muxframe.TypeUnload:
+		return c.handleUnload(f)
+	case muxframe.TypeHealthCheck:
+		c.reportHealth()
+	case muxframe.TypePing:
+		c.send(muxframe.TypePong, 0, nil)
+	case muxframe.TypePong:
+	default:
+		return fmt.Errorf("%v from a front end", f.Type)
+	}
+	return nil
+}
