--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -22,7 +22,7 @@
 // New returns what makes a policy by its name, nil for "module" and for a name that is none.
 func New(name string) func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Scheduler {
 	pick := map[string]picker{
-		"random": random, "round-robin": roundRobin, "least-out": leastOut, "two-choices": twoChoices,
+		"random": random, "round-robin": roundRobin, "least-out": leastInFlight, "two-choices": twoChoices,
 		"rendezvous": rendezvous,
 	}[name]
 	if pick == nil {
@@ -37,45 +37,45 @@
 type picker func(p *policy, r *request, among []*worker) *worker
 
 type worker struct {
-	info scheduler.WorkerInfo
-	out  int
+	info     scheduler.WorkerInfo
+	inFlight int
 }
 
 type request struct {
 	scheduler.Request
-	since    time.Duration
-	deadline time.Duration
-	attempts int
-	at       *worker
-	ran      bool
-	firstOn  scheduler.WorkerInfo
-	first    time.Duration
-	over     bool
+	receivedAt      time.Duration
+	deadline        time.Duration
+	attempts        int
+	worker          *worker
+	mayHaveExecuted bool
+	firstWorker     scheduler.WorkerInfo
+	firstAt         time.Duration
+	ended           bool
 }
 
 // policy sends each call at once to the worker that it picks, and again elsewhere where rule 2 allows it.
 type policy struct {
-	set      scheduler.Settings
-	act      scheduler.Actions
-	pick     picker
-	rng      *rand.Rand
-	now      time.Duration
-	workers  []*worker // by identifier
-	requests map[scheduler.RequestID]*request
-	held     []*request              // no worker could take them
-	first    func(a, b *request) int // order in which they are tried again; nil: as they came
-	turn     int
+	set        scheduler.Settings
+	actions    scheduler.Actions
+	pick       picker
+	rng        *rand.Rand
+	now        time.Duration
+	workers    []*worker // by identifier
+	requests   map[scheduler.RequestID]*request
+	queued     []*request              // no worker could take them
+	queueOrder func(a, b *request) int // order in which they are tried again; nil: as they came
+	turn       int
 }
 
 // tick is how often what is held is tried again.
-const tick = 20 * time.Millisecond
+const retryInterval = 20 * time.Millisecond
 
 func newPolicy(now time.Duration, set scheduler.Settings, a scheduler.Actions, pick picker) *policy {
 	p := &policy{
-		set: set, act: a, pick: pick, now: now, requests: map[scheduler.RequestID]*request{},
+		set: set, actions: a, pick: pick, now: now, requests: map[scheduler.RequestID]*request{},
 		rng: rand.New(rand.NewPCG(set.Seed, 0x62617365)),
 	}
-	a.SetTimer(tick, 0)
+	a.SetTimer(retryInterval, 0)
 	return p
 }
 
@@ -109,29 +109,29 @@
 	return nil
 }
 
-func (p *policy) WatchFailed(now time.Duration) { p.now = now; p.act.SetTimer(time.Second, 1) }
+func (p *policy) WatchFailed(now time.Duration) { p.now = now; p.actions.SetTimer(time.Second, 1) }
 
 func (p *policy) TimerFired(now time.Duration, token uint64) {
 	p.now = now
 	if token == 1 {
-		p.act.WatchEndpoints()
+		p.actions.WatchEndpoints()
 		return
 	}
-	p.act.SetTimer(tick, 0)
+	p.actions.SetTimer(retryInterval, 0)
 	p.retry()
 }
 
 // retry tries what is held again, and gives up what has no time left.
 func (p *policy) retry() {
-	held := p.held
-	p.held = nil
-	if p.first != nil {
-		slices.SortStableFunc(held, p.first)
+	held := p.queued
+	p.queued = nil
+	if p.queueOrder != nil {
+		slices.SortStableFunc(held, p.queueOrder)
 	}
 	for _, r := range held {
 		switch {
-		case r.over:
-		case p.now+2*tick >= r.deadline:
+		case r.ended:
+		case p.now+2*retryInterval >= r.deadline:
 			p.finish(r)
 		default:
 			p.send(r)
@@ -141,7 +141,7 @@
 
 func (p *policy) RequestReceived(now time.Duration, in scheduler.Request) {
 	p.now = now
-	r := &request{Request: in, since: now, deadline: now + in.Timeout}
+	r := &request{Request: in, receivedAt: now, deadline: now + in.Timeout}
 	p.requests[in.ID] = r
 	p.send(r)
 }
@@ -155,32 +155,32 @@
 		}
 	}
 	if len(among) == 0 {
-		p.held = append(p.held, r)
+		p.queued = append(p.queued, r)
 		return
 	}
 	w := p.pick(p, r, among)
 	if w == nil {
-		p.held = append(p.held, r)
+		p.queued = append(p.queued, r)
 		return
 	}
-	w.out++
-	r.at = w
+	w.inFlight++
+	r.worker = w
 	r.attempts++
-	p.act.Send(r.ID, w.info.ID, 0)
+	p.actions.Send(r.ID, w.info.ID, 0)
 }
 
 // allowed says whether rule 2 lets a call go to w.
 func (p *policy) allowed(r *request, w *worker) bool {
 	class := &p.set.Classes[r.Class]
 	switch {
-	case !r.ran || class.Idempotency == scheduler.Idempotent:
+	case !r.mayHaveExecuted || class.Idempotency == scheduler.Idempotent:
 		return true
-	case class.Idempotency == scheduler.NonIdempotent || p.now-r.first >= class.KeyRetention-tick:
+	case class.Idempotency == scheduler.NonIdempotent || p.now-r.firstAt >= class.KeyRetention-retryInterval:
 		return false
 	case class.KeyScope == scheduler.ScopeZone:
-		return w.info.Zone == r.firstOn.Zone
+		return w.info.Zone == r.firstWorker.Zone
 	case class.KeyScope == scheduler.ScopeCell:
-		return w.info.Cell == r.firstOn.Cell
+		return w.info.Cell == r.firstWorker.Cell
 	}
 	return true
 }
@@ -188,52 +188,52 @@
 func (p *policy) AttemptEnded(now time.Duration, o scheduler.Outcome) {
 	p.now = now
 	r := p.requests[o.Request]
-	if r == nil || r.at == nil {
+	if r == nil || r.worker == nil {
 		return
 	}
-	w := r.at
-	r.at = nil
-	w.out--
-	if o.RequestClosed || r.over {
-		r.over = true
+	w := r.worker
+	r.worker = nil
+	w.inFlight--
+	if o.RequestClosed || r.ended {
+		r.ended = true
 		delete(p.requests, r.ID)
 		return
 	}
-	if slices.Contains([]scheduler.Status{scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled}, o.Status) && !r.ran {
-		r.ran, r.first, r.firstOn = true, now, w.info
+	if slices.Contains([]scheduler.Status{scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled}, o.Status) && !r.mayHaveExecuted {
+		r.mayHaveExecuted, r.firstAt, r.firstWorker = true, now, w.info
 	}
-	unsafe := r.ran && p.set.Classes[r.Class].Idempotency == scheduler.NonIdempotent
+	unsafe := r.mayHaveExecuted && p.set.Classes[r.Class].Idempotency == scheduler.NonIdempotent
 	switch {
-	case unsafe || r.attempts >= p.set.MaxAttempts || now+2*tick >= r.deadline:
+	case unsafe || r.attempts >= p.set.MaxAttempts || now+2*retryInterval >= r.deadline:
 		p.finish(r)
 	case o.Status == scheduler.NotLoaded && p.set.LoadOrdersAllowed:
-		p.act.Load(w.info.ID, r.Function, 1)
-		p.held = append(p.held, r)
+		p.actions.Load(w.info.ID, r.Function, 1)
+		p.queued = append(p.queued, r)
 	default:
-		p.held = append(p.held, r) // at the next tick: a worker that turned it away is not asked at once
+		p.queued = append(p.queued, r) // at the next tick: a worker that turned it away is not asked at once
 	}
 }
 
 // finish gives the final answer: refused where that is harmless.
 func (p *policy) finish(r *request) {
-	r.over = true
+	r.ended = true
 	delete(p.requests, r.ID)
 	class := &p.set.Classes[r.Class]
-	if !r.ran || class.Idempotency == scheduler.Idempotent || class.Idempotency == scheduler.IdempotentByKey && class.KeyScope == scheduler.ScopeAll {
-		p.act.Reject(r.ID, p.set.MaxRetryAfter)
+	if !r.mayHaveExecuted || class.Idempotency == scheduler.Idempotent || class.Idempotency == scheduler.IdempotentByKey && class.KeyScope == scheduler.ScopeAll {
+		p.actions.Reject(r.ID, p.set.MaxRetryAfter)
 		return
 	}
-	p.act.Fail(r.ID)
+	p.actions.Fail(r.ID)
 }
 
 func (p *policy) ClientDisconnected(now time.Duration, id scheduler.RequestID) {
 	p.now = now
 	if r := p.requests[id]; r != nil {
-		r.over = true
-		if r.at == nil {
+		r.ended = true
+		if r.worker == nil {
 			delete(p.requests, id)
 		} else if p.set.CancelAllowed {
-			p.act.Cancel(id, r.attempts-1)
+			p.actions.Cancel(id, r.attempts-1)
 		}
 	}
 }
@@ -241,9 +241,12 @@
 func (p *policy) LoadEnded(now time.Duration, _ scheduler.LoadResult)            { p.now = now }
 func (p *policy) ResponseStarted(now time.Duration, _ scheduler.RequestID)       { p.now = now }
 func (p *policy) HealthChecked(now time.Duration, _ scheduler.HealthCheckResult) { p.now = now }
-func random(p *policy, _ *request, among []*worker) *worker { return among[p.rng.IntN(len(among))] }
+func random(p *policy, _ *request, among []*worker) *worker                      { return among[p.rng.IntN(len(among))] }
 
-func leastOut(p *policy, _ *request, among []*worker) *worker { p.turn++; return fewest(among, p.turn) }
+func leastInFlight(p *policy, _ *request, among []*worker) *worker {
+	p.turn++
+	return fewest(among, p.turn)
+}
 
 func roundRobin(p *policy, _ *request, among []*worker) *worker {
 	p.turn++
@@ -254,7 +257,7 @@
 func fewest(among []*worker, turn int) *worker {
 	var best *worker
 	for i := range among {
-		if w := among[(i+turn)%len(among)]; best == nil || w.out < best.out {
+		if w := among[(i+turn)%len(among)]; best == nil || w.inFlight < best.inFlight {
 			best = w
 		}
 	}
@@ -264,23 +267,23 @@
 // twoChoices is the power of two choices (M. Mitzenmacher, 1996): the less loaded of two drawn at random.
 func twoChoices(p *policy, _ *request, among []*worker) *worker {
 	a, b := among[p.rng.IntN(len(among))], among[p.rng.IntN(len(among))]
-	if b.out < a.out {
+	if b.inFlight < a.inFlight {
 		return b
 	}
 	return a
 }
 
 // boundedBy is how far over the mean a worker's load may go in rendezvous.
-const boundedBy = 1.25
+const loadBound = 1.25
 
 // rendezvous is highest-random-weight hashing (D. Thaler, C. Ravishankar, 1998) with bounded loads (V. Mirrokni
 // et al., 2018): the first worker by the function's own order whose load is not over 1.25 times the mean.
 func rendezvous(p *policy, r *request, among []*worker) *worker {
 	total := 1
 	for _, w := range among {
-		total += w.out
+		total += w.inFlight
 	}
-	bound := math.Ceil(boundedBy * float64(total) / float64(len(among)))
+	bound := math.Ceil(loadBound * float64(total) / float64(len(among)))
 	order := slices.Clone(among)
 	weight := func(w *worker) uint64 {
 		var b [16]byte
@@ -291,7 +294,7 @@
 	}
 	sort.Slice(order, func(i, j int) bool { return weight(order[i]) > weight(order[j]) })
 	for _, w := range order {
-		if float64(w.out+1) <= bound {
+		if float64(w.inFlight+1) <= bound {
 			return w
 		}
 	}
--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -20,9 +20,9 @@
 //
 // The bound leaves out the wait for a load: who never waits for one never has a copy.
 type oracle struct {
-	name  string
-	bound func(p *policy, r *request) time.Duration // how long an answer may take beside a load
-	first func(p *policy, a, b *request) int        // order of what is held; nil: as it came
+	name       string
+	bound      func(p *policy, r *request) time.Duration // how long an answer may take beside a load
+	queueOrder func(p *policy, a, b *request) int        // order of what is held; nil: as it came
 }
 
 var oracles = []oracle{
@@ -34,8 +34,8 @@
 			best = max(best, c.PriorityWeight)
 		}
 		return bestWithin(p, r, p.set.Classes[r.Class].PriorityWeight/best)
-	}, first: func(p *policy, a, b *request) int { // the worthiest, and of these the newest
-		return cmp.Or(cmp.Compare(p.set.Classes[b.Class].PriorityWeight, p.set.Classes[a.Class].PriorityWeight), cmp.Compare(b.since, a.since))
+	}, queueOrder: func(p *policy, a, b *request) int { // the worthiest, and of these the newest
+		return cmp.Or(cmp.Compare(p.set.Classes[b.Class].PriorityWeight, p.set.Classes[a.Class].PriorityWeight), cmp.Compare(b.receivedAt, a.receivedAt))
 	}},
 }
 
@@ -43,7 +43,7 @@
 // and a late answer is worth less.
 func bestWithin(p *policy, r *request, part float64) time.Duration {
 	class := &p.set.Classes[r.Class]
-	left := r.since + class.LatencyObjective - p.now
+	left := r.receivedAt + class.LatencyObjective - p.now
 	if left <= 0 {
 		part, left = part*class.LateWeight, r.deadline-p.now
 	}
@@ -76,8 +76,8 @@
 				}
 				return best
 			})
-			if o.first != nil {
-				p.first = func(a, b *request) int { return o.first(p, a, b) }
+			if o.queueOrder != nil {
+				p.queueOrder = func(a, b *request) int { return o.queueOrder(p, a, b) }
 			}
 			return p
 		}
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -1,14 +1,10 @@
-// Package client is the lab's clients: they call front ends over their own sockets, have patience, leave early
-// when told to, repeat by their habits, and note what they saw.
+// Package client is the laboratory's clients: they send requests to front ends over sockets of their own, time out,
+// disconnect early when told to, retry by their policies, and record what they see.
 package client
 
 import (
-	"bufio"
-	"bytes"
-	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -16,160 +12,146 @@
 
 	"havencart/lab/invariant"
 	"havencart/lab/loadgen"
-	"havencart/lab/worker"
 )
 
-// Seen is what a client got.
-type Seen struct {
+// Outcomes recorded for what is no response to the request; the checker counts them as failed.
+const (
+	outcomeUnexpected     = "unasked"        // bytes after the response
+	outcomeWrongRequest   = "another call's" // the response to another request
+	outcomeInvalidRequest = "invalid"        // has no identifier
+)
+
+// Response is what a client received.
+type Response struct {
 	Outcome    string // served, refused, failed, or empty: none
 	RetryAfter time.Duration
-	Took       time.Duration
-	Bytes      int
+	Duration   time.Duration // from the request on
+	Bytes      int           // of the body
 }
 
-// Pool keeps connections to one front end.
+// Pool keeps connections to one front end. It may be used by several goroutines.
 type Pool struct {
 	Name    string // of the front end
 	Address string
 	Book    *invariant.History
-	Grace   time.Duration // how much longer than its patience a client listens, to note a late answer
+	Grace   time.Duration // how much longer than its timeout a client waits, to record a late response
 
 	mu   sync.Mutex
-	free []*conn
-}
-
-type conn struct {
-	net.Conn
-	in *bufio.Reader
+	idle []*connection
 }
 
-// Do makes one call and notes what came of it. An error says that no connection could be had: then nothing
-// was asked.
-func (p *Pool) Do(c loadgen.Call) (Seen, error) {
-	n, err := p.get()
+// Do sends one request and records its outcome. An error says that there was no connection: then nothing was sent, and
+// nothing recorded.
+func (p *Pool) Do(r loadgen.Call) (Response, error) {
+	c, err := p.connect()
 	if err != nil {
-		return Seen{}, err
+		return Response{}, err
 	}
-	ask := p.Book.RequestSent(invariant.Request{
-		ID: c.ID, Class: c.Class, Tenant: c.Tenant, IdempotencyKey: c.IdempotencyKey, FrontEnd: p.Name,
-		Timeout: c.Timeout,
+	recorded := p.Book.RequestSent(invariant.Request{
+		ID:             r.ID,
+		Class:          r.Class,
+		Tenant:         r.Tenant,
+		IdempotencyKey: r.IdempotencyKey,
+		FrontEnd:       p.Name,
+		Timeout:        r.Timeout,
 	})
-	began := time.Now() // before the timer, so that a client that left took as long as it waits at least
-	if c.DisconnectAfter > 0 {
-		timer := time.AfterFunc(c.DisconnectAfter, func() { n.Close() })
+	sentAt := time.Now() // before the timer, so that a client that disconnects has waited at least that long
+	if r.DisconnectAfter > 0 {
+		timer := time.AfterFunc(r.DisconnectAfter, func() { _ = c.Close() })
 		defer timer.Stop()
 	}
-	seen, err := p.exchange(n, ask, c)
-	seen.Took = time.Since(began)
+	response, err := p.exchange(c, recorded, r)
+	response.Duration = time.Since(sentAt)
 	if err != nil {
-		n.Close()
-		p.Book.RequestEnded(ask, c.DisconnectAfter > 0 && seen.Took >= c.DisconnectAfter)
-		return seen, nil
+		_ = c.Close()
+		disconnected := r.DisconnectAfter > 0 && response.Duration >= r.DisconnectAfter
+		p.Book.RequestEnded(recorded, disconnected)
+		return response, nil
 	}
-	if n.in.Buffered() > 0 { // more than one answer to one call
-		p.Book.ResponseReceived(ask, "unasked", false)
-		n.Close()
-		return seen, nil
+	if c.in.Buffered() > 0 {
+		p.Book.ResponseReceived(recorded, outcomeUnexpected, false)
+		_ = c.Close()
+		return response, nil
 	}
-	p.put(n)
-	return seen, nil
+	p.release(c)
+	return response, nil
 }
 
-// get returns a connection that stands. To find that out takes time, which no other client waits for.
-func (p *Pool) get() (*conn, error) {
-	for n := p.take(); n != nil; n = p.take() {
-		if n.alive() {
-			return n, nil
+// connect returns an open connection. To find out that one is open takes time, during which no lock is held.
+func (p *Pool) connect() (*connection, error) {
+	for c := p.takeIdle(); c != nil; c = p.takeIdle() {
+		if c.isOpen() {
+			return c, nil
 		}
-		n.Close()
+		_ = c.Close()
 	}
-	c, err := net.DialTimeout("tcp", p.Address, time.Second)
+	c, err := dial(p.Address)
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", p.Name, err)
 	}
-	return &conn{c, bufio.NewReader(c)}, nil
+	return c, nil
 }
 
-// take returns the idle connection that was used last, nil if there is none.
-func (p *Pool) take() *conn {
+// takeIdle returns the idle connection that was used last, nil if there is none.
+func (p *Pool) takeIdle() *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.free) == 0 {
+	if len(p.idle) == 0 {
 		return nil
 	}
-	n := p.free[len(p.free)-1]
-	p.free = p.free[:len(p.free)-1]
-	return n
+	last := len(p.idle) - 1
+	c := p.idle[last]
+	p.idle = p.idle[:last]
+	return c
 }
 
-// alive says whether an idle connection still stands.
-func (n *conn) alive() bool {
-	_ = n.SetReadDeadline(time.Now().Add(100 * time.Microsecond))
-	_, err := n.in.Peek(1)
-	var passing net.Error
-	return errors.As(err, &passing) && passing.Timeout()
-}
-
-func (p *Pool) put(n *conn) {
+func (p *Pool) release(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.free = append(p.free, n)
+	p.idle = append(p.idle, c)
 }
 
 // Close closes the idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range p.free {
-		n.Close()
+	for _, c := range p.idle {
+		_ = c.Close()
 	}
-	p.free = nil
+	p.idle = nil
 }
 
-func (p *Pool) exchange(n *conn, ask *invariant.Request, c loadgen.Call) (Seen, error) {
-	_ = n.SetDeadline(time.Now().Add(c.Timeout + p.Grace))
-	if _, err := n.Write(request(c)); err != nil {
-		return Seen{}, err
+// exchange sends a request and receives its response.
+func (p *Pool) exchange(c *connection, recorded *invariant.Request, r loadgen.Call) (Response, error) {
+	_ = c.SetDeadline(time.Now().Add(r.Timeout + p.Grace))
+	if _, err := c.Write(encodeRequest(r)); err != nil {
+		return Response{}, err
 	}
-	r, err := http.ReadResponse(n.in, nil)
+	received, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		return Seen{}, err
+		return Response{}, err
 	}
-	got, err := io.Copy(io.Discard, r.Body)
-	r.Body.Close()
-	seen := Seen{Outcome: r.Header.Get("Call-Outcome"), Bytes: int(got)}
-	if ms, bad := strconv.Atoi(r.Header.Get("Retry-After-Ms")); bad == nil {
-		seen.RetryAfter = time.Duration(ms) * time.Millisecond
+	size, err := io.Copy(io.Discard, received.Body)
+	_ = received.Body.Close()
+	response := Response{Outcome: received.Header.Get("Call-Outcome"), Bytes: int(size)}
+	if ms, bad := strconv.Atoi(received.Header.Get("Retry-After-Ms")); bad == nil {
+		response.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
-	if id := r.Header.Get("Call-Id"); seen.Outcome != "invalid" && id != "" && id != c.ID {
-		p.Book.ResponseReceived(ask, "another call's", false)
+	if isForAnother(received, response.Outcome, r.ID) {
+		p.Book.ResponseReceived(recorded, outcomeWrongRequest, false)
 	}
-	p.Book.ResponseReceived(ask, seen.Outcome, err == nil)
-	if r.Close || err != nil {
-		n.Close() // found dead when it is next taken
+	p.Book.ResponseReceived(recorded, response.Outcome, err == nil)
+	if received.Close || err != nil {
+		_ = c.Close() // found closed when it is next taken
 	}
-	return seen, nil
+	return response, nil
 }
 
-func request(c loadgen.Call) []byte {
-	body := append(worker.Body(c.Work, c.ResponseBytes), bytes.Repeat([]byte(" "), c.PaddingBytes)...)
-	var out bytes.Buffer
-	fmt.Fprintf(&out, "POST /call/%s HTTP/1.1\r\nHost: lab\r\nContent-Length: %d\r\nCall-Id: %s\r\nCall-Patience: %d\r\n",
-		c.Function, len(body), c.ID, c.Timeout.Milliseconds())
-	for _, h := range []struct{ name, value string }{
-		{"Call-Class", c.Class},
-		{"Call-Tenant", c.Tenant},
-		{"Idempotency-Key", c.IdempotencyKey},
-	} {
-		if h.value != "" {
-			fmt.Fprintf(&out, "%s: %s\r\n", h.name, h.value)
-		}
-	}
-	if c.MemoryMB > 0 {
-		fmt.Fprintf(&out, "Call-Memory: %g\r\nCall-Lanes: %d\r\nCall-Load: %v\r\n", c.MemoryMB, max(1, c.Concurrency),
-			max(time.Millisecond, c.LoadTime))
+// isForAnother reports whether a response is to another request than the one with the identifier.
+func isForAnother(received *http.Response, outcome, requestID string) bool {
+	if outcome == outcomeInvalidRequest {
+		return false
 	}
-	out.WriteString("\r\n")
-	out.Write(body)
-	return out.Bytes()
+	id := received.Header.Get("Call-Id")
+	return id != "" && id != requestID
 }
--- a/lab/client/run.go
+++ b/lab/client/run.go
@@ -9,61 +9,64 @@
 	"havencart/lab/loadgen"
 )
 
-// Observation is what became of one call of a client, its repeats counted as part of it.
+// Observation is the outcome of one request of a client, its retries counted as part of it.
 type Observation struct {
 	Call    loadgen.Call
-	Outcome string        // of the last try
-	Took    time.Duration // from when the call was due, not from when it could be sent
-	Late    time.Duration // how long after it was due its first try was sent
-	Tries   int
-	Lost    bool // it got no answer that it should have had
+	Outcome string        // of the last attempt
+	Took    time.Duration // from when the request was due, not from when it could be sent
+	Late    time.Duration // how long after it was due its first attempt was sent
+	Tries   int           // attempts
+	Lost    bool          // it got no response that it should have had
 }
 
-// Runner makes the calls of a source, each at its time whatever becomes of earlier ones (open loop): a slow
-// server is not spared, and what a call waits because the client could not send it in time is counted as the
-// call's (G. Tene's "coordinated omission").
+// Runner sends the requests of a source, each at its time whatever becomes of earlier ones (open loop): a slow server
+// is not spared, and what a request waits because the client could not send it in time is counted as the request's (G.
+// Tene's "coordinated omission").
 type Runner struct {
 	Next    func() (time.Duration, loadgen.Call, bool)
 	Pools   func(i int) *Pool // of front end i
-	Fronts  int
-	Observe func(Observation)
+	Fronts  int               // number of front ends
+	Observe func(Observation) // is called by several goroutines
 }
 
-// Run makes all calls and returns when they have ended.
+// Run sends all requests and returns when they have ended.
 func (r Runner) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	for n := 0; ; n++ {
-		at, call, more := r.Next()
-		if !more || !Sleep(ctx, at-time.Since(began)) {
+		at, request, more := r.Next()
+		if !more || !Sleep(ctx, at-time.Since(start)) {
 			break
 		}
-		due := began.Add(at)
-		tasks.Go(func() { r.Observe(r.persist(ctx, call, n, due)) })
+		due := start.Add(at)
+		tasks.Go(func() { r.Observe(r.runRequest(ctx, request, n, due)) })
 	}
 	tasks.Wait()
 }
 
-// persist makes a call and repeats it by the clients' habit, each time through the next front end.
-func (r Runner) persist(ctx context.Context, c loadgen.Call, front int, due time.Time) Observation {
-	id := c.ID
-	o := Observation{Call: c, Late: time.Since(due)}
-	for try := 0; ; try++ {
-		c.ID = fmt.Sprintf("%s.%d", id, try)
-		seen, err := r.Pools((front + try) % r.Fronts).Do(c)
+// outcomeUnreachable is the outcome of an attempt for which there was no connection.
+const outcomeUnreachable = "unreachable"
+
+// runRequest sends a request and retries it by the client's policy, each time through the next front end.
+func (r Runner) runRequest(ctx context.Context, request loadgen.Call, frontEnd int, due time.Time) Observation {
+	id := request.ID
+	o := Observation{Call: request, Late: time.Since(due)}
+	for attempt := 0; ; attempt++ {
+		request.ID = fmt.Sprintf("%s.%d", id, attempt)
+		response, err := r.Pools((frontEnd + attempt) % r.Fronts).Do(request)
 		if err != nil {
-			seen.Outcome = "unreachable"
+			response.Outcome = outcomeUnreachable
 		}
-		o.Outcome, o.Took, o.Tries = seen.Outcome, time.Since(due), try+1
-		o.Lost = seen.Outcome == "" && c.DisconnectAfter == 0
-		wait, again := c.Retry(try, seen.Outcome, seen.RetryAfter)
-		if !again || c.DisconnectAfter > 0 || !Sleep(ctx, wait) {
+		o.Outcome, o.Took, o.Tries = response.Outcome, time.Since(due), attempt+1
+		o.Lost = response.Outcome == "" && request.DisconnectAfter == 0
+		wait, retry := request.Retry(attempt, response.Outcome, response.RetryAfter)
+		if !retry || request.DisconnectAfter > 0 || !Sleep(ctx, wait) {
 			return o
 		}
 	}
 }
 
-// Sleep returns false where ctx ended first.
+// Sleep waits for d. It returns false where ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(max(0, d))
 	defer timer.Stop()
--- a/lab/discoveryserver/directory.go
+++ b/lab/discoveryserver/directory.go
@@ -25,7 +25,7 @@
 }
 
 // Notice is one list as it was sent to one client.
-type Notice struct {
+type Update struct {
 	At     time.Time
 	Client string // as it calls itself (User-Agent)
 	States map[string]scheduler.WorkerState
@@ -37,15 +37,15 @@
 	addr string
 	done chan struct{}
 
-	mu      sync.Mutex
-	entries map[string]Entry
-	order   []string
-	index   uint64
-	change  chan struct{} // closed at each change
-	lag     time.Duration
-	down    bool
-	partial float64 // share of the workers that the list names
-	notices []Notice
+	mu          sync.Mutex
+	entries     map[string]Entry
+	order       []string
+	index       uint64
+	changed     chan struct{} // closed at each change
+	lag         time.Duration
+	down        bool
+	listedShare float64 // share of the workers that the list names
+	updates     []Update
 }
 
 // Start starts a directory at address for any service's name; port 0 takes a free one.
@@ -56,10 +56,10 @@
 	}
 	s := &Server{
 		addr: l.Addr().String(), done: make(chan struct{}), entries: map[string]Entry{}, index: 1,
-		change: make(chan struct{}), partial: 1,
+		changed: make(chan struct{}), listedShare: 1,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/health/service/{name}", s.health)
+	mux.HandleFunc("GET /v1/health/service/{name}", s.handleHealth)
 	s.http.Handler = mux
 	go func() {
 		defer close(s.done)
@@ -91,7 +91,7 @@
 			}
 			s.entries[e.Name] = e
 		}
-		s.changed(s.index + 1)
+		s.setIndex(s.index + 1)
 	}
 	if lag > 0 {
 		time.AfterFunc(lag, apply)
@@ -101,41 +101,41 @@
 }
 
 // changed gives the list another index and wakes who waits; the lock is held.
-func (s *Server) changed(index uint64) {
+func (s *Server) setIndex(index uint64) {
 	s.index = index
-	close(s.change)
-	s.change = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // Lag makes changes be told later from now on.
-func (s *Server) Lag(d time.Duration) { s.trouble(func() { s.lag = d }) }
+func (s *Server) Lag(d time.Duration) { s.update(func() { s.lag = d }) }
 
 // Down makes the directory answer 500, or behave again.
-func (s *Server) Down(on bool) { s.trouble(func() { s.down = on; s.changed(s.index + 1) }) }
+func (s *Server) Down(on bool) { s.update(func() { s.down = on; s.setIndex(s.index + 1) }) }
 
 // Partial makes the list name only a share of the workers; 1 ends it.
 func (s *Server) Partial(share float64) {
-	s.trouble(func() { s.partial = share; s.changed(s.index + 1) })
+	s.update(func() { s.listedShare = share; s.setIndex(s.index + 1) })
 }
 
 // Back makes the index begin again, as after a loss of the service's state.
-func (s *Server) Back() { s.trouble(func() { s.changed(1) }) }
+func (s *Server) Back() { s.update(func() { s.setIndex(1) }) }
 
-func (s *Server) trouble(change func()) {
+func (s *Server) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
 // Notices returns what was sent to whom so far.
-func (s *Server) Notices() []Notice {
+func (s *Server) Updates() []Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Notice(nil), s.notices...)
+	return append([]Update(nil), s.updates...)
 }
 
 // health answers a query, a blocking one once the list is another than the client knows.
-func (s *Server) health(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleHealth(w http.ResponseWriter, r *http.Request) {
 	known, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
@@ -145,7 +145,7 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		index, change, down := s.index, s.change, s.down
+		index, change, down := s.index, s.changed, s.down
 		s.mu.Unlock()
 		if down {
 			http.Error(w, "no leader", http.StatusInternalServerError)
@@ -163,14 +163,14 @@
 		}
 		break
 	}
-	s.answer(w, r)
+	s.respond(w, r)
 }
 
 // answer sends the list. What it tells counts as told once it is sent, so it is recorded last.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
+func (s *Server) respond(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	index, instances, states := s.index, []list.Instance{}, map[string]scheduler.WorkerState{}
-	shown := int(s.partial*float64(len(s.order)) + 0.5)
+	shown := int(s.listedShare*float64(len(s.order)) + 0.5)
 	for _, name := range s.order {
 		states[name] = scheduler.Removed
 	}
@@ -189,7 +189,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notices = append(s.notices, Notice{At: time.Now(), Client: r.UserAgent(), States: states})
+	s.updates = append(s.updates, Update{At: time.Now(), Client: r.UserAgent(), States: states})
 }
 
 func (e Entry) instance() (i list.Instance) {
--- a/lab/fleet/clients_test.go
+++ b/lab/fleet/clients_test.go
@@ -16,7 +16,7 @@
 
 func TestClient_PipelinesTenAndClosesAfterThree_AllAccountedFor(t *testing.T) {
 	f := start(t, smallConfig(2, 1))
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
+	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
 	f.send(t, 0, newRequest("first", "unlock", time.Millisecond))
 	conn, err := net.Dial("tcp", f.FrontEnds[0].Pool().Address)
 	if err != nil {
@@ -61,7 +61,7 @@
 	cfg := smallConfig(1, 1)
 	cfg.Settings = "stop-wait 200ms\n" + cfg.Settings
 	f := start(t, cfg)
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
+	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
 	f.commandWorkers(t, "hang on", 0)
 	var all sync.WaitGroup
 	for i := range 300 {
@@ -87,7 +87,7 @@
 	cfg := smallConfig(1, 1)
 	cfg.Settings = "max-calls 5\n" + cfg.Settings
 	f := start(t, cfg)
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
+	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
 	f.commandWorkers(t, "hang on", 0)
 	var all sync.WaitGroup
 	for i := range 5 {
@@ -121,7 +121,7 @@
 // the same worker meanwhile.
 func TestClient_SlowReaderOfLongResponse_DelaysNoOther(t *testing.T) {
 	f := start(t, smallConfig(1, 1))
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
+	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
 	conn, err := net.Dial("tcp", f.FrontEnds[0].Pool().Address)
 	if err != nil {
 		t.Fatal(err)
@@ -151,9 +151,9 @@
 	cfg := smallConfig(2, 1)
 	cfg.Loops = 3
 	f := start(t, cfg)
-	waitUntil(t, "three lists", func() bool { return len(f.Discovery.Notices()) >= 3 })
+	waitUntil(t, "three lists", func() bool { return len(f.Discovery.Updates()) >= 3 })
 	asked := map[string]bool{}
-	for _, n := range f.Discovery.Notices() {
+	for _, n := range f.Discovery.Updates() {
 		asked[n.Client] = true
 	}
 	if len(asked) != 3 {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -169,7 +169,7 @@
 
 // Check checks the history against the invariants. It is to be called when everything has ended.
 func (f *Fleet) Check() ([]invariant.Violation, invariant.Tally) {
-	for _, n := range f.Discovery.Notices() {
+	for _, n := range f.Discovery.Updates() {
 		f.History.EndpointsUpdated(invariant.EndpointUpdate{
 			At:       f.History.Elapsed(n.At),
 			FrontEnd: n.Client,
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -99,7 +99,7 @@
 	cfg := smallConfig(4, 2)
 	cfg.Settings += "watch other\n  orders off\n  retry-after off\nend\n"
 	f := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Notices()) >= 2 })
+	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Updates()) >= 2 })
 	for i := range 12 {
 		if seen := f.send(t, i%2, newRequest(fmt.Sprint("w.", i), "quote", time.Millisecond)); seen.Outcome != "served" {
 			t.Errorf("call %d: %+v", i, seen)
--- a/lab/fleet/helpers_test.go
+++ b/lab/fleet/helpers_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func (f *Fleet) send(t *testing.T, front int, c loadgen.Call) client.Seen {
+func (f *Fleet) send(t *testing.T, front int, c loadgen.Call) client.Response {
 	t.Helper()
 	seen, err := f.FrontEnds[front].Pool().Do(c)
 	if err != nil {
--- a/lab/fleet/workers_test.go
+++ b/lab/fleet/workers_test.go
@@ -21,7 +21,7 @@
 	cfg.Settings = "keep-alive 10s\nclass log\nrepeat keyed\nscope all\nmemory 10s\nend\n"
 	cfg.Worker.KeyRetention = 10 * time.Second
 	f := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Notices()) >= 2 })
+	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Updates()) >= 2 })
 	f.commandWorkers(t, "hang on", 0, 1)
 	first := newRequest("a.0", "log", time.Millisecond)
 	first.IdempotencyKey = "one"
@@ -53,11 +53,11 @@
 // there.
 func TestStall_ResponseReceivedMeanwhile_IsServed(t *testing.T) {
 	f := start(t, smallConfig(1, 1))
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
+	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
 	if seen := f.send(t, 0, newRequest("first", "unlock", time.Millisecond)); seen.Outcome != "served" {
 		t.Fatalf("%+v", seen)
 	}
-	done := make(chan client.Seen)
+	done := make(chan client.Response)
 	go func() {
 		c := newRequest("second", "unlock", 100*time.Millisecond)
 		c.Timeout = 400 * time.Millisecond
@@ -80,7 +80,7 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			f := start(t, smallConfig(3, 1))
-			waitUntil(t, "the list", func() bool { return len(f.Discovery.Notices()) >= 1 })
+			waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
 			f.send(t, 0, newRequest("first", "quote", time.Millisecond))
 			f.commandWorkers(t, fault, 0)
 			if fault == "handshake never" || fault == "handshake 400ms" {
@@ -138,7 +138,7 @@
 	})
 	f.Discovery.Set(discoveryserver.Entry{Name: "stuck", Address: stuck.Addr().String(), Cell: "cell-1", State: scheduler.Ready})
 	waitUntil(t, "the list", func() bool {
-		for _, n := range f.Discovery.Notices() {
+		for _, n := range f.Discovery.Updates() {
 			if n.States["stuck"] == scheduler.Ready {
 				return true
 			}
@@ -171,7 +171,7 @@
 	cfg.Worker.MissAnswers = true
 	cfg.Settings = "on-miss miss\nload-window 2s\nload-free 3\nload-share 0.2\n" + cfg.Settings
 	f := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Notices()) >= 2 })
+	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Updates()) >= 2 })
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	seen := map[string]int{}
--- a/lab/functionstore/origin.go
+++ b/lab/functionstore/origin.go
@@ -16,7 +16,7 @@
 
 // Server is a running store.
 type Server struct {
-	world *model.RealClock
+	clock *model.RealClock
 	store *model.Store
 	http  http.Server
 	addr  string
@@ -29,10 +29,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("function store: %w", err)
 	}
-	s := &Server{world: world, addr: l.Addr().String(), done: make(chan struct{})}
+	s := &Server{clock: world, addr: l.Addr().String(), done: make(chan struct{})}
 	world.Do(func() { s.store = model.NewStore(world, cfg) })
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /artefact/{function}", s.fetch)
+	mux.HandleFunc("GET /artefact/{function}", s.handleFetch)
 	s.http.Handler = mux
 	go func() {
 		defer close(s.done)
@@ -51,7 +51,7 @@
 }
 
 // Do runs f on the model, between its events.
-func (s *Server) Do(f func(*model.Store)) { s.world.Do(func() { f(s.store) }) }
+func (s *Server) Do(f func(*model.Store)) { s.clock.Do(func() { f(s.store) }) }
 
 // Stop makes the store turn everything away for d.
 func (s *Server) Stop(d time.Duration) { s.Do(func(m *model.Store) { m.StartOutage(d) }) }
@@ -63,7 +63,7 @@
 func (s *Server) Fail(share float64) { s.Do(func(m *model.Store) { m.SetFailureShare(share) }) }
 
 // fetch answers 200 once an artefact has been served, 503 where the store turns it away.
-func (s *Server) fetch(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleFetch(w http.ResponseWriter, r *http.Request) {
 	took, err := time.ParseDuration(r.URL.Query().Get("takes"))
 	if err != nil || took < 0 {
 		http.Error(w, "takes: a duration is wanted", http.StatusBadRequest)
@@ -82,7 +82,7 @@
 
 // Client fetches for the workers of one world.
 type Client struct {
-	world  *model.RealClock
+	clock  *model.RealClock
 	url    string
 	http   *http.Client
 	ctx    context.Context
@@ -92,7 +92,7 @@
 
 // NewClient returns a client of the store at address.
 func NewClient(world *model.RealClock, address string) *Client {
-	c := &Client{world: world, url: "http://" + address, http: &http.Client{Transport: &http.Transport{
+	c := &Client{clock: world, url: "http://" + address, http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64,
 	}}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -102,12 +102,12 @@
 // Fetch implements model.Fetcher.
 func (c *Client) Fetch(function string, work time.Duration, done func(ok bool)) {
 	c.tasks.Go(func() {
-		ok := c.get(function, work)
-		c.world.Do(func() { done(ok) })
+		ok := c.fetch(function, work)
+		c.clock.Do(func() { done(ok) })
 	})
 }
 
-func (c *Client) get(function string, work time.Duration) bool {
+func (c *Client) fetch(function string, work time.Duration) bool {
 	at := fmt.Sprintf("%s/artefact/%s?takes=%v", c.url, url.PathEscape(function), work)
 	request, err := http.NewRequestWithContext(c.ctx, http.MethodGet, at, nil)
 	if err != nil {
--- a/lab/loadgen/demand.go
+++ b/lab/loadgen/demand.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Demand is what troubles change of what clients ask for, beside their Mix.
+// Demand is what faults change of what clients ask for, beside their Mix.
 type Demand struct {
-	DisconnectShare float64                 // share of clients that leave early
-	RateFactor      float64                 // times the rate
-	HotShare        float64                 // share of calls for functions that nobody called before
-	HotFunctions    int                     // so many of each class
-	HotSpell        int                     // counts the spells: each has functions of its own
-	ScanShare       float64                 // share of calls for functions wanted once only, beside the Mix's
-	TimeoutFactor   float64                 // times the patience
-	WorkFactor      float64                 // times the work
-	Tenants         map[string]TenantDemand // what single tenants do beside the others
+	DisconnectShare float64                 // share of clients that disconnect early
+	RateFactor      float64                 // factor on the rate
+	HotShare        float64                 // share of requests for new functions
+	HotFunctions    int                     // number of new functions of each class
+	HotSpell        int                     // counts the periods of new functions: each has its own
+	ScanShare       float64                 // share of requests for functions that are requested once only, beside the Mix's
+	TimeoutFactor   float64                 // factor on clients' timeouts
+	WorkFactor      float64                 // factor on the work of requests
+	Tenants         map[string]TenantDemand // by tenant
 }
 
-// Own is what one tenant does beside the others; the zero value changes nothing.
+// TenantDemand is what one tenant does differently from the others. The zero value changes nothing.
 type TenantDemand struct {
-	RateFactor float64 // times what it usually asks
-	Silent     bool    // it asks nothing
-	Repeats    int     // its clients repeat at once so many times, whatever they are told
-	ScanShare  float64 // share of its calls for functions wanted once only
-	WorkFactor float64 // times the work of its calls
+	RateFactor float64 // factor on its rate; 0: 1
+	Silent     bool    // it sends no requests
+	Repeats    int     // its clients retry at once so many times, whatever they are advised
+	ScanShare  float64 // share of its requests for functions that are requested once only
+	WorkFactor float64 // factor on the work of its requests; 0: 1
 }
 
-// Of changes what one tenant does.
+// ChangeTenant changes what one tenant does.
 func (d *Demand) ChangeTenant(tenant string, f func(*TenantDemand)) {
 	own := d.Tenants[tenant]
 	if f(&own); own == (TenantDemand{}) {
@@ -39,7 +39,8 @@
 	}
 }
 
-// Change changes the demand from the next call on. Who asks for what is not changed where an error is returned.
+// Change changes the demand from the next request on. Its error names a tenant that is unknown; that tenant's demand is
+// not changed then.
 func (s *Source) Change(f func(*Demand)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// flood is what floods add, in shares of the mean rate, by tenant and in all.
+// floodShares is what tenants that flood add, in shares of the mean rate, by tenant and in all.
 func (s *Source) floodShares() (by []float64, all float64) {
 	if len(s.demand.Tenants) == 0 {
 		return nil, 0
@@ -72,7 +73,7 @@
 	return by, all
 }
 
-// own changes a drawn call as its tenant's own ways say.
+// applyTenantDemand changes a drawn request by its tenant's demand.
 func (s *Source) applyTenantDemand(c *Call) {
 	own := s.demand.Tenants[c.Tenant]
 	if own.Repeats > 0 {
@@ -82,7 +83,7 @@
 		c.Work = time.Duration(own.WorkFactor * float64(c.Work))
 	}
 	if own.ScanShare > 0 && s.rng.Float64() < own.ScanShare {
-		c.Function = fmt.Sprintf("%s-once-%d", c.Class, s.count)
+		c.Function = s.functionRequestedOnce(c.Class)
 	}
 	if s.mix.OwnFunctions {
 		c.Function = c.Tenant + "-" + c.Function
--- a/lab/loadgen/source_test.go
+++ b/lab/loadgen/source_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func draw(m Mix, lasts time.Duration) (times []time.Duration, calls []Call) {
+func drawAll(m Mix, lasts time.Duration) (times []time.Duration, calls []Call) {
 	s := NewSource(m, lasts, []string{"a", "b"}, []string{"t", "u"}, []float64{0.8, 0.2}, 1)
 	for at, c, more := s.Next(); more; at, c, more = s.Next() {
 		times, calls = append(times, at), append(calls, c)
@@ -16,9 +16,9 @@
 	return times, calls
 }
 
-func TestEachShapeHasItsRate(t *testing.T) {
+func TestSource_Shape_HasItsRate(t *testing.T) {
 	for _, shape := range []Shape{Steady, Bursty, Ramp, Daily} {
-		times, _ := draw(Mix{Rate: 200, Shape: shape, Functions: 10, Patience: time.Second}, 100*time.Second)
+		times, _ := drawAll(Mix{Rate: 200, Shape: shape, Functions: 10, Patience: time.Second}, 100*time.Second)
 		if n := len(times); math.Abs(float64(n)-20000) > 1000 {
 			t.Errorf("%s: %d calls in 100 s at 200 a second", shape, n)
 		}
@@ -34,10 +34,10 @@
 	}
 }
 
-func TestTheSameSeedAsksTheSame(t *testing.T) {
+func TestSource_SameSeed_DrawsTheSame(t *testing.T) {
 	m := Mix{Rate: 100, Functions: 10, Patience: time.Second, Work: 10 * time.Millisecond, WorkSigma: 0.5, Once: 0.1}
-	a, b := draw(m, 10*time.Second)
-	c, d := draw(m, 10*time.Second)
+	a, b := drawAll(m, 10*time.Second)
+	c, d := drawAll(m, 10*time.Second)
 	for i := range a {
 		if a[i] != c[i] || b[i] != d[i] {
 			t.Fatalf("call %d differs", i)
@@ -45,8 +45,8 @@
 	}
 }
 
-// drawTroubled draws 30 s at 100 calls a second, with a change of the demand from 10 s to 20 s.
-func drawTroubled(t *testing.T, begin, end func(*Demand)) (times []time.Duration, calls []Call) {
+// drawWithDemandChange draws 30 s at 100 requests a second, with a change of the demand from 10 s to 20 s.
+func drawWithDemandChange(t *testing.T, begin, end func(*Demand)) (times []time.Duration, calls []Call) {
 	t.Helper()
 	s := NewSource(Mix{Rate: 100, Functions: 10, Patience: time.Second}, 30*time.Second, []string{"a", "b"},
 		[]string{"t", "u"}, []float64{0.8, 0.2}, 1)
@@ -63,8 +63,8 @@
 	return times, calls
 }
 
-// within counts the calls from 10 s to 20 s, and after, that match.
-func within(times []time.Duration, calls []Call, match func(Call) bool) (during, after int) {
+// countMatching counts the requests from 10 s to 20 s, and after, that match.
+func countMatching(times []time.Duration, calls []Call, match func(Call) bool) (during, after int) {
 	for i, at := range times {
 		switch {
 		case !match(calls[i]):
@@ -77,17 +77,17 @@
 	return during, after
 }
 
-func TestAFloodIsOneTenants(t *testing.T) {
-	times, calls := drawTroubled(t, func(d *Demand) { d.ChangeTenant("u", func(o *TenantDemand) { o.RateFactor = 10 }) },
+func TestChange_FloodOfOneTenant_RaisesItsRateOnly(t *testing.T) {
+	times, calls := drawWithDemandChange(t, func(d *Demand) { d.ChangeTenant("u", func(o *TenantDemand) { o.RateFactor = 10 }) },
 		func(d *Demand) { d.ChangeTenant("u", func(o *TenantDemand) { o.RateFactor = 0 }) })
-	flooded, after := within(times, calls, func(c Call) bool { return c.Tenant == "u" })
-	others, _ := within(times, calls, func(c Call) bool { return c.Tenant == "t" })
+	flooded, after := countMatching(times, calls, func(c Call) bool { return c.Tenant == "u" })
+	others, _ := countMatching(times, calls, func(c Call) bool { return c.Tenant == "t" })
 	if math.Abs(float64(flooded)-2000) > 200 || math.Abs(float64(others)-800) > 120 || math.Abs(float64(after)-200) > 60 {
 		t.Errorf("%d of the tenant that floods, %d of the other, %d after the flood", flooded, others, after)
 	}
 }
 
-func TestAFloodOfNobodyIsRefused(t *testing.T) {
+func TestChange_UnknownTenant_ReturnsError(t *testing.T) {
 	s := NewSource(Mix{Rate: 1}, time.Second, []string{"a"}, []string{"t"}, []float64{1}, 1)
 	if err := s.Change(func(d *Demand) { d.ChangeTenant("x", func(o *TenantDemand) { o.RateFactor = 2 }) }); err == nil {
 		t.Error("taken")
@@ -97,15 +97,15 @@
 	}
 }
 
-func TestHotAndScannedFunctionsAreNewOnes(t *testing.T) {
-	times, calls := drawTroubled(t, func(d *Demand) { d.HotShare, d.HotFunctions, d.HotSpell, d.ScanShare = 0.3, 2, 1, 0.2 },
+func TestChange_HotAndScan_UseNewFunctions(t *testing.T) {
+	times, calls := drawWithDemandChange(t, func(d *Demand) { d.HotShare, d.HotFunctions, d.HotSpell, d.ScanShare = 0.3, 2, 1, 0.2 },
 		func(d *Demand) { d.HotShare, d.ScanShare = 0, 0 })
 	names := map[string]int{}
-	hot, after := within(times, calls, func(c Call) bool {
+	hot, after := countMatching(times, calls, func(c Call) bool {
 		names[c.Function]++
 		return strings.Contains(c.Function, "-hot-1-")
 	})
-	once, _ := within(times, calls, func(c Call) bool { return strings.Contains(c.Function, "-once-") && names[c.Function] == 1 })
+	once, _ := countMatching(times, calls, func(c Call) bool { return strings.Contains(c.Function, "-once-") && names[c.Function] == 1 })
 	if math.Abs(float64(hot)-300) > 60 || math.Abs(float64(once)-200) > 50 || after > 1 {
 		t.Errorf("%d hot, %d wanted once, %d hot ones after it", hot, once, after)
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-func TestATenantMayRepeatWhateverItIsTold(t *testing.T) {
-	times, calls := drawTroubled(t, func(d *Demand) {
+func TestChange_TenantRepeats_RetriesAlways(t *testing.T) {
+	times, calls := drawWithDemandChange(t, func(d *Demand) {
 		d.ChangeTenant("u", func(o *TenantDemand) { o.Repeats = 3 })
 		d.TimeoutFactor, d.WorkFactor = 0.5, 2
 	},
@@ -124,25 +124,25 @@
 			d.TimeoutFactor, d.WorkFactor = 1, 1
 		})
 	abuse := func(c Call) bool { return c.RetryPolicy == Impolite && c.Retries == 3 }
-	during, after := within(times, calls, abuse)
+	during, after := countMatching(times, calls, abuse)
 	if math.Abs(float64(during)-200) > 60 || after > 1 { // the first call after the time still has the old demand
 		t.Errorf("%d calls during, %d after", during, after)
 	}
 	long := func(c Call) bool { return c.Timeout > 500*time.Millisecond }
-	if during, after := within(times, calls, long); during > 1 || after < 900 {
+	if during, after := countMatching(times, calls, long); during > 1 || after < 900 {
 		t.Errorf("%d patient clients during, %d after", during, after)
 	}
 }
 
-func TestASurgeMultipliesTheRate(t *testing.T) {
-	times, calls := drawTroubled(t, func(d *Demand) { d.RateFactor = 3 }, func(d *Demand) { d.RateFactor = 1 })
-	during, after := within(times, calls, func(Call) bool { return true })
+func TestChange_RateFactor_MultipliesRate(t *testing.T) {
+	times, calls := drawWithDemandChange(t, func(d *Demand) { d.RateFactor = 3 }, func(d *Demand) { d.RateFactor = 1 })
+	during, after := countMatching(times, calls, func(Call) bool { return true })
 	if math.Abs(float64(during)-3000) > 250 || math.Abs(float64(after)-1000) > 150 {
 		t.Errorf("%d during, %d after", during, after)
 	}
 }
 
-func TestHabits(t *testing.T) {
+func TestRetry_PolicyAndOutcome_Decide(t *testing.T) {
 	for _, x := range []struct {
 		habit   Habit
 		outcome string
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestArrivalsAreReplayed(t *testing.T) {
+func TestParseArrivals_RecordedFile_IsReplayed(t *testing.T) {
 	next, n, err := ParseArrivals("f", "# recorded\n0 a f1 t 20\n12.5 b f2 - 5\n", Mix{Patience: time.Second})
 	if err != nil || n != 2 {
 		t.Fatal(n, err)
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestOneTenantsOwnWays(t *testing.T) {
+func TestChange_TenantDemand_AffectsThatTenantOnly(t *testing.T) {
 	s := NewSource(Mix{Rate: 1000, Functions: 5, Work: 10 * time.Millisecond, OwnFunctions: true}, 10*time.Second, []string{"a"},
 		[]string{"t", "u", "v"}, []float64{1, 1, 1}, 1)
 	err := s.Change(func(d *Demand) {
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -63,64 +63,64 @@
 }
 
 // rig is the installation that is measured.
-type rig struct {
-	cfg    Config
-	ways   []*Way
-	dir    string // the directory's URL
-	closes []func()
+type benchmark struct {
+	cfg          Config
+	routes       []*Way
+	discoveryURL string // the directory's URL
+	cleanups     []func()
 }
 
 // Run measures and returns the ways: direct, proxy, gateway. tell is told how it goes.
 func Run(ctx context.Context, cfg Config, tell func(string)) ([]*Way, error) {
-	r := &rig{cfg: cfg}
+	r := &benchmark{cfg: cfg}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	for _, w := range r.ways { // copies load, connections stand, means settle
-		if _, err := r.closed(ctx, w, cfg.Lasts/4); err != nil {
+	for _, w := range r.routes { // copies load, connections stand, means settle
+		if _, err := r.measureClosedLoop(ctx, w, cfg.Lasts/4); err != nil {
 			return nil, err
 		}
 	}
 	for round := range cfg.Rounds {
 		slowest := math.Inf(1)
-		for _, w := range r.ways {
-			s, err := r.closed(ctx, w, cfg.Lasts)
+		for _, w := range r.routes {
+			s, err := r.measureClosedLoop(ctx, w, cfg.Lasts)
 			if err != nil {
 				return nil, err
 			}
 			w.Samples = append(w.Samples, s)
 			slowest = min(slowest, s.Rate)
 		}
-		for _, w := range r.ways {
+		for _, w := range r.routes {
 			s := &w.Samples[round]
-			if err := r.open(ctx, w, s, slowest/2); err != nil {
+			if err := r.measureOpenLoop(ctx, w, s, slowest/2); err != nil {
 				return nil, err
 			}
 			tell(fmt.Sprintf("round %d %-8s %8.0f/s p50 %v p99 %v p999 %v; half load p50 %v p99 %v p999 %v; errors %d", round+1,
 				w.Name, s.Rate, s.P50, s.P99, s.P999, s.Half50, s.Half99, s.Half999, s.Errors))
 		}
 	}
-	return r.ways, nil
+	return r.routes, nil
 }
 
-func (r *rig) close() {
-	for _, f := range slices.Backward(r.closes) {
+func (r *benchmark) close() {
+	for _, f := range slices.Backward(r.cleanups) {
 		f()
 	}
 }
 
-func (r *rig) later(f func()) { r.closes = append(r.closes, f) }
+func (r *benchmark) addCleanup(f func()) { r.cleanups = append(r.cleanups, f) }
 
 const settings = "keep-alive 60s\nmax-calls 100000\nqueue 100000\nclass echo\naim 1s\ngive-up 5s\nrepeat safe\nlanes 64\nend\n"
 
 // start starts workers with both faces, a directory, the proxy and the gateway.
-func (r *rig) start() error {
+func (r *benchmark) start() error {
 	dir, err := discoveryserver.Start("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	r.later(dir.Close)
+	r.addCleanup(dir.Close)
 	var faces []string
 	for i := range r.cfg.Workers {
 		w, face, err := r.worker(i)
@@ -138,8 +138,8 @@
 	if err != nil {
 		return err
 	}
-	r.dir = dir.URL()
-	r.ways = []*Way{
+	r.discoveryURL = dir.URL()
+	r.routes = []*Way{
 		{Name: "direct", Address: faces},
 		{Name: "proxy", Address: []string{proxy}},
 		{Name: "gateway", Address: []string{gate.Address()}},
@@ -148,38 +148,38 @@
 }
 
 // quiet sees nothing: a Book would grow with each call.
-type quiet struct{}
+type discardObserver struct{}
 
-func (quiet) RequestReceived(*model.Worker, *model.Request)             {}
-func (quiet) ResponseSent(*model.Worker, *model.Request, model.Outcome) {}
-func (quiet) RequestExecuted(*model.Worker, *model.Request)             {}
-func (quiet) LoadOrderReceived(*model.Worker, string, string, int)      {}
-func (quiet) WorkerCrashed(*model.Worker)                               {}
+func (discardObserver) RequestReceived(*model.Worker, *model.Request)             {}
+func (discardObserver) ResponseSent(*model.Worker, *model.Request, model.Outcome) {}
+func (discardObserver) RequestExecuted(*model.Worker, *model.Request)             {}
+func (discardObserver) LoadOrderReceived(*model.Worker, string, string, int)      {}
+func (discardObserver) WorkerCrashed(*model.Worker)                               {}
 
 // worker starts one emulated worker in a world of its own, with an HTTP face beside its socket.
-func (r *rig) worker(i int) (*worker.Server, string, error) {
+func (r *benchmark) worker(i int) (*worker.Server, string, error) {
 	world := model.NewWorld()
 	store, err := functionstore.Start(world, model.StoreConfig{Places: 8, Limit: 40}, "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
 	}
-	r.later(store.Close)
+	r.addCleanup(store.Close)
 	fetcher := functionstore.NewClient(world, store.Address())
-	r.later(fetcher.Close)
+	r.addCleanup(fetcher.Close)
 	w, err := worker.Start(world, worker.Config{Address: "127.0.0.1:0", Work: r.cfg.Work, WorkerConfig: model.WorkerConfig{
 		Name: fmt.Sprint("w", i), Cell: "c", Cores: 64, Speed: 1, MemoryMB: 1e6, Queue: 100000, MaxConcurrentLoads: 4,
 		KeepAlive: time.Hour,
-	}}, fetcher, model.NewGroup(), quiet{})
+	}}, fetcher, model.NewGroup(), discardObserver{})
 	if err != nil {
 		return nil, "", err
 	}
-	r.later(w.Close)
-	face, err := r.serve(face{world, w})
+	r.addCleanup(w.Close)
+	face, err := r.serve(httpHandler{world, w})
 	return w, face, err
 }
 
 // serve runs an HTTP server until the rig closes.
-func (r *rig) serve(h http.Handler) (string, error) {
+func (r *benchmark) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -187,17 +187,17 @@
 	s := &http.Server{Handler: h}
 	done := make(chan struct{})
 	go func() { defer close(done); _ = s.Serve(l) }()
-	r.later(func() { s.Close(); <-done })
+	r.addCleanup(func() { s.Close(); <-done })
 	return l.Addr().String(), nil
 }
 
 // face is an emulated worker's HTTP face: the same model, reached without the worker protocol.
-type face struct {
+type httpHandler struct {
 	world *model.RealClock
 	w     *worker.Server
 }
 
-func (f face) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (f httpHandler) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -222,20 +222,20 @@
 }
 
 // proxy starts the plain reverse proxy.
-func (r *rig) proxy(faces []string) (string, error) {
+func (r *benchmark) proxy(faces []string) (string, error) {
 	var next atomic.Uint64
 	var targets []*url.URL
 	for _, f := range faces {
 		targets = append(targets, &url.URL{Scheme: "http", Host: f})
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: r.cfg.Connections, MaxIdleConns: 0}
-	r.later(transport.CloseIdleConnections)
+	r.addCleanup(transport.CloseIdleConnections)
 	return r.serve(&httputil.ReverseProxy{Transport: transport, Rewrite: func(p *httputil.ProxyRequest) {
 		p.SetURL(targets[next.Add(1)%uint64(len(targets))])
 	}})
 }
 
-func (r *rig) gateway(dir, settings string) (*gateway.Service, error) {
+func (r *benchmark) gateway(dir, settings string) (*gateway.Service, error) {
 	set, err := gatewayconfig.Parse("measure", fmt.Sprintf("listen 127.0.0.1:0\ndirectory consul %s workers\nloops %d\nfront-ends %d\n%s",
 		dir, r.cfg.Loops, r.cfg.Loops, settings))
 	if err != nil {
@@ -248,31 +248,31 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _, _ = s.Run(ctx) }()
-	r.later(func() { cancel(); <-done })
+	r.addCleanup(func() { cancel(); <-done })
 	return s, nil
 }
 
 // caller is one client's connection.
-type caller struct {
-	conn net.Conn
-	in   *bufio.Reader
-	raw  []byte
+type connection struct {
+	conn    net.Conn
+	in      *bufio.Reader
+	request []byte
 }
 
-func (r *rig) caller(w *Way, i int) (*caller, error) {
+func (r *benchmark) connect(w *Way, i int) (*connection, error) {
 	address := w.Address[i%len(w.Address)]
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", w.Name, err)
 	}
 	body := worker.Body(r.cfg.Work, r.cfg.Reply)
-	return &caller{c, bufio.NewReader(c), fmt.Appendf(nil, "POST /call/echo HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s",
+	return &connection{c, bufio.NewReader(c), fmt.Appendf(nil, "POST /call/echo HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s",
 		len(body), body)}, nil
 }
 
 // call makes one call and says whether it was served.
-func (c *caller) call() (bool, error) {
-	if _, err := c.conn.Write(c.raw); err != nil {
+func (c *connection) roundTrip() (bool, error) {
+	if _, err := c.conn.Write(c.request); err != nil {
 		return false, err
 	}
 	r, err := http.ReadResponse(c.in, nil)
@@ -284,15 +284,15 @@
 }
 
 // tally gathers latencies of many callers.
-type tally struct {
+type latencies struct {
 	mu     sync.Mutex
 	hist   *hdrhistogram.Histogram
 	errors int
 }
 
-func newTally() *tally { return &tally{hist: hdrhistogram.New(1, int64(time.Minute), 3)} }
+func newLatencies() *latencies { return &latencies{hist: hdrhistogram.New(1, int64(time.Minute), 3)} }
 
-func (t *tally) add(d time.Duration, ok bool) {
+func (t *latencies) add(d time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !ok {
@@ -302,17 +302,17 @@
 	_ = t.hist.RecordValue(int64(d)) // within the bounds: no call lasts a minute
 }
 
-func (t *tally) at(q float64) time.Duration {
+func (t *latencies) quantile(q float64) time.Duration {
 	return time.Duration(t.hist.ValueAtQuantile(q)).Round(time.Microsecond)
 }
 
 // each runs f on every connection at once and returns the first error.
-func (r *rig) each(w *Way, f func(i int, c *caller) error) error {
+func (r *benchmark) forEachConnection(w *Way, f func(i int, c *connection) error) error {
 	var tasks sync.WaitGroup
 	errs := make(chan error, r.cfg.Connections)
 	for i := range r.cfg.Connections {
 		tasks.Go(func() {
-			c, err := r.caller(w, i)
+			c, err := r.connect(w, i)
 			if err == nil {
 				err = f(i, c)
 				c.conn.Close()
@@ -328,13 +328,13 @@
 }
 
 // closed measures with clients that each wait for an answer before the next call: the most that goes through.
-func (r *rig) closed(ctx context.Context, w *Way, lasts time.Duration) (Sample, error) {
-	t := newTally()
+func (r *benchmark) measureClosedLoop(ctx context.Context, w *Way, lasts time.Duration) (Sample, error) {
+	t := newLatencies()
 	began, cpu := time.Now(), cpuTime()
-	err := r.each(w, func(_ int, c *caller) error {
+	err := r.forEachConnection(w, func(_ int, c *connection) error {
 		for time.Since(began) < lasts && ctx.Err() == nil {
 			at := time.Now()
-			ok, err := c.call()
+			ok, err := c.roundTrip()
 			if err != nil {
 				return err
 			}
@@ -343,22 +343,22 @@
 		return nil
 	})
 	took, n := time.Since(began), float64(t.hist.TotalCount())
-	s := Sample{Rate: n / took.Seconds(), P50: t.at(50), P99: t.at(99), P999: t.at(99.9), Errors: t.errors}
+	s := Sample{Rate: n / took.Seconds(), P50: t.quantile(50), P99: t.quantile(99), P999: t.quantile(99.9), Errors: t.errors}
 	s.CPUPerCallMicros = float64((cpuTime() - cpu).Microseconds()) / max(1, n+float64(t.errors))
 	return s, err
 }
 
 // open measures at a fixed rate: each connection has its times to call, and a call that starts late because the
 // one before it was slow is counted from its time (so that a slow way is not spared: coordinated omission).
-func (r *rig) open(ctx context.Context, w *Way, s *Sample, rate float64) error {
-	t := newTally()
+func (r *benchmark) measureOpenLoop(ctx context.Context, w *Way, s *Sample, rate float64) error {
+	t := newLatencies()
 	gap := time.Duration(float64(time.Second) * float64(r.cfg.Connections) / rate)
 	began := time.Now()
-	err := r.each(w, func(i int, c *caller) error {
+	err := r.forEachConnection(w, func(i int, c *connection) error {
 		due := began.Add(gap * time.Duration(i) / time.Duration(r.cfg.Connections))
 		for ; due.Sub(began) < r.cfg.Lasts && ctx.Err() == nil; due = due.Add(gap) {
 			time.Sleep(time.Until(due))
-			ok, err := c.call()
+			ok, err := c.roundTrip()
 			if err != nil {
 				return err
 			}
@@ -366,7 +366,7 @@
 		}
 		return nil
 	})
-	s.Half50, s.Half99, s.Half999 = t.at(50), t.at(99), t.at(99.9)
+	s.Half50, s.Half99, s.Half999 = t.quantile(50), t.quantile(99), t.quantile(99.9)
 	s.Errors += t.errors
 	return err
 }
@@ -384,26 +384,26 @@
 // Refusal measures the processor time of a call that is served and of one that is refused at the door of a loop
 // that is behind, in microseconds of the whole process, clients and workers included, in turn for each round.
 func Refusal(ctx context.Context, cfg Config, tell func(served, refused float64)) error {
-	r := &rig{cfg: cfg}
+	r := &benchmark{cfg: cfg}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return err
 	}
-	s, err := r.gateway(r.dir, strings.Replace(settings, "queue 100000", "queue 1", 1))
+	s, err := r.gateway(r.discoveryURL, strings.Replace(settings, "queue 100000", "queue 1", 1))
 	if err != nil {
 		return err
 	}
 	behind := &Way{Name: "refused", Address: []string{s.Address()}}
-	if _, err := r.closed(ctx, r.ways[2], cfg.Lasts/4); err != nil {
+	if _, err := r.measureClosedLoop(ctx, r.routes[2], cfg.Lasts/4); err != nil {
 		return err
 	}
 	for range cfg.Rounds {
-		served, err := r.closed(ctx, r.ways[2], cfg.Lasts)
+		served, err := r.measureClosedLoop(ctx, r.routes[2], cfg.Lasts)
 		if err != nil {
 			return err
 		}
 		s.Stall(cfg.Lasts + time.Second) // one call waits in the queue, the others are refused
-		refused, err := r.closed(ctx, behind, cfg.Lasts)
+		refused, err := r.measureClosedLoop(ctx, behind, cfg.Lasts)
 		if err != nil {
 			return err
 		}
@@ -415,13 +415,13 @@
 
 // Idle measures the memory of n idle connections to the gateway, both ends of each, in bytes a connection.
 func Idle(ctx context.Context, cfg Config, n int) (heap, stack float64, err error) {
-	r := &rig{cfg: cfg}
+	r := &benchmark{cfg: cfg}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return 0, 0, err
 	}
-	gate := r.ways[2]
-	if _, err := r.closed(ctx, gate, 100*time.Millisecond); err != nil {
+	gate := r.routes[2]
+	if _, err := r.measureClosedLoop(ctx, gate, 100*time.Millisecond); err != nil {
 		return 0, 0, err
 	}
 	before := memory()
@@ -432,12 +432,12 @@
 		}
 	}()
 	for range n {
-		c, err := r.caller(gate, 0)
+		c, err := r.connect(gate, 0)
 		if err != nil {
 			return 0, 0, err
 		}
 		conns = append(conns, c.conn)
-		if _, err := c.call(); err != nil { // it has had a call, and idles
+		if _, err := c.roundTrip(); err != nil { // it has had a call, and idles
 			return 0, 0, err
 		}
 	}
--- a/lab/platformdiscovery/bulletin.go
+++ b/lab/platformdiscovery/bulletin.go
@@ -11,12 +11,12 @@
 
 // Server tells its events to each front end that connects, from the number on that it asks for.
 type Server struct {
-	listener net.Listener
-	mu       sync.Mutex
-	events   []endpointstream.Event
-	conns    map[net.Conn]bool
-	asked    chan uint64
-	tasks    sync.WaitGroup
+	listener    net.Listener
+	mu          sync.Mutex
+	events      []endpointstream.Event
+	connections map[net.Conn]bool
+	resumed     chan uint64
+	tasks       sync.WaitGroup
 }
 
 // Start starts one on loopback.
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("bulletin: %w", err)
 	}
-	s := &Server{listener: l, conns: map[net.Conn]bool{}, asked: make(chan uint64, 64)}
+	s := &Server{listener: l, connections: map[net.Conn]bool{}, resumed: make(chan uint64, 64)}
 	s.tasks.Go(s.accept)
 	return s, nil
 }
@@ -34,7 +34,7 @@
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Asked tells, for each connection, the number of the last event that the front end has.
-func (s *Server) Asked() <-chan uint64 { return s.asked }
+func (s *Server) Asked() <-chan uint64 { return s.resumed }
 
 func (s *Server) accept() {
 	for {
@@ -54,13 +54,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conns[c] = true
+	s.connections[c] = true
 	for _, e := range s.events {
 		if e.Number > last {
 			write(c, endpointstream.Append(nil, e))
 		}
 	}
-	s.asked <- last
+	s.resumed <- last
 }
 
 // write writes; a connection that broke is seen by its other side.
@@ -78,7 +78,7 @@
 func (s *Server) Raw(raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
+	for c := range s.connections {
 		write(c, raw)
 	}
 }
@@ -87,9 +87,9 @@
 func (s *Server) Break() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
+	for c := range s.connections {
 		c.Close()
-		delete(s.conns, c)
+		delete(s.connections, c)
 	}
 }
 
--- a/lab/platformworker/executor.go
+++ b/lab/platformworker/executor.go
@@ -41,12 +41,12 @@
 
 // Server is one stand-in.
 type Server struct {
-	listener net.Listener
-	script   Script
-	mu       sync.Mutex
-	conns    map[*Conn]bool
-	made     int
-	tasks    sync.WaitGroup
+	listener        net.Listener
+	script          Script
+	mu              sync.Mutex
+	connections     map[*Conn]bool
+	connectionCount int
+	tasks           sync.WaitGroup
 }
 
 // Start starts one on loopback.
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("executor: %w", err)
 	}
-	s := &Server{listener: l, script: script, conns: map[*Conn]bool{}}
+	s := &Server{listener: l, script: script, connections: map[*Conn]bool{}}
 	s.tasks.Go(s.accept)
 	return s, nil
 }
@@ -67,7 +67,7 @@
 func (s *Server) Made() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.made
+	return s.connectionCount
 }
 
 func (s *Server) accept() {
@@ -77,9 +77,9 @@
 			return // closed
 		}
 		s.mu.Lock()
-		s.made++
-		c := &Conn{nc, s.made}
-		s.conns[c] = true
+		s.connectionCount++
+		c := &Conn{nc, s.connectionCount}
+		s.connections[c] = true
 		s.mu.Unlock()
 		s.tasks.Go(func() { s.serve(c) })
 	}
@@ -101,7 +101,7 @@
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
-	for c := range s.conns {
+	for c := range s.connections {
 		c.Reset()
 	}
 	s.mu.Unlock()
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -29,7 +29,7 @@
 }
 
 // broken lists the runs that count for nothing.
-func (r Report) broken() (list []string) {
+func (r Report) invalidRuns() (list []string) {
 	for i := range r.Cells {
 		if c := &r.Cells[i]; c.InvalidReason() != "" {
 			list = append(list, fmt.Sprintf("%s on %s, seed %d %s", c.Variant, c.Scenario, c.Seed, c.InvalidReason()))
@@ -52,7 +52,7 @@
 func (r Report) Text(out io.Writer) {
 	fmt.Fprintf(out, "%s: %d days, %d seeds, %d variants; all emulated, in virtual time\n\n", r.Spec.Title, len(r.Spec.Scenarios),
 		r.Spec.Seeds, len(r.Spec.Variants))
-	if list := r.broken(); len(list) > 0 {
+	if list := r.invalidRuns(); len(list) > 0 {
 		fmt.Fprintf(out, "%d runs count for nothing:\n", len(list))
 		for _, line := range list[:min(len(list), 20)] {
 			fmt.Fprintf(out, "  %s\n", line)
@@ -62,10 +62,10 @@
 		}
 		fmt.Fprintln(out)
 	}
-	r.table(out, "all days", r.Spec.Compare(r.Cells))
+	r.writeTable(out, "all days", r.Spec.Compare(r.Cells))
 	for _, d := range r.Spec.Scenarios {
-		r.table(out, "day "+d.Name, r.Spec.CompareScenario(r.Cells, d.Name))
-		r.tenants(out, d)
+		r.writeTable(out, "day "+d.Name, r.Spec.CompareScenario(r.Cells, d.Name))
+		r.writeTenants(out, d)
 	}
 	fmt.Fprintln(out, "totals by the auditor")
 	for _, v := range r.Spec.Variants {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (r Report) table(out io.Writer, title string, list []experiment.Comparison) {
+func (r Report) writeTable(out io.Writer, title string, list []experiment.Comparison) {
 	top := 0.0
 	for _, c := range list {
 		top = max(top, c.Mean)
@@ -87,7 +87,7 @@
 }
 
 // tenants writes the service of each tenant that a day's troubles name, and of the others together.
-func (r Report) tenants(out io.Writer, d experiment.Scenario) {
+func (r Report) writeTenants(out io.Writer, d experiment.Scenario) {
 	var named []string
 	for _, t := range d.Faults {
 		if t.Tenant != "" && !slices.Contains(named, t.Tenant) {
@@ -99,7 +99,7 @@
 	}
 	for _, v := range r.Spec.Variants {
 		fmt.Fprintf(out, "  %-14s", v.Name)
-		parts := r.byTenant(v.Name, d.Name, named)
+		parts := r.serviceByTenant(v.Name, d.Name, named)
 		for _, name := range append(named, "others") {
 			p := parts[name]
 			fmt.Fprintf(out, "  %s %.3f of %.0f", name, p.Share(), p.Offered)
@@ -110,7 +110,7 @@
 }
 
 // byTenant adds what tenants asked and got on a day, over all seeds, those not named as "others".
-func (r Report) byTenant(variant, day string, named []string) map[string]invariant.ServiceLevel {
+func (r Report) serviceByTenant(variant, day string, named []string) map[string]invariant.ServiceLevel {
 	parts := map[string]invariant.ServiceLevel{}
 	for i := range r.Cells {
 		c := &r.Cells[i]
@@ -151,13 +151,13 @@
 
 // HTML writes the report as one file.
 func (r Report) HTML(out io.Writer) error {
-	page := htmlPage{Title: r.Spec.Title, Broken: r.broken(), Seeds: r.Spec.Seeds}
+	page := htmlPage{Title: r.Spec.Title, Broken: r.invalidRuns(), Seeds: r.Spec.Seeds}
 	page.Tables = append(page.Tables, htmlTable{"all days", r.Spec.Compare(r.Cells)})
 	for _, v := range r.Spec.Variants {
 		page.Totals = append(page.Totals, fmt.Sprintf("%s: %v", v.Name, r.Total(v.Name)))
 	}
 	for _, d := range r.Spec.Scenarios {
-		day, err := r.day(d.Name)
+		day, err := r.scenarioPage(d.Name)
 		if err != nil {
 			return fmt.Errorf("day %s: %w", d.Name, err)
 		}
@@ -167,7 +167,7 @@
 }
 
 // first is a variant's run of a day with the first seed.
-func (r Report) first(variant, day string) *experiment.Cell {
+func (r Report) firstRun(variant, day string) *experiment.Cell {
 	for i := range r.Cells {
 		if c := &r.Cells[i]; c.Variant == variant && c.Scenario == day {
 			return c
@@ -176,12 +176,12 @@
 	return nil
 }
 
-func (r Report) day(name string) (htmlDay, error) {
+func (r Report) scenarioPage(name string) (htmlDay, error) {
 	d := htmlDay{Name: name, Table: htmlTable{"day " + name, r.Spec.CompareScenario(r.Cells, name)}}
 	var first *experiment.Cell
 	curves := map[string][]curve{}
 	for _, v := range r.Spec.Variants {
-		c := r.first(v.Name, name)
+		c := r.firstRun(v.Name, name)
 		if c == nil {
 			continue
 		}
@@ -198,7 +198,7 @@
 		return d, nil
 	}
 	for _, name := range append([]string{"service, by the second of the first try"}, seriesNames()...) {
-		svg, err := draws(name, curves[name])
+		svg, err := plotSVG(name, curves[name])
 		if err != nil {
 			return d, err
 		}
@@ -209,26 +209,26 @@
 		kind  string
 		table map[string]*invariant.Timeline
 	}{{"class", score.ByClass}, {"tenant", score.ByTenant}} {
-		svg, err := draws(fmt.Sprintf("service of %s, by %s", first.Variant, by.kind), courses(by.table))
+		svg, err := plotSVG(fmt.Sprintf("service of %s, by %s", first.Variant, by.kind), timelineCurves(by.table))
 		if err != nil {
 			return d, err
 		}
 		d.Plots = append(d.Plots, template.HTML(svg))
 	}
-	d.Parts = append(parts("class", score.ByClass), parts("tenant", score.ByTenant)...)
+	d.Parts = append(serviceParts("class", score.ByClass), serviceParts("tenant", score.ByTenant)...)
 	d.Told, d.Of = first.Result.Log, first.Variant
 	return d, nil
 }
 
 // courses are the parts of a score over time.
-func courses(table map[string]*invariant.Timeline) (list []curve) {
+func timelineCurves(table map[string]*invariant.Timeline) (list []curve) {
 	for _, name := range slices.Sorted(maps.Keys(table)) {
 		list = append(list, curve{name, service(table[name].Seconds)})
 	}
 	return list
 }
 
-func parts(kind string, table map[string]*invariant.Timeline) (list []htmlPart) {
+func serviceParts(kind string, table map[string]*invariant.Timeline) (list []htmlPart) {
 	for name, p := range table {
 		list = append(list, htmlPart{kind, name, p.Offered, p.Earned, p.Share()})
 	}
@@ -306,7 +306,7 @@
 }
 
 // draws draws curves over the seconds as SVG.
-func draws(title string, curves []curve) (string, error) {
+func plotSVG(title string, curves []curve) (string, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = title, "seconds"
 	p.Y.Min = 0
@@ -338,11 +338,11 @@
 func (r Report) Plot(out io.Writer, day string) error {
 	var curves []curve
 	for _, v := range r.Spec.Variants {
-		if c := r.first(v.Name, day); c != nil {
+		if c := r.firstRun(v.Name, day); c != nil {
 			curves = append(curves, curve{v.Name, service(c.Result.Score.Seconds)})
 		}
 	}
-	svg, err := draws("service on day "+day+", first seed", curves)
+	svg, err := plotSVG("service on day "+day+", first seed", curves)
 	if err != nil {
 		return err
 	}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -14,7 +14,7 @@
 	"havencart/lab/invariant"
 )
 
-func made(t *testing.T) Report {
+func testReport(t *testing.T) Report {
 	t.Helper()
 	spec, err := experiment.Parse("spec", "title \"a <test>\"\nseeds 2\nvariant module\nend\nvariant random\npolicy random\nend\n"+
 		"day crash\nlasts 4s\nrate 60\nat 1s crash 30% for 1s\nend\n")
@@ -29,8 +29,8 @@
 }
 
 // TestTotalsAreTheAuditorsOwn holds text and page to the tallies of the runs, added up here once more.
-func TestTotalsAreTheAuditorsOwn(t *testing.T) {
-	r := made(t)
+func TestReport_Totals_AreTheCheckersOwn(t *testing.T) {
+	r := testReport(t)
 	var text, page bytes.Buffer
 	r.Text(&text)
 	if err := r.HTML(&page); err != nil {
@@ -53,9 +53,9 @@
 	}
 }
 
-func TestThePageNeedsNothingBesideIt(t *testing.T) {
+func TestHTML_Page_NeedsNoOtherFiles(t *testing.T) {
 	var page bytes.Buffer
-	if err := made(t).HTML(&page); err != nil {
+	if err := testReport(t).HTML(&page); err != nil {
 		t.Fatal(err)
 	}
 	text := page.String()
@@ -70,8 +70,8 @@
 }
 
 // TestThePartsAddUpToTheWhole: by class, by tenant and by second.
-func TestThePartsAddUpToTheWhole(t *testing.T) {
-	for _, c := range made(t).Cells {
+func TestScore_Parts_AddUpToTheWhole(t *testing.T) {
+	for _, c := range testReport(t).Cells {
 		s := c.Result.Score
 		for _, table := range []map[string]*invariant.Timeline{s.ByClass, s.ByTenant} {
 			var all invariant.Timeline
@@ -92,8 +92,8 @@
 	}
 }
 
-func TestBrokenRulesLeadTheReport(t *testing.T) {
-	r := made(t)
+func TestText_Violations_ComeFirst(t *testing.T) {
+	r := testReport(t)
 	r.Cells[0].Result.Violations = []invariant.Violation{{Rule: "twice", What: "an effect"}}
 	var text bytes.Buffer
 	r.Text(&text)
@@ -104,8 +104,8 @@
 }
 
 // TestARunThatLostCallsIsTold: it counts for nothing, so the report must say so.
-func TestARunThatLostCallsIsTold(t *testing.T) {
-	r := made(t)
+func TestText_RunThatLostRequests_IsReported(t *testing.T) {
+	r := testReport(t)
 	r.Cells[0].Result.Tally.Sent++
 	var text bytes.Buffer
 	r.Text(&text)
--- a/lab/reportimport/transcript.go
+++ b/lab/reportimport/transcript.go
@@ -23,17 +23,17 @@
 	FrontEnds, Workers int
 	Lasts              time.Duration
 	Requests           int
-	Tries              float64 // tries a request, at most
-	Troubles           []scenario.Fault
+	MaxAttempts        float64 // tries a request, at most
+	Faults             []scenario.Fault
 	Notes              map[int]string // what was assumed, by the Line of a trouble
-	Unread             []string       // lines of the day's course that were not understood
+	Unparsed           []string       // lines of the day's course that were not understood
 }
 
 // What a report does not tell.
 const (
-	frontEnds = 3               // of a report that does not tell them
-	cores     = 4               // of a worker
-	downFor   = 3 * time.Second // how long a front end is gone
+	defaultFrontEnds = 3               // of a report that does not tell them
+	workerCores      = 4               // of a worker
+	frontEndDownTime = 3 * time.Second // how long a front end is gone
 )
 
 // Rate is the mean rate of requests, in calls a second.
@@ -42,10 +42,10 @@
 // Mix is a load like the day's. Calls do the work that fills used of the workers' cores; a report does not tell it.
 func (d *Day) Mix(base loadgen.Mix, used float64) loadgen.Mix {
 	base.Rate = d.Rate()
-	base.Work = time.Duration(used * cores * float64(d.Workers) / base.Rate * float64(time.Second)).Round(time.Millisecond)
+	base.Work = time.Duration(used * workerCores * float64(d.Workers) / base.Rate * float64(time.Second)).Round(time.Millisecond)
 	base.Habit, base.Retries = loadgen.Never, 0
-	if d.Tries > 1.02 {
-		base.Habit, base.Retries = loadgen.Wait, int(math.Ceil(d.Tries-1))
+	if d.MaxAttempts > 1.02 {
+		base.Habit, base.Retries = loadgen.Wait, int(math.Ceil(d.MaxAttempts-1))
 	}
 	return base
 }
@@ -54,15 +54,15 @@
 func (d *Day) Script() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "# Transcribed from a report: %d front ends, %d workers, %d requests in %v, at most %.2f tries a request.\n",
-		d.FrontEnds, d.Workers, d.Requests, d.Lasts, d.Tries)
-	for _, t := range d.Troubles {
+		d.FrontEnds, d.Workers, d.Requests, d.Lasts, d.MaxAttempts)
+	for _, t := range d.Faults {
 		line := scenario.Format(t)
 		if note := d.Notes[t.Line]; note != "" {
 			line += "  # " + note
 		}
 		out.WriteString(line + "\n")
 	}
-	for _, line := range d.Unread {
+	for _, line := range d.Unparsed {
 		out.WriteString("# not transcribed: " + line + "\n")
 	}
 	return out.String()
@@ -70,9 +70,9 @@
 
 // Parse reads a report: the notes from on-call, or the report of one run.
 func Parse(text string) (*Day, error) {
-	r := &reader{day: &Day{Notes: map[int]string{}}}
+	r := &parser{day: &Day{Notes: map[int]string{}}}
 	for _, line := range strings.Split(text, "\n") {
-		r.line(line)
+		r.parseLine(line)
 	}
 	if err := r.finish(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrReport, err)
@@ -92,16 +92,16 @@
 	text string
 }
 
-type reader struct {
-	day     *Day
-	windows []window
-	events  []event
-	servers int // the most seen at a time
-	lines   int // troubles written so far
+type parser struct {
+	day        *Day
+	windows    []window
+	events     []event
+	servers    int // the most seen at a time
+	faultCount int // troubles written so far
 }
 
 // line takes one line of the report. Lines that are no part of the day's course are passed over.
-func (r *reader) line(line string) {
+func (r *parser) parseLine(line string) {
 	d := r.day
 	var front, workers, requests, minutes, seconds int
 	if n, _ := fmt.Sscanf(strings.TrimSpace(line), "%d balancers, %d servers, %d requests in %d:%d", &front, &workers, &requests,
@@ -114,7 +114,7 @@
 		r.events = append(r.events, e)
 		return
 	}
-	r.window(line)
+	r.parseWindow(line)
 }
 
 // parseEvent reads "- 0:06 text" and "7.49 s  text". The module's own lines, "[1] worker ...", are none.
@@ -144,7 +144,7 @@
 }
 
 // window reads a line of either table of windows.
-func (r *reader) window(line string) {
+func (r *parser) parseWindow(line string) {
 	f := strings.Fields(strings.NewReplacer(" ms ", "ms ", " s ", "s ").Replace(line))
 	var at time.Duration
 	var requests, tries, servers string
@@ -171,27 +171,27 @@
 		return
 	}
 	r.windows = append(r.windows, window{at, n})
-	r.day.Tries, r.servers = max(r.day.Tries, x), max(r.servers, w)
+	r.day.MaxAttempts, r.servers = max(r.day.MaxAttempts, x), max(r.servers, w)
 }
 
 // add adds a trouble, with what was assumed of it.
-func (r *reader) add(t scenario.Fault, assumed string) {
-	r.lines++
-	t.Line = r.lines
-	r.day.Troubles = append(r.day.Troubles, t)
+func (r *parser) addFault(t scenario.Fault, assumed string) {
+	r.faultCount++
+	t.Line = r.faultCount
+	r.day.Faults = append(r.day.Faults, t)
 	if assumed != "" {
 		r.day.Notes[t.Line] = assumed
 	}
 }
 
 // finish makes the day of what was read.
-func (r *reader) finish() error {
+func (r *parser) finish() error {
 	d := r.day
 	if len(r.windows) == 0 {
 		return errors.New("no table of windows was found; allowed: what the bench prints for a run, a replay or an incident")
 	}
 	if d.Workers == 0 {
-		d.Workers, d.FrontEnds = r.servers, frontEnds
+		d.Workers, d.FrontEnds = r.servers, defaultFrontEnds
 	}
 	if d.Requests == 0 {
 		for _, w := range r.windows {
@@ -206,13 +206,13 @@
 		return errors.New("it tells of no workers or no requests")
 	}
 	r.surges()
-	r.course()
-	scenario.SortByTime(d.Troubles)
+	r.parseEvents()
+	scenario.SortByTime(d.Faults)
 	return nil
 }
 
 // step is the length of a window.
-func (r *reader) step() time.Duration {
+func (r *parser) step() time.Duration {
 	if len(r.windows) < 2 {
 		return 5 * time.Second
 	}
@@ -220,7 +220,7 @@
 }
 
 // surges makes the windows' rates from the mean one.
-func (r *reader) surges() {
+func (r *parser) surges() {
 	for i, w := range r.windows {
 		end := r.day.Lasts
 		if i+1 < len(r.windows) {
@@ -232,7 +232,7 @@
 		factor := float64(w.requests) / (end - w.from).Seconds() / r.day.Rate()
 		factor = math.Round(100*max(factor, 0.01)) / 100
 		if math.Abs(factor-1) > 0.02 && factor <= 1000 {
-			r.add(scenario.Fault{At: w.from, Kind: "surge", Factor: factor, Duration: end - w.from}, "")
+			r.addFault(scenario.Fault{At: w.from, Kind: "surge", Factor: factor, Duration: end - w.from}, "")
 		}
 	}
 }
--- a/lab/reportimport/transcript_test.go
+++ b/lab/reportimport/transcript_test.go
@@ -12,7 +12,7 @@
 )
 
 // onCall is a report of our own in the form of notes from on-call.
-const onCall = `x1    recorded day    2x10  0.500  0.50  -  0.1  -  0.9  notes
+const onCallNotes = `x1    recorded day    2x10  0.500  0.50  -  0.1  -  0.9  notes
 
 Notes from on-call
 
@@ -50,9 +50,9 @@
 	return d
 }
 
-func TestNotesFromOnCallBecomeAScript(t *testing.T) {
-	d := parse(t, onCall)
-	if d.FrontEnds != 2 || d.Workers != 10 || d.Lasts != 20*time.Second || d.Requests != 3000 || d.Tries != 2.4 {
+func TestParse_OnCallNotes_BecomeScenario(t *testing.T) {
+	d := parse(t, onCallNotes)
+	if d.FrontEnds != 2 || d.Workers != 10 || d.Lasts != 20*time.Second || d.Requests != 3000 || d.MaxAttempts != 2.4 {
 		t.Errorf("%+v", d)
 	}
 	want := `# Transcribed from a report: 2 front ends, 10 workers, 3000 requests in 20s, at most 2.40 tries a request.
@@ -69,13 +69,13 @@
 		t.Errorf("got:\n%s\nwant:\n%s", got, want)
 	}
 	again, err := scenario.Parse("again", d.Script())
-	if err != nil || len(again) != len(d.Troubles) {
-		t.Errorf("%d of %d troubles are read again: %v", len(again), len(d.Troubles), err)
+	if err != nil || len(again) != len(d.Faults) {
+		t.Errorf("%d of %d troubles are read again: %v", len(again), len(d.Faults), err)
 	}
 }
 
 // oneRun is a report of our own in the form of one run.
-const oneRun = `site x  family warm  requests 1000
+const runReport = `site x  family warm  requests 1000
   from offered in-time%  late% refused%  fail%  t/o%    p50     p99 tries/r  att/r  err full  t/o conn reset spread used worth%
      0     500     94.4    2.5      3.1    0.0   0.0   81.1  1163.0    1.00   0.98    1    0    0    0     0   3.35   20   90.3
      5     500     90.1    2.6      7.2    0.0   0.1   79.7  1238.6    1.00   0.95    2    0    1    0     0   3.06   20   86.3
@@ -89,21 +89,21 @@
    7.340 s  [1] worker a suspect
 `
 
-func TestTheReportOfARunBecomesAScript(t *testing.T) {
+func TestParse_RunReport_BecomesScenario(t *testing.T) {
 	want := `# Transcribed from a report: 3 front ends, 20 workers, 1000 requests in 10s, at most 1.00 tries a request.
 at 2s crash 25% for 2.5s
 at 3.25s fail 10% rate 0.6 for 6.75s  # rate assumed
 at 5s re-release 60%  # share assumed
 at 6s store-slow factor 4 for 4s  # factor assumed
 `
-	if got := parse(t, oneRun).Script(); got != want {
+	if got := parse(t, runReport).Script(); got != want {
 		t.Errorf("got:\n%s\nwant:\n%s", got, want)
 	}
 }
 
-func TestTheLoadFillsThePartOfTheCoresThatIsAssumed(t *testing.T) {
-	m := parse(t, onCall).Mix(loadgen.Mix{Functions: 7}, 0.5)
-	if used := m.Rate * m.Work.Seconds() / (10 * cores); math.Abs(used-0.5) > 0.01 || m.Rate != 150 || m.Functions != 7 {
+func TestMix_AssumedUtilization_FillsCores(t *testing.T) {
+	m := parse(t, onCallNotes).Mix(loadgen.Mix{Functions: 7}, 0.5)
+	if used := m.Rate * m.Work.Seconds() / (10 * workerCores); math.Abs(used-0.5) > 0.01 || m.Rate != 150 || m.Functions != 7 {
 		t.Errorf("uses %.3f: %+v", used, m)
 	}
 	if m.Habit != loadgen.Wait || m.Retries != 2 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestWhatIsNoReportIsRefused(t *testing.T) {
+func TestParse_OtherText_ReturnsError(t *testing.T) {
 	for _, text := range []string{"", "hello\nworld\n", "2 balancers, 3 servers, 4 requests in 0:10."} {
 		if _, err := Parse(text); !errors.Is(err, ErrReport) {
 			t.Errorf("%q: %v", text, err)
@@ -121,9 +121,9 @@
 
 // FuzzParse holds that whatever is read becomes a script that can be read.
 func FuzzParse(f *testing.F) {
-	f.Add(onCall)
-	f.Add(oneRun)
-	f.Add(strings.ReplaceAll(onCall, "2 draining", "999999999 draining"))
+	f.Add(onCallNotes)
+	f.Add(runReport)
+	f.Add(strings.ReplaceAll(onCallNotes, "2 draining", "999999999 draining"))
 	f.Fuzz(func(t *testing.T, text string) {
 		d, err := Parse(text)
 		if err != nil {
