--- /dev/null
+++ b/lab/measure/benchmark.go
@@ -0,0 +1,220 @@
+package measure
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httputil"
+	"net/url"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"havencart/internal/config/gatewayconfig"
+	"havencart/internal/gateway"
+	"havencart/lab/discoveryserver"
+	"havencart/lab/functionstore"
+	"havencart/lab/model"
+	"havencart/lab/worker"
+	"havencart/scheduler"
+)
+
+const (
+	loopback           = "127.0.0.1:0" // any free port
+	cell               = "c"
+	function           = "echo"
+	replicaConcurrency = 64
+	replicaMemoryMB    = 100
+	replicaLoadTime    = time.Millisecond
+	requestTimeout     = time.Minute
+)
+
+// benchmark is the installation that is measured.
+type benchmark struct {
+	cfg          Config
+	routes       []*Way // direct, proxy, gateway
+	discoveryURL string
+	cleanups     []func() // called in reverse order
+}
+
+func (b *benchmark) gatewayRoute() *Way { return b.routes[2] }
+
+func (b *benchmark) close() {
+	for _, f := range slices.Backward(b.cleanups) {
+		f()
+	}
+}
+
+func (b *benchmark) addCleanup(f func()) { b.cleanups = append(b.cleanups, f) }
+
+// start starts workers with a socket and an HTTP handler each, discovery, the proxy and the gateway.
+func (b *benchmark) start() error {
+	discovery, err := discoveryserver.Start(loopback)
+	if err != nil {
+		return err
+	}
+	b.addCleanup(discovery.Close)
+	b.discoveryURL = discovery.URL()
+	var direct []string
+	for i := range b.cfg.Workers {
+		w, address, err := b.worker(i)
+		if err != nil {
+			return err
+		}
+		direct = append(direct, address)
+		discovery.Set(discoveryserver.Entry{Name: w.Name(), Address: w.Address(), Cell: cell, State: scheduler.Ready})
+	}
+	proxy, err := b.proxy(direct)
+	if err != nil {
+		return err
+	}
+	gate, err := b.gateway(b.discoveryURL, settings)
+	if err != nil {
+		return err
+	}
+	b.routes = []*Way{
+		{Name: "direct", Address: direct},
+		{Name: "proxy", Address: []string{proxy}},
+		{Name: "gateway", Address: []string{gate.Address()}},
+	}
+	return nil
+}
+
+// discardObserver records nothing: a history would grow with each request.
+type discardObserver struct{}
+
+func (discardObserver) RequestReceived(*model.Worker, *model.Request)             {}
+func (discardObserver) ResponseSent(*model.Worker, *model.Request, model.Outcome) {}
+func (discardObserver) RequestExecuted(*model.Worker, *model.Request)             {}
+func (discardObserver) LoadOrderReceived(*model.Worker, string, string, int)      {}
+func (discardObserver) WorkerCrashed(*model.Worker)                               {}
+
+// worker starts one emulated worker on a clock of its own, and returns it with the address of its HTTP handler.
+func (b *benchmark) worker(i int) (*worker.Server, string, error) {
+	clock := model.NewWorld()
+	store, err := functionstore.Start(clock, model.StoreConfig{Places: 8, Limit: 40}, loopback)
+	if err != nil {
+		return nil, "", err
+	}
+	b.addCleanup(store.Close)
+	fetcher := functionstore.NewClient(clock, store.Address())
+	b.addCleanup(fetcher.Close)
+	cfg := worker.Config{
+		Address: loopback,
+		Work:    b.cfg.Work,
+		WorkerConfig: model.WorkerConfig{
+			Name:               fmt.Sprint("w", i),
+			Cell:               cell,
+			Cores:              64,
+			Speed:              1,
+			MemoryMB:           1e6,
+			Queue:              100000,
+			MaxConcurrentLoads: 4,
+			KeepAlive:          time.Hour,
+		},
+	}
+	w, err := worker.Start(clock, cfg, fetcher, model.NewGroup(), discardObserver{})
+	if err != nil {
+		return nil, "", err
+	}
+	b.addCleanup(w.Close)
+	address, err := b.serve(httpHandler{clock, w})
+	return w, address, err
+}
+
+// serve runs an HTTP server until the benchmark closes, and returns its address.
+func (b *benchmark) serve(h http.Handler) (string, error) {
+	l, err := net.Listen("tcp", loopback)
+	if err != nil {
+		return "", err
+	}
+	s := &http.Server{Handler: h}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = s.Serve(l) // ends by Close
+	}()
+	b.addCleanup(func() {
+		_ = s.Close()
+		<-done
+	})
+	return l.Addr().String(), nil
+}
+
+// httpHandler is the HTTP handler of an emulated worker: the same model, reached without the worker protocol.
+type httpHandler struct {
+	clock  *model.RealClock
+	worker *worker.Server
+}
+
+// ServeHTTP implements http.Handler.
+func (h httpHandler) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	work, size := worker.ParseBody(string(body), 0)
+	responses := make(chan model.Response, 1)
+	h.worker.Do(func(m *model.Worker) {
+		request := &model.Request{
+			Function:    function,
+			MemoryMB:    replicaMemoryMB,
+			Concurrency: replicaConcurrency,
+			LoadTime:    replicaLoadTime,
+			Work:        work,
+			Deadline:    h.clock.Now() + requestTimeout,
+		}
+		m.Handle(request, func(response model.Response) { responses <- response })
+	})
+	select {
+	case response := <-responses:
+		if response.Outcome != model.OK {
+			out.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		_, _ = out.Write(make([]byte, size)) // the client sees a response that was cut off
+	case <-r.Context().Done():
+	}
+}
+
+// proxy starts the plain reverse proxy and returns its address.
+func (b *benchmark) proxy(workers []string) (string, error) {
+	var targets []*url.URL
+	for _, address := range workers {
+		targets = append(targets, &url.URL{Scheme: "http", Host: address})
+	}
+	transport := &http.Transport{MaxIdleConnsPerHost: b.cfg.Connections, MaxIdleConns: 0}
+	b.addCleanup(transport.CloseIdleConnections)
+	var next atomic.Uint64
+	rewrite := func(p *httputil.ProxyRequest) { p.SetURL(targets[next.Add(1)%uint64(len(targets))]) }
+	return b.serve(&httputil.ReverseProxy{Transport: transport, Rewrite: rewrite})
+}
+
+// gateway starts a front end with settings.
+func (b *benchmark) gateway(discoveryURL, settings string) (*gateway.Service, error) {
+	text := fmt.Sprintf("listen 127.0.0.1:0\ndirectory consul %s workers\nloops %d\nfront-ends %d\n%s", discoveryURL, b.cfg.Loops,
+		b.cfg.Loops, settings)
+	parsed, err := gatewayconfig.Parse("measure", text)
+	if err != nil {
+		return nil, err
+	}
+	s, err := gateway.NewService(parsed, zerolog.Nop())
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_, _ = s.Run(ctx)
+	}()
+	b.addCleanup(func() {
+		cancel()
+		<-done
+	})
+	return s, nil
+}
