--- a/lab/reportimport/transcript_test.go
+++ b/lab/reportimport/report_test.go
@@ -11,7 +11,7 @@
 	"havencart/lab/scenario"
 )
 
-// onCall is a report of our own in the form of notes from on-call.
+// onCallNotes is a report of our own in the form of notes from on-call.
 const onCallNotes = `x1    recorded day    2x10  0.500  0.50  -  0.1  -  0.9  notes
 
 Notes from on-call
@@ -70,11 +70,11 @@
 	}
 	again, err := scenario.Parse("again", d.Script())
 	if err != nil || len(again) != len(d.Faults) {
-		t.Errorf("%d of %d troubles are read again: %v", len(again), len(d.Faults), err)
+		t.Errorf("%d of %d faults are read again: %v", len(again), len(d.Faults), err)
 	}
 }
 
-// oneRun is a report of our own in the form of one run.
+// runReport is a report of our own in the form of one run.
 const runReport = `site x  family warm  requests 1000
   from offered in-time%  late% refused%  fail%  t/o%    p50     p99 tries/r  att/r  err full  t/o conn reset spread used worth%
      0     500     94.4    2.5      3.1    0.0   0.0   81.1  1163.0    1.00   0.98    1    0    0    0     0   3.35   20   90.3
@@ -119,7 +119,7 @@
 	}
 }
 
-// FuzzParse holds that whatever is read becomes a script that can be read.
+// FuzzParse checks that every report that can be read becomes a scenario that can be read.
 func FuzzParse(f *testing.F) {
 	f.Add(onCallNotes)
 	f.Add(runReport)
