--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -10,47 +10,62 @@
 
 // Truth is what an oracle sees: the true state of each worker.
 type Truth interface {
-	// Estimate is how long a call of a function would wait for a load, from now, and how long it would take beside
-	// that, for a lane and its run; false where it would not be answered, or must not be sent.
-	Estimate(w scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, may bool)
+	// Estimate is how long a request for a function would wait for a load if it were sent now, and how long it would
+	// take beside that, for a place at a replica and its execution. It reports false where the request would get no
+	// response, or must not be sent.
+	Estimate(w scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, usable bool)
 }
 
-// An oracle sees the truth and sends each call where it would be answered first, or holds it where that would be
-// later than the oracle takes. No one rule is best on all days, so the top is the best of several.
+// oracle sees the truth and sends each request where it would be served first, or queues it where that takes longer
+// than the oracle accepts. No one rule is best in all scenarios, so the reference is the best of several.
 //
-// The bound leaves out the wait for a load: who never waits for one never has a copy.
+// The bound leaves out the wait for a load: who never waits for one never has a replica.
 type oracle struct {
-	name       string
-	bound      func(p *policy, r *request) time.Duration // how long an answer may take beside a load
-	queueOrder func(p *policy, a, b *request) int        // order of what is held; nil: as it came
+	name  string
+	bound func(p *policy, r *request) time.Duration // how long a response may take beside a load
+	order func(p *policy, a, b *request) int        // of queued requests; nil: first in, first out
 }
 
 var oracles = []oracle{
-	{name: "oracle-late", bound: func(p *policy, r *request) time.Duration { return r.deadline - p.now }},
-	{name: "oracle-aim", bound: func(p *policy, r *request) time.Duration { return bestWithin(p, r, 1) }},
-	{name: "oracle-worth", bound: func(p *policy, r *request) time.Duration {
-		best := 0.0
-		for _, c := range p.set.Classes {
-			best = max(best, c.PriorityWeight)
-		}
-		return bestWithin(p, r, p.set.Classes[r.Class].PriorityWeight/best)
-	}, queueOrder: func(p *policy, a, b *request) int { // the worthiest, and of these the newest
-		return cmp.Or(cmp.Compare(p.set.Classes[b.Class].PriorityWeight, p.set.Classes[a.Class].PriorityWeight), cmp.Compare(b.receivedAt, a.receivedAt))
-	}},
+	{name: "oracle-late", bound: timeLeft},
+	{name: "oracle-aim", bound: objective},
+	{name: "oracle-worth", bound: weightedObjective, order: heaviestNewestFirst},
 }
 
-// bestWithin is the part of the aim that a call may take, within what is left of it; less once the aim has passed
-// and a late answer is worth less.
-func bestWithin(p *policy, r *request, part float64) time.Duration {
+// timeLeft is the time to the deadline.
+func timeLeft(p *policy, r *request) time.Duration { return r.deadline - p.now }
+
+// objective is the class's latency objective.
+func objective(p *policy, r *request) time.Duration { return objectiveShare(p, r, 1) }
+
+// weightedObjective is the share of the latency objective that the class's weight is of the greatest one.
+func weightedObjective(p *policy, r *request) time.Duration {
+	greatest := 0.0
+	for _, c := range p.set.Classes {
+		greatest = max(greatest, c.PriorityWeight)
+	}
+	return objectiveShare(p, r, p.set.Classes[r.Class].PriorityWeight/greatest)
+}
+
+// heaviestNewestFirst orders requests by weight, and those of one weight the newest first.
+func heaviestNewestFirst(p *policy, a, b *request) int {
+	return cmp.Or(
+		cmp.Compare(p.set.Classes[b.Class].PriorityWeight, p.set.Classes[a.Class].PriorityWeight),
+		cmp.Compare(b.receivedAt, a.receivedAt))
+}
+
+// objectiveShare is a share of the latency objective, within what is left of it; less once the objective has passed and
+// a late response earns less.
+func objectiveShare(p *policy, r *request, share float64) time.Duration {
 	class := &p.set.Classes[r.Class]
 	left := r.receivedAt + class.LatencyObjective - p.now
 	if left <= 0 {
-		part, left = part*class.LateWeight, r.deadline-p.now
+		share, left = share*class.LateWeight, r.deadline-p.now
 	}
-	return min(left, time.Duration(part*float64(class.LatencyObjective)))
+	return min(left, time.Duration(share*float64(class.LatencyObjective)))
 }
 
-// Oracles names the oracles.
+// Oracles are the names of the oracles.
 func Oracles() (names []string) {
 	for _, o := range oracles {
 		names = append(names, o.name)
@@ -58,29 +73,36 @@
 	return names
 }
 
-// Oracle returns what makes an oracle by its name, nil for a name that is none.
-func Oracle(name string, truth Truth) func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Scheduler {
+// Oracle returns the constructor of an oracle by its name, nil for a name that is unknown.
+func Oracle(name string, truth Truth) Constructor {
 	for _, o := range oracles {
-		if o.name != name {
-			continue
-		}
-		return func(now time.Duration, set scheduler.Settings, a scheduler.Actions) gateway.Scheduler {
-			p := newPolicy(now, set, a, func(p *policy, r *request, among []*worker) *worker {
-				var best *worker
-				soonest, bound := r.deadline-p.now, o.bound(p, r)
-				for _, w := range among {
-					load, rest, may := truth.Estimate(w.info.ID, r.Function, r.Request)
-					if may && rest < bound && load+rest < soonest {
-						best, soonest = w, load+rest
-					}
-				}
-				return best
-			})
-			if o.queueOrder != nil {
-				p.queueOrder = func(a, b *request) int { return o.queueOrder(p, a, b) }
-			}
-			return p
+		if o.name == name {
+			return o.constructor(truth)
 		}
 	}
 	return nil
 }
+
+func (o oracle) constructor(truth Truth) Constructor {
+	pick := func(p *policy, r *request, candidates []*worker) *worker { return o.pick(p, r, candidates, truth) }
+	return func(now time.Duration, set scheduler.Settings, actions scheduler.Actions) gateway.Scheduler {
+		p := newPolicy(now, set, actions, pick)
+		if o.order != nil {
+			p.queueOrder = func(a, b *request) int { return o.order(p, a, b) }
+		}
+		return p
+	}
+}
+
+// pick is the worker that would serve a request first, nil if none would within the bound and the deadline.
+func (o oracle) pick(p *policy, r *request, candidates []*worker, truth Truth) *worker {
+	var best *worker
+	soonest, bound := timeLeft(p, r), o.bound(p, r)
+	for _, w := range candidates {
+		load, rest, usable := truth.Estimate(w.info.ID, r.Function, r.Request)
+		if usable && rest < bound && load+rest < soonest {
+			best, soonest = w, load+rest
+		}
+	}
+	return best
+}
--- /dev/null
+++ b/lab/baseline/pickers.go
@@ -0,0 +1,77 @@
+package baseline
+
+import (
+	"math"
+	"slices"
+	"sort"
+
+	"github.com/cespare/xxhash/v2"
+
+	"havencart/scheduler"
+)
+
+// picker chooses one of the ready workers that a request may be sent to, of which there is at least one. It returns nil
+// to keep the request queued.
+type picker func(p *policy, r *request, candidates []*worker) *worker
+
+func random(p *policy, _ *request, candidates []*worker) *worker {
+	return candidates[p.rng.IntN(len(candidates))]
+}
+
+func roundRobin(p *policy, _ *request, candidates []*worker) *worker {
+	p.turn++
+	return candidates[p.turn%len(candidates)]
+}
+
+// leastInFlight picks the worker with the fewest requests of this front end in flight; ties are rotated.
+func leastInFlight(p *policy, _ *request, candidates []*worker) *worker {
+	p.turn++
+	var best *worker
+	for i := range candidates {
+		w := candidates[(i+p.turn)%len(candidates)]
+		if best == nil || w.inFlight < best.inFlight {
+			best = w
+		}
+	}
+	return best
+}
+
+// twoChoices is the power of two choices (M. Mitzenmacher, 1996): the less loaded of two drawn at random.
+func twoChoices(p *policy, _ *request, candidates []*worker) *worker {
+	a, b := candidates[p.rng.IntN(len(candidates))], candidates[p.rng.IntN(len(candidates))]
+	if b.inFlight < a.inFlight {
+		return b
+	}
+	return a
+}
+
+// loadBound is how far a worker's load may exceed the mean in rendezvous.
+const loadBound = 1.25
+
+// rendezvous is highest-random-weight hashing (D. Thaler, C. Ravishankar, 1998) with bounded loads (V. Mirrokni et al.,
+// 2018): the first worker in the function's own order whose load does not exceed 1.25 times the mean.
+func rendezvous(_ *policy, r *request, candidates []*worker) *worker {
+	total := 1
+	for _, w := range candidates {
+		total += w.inFlight
+	}
+	bound := math.Ceil(loadBound * float64(total) / float64(len(candidates)))
+	order := slices.Clone(candidates)
+	sort.Slice(order, func(i, j int) bool {
+		return rendezvousWeight(r.Function, order[i].info.ID) > rendezvousWeight(r.Function, order[j].info.ID)
+	})
+	for _, w := range order {
+		if float64(w.inFlight+1) <= bound {
+			return w
+		}
+	}
+	return order[0]
+}
+
+func rendezvousWeight(function scheduler.FunctionID, w scheduler.WorkerID) uint64 {
+	var b [16]byte
+	for i := range 8 {
+		b[i], b[8+i] = byte(uint64(function)>>(8*i)), byte(uint64(w)>>(8*i))
+	}
+	return xxhash.Sum64(b[:])
+}
--- /dev/null
+++ b/lab/baseline/policy.go
@@ -0,0 +1,271 @@
+package baseline
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"time"
+
+	"havencart/scheduler"
+)
+
+// worker is a worker that the endpoint list named.
+type worker struct {
+	info     scheduler.WorkerInfo
+	inFlight int // requests of this front end
+}
+
+// request is a request without a final response.
+type request struct {
+	scheduler.Request
+	receivedAt time.Duration
+	deadline   time.Duration
+	attempts   int
+	worker     *worker // of the attempt in flight, nil if there is none
+	ended      bool    // it has a final response, or its client disconnected
+
+	// Of the first attempt that may have executed.
+	mayHaveExecuted bool
+	firstWorker     scheduler.WorkerInfo
+	firstAt         time.Duration
+}
+
+// policy sends each request at once to the worker that its picker chooses, and retries it elsewhere where that is safe.
+type policy struct {
+	set        scheduler.Settings
+	actions    scheduler.Actions
+	pick       picker
+	rng        *rand.Rand
+	now        time.Duration
+	workers    []*worker // by identifier
+	requests   map[scheduler.RequestID]*request
+	queued     []*request              // that no worker could take
+	queueOrder func(a, b *request) int // in which they are tried again; nil: first in, first out
+	turn       int                     // of round robin
+}
+
+const (
+	retryInterval = 20 * time.Millisecond // at which queued requests are tried again
+	watchBackoff  = time.Second           // until the endpoint list is watched again
+	randomStream  = 0x62617365            // of the policy's generator, beside those with the same seed
+)
+
+// Tokens of timers.
+const (
+	timerRetry uint64 = iota
+	timerWatch
+)
+
+func newPolicy(now time.Duration, set scheduler.Settings, actions scheduler.Actions, pick picker) *policy {
+	p := &policy{
+		set:      set,
+		actions:  actions,
+		pick:     pick,
+		rng:      rand.New(rand.NewPCG(set.Seed, randomStream)),
+		now:      now,
+		requests: map[scheduler.RequestID]*request{},
+	}
+	actions.SetTimer(retryInterval, timerRetry)
+	return p
+}
+
+// WorkersChanged implements gateway.Scheduler, as do the methods below.
+func (p *policy) WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool) {
+	p.now = now
+	listed := map[scheduler.WorkerID]bool{}
+	for _, info := range list {
+		listed[info.ID] = true
+		if w := p.worker(info.ID); w != nil {
+			w.info = info
+			continue
+		}
+		p.workers = append(p.workers, &worker{info: info})
+	}
+	sort.Slice(p.workers, func(i, j int) bool { return p.workers[i].info.ID < p.workers[j].info.ID })
+	for _, w := range p.workers {
+		if whole && !listed[w.info.ID] {
+			w.info.State = scheduler.Removed
+		}
+	}
+	p.retryQueued()
+}
+
+func (p *policy) worker(id scheduler.WorkerID) *worker {
+	for _, w := range p.workers {
+		if w.info.ID == id {
+			return w
+		}
+	}
+	return nil
+}
+
+func (p *policy) WatchFailed(now time.Duration) {
+	p.now = now
+	p.actions.SetTimer(watchBackoff, timerWatch)
+}
+
+func (p *policy) TimerFired(now time.Duration, token uint64) {
+	p.now = now
+	if token == timerWatch {
+		p.actions.WatchEndpoints()
+		return
+	}
+	p.actions.SetTimer(retryInterval, timerRetry)
+	p.retryQueued()
+}
+
+// retryQueued tries the queued requests again, and ends those whose deadline is near.
+func (p *policy) retryQueued() {
+	queued := p.queued
+	p.queued = nil
+	if p.queueOrder != nil {
+		slices.SortStableFunc(queued, p.queueOrder)
+	}
+	for _, r := range queued {
+		switch {
+		case r.ended:
+		case p.isDue(r):
+			p.finish(r)
+		default:
+			p.send(r)
+		}
+	}
+}
+
+// isDue reports whether a request must have its final response now.
+func (p *policy) isDue(r *request) bool { return p.now+2*retryInterval >= r.deadline }
+
+func (p *policy) RequestReceived(now time.Duration, in scheduler.Request) {
+	p.now = now
+	r := &request{Request: in, receivedAt: now, deadline: now + in.Timeout}
+	p.requests[in.ID] = r
+	p.send(r)
+}
+
+// send sends a request to the worker that the picker chooses, or queues it.
+func (p *policy) send(r *request) {
+	w := p.pickWorker(r)
+	if w == nil {
+		p.queued = append(p.queued, r)
+		return
+	}
+	w.inFlight++
+	r.worker = w
+	r.attempts++
+	p.actions.Send(r.ID, w.info.ID, 0)
+}
+
+// pickWorker is the worker that the picker chooses, nil if there is none.
+func (p *policy) pickWorker(r *request) *worker {
+	var candidates []*worker
+	for _, w := range p.workers {
+		if w.info.State == scheduler.Ready && p.isSafe(r, w) {
+			candidates = append(candidates, w)
+		}
+	}
+	if len(candidates) == 0 {
+		return nil
+	}
+	return p.pick(p, r, candidates)
+}
+
+// isSafe reports whether a request may be sent to a worker: it cannot have executed, or may execute again there.
+func (p *policy) isSafe(r *request, w *worker) bool {
+	class := &p.set.Classes[r.Class]
+	switch {
+	case !r.mayHaveExecuted || class.Idempotency == scheduler.Idempotent:
+		return true
+	case class.Idempotency == scheduler.NonIdempotent:
+		return false
+	case p.now-r.firstAt >= class.KeyRetention-retryInterval:
+		return false
+	case class.KeyScope == scheduler.ScopeZone:
+		return w.info.Zone == r.firstWorker.Zone
+	case class.KeyScope == scheduler.ScopeCell:
+		return w.info.Cell == r.firstWorker.Cell
+	}
+	return true
+}
+
+func (p *policy) AttemptEnded(now time.Duration, o scheduler.Outcome) {
+	p.now = now
+	r := p.requests[o.Request]
+	if r == nil || r.worker == nil {
+		return
+	}
+	w := r.worker
+	r.worker = nil
+	w.inFlight--
+	if o.RequestClosed || r.ended {
+		r.ended = true
+		delete(p.requests, r.ID)
+		return
+	}
+	if !r.mayHaveExecuted && mayHaveExecuted(o.Status) {
+		r.mayHaveExecuted = true
+		r.firstAt, r.firstWorker = now, w.info
+	}
+	if p.isLast(r) {
+		p.finish(r)
+		return
+	}
+	if o.Status == scheduler.NotLoaded && p.set.LoadOrdersAllowed {
+		p.actions.Load(w.info.ID, r.Function, 1)
+	}
+	p.queued = append(p.queued, r) // retried later: a worker that rejected it is not asked at once
+}
+
+// mayHaveExecuted reports whether an attempt with a status may have had its effect.
+func mayHaveExecuted(s scheduler.Status) bool {
+	switch s {
+	case scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled:
+		return true
+	}
+	return false
+}
+
+// isLast reports whether a request whose attempt ended cannot be retried.
+func (p *policy) isLast(r *request) bool {
+	unsafe := r.mayHaveExecuted && p.set.Classes[r.Class].Idempotency == scheduler.NonIdempotent
+	return unsafe || r.attempts >= p.set.MaxAttempts || p.isDue(r)
+}
+
+// finish gives the final response: rejected where the client may retry, failed elsewhere.
+func (p *policy) finish(r *request) {
+	r.ended = true
+	delete(p.requests, r.ID)
+	if !r.mayHaveExecuted || isSafeAnywhere(&p.set.Classes[r.Class]) {
+		p.actions.Reject(r.ID, p.set.MaxRetryAfter)
+		return
+	}
+	p.actions.Fail(r.ID)
+}
+
+// isSafeAnywhere reports whether a request of a class may execute again at any worker.
+func isSafeAnywhere(class *scheduler.Class) bool {
+	if class.Idempotency == scheduler.Idempotent {
+		return true
+	}
+	return class.Idempotency == scheduler.IdempotentByKey && class.KeyScope == scheduler.ScopeAll
+}
+
+func (p *policy) ClientDisconnected(now time.Duration, id scheduler.RequestID) {
+	p.now = now
+	r := p.requests[id]
+	if r == nil {
+		return
+	}
+	r.ended = true
+	switch {
+	case r.worker == nil:
+		delete(p.requests, id)
+	case p.set.CancelAllowed:
+		p.actions.Cancel(id, r.attempts-1)
+	}
+}
+
+func (p *policy) LoadEnded(now time.Duration, _ scheduler.LoadResult) { p.now = now }
+
+func (p *policy) ResponseStarted(now time.Duration, _ scheduler.RequestID) { p.now = now }
+
+func (p *policy) HealthChecked(now time.Duration, _ scheduler.HealthCheckResult) { p.now = now }
