--- a/lab/platformdiscovery/bulletin.go
+++ b/lab/platformdiscovery/server.go
@@ -1,4 +1,4 @@
-// Package platformdiscovery is a stand-in for the bulletin of the users' platform on loopback.
+// Package platformdiscovery emulates the endpoint discovery stream of the users' platform, its "bulletin", on loopback.
 package platformdiscovery
 
 import (
@@ -9,7 +9,7 @@
 	"havencart/internal/platform/endpointstream"
 )
 
-// Server tells its events to each front end that connects, from the number on that it asks for.
+// Server sends its events to each front end that connects, from the event on with which it resumes.
 type Server struct {
 	listener    net.Listener
 	mu          sync.Mutex
@@ -19,7 +19,7 @@
 	tasks       sync.WaitGroup
 }
 
-// Start starts one on loopback.
+// Start starts a server on loopback.
 func Start() (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,10 +30,10 @@
 	return s, nil
 }
 
-// Address is where it listens.
+// Address is where the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Asked tells, for each connection, the number of the last event that the front end has.
+// Asked delivers, for each connection, the number of the last event that the front end has.
 func (s *Server) Asked() <-chan uint64 { return s.resumed }
 
 func (s *Server) accept() {
@@ -49,7 +49,7 @@
 func (s *Server) serve(c net.Conn) {
 	last, err := endpointstream.ReadHello(c)
 	if err != nil {
-		c.Close()
+		_ = c.Close()
 		return
 	}
 	s.mu.Lock()
@@ -63,10 +63,10 @@
 	s.resumed <- last
 }
 
-// write writes; a connection that broke is seen by its other side.
+// write writes; a connection that broke is noticed by its other side.
 func write(c net.Conn, raw []byte) { _, _ = c.Write(raw) }
 
-// Tell adds an event and tells it.
+// Tell adds an event and sends it to all that are connected.
 func (s *Server) Tell(e endpointstream.Event) {
 	s.mu.Lock()
 	s.events = append(s.events, e)
@@ -74,7 +74,7 @@
 	s.Raw(endpointstream.Append(nil, e))
 }
 
-// Raw writes bytes to all that are connected.
+// Raw writes bytes as they are to all that are connected.
 func (s *Server) Raw(raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,14 +88,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
-		c.Close()
+		_ = c.Close()
 		delete(s.connections, c)
 	}
 }
 
-// Close ends it.
+// Close ends the server and its connections.
 func (s *Server) Close() {
-	s.listener.Close()
+	_ = s.listener.Close()
 	s.Break()
 	s.tasks.Wait()
 }
--- a/lab/platformworker/executor.go
+++ b/lab/platformworker/server.go
@@ -1,5 +1,5 @@
-// Package platformworker is a scripted stand-in for an executor of the users' platform: it speaks the frames of
-// internal/platform/workerframe on loopback and does with each command what its script says.
+// Package platformworker emulates a worker of the users' platform, an "executor", by a script: it speaks the frames of
+// internal/platform/workerframe on loopback and handles each frame as its script says.
 package platformworker
 
 import (
@@ -11,7 +11,7 @@
 	"havencart/internal/platform/workerframe"
 )
 
-// Script is told each command with the connection on which it came, in the order of that connection.
+// Script handles a frame from a front end. It is called with the frames of one connection in their order.
 type Script func(c *Conn, f workerframe.Frame)
 
 // Conn is one front end's connection.
@@ -20,7 +20,7 @@
 	Number int // from 1, in the order in which they were made
 }
 
-// Answer writes an answer.
+// Answer writes a response.
 func (c *Conn) Answer(f workerframe.Frame) {
 	raw, err := workerframe.Append(nil, workerframe.FromWorker, f)
 	if err == nil {
@@ -28,18 +28,18 @@
 	}
 }
 
-// Raw writes bytes as they are. One that fails is the connection's end, which the reading side sees.
+// Raw writes bytes as they are. A write that fails is the end of the connection, which the reading side notices.
 func (c *Conn) Raw(raw []byte) { _, _ = c.Write(raw) }
 
-// Reset breaks the connection so that the other side is told of a reset.
+// Reset closes the connection with a TCP reset.
 func (c *Conn) Reset() {
 	if tcp, is := c.Conn.(*net.TCPConn); is {
 		_ = tcp.SetLinger(0) // fails on a closed connection only
 	}
-	c.Close()
+	_ = c.Close()
 }
 
-// Server is one stand-in.
+// Server is one emulated worker.
 type Server struct {
 	listener        net.Listener
 	script          Script
@@ -49,7 +49,7 @@
 	tasks           sync.WaitGroup
 }
 
-// Start starts one on loopback.
+// Start starts a worker on loopback.
 func Start(script Script) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,10 +60,10 @@
 	return s, nil
 }
 
-// Address is where it listens.
+// Address is where the worker listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Made is how many connections were made to it.
+// Made is the number of connections that were made to the worker.
 func (s *Server) Made() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 }
 
 func (s *Server) serve(c *Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	r := workerframe.NewReader(bufio.NewReader(c), workerframe.FromFrontEnd, workerframe.MaxBody)
 	for {
 		f, err := r.Next()
@@ -97,9 +97,9 @@
 	}
 }
 
-// Close ends it: the process is gone, its connections are closed and new ones are refused.
+// Close ends the worker as the end of its process does: connections are reset and new ones refused.
 func (s *Server) Close() {
-	s.listener.Close()
+	_ = s.listener.Close()
 	s.mu.Lock()
 	for c := range s.connections {
 		c.Reset()
