--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -28,7 +28,7 @@
 	return Report{spec, cells}
 }
 
-// TestTotalsAreTheAuditorsOwn holds text and page to the tallies of the runs, added up here once more.
+// TestReport_Totals_AreTheCheckersOwn compares text and page with the tallies of the runs, added up here once more.
 func TestReport_Totals_AreTheCheckersOwn(t *testing.T) {
 	r := testReport(t)
 	var text, page bytes.Buffer
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestThePartsAddUpToTheWhole: by class, by tenant and by second.
+// TestScore_Parts_AddUpToTheWhole: by class, by tenant and by second.
 func TestScore_Parts_AddUpToTheWhole(t *testing.T) {
 	for _, c := range testReport(t).Cells {
 		s := c.Result.Score
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestARunThatLostCallsIsTold: it counts for nothing, so the report must say so.
+// TestText_RunThatLostRequests_IsReported: it counts for nothing, so the report must say so.
 func TestText_RunThatLostRequests_IsReported(t *testing.T) {
 	r := testReport(t)
 	r.Cells[0].Result.Tally.Sent++
