--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -27,13 +27,13 @@
 }
 
 var oracles = []oracle{
-	{name: "oracle-late", bound: timeLeft},
+	{name: "oracle-late", bound: remainingTime},
 	{name: "oracle-aim", bound: objective},
 	{name: "oracle-worth", bound: weightedObjective, order: heaviestNewestFirst},
 }
 
-// timeLeft is the time to the deadline.
-func timeLeft(p *policy, r *request) time.Duration { return r.deadline - p.now }
+// remainingTime is the time to the deadline.
+func remainingTime(p *policy, r *request) time.Duration { return r.deadline - p.now }
 
 // objective is the class's latency objective.
 func objective(p *policy, r *request) time.Duration { return objectiveShare(p, r, 1) }
@@ -97,7 +97,7 @@
 // pick is the worker that would serve a request first, nil if none would within the bound and the deadline.
 func (o oracle) pick(p *policy, r *request, candidates []*worker, truth Truth) *worker {
 	var best *worker
-	soonest, bound := timeLeft(p, r), o.bound(p, r)
+	soonest, bound := remainingTime(p, r), o.bound(p, r)
 	for _, w := range candidates {
 		load, rest, usable := truth.Estimate(w.info.ID, r.Function, r.Request)
 		if usable && rest < bound && load+rest < soonest {
--- a/lab/baseline/pickers.go
+++ b/lab/baseline/pickers.go
@@ -19,16 +19,16 @@
 }
 
 func roundRobin(p *policy, _ *request, candidates []*worker) *worker {
-	p.turn++
-	return candidates[p.turn%len(candidates)]
+	p.rotation++
+	return candidates[p.rotation%len(candidates)]
 }
 
 // leastInFlight picks the worker with the fewest requests of this front end in flight; ties are rotated.
 func leastInFlight(p *policy, _ *request, candidates []*worker) *worker {
-	p.turn++
+	p.rotation++
 	var best *worker
 	for i := range candidates {
-		w := candidates[(i+p.turn)%len(candidates)]
+		w := candidates[(i+p.rotation)%len(candidates)]
 		if best == nil || w.inFlight < best.inFlight {
 			best = w
 		}
--- a/lab/baseline/policy.go
+++ b/lab/baseline/policy.go
@@ -41,7 +41,7 @@
 	requests   map[scheduler.RequestID]*request
 	queued     []*request              // that no worker could take
 	queueOrder func(a, b *request) int // in which they are tried again; nil: first in, first out
-	turn       int                     // of round robin
+	rotation   int                     // of round robin
 }
 
 const (
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -79,7 +79,7 @@
 
 // connect returns an open connection. To find out that one is open takes time, during which no lock is held.
 func (p *Pool) connect() (*connection, error) {
-	for c := p.takeIdle(); c != nil; c = p.takeIdle() {
+	for c := p.reuseIdle(); c != nil; c = p.reuseIdle() {
 		if c.isOpen() {
 			return c, nil
 		}
@@ -92,8 +92,8 @@
 	return c, nil
 }
 
-// takeIdle returns the idle connection that was used last, nil if there is none.
-func (p *Pool) takeIdle() *connection {
+// reuseIdle returns the idle connection that was used last, nil if there is none.
+func (p *Pool) reuseIdle() *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle) == 0 {
--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -116,7 +116,7 @@
 		LoadsAtOnce: x.MaxConcurrentLoads,
 		KeepAlive:   x.KeepAlive,
 		MissAnswers: x.MissAnswers,
-		MoreCopies:  x.ScalesOut,
+		MoreCopies:  x.LoadsMoreReplicas,
 		StopsRuns:   x.CancelStopsWork,
 		ColdFrom:    x.ColdCapacity,
 		ColdTime:    x.SlowStart,
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -14,116 +14,116 @@
 // the start, whatever the types of a run are called: users resume from files that earlier builds wrote, and a
 // variant may be run by another build.
 type storedCell struct {
-	Variant string       `json:"Variant"`
-	Day     string       `json:"Day"`
-	Seed    uint64       `json:"Seed"`
-	Key     string       `json:"Key"`
-	Failed  string       `json:"Failed"`
-	Result  StoredResult `json:"Result"`
+	Variant  string       `json:"Variant"`
+	Scenario string       `json:"Day"`
+	Seed     uint64       `json:"Seed"`
+	Key      string       `json:"Key"`
+	Failed   string       `json:"Failed"`
+	Result   StoredResult `json:"Result"`
 }
 
 // StoredResult is a simulation.Result as results files and `havencart experiment cell` write it. ResultOf makes
 // one, Result reads it.
 type StoredResult struct {
-	Tally  storedTally    `json:"Tally"`
-	Breaks []storedBreak  `json:"Breaks"`
-	Score  storedScore    `json:"Score"`
-	Counts storedCounts   `json:"Counts"`
-	Store  storedStore    `json:"Store"`
-	Trace  uint64         `json:"Trace"`
-	Seen   map[string]int `json:"Seen"`
-	Series []storedSample `json:"Series"`
-	Told   []string       `json:"Told"`
+	Tally      storedTally       `json:"Tally"`
+	Violations []storedViolation `json:"Breaks"`
+	Score      storedScore       `json:"Score"`
+	Counts     storedCounts      `json:"Counts"`
+	Store      storedStore       `json:"Store"`
+	Trace      uint64            `json:"Trace"`
+	Outcomes   map[string]int    `json:"Seen"`
+	Samples    []storedSample    `json:"Series"`
+	Log        []string          `json:"Told"`
 }
 
 type storedTally struct {
-	Asked    int `json:"Asked"`
-	Served   int `json:"Served"`
-	Refused  int `json:"Refused"`
-	Failed   int `json:"Failed"`
-	Left     int `json:"Left"`
-	Killed   int `json:"Killed"`
-	Attempts int `json:"Attempts"`
-	Runs     int `json:"Runs"`
-	Orders   int `json:"Orders"`
-	Falls    int `json:"Falls"`
-}
-
-type storedBreak struct {
+	Sent              int `json:"Asked"`
+	Served            int `json:"Served"`
+	Rejected          int `json:"Refused"`
+	Failed            int `json:"Failed"`
+	Disconnected      int `json:"Left"`
+	AtKilledFrontEnds int `json:"Killed"`
+	Attempts          int `json:"Attempts"`
+	Executions        int `json:"Runs"`
+	LoadOrders        int `json:"Orders"`
+	WorkerCrashes     int `json:"Falls"`
+}
+
+type storedViolation struct {
 	Rule string `json:"Rule"`
 	What string `json:"What"`
 }
 
-type storedPart struct {
-	Asked float64 `json:"Asked"`
-	Got   float64 `json:"Got"`
+type storedServiceLevel struct {
+	Offered float64 `json:"Asked"`
+	Earned  float64 `json:"Got"`
 }
 
-type storedCourse struct {
-	storedPart
-	Seconds []storedPart `json:"Seconds"`
+type storedTimeline struct {
+	storedServiceLevel
+	Seconds []storedServiceLevel `json:"Seconds"`
 }
 
 type storedScore struct {
-	storedCourse
-	Calls    int                      `json:"Calls"`
-	ByClass  map[string]*storedCourse `json:"ByClass"`
-	ByTenant map[string]*storedCourse `json:"ByTenant"`
+	storedTimeline
+	Requests int                        `json:"Calls"`
+	ByClass  map[string]*storedTimeline `json:"ByClass"`
+	ByTenant map[string]*storedTimeline `json:"ByTenant"`
 }
 
 type storedCounts struct {
-	Taken      uint64       `json:"Taken"`
-	Served     uint64       `json:"Served"`
-	Refused    uint64       `json:"Refused"`
-	Failed     uint64       `json:"Failed"`
-	Left       uint64       `json:"Left"`
-	TurnedAway uint64       `json:"TurnedAway"`
-	Attempts   uint64       `json:"Attempts"`
-	Loads      uint64       `json:"Loads"`
-	Asks       uint64       `json:"Asks"`
-	Probes     uint64       `json:"Probes"`
-	Late       uint64       `json:"Late"`
-	Overdue    uint64       `json:"Overdue"`
-	Otherwise  storedShadow `json:"Otherwise"`
+	Admitted          uint64       `json:"Taken"`
+	Served            uint64       `json:"Served"`
+	Rejected          uint64       `json:"Refused"`
+	Failed            uint64       `json:"Failed"`
+	Disconnected      uint64       `json:"Left"`
+	Shed              uint64       `json:"TurnedAway"`
+	Attempts          uint64       `json:"Attempts"`
+	LoadOrders        uint64       `json:"Loads"`
+	ResidencyQueries  uint64       `json:"Asks"`
+	HealthChecks      uint64       `json:"Probes"`
+	LateResponses     uint64       `json:"Late"`
+	PastDeadline      uint64       `json:"Overdue"`
+	ShadowDifferences storedShadow `json:"Otherwise"`
 }
 
 type storedShadow struct {
-	Looked     uint64 `json:"Looked"`
-	Worker     uint64 `json:"Worker"`
-	Held       uint64 `json:"Held"`
-	Answer     uint64 `json:"Answer"`
-	Load       uint64 `json:"Load"`
-	Ask        uint64 `json:"Ask"`
-	CalledBack uint64 `json:"CalledBack"`
+	Compared       uint64 `json:"Looked"`
+	OtherWorker    uint64 `json:"Worker"`
+	OtherQueueing  uint64 `json:"Held"`
+	OtherResponse  uint64 `json:"Answer"`
+	LoadOrder      uint64 `json:"Load"`
+	ResidencyQuery uint64 `json:"Ask"`
+	Cancellation   uint64 `json:"CalledBack"`
 }
 
 type storedStore struct {
-	Fetches int `json:"Fetches"`
-	Refused int `json:"Refused"`
-	Falls   int `json:"Falls"`
+	Fetches  int `json:"Fetches"`
+	Rejected int `json:"Refused"`
+	Outages  int `json:"Falls"`
 }
 
 type storedSample struct {
-	InHand   int    `json:"InHand"`
-	Copies   int    `json:"Copies"`
-	Waiting  int    `json:"Waiting"`
-	Served   uint64 `json:"Served"`
-	Refused  uint64 `json:"Refused"`
-	Failed   uint64 `json:"Failed"`
-	Attempts uint64 `json:"Attempts"`
-	Loads    uint64 `json:"Loads"`
-	Fetches  int    `json:"Fetches"`
+	InFlight   int    `json:"InHand"`
+	Replicas   int    `json:"Copies"`
+	Queued     int    `json:"Waiting"`
+	Served     uint64 `json:"Served"`
+	Rejected   uint64 `json:"Refused"`
+	Failed     uint64 `json:"Failed"`
+	Attempts   uint64 `json:"Attempts"`
+	LoadOrders uint64 `json:"Loads"`
+	Fetches    int    `json:"Fetches"`
 }
 
 // MarshalJSON implements json.Marshaler: it writes a line of a results file, without its end.
 func (c Cell) MarshalJSON() ([]byte, error) {
 	return json.Marshal(storedCell{
-		Variant: c.Variant,
-		Day:     c.Scenario,
-		Seed:    c.Seed,
-		Key:     c.Key,
-		Failed:  c.Failed,
-		Result:  ResultOf(&c.Result),
+		Variant:  c.Variant,
+		Scenario: c.Scenario,
+		Seed:     c.Seed,
+		Key:      c.Key,
+		Failed:   c.Failed,
+		Result:   ResultOf(&c.Result),
 	})
 }
 
@@ -135,7 +135,7 @@
 	}
 	*c = Cell{
 		Variant:  s.Variant,
-		Scenario: s.Day,
+		Scenario: s.Scenario,
 		Seed:     s.Seed,
 		Key:      s.Key,
 		Failed:   s.Failed,
@@ -147,20 +147,20 @@
 // ResultOf is a result in its stored form.
 func ResultOf(r *simulation.Result) StoredResult {
 	return StoredResult{
-		Tally:  tallyOf(r.Tally),
-		Breaks: convertAll(r.Violations, breakOf),
+		Tally:      tallyOf(r.Tally),
+		Violations: convertAll(r.Violations, violationOf),
 		Score: storedScore{
-			storedCourse: courseOf(r.Score.Timeline),
-			Calls:        r.Score.Requests,
-			ByClass:      coursesOf(r.Score.ByClass),
-			ByTenant:     coursesOf(r.Score.ByTenant),
+			storedTimeline: timelineOf(r.Score.Timeline),
+			Requests:       r.Score.Requests,
+			ByClass:        timelinesOf(r.Score.ByClass),
+			ByTenant:       timelinesOf(r.Score.ByTenant),
 		},
-		Counts: countsOf(r.Counts),
-		Store:  storeOf(r.Store),
-		Trace:  r.Trace,
-		Seen:   r.Outcomes,
-		Series: convertAll(r.Samples, sampleOf),
-		Told:   r.Log,
+		Counts:   countsOf(r.Counts),
+		Store:    storeOf(r.Store),
+		Trace:    r.Trace,
+		Outcomes: r.Outcomes,
+		Samples:  convertAll(r.Samples, sampleOf),
+		Log:      r.Log,
 	}
 }
 
@@ -168,19 +168,19 @@
 func (s *StoredResult) Result() simulation.Result {
 	return simulation.Result{
 		Tally:      s.Tally.tally(),
-		Violations: convertAll(s.Breaks, storedBreak.violation),
+		Violations: convertAll(s.Violations, storedViolation.violation),
 		Score: invariant.Score{
-			Timeline: s.Score.course(),
-			Requests: s.Score.Calls,
-			ByClass:  readCourses(s.Score.ByClass),
-			ByTenant: readCourses(s.Score.ByTenant),
+			Timeline: s.Score.timeline(),
+			Requests: s.Score.Requests,
+			ByClass:  readTimelines(s.Score.ByClass),
+			ByTenant: readTimelines(s.Score.ByTenant),
 		},
 		Counts:   s.Counts.counts(),
 		Store:    s.Store.totals(),
 		Trace:    s.Trace,
-		Outcomes: s.Seen,
-		Samples:  convertAll(s.Series, storedSample.sample),
-		Log:      s.Told,
+		Outcomes: s.Outcomes,
+		Samples:  convertAll(s.Samples, storedSample.sample),
+		Log:      s.Log,
 	}
 }
 
@@ -209,178 +209,178 @@
 	return converted
 }
 
-func courseOf(c invariant.Timeline) storedCourse {
-	return storedCourse{
-		storedPart: partOf(c.ServiceLevel),
-		Seconds:    convertAll(c.Seconds, partOf),
+func timelineOf(c invariant.Timeline) storedTimeline {
+	return storedTimeline{
+		storedServiceLevel: serviceLevelOf(c.ServiceLevel),
+		Seconds:            convertAll(c.Seconds, serviceLevelOf),
 	}
 }
 
-func (s storedCourse) course() invariant.Timeline {
+func (s storedTimeline) timeline() invariant.Timeline {
 	return invariant.Timeline{
-		ServiceLevel: s.part(),
-		Seconds:      convertAll(s.Seconds, storedPart.part),
+		ServiceLevel: s.serviceLevel(),
+		Seconds:      convertAll(s.Seconds, storedServiceLevel.serviceLevel),
 	}
 }
 
-func coursesOf(table map[string]*invariant.Timeline) map[string]*storedCourse {
-	return convertValues(table, courseOf)
+func timelinesOf(table map[string]*invariant.Timeline) map[string]*storedTimeline {
+	return convertValues(table, timelineOf)
 }
 
-func readCourses(table map[string]*storedCourse) map[string]*invariant.Timeline {
-	return convertValues(table, storedCourse.course)
+func readTimelines(table map[string]*storedTimeline) map[string]*invariant.Timeline {
+	return convertValues(table, storedTimeline.timeline)
 }
 
 func countsOf(c gateway.Counts) storedCounts {
 	return storedCounts{
-		Taken:      c.Admitted,
-		Served:     c.Served,
-		Refused:    c.Rejected,
-		Failed:     c.Failed,
-		Left:       c.Disconnected,
-		TurnedAway: c.Shed,
-		Attempts:   c.Attempts,
-		Loads:      c.LoadOrders,
-		Asks:       c.ResidencyQueries,
-		Probes:     c.HealthChecks,
-		Late:       c.LateResponses,
-		Overdue:    c.PastDeadline,
-		Otherwise: storedShadow{
-			Looked:     c.ShadowDifferences.Compared,
-			Worker:     c.ShadowDifferences.OtherWorker,
-			Held:       c.ShadowDifferences.OtherQueueing,
-			Answer:     c.ShadowDifferences.OtherResponse,
-			Load:       c.ShadowDifferences.LoadOrder,
-			Ask:        c.ShadowDifferences.ResidencyQuery,
-			CalledBack: c.ShadowDifferences.Cancellation,
+		Admitted:         c.Admitted,
+		Served:           c.Served,
+		Rejected:         c.Rejected,
+		Failed:           c.Failed,
+		Disconnected:     c.Disconnected,
+		Shed:             c.Shed,
+		Attempts:         c.Attempts,
+		LoadOrders:       c.LoadOrders,
+		ResidencyQueries: c.ResidencyQueries,
+		HealthChecks:     c.HealthChecks,
+		LateResponses:    c.LateResponses,
+		PastDeadline:     c.PastDeadline,
+		ShadowDifferences: storedShadow{
+			Compared:       c.ShadowDifferences.Compared,
+			OtherWorker:    c.ShadowDifferences.OtherWorker,
+			OtherQueueing:  c.ShadowDifferences.OtherQueueing,
+			OtherResponse:  c.ShadowDifferences.OtherResponse,
+			LoadOrder:      c.ShadowDifferences.LoadOrder,
+			ResidencyQuery: c.ShadowDifferences.ResidencyQuery,
+			Cancellation:   c.ShadowDifferences.Cancellation,
 		},
 	}
 }
 
 func (s storedCounts) counts() gateway.Counts {
 	return gateway.Counts{
-		Admitted:         s.Taken,
+		Admitted:         s.Admitted,
 		Served:           s.Served,
-		Rejected:         s.Refused,
+		Rejected:         s.Rejected,
 		Failed:           s.Failed,
-		Disconnected:     s.Left,
-		Shed:             s.TurnedAway,
+		Disconnected:     s.Disconnected,
+		Shed:             s.Shed,
 		Attempts:         s.Attempts,
-		LoadOrders:       s.Loads,
-		ResidencyQueries: s.Asks,
-		HealthChecks:     s.Probes,
-		LateResponses:    s.Late,
-		PastDeadline:     s.Overdue,
+		LoadOrders:       s.LoadOrders,
+		ResidencyQueries: s.ResidencyQueries,
+		HealthChecks:     s.HealthChecks,
+		LateResponses:    s.LateResponses,
+		PastDeadline:     s.PastDeadline,
 		ShadowDifferences: shadow.Counts{
-			Compared:       s.Otherwise.Looked,
-			OtherWorker:    s.Otherwise.Worker,
-			OtherQueueing:  s.Otherwise.Held,
-			OtherResponse:  s.Otherwise.Answer,
-			LoadOrder:      s.Otherwise.Load,
-			ResidencyQuery: s.Otherwise.Ask,
-			Cancellation:   s.Otherwise.CalledBack,
+			Compared:       s.ShadowDifferences.Compared,
+			OtherWorker:    s.ShadowDifferences.OtherWorker,
+			OtherQueueing:  s.ShadowDifferences.OtherQueueing,
+			OtherResponse:  s.ShadowDifferences.OtherResponse,
+			LoadOrder:      s.ShadowDifferences.LoadOrder,
+			ResidencyQuery: s.ShadowDifferences.ResidencyQuery,
+			Cancellation:   s.ShadowDifferences.Cancellation,
 		},
 	}
 }
 
 func tallyOf(x invariant.Tally) storedTally {
 	return storedTally{
-		Asked:    x.Sent,
-		Served:   x.Served,
-		Refused:  x.Rejected,
-		Failed:   x.Failed,
-		Left:     x.Disconnected,
-		Killed:   x.AtKilledFrontEnds,
-		Attempts: x.Attempts,
-		Runs:     x.Executions,
-		Orders:   x.LoadOrders,
-		Falls:    x.WorkerCrashes,
+		Sent:              x.Sent,
+		Served:            x.Served,
+		Rejected:          x.Rejected,
+		Failed:            x.Failed,
+		Disconnected:      x.Disconnected,
+		AtKilledFrontEnds: x.AtKilledFrontEnds,
+		Attempts:          x.Attempts,
+		Executions:        x.Executions,
+		LoadOrders:        x.LoadOrders,
+		WorkerCrashes:     x.WorkerCrashes,
 	}
 }
 
 func (s storedTally) tally() invariant.Tally {
 	return invariant.Tally{
-		Sent:              s.Asked,
+		Sent:              s.Sent,
 		Served:            s.Served,
-		Rejected:          s.Refused,
+		Rejected:          s.Rejected,
 		Failed:            s.Failed,
-		Disconnected:      s.Left,
-		AtKilledFrontEnds: s.Killed,
+		Disconnected:      s.Disconnected,
+		AtKilledFrontEnds: s.AtKilledFrontEnds,
 		Attempts:          s.Attempts,
-		Executions:        s.Runs,
-		LoadOrders:        s.Orders,
-		WorkerCrashes:     s.Falls,
+		Executions:        s.Executions,
+		LoadOrders:        s.LoadOrders,
+		WorkerCrashes:     s.WorkerCrashes,
 	}
 }
 
-func breakOf(x invariant.Violation) storedBreak {
-	return storedBreak{
+func violationOf(x invariant.Violation) storedViolation {
+	return storedViolation{
 		Rule: x.Rule,
 		What: x.What,
 	}
 }
 
-func (s storedBreak) violation() invariant.Violation {
+func (s storedViolation) violation() invariant.Violation {
 	return invariant.Violation{
 		Rule: s.Rule,
 		What: s.What,
 	}
 }
 
-func partOf(x invariant.ServiceLevel) storedPart {
-	return storedPart{
-		Asked: x.Offered,
-		Got:   x.Earned,
+func serviceLevelOf(x invariant.ServiceLevel) storedServiceLevel {
+	return storedServiceLevel{
+		Offered: x.Offered,
+		Earned:  x.Earned,
 	}
 }
 
-func (s storedPart) part() invariant.ServiceLevel {
+func (s storedServiceLevel) serviceLevel() invariant.ServiceLevel {
 	return invariant.ServiceLevel{
-		Offered: s.Asked,
-		Earned:  s.Got,
+		Offered: s.Offered,
+		Earned:  s.Earned,
 	}
 }
 
 func storeOf(x model.StoreTotals) storedStore {
 	return storedStore{
-		Fetches: x.Fetches,
-		Refused: x.Rejected,
-		Falls:   x.Outages,
+		Fetches:  x.Fetches,
+		Rejected: x.Rejected,
+		Outages:  x.Outages,
 	}
 }
 
 func (s storedStore) totals() model.StoreTotals {
 	return model.StoreTotals{
 		Fetches:  s.Fetches,
-		Rejected: s.Refused,
-		Outages:  s.Falls,
+		Rejected: s.Rejected,
+		Outages:  s.Outages,
 	}
 }
 
 func sampleOf(x simulation.Sample) storedSample {
 	return storedSample{
-		InHand:   x.InFlight,
-		Copies:   x.Replicas,
-		Waiting:  x.Queued,
-		Served:   x.Served,
-		Refused:  x.Rejected,
-		Failed:   x.Failed,
-		Attempts: x.Attempts,
-		Loads:    x.LoadOrders,
-		Fetches:  x.Fetches,
+		InFlight:   x.InFlight,
+		Replicas:   x.Replicas,
+		Queued:     x.Queued,
+		Served:     x.Served,
+		Rejected:   x.Rejected,
+		Failed:     x.Failed,
+		Attempts:   x.Attempts,
+		LoadOrders: x.LoadOrders,
+		Fetches:    x.Fetches,
 	}
 }
 
 func (s storedSample) sample() simulation.Sample {
 	return simulation.Sample{
-		InFlight:   s.InHand,
-		Replicas:   s.Copies,
-		Queued:     s.Waiting,
+		InFlight:   s.InFlight,
+		Replicas:   s.Replicas,
+		Queued:     s.Queued,
 		Served:     s.Served,
-		Rejected:   s.Refused,
+		Rejected:   s.Rejected,
 		Failed:     s.Failed,
 		Attempts:   s.Attempts,
-		LoadOrders: s.Loads,
+		LoadOrders: s.LoadOrders,
 		Fetches:    s.Fetches,
 	}
 }
--- a/lab/invariant/checker.go
+++ b/lab/invariant/checker.go
@@ -46,7 +46,7 @@
 			c.checkResponse(r)
 		case r.Disconnected:
 			c.tally.Disconnected++
-		case c.heldByKilledFrontEnd(r):
+		case c.frontEndWasKilled(r):
 			c.tally.AtKilledFrontEnds++
 		default:
 			c.violated(ruleResponse, "call %s at %s: no answer (left %t, connection lost %t)", r.ID, r.FrontEnd,
@@ -85,8 +85,8 @@
 	return deadline
 }
 
-// heldByKilledFrontEnd reports whether a request's front end was killed while it held the request.
-func (c *checker) heldByKilledFrontEnd(r *Request) bool {
+// frontEndWasKilled reports whether a request's front end was killed while it held the request.
+func (c *checker) frontEndWasKilled(r *Request) bool {
 	from, to := r.SentAt-c.rules.Tolerance, r.SentAt+r.Timeout
 	return slices.ContainsFunc(c.kills, func(k FrontEndKill) bool {
 		return k.FrontEnd == r.FrontEnd && from <= k.At && k.At <= to
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -42,7 +42,7 @@
 	Samples []Sample
 }
 
-// Settings of the front end: nothing is rejected, and each worker has one replica for all connections.
+// settings are those of the front end: nothing is rejected, and each worker has one replica for all connections.
 const settings = "keep-alive 60s\nmax-calls 100000\nqueue 100000\nclass echo\naim 1s\ngive-up 5s\nrepeat safe\nlanes 64\nend\n"
 
 // Run measures the routes: direct, proxy, gateway. report is called with the progress.
--- a/lab/model/estimate.go
+++ b/lab/model/estimate.go
@@ -16,7 +16,7 @@
 // get no response, or would bring a cold worker near its overload limit. No front end sees this.
 func (w *Worker) Estimate(r *Request, store *Store) (loadWait, rest time.Duration, usable bool) {
 	speed := w.speed()
-	if !w.accepts() || w.wouldNearOverload(r.Work) {
+	if !w.accepts() || w.approachesOverload(r.Work) {
 		return 0, 0, false
 	}
 	remaining := float64(r.Work)
@@ -37,8 +37,8 @@
 	return w.up && !faulty && len(w.queue) < w.Config.Queue
 }
 
-// wouldNearOverload reports whether more work would bring a cold worker near its overload limit.
-func (w *Worker) wouldNearOverload(work time.Duration) bool {
+// approachesOverload reports whether more work would bring a cold worker near its overload limit.
+func (w *Worker) approachesOverload(work time.Duration) bool {
 	if !w.Cold() || w.Config.OverloadWindow <= 0 {
 		return false
 	}
@@ -64,7 +64,7 @@
 			return duration / 2, time.Duration(float64(ahead) / float64(l.concurrency) * float64(r.Work) / speed)
 		}
 	}
-	if store.nearLimit() {
+	if store.approachesLimit() {
 		return unacceptableWait, 0
 	}
 	duration += duration * time.Duration(len(w.loads)/max(1, w.Config.MaxConcurrentLoads))
@@ -96,5 +96,5 @@
 	return time.Duration(float64(load) * (fetchShare*pace + 1 - fetchShare))
 }
 
-// nearLimit reports whether the store is stopped or near its limit, so that nothing more should be fetched.
-func (s *Store) nearLimit() bool { return s.outages > 0 || 2*s.shared.Len() > s.cfg.Limit }
+// approachesLimit reports whether the store is stopped or near its limit, so that nothing more should be fetched.
+func (s *Store) approachesLimit() bool { return s.outages > 0 || 2*s.shared.Len() > s.cfg.Limit }
--- a/lab/model/execution.go
+++ b/lab/model/execution.go
@@ -146,14 +146,14 @@
 		return
 	}
 	w.queue = append(w.queue, a)
-	if w.shouldScaleOut(a, loaded, loading) {
+	if w.needsAnotherReplica(a, loaded, loading) {
 		w.enqueueLoad(newLoad(a), nil)
 	}
 }
 
-// shouldScaleOut reports whether the worker loads another replica of a queued request's function by itself.
-func (w *Worker) shouldScaleOut(a *attempt, loaded, loading int) bool {
-	if !w.Config.ScalesOut || loaded == 0 || loading > 0 {
+// needsAnotherReplica reports whether the worker loads another replica of a queued request's function by itself.
+func (w *Worker) needsAnotherReplica(a *attempt, loaded, loading int) bool {
+	if !w.Config.LoadsMoreReplicas || loaded == 0 || loading > 0 {
 		return false
 	}
 	return w.queuedFor(a.Function) > a.Concurrency
--- a/lab/model/worker_config.go
+++ b/lab/model/worker_config.go
@@ -15,7 +15,7 @@
 	MaxConcurrentLoads int           // twice as many more may wait
 	KeepAlive          time.Duration // an idle replica is unloaded after this
 	MissAnswers        bool          // responds NotLoaded where a function has no replica; otherwise it loads one
-	ScalesOut          bool          // loads another replica by itself when all replicas of a function are full
+	LoadsMoreReplicas  bool          // loads another replica by itself when all replicas of a function are full
 	CancelStopsWork    bool          // a cancelled request stops executing
 	ColdCapacity       float64       // share of its capacity after a start; 0: no slow start
 	SlowStart          time.Duration // until the full capacity is reached
--- a/lab/reportimport/courses.go
+++ b/lab/reportimport/courses.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	kindCrash   = "crash"
-	kindTakeOut = "take-out"
+	kindCrash        = "crash"
+	kindDrainAndStop = "take-out"
 )
 
 // course is what happened to one worker.
@@ -71,7 +71,7 @@
 	for _, x := range order {
 		f := scenario.Fault{At: x.drainedAt, Kind: kindCrash, Share: share(groups[x], workers), Duration: max(0, x.returnedAt-x.drainedAt)}
 		if x.drained {
-			f.Kind, f.DrainTime = kindTakeOut, max(0, x.endedAt-x.drainedAt)
+			f.Kind, f.DrainTime = kindDrainAndStop, max(0, x.endedAt-x.drainedAt)
 		}
 		list = append(list, f)
 	}
--- a/lab/reportimport/events.go
+++ b/lab/reportimport/events.go
@@ -77,12 +77,12 @@
 	courses := &workerCourses{}
 	for i, e := range p.events {
 		if !p.parseEvent(i, e, courses) {
-			p.day.Unparsed = append(p.day.Unparsed, fmt.Sprintf("%v %s", e.at, e.text))
+			p.report.Unparsed = append(p.report.Unparsed, fmt.Sprintf("%v %s", e.at, e.text))
 		}
 	}
 	isCrash := func(f scenario.Fault) bool { return f.Kind == kindCrash }
-	crashNamed := slices.ContainsFunc(p.day.Faults, isCrash)
-	for _, f := range courses.faults(p.day.Lasts, p.day.Workers) {
+	crashNamed := slices.ContainsFunc(p.report.Faults, isCrash)
+	for _, f := range courses.faults(p.report.Lasts, p.report.Workers) {
 		if !isCrash(f) || !crashNamed {
 			p.addFault(f, "")
 		}
@@ -115,7 +115,7 @@
 
 // addKills adds kills of front ends.
 func (p *parser) addKills(at time.Duration, stopped int) {
-	for n := range min(stopped, p.day.FrontEnds) {
+	for n := range min(stopped, p.report.FrontEnds) {
 		kill := scenario.Fault{At: at, Kind: "kill", Number: n + 1, Duration: frontEndDownTime}
 		p.addFault(kill, "which ones and how long assumed")
 	}
@@ -136,7 +136,7 @@
 	assumed := known.assumed
 	switch {
 	case begin.struck > 0:
-		f.Share = share(begin.struck, p.day.Workers)
+		f.Share = share(begin.struck, p.report.Workers)
 	case f.Share == 0 && scenario.HasParameter(f.Kind, scenario.ShareParameter):
 		f.Share, assumed = assumedShare, "share assumed"
 	}
@@ -153,7 +153,7 @@
 			return e.at - at
 		}
 	}
-	return max(0, p.day.Lasts-at)
+	return max(0, p.report.Lasts-at)
 }
 
 func share(n, of int) float64 { return min(1, float64(n)/float64(of)) }
--- a/lab/reportimport/parser.go
+++ b/lab/reportimport/parser.go
@@ -25,7 +25,7 @@
 
 // parser reads a report.
 type parser struct {
-	day        *Day
+	report     *Day
 	windows    []window
 	events     []event
 	servers    int // at most, over all windows
@@ -52,7 +52,7 @@
 	if n != 5 {
 		return false
 	}
-	d := p.day
+	d := p.report
 	d.FrontEnds, d.Workers, d.Requests = frontEnds, workers, requests
 	d.Lasts = time.Duration(minutes)*time.Minute + time.Duration(seconds)*time.Second
 	return true
@@ -128,7 +128,7 @@
 		return
 	}
 	p.windows = append(p.windows, window{c.at, requests})
-	p.day.MaxAttempts = max(p.day.MaxAttempts, attempts)
+	p.report.MaxAttempts = max(p.report.MaxAttempts, attempts)
 	p.servers = max(p.servers, workers)
 }
 
@@ -139,15 +139,15 @@
 func (p *parser) addFault(f scenario.Fault, assumed string) {
 	p.faultCount++
 	f.Line = p.faultCount
-	p.day.Faults = append(p.day.Faults, f)
+	p.report.Faults = append(p.report.Faults, f)
 	if assumed != "" {
-		p.day.Notes[f.Line] = assumed
+		p.report.Notes[f.Line] = assumed
 	}
 }
 
 // finish completes the Day from what was read.
 func (p *parser) finish() error {
-	d := p.day
+	d := p.report
 	if len(p.windows) == 0 {
 		return errors.New("no table of windows was found; allowed: what the bench prints for a run, a replay or an incident")
 	}
@@ -195,14 +195,14 @@
 // addSurges makes the windows' rates from the mean one.
 func (p *parser) addSurges() {
 	for i, w := range p.windows {
-		end := p.day.Lasts
+		end := p.report.Lasts
 		if i+1 < len(p.windows) {
 			end = p.windows[i+1].from
 		}
 		if end <= w.from {
 			continue
 		}
-		factor := float64(w.requests) / (end - w.from).Seconds() / p.day.Rate()
+		factor := float64(w.requests) / (end - w.from).Seconds() / p.report.Rate()
 		factor = math.Round(100*max(factor, minRateFactor)) / 100
 		if math.Abs(factor-1) > minSurge && factor <= maxRateFactor {
 			p.addFault(scenario.Fault{At: w.from, Kind: "surge", Factor: factor, Duration: end - w.from}, "")
--- a/lab/reportimport/report.go
+++ b/lab/reportimport/report.go
@@ -70,12 +70,12 @@
 
 // Parse reads a report: the notes from on-call, or the report of one run. Its errors wrap ErrReport.
 func Parse(text string) (*Day, error) {
-	p := &parser{day: &Day{Notes: map[int]string{}}}
+	p := &parser{report: &Day{Notes: map[int]string{}}}
 	for _, line := range strings.Split(text, "\n") {
 		p.parseLine(line)
 	}
 	if err := p.finish(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrReport, err)
 	}
-	return p.day, nil
+	return p.report, nil
 }
--- a/lab/scenario/demand_faults.go
+++ b/lab/scenario/demand_faults.go
@@ -28,7 +28,7 @@
 		func(d *loadgen.Demand) { d.RateFactor /= f.Factor })
 }
 
-func (p *Player) patience(f Fault) error {
+func (p *Player) changeTimeouts(f Fault) error {
 	return p.changeDemand(f,
 		func(d *loadgen.Demand) { d.TimeoutFactor *= f.Factor },
 		func(d *loadgen.Demand) { d.TimeoutFactor /= f.Factor })
--- a/lab/scenario/kinds.go
+++ b/lab/scenario/kinds.go
@@ -19,7 +19,7 @@
 var kinds = []kind{
 	{"crash", []Parameter{ShareParameter, DurationParameter}, "workers' processes die; they come back cold and empty", (*Player).crash},
 	{"deploy", []Parameter{ShareParameter, SpreadParameter, DrainTimeParameter}, "workers are replaced one after another: each drains, ends and starts anew", (*Player).deploy},
-	{"take-out", []Parameter{ShareParameter, DrainTimeParameter, DurationParameter}, "workers drain together, end, and come back after that time", (*Player).takeOut},
+	{"take-out", []Parameter{ShareParameter, DrainTimeParameter, DurationParameter}, "workers drain together, end, and come back after that time", (*Player).drainAndStop},
 	{
 		"fail",
 		[]Parameter{ShareParameter, RateParameter, DurationParameter},
@@ -104,7 +104,7 @@
 	{"silent", []Parameter{TenantParameter, DurationParameter}, "one tenant asks nothing", (*Player).silent},
 	{"heavy-of", []Parameter{TenantParameter, FactorParameter, DurationParameter}, "one tenant's calls do so many times the work", (*Player).heavyOf},
 	{"scan-of", []Parameter{TenantParameter, ShareParameter, DurationParameter}, "a share of one tenant's calls is for functions that are wanted once only", (*Player).scanOf},
-	{"patience", []Parameter{FactorParameter, DurationParameter}, "clients' patience is so many times what it was", (*Player).patience},
+	{"patience", []Parameter{FactorParameter, DurationParameter}, "clients' patience is so many times what it was", (*Player).changeTimeouts},
 	{"heavy", []Parameter{FactorParameter, DurationParameter}, "calls do so many times the work", (*Player).heavy},
 	{"hot", []Parameter{ShareParameter, FunctionsParameter, DurationParameter}, "a share of the calls goes to a few functions of each class that nobody called before", (*Player).hot},
 	{"scan", []Parameter{ShareParameter, DurationParameter}, "a share of the calls is for functions that are wanted once only", (*Player).scan},
--- a/lab/scenario/worker_faults.go
+++ b/lab/scenario/worker_faults.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// takeOut drains workers, stops them and starts them later.
-func (p *Player) takeOut(f Fault) error {
+// drainAndStop drains workers, stops them and starts them later.
+func (p *Player) drainAndStop(f Fault) error {
 	workers := p.pickWorkers(f.Share)
 	for _, w := range workers {
 		p.installation.ListWorker(w, scheduler.Draining)
--- a/lab/simulation/report.go
+++ b/lab/simulation/report.go
@@ -26,8 +26,8 @@
 	return len(line), nil
 }
 
-// takeSample records the state of the installation, now and each second from now on.
-func (s *Simulation) takeSample() {
+// recordSample records the state of the installation, now and each second from now on.
+func (s *Simulation) recordSample() {
 	var x Sample
 	for _, f := range s.fronts {
 		if f.alive {
@@ -46,7 +46,7 @@
 	}
 	x.Fetches = s.store.Fetches
 	s.samples = append(s.samples, x)
-	s.clock.After(time.Second, s.takeSample)
+	s.clock.After(time.Second, s.recordSample)
 }
 
 // result checks the history against the invariants and sums up the run. It keeps nothing of the Simulation alive.
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -109,7 +109,7 @@
 // runScenario runs the clients' load and the faults for their duration.
 func (s *Simulation) runScenario() error {
 	player := scenario.Start(s.clock, s, s.cfg.Faults, s.cfg.Seed, s.log)
-	s.clock.After(time.Second, s.takeSample)
+	s.clock.After(time.Second, s.recordSample)
 	s.scheduleNextRequest()
 	s.clock.Run(s.cfg.Duration)
 	return player.End()
