--- a/lab/baseline/policy.go
+++ b/lab/baseline/policy.go
@@ -187,21 +187,21 @@
 	return true
 }
 
-func (p *policy) AttemptEnded(now time.Duration, o scheduler.Outcome) {
+func (p *policy) AttemptEnded(now time.Duration, outcome scheduler.Outcome) {
 	p.now = now
-	r := p.requests[o.Request]
+	r := p.requests[outcome.Request]
 	if r == nil || r.worker == nil {
 		return
 	}
 	w := r.worker
 	r.worker = nil
 	w.inFlight--
-	if o.RequestClosed || r.ended {
+	if outcome.RequestClosed || r.ended {
 		r.ended = true
 		delete(p.requests, r.ID)
 		return
 	}
-	if !r.mayHaveExecuted && mayHaveExecuted(o.Status) {
+	if !r.mayHaveExecuted && mayHaveExecuted(outcome.Status) {
 		r.mayHaveExecuted = true
 		r.firstAt, r.firstWorker = now, w.info
 	}
@@ -209,7 +209,7 @@
 		p.finish(r)
 		return
 	}
-	if o.Status == scheduler.NotLoaded && p.set.LoadOrdersAllowed {
+	if outcome.Status == scheduler.NotLoaded && p.set.LoadOrdersAllowed {
 		p.actions.Load(w.info.ID, r.Function, 1)
 	}
 	p.queued = append(p.queued, r) // retried later: a worker that rejected it is not asked at once
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -42,38 +42,38 @@
 
 // Do sends one request and records its outcome. An error says that there was no connection: then nothing was sent, and
 // nothing recorded.
-func (p *Pool) Do(r loadgen.Call) (Response, error) {
-	c, err := p.connect()
+func (p *Pool) Do(request loadgen.Call) (Response, error) {
+	conn, err := p.connect()
 	if err != nil {
 		return Response{}, err
 	}
 	recorded := p.Book.RequestSent(invariant.Request{
-		ID:             r.ID,
-		Class:          r.Class,
-		Tenant:         r.Tenant,
-		IdempotencyKey: r.IdempotencyKey,
+		ID:             request.ID,
+		Class:          request.Class,
+		Tenant:         request.Tenant,
+		IdempotencyKey: request.IdempotencyKey,
 		FrontEnd:       p.Name,
-		Timeout:        r.Timeout,
+		Timeout:        request.Timeout,
 	})
 	sentAt := time.Now() // before the timer, so that a client that disconnects has waited at least that long
-	if r.DisconnectAfter > 0 {
-		timer := time.AfterFunc(r.DisconnectAfter, func() { _ = c.Close() })
+	if request.DisconnectAfter > 0 {
+		timer := time.AfterFunc(request.DisconnectAfter, func() { _ = conn.Close() })
 		defer timer.Stop()
 	}
-	response, err := p.exchange(c, recorded, r)
+	response, err := p.exchange(conn, recorded, request)
 	response.Duration = time.Since(sentAt)
 	if err != nil {
-		_ = c.Close()
-		disconnected := r.DisconnectAfter > 0 && response.Duration >= r.DisconnectAfter
+		_ = conn.Close()
+		disconnected := request.DisconnectAfter > 0 && response.Duration >= request.DisconnectAfter
 		p.Book.RequestEnded(recorded, disconnected)
 		return response, nil
 	}
-	if c.in.Buffered() > 0 {
+	if conn.in.Buffered() > 0 {
 		p.Book.ResponseReceived(recorded, outcomeUnexpected, false)
-		_ = c.Close()
+		_ = conn.Close()
 		return response, nil
 	}
-	p.release(c)
+	p.release(conn)
 	return response, nil
 }
 
@@ -122,12 +122,12 @@
 }
 
 // exchange sends a request and receives its response.
-func (p *Pool) exchange(c *connection, recorded *invariant.Request, r loadgen.Call) (Response, error) {
-	_ = c.SetDeadline(time.Now().Add(r.Timeout + p.Grace))
-	if _, err := c.Write(encodeRequest(r)); err != nil {
+func (p *Pool) exchange(conn *connection, recorded *invariant.Request, request loadgen.Call) (Response, error) {
+	_ = conn.SetDeadline(time.Now().Add(request.Timeout + p.Grace))
+	if _, err := conn.Write(encodeRequest(request)); err != nil {
 		return Response{}, err
 	}
-	received, err := http.ReadResponse(c.in, nil)
+	received, err := http.ReadResponse(conn.in, nil)
 	if err != nil {
 		return Response{}, err
 	}
@@ -137,12 +137,12 @@
 	if ms, bad := strconv.Atoi(received.Header.Get("Retry-After-Ms")); bad == nil {
 		response.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
-	if isForAnother(received, response.Outcome, r.ID) {
+	if isForAnother(received, response.Outcome, request.ID) {
 		p.Book.ResponseReceived(recorded, outcomeWrongRequest, false)
 	}
 	p.Book.ResponseReceived(recorded, response.Outcome, err == nil)
 	if received.Close || err != nil {
-		_ = c.Close() // found closed when it is next taken
+		_ = conn.Close() // found closed when it is next taken
 	}
 	return response, nil
 }
--- a/lab/discoveryserver/server.go
+++ b/lab/discoveryserver/server.go
@@ -55,12 +55,12 @@
 
 // Start starts a service at address, for any service name; port 0 chooses a free one.
 func Start(address string) (*Server, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("directory: %w", err)
 	}
-	s := &Server{
-		addr:        l.Addr().String(),
+	server := &Server{
+		addr:        listener.Addr().String(),
 		done:        make(chan struct{}),
 		entries:     map[string]Entry{},
 		index:       firstIndex,
@@ -68,13 +68,13 @@
 		listedShare: 1,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/health/service/{name}", s.handleHealth)
-	s.http.Handler = mux
+	mux.HandleFunc("GET /v1/health/service/{name}", server.handleHealth)
+	server.http.Handler = mux
 	go func() {
-		defer close(s.done)
-		_ = s.http.Serve(l) // ends by Close
+		defer close(server.done)
+		_ = server.http.Serve(listener) // ends by Close
 	}()
-	return s, nil
+	return server, nil
 }
 
 // URL is where the service is queried.
--- a/lab/experiment/config.go
+++ b/lab/experiment/config.go
@@ -14,33 +14,33 @@
 const networkJitter = 0.3
 
 // config is the simulation of a variant in a scenario with a seed.
-func (s *Spec) config(v Variant, sc Scenario, seed uint64) simulation.Config {
+func (s *Spec) config(variant Variant, scenario Scenario, seed uint64) simulation.Config {
 	worker := fleet.DemoWorker()
-	worker.Cores = sc.WorkerCores
-	worker.MemoryMB = sc.WorkerMemoryMB
-	worker.Queue = sc.WorkerQueue
-	worker.MissAnswers = sc.ReportsNotLoaded
+	worker.Cores = scenario.WorkerCores
+	worker.MemoryMB = scenario.WorkerMemoryMB
+	worker.Queue = scenario.WorkerQueue
+	worker.MissAnswers = scenario.ReportsNotLoaded
 	store := fleet.DemoStore()
-	store.Places, store.Limit = sc.StoreConcurrency, sc.StoreLimit
-	overrides := v.Overrides
-	if sc.ReportsNotLoaded {
+	store.Places, store.Limit = scenario.StoreConcurrency, scenario.StoreLimit
+	overrides := variant.Overrides
+	if scenario.ReportsNotLoaded {
 		overrides = append([]string{"on-miss miss"}, overrides...)
 	}
 	return simulation.Config{
-		Workers:      sc.Workers,
-		Cells:        sc.Cells,
-		FrontEnds:    sc.FrontEnds,
+		Workers:      scenario.Workers,
+		Cells:        scenario.Cells,
+		FrontEnds:    scenario.FrontEnds,
 		Worker:       worker,
 		Store:        store,
-		Settings:     overrideSettings(sc.settings(), overrides),
+		Settings:     overrideSettings(scenario.settings(), overrides),
 		Jitter:       networkJitter,
-		DiscoveryLag: sc.DiscoveryLag,
-		Mix:          sc.Mix,
-		Duration:     sc.Duration,
-		Faults:       sc.Faults,
+		DiscoveryLag: scenario.DiscoveryLag,
+		Mix:          scenario.Mix,
+		Duration:     scenario.Duration,
+		Faults:       scenario.Faults,
 		Seed:         seed,
 		LogLevel:     zerolog.InfoLevel,
-		Policy:       v.Policy,
+		Policy:       variant.Policy,
 	}
 }
 
--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -105,54 +105,54 @@
 	}
 }
 
-func keyedWorkerOf(x *model.WorkerConfig) keyedWorker {
+func keyedWorkerOf(config *model.WorkerConfig) keyedWorker {
 	return keyedWorker{
-		Name:        x.Name,
-		Cell:        x.Cell,
-		Cores:       x.Cores,
-		Speed:       x.Speed,
-		MemoryMB:    x.MemoryMB,
-		Queue:       x.Queue,
-		LoadsAtOnce: x.MaxConcurrentLoads,
-		KeepAlive:   x.KeepAlive,
-		MissAnswers: x.MissAnswers,
-		MoreCopies:  x.LoadsMoreReplicas,
-		StopsRuns:   x.CancelStopsWork,
-		ColdFrom:    x.ColdCapacity,
-		ColdTime:    x.SlowStart,
-		TipMultiple: x.OverloadMultiple,
-		TipWindow:   x.OverloadWindow,
-		KeyMemory:   x.KeyRetention,
+		Name:        config.Name,
+		Cell:        config.Cell,
+		Cores:       config.Cores,
+		Speed:       config.Speed,
+		MemoryMB:    config.MemoryMB,
+		Queue:       config.Queue,
+		LoadsAtOnce: config.MaxConcurrentLoads,
+		KeepAlive:   config.KeepAlive,
+		MissAnswers: config.MissAnswers,
+		MoreCopies:  config.LoadsMoreReplicas,
+		StopsRuns:   config.CancelStopsWork,
+		ColdFrom:    config.ColdCapacity,
+		ColdTime:    config.SlowStart,
+		TipMultiple: config.OverloadMultiple,
+		TipWindow:   config.OverloadWindow,
+		KeyMemory:   config.KeyRetention,
 	}
 }
 
-func keyedStoreOf(x *model.StoreConfig) keyedStore {
+func keyedStoreOf(config *model.StoreConfig) keyedStore {
 	return keyedStore{
-		Places:       x.Places,
-		Limit:        x.Limit,
-		FallMultiple: x.OutageMultiple,
-		FallAfter:    x.OutageAfter,
-		FallFor:      x.OutageDuration,
+		Places:       config.Places,
+		Limit:        config.Limit,
+		FallMultiple: config.OutageMultiple,
+		FallAfter:    config.OutageAfter,
+		FallFor:      config.OutageDuration,
 	}
 }
 
-func keyedMixOf(x *loadgen.Mix) keyedMix {
+func keyedMixOf(mix *loadgen.Mix) keyedMix {
 	return keyedMix{
-		Rate:         x.Rate,
-		Shape:        x.Shape,
-		Functions:    x.Functions,
-		Zipf:         x.Zipf,
-		Once:         x.Once,
-		Drift:        x.Drift,
-		Work:         x.Work,
-		WorkSigma:    x.WorkSigma,
-		Load:         x.Load,
-		MemoryMB:     x.MemoryMB,
-		Reply:        x.Reply,
-		Patience:     x.Patience,
-		Habit:        x.Habit,
-		Retries:      x.Retries,
-		OwnFunctions: x.OwnFunctions,
+		Rate:         mix.Rate,
+		Shape:        mix.Shape,
+		Functions:    mix.Functions,
+		Zipf:         mix.Zipf,
+		Once:         mix.Once,
+		Drift:        mix.Drift,
+		Work:         mix.Work,
+		WorkSigma:    mix.WorkSigma,
+		Load:         mix.Load,
+		MemoryMB:     mix.MemoryMB,
+		Reply:        mix.Reply,
+		Patience:     mix.Patience,
+		Habit:        mix.Habit,
+		Retries:      mix.Retries,
+		OwnFunctions: mix.OwnFunctions,
 	}
 }
 
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -95,20 +95,20 @@
 
 // runCell runs one cell, in this process or by another program. The failure of a variant is noted in the cell, and
 // does not stop the others.
-func (s *Spec) runCell(ctx context.Context, c *Cell) {
-	v, sc := s.find(c.Variant, c.Scenario)
-	if v.Program == "" {
-		c.Result, c.Failed = runHere(s.config(v, sc, c.Seed))
+func (s *Spec) runCell(ctx context.Context, cell *Cell) {
+	variant, scenario := s.find(cell.Variant, cell.Scenario)
+	if variant.Program == "" {
+		cell.Result, cell.Failed = runHere(s.config(variant, scenario, cell.Seed))
 		return
 	}
-	out, err := exec.CommandContext(ctx, v.Program, "cell", s.Path, c.Variant, c.Scenario, fmt.Sprint(c.Seed)).Output()
+	out, err := exec.CommandContext(ctx, variant.Program, "cell", s.Path, cell.Variant, cell.Scenario, fmt.Sprint(cell.Seed)).Output()
 	var stored StoredResult
 	if err == nil {
 		err = json.Unmarshal(out, &stored)
 	}
-	c.Result = stored.Result()
+	cell.Result = stored.Result()
 	if err != nil {
-		c.Failed = err.Error()
+		cell.Failed = err.Error()
 	}
 }
 
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -231,28 +231,28 @@
 	return convertValues(table, storedTimeline.timeline)
 }
 
-func countsOf(c gateway.Counts) storedCounts {
+func countsOf(counts gateway.Counts) storedCounts {
 	return storedCounts{
-		Admitted:         c.Admitted,
-		Served:           c.Served,
-		Rejected:         c.Rejected,
-		Failed:           c.Failed,
-		Disconnected:     c.Disconnected,
-		Shed:             c.Shed,
-		Attempts:         c.Attempts,
-		LoadOrders:       c.LoadOrders,
-		ResidencyQueries: c.ResidencyQueries,
-		HealthChecks:     c.HealthChecks,
-		LateResponses:    c.LateResponses,
-		PastDeadline:     c.PastDeadline,
+		Admitted:         counts.Admitted,
+		Served:           counts.Served,
+		Rejected:         counts.Rejected,
+		Failed:           counts.Failed,
+		Disconnected:     counts.Disconnected,
+		Shed:             counts.Shed,
+		Attempts:         counts.Attempts,
+		LoadOrders:       counts.LoadOrders,
+		ResidencyQueries: counts.ResidencyQueries,
+		HealthChecks:     counts.HealthChecks,
+		LateResponses:    counts.LateResponses,
+		PastDeadline:     counts.PastDeadline,
 		ShadowDifferences: storedShadow{
-			Compared:       c.ShadowDifferences.Compared,
-			OtherWorker:    c.ShadowDifferences.OtherWorker,
-			OtherQueueing:  c.ShadowDifferences.OtherQueueing,
-			OtherResponse:  c.ShadowDifferences.OtherResponse,
-			LoadOrder:      c.ShadowDifferences.LoadOrder,
-			ResidencyQuery: c.ShadowDifferences.ResidencyQuery,
-			Cancellation:   c.ShadowDifferences.Cancellation,
+			Compared:       counts.ShadowDifferences.Compared,
+			OtherWorker:    counts.ShadowDifferences.OtherWorker,
+			OtherQueueing:  counts.ShadowDifferences.OtherQueueing,
+			OtherResponse:  counts.ShadowDifferences.OtherResponse,
+			LoadOrder:      counts.ShadowDifferences.LoadOrder,
+			ResidencyQuery: counts.ShadowDifferences.ResidencyQuery,
+			Cancellation:   counts.ShadowDifferences.Cancellation,
 		},
 	}
 }
--- a/lab/experiment/stored_test.go
+++ b/lab/experiment/stored_test.go
@@ -93,33 +93,33 @@
 }
 
 // zeroField returns the path of the first field of v that is zero, empty if there is none.
-func zeroField(v reflect.Value, path string) string {
-	switch v.Kind() {
+func zeroField(value reflect.Value, path string) string {
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if zero := zeroField(v.Field(i), path+"."+v.Type().Field(i).Name); zero != "" {
+		for i := range value.NumField() {
+			if zero := zeroField(value.Field(i), path+"."+value.Type().Field(i).Name); zero != "" {
 				return zero
 			}
 		}
 		return ""
 	case reflect.Pointer:
-		if !v.IsNil() {
-			return zeroField(v.Elem(), path)
+		if !value.IsNil() {
+			return zeroField(value.Elem(), path)
 		}
 	case reflect.Slice:
-		for i := range v.Len() {
-			if zero := zeroField(v.Index(i), path); zero != "" {
+		for i := range value.Len() {
+			if zero := zeroField(value.Index(i), path); zero != "" {
 				return zero
 			}
 		}
 	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			if zero := zeroField(v.MapIndex(key), path); zero != "" {
+		for _, key := range value.MapKeys() {
+			if zero := zeroField(value.MapIndex(key), path); zero != "" {
 				return zero
 			}
 		}
 	}
-	if v.IsZero() {
+	if value.IsZero() {
 		return path
 	}
 	return ""
--- a/lab/faultsearch/random.go
+++ b/lab/faultsearch/random.go
@@ -33,25 +33,25 @@
 
 // randomFault draws a fault, with times in tenths of a second and shares in whole percents.
 func (s *search) randomFault() scenario.Fault {
-	f := scenario.Fault{Kind: searchedKinds[s.rng.IntN(len(searchedKinds))]}
+	fault := scenario.Fault{Kind: searchedKinds[s.rng.IntN(len(searchedKinds))]}
 	duration := int(s.cfg.Base.Duration / timeUnit)
-	f.At = s.randomDuration(duration/20, duration*3/4)
-	for _, p := range s.parameterDraws(&f, duration) {
-		if scenario.HasParameter(f.Kind, p.parameter) {
+	fault.At = s.randomDuration(duration/20, duration*3/4)
+	for _, p := range s.parameterDraws(&fault, duration) {
+		if scenario.HasParameter(fault.Kind, p.parameter) {
 			p.draw()
 		}
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "deploy", "flush", "re-release":
-		f.Share = float64(30+s.rng.IntN(71)) / 100
+		fault.Share = float64(30+s.rng.IntN(71)) / 100
 	case "pause", "stall":
-		f.Duration = s.randomDuration(2, 8)
+		fault.Duration = s.randomDuration(2, 8)
 	case "surge":
-		f.Factor = 1 + f.Factor/10
+		fault.Factor = 1 + fault.Factor/10
 	case "net-loss":
-		f.Factor /= 10
+		fault.Factor /= 10
 	}
-	return f
+	return fault
 }
 
 // parameterDraw draws one parameter of a fault.
@@ -62,22 +62,22 @@
 
 // parameterDraws are the draws of a fault's parameters, in their order. duration is that of the scenario, in time
 // units.
-func (s *search) parameterDraws(f *scenario.Fault, duration int) []parameterDraw {
+func (s *search) parameterDraws(fault *scenario.Fault, duration int) []parameterDraw {
 	return []parameterDraw{
-		{scenario.ShareParameter, func() { f.Share = float64(5+s.rng.IntN(46)) / 100 }},
-		{scenario.FrontEndParameter, func() { f.Number = 1 + s.rng.IntN(s.cfg.Base.FrontEnds) }},
-		{scenario.ZoneParameter, func() { f.Number = 1 + s.rng.IntN(zoneCount) }},
-		{scenario.OtherZoneParameter, func() { f.OtherZone = 1 + s.rng.IntN(zoneCount) }},
-		{scenario.FunctionsParameter, func() { f.Number = 1 + s.rng.IntN(4) }},
-		{scenario.RateParameter, func() { f.Factor = float64(3+s.rng.IntN(8)) / 10 }},
-		{scenario.FactorParameter, func() { f.Factor = float64(2 + s.rng.IntN(8)) }},
-		{scenario.OffsetParameter, func() { f.Offset = s.randomDuration(1, 50) }},
-		{scenario.SkewParameter, func() { f.Offset = s.randomDuration(1, 50) }},
-		{scenario.PauseLengthParameter, func() { f.PauseLength = s.randomDuration(1, 6) }},
-		{scenario.IntervalParameter, func() { f.Interval = s.randomDuration(8, 30) }},
-		{scenario.SpreadParameter, func() { f.Spread = s.randomDuration(10, duration/2) }},
-		{scenario.DrainTimeParameter, func() { f.DrainTime = s.randomDuration(2, 20) }},
-		{scenario.DurationParameter, func() { f.Duration = s.randomDuration(3, duration/3) }},
+		{scenario.ShareParameter, func() { fault.Share = float64(5+s.rng.IntN(46)) / 100 }},
+		{scenario.FrontEndParameter, func() { fault.Number = 1 + s.rng.IntN(s.cfg.Base.FrontEnds) }},
+		{scenario.ZoneParameter, func() { fault.Number = 1 + s.rng.IntN(zoneCount) }},
+		{scenario.OtherZoneParameter, func() { fault.OtherZone = 1 + s.rng.IntN(zoneCount) }},
+		{scenario.FunctionsParameter, func() { fault.Number = 1 + s.rng.IntN(4) }},
+		{scenario.RateParameter, func() { fault.Factor = float64(3+s.rng.IntN(8)) / 10 }},
+		{scenario.FactorParameter, func() { fault.Factor = float64(2 + s.rng.IntN(8)) }},
+		{scenario.OffsetParameter, func() { fault.Offset = s.randomDuration(1, 50) }},
+		{scenario.SkewParameter, func() { fault.Offset = s.randomDuration(1, 50) }},
+		{scenario.PauseLengthParameter, func() { fault.PauseLength = s.randomDuration(1, 6) }},
+		{scenario.IntervalParameter, func() { fault.Interval = s.randomDuration(8, 30) }},
+		{scenario.SpreadParameter, func() { fault.Spread = s.randomDuration(10, duration/2) }},
+		{scenario.DrainTimeParameter, func() { fault.DrainTime = s.randomDuration(2, 20) }},
+		{scenario.DurationParameter, func() { fault.Duration = s.randomDuration(3, duration/3) }},
 	}
 }
 
--- a/lab/faultsearch/search.go
+++ b/lab/faultsearch/search.go
@@ -66,28 +66,28 @@
 
 // Run searches and returns the findings, the worst first. When ctx ends, it returns what was found so far.
 func Run(ctx context.Context, cfg Config) ([]Finding, error) {
-	s := &search{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, randomStream))}
+	search := &search{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, randomStream))}
 	for round := range cfg.Rounds {
 		if ctx.Err() != nil {
 			break
 		}
-		if err := s.round(); err != nil {
+		if err := search.round(); err != nil {
 			return nil, err
 		}
-		cfg.Tell(fmt.Sprintf("round %d: worst by %.3f, of %d kept", round+1, s.found[0].Score(), len(s.found)))
+		cfg.Tell(fmt.Sprintf("round %d: worst by %.3f, of %d kept", round+1, search.found[0].Score(), len(search.found)))
 	}
-	for i := range s.found {
+	for i := range search.found {
 		if ctx.Err() != nil {
 			break
 		}
-		f, err := s.shrink(s.found[i])
+		f, err := search.shrink(search.found[i])
 		if err != nil {
 			return nil, err
 		}
-		s.found[i] = f
+		search.found[i] = f
 	}
-	s.sortFound()
-	return slices.CompactFunc(s.found, func(a, b Finding) bool { return a.Text() == b.Text() }), nil
+	search.sortFound()
+	return slices.CompactFunc(search.found, func(a, b Finding) bool { return a.Text() == b.Text() }), nil
 }
 
 // search is a search under way.
--- a/lab/fleet/clients_test.go
+++ b/lab/fleet/clients_test.go
@@ -15,10 +15,10 @@
 )
 
 func TestClient_PipelinesTenAndClosesAfterThree_AllAccountedFor(t *testing.T) {
-	f := start(t, smallConfig(2, 1))
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
-	f.send(t, 0, newRequest("first", "unlock", time.Millisecond))
-	conn, err := net.Dial("tcp", f.FrontEnds[0].Pool().Address)
+	fleet := start(t, smallConfig(2, 1))
+	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	fleet.send(t, 0, newRequest("first", "unlock", time.Millisecond))
+	conn, err := net.Dial("tcp", fleet.FrontEnds[0].Pool().Address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,14 +44,14 @@
 		}
 	}
 	_ = conn.Close()
-	service := f.FrontEnds[0].Service()
+	service := fleet.FrontEnds[0].Service()
 	waitUntil(t, "every call to be accounted for", func() bool {
 		c := service.Counts()
 		return c.Admitted == 11 && c.Served+c.Rejected+c.Failed+c.Disconnected == 11
 	})
-	f.stopAndCheck(t)
+	fleet.stopAndCheck(t)
 	// Where the client's goroutine stood still before it closed, some were called back from a worker silent for long.
-	if c := f.FrontEnds[0].Counts(); c.Served != 4 || c.Disconnected == 0 || c.PastDeadline != 0 {
+	if c := fleet.FrontEnds[0].Counts(); c.Served != 4 || c.Disconnected == 0 || c.PastDeadline != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -60,46 +60,46 @@
 func TestStop_HundredsOfQueuedRequests_AllGetResponses(t *testing.T) {
 	cfg := smallConfig(1, 1)
 	cfg.Settings = "stop-wait 200ms\n" + cfg.Settings
-	f := start(t, cfg)
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
-	f.commandWorkers(t, "hang on", 0)
+	fleet := start(t, cfg)
+	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	fleet.commandWorkers(t, "hang on", 0)
 	var all sync.WaitGroup
 	for i := range 300 {
 		all.Go(func() {
 			c := newRequest(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], time.Millisecond)
 			c.Timeout = 20 * time.Second // as long as the class allows
-			if seen, err := f.FrontEnds[0].Pool().Do(c); err != nil || seen.Outcome == "" {
+			if seen, err := fleet.FrontEnds[0].Pool().Do(c); err != nil || seen.Outcome == "" {
 				t.Errorf("call %d: %+v, %v", i, seen, err)
 			}
 		})
 	}
-	service := f.FrontEnds[0].Service()
+	service := fleet.FrontEnds[0].Service()
 	waitUntil(t, "the calls to be taken", func() bool { return service.Counts().Admitted == 300 })
-	if err := f.FrontEnds[0].Stop(); err != nil && !errors.Is(err, gateway.ErrUnclean) {
+	if err := fleet.FrontEnds[0].Stop(); err != nil && !errors.Is(err, gateway.ErrUnclean) {
 		t.Error(err)
 	}
 	all.Wait()
-	f.stopAndCheck(t)
+	fleet.stopAndCheck(t)
 }
 
 // TestFrontEnd_FullWithTwoHundredConnections_RejectsEach: each is rejected at once, none is lost.
 func TestFrontEnd_FullWithTwoHundredConnections_RejectsEach(t *testing.T) {
 	cfg := smallConfig(1, 1)
 	cfg.Settings = "max-calls 5\n" + cfg.Settings
-	f := start(t, cfg)
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
-	f.commandWorkers(t, "hang on", 0)
+	fleet := start(t, cfg)
+	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	fleet.commandWorkers(t, "hang on", 0)
 	var all sync.WaitGroup
 	for i := range 5 {
-		all.Go(func() { f.send(t, 0, newRequest(fmt.Sprint("full", i), "quote", time.Millisecond)) })
+		all.Go(func() { fleet.send(t, 0, newRequest(fmt.Sprint("full", i), "quote", time.Millisecond)) })
 	}
-	service := f.FrontEnds[0].Service()
+	service := fleet.FrontEnds[0].Service()
 	waitUntil(t, "the front end to be full", func() bool { return service.Counts().Admitted == 5 })
 	var mu sync.Mutex
 	refused := 0
 	for i := range 200 {
 		all.Go(func() {
-			seen := f.send(t, 0, newRequest(fmt.Sprint("c", i), "unlock", time.Millisecond))
+			seen := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "unlock", time.Millisecond))
 			mu.Lock()
 			defer mu.Unlock()
 			if seen.Outcome == "refused" && seen.RetryAfter > 0 {
@@ -111,8 +111,8 @@
 	if refused != 200 {
 		t.Errorf("%d of 200 refused with advice", refused)
 	}
-	f.stopAndCheck(t)
-	if c := f.FrontEnds[0].Counts(); c.Shed != 200 {
+	fleet.stopAndCheck(t)
+	if c := fleet.FrontEnds[0].Counts(); c.Shed != 200 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -120,19 +120,19 @@
 // TestClient_SlowReaderOfLongResponse_DelaysNoOther: one client reads nothing of a long response, others are served by
 // the same worker meanwhile.
 func TestClient_SlowReaderOfLongResponse_DelaysNoOther(t *testing.T) {
-	f := start(t, smallConfig(1, 1))
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
-	conn, err := net.Dial("tcp", f.FrontEnds[0].Pool().Address)
+	fleet := start(t, smallConfig(1, 1))
+	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	conn, err := net.Dial("tcp", fleet.FrontEnds[0].Pool().Address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
 	body := "work 1ms reply 50000000"
 	_, _ = fmt.Fprintf(conn, "POST /call/quote-f HTTP/1.1\r\nHost: h\r\nCall-Class: quote\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	service := f.FrontEnds[0].Service()
+	service := fleet.FrontEnds[0].Service()
 	waitUntil(t, "the long answer to begin", func() bool { return service.Counts().Served == 1 })
 	for i := range 50 {
-		if seen := f.send(t, 0, newRequest(fmt.Sprint("c", i), "unlock", time.Millisecond)); seen.Outcome != "served" {
+		if seen := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "unlock", time.Millisecond)); seen.Outcome != "served" {
 			t.Errorf("call %d: %+v", i, seen)
 		}
 	}
@@ -143,17 +143,17 @@
 	if n, err := io.Copy(io.Discard, r.Body); n != 50000000 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	f.stopAndCheck(t)
+	fleet.stopAndCheck(t)
 }
 
 // TestLoops_OfOneProcess_AreSeparateFrontEnds: each has its own connections and its own query of the endpoint list.
 func TestLoops_OfOneProcess_AreSeparateFrontEnds(t *testing.T) {
 	cfg := smallConfig(2, 1)
 	cfg.Loops = 3
-	f := start(t, cfg)
-	waitUntil(t, "three lists", func() bool { return len(f.Discovery.Updates()) >= 3 })
+	fleet := start(t, cfg)
+	waitUntil(t, "three lists", func() bool { return len(fleet.Discovery.Updates()) >= 3 })
 	asked := map[string]bool{}
-	for _, n := range f.Discovery.Updates() {
+	for _, n := range fleet.Discovery.Updates() {
 		asked[n.Client] = true
 	}
 	if len(asked) != 3 {
@@ -162,14 +162,14 @@
 	var all sync.WaitGroup
 	for i := range 30 {
 		all.Go(func() {
-			if seen := f.send(t, 0, newRequest(fmt.Sprint("c", i), "quote", time.Millisecond)); seen.Outcome != "served" {
+			if seen := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "quote", time.Millisecond)); seen.Outcome != "served" {
 				t.Errorf("%+v", seen)
 			}
 		})
 	}
 	all.Wait()
-	f.stopAndCheck(t)
-	if c := f.FrontEnds[0].Counts(); c.Served != 30 {
+	fleet.stopAndCheck(t)
+	if c := fleet.FrontEnds[0].Counts(); c.Served != 30 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	f, err := Start(Config{
+	fleet, err := Start(Config{
 		Workers:   d.Workers,
 		Cells:     3,
 		FrontEnds: d.FrontEnds,
@@ -143,19 +143,19 @@
 	if err != nil {
 		return Result{}, err
 	}
-	defer f.Close()
+	defer fleet.Close()
 	d.Tell("front ends, emulated workers, store and directory run on loopback")
-	outcomes, err := d.load(ctx, f, faults)
+	outcomes, err := d.load(ctx, fleet, faults)
 	if err != nil {
 		return Result{}, err
 	}
-	for _, e := range f.FrontEnds {
+	for _, e := range fleet.FrontEnds {
 		if err := e.Stop(); err != nil {
 			return Result{}, err
 		}
 	}
-	violations, tally := f.Check()
-	return Result{outcomes, tally, violations, f.Score()}, nil
+	violations, tally := fleet.Check()
+	return Result{outcomes, tally, violations, fleet.Score()}, nil
 }
 
 // load runs the clients, and beside them the scenario and the report of the progress.
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -68,12 +68,12 @@
 }
 
 func TestFleet_RequestsThroughSockets_AreServed(t *testing.T) {
-	f := start(t, smallConfig(4, 2))
+	fleet := start(t, smallConfig(4, 2))
 	var all sync.WaitGroup
 	for i := range 60 {
 		all.Go(func() {
 			class := []string{"quote", "log", "unlock"}[i%3]
-			seen, err := f.FrontEnds[i%2].Pool().Do(loadgen.Call{
+			seen, err := fleet.FrontEnds[i%2].Pool().Do(loadgen.Call{
 				ID: fmt.Sprint("call-", i), Class: class,
 				Function: class + "-f", Timeout: 2 * time.Second, Work: 2 * time.Millisecond, ResponseBytes: 100000 * (i % 2),
 				LoadTime: 50 * time.Millisecond, MemoryMB: 200, Concurrency: 2,
@@ -84,12 +84,12 @@
 		})
 	}
 	all.Wait()
-	for _, e := range f.FrontEnds {
+	for _, e := range fleet.FrontEnds {
 		if err := e.Stop(); err != nil {
 			t.Error(err)
 		}
 	}
-	violations, tally := f.Check()
+	violations, tally := fleet.Check()
 	if len(violations) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Executions != 60 {
 		t.Errorf("%v; broken: %v", tally, violations)
 	}
@@ -98,14 +98,14 @@
 func TestFleet_ShadowSettings_CountDifferences(t *testing.T) {
 	cfg := smallConfig(4, 2)
 	cfg.Settings += "watch other\n  orders off\n  retry-after off\nend\n"
-	f := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Updates()) >= 2 })
+	fleet := start(t, cfg)
+	waitUntil(t, "the lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
 	for i := range 12 {
-		if seen := f.send(t, i%2, newRequest(fmt.Sprint("w.", i), "quote", time.Millisecond)); seen.Outcome != "served" {
+		if seen := fleet.send(t, i%2, newRequest(fmt.Sprint("w.", i), "quote", time.Millisecond)); seen.Outcome != "served" {
 			t.Errorf("call %d: %+v", i, seen)
 		}
 	}
-	for _, e := range f.FrontEnds {
+	for _, e := range fleet.FrontEnds {
 		if err := e.Stop(); err != nil {
 			t.Error(err)
 		}
@@ -113,5 +113,5 @@
 			t.Errorf("%s: %+v; every question would have been spared without orders, and nothing was refused", e.Name(), c)
 		}
 	}
-	f.stopAndCheck(t)
+	fleet.stopAndCheck(t)
 }
--- a/lab/fleet/workers_test.go
+++ b/lab/fleet/workers_test.go
@@ -20,56 +20,56 @@
 	cfg.Cells = 1
 	cfg.Settings = "keep-alive 10s\nclass log\nrepeat keyed\nscope all\nmemory 10s\nend\n"
 	cfg.Worker.KeyRetention = 10 * time.Second
-	f := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Updates()) >= 2 })
-	f.commandWorkers(t, "hang on", 0, 1)
+	fleet := start(t, cfg)
+	waitUntil(t, "the lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
+	fleet.commandWorkers(t, "hang on", 0, 1)
 	first := newRequest("a.0", "log", time.Millisecond)
 	first.IdempotencyKey = "one"
-	if seen := f.send(t, 0, first); seen.Outcome == "served" {
+	if seen := fleet.send(t, 0, first); seen.Outcome == "served" {
 		t.Fatalf("%+v from workers that hang", seen)
 	}
-	f.commandWorkers(t, "hang off", 1)
+	fleet.commandWorkers(t, "hang off", 1)
 	second := newRequest("a.1", "log", time.Millisecond)
 	second.IdempotencyKey = "one"
 	waitUntil(t, "the repeat to be served", func() bool {
-		seen := f.send(t, 1, second)
+		seen := fleet.send(t, 1, second)
 		second.ID += "x"
 		return seen.Outcome == "served"
 	})
-	f.commandWorkers(t, "hang off", 0)
+	fleet.commandWorkers(t, "hang off", 0)
 	third := newRequest("b", "log", time.Millisecond)
 	waitUntil(t, "the worker that hung to answer", func() bool {
 		third.ID += "x"
-		return f.send(t, 0, third).Outcome == "served"
+		return fleet.send(t, 0, third).Outcome == "served"
 	})
-	effects := f.History.ExecutionCount("one")
+	effects := fleet.History.ExecutionCount("one")
 	if effects != 1 {
 		t.Errorf("%d effects of one key", effects)
 	}
-	f.stopAndCheck(t)
+	fleet.stopAndCheck(t)
 }
 
 // TestStall_ResponseReceivedMeanwhile_IsServed: the attempt has timed out when the front end goes on, and its response is
 // there.
 func TestStall_ResponseReceivedMeanwhile_IsServed(t *testing.T) {
-	f := start(t, smallConfig(1, 1))
-	waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
-	if seen := f.send(t, 0, newRequest("first", "unlock", time.Millisecond)); seen.Outcome != "served" {
+	fleet := start(t, smallConfig(1, 1))
+	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	if seen := fleet.send(t, 0, newRequest("first", "unlock", time.Millisecond)); seen.Outcome != "served" {
 		t.Fatalf("%+v", seen)
 	}
 	done := make(chan client.Response)
 	go func() {
 		c := newRequest("second", "unlock", 100*time.Millisecond)
 		c.Timeout = 400 * time.Millisecond
-		done <- f.send(t, 0, c)
+		done <- fleet.send(t, 0, c)
 	}()
-	waitUntil(t, "the attempt", func() bool { return f.History.AttemptCount("second") > 0 })
-	f.History.FrontEndStalled(f.FrontEnds[0].Name(), 600*time.Millisecond)
-	f.FrontEnds[0].Service().Stall(600 * time.Millisecond)
+	waitUntil(t, "the attempt", func() bool { return fleet.History.AttemptCount("second") > 0 })
+	fleet.History.FrontEndStalled(fleet.FrontEnds[0].Name(), 600*time.Millisecond)
+	fleet.FrontEnds[0].Service().Stall(600 * time.Millisecond)
 	if seen := <-done; seen.Outcome != "served" {
 		t.Errorf("%+v: the answer was there", seen)
 	}
-	f.stopAndCheck(t)
+	fleet.stopAndCheck(t)
 }
 
 func TestWorkerFault_OfOneWorker_LosesNoRequest(t *testing.T) {
@@ -79,26 +79,26 @@
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			f := start(t, smallConfig(3, 1))
-			waitUntil(t, "the list", func() bool { return len(f.Discovery.Updates()) >= 1 })
-			f.send(t, 0, newRequest("first", "quote", time.Millisecond))
-			f.commandWorkers(t, fault, 0)
+			fleet := start(t, smallConfig(3, 1))
+			waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+			fleet.send(t, 0, newRequest("first", "quote", time.Millisecond))
+			fleet.commandWorkers(t, fault, 0)
 			if fault == "handshake never" || fault == "handshake 400ms" {
-				f.commandWorkers(t, "reset", 0)
+				fleet.commandWorkers(t, "reset", 0)
 			}
 			var all sync.WaitGroup
 			for i := range 90 {
 				all.Go(func() {
 					c := newRequest(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], 2*time.Millisecond)
 					c.Function += fmt.Sprint(i % 7)
-					if _, err := f.FrontEnds[0].Pool().Do(c); err != nil {
+					if _, err := fleet.FrontEnds[0].Pool().Do(c); err != nil {
 						t.Error(err)
 					}
 				})
 			}
 			all.Wait()
-			f.stopAndCheck(t)
-			if _, tally := f.Check(); tally.Served < 45 {
+			fleet.stopAndCheck(t)
+			if _, tally := fleet.Check(); tally.Served < 45 {
 				t.Errorf("%v: the fault of one worker took more than half", tally)
 			}
 		})
@@ -108,7 +108,7 @@
 // TestWorker_ReadsNothing_DelaysNoOtherRequest: it completes the handshake and then lets its socket fill with long
 // requests.
 func TestWorker_ReadsNothing_DelaysNoOtherRequest(t *testing.T) {
-	f := start(t, smallConfig(2, 1))
+	fleet := start(t, smallConfig(2, 1))
 	stuck, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -136,9 +136,9 @@
 			})
 		}
 	})
-	f.Discovery.Set(discoveryserver.Entry{Name: "stuck", Address: stuck.Addr().String(), Cell: "cell-1", State: scheduler.Ready})
+	fleet.Discovery.Set(discoveryserver.Entry{Name: "stuck", Address: stuck.Addr().String(), Cell: "cell-1", State: scheduler.Ready})
 	waitUntil(t, "the list", func() bool {
-		for _, n := range f.Discovery.Updates() {
+		for _, n := range fleet.Discovery.Updates() {
 			if n.States["stuck"] == scheduler.Ready {
 				return true
 			}
@@ -150,7 +150,7 @@
 		all.Go(func() {
 			c := newRequest(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], time.Millisecond)
 			c.Function, c.PaddingBytes = fmt.Sprint(c.Function, i%12), 900_000
-			f.send(t, 0, c)
+			fleet.send(t, 0, c)
 		})
 	}
 	all.Wait()
@@ -159,10 +159,10 @@
 		c.Function = fmt.Sprint(c.Function, i)
 		waitUntil(t, "a call to be served beside it", func() bool {
 			c.ID += "x"
-			return f.send(t, 0, c).Outcome == "served"
+			return fleet.send(t, 0, c).Outcome == "served"
 		})
 	}
-	f.stopAndCheck(t)
+	fleet.stopAndCheck(t)
 }
 
 // TestWorker_ReportsNotLoaded_ReceivesLoadOrders within the load rate limit, which the invariant checker holds.
@@ -170,8 +170,8 @@
 	cfg := smallConfig(4, 2)
 	cfg.Worker.MissAnswers = true
 	cfg.Settings = "on-miss miss\nload-window 2s\nload-free 3\nload-share 0.2\n" + cfg.Settings
-	f := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(f.Discovery.Updates()) >= 2 })
+	fleet := start(t, cfg)
+	waitUntil(t, "the lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	seen := map[string]int{}
@@ -179,7 +179,7 @@
 		all.Go(func() {
 			c := newRequest(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], time.Millisecond)
 			c.Function += fmt.Sprint(i % 20)
-			outcome := f.send(t, i%2, c).Outcome
+			outcome := fleet.send(t, i%2, c).Outcome
 			mu.Lock()
 			defer mu.Unlock()
 			seen[outcome]++
@@ -190,8 +190,8 @@
 	if seen["served"] < 100 {
 		t.Errorf("%v", seen)
 	}
-	f.stopAndCheck(t)
-	if _, tally := f.Check(); tally.LoadOrders == 0 {
+	fleet.stopAndCheck(t)
+	if _, tally := fleet.Check(); tally.LoadOrders == 0 {
 		t.Error("no order was given")
 	}
 }
--- a/lab/invariant/check_load.go
+++ b/lab/invariant/check_load.go
@@ -13,20 +13,20 @@
 		c.violated(ruleColdStart, "%s fell over at %v", crash.Worker, crash.At)
 	}
 	recent := map[string][]*Attempt{} // by worker and incarnation
-	for _, a := range c.attempts {
-		if a.Capacity == 0 { // it was warm
+	for _, attempt := range c.attempts {
+		if attempt.Capacity == 0 { // it was warm
 			continue
 		}
-		window := time.Duration(a.OverloadWindowSeconds * float64(time.Second))
-		id := fmt.Sprint(a.Worker, a.Incarnation)
-		recent[id] = slices.DeleteFunc(append(recent[id], a), func(x *Attempt) bool { return x.At <= a.At-window })
+		window := time.Duration(attempt.OverloadWindowSeconds * float64(time.Second))
+		id := fmt.Sprint(attempt.Worker, attempt.Incarnation)
+		recent[id] = slices.DeleteFunc(append(recent[id], attempt), func(x *Attempt) bool { return x.At <= attempt.At-window })
 		total := time.Duration(0)
 		for _, x := range recent[id] {
 			total += x.Work
 		}
-		allowed := time.Duration(a.OverloadMultiple * a.Capacity * float64(window))
+		allowed := time.Duration(attempt.OverloadMultiple * attempt.Capacity * float64(window))
 		if window > 0 && total > allowed {
-			c.violated(ruleColdStart, "%s was sent %v of work within %v, %v would push it over", a.Worker, total, window, allowed)
+			c.violated(ruleColdStart, "%s was sent %v of work within %v, %v would push it over", attempt.Worker, total, window, allowed)
 		}
 	}
 }
--- a/lab/invariant/score.go
+++ b/lab/invariant/score.go
@@ -65,7 +65,7 @@
 func (h *History) Score(classes map[string]scheduler.Class) Score {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := Score{ByClass: map[string]*Timeline{}, ByTenant: map[string]*Timeline{}}
+	score := Score{ByClass: map[string]*Timeline{}, ByTenant: map[string]*Timeline{}}
 	first := map[string]*Request{}
 	best := map[string]float64{} // earned by the best attempt
 	var order []string
@@ -79,9 +79,9 @@
 	}
 	for _, id := range order {
 		r := first[id]
-		s.add(r, classes[r.Class].PriorityWeight, best[id])
+		score.add(r, classes[r.Class].PriorityWeight, best[id])
 	}
-	return s
+	return score
 }
 
 // earned is the weight that an attempt earned, where the request was first sent at a time.
--- a/lab/loadgen/arrivals.go
+++ b/lab/loadgen/arrivals.go
@@ -24,7 +24,7 @@
 // none) and milliseconds of work. A comment runs from #. Everything else of the requests is as in m. It returns a
 // function that returns them one after another, as Source.Next does, and their number. Errors name the line; all are
 // reported at once. They wrap ErrArrivals.
-func ParseArrivals(name, text string, m Mix) (next func() (time.Duration, Call, bool), count int, err error) {
+func ParseArrivals(name, text string, mix Mix) (next func() (time.Duration, Call, bool), count int, err error) {
 	var list []arrival
 	var errs []error
 	for i, line := range strings.Split(text, "\n") {
@@ -41,7 +41,7 @@
 			errs = append(errs, fmt.Errorf("%s:%d: %w", name, i+1, err))
 			continue
 		}
-		a.request.complete(len(list)+1, m)
+		a.request.complete(len(list)+1, mix)
 		list = append(list, a)
 	}
 	if len(errs) > 0 {
--- a/lab/loadgen/demand.go
+++ b/lab/loadgen/demand.go
@@ -55,7 +55,7 @@
 }
 
 // floodShares is what tenants that flood add, in shares of the mean rate, by tenant and in all.
-func (s *Source) floodShares() (by []float64, all float64) {
+func (s *Source) floodShares() (byTenant []float64, all float64) {
 	if len(s.demand.Tenants) == 0 {
 		return nil, 0
 	}
@@ -63,14 +63,14 @@
 	for _, x := range s.shares {
 		total += x
 	}
-	by = make([]float64, len(s.tenants))
+	byTenant = make([]float64, len(s.tenants))
 	for i, name := range s.tenants {
 		if times := s.demand.Tenants[name].RateFactor; times > 1 {
-			by[i] = (times - 1) * s.shares[i] / total
-			all += by[i]
+			byTenant[i] = (times - 1) * s.shares[i] / total
+			all += byTenant[i]
 		}
 	}
-	return by, all
+	return byTenant, all
 }
 
 // applyTenantDemand changes a drawn request by its tenant's demand.
--- a/lab/loadgen/source.go
+++ b/lab/loadgen/source.go
@@ -110,43 +110,43 @@
 // drawRequest draws a request, also of a tenant that is silent. The order of the random draws decides what a seed
 // gives.
 func (s *Source) drawRequest() (time.Duration, Call, bool) {
-	m := &s.mix
+	mix := &s.mix
 	floods, flood := s.floodShares()
-	rate := m.Rate * s.relativeRate(s.time) * s.demand.RateFactor
+	rate := mix.Rate * s.relativeRate(s.time) * s.demand.RateFactor
 	s.time += time.Duration(s.rng.ExpFloat64() / (rate * (1 + flood)) * float64(time.Second))
 	if s.time >= s.duration {
 		return 0, Call{}, false
 	}
 	s.count++
 	class := s.classes[s.rng.IntN(len(s.classes))]
-	c := Call{
+	request := Call{
 		ID:             fmt.Sprintf("c%d", s.count),
 		IdempotencyKey: fmt.Sprintf("k%d", s.count),
 		Class:          class,
 		Function:       s.drawFunction(class),
 		Timeout:        s.drawTimeout(),
 		Work:           s.drawWork(),
-		MemoryMB:       m.MemoryMB,
+		MemoryMB:       mix.MemoryMB,
 		Concurrency:    replicaConcurrency,
-		LoadTime:       m.Load,
-		RetryPolicy:    m.Habit,
-		Retries:        m.Retries,
+		LoadTime:       mix.Load,
+		RetryPolicy:    mix.Habit,
+		Retries:        mix.Retries,
 	}
-	if m.Reply > 0 {
-		c.ResponseBytes = s.rng.IntN(m.Reply)
+	if mix.Reply > 0 {
+		request.ResponseBytes = s.rng.IntN(mix.Reply)
 	}
 	if len(s.tenants) > 0 {
 		shares := s.shares
 		if s.rng.Float64() < flood/(1+flood) {
 			shares = floods
 		}
-		c.Tenant = s.drawTenant(shares)
+		request.Tenant = s.drawTenant(shares)
 	}
-	s.applyTenantDemand(&c)
+	s.applyTenantDemand(&request)
 	if s.rng.Float64() < s.demand.DisconnectShare {
-		c.DisconnectAfter = 1 + time.Duration(s.rng.Float64()*float64(c.Timeout/2))
+		request.DisconnectAfter = 1 + time.Duration(s.rng.Float64()*float64(request.Timeout/2))
 	}
-	return s.time, c, true
+	return s.time, request, true
 }
 
 func (s *Source) drawTimeout() time.Duration {
--- a/lab/measure/benchmark.go
+++ b/lab/measure/benchmark.go
@@ -128,21 +128,21 @@
 
 // serve runs an HTTP server until the benchmark closes, and returns its address.
 func (b *benchmark) serve(h http.Handler) (string, error) {
-	l, err := net.Listen("tcp", loopback)
+	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: h}
+	server := &http.Server{Handler: h}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = s.Serve(l) // ends by Close
+		_ = server.Serve(listener) // ends by Close
 	}()
 	b.addCleanup(func() {
-		_ = s.Close()
+		_ = server.Close()
 		<-done
 	})
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
 // httpHandler is the HTTP handler of an emulated worker: the same model, reached without the worker protocol.
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := gateway.NewService(parsed, zerolog.Nop())
+	service, err := gateway.NewService(parsed, zerolog.Nop())
 	if err != nil {
 		return nil, err
 	}
@@ -210,11 +210,11 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, _ = s.Run(ctx)
+		_, _ = service.Run(ctx)
 	}()
 	b.addCleanup(func() {
 		cancel()
 		<-done
 	})
-	return s, nil
+	return service, nil
 }
--- a/lab/measure/latency.go
+++ b/lab/measure/latency.go
@@ -128,7 +128,7 @@
 // measureOpenLoop measures at a fixed rate: each connection has its times to send, and a request that is sent late
 // because the one before it was slow is measured from its time, so that a slow route is not spared (coordinated
 // omission).
-func (b *benchmark) measureOpenLoop(ctx context.Context, w *Way, s *Sample, rate float64) error {
+func (b *benchmark) measureOpenLoop(ctx context.Context, w *Way, sample *Sample, rate float64) error {
 	l := newLatencies()
 	gap := time.Duration(float64(time.Second) * float64(b.cfg.Connections) / rate)
 	start := time.Now()
@@ -144,7 +144,7 @@
 		}
 		return nil
 	})
-	s.Half50, s.Half99, s.Half999 = l.quantile(50), l.quantile(99), l.quantile(99.9)
-	s.Errors += l.errors
+	sample.Half50, sample.Half99, sample.Half999 = l.quantile(50), l.quantile(99), l.quantile(99.9)
+	sample.Errors += l.errors
 	return err
 }
--- a/lab/measure/overload.go
+++ b/lab/measure/overload.go
@@ -53,7 +53,7 @@
 func (cfg OverloadConfig) point(ctx context.Context, factor, rate float64) (Point, error) {
 	w := fleet.DemoWorker()
 	w.Cores = overloadCores
-	f, err := fleet.Start(fleet.Config{
+	installation, err := fleet.Start(fleet.Config{
 		Workers:   cfg.Workers,
 		Cells:     overloadCells,
 		FrontEnds: cfg.FrontEnds,
@@ -66,16 +66,16 @@
 	if err != nil {
 		return Point{}, err
 	}
-	defer f.Close()
-	f.RunClients(ctx, cfg.mix(rate), cfg.Lasts, cfg.Seed)
-	for _, e := range f.FrontEnds {
+	defer installation.Close()
+	installation.RunClients(ctx, cfg.mix(rate), cfg.Lasts, cfg.Seed)
+	for _, e := range installation.FrontEnds {
 		if err := e.Stop(); err != nil {
 			return Point{}, err
 		}
 	}
 	p := Point{Factor: factor, Offered: rate}
-	p.Breaks, p.Tally = f.Check()
-	seconds := f.Score().Seconds
+	p.Breaks, p.Tally = installation.Check()
+	seconds := installation.Score().Seconds
 	from := len(seconds) / 4
 	for _, s := range seconds[from:] {
 		p.Worth += s.Earned / float64(len(seconds)-from)
--- a/lab/report/plot.go
+++ b/lab/report/plot.go
@@ -90,10 +90,10 @@
 
 // plotSVG draws curves over the seconds as SVG.
 func plotSVG(title string, curves []curve) (string, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text = title, "seconds"
-	p.Y.Min = 0
-	p.Legend.Top = true
+	figure := plot.New()
+	figure.Title.Text, figure.X.Label.Text = title, "seconds"
+	figure.Y.Min = 0
+	figure.Legend.Top = true
 	for i, c := range curves {
 		points := make(plotter.XYs, len(c.values))
 		for j, v := range c.values {
@@ -104,11 +104,11 @@
 			return "", fmt.Errorf("plot %s: %w", title, err)
 		}
 		line.Color, line.Width = colours[i%len(colours)], vg.Points(lineWidth)
-		p.Add(line)
-		p.Legend.Add(c.name, line)
+		figure.Add(line)
+		figure.Legend.Add(c.name, line)
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
-	p.Draw(draw.New(canvas))
+	figure.Draw(draw.New(canvas))
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", fmt.Errorf("plot %s: %w", title, err)
--- a/lab/reportimport/parser.go
+++ b/lab/reportimport/parser.go
@@ -114,20 +114,20 @@
 
 // parseWindow reads a line of either table of windows.
 func (p *parser) parseWindow(line string) {
-	c, ok := splitWindow(line)
+	columns, ok := splitWindow(line)
 	if !ok {
 		return
 	}
-	requests, requestsErr := strconv.Atoi(c.requests)
-	attempts, attemptsErr := strconv.ParseFloat(c.attempts, 64)
-	workers, workersErr := strconv.Atoi(c.workers)
+	requests, requestsErr := strconv.Atoi(columns.requests)
+	attempts, attemptsErr := strconv.ParseFloat(columns.attempts, 64)
+	workers, workersErr := strconv.Atoi(columns.workers)
 	if errors.Join(requestsErr, attemptsErr, workersErr) != nil {
 		return
 	}
 	if !isWithin(float64(requests), 1e9+1) || !isWithin(float64(workers), 1e6+1) || !isWithin(attempts, 1e6) {
 		return
 	}
-	p.windows = append(p.windows, window{c.at, requests})
+	p.windows = append(p.windows, window{columns.at, requests})
 	p.report.MaxAttempts = max(p.report.MaxAttempts, attempts)
 	p.servers = max(p.servers, workers)
 }
@@ -147,28 +147,28 @@
 
 // finish completes the Day from what was read.
 func (p *parser) finish() error {
-	d := p.report
+	report := p.report
 	if len(p.windows) == 0 {
 		return errors.New("no table of windows was found; allowed: what the bench prints for a run, a replay or an incident")
 	}
-	if d.Workers == 0 {
-		d.Workers, d.FrontEnds = p.servers, defaultFrontEnds
+	if report.Workers == 0 {
+		report.Workers, report.FrontEnds = p.servers, defaultFrontEnds
 	}
-	if d.Requests == 0 {
+	if report.Requests == 0 {
 		for _, w := range p.windows {
-			d.Requests += w.requests
+			report.Requests += w.requests
 		}
 	}
 	last := p.windows[len(p.windows)-1].from
-	if d.Lasts <= last {
-		d.Lasts = last + p.windowLength()
+	if report.Lasts <= last {
+		report.Lasts = last + p.windowLength()
 	}
-	if d.Workers < 1 || d.FrontEnds < 1 || d.Requests < 1 {
+	if report.Workers < 1 || report.FrontEnds < 1 || report.Requests < 1 {
 		return errors.New("it tells of no workers or no requests")
 	}
 	p.addSurges()
 	p.parseEvents()
-	scenario.SortByTime(d.Faults)
+	scenario.SortByTime(report.Faults)
 	return nil
 }
 
--- a/lab/simulation/installation.go
+++ b/lab/simulation/installation.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	settings.FrontEnds = cfg.FrontEnds
-	s := &Simulation{
+	sim := &Simulation{
 		cfg:            cfg,
 		settings:       settings,
 		clock:          &model.VirtualClock{},
@@ -88,20 +88,20 @@
 		trace:          xxhash.New(),
 		outcomes:       map[string]int{},
 	}
-	s.history = invariant.NewHistoryAt(epoch, s.clock.Now)
-	s.network = model.NewNetwork(s.clock, model.NetworkConfig{
+	sim.history = invariant.NewHistoryAt(epoch, sim.clock.Now)
+	sim.network = model.NewNetwork(sim.clock, model.NetworkConfig{
 		Zones:   max(cfg.Zones, scenario.MaxZone(cfg.Faults)),
 		Latency: cfg.NetworkLatency,
 		Jitter:  cfg.Jitter,
-	}, s.rng)
-	s.store = model.NewStore(s.clock, cfg.Store)
-	s.addWorkers()
-	if s.newScheduler, err = s.schedulerConstructor(); err != nil {
+	}, sim.rng)
+	sim.store = model.NewStore(sim.clock, cfg.Store)
+	sim.addWorkers()
+	if sim.newScheduler, err = sim.schedulerConstructor(); err != nil {
 		return nil, err
 	}
-	s.startFrontEnds()
-	s.source = loadgen.ForSettings(cfg.Mix, cfg.Duration, settings, cfg.Seed)
-	return s, nil
+	sim.startFrontEnds()
+	sim.source = loadgen.ForSettings(cfg.Mix, cfg.Duration, settings, cfg.Seed)
+	return sim, nil
 }
 
 func (s *Simulation) addWorkers() {
--- a/lab/simulation/report.go
+++ b/lab/simulation/report.go
@@ -28,24 +28,24 @@
 
 // recordSample records the state of the installation, now and each second from now on.
 func (s *Simulation) recordSample() {
-	var x Sample
+	var sample Sample
 	for _, f := range s.fronts {
 		if f.alive {
-			x.InFlight += f.gateway.InFlight()
+			sample.InFlight += f.gateway.InFlight()
 		}
 		c := f.totals()
-		x.Served += c.Served
-		x.Rejected += c.Rejected + c.Shed
-		x.Failed += c.Failed
-		x.Attempts += c.Attempts
-		x.LoadOrders += c.LoadOrders
+		sample.Served += c.Served
+		sample.Rejected += c.Rejected + c.Shed
+		sample.Failed += c.Failed
+		sample.Attempts += c.Attempts
+		sample.LoadOrders += c.LoadOrders
 	}
 	for _, w := range s.workers {
-		x.Replicas += w.ReplicaCount()
-		x.Queued += w.QueueLength()
+		sample.Replicas += w.ReplicaCount()
+		sample.Queued += w.QueueLength()
 	}
-	x.Fetches = s.store.Fetches
-	s.samples = append(s.samples, x)
+	sample.Fetches = s.store.Fetches
+	s.samples = append(s.samples, sample)
 	s.clock.After(time.Second, s.recordSample)
 }
 
--- a/lab/simulation/worker_client.go
+++ b/lab/simulation/worker_client.go
@@ -214,9 +214,9 @@
 }
 
 // deliverAttempt hands an attempt to the worker.
-func (c *workerClient) deliverAttempt(a *muxclient.Attempt) {
-	r := &a.Request
-	work, _ := worker.ParseBody(string(a.Body), 0)
+func (c *workerClient) deliverAttempt(attempt *muxclient.Attempt) {
+	r := &attempt.Request
+	work, _ := worker.ParseBody(string(attempt.Body), 0)
 	received := &model.Request{
 		ID:             r.ID,
 		Attempt:        r.Attempt,
@@ -228,20 +228,20 @@
 		Concurrency:    max(1, r.Replica.Concurrency),
 		LoadTime:       r.Replica.LoadTime(),
 		Work:           work,
-		Deadline:       a.Deadline,
+		Deadline:       attempt.Deadline,
 	}
 	c.worker.Handle(received, func(response model.Response) {
-		c.sendToFrontEnd(func() { c.responseReceived(a, response) })
+		c.sendToFrontEnd(func() { c.responseReceived(attempt, response) })
 	})
 }
 
 // responseReceived handles a response. One to an abandoned attempt is late.
-func (c *workerClient) responseReceived(a *muxclient.Attempt, r model.Response) {
-	if !slices.Contains(c.attempts, a) {
+func (c *workerClient) responseReceived(attempt *muxclient.Attempt, r model.Response) {
+	if !slices.Contains(c.attempts, attempt) {
 		c.frontEnd.do(c.frontEnd.gateway.LateResponse)
 		return
 	}
-	c.removeAttempt(a)
+	c.removeAttempt(attempt)
 	result := muxclient.Result{
 		Status:     statuses[r.Outcome],
 		ColdStart:  coldStarts[r.ColdStart],
@@ -250,10 +250,10 @@
 		RunTime:    r.RunTime,
 		Response:   &muxclient.Response{},
 	}
-	c.unreported = append(c.unreported, a)
+	c.unreported = append(c.unreported, attempt)
 	c.frontEnd.do(func(now time.Duration) {
-		c.reported(a)
-		c.frontEnd.gateway.AttemptEnded(now, a, result)
+		c.reported(attempt)
+		c.frontEnd.gateway.AttemptEnded(now, attempt, result)
 	})
 }
 
--- a/lab/worker/connection.go
+++ b/lab/worker/connection.go
@@ -32,7 +32,7 @@
 
 // serve starts the goroutines of a connection.
 func (s *Server) serve(raw net.Conn) {
-	c := &connection{
+	conn := &connection{
 		server:     s,
 		raw:        raw,
 		stream:     raw,
@@ -47,16 +47,16 @@
 		_ = raw.Close()
 		return
 	}
-	s.connections[c] = true
+	s.connections[conn] = true
 	if s.cfg.Paths != nil {
-		c.stream = newDelayedConn(raw, s.clock, &s.tasks)
+		conn.stream = newDelayedConn(raw, s.clock, &s.tasks)
 	}
-	s.tasks.Go(c.write)
+	s.tasks.Go(conn.write)
 	s.tasks.Go(func() {
-		_ = c.read() // however it ends, the connection is over; the front end reports why
-		c.close()
+		_ = conn.read() // however it ends, the connection is over; the front end reports why
+		conn.close()
 		s.mu.Lock()
-		delete(s.connections, c)
+		delete(s.connections, conn)
 		s.mu.Unlock()
 	})
 }
@@ -174,25 +174,25 @@
 	}
 }
 
-func (c *connection) handle(f muxframe.Frame) error {
-	switch f.Type {
+func (c *connection) handle(frame muxframe.Frame) error {
+	switch frame.Type {
 	case muxframe.TypeRequest:
-		return c.handleRequest(f)
+		return c.handleRequest(frame)
 	case muxframe.TypeCancel:
-		c.cancel(f.StreamID)
+		c.cancel(frame.StreamID)
 	case muxframe.TypeCredit:
-		return c.handleCredit(f)
+		return c.handleCredit(frame)
 	case muxframe.TypeLoadOrder:
-		return c.handleLoadOrder(f)
+		return c.handleLoadOrder(frame)
 	case muxframe.TypeUnload:
-		return c.handleUnload(f)
+		return c.handleUnload(frame)
 	case muxframe.TypeHealthCheck:
 		c.reportHealth()
 	case muxframe.TypePing:
 		c.send(muxframe.TypePong, 0, nil)
 	case muxframe.TypePong:
 	default:
-		return fmt.Errorf("%v from a front end", f.Type)
+		return fmt.Errorf("%v from a front end", frame.Type)
 	}
 	return nil
 }
--- a/lab/worker/requests.go
+++ b/lab/worker/requests.go
@@ -23,13 +23,13 @@
 	size   int // of the body, in bytes
 }
 
-func (c *connection) handleRequest(f muxframe.Frame) error {
+func (c *connection) handleRequest(frame muxframe.Frame) error {
 	var in muxframe.Request
-	if err := f.Decode(&in); err != nil {
+	if err := frame.Decode(&in); err != nil {
 		return err
 	}
-	work, size := ParseBody(string(f.Body), c.server.cfg.Work)
-	stream := responseStream{id: f.StreamID, window: int(in.Window), size: size}
+	work, size := ParseBody(string(frame.Body), c.server.cfg.Work)
+	stream := responseStream{id: frame.StreamID, window: int(in.Window), size: size}
 	c.server.Do(func(w *model.Worker) {
 		request := &model.Request{
 			ID:             in.ID,
@@ -144,9 +144,9 @@
 	}
 }
 
-func (c *connection) handleLoadOrder(f muxframe.Frame) error {
+func (c *connection) handleLoadOrder(frame muxframe.Frame) error {
 	var in muxframe.LoadOrder
-	if err := f.Decode(&in); err != nil {
+	if err := frame.Decode(&in); err != nil {
 		return err
 	}
 	order := model.LoadOrder{
@@ -160,7 +160,7 @@
 	c.server.Do(func(w *model.Worker) {
 		w.HandleLoadOrder(order, func(o model.Outcome, replicas int) {
 			result := muxframe.LoadResult{Status: muxframe.Status(o), Replicas: replicas}
-			c.send(muxframe.TypeLoadResult, f.StreamID, result)
+			c.send(muxframe.TypeLoadResult, frame.StreamID, result)
 		})
 	})
 	return nil
