--- /dev/null
+++ b/lab/experiment/key.go
@@ -0,0 +1,177 @@
+package experiment
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/rs/zerolog"
+
+	"havencart/lab/loadgen"
+	"havencart/lab/model"
+	"havencart/lab/scenario"
+	"havencart/lab/simulation"
+)
+
+// keyedConfig is a simulation.Config as it enters a cell's key: printed with %+v, so the names and the order of
+// these fields decide whether a run that an earlier build stored is found again. Types of other packages are
+// repeated here where they are printed by their fields.
+type keyedConfig struct {
+	Workers   int
+	Cells     int
+	FrontEnds int
+	Worker    keyedWorker
+	Store     keyedStore
+	Settings  string
+	Net       time.Duration
+	Jitter    float64
+	Handshake time.Duration
+	Zones     int
+	ListLag   time.Duration
+	Mix       keyedMix
+	Lasts     time.Duration
+	Troubles  []scenario.Fault // printed by its String method
+	Seed      uint64
+	LogLevel  zerolog.Level
+	Policy    string
+}
+
+type keyedWorker struct {
+	Name, Cell  string
+	Cores       float64
+	Speed       float64
+	MemoryMB    float64
+	Queue       int
+	LoadsAtOnce int
+	KeepAlive   time.Duration
+	MissAnswers bool
+	MoreCopies  bool
+	StopsRuns   bool
+	ColdFrom    float64
+	ColdTime    time.Duration
+	TipMultiple float64
+	TipWindow   time.Duration
+	KeyMemory   time.Duration
+}
+
+type keyedStore struct {
+	Places       float64
+	Limit        int
+	FallMultiple float64
+	FallAfter    time.Duration
+	FallFor      time.Duration
+}
+
+type keyedMix struct {
+	Rate         float64
+	Shape        loadgen.Shape
+	Functions    int
+	Zipf         float64
+	Once         float64
+	Drift        time.Duration
+	Work         time.Duration
+	WorkSigma    float64
+	Load         time.Duration
+	MemoryMB     float64
+	Reply        int
+	Patience     time.Duration
+	Habit        loadgen.Habit
+	Retries      int
+	OwnFunctions bool
+}
+
+// keyed is cfg in the form that enters a key.
+func keyed(cfg *simulation.Config) keyedConfig {
+	return keyedConfig{
+		Workers:   cfg.Workers,
+		Cells:     cfg.Cells,
+		FrontEnds: cfg.FrontEnds,
+		Worker:    keyedWorkerOf(&cfg.Worker),
+		Store:     keyedStoreOf(&cfg.Store),
+		Settings:  cfg.Settings,
+		Net:       cfg.NetworkLatency,
+		Jitter:    cfg.Jitter,
+		Handshake: cfg.Handshake,
+		Zones:     cfg.Zones,
+		ListLag:   cfg.DiscoveryLag,
+		Mix:       keyedMixOf(&cfg.Mix),
+		Lasts:     cfg.Duration,
+		Troubles:  cfg.Faults,
+		Seed:      cfg.Seed,
+		LogLevel:  cfg.LogLevel,
+		Policy:    cfg.Policy,
+	}
+}
+
+func keyedWorkerOf(config *model.WorkerConfig) keyedWorker {
+	return keyedWorker{
+		Name:        config.Name,
+		Cell:        config.Cell,
+		Cores:       config.Cores,
+		Speed:       config.Speed,
+		MemoryMB:    config.MemoryMB,
+		Queue:       config.Queue,
+		LoadsAtOnce: config.MaxConcurrentLoads,
+		KeepAlive:   config.KeepAlive,
+		MissAnswers: config.MissAnswers,
+		MoreCopies:  config.LoadsMoreReplicas,
+		StopsRuns:   config.CancelStopsWork,
+		ColdFrom:    config.ColdCapacity,
+		ColdTime:    config.SlowStart,
+		TipMultiple: config.OverloadMultiple,
+		TipWindow:   config.OverloadWindow,
+		KeyMemory:   config.KeyRetention,
+	}
+}
+
+func keyedStoreOf(config *model.StoreConfig) keyedStore {
+	return keyedStore{
+		Places:       config.Places,
+		Limit:        config.Limit,
+		FallMultiple: config.OutageMultiple,
+		FallAfter:    config.OutageAfter,
+		FallFor:      config.OutageDuration,
+	}
+}
+
+func keyedMixOf(mix *loadgen.Mix) keyedMix {
+	return keyedMix{
+		Rate:         mix.Rate,
+		Shape:        mix.Shape,
+		Functions:    mix.Functions,
+		Zipf:         mix.Zipf,
+		Once:         mix.Once,
+		Drift:        mix.Drift,
+		Work:         mix.Work,
+		WorkSigma:    mix.WorkSigma,
+		Load:         mix.Load,
+		MemoryMB:     mix.MemoryMB,
+		Reply:        mix.Reply,
+		Patience:     mix.Patience,
+		Habit:        mix.Habit,
+		Retries:      mix.Retries,
+		OwnFunctions: mix.OwnFunctions,
+	}
+}
+
+// key is a hash of all that a run depends on, the program that runs it included.
+func (s *Spec) key(v Variant, sc Scenario, seed, program uint64) string {
+	h := xxhash.New()
+	cfg := s.config(v, sc, seed)
+	_, _ = fmt.Fprintf(h, "%+v %x", keyed(&cfg), program) // a hash never fails
+	return strconv.FormatUint(h.Sum64(), 16)
+}
+
+// programHash is a hash of a program, of this one if path is empty; 0 where it cannot be read.
+func programHash(path string) uint64 {
+	if path == "" {
+		path, _ = os.Executable()
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return 0
+	}
+	return xxhash.Sum64(raw)
+}
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -48,10 +48,12 @@
 end
 `
 
-func small(workers, frontEnds int) Config {
-	cfg := Config{Workers: workers, Cells: 2, FrontEnds: frontEnds, Settings: threeClasses, Slack: time.Second, Log: zerolog.Nop(),
-		Worker: DemoWorker(), Store: model.StoreConfig{Places: 20, Limit: 100}}
-	cfg.Worker.MemoryMB, cfg.Worker.Queue, cfg.Worker.ColdTime, cfg.Worker.KeyMemory = 8000, 200, 3*time.Second, 4*time.Second
+func smallConfig(workers, frontEnds int) Config {
+	cfg := Config{
+		Workers: workers, Cells: 2, FrontEnds: frontEnds, Settings: threeClasses, Tolerance: time.Second, Log: zerolog.Nop(),
+		Worker: DemoWorker(), Store: model.StoreConfig{Places: 20, Limit: 100},
+	}
+	cfg.Worker.MemoryMB, cfg.Worker.Queue, cfg.Worker.SlowStart, cfg.Worker.KeyRetention = 8000, 200, 3*time.Second, 4*time.Second
 	return cfg
 }
 
@@ -65,43 +67,45 @@
 	return f
 }
 
-func TestCallsAreServedThroughSockets(t *testing.T) {
-	f := start(t, small(4, 2))
+func TestFleet_RequestsThroughSockets_AreServed(t *testing.T) {
+	fleet := start(t, smallConfig(4, 2))
 	var all sync.WaitGroup
 	for i := range 60 {
 		all.Go(func() {
 			class := []string{"quote", "log", "unlock"}[i%3]
-			seen, err := f.FrontEnds[i%2].Pool().Do(loadgen.Call{ID: fmt.Sprint("call-", i), Class: class,
-				Function: class + "-f", Patience: 2 * time.Second, Work: 2 * time.Millisecond, Reply: 100000 * (i % 2),
-				Load: 50 * time.Millisecond, MemoryMB: 200, Lanes: 2})
+			seen, err := fleet.FrontEnds[i%2].Pool().Do(loadgen.Call{
+				ID: fmt.Sprint("call-", i), Class: class,
+				Function: class + "-f", Timeout: 2 * time.Second, Work: 2 * time.Millisecond, ResponseBytes: 100000 * (i % 2),
+				LoadTime: 50 * time.Millisecond, MemoryMB: 200, Concurrency: 2,
+			})
 			if err != nil || seen.Outcome != "served" || seen.Bytes != 100000*(i%2) {
 				t.Errorf("call %d: %+v, %v", i, seen, err)
 			}
 		})
 	}
 	all.Wait()
-	for _, e := range f.FrontEnds {
+	for _, e := range fleet.FrontEnds {
 		if err := e.Stop(); err != nil {
 			t.Error(err)
 		}
 	}
-	breaks, tally := f.Judge()
-	if len(breaks) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Runs != 60 {
-		t.Errorf("%v; broken: %v", tally, breaks)
+	violations, tally := fleet.Check()
+	if len(violations) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Executions != 60 {
+		t.Errorf("%v; broken: %v", tally, violations)
 	}
 }
 
-func TestOtherSettingsAreWatchedThroughSockets(t *testing.T) {
-	cfg := small(4, 2)
+func TestFleet_ShadowSettings_CountDifferences(t *testing.T) {
+	cfg := smallConfig(4, 2)
 	cfg.Settings += "watch other\n  orders off\n  retry-after off\nend\n"
-	f := start(t, cfg)
-	until(t, "the lists", func() bool { return len(f.Directory.Notices()) >= 2 })
+	fleet := start(t, cfg)
+	waitUntil(t, "the lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
 	for i := range 12 {
-		if seen := f.do(t, i%2, ask(fmt.Sprint("w.", i), "quote", time.Millisecond)); seen.Outcome != "served" {
+		if seen := fleet.send(t, i%2, newRequest(fmt.Sprint("w.", i), "quote", time.Millisecond)); seen.Outcome != "served" {
 			t.Errorf("call %d: %+v", i, seen)
 		}
 	}
-	for _, e := range f.FrontEnds {
+	for _, e := range fleet.FrontEnds {
 		if err := e.Stop(); err != nil {
 			t.Error(err)
 		}
@@ -109,5 +113,5 @@
 			t.Errorf("%s: %+v; every question would have been spared without orders, and nothing was refused", e.Name(), c)
 		}
 	}
-	f.fair(t)
+	fleet.stopAndCheck(t)
 }
--- /dev/null
+++ b/lab/fleet/invariants_test.go
@@ -0,0 +1,327 @@
+package fleet
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"havencart/internal/native/muxframe"
+	"havencart/lab/client"
+	"havencart/lab/invariant"
+	"havencart/lab/loadgen"
+	"havencart/lab/model"
+	"havencart/lab/worker"
+	"havencart/scheduler"
+)
+
+// misbehavingFrontEnd is a front end that violates invariants: it sends clients and workers what a test wants. The
+// invariant checker sees it on the sockets as it would see any front end.
+type misbehavingFrontEnd struct {
+	*testing.T
+	fleet   *Fleet
+	respond func(call *http.Request, out io.Writer)
+	pool    *client.Pool
+}
+
+func startMisbehavingFrontEnd(t *testing.T, change func(*Config)) *misbehavingFrontEnd {
+	t.Helper()
+	cfg := smallConfig(4, 0)
+	cfg.Tolerance = 100 * time.Millisecond
+	if change != nil {
+		change(&cfg)
+	}
+	r := &misbehavingFrontEnd{T: t, fleet: start(t, cfg), respond: func(*http.Request, io.Writer) {}}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			in := bufio.NewReader(c)
+			for {
+				call, err := http.ReadRequest(in)
+				if err != nil {
+					break
+				}
+				_, _ = io.Copy(io.Discard, call.Body)
+				r.respond(call, c)
+			}
+			_ = c.Close()
+		}
+	}()
+	r.pool = &client.Pool{Name: "rogue", Address: l.Addr().String(), Book: r.fleet.History, Grace: cfg.Tolerance}
+	t.Cleanup(func() { r.pool.Close(); _ = l.Close(); <-done })
+	return r
+}
+
+func writeResponse(out io.Writer, outcome string) {
+	status := map[string]int{"served": 200, "refused": 503, "failed": 502}[outcome]
+	_, _ = fmt.Fprintf(out, "HTTP/1.1 %d X\r\nCall-Outcome: %s\r\nContent-Length: 0\r\n\r\n", status, outcome)
+}
+
+// workerConnection is the misbehaving front end's connection to one worker.
+type workerConnection struct {
+	*misbehavingFrontEnd
+	conn net.Conn
+	in   *muxframe.Reader
+	last uint32
+}
+
+func (r *misbehavingFrontEnd) connect(w *worker.Server) *workerConnection {
+	r.Helper()
+	c, err := net.Dial("tcp", w.Address())
+	if err != nil {
+		r.Fatal(err)
+	}
+	r.Cleanup(func() { _ = c.Close() })
+	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	l := &workerConnection{misbehavingFrontEnd: r, conn: c, in: muxframe.NewReader(bufio.NewReader(c), 0)}
+	l.write(muxframe.TypeHello, 0, muxframe.Hello{Version: muxframe.Version, FrontEnd: "rogue"}, nil)
+	l.next(muxframe.TypeWelcome)
+	return l
+}
+
+func (l *workerConnection) write(kind muxframe.Type, number uint32, header any, body []byte) {
+	l.Helper()
+	raw, err := muxframe.Append(nil, kind, number, header, body)
+	if err != nil {
+		l.Fatal(err)
+	}
+	if _, err := l.conn.Write(raw); err != nil {
+		l.Fatal(err)
+	}
+}
+
+func (l *workerConnection) next(kind muxframe.Type) {
+	l.Helper()
+	f, err := l.in.Next()
+	if err != nil || f.Type != kind {
+		l.Fatalf("%v %v in place of %v", f.Type, err, kind)
+	}
+}
+
+// requestID is that of the request of which executeAttempt sends attempts.
+const requestID = "a"
+
+// executeAttempt sends a short attempt and waits for the worker's response.
+func (l *workerConnection) executeAttempt(class string, attempt int) {
+	l.Helper()
+	l.sendAttempt(requestID, class, attempt, time.Millisecond)
+	l.next(muxframe.TypeResponse)
+}
+
+func (l *workerConnection) sendAttempt(id, class string, attempt int, work time.Duration) {
+	l.Helper()
+	l.last++
+	l.write(muxframe.TypeRequest, l.last, muxframe.Request{
+		Replica: muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 9},
+		ID:      id, Class: class, Attempt: attempt, TimeoutMillis: 5000, IdempotencyKey: map[string]string{"log": "key-" + id}[class],
+	},
+		worker.Body(work, 0))
+}
+
+func (l *workerConnection) sendLoadOrder(copies int) {
+	l.Helper()
+	l.last++
+	l.write(muxframe.TypeLoadOrder, l.last, muxframe.LoadOrder{
+		Replica:  muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 1},
+		Replicas: copies,
+	}, nil)
+	l.next(muxframe.TypeLoadResult)
+}
+
+func (r *misbehavingFrontEnd) request(id, class string) {
+	r.Helper()
+	if _, err := r.pool.Do(loadgen.Call{ID: id, Function: "f", Class: class, Timeout: 300 * time.Millisecond}); err != nil {
+		r.Fatal(err)
+	}
+}
+
+// expectViolation fails the test unless the checker found a violation of the rule, and of no other.
+func (r *misbehavingFrontEnd) expectViolation(rule, word string) {
+	r.Helper()
+	violations, _ := r.fleet.Check()
+	found := false
+	for _, b := range violations {
+		if b.Rule != rule {
+			r.Errorf("found broken too: %+v", b)
+		}
+		found = found || strings.Contains(b.What, word)
+	}
+	if !found {
+		r.Errorf("no violation of %q with %q in %+v", rule, word, violations)
+	}
+}
+
+func (r *misbehavingFrontEnd) expectNoViolation() {
+	r.Helper()
+	if violations, tally := r.fleet.Check(); len(violations) > 0 || !tally.Balanced() {
+		r.Errorf("a front end without fault: %+v, %v", violations, tally)
+	}
+}
+
+func TestCheck_MissingLateOrDuplicateResponse_IsFound(t *testing.T) {
+	t.Run("no answer", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.request("a", "quote")
+		r.expectViolation("lost", "no answer")
+	})
+	t.Run("late", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, func(c *Config) { c.Tolerance = 0 })
+		r.pool.Grace = 5 * time.Second
+		r.respond = func(_ *http.Request, out io.Writer) { time.Sleep(400 * time.Millisecond); writeResponse(out, "served") }
+		r.request("a", "quote")
+		r.expectViolation("lost", "the client waits")
+	})
+	t.Run("twice", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.respond = func(_ *http.Request, out io.Writer) {
+			_, _ = fmt.Fprint(out, strings.Repeat("HTTP/1.1 200 OK\r\nCall-Outcome: served\r\nContent-Length: 0\r\n\r\n", 2))
+		}
+		r.request("a", "quote")
+		r.expectViolation("lost", "2 final answers")
+	})
+	t.Run("the connection violations", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.respond = func(_ *http.Request, out io.Writer) { _ = out.(net.Conn).Close() }
+		r.request("a", "quote")
+		r.expectViolation("lost", "connection lost true")
+	})
+	t.Run("none", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.respond = func(_ *http.Request, out io.Writer) { writeResponse(out, "refused") }
+		r.request("a", "unlock")
+		r.expectNoViolation()
+	})
+}
+
+func TestCheck_SecondExecution_IsFound(t *testing.T) {
+	t.Run("unsafe", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.connect(r.fleet.Workers[0]).executeAttempt("unlock", 0)
+		r.connect(r.fleet.Workers[1]).executeAttempt("unlock", 1)
+		r.expectViolation("twice", "2 effects")
+	})
+	t.Run("unsafe, sent again while the first is out", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		if err := r.fleet.Workers[0].Command("hang on"); err != nil {
+			t.Fatal(err)
+		}
+		r.connect(r.fleet.Workers[0]).sendAttempt("a", "unlock", 0, time.Millisecond)
+		for received := 0; received == 0; {
+			r.fleet.Workers[0].Do(func(m *model.Worker) { received = m.QueueLength() })
+		}
+		r.connect(r.fleet.Workers[1]).executeAttempt("unlock", 1)
+		r.expectViolation("twice", "may have run it")
+	})
+	t.Run("keyed, outside its cell", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.connect(r.fleet.Workers[0]).executeAttempt("log", 0)
+		r.connect(r.fleet.Workers[1]).executeAttempt("log", 1)
+		r.expectViolation("twice", "cell-2")
+	})
+	t.Run("keyed, within its cell", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.connect(r.fleet.Workers[0]).executeAttempt("log", 0)
+		r.connect(r.fleet.Workers[2]).executeAttempt("log", 1)
+		r.expectNoViolation()
+	})
+	t.Run("refused after a run", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		l := r.connect(r.fleet.Workers[0])
+		r.respond = func(_ *http.Request, out io.Writer) {
+			l.executeAttempt("unlock", 0)
+			writeResponse(out, "refused")
+		}
+		r.request("a", "unlock")
+		r.expectViolation("twice", "refused")
+	})
+	t.Run("unsafe, turned away first", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		if err := r.fleet.Workers[0].Command("drain on"); err != nil {
+			t.Fatal(err)
+		}
+		r.connect(r.fleet.Workers[0]).executeAttempt("unlock", 0)
+		r.connect(r.fleet.Workers[1]).executeAttempt("unlock", 1)
+		r.expectNoViolation()
+	})
+}
+
+func TestCheck_WorkAfterDrain_IsFound(t *testing.T) {
+	told := func(r *misbehavingFrontEnd, state scheduler.WorkerState, ago time.Duration) {
+		r.fleet.History.EndpointsUpdated(invariant.EndpointUpdate{
+			At: r.fleet.History.Now() - ago, FrontEnd: "rogue",
+			States: map[string]scheduler.WorkerState{"worker-1": state},
+		})
+	}
+	t.Run("call", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		told(r, scheduler.Draining, time.Minute)
+		r.connect(r.fleet.Workers[0]).executeAttempt("quote", 0)
+		r.expectViolation("drains", "call a")
+	})
+	t.Run("order to a worker that is listed no longer", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.fleet.History.EndpointsUpdated(invariant.EndpointUpdate{At: 0, FrontEnd: "rogue"})
+		l := r.connect(r.fleet.Workers[0])
+		r.fleet.Settings.DrainGrace, r.fleet.cfg.Tolerance = 0, 0
+		l.sendLoadOrder(1)
+		r.expectViolation("drains", "order")
+	})
+	t.Run("a question, and a call within the grace", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		r.fleet.Settings.DrainGrace = time.Hour
+		told(r, scheduler.Draining, time.Minute)
+		l := r.connect(r.fleet.Workers[0])
+		l.sendLoadOrder(0)
+		l.executeAttempt("quote", 0)
+		r.expectNoViolation()
+	})
+	t.Run("a call once it is ready again", func(t *testing.T) {
+		r := startMisbehavingFrontEnd(t, nil)
+		told(r, scheduler.Removed, time.Hour)
+		told(r, scheduler.Ready, time.Minute)
+		r.connect(r.fleet.Workers[0]).executeAttempt("quote", 0)
+		r.expectNoViolation()
+	})
+}
+
+func TestCheck_OverloadedColdWorker_IsFound(t *testing.T) {
+	r := startMisbehavingFrontEnd(t, func(c *Config) { c.Worker.SlowStart, c.Worker.OverloadWindow = time.Hour, time.Hour })
+	if err := r.fleet.Workers[0].Command("start"); err != nil {
+		t.Fatal(err)
+	}
+	l := r.connect(r.fleet.Workers[0])
+	l.executeAttempt("quote", 0)
+	l.sendAttempt("b", "quote", 0, 24*time.Hour)
+	for up := true; up; {
+		up, _, _ = r.fleet.Workers[0].Running()
+	}
+	r.expectViolation("cold", "fell over")
+	r.expectViolation("cold", "would push it over")
+}
+
+func TestCheck_LoadOrdersBeyondRateLimit_AreFound(t *testing.T) {
+	r := startMisbehavingFrontEnd(t, func(c *Config) { c.Settings += "load-window 1h\nload-free 1\nload-share 0.5\n" })
+	r.respond = func(_ *http.Request, out io.Writer) { writeResponse(out, "refused") }
+	r.request("a", "quote")
+	r.request("b", "quote")
+	l := r.connect(r.fleet.Workers[0])
+	l.sendLoadOrder(1)
+	l.sendLoadOrder(1)
+	l.sendLoadOrder(0)
+	r.expectNoViolation()
+	l.sendLoadOrder(1)
+	r.expectViolation("loads", "3 orders for 2 calls")
+}
--- /dev/null
+++ b/lab/fleet/scenario_test.go
@@ -0,0 +1,46 @@
+package fleet
+
+import (
+	"context"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+)
+
+// TestRunScenario_FaultScenarios_KeepInvariants runs scenarios on 12 workers, 3 front ends and 3 classes, and checks what
+// was seen on the sockets.
+func TestRunScenario_FaultScenarios_KeepInvariants(t *testing.T) {
+	for name, lasts := range map[string]time.Duration{"bad": 22 * time.Second, "ways": 17 * time.Second} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			runScenarioFile(t, name, lasts)
+		})
+	}
+}
+
+func runScenarioFile(t *testing.T, name string, lasts time.Duration) {
+	text, err := os.ReadFile("../scenarios/" + name + ".day")
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := Demo{
+		Workers: 12, FrontEnds: 3, Mix: DemoMix(120), Lasts: lasts, Script: string(text), Seed: 7,
+		Log: zerolog.Nop(), Tell: func(s string) { t.Log(s) },
+	}
+	r, err := d.Run(context.Background())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Log(r.Tally, r.Seen)
+	for _, b := range r.Breaks {
+		t.Errorf("rule %s broken: %s", b.Rule, b.What)
+	}
+	if !r.Tally.Balanced() {
+		t.Error("not every call is accounted for")
+	}
+	if tl := r.Tally; tl.Served < tl.Sent/2 || tl.Disconnected+tl.Rejected == 0 {
+		t.Errorf("%v: a scenario in which next to nothing was served, or no fault showed, proves nothing", tl)
+	}
+}
--- a/lab/loadgen/demand.go
+++ b/lab/loadgen/demand.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// Demand is what troubles change of what clients ask for, beside their Mix.
+// Demand is what faults change of what clients ask for, beside their Mix.
 type Demand struct {
-	Leaving      float64        // share of clients that leave early
-	Surge        float64        // times the rate
-	Hot          float64        // share of calls for functions that nobody called before
-	HotFunctions int            // so many of each class
-	HotSpell     int            // counts the spells: each has functions of its own
-	Scan         float64        // share of calls for functions wanted once only, beside the Mix's
-	Patience     float64        // times the patience
-	Work         float64        // times the work
-	Tenants      map[string]Own // what single tenants do beside the others
+	DisconnectShare float64                 // share of clients that disconnect early
+	RateFactor      float64                 // factor on the rate
+	HotShare        float64                 // share of requests for new functions
+	HotFunctions    int                     // number of new functions of each class
+	HotSpell        int                     // counts the periods of new functions: each has its own
+	ScanShare       float64                 // share of requests for functions that are requested once only, beside the Mix's
+	TimeoutFactor   float64                 // factor on clients' timeouts
+	WorkFactor      float64                 // factor on the work of requests
+	Tenants         map[string]TenantDemand // by tenant
 }
 
-// Own is what one tenant does beside the others; the zero value changes nothing.
-type Own struct {
-	Flood   float64 // times what it usually asks
-	Silent  bool    // it asks nothing
-	Repeats int     // its clients repeat at once so many times, whatever they are told
-	Scan    float64 // share of its calls for functions wanted once only
-	Work    float64 // times the work of its calls
+// TenantDemand is what one tenant does differently from the others. The zero value changes nothing.
+type TenantDemand struct {
+	RateFactor float64 // factor on its rate; 0: 1
+	Silent     bool    // it sends no requests
+	Repeats    int     // its clients retry at once so many times, whatever they are advised
+	ScanShare  float64 // share of its requests for functions that are requested once only
+	WorkFactor float64 // factor on the work of its requests; 0: 1
 }
 
-// Of changes what one tenant does.
-func (d *Demand) Of(tenant string, f func(*Own)) {
+// ChangeTenant changes what one tenant does.
+func (d *Demand) ChangeTenant(tenant string, f func(*TenantDemand)) {
 	own := d.Tenants[tenant]
-	if f(&own); own == (Own{}) {
+	if f(&own); own == (TenantDemand{}) {
 		delete(d.Tenants, tenant)
 	} else {
 		d.Tenants[tenant] = own
 	}
 }
 
-// Change changes the demand from the next call on. Who asks for what is not changed where an error is returned.
+// Change changes the demand from the next request on. Its error names a tenant that is unknown; that tenant's demand is
+// not changed then.
 func (s *Source) Change(f func(*Demand)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// flood is what floods add, in shares of the mean rate, by tenant and in all.
-func (s *Source) flood() (by []float64, all float64) {
+// floodShares is what tenants that flood add, in shares of the mean rate, by tenant and in all.
+func (s *Source) floodShares() (byTenant []float64, all float64) {
 	if len(s.demand.Tenants) == 0 {
 		return nil, 0
 	}
@@ -62,27 +63,27 @@
 	for _, x := range s.shares {
 		total += x
 	}
-	by = make([]float64, len(s.tenants))
+	byTenant = make([]float64, len(s.tenants))
 	for i, name := range s.tenants {
-		if times := s.demand.Tenants[name].Flood; times > 1 {
-			by[i] = (times - 1) * s.shares[i] / total
-			all += by[i]
+		if times := s.demand.Tenants[name].RateFactor; times > 1 {
+			byTenant[i] = (times - 1) * s.shares[i] / total
+			all += byTenant[i]
 		}
 	}
-	return by, all
+	return byTenant, all
 }
 
-// own changes a drawn call as its tenant's own ways say.
-func (s *Source) own(c *Call) {
+// applyTenantDemand changes a drawn request by its tenant's demand.
+func (s *Source) applyTenantDemand(c *Call) {
 	own := s.demand.Tenants[c.Tenant]
 	if own.Repeats > 0 {
-		c.Habit, c.Retries = Impolite, own.Repeats
+		c.RetryPolicy, c.Retries = Impolite, own.Repeats
 	}
-	if own.Work > 0 {
-		c.Work = time.Duration(own.Work * float64(c.Work))
+	if own.WorkFactor > 0 {
+		c.Work = time.Duration(own.WorkFactor * float64(c.Work))
 	}
-	if own.Scan > 0 && s.rng.Float64() < own.Scan {
-		c.Function = fmt.Sprintf("%s-once-%d", c.Class, s.n)
+	if own.ScanShare > 0 && s.rng.Float64() < own.ScanShare {
+		c.Function = s.functionRequestedOnce(c.Class)
 	}
 	if s.mix.OwnFunctions {
 		c.Function = c.Tenant + "-" + c.Function
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -4,41 +4,41 @@
 
 // StoreConfig describes the function store that all workers share.
 type StoreConfig struct {
-	Places       float64       // fetches that it serves at full pace
-	Limit        int           // fetches in hand beyond which it turns away
-	FallMultiple float64       // with more than this many times Places asked for, turned away included,
-	FallAfter    time.Duration // for so long, it stops
-	FallFor      time.Duration // for so long
+	Places         float64       // fetches that it serves at full speed
+	Limit          int           // fetches at a time beyond which it rejects
+	OutageMultiple float64       // it stops when asked for more than this many times what it can do; 0: never
+	OutageAfter    time.Duration // over this window, rejected fetches included
+	OutageDuration time.Duration
 }
 
-// Store is the model of the function store: slow when crowded, refusing beyond a limit, and stopped for a
-// while when it is pushed far over what it can do.
+// Store is the model of the function store: slow when crowded, rejecting beyond a limit, and stopped for a while when
+// it is pushed far beyond what it can do.
 type Store struct {
-	cfg    StoreConfig
-	clock  Clock
-	shared *Shared
-	stops  int // under way
-	slow   float64
-	fails  Portion
-	asked  []time.Duration // since FallAfter ago: when, and
-	work   []time.Duration // how much
+	cfg        StoreConfig
+	clock      Clock
+	shared     *ProcessorSharing
+	outages    int     // under way
+	slowdown   float64 // factor on the time of all fetches
+	failures   Sampler
+	recentWork []arrival // asked for within OutageAfter
 
 	StoreTotals
 }
 
 // StoreTotals count what was asked of a Store.
-type StoreTotals struct{ Fetches, Refused, Falls int }
+type StoreTotals struct{ Fetches, Rejected, Outages int }
 
-// NewStore returns a Store at work.
+// NewStore returns a Store without faults.
 func NewStore(c Clock, cfg StoreConfig) *Store {
-	return &Store{cfg: cfg, clock: c, shared: NewShared(c, cfg.Places)}
+	return &Store{cfg: cfg, clock: c, shared: NewProcessorSharing(c, cfg.Places)}
 }
 
-// Fetch asks for an artefact that takes work to fetch alone; done tells whether it came.
+// Fetch asks for an artefact that takes work to fetch alone. done reports whether it was fetched; for a rejected fetch
+// it is called before Fetch returns.
 func (s *Store) Fetch(work time.Duration, done func(ok bool)) {
-	s.press(work)
-	if s.stops > 0 || s.shared.Len() >= s.cfg.Limit || s.fails.Next() {
-		s.Refused++
+	s.recordDemand(work)
+	if s.outages > 0 || s.shared.Len() >= s.cfg.Limit || s.failures.Next() {
+		s.Rejected++
 		done(false)
 		return
 	}
@@ -46,50 +46,50 @@
 	s.shared.Add(work, func() { done(true) })
 }
 
-// press counts what is asked of the store and stops it where that is too much for too long.
-func (s *Store) press(work time.Duration) {
-	if s.cfg.FallMultiple <= 0 || s.stops > 0 {
+// recordDemand records what is asked of the store, and starts an outage where that is too much within the window.
+func (s *Store) recordDemand(work time.Duration) {
+	if s.cfg.OutageMultiple <= 0 || s.outages > 0 {
 		return
 	}
 	now := s.clock.Now()
-	s.asked, s.work = append(s.asked, now), append(s.work, work)
-	for len(s.asked) > 0 && s.asked[0] <= now-s.cfg.FallAfter {
-		s.asked, s.work = s.asked[1:], s.work[1:]
+	s.recentWork = append(s.recentWork, arrival{now, work})
+	for len(s.recentWork) > 0 && s.recentWork[0].at <= now-s.cfg.OutageAfter {
+		s.recentWork = s.recentWork[1:]
 	}
 	total := time.Duration(0)
-	for _, w := range s.work {
-		total += w
+	for _, a := range s.recentWork {
+		total += a.work
 	}
-	if float64(total) > s.cfg.FallMultiple*s.cfg.Places*float64(s.cfg.FallAfter) {
-		s.Falls++
-		s.Stop(s.cfg.FallFor)
+	if float64(total) > s.cfg.OutageMultiple*s.cfg.Places*float64(s.cfg.OutageAfter) {
+		s.Outages++
+		s.StartOutage(s.cfg.OutageDuration)
 	}
 }
 
-// Stop makes the store turn everything away for a while; fetches under way stand still until then.
-func (s *Store) Stop(d time.Duration) {
-	s.stops++
-	s.pace()
+// StartOutage makes the store reject everything for d; fetches under way stop until then.
+func (s *Store) StartOutage(d time.Duration) {
+	s.outages++
+	s.updateSpeed()
 	s.clock.After(d, func() {
-		s.stops--
-		s.asked, s.work = nil, nil
-		s.pace()
+		s.outages--
+		s.recentWork = nil
+		s.updateSpeed()
 	})
 }
 
-// Slow makes fetches take factor times as long from now on; 1 ends it.
-func (s *Store) Slow(factor float64) {
-	s.slow = factor
-	s.pace()
+// SetSlowdown makes fetches take factor times as long from now on; 1 ends it.
+func (s *Store) SetSlowdown(factor float64) {
+	s.slowdown = factor
+	s.updateSpeed()
 }
 
-// Fail makes a share of the fetches fail from now on.
-func (s *Store) Fail(share float64) { s.fails = Portion{Share: share} }
+// SetFailureShare makes a share of the fetches fail from now on; 0 ends it.
+func (s *Store) SetFailureShare(share float64) { s.failures = Sampler{Share: share} }
 
-func (s *Store) pace() {
-	if s.stops > 0 {
+func (s *Store) updateSpeed() {
+	if s.outages > 0 {
 		s.shared.SetSpeed(0)
 		return
 	}
-	s.shared.SetSpeed(1 / max(1, s.slow))
+	s.shared.SetSpeed(1 / max(1, s.slowdown))
 }
