--- a/lab/simulation/connection.go
+++ b/lab/simulation/connection.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"havencart/internal/decide/reconnect"
-	"havencart/internal/native/muxclient"
 	"havencart/internal/native/muxframe"
+	"havencart/internal/workerconn"
 	"havencart/scheduler"
 )
 
@@ -215,6 +215,6 @@
 	c.scheduleDial()
 }
 
-func failedResult(status scheduler.Status, reason error) muxclient.Result {
-	return muxclient.Result{Status: status, Reason: reason.Error(), QueueDepth: unknownQueueDepth}
+func failedResult(status scheduler.Status, reason error) workerconn.Result {
+	return workerconn.Result{Status: status, Reason: reason.Error(), QueueDepth: unknownQueueDepth}
 }
--- a/lab/simulation/worker_client.go
+++ b/lab/simulation/worker_client.go
@@ -6,7 +6,7 @@
 
 	"havencart/internal/decide/reconnect"
 	"havencart/internal/gateway"
-	"havencart/internal/native/muxclient"
+	"havencart/internal/workerconn"
 	"havencart/lab/model"
 	"havencart/lab/worker"
 	"havencart/scheduler"
@@ -35,17 +35,17 @@
 	keepalive            *reconnect.Keepalive // nil while the network has no fault
 
 	unsent     []outgoing
-	attempts   []*muxclient.Attempt   // sent, without a response
-	loadOrders []*muxclient.LoadOrder // sent, without a result
-	unreported []*muxclient.Attempt   // ended, and the stalled front end does not know yet
+	attempts   []*workerconn.Attempt   // sent, without a response
+	loadOrders []*workerconn.LoadOrder // sent, without a result
+	unreported []*workerconn.Attempt   // ended, and the stalled front end does not know yet
 }
 
 var _ gateway.WorkerClient = (*workerClient)(nil)
 
 // outgoing is a message to the worker: exactly one of its fields is set.
 type outgoing struct {
-	attempt   *muxclient.Attempt
-	loadOrder *muxclient.LoadOrder
+	attempt   *workerconn.Attempt
+	loadOrder *workerconn.LoadOrder
 	call      func() // what it does at the worker
 }
 
@@ -66,27 +66,27 @@
 }
 
 // Send implements gateway.WorkerClient, as do the methods below.
-func (c *workerClient) Send(a *muxclient.Attempt) *muxclient.Result {
+func (c *workerClient) Send(a *workerconn.Attempt) *workerconn.Result {
 	c.sim.recordTrace(traceAttemptSent+c.frontEnd.name+a.Request.ID, uint64(c.id), uint64(a.Request.Attempt))
 	switch {
 	case c.draining:
-		return &muxclient.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: unknownQueueDepth}
+		return &workerconn.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: unknownQueueDepth}
 	case c.stopped:
-		return &muxclient.Result{Status: scheduler.ConnectFailed, QueueDepth: unknownQueueDepth}
+		return &workerconn.Result{Status: scheduler.ConnectFailed, QueueDepth: unknownQueueDepth}
 	}
 	c.send(outgoing{attempt: a})
 	return nil
 }
 
 // CancelUnsent takes an attempt back that was not sent.
-func (c *workerClient) CancelUnsent(a *muxclient.Attempt) bool {
+func (c *workerClient) CancelUnsent(a *workerconn.Attempt) bool {
 	before := len(c.unsent)
 	c.unsent = slices.DeleteFunc(c.unsent, func(m outgoing) bool { return m.attempt == a })
 	return len(c.unsent) < before
 }
 
 // Abandon cancels an attempt and reports whether it may have been sent.
-func (c *workerClient) Abandon(a *muxclient.Attempt) bool {
+func (c *workerClient) Abandon(a *workerconn.Attempt) bool {
 	if !slices.Contains(c.attempts, a) {
 		c.CancelUnsent(a)
 		return slices.Contains(c.unreported, a)
@@ -99,7 +99,7 @@
 }
 
 // Load sends a load order.
-func (c *workerClient) Load(o *muxclient.LoadOrder) scheduler.Status {
+func (c *workerClient) Load(o *workerconn.LoadOrder) scheduler.Status {
 	c.sim.recordTrace(traceLoadOrderSent+c.frontEnd.name+o.Load.Replica.Function, uint64(c.id), uint64(o.Load.Replicas))
 	switch {
 	case c.draining && o.Load.Replicas > 0:
@@ -112,8 +112,8 @@
 }
 
 // AbandonLoad gives a load order up.
-func (c *workerClient) AbandonLoad(o *muxclient.LoadOrder) {
-	c.loadOrders = slices.DeleteFunc(c.loadOrders, func(x *muxclient.LoadOrder) bool { return x == o })
+func (c *workerClient) AbandonLoad(o *workerconn.LoadOrder) {
+	c.loadOrders = slices.DeleteFunc(c.loadOrders, func(x *workerconn.LoadOrder) bool { return x == o })
 	c.unsent = slices.DeleteFunc(c.unsent, func(m outgoing) bool { return m.loadOrder == o })
 }
 
@@ -135,7 +135,7 @@
 }
 
 // Drain takes back what waits for a connection. In virtual time nothing waits once there is one.
-func (c *workerClient) Drain(time.Duration) (attempts []*muxclient.Attempt, orders []*muxclient.LoadOrder) {
+func (c *workerClient) Drain(time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
 	c.draining = true
 	c.unsent = slices.DeleteFunc(c.unsent, func(m outgoing) bool {
 		switch {
@@ -214,7 +214,7 @@
 }
 
 // deliverAttempt hands an attempt to the worker.
-func (c *workerClient) deliverAttempt(attempt *muxclient.Attempt) {
+func (c *workerClient) deliverAttempt(attempt *workerconn.Attempt) {
 	r := &attempt.Request
 	work, _ := worker.ParseBody(string(attempt.Body), 0)
 	received := &model.Request{
@@ -236,19 +236,19 @@
 }
 
 // responseReceived handles a response. One to an abandoned attempt is late.
-func (c *workerClient) responseReceived(attempt *muxclient.Attempt, r model.Response) {
+func (c *workerClient) responseReceived(attempt *workerconn.Attempt, r model.Response) {
 	if !slices.Contains(c.attempts, attempt) {
 		c.frontEnd.do(c.frontEnd.gateway.LateResponse)
 		return
 	}
 	c.removeAttempt(attempt)
-	result := muxclient.Result{
+	result := workerconn.Result{
 		Status:     statuses[r.Outcome],
 		ColdStart:  coldStarts[r.ColdStart],
 		QueueDepth: r.QueueDepth,
 		LoadReport: []float64{float64(r.Waiting)},
 		RunTime:    r.RunTime,
-		Response:   &muxclient.Response{},
+		Response:   &workerconn.Response{},
 	}
 	c.unreported = append(c.unreported, attempt)
 	c.frontEnd.do(func(now time.Duration) {
@@ -258,16 +258,16 @@
 }
 
 // reported notes that the front end learns of an attempt's end.
-func (c *workerClient) reported(a *muxclient.Attempt) {
-	c.unreported = slices.DeleteFunc(c.unreported, func(x *muxclient.Attempt) bool { return x == a })
+func (c *workerClient) reported(a *workerconn.Attempt) {
+	c.unreported = slices.DeleteFunc(c.unreported, func(x *workerconn.Attempt) bool { return x == a })
 }
 
-func (c *workerClient) removeAttempt(a *muxclient.Attempt) {
-	c.attempts = slices.DeleteFunc(c.attempts, func(x *muxclient.Attempt) bool { return x == a })
+func (c *workerClient) removeAttempt(a *workerconn.Attempt) {
+	c.attempts = slices.DeleteFunc(c.attempts, func(x *workerconn.Attempt) bool { return x == a })
 }
 
 // deliverLoadOrder hands a load order to the worker.
-func (c *workerClient) deliverLoadOrder(o *muxclient.LoadOrder) {
+func (c *workerClient) deliverLoadOrder(o *workerconn.LoadOrder) {
 	replica := o.Load.Replica
 	received := model.LoadOrder{
 		FrontEnd:    c.frontEnd.name,
@@ -283,7 +283,7 @@
 }
 
 // loadResultReceived handles the result of a load order, unless it was given up.
-func (c *workerClient) loadResultReceived(o *muxclient.LoadOrder, outcome model.Outcome, replicas int) {
+func (c *workerClient) loadResultReceived(o *workerconn.LoadOrder, outcome model.Outcome, replicas int) {
 	if !slices.Contains(c.loadOrders, o) {
 		return
 	}
