--- a/cmd/havencart/demo.go
+++ b/cmd/havencart/demo.go
@@ -46,11 +46,11 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&options.scriptPath, "script", "", "file of a fault script in place of the built-in one")
-	flags.StringArrayVar(&demo.Set, "set", nil, "a line of settings for the front ends, say 'shares off'; may be repeated")
+	flags.StringArrayVar(&demo.Settings, "set", nil, "a line of settings for the front ends, say 'shares off'; may be repeated")
 	flags.BoolVar(&options.ownFunctions, "own-functions", false, "each tenant calls functions of its own")
 	flags.StringVar(&options.reportPath, "report", "", "file of a bench report whose scenario is played")
 	flags.Float64Var(&options.utilization, "used", 0.6, "share of the workers' cores that a report's requests use, which it does not tell")
-	flags.DurationVar(&demo.Lasts, "for", 12*time.Second, "how long clients send requests")
+	flags.DurationVar(&demo.Duration, "for", 12*time.Second, "how long clients send requests")
 	flags.Float64Var(&options.rate, "rate", 150, "requests a second")
 	flags.IntVar(&demo.Workers, "workers", 12, "emulated workers")
 	flags.IntVar(&demo.FrontEnds, "front-ends", 3, "front ends")
@@ -61,22 +61,22 @@
 
 // prepare sets the demo's script and request mix. The script of a report is printed, as it is nowhere else.
 func (o *demoOptions) prepare(demo *fleet.Demo, out output) error {
-	demo.Script, demo.Mix = fleet.DemoDay, fleet.DemoMix(o.rate)
+	demo.Scenario, demo.Mix = fleet.DemoScenario, fleet.DemoMix(o.rate)
 	if o.scriptPath != "" {
 		raw, err := os.ReadFile(o.scriptPath)
 		if err != nil {
 			return err
 		}
-		demo.Script = string(raw)
+		demo.Scenario = string(raw)
 	}
 	if o.reportPath != "" {
 		imported, err := readReport(o.reportPath)
 		if err != nil {
 			return err
 		}
-		demo.Script, demo.Mix = imported.Script(), imported.Mix(demo.Mix, o.utilization)
-		demo.Workers, demo.FrontEnds, demo.Lasts = imported.Workers, imported.FrontEnds, imported.Lasts
-		out.print(demo.Script)
+		demo.Scenario, demo.Mix = imported.Script(), imported.Mix(demo.Mix, o.utilization)
+		demo.Workers, demo.FrontEnds, demo.Duration = imported.Workers, imported.FrontEnds, imported.Duration
+		out.print(demo.Scenario)
 	}
 	demo.Mix.OwnFunctions = o.ownFunctions
 	return nil
@@ -84,11 +84,11 @@
 
 func runDemo(cmd *cobra.Command, demo fleet.Demo) error {
 	out := results(cmd)
-	demo.Tell = func(text string) { out.println(text) }
+	demo.Report = func(text string) { out.println(text) }
 	ctx, cancel := context.WithCancel(cmd.Context())
 	defer cancel()
 	result, err := demo.Run(ctx)
-	if errors.Is(err, scenario.ErrScript) {
+	if errors.Is(err, scenario.ErrScenario) {
 		return usageError(err)
 	}
 	if err != nil {
@@ -100,16 +100,16 @@
 // printDemoResult prints how a demo went. It returns errRule if an invariant was violated.
 func printDemoResult(out output, result fleet.Result) error {
 	out.printf("\n%v\n", result.Tally)
-	for _, outcome := range slices.Sorted(maps.Keys(result.Seen)) {
-		out.printf("clients' calls that ended %-12s %d\n", outcome+":", result.Seen[outcome])
+	for _, outcome := range slices.Sorted(maps.Keys(result.Outcomes)) {
+		out.printf("clients' calls that ended %-12s %d\n", outcome+":", result.Outcomes[outcome])
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(result.Score.ByTenant)) {
 		out.printf("service of tenant %-16s %.3f\n", tenant+":", result.Score.ByTenant[tenant].Share())
 	}
-	for _, violation := range result.Breaks {
-		out.printf("rule %s broken: %s\n", violation.Rule, violation.What)
+	for _, violation := range result.Violations {
+		out.printf("rule %s broken: %s\n", violation.Rule, violation.Detail)
 	}
-	if len(result.Breaks) > 0 || !result.Tally.Balanced() {
+	if len(result.Violations) > 0 || !result.Tally.Balanced() {
 		return errRule
 	}
 	out.println("all five rules kept, by what clients, workers and directory saw on their sockets")
--- a/cmd/havencart/experiment.go
+++ b/cmd/havencart/experiment.go
@@ -103,7 +103,7 @@
 			if err != nil {
 				return fmt.Errorf("%w: seed: %w", errUsage, err)
 			}
-			cell, err := spec.Play(variant, scenarioName, seed)
+			cell, err := spec.RunOne(variant, scenarioName, seed)
 			if err != nil {
 				return err
 			}
--- a/cmd/havencart/faultsearch.go
+++ b/cmd/havencart/faultsearch.go
@@ -24,7 +24,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			config.Base = faultsearch.Base(duration)
 			config.Base.Seed = config.Seed
-			config.Tell = func(text string) { progress(cmd).println(text) }
+			config.Report = func(text string) { progress(cmd).println(text) }
 			return runFaultSearch(cmd, config, directory)
 		},
 	}
--- a/cmd/havencart/importreport.go
+++ b/cmd/havencart/importreport.go
@@ -30,7 +30,7 @@
 }
 
 // readReport reads a report of the bench. A file that is no report is a usage error.
-func readReport(path string) (*reportimport.Day, error) {
+func readReport(path string) (*reportimport.RunReport, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/cmd/havencart/load.go
+++ b/cmd/havencart/load.go
@@ -47,13 +47,13 @@
 	flags.IntVar(&mix.Functions, "functions", 10, "functions of each class, by Zipf's law")
 	flags.Float64Var(&mix.Zipf, "zipf", 1.3, "its exponent, above 1")
 	flags.DurationVar(&mix.Drift, "drift", 0, "a fifth of the functions are replaced after each; 0: never")
-	flags.Float64Var(&mix.Once, "once", 0, "share of requests for functions that are used once")
+	flags.Float64Var(&mix.RequestedOnceShare, "once", 0, "share of requests for functions that are used once")
 	flags.DurationVar(&mix.Work, "work", 20*time.Millisecond, "mean work of a request at an emulated worker")
 	flags.Float64Var(&mix.WorkSigma, "sigma", 0.5, "sigma of its lognormal distribution")
-	flags.DurationVar(&mix.Load, "load", 300*time.Millisecond, "load time of a function at an emulated worker")
+	flags.DurationVar(&mix.LoadTime, "load", 300*time.Millisecond, "load time of a function at an emulated worker")
 	flags.Float64Var(&mix.MemoryMB, "size", 300, "megabytes of a replica")
-	flags.IntVar(&mix.Reply, "reply", 1000, "bytes of a response at most")
-	flags.DurationVar(&mix.Patience, "patience", 2*time.Second, "timeout of clients at most")
+	flags.IntVar(&mix.ResponseBytes, "reply", 1000, "bytes of a response at most")
+	flags.DurationVar(&mix.Timeout, "patience", 2*time.Second, "timeout of clients at most")
 	flags.DurationVar(&options.duration, "for", 10*time.Second, "how long clients send requests")
 	flags.Uint64Var(&options.seed, "seed", 1, "seed of the clients' requests")
 	return cmd
@@ -61,16 +61,16 @@
 
 var (
 	loadShapes = []loadgen.Shape{loadgen.Steady, loadgen.Bursty, loadgen.Ramp, loadgen.Daily}
-	loadHabits = []loadgen.Habit{loadgen.Never, loadgen.AtOnce, loadgen.Wait, loadgen.Advised, loadgen.Impolite}
+	loadHabits = []loadgen.RetryPolicy{loadgen.RetryNever, loadgen.RetryAtOnce, loadgen.RetryWithBackoff, loadgen.RetryAsAdvised, loadgen.RetryAlways}
 )
 
 // validate checks the flags and completes the request mix.
 func (o *loadOptions) validate() error {
-	o.mix.Shape, o.mix.Habit = loadgen.Shape(o.shape), loadgen.Habit(o.retryHabit)
+	o.mix.Shape, o.mix.RetryPolicy = loadgen.Shape(o.shape), loadgen.RetryPolicy(o.retryHabit)
 	switch {
 	case !slices.Contains(loadShapes, o.mix.Shape):
 		return fmt.Errorf("%w: shape %q", errUsage, o.shape)
-	case !slices.Contains(loadHabits, o.mix.Habit):
+	case !slices.Contains(loadHabits, o.mix.RetryPolicy):
 		return fmt.Errorf("%w: habit %q", errUsage, o.retryHabit)
 	case !o.mixInRange():
 		return fmt.Errorf("%w: rate, functions and patience must be above 0, zipf above 1", errUsage)
@@ -82,12 +82,12 @@
 func (o *loadOptions) mixInRange() bool {
 	hasRate := o.mix.Rate > 0
 	hasFunctions := o.mix.Functions >= 1 && o.mix.Zipf > 1
-	hasTimeout := o.mix.Patience >= time.Millisecond
+	hasTimeout := o.mix.Timeout >= time.Millisecond
 	return hasRate && hasFunctions && hasTimeout
 }
 
 // source returns the function that yields the requests, each with its time; it yields false at the end.
-func (o loadOptions) source() (func() (time.Duration, loadgen.Call, bool), error) {
+func (o loadOptions) source() (func() (time.Duration, loadgen.Request, bool), error) {
 	if o.arrivalsPath != "" {
 		raw, err := os.ReadFile(o.arrivalsPath)
 		if err != nil {
@@ -114,19 +114,19 @@
 	if err != nil {
 		return err
 	}
-	book := invariant.NewBook()
+	book := invariant.NewHistory()
 	var pools []*client.Pool
 	for _, address := range options.addresses {
-		pool := &client.Pool{Name: address, Address: address, Book: book, Grace: clientGrace}
+		pool := &client.Pool{Name: address, Address: address, History: book, Grace: clientGrace}
 		defer pool.Close()
 		pools = append(pools, pool)
 	}
 	tally := newLoadTally()
 	runner := client.Runner{
-		Next:    next,
-		Fronts:  len(pools),
-		Pools:   func(i int) *client.Pool { return pools[i] },
-		Observe: tally.observe,
+		Next:      next,
+		FrontEnds: len(pools),
+		Pools:     func(i int) *client.Pool { return pools[i] },
+		Observe:   tally.observe,
 	}
 	ctx, cancel := context.WithCancel(cmd.Context())
 	progressDone := make(chan struct{})
--- a/cmd/havencart/loadtally.go
+++ b/cmd/havencart/loadtally.go
@@ -69,8 +69,8 @@
 func (t *loadTally) observe(observation client.Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.sendLag.RecordValue(int64(max(observation.Late, time.Microsecond))) // an error is a value out of range
-	t.attempts += observation.Tries
+	_ = t.sendLag.RecordValue(int64(max(observation.SendDelay, time.Microsecond))) // an error is a value out of range
+	t.attempts += observation.Attempts
 	if observation.Lost {
 		t.lost++
 	}
@@ -82,10 +82,10 @@
 	if observation.Outcome != outcomeServed {
 		return
 	}
-	t.recordLatency(allRequests, observation.Took)
-	t.recordLatency("class "+observation.Call.Class, observation.Took)
-	if observation.Call.Tenant != "" {
-		t.recordLatency("tenant "+observation.Call.Tenant, observation.Took)
+	t.recordLatency(allRequests, observation.Duration)
+	t.recordLatency("class "+observation.Request.Class, observation.Duration)
+	if observation.Request.Tenant != "" {
+		t.recordLatency("tenant "+observation.Request.Tenant, observation.Duration)
 	}
 }
 
--- a/cmd/havencart/loadtally_test.go
+++ b/cmd/havencart/loadtally_test.go
@@ -13,9 +13,9 @@
 func lateRun(lateRequests int, lag time.Duration) error {
 	tally := newLoadTally()
 	for i := range 1000 {
-		o := client.Observation{Call: loadgen.Call{Class: "a"}, Outcome: "served", Took: time.Millisecond, Tries: 1}
+		o := client.Observation{Request: loadgen.Request{Class: "a"}, Outcome: "served", Duration: time.Millisecond, Attempts: 1}
 		if i < lateRequests {
-			o.Late = lag
+			o.SendDelay = lag
 		}
 		tally.observe(o)
 	}
--- a/cmd/havencart/measure.go
+++ b/cmd/havencart/measure.go
@@ -32,8 +32,8 @@
 	flags.IntVar(&config.Workers, "workers", 8, "emulated workers")
 	flags.IntVar(&config.Connections, "connections", 64, "clients' connections, each with one request in flight")
 	flags.DurationVar(&config.Work, "work", 0, "work of a request at its worker")
-	flags.IntVar(&config.Reply, "reply", 100, "bytes of a response")
-	flags.DurationVar(&config.Lasts, "for", 3*time.Second, "length of each measurement")
+	flags.IntVar(&config.ResponseBytes, "reply", 100, "bytes of a response")
+	flags.DurationVar(&config.Duration, "for", 3*time.Second, "length of each measurement")
 	flags.IntVar(&config.Rounds, "rounds", 5, "rounds, in each of which all paths take their turn")
 	flags.IntVar(&config.Loops, "loops", 1, "front ends in the process")
 	flags.IntVar(&options.idleConnections, "idle", 2000, "idle connections whose memory is measured; 0: none")
@@ -43,7 +43,7 @@
 	flags.IntVar(&overload.Workers, "overload-workers", 8, "emulated workers of two cores")
 	flags.IntVar(&overload.FrontEnds, "overload-front-ends", 2, "front ends")
 	flags.DurationVar(&overload.Work, "overload-work", 40*time.Millisecond, "mean work of a request")
-	flags.DurationVar(&overload.Lasts, "overload-for", 12*time.Second, "length at each multiple")
+	flags.DurationVar(&overload.Duration, "overload-for", 12*time.Second, "length at each multiple")
 	flags.StringVar(&options.profilePath, "profile", "", "write a CPU profile here")
 	return cmd
 }
@@ -90,7 +90,7 @@
 
 // measureRejection compares the CPU time of a rejection with that of a served request.
 func measureRejection(cmd *cobra.Command, config measure.Config) error {
-	return measure.Refusal(cmd.Context(), config, func(served, rejected float64) {
+	return measure.MeasureRejection(cmd.Context(), config, func(served, rejected float64) {
 		results(cmd).printf("CPU of a call, whole process: served %.1f µs, refused %.1f µs, %.2f of it\n", served, rejected, rejected/served)
 	})
 }
@@ -99,13 +99,13 @@
 func measureOverload(cmd *cobra.Command, config measure.OverloadConfig) error {
 	out, violated, best := results(cmd), false, 0.0
 	err := measure.Overload(cmd.Context(), config, func(point measure.Point) {
-		best = max(best, point.Worth)
+		best = max(best, point.Goodput)
 		out.printf("x%-4v %6.0f calls/s offered, worth %6.0f/s served in time, %.2f of the best so far; %v\n",
-			point.Factor, point.Offered, point.Worth, point.Worth/best, point.Tally)
-		for _, violation := range point.Breaks {
-			out.printf("rule %s broken: %s\n", violation.Rule, violation.What)
+			point.Factor, point.Offered, point.Goodput, point.Goodput/best, point.Tally)
+		for _, violation := range point.Violations {
+			out.printf("rule %s broken: %s\n", violation.Rule, violation.Detail)
 		}
-		if len(point.Breaks) > 0 || !point.Tally.Balanced() {
+		if len(point.Violations) > 0 || !point.Tally.Balanced() {
 			violated = true
 		}
 	})
@@ -121,10 +121,10 @@
 	value func(measure.Sample) float64
 }{
 	{"calls a second", func(s measure.Sample) float64 { return s.Rate }},
-	{"CPU a call (whole process)", func(s measure.Sample) float64 { return s.CPUPerCallMicros }},
-	{"p50 at half load", func(s measure.Sample) float64 { return float64(s.Half50) }},
-	{"p99 at half load", func(s measure.Sample) float64 { return float64(s.Half99) }},
-	{"p999 at half load", func(s measure.Sample) float64 { return float64(s.Half999) }},
+	{"CPU a call (whole process)", func(s measure.Sample) float64 { return s.CPUPerRequestMicros }},
+	{"p50 at half load", func(s measure.Sample) float64 { return float64(s.HalfLoadP50) }},
+	{"p99 at half load", func(s measure.Sample) float64 { return float64(s.HalfLoadP99) }},
+	{"p999 at half load", func(s measure.Sample) float64 { return float64(s.HalfLoadP999) }},
 }
 
 // measurePaths compares the gateway with the other paths to a worker, by ratios of each round.
@@ -147,7 +147,7 @@
 
 // measureIdleConnections measures the memory of a connection without a request.
 func measureIdleConnections(cmd *cobra.Command, config measure.Config, connections int) error {
-	heap, stack, err := measure.Idle(cmd.Context(), config, connections)
+	heap, stack, err := measure.MeasureIdleMemory(cmd.Context(), config, connections)
 	if err != nil {
 		return err
 	}
--- a/cmd/havencart/serveplatform_test.go
+++ b/cmd/havencart/serveplatform_test.go
@@ -162,7 +162,7 @@
 	}
 	t.Cleanup(discovery.Close)
 	worker, err := platformworker.Start(func(c *platformworker.Conn, f workerframe.Frame) {
-		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: f.Body})
+		c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: f.Body})
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -208,7 +208,7 @@
 	config := fmt.Sprintf(platformConfig, discovery.Address(), worker.Address())
 	p := startProcess(t, config)
 	address := p.waitForLog("running")["listen"].(string)
-	if last := <-discovery.Asked(); last != 1 {
+	if last := <-discovery.Resumed(); last != 1 {
 		t.Errorf("resumed from %d", last)
 	}
 	newConfig := fmt.Sprintf(platformConfig, newDiscovery.Address(), worker.Address())
@@ -223,13 +223,13 @@
 	p.writeConfig(newConfig)
 	p.signal(syscall.SIGHUP)
 	p.signal(syscall.SIGHUP)
-	if last := <-newDiscovery.Asked(); last != 1 {
+	if last := <-newDiscovery.Resumed(); last != 1 {
 		t.Errorf("at the new address resumed from %d", last)
 	}
 	if failure, _ := p.connect(address).call(1); failure != nil {
 		t.Errorf("after reloads: %v", failure)
 	}
-	if len(discovery.Asked()) > 0 {
+	if len(discovery.Resumed()) > 0 {
 		t.Error("connected to the old address again")
 	}
 	p.signal(syscall.SIGTERM)
--- a/cmd/havencart/worker.go
+++ b/cmd/havencart/worker.go
@@ -43,16 +43,16 @@
 	flags.Float64Var(&config.Speed, "speed", config.Speed, "speed of a core, relative to the emulation's standard core")
 	flags.Float64Var(&config.MemoryMB, "memory", config.MemoryMB, "megabytes for replicas")
 	flags.IntVar(&config.Queue, "queue", config.Queue, "requests that may be queued")
-	flags.BoolVar(&config.MissAnswers, "miss", false, "answer miss in place of loading")
+	flags.BoolVar(&config.ReportsNotLoaded, "miss", false, "answer miss in place of loading")
 	flags.DurationVar(&config.Work, "work", 20*time.Millisecond, "work of a request whose body does not tell (\"work 20ms reply 100\")")
 	return cmd
 }
 
 // runWorker runs the worker until the command's context ends.
 func runWorker(cmd *cobra.Command, config worker.Config, storeAddress string) error {
-	world := model.NewWorld()
+	world := model.NewRealClock()
 	if storeAddress == "" {
-		store, err := functionstore.Start(world, model.StoreConfig{Places: ownStoreConcurrency, Limit: ownStoreLimit}, "127.0.0.1:0")
+		store, err := functionstore.Start(world, model.StoreConfig{Concurrency: ownStoreConcurrency, Limit: ownStoreLimit}, "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
@@ -61,7 +61,7 @@
 	}
 	fetcher := functionstore.NewClient(world, storeAddress)
 	defer fetcher.Close()
-	server, err := worker.Start(world, config, fetcher, model.NewGroup(), invariant.NewBook())
+	server, err := worker.Start(world, config, fetcher, model.NewKeyCache(), invariant.NewHistory())
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -117,11 +117,11 @@
 func TestConsul_PartialList_ReportedThenReversed(t *testing.T) {
 	server, sink, _ := startConsul(t, 4)
 	sink.list(t)
-	server.Partial(0.5)
+	server.SetListedShare(0.5)
 	if got := summary(sink.list(t)); got != "w1:1 w2:1" {
 		t.Error(got)
 	}
-	server.Partial(1)
+	server.SetListedShare(1)
 	if got := summary(sink.list(t)); got != "w1:1 w2:1 w3:1 w4:1" {
 		t.Error(got)
 	}
@@ -130,11 +130,11 @@
 func TestConsul_ServerDown_RetriesOnRefresh(t *testing.T) {
 	server, sink, c := startConsul(t, 1)
 	sink.list(t)
-	server.Down(true)
+	server.SetDown(true)
 	_ = sink.failure(t)
 	c.Refresh()
 	_ = sink.failure(t)
-	server.Down(false)
+	server.SetDown(false)
 	c.Refresh()
 	if got := summary(sink.list(t)); got != "w1:1" {
 		t.Error(got)
@@ -144,7 +144,7 @@
 func TestConsul_IndexDecreases_ReportsLaterChange(t *testing.T) {
 	server, sink, _ := startConsul(t, 3)
 	sink.list(t)
-	server.Back()
+	server.ResetIndex()
 	server.Set(entry(3, scheduler.Draining))
 	for range 3 { // the list before the loss may be reported once more
 		if got := summary(sink.list(t)); got == "w1:1 w2:1 w3:2" {
--- a/internal/discovery/endpointstream_test.go
+++ b/internal/discovery/endpointstream_test.go
@@ -80,17 +80,17 @@
 		first[0].Zone != "room" || first[0].Kind != "std" || first[0].Cell != "4" || !first[0].Started.IsZero() {
 		t.Errorf("initial list is %+v", first)
 	}
-	if last := <-server.Asked(); last != 3 {
+	if last := <-server.Resumed(); last != 3 {
 		t.Errorf("resumed from %d", last)
 	}
-	server.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
+	server.Publish(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	expectList(t, received, "1 2 ")
-	server.Tell(event(5, endpointstream.Delta, entry(1, 9001, endpointstream.Draining)))
+	server.Publish(event(5, endpointstream.Delta, entry(1, 9001, endpointstream.Draining)))
 	expectList(t, received, "1d 2 ")
-	server.Tell(event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Removed), entry(3, 9001, endpointstream.Ready)))
-	expectList(t, received, "2 3 ")                                                                                   // another worker at the address of a removed one
-	server.Raw(endpointstream.AppendEvent(nil, event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Ready)))) // repeated
-	server.Tell(event(7, endpointstream.Snapshot, entry(9, 9009, endpointstream.Ready)))
+	server.Publish(event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Removed), entry(3, 9001, endpointstream.Ready)))
+	expectList(t, received, "2 3 ")                                                                                        // another worker at the address of a removed one
+	server.WriteRaw(endpointstream.AppendEvent(nil, event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Ready)))) // repeated
+	server.Publish(event(7, endpointstream.Snapshot, entry(9, 9009, endpointstream.Ready)))
 	expectList(t, received, "9 ")
 }
 
@@ -99,16 +99,16 @@
 	server := startServer(t)
 	_, received := follow(t, server.Address())
 	<-received
-	<-server.Asked()
-	server.Raw(endpointstream.AppendEvent(nil, event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
-	server.Break()
-	if last := <-server.Asked(); last != 3 {
+	<-server.Resumed()
+	server.WriteRaw(endpointstream.AppendEvent(nil, event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
+	server.CloseConnections()
+	if last := <-server.Resumed(); last != 3 {
 		t.Errorf("after half an event resumed from %d", last)
 	}
-	server.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
+	server.Publish(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	expectList(t, received, "1 2 ")
-	server.Raw([]byte("noise that is no event"))
-	if last := <-server.Asked(); last != 4 {
+	server.WriteRaw([]byte("noise that is no event"))
+	if last := <-server.Resumed(); last != 4 {
 		t.Errorf("after noise resumed from %d", last)
 	}
 }
@@ -118,13 +118,13 @@
 	old, other := startServer(t), startServer(t)
 	stream, received := follow(t, old.Address())
 	<-received
-	<-old.Asked()
-	old.Tell(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
+	<-old.Resumed()
+	old.Publish(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	expectList(t, received, "1 2 ")
 	stream.SetAddress(other.Address())
-	if last := <-other.Asked(); last != 4 {
+	if last := <-other.Resumed(); last != 4 {
 		t.Errorf("at the other address resumed from %d", last)
 	}
-	other.Tell(event(5, endpointstream.Delta, entry(3, 9003, endpointstream.Ready)))
+	other.Publish(event(5, endpointstream.Delta, entry(3, 9003, endpointstream.Ready)))
 	expectList(t, received, "1 2 3 ")
 }
--- a/internal/gateway/platform_server_test.go
+++ b/internal/gateway/platform_server_test.go
@@ -61,7 +61,7 @@
 	server.discovery = discovery
 	run()
 	t.Cleanup(server.stop)
-	<-discovery.Asked()
+	<-discovery.Resumed()
 	return server
 }
 
@@ -144,7 +144,7 @@
 	c := server.connect() // before it runs: the kernel accepts it
 	run()
 	server.checkHeartbeat(c, 1, true)
-	if n := e.Made(); n != 0 {
+	if n := e.ConnectionCount(); n != 0 {
 		t.Errorf("%d connections to workers before any request: hundreds of front ends that start together would all dial", n)
 	}
 	server.sendRequest(c, 2, "quote", 1)
@@ -173,7 +173,7 @@
 }
 
 func respondServed(c *platformworker.Conn, f workerframe.Frame) {
-	c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: append([]byte("did "), f.Body...)})
+	c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: append([]byte("did "), f.Body...)})
 }
 
 func TestPlatformServer_Request_ServedEndToEnd(t *testing.T) {
@@ -192,7 +192,7 @@
 	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		if f.Code == workerframe.Request {
 			seen <- f.ID
-			c.Raw([]byte("noise that is no frame"))
+			c.WriteRaw([]byte("noise that is no frame"))
 		}
 	})
 	c := server.connect()
@@ -258,7 +258,7 @@
 	moved := *server.config
 	moved.EndpointStreamAddress = other.Address()
 	server.Reload(&moved)
-	if last := <-other.Asked(); last != 1 {
+	if last := <-other.Resumed(); last != 1 {
 		t.Errorf("requested from event %d", last)
 	}
 	server.shutDown()
--- a/internal/platform/workerclient/client_test.go
+++ b/internal/platform/workerclient/client_test.go
@@ -19,7 +19,7 @@
 	got := make(chan workerframe.Frame, 1)
 	client, recorder, _ := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		got <- f
-		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Fields: "peers_in=3,rep=queue:2", Body: []byte("answer")})
+		c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Fields: "peers_in=3,rep=queue:2", Body: []byte("answer")})
 	})
 	send(t, client, newAttempt(5))
 	f, r := <-got, <-recorder.attemptEnds
@@ -41,9 +41,9 @@
 		got <- f
 		switch f.Code {
 		case workerframe.Load:
-			c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Fields: "replicas=2"})
+			c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Fields: "replicas=2"})
 		case workerframe.LoadReport:
-			c.Answer(workerframe.Frame{Code: workerframe.Healthy, ID: f.ID, Fields: "rep=queue:1"})
+			c.Respond(workerframe.Frame{Code: workerframe.Healthy, ID: f.ID, Fields: "rep=queue:1"})
 		}
 	})
 	order := &workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 2, Replica: muxframe.ReplicaSpec{Function: "7f3a9c21e0b4d655"}}}
@@ -98,7 +98,7 @@
 	client, recorder, server := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		got <- f
 		if f.ID == 6 {
-			c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID})
+			c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID})
 		}
 	})
 	a := newAttempt(5)
@@ -114,8 +114,8 @@
 	if r := <-recorder.attemptEnds; r.Status != scheduler.OK {
 		t.Errorf("the next ended as %+v", r)
 	}
-	if server.Made() != 2 {
-		t.Errorf("%d connections: no other attempt may use the connection of a cancelled one", server.Made())
+	if server.ConnectionCount() != 2 {
+		t.Errorf("%d connections: no other attempt may use the connection of a cancelled one", server.ConnectionCount())
 	}
 	if client.Busy() {
 		t.Error("the client claims to be busy")
@@ -155,7 +155,7 @@
 	responses := make(chan func(), 16)
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	server, err := platformworker.Start(func(c *platformworker.Conn, f workerframe.Frame) {
-		responses <- func() { c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID}) }
+		responses <- func() { c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID}) }
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 			t.Errorf("ended as %+v", r)
 		}
 	}
-	if server.Made() > 2 {
-		t.Errorf("%d connections with a budget of 2", server.Made())
+	if server.ConnectionCount() > 2 {
+		t.Errorf("%d connections with a budget of 2", server.ConnectionCount())
 	}
 }
--- a/internal/platform/workerclient/connection_read_test.go
+++ b/internal/platform/workerclient/connection_read_test.go
@@ -18,8 +18,8 @@
 	cut := make(chan int, 1)
 	client, recorder, _ := startWorkerAndClient(t, func(c *platformworker.Conn, _ workerframe.Frame) {
 		i := <-cut
-		c.Raw(raw[:i])
-		c.Raw(raw[i:])
+		c.WriteRaw(raw[:i])
+		c.WriteRaw(raw[i:])
 	})
 	for i := range raw {
 		cut <- i
@@ -33,9 +33,9 @@
 // A repeated response, and one ahead of it with an unknown number, have no effect.
 func TestResponse_UnknownOrRepeatedNumber_IsDropped(t *testing.T) {
 	client, recorder, server := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
-		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: 999, Body: []byte("ahead")})
-		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("right")})
-		c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("again")})
+		c.Respond(workerframe.Frame{Code: workerframe.OK, ID: 999, Body: []byte("ahead")})
+		c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("right")})
+		c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("again")})
 	})
 	for n := range 3 {
 		send(t, client, newAttempt(5+n))
@@ -45,8 +45,8 @@
 		<-recorder.lateResponses
 		<-recorder.lateResponses
 	}
-	if server.Made() != 1 {
-		t.Errorf("%d connections", server.Made())
+	if server.ConnectionCount() != 1 {
+		t.Errorf("%d connections", server.ConnectionCount())
 	}
 }
 
@@ -63,19 +63,19 @@
 			client, recorder, _ := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- receivedFrame{c, f} })
 			send(t, client, newAttempt(5))
 			first := <-received
-			first.c.Answer(workerframe.Frame{Code: code, ID: first.f.ID})
+			first.c.Respond(workerframe.Frame{Code: code, ID: first.f.ID})
 			if r := <-recorder.attemptEnds; r.Status != statuses[code] {
 				t.Fatalf("ended as %+v", r)
 			}
 			send(t, client, newAttempt(5))
 			second := <-received
-			first.c.Answer(workerframe.Frame{Code: code, ID: first.f.ID})
+			first.c.Respond(workerframe.Frame{Code: code, ID: first.f.ID})
 			select {
 			case <-recorder.lateResponses:
 			case r := <-recorder.attemptEnds:
 				t.Fatalf("a second response with code %d ended the next attempt as %+v", code, r)
 			}
-			second.c.Answer(workerframe.Frame{Code: workerframe.OK, ID: second.f.ID})
+			second.c.Respond(workerframe.Frame{Code: workerframe.OK, ID: second.f.ID})
 			if r := <-recorder.attemptEnds; r.Status != scheduler.OK {
 				t.Errorf("after a second response with code %d the next attempt ended as %+v", code, r)
 			}
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -14,12 +14,12 @@
 // TestAttempt_EndAfterWholeWrite_ReportsWhetherItMayHaveExecuted covers the ends of an attempt that was written whole.
 func TestAttempt_EndAfterWholeWrite_ReportsWhetherItMayHaveExecuted(t *testing.T) {
 	respond := func(code workerframe.Code) platformworker.Script {
-		return func(c *platformworker.Conn, f workerframe.Frame) { c.Answer(workerframe.Frame{Code: code, ID: f.ID}) }
+		return func(c *platformworker.Conn, f workerframe.Frame) { c.Respond(workerframe.Frame{Code: code, ID: f.ID}) }
 	}
 	damaged := func(change func(raw []byte) []byte) platformworker.Script {
 		return func(c *platformworker.Conn, f workerframe.Frame) {
 			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("x")})
-			c.Raw(change(raw))
+			c.WriteRaw(change(raw))
 		}
 	}
 	for name, test := range map[string]struct {
@@ -35,7 +35,7 @@
 		"3 GB":          {damaged(func(raw []byte) []byte { raw[4] = 0xb0; return raw }), scheduler.Error},
 		"reset":         {func(c *platformworker.Conn, _ workerframe.Frame) { c.Reset() }, scheduler.Error},
 		"closed":        {func(c *platformworker.Conn, _ workerframe.Frame) { _ = c.Close() }, scheduler.Error},
-		"broken off":    {func(c *platformworker.Conn, _ workerframe.Frame) { c.Raw([]byte{90, 64, 0}); _ = c.Close() }, scheduler.Error},
+		"broken off":    {func(c *platformworker.Conn, _ workerframe.Frame) { c.WriteRaw([]byte{90, 64, 0}); _ = c.Close() }, scheduler.Error},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, recorder, _ := startWorkerAndClient(t, test.script)
@@ -68,10 +68,10 @@
 	others := make(chan func(), 8)
 	client, recorder, server := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		if f.ID == 5 {
-			c.Raw([]byte("noise that is no frame"))
+			c.WriteRaw([]byte("noise that is no frame"))
 			return
 		}
-		others <- func() { c.Answer(workerframe.Frame{Code: workerframe.OK, ID: f.ID}) }
+		others <- func() { c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID}) }
 	})
 	for n := range 3 {
 		send(t, client, newAttempt(10+n))
@@ -87,8 +87,8 @@
 			t.Errorf("another attempt ended as %+v", r)
 		}
 	}
-	if server.Made() < 4 {
-		t.Errorf("%d connections for 4 attempts", server.Made())
+	if server.ConnectionCount() < 4 {
+		t.Errorf("%d connections for 4 attempts", server.ConnectionCount())
 	}
 }
 
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -33,7 +33,7 @@
 type Pool struct {
 	Name    string // of the front end
 	Address string
-	Book    *invariant.History
+	History *invariant.History
 	Grace   time.Duration // how much longer than its timeout a client waits, to record a late response
 
 	mu   sync.Mutex
@@ -42,12 +42,12 @@
 
 // Do sends one request and records its outcome. An error says that there was no connection: then nothing was sent, and
 // nothing recorded.
-func (p *Pool) Do(request loadgen.Call) (Response, error) {
+func (p *Pool) Do(request loadgen.Request) (Response, error) {
 	conn, err := p.connect()
 	if err != nil {
 		return Response{}, err
 	}
-	recorded := p.Book.RequestSent(invariant.Request{
+	recorded := p.History.RequestSent(invariant.Request{
 		ID:             request.ID,
 		Class:          request.Class,
 		Tenant:         request.Tenant,
@@ -65,11 +65,11 @@
 	if err != nil {
 		_ = conn.Close()
 		disconnected := request.DisconnectAfter > 0 && response.Duration >= request.DisconnectAfter
-		p.Book.RequestEnded(recorded, disconnected)
+		p.History.RequestEnded(recorded, disconnected)
 		return response, nil
 	}
 	if conn.in.Buffered() > 0 {
-		p.Book.ResponseReceived(recorded, outcomeUnexpected, false)
+		p.History.ResponseReceived(recorded, outcomeUnexpected, false)
 		_ = conn.Close()
 		return response, nil
 	}
@@ -122,7 +122,7 @@
 }
 
 // exchange sends a request and receives its response.
-func (p *Pool) exchange(conn *connection, recorded *invariant.Request, request loadgen.Call) (Response, error) {
+func (p *Pool) exchange(conn *connection, recorded *invariant.Request, request loadgen.Request) (Response, error) {
 	_ = conn.SetDeadline(time.Now().Add(request.Timeout + p.Grace))
 	if _, err := conn.Write(encodeRequest(request)); err != nil {
 		return Response{}, err
@@ -138,9 +138,9 @@
 		response.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
 	if isForAnother(received, response.Outcome, request.ID) {
-		p.Book.ResponseReceived(recorded, outcomeWrongRequest, false)
+		p.History.ResponseReceived(recorded, outcomeWrongRequest, false)
 	}
-	p.Book.ResponseReceived(recorded, response.Outcome, err == nil)
+	p.History.ResponseReceived(recorded, response.Outcome, err == nil)
 	if received.Close || err != nil {
 		_ = conn.Close() // found closed when it is next taken
 	}
--- a/lab/client/connection.go
+++ b/lab/client/connection.go
@@ -41,7 +41,7 @@
 }
 
 // encodeRequest is a request in HTTP/1.1.
-func encodeRequest(r loadgen.Call) []byte {
+func encodeRequest(r loadgen.Request) []byte {
 	body := append(worker.Body(r.Work, r.ResponseBytes), bytes.Repeat([]byte(" "), r.PaddingBytes)...)
 	out := fmt.Appendf(nil, "POST /call/%s HTTP/1.1\r\nHost: lab\r\nContent-Length: %d\r\nCall-Id: %s\r\nCall-Patience: %d\r\n",
 		r.Function, len(body), r.ID, r.Timeout.Milliseconds())
--- a/lab/discoveryserver/server.go
+++ b/lab/discoveryserver/server.go
@@ -118,10 +118,10 @@
 }
 
 // Lag delays the notification of changes from now on.
-func (s *Server) Lag(d time.Duration) { s.update(func() { s.lag = d }) }
+func (s *Server) SetLag(d time.Duration) { s.update(func() { s.lag = d }) }
 
 // Down makes the service respond with 500, or ends that.
-func (s *Server) Down(on bool) {
+func (s *Server) SetDown(on bool) {
 	s.update(func() {
 		s.down = on
 		s.setIndex(s.index + 1)
@@ -129,7 +129,7 @@
 }
 
 // Partial makes the list name only a share of the workers; 1 ends it.
-func (s *Server) Partial(share float64) {
+func (s *Server) SetListedShare(share float64) {
 	s.update(func() {
 		s.listedShare = share
 		s.setIndex(s.index + 1)
@@ -137,7 +137,7 @@
 }
 
 // Back makes the index start again, as after a loss of the service's state.
-func (s *Server) Back() { s.update(func() { s.setIndex(firstIndex) }) }
+func (s *Server) ResetIndex() { s.update(func() { s.setIndex(firstIndex) }) }
 
 func (s *Server) update(change func()) {
 	s.mu.Lock()
--- a/lab/experiment/cell.go
+++ b/lab/experiment/cell.go
@@ -24,7 +24,7 @@
 		return "failed: " + c.Failed
 	case len(r.Violations) > 0:
 		first := r.Violations[0]
-		return fmt.Sprintf("broke rule %s (%d times): %s", first.Rule, len(r.Violations), first.What)
+		return fmt.Sprintf("broke rule %s (%d times): %s", first.Rule, len(r.Violations), first.Detail)
 	case !r.Tally.Balanced():
 		return fmt.Sprintf("does not account for all calls: %v", r.Tally)
 	}
--- a/lab/experiment/config.go
+++ b/lab/experiment/config.go
@@ -19,9 +19,9 @@
 	worker.Cores = scenario.WorkerCores
 	worker.MemoryMB = scenario.WorkerMemoryMB
 	worker.Queue = scenario.WorkerQueue
-	worker.MissAnswers = scenario.ReportsNotLoaded
+	worker.ReportsNotLoaded = scenario.ReportsNotLoaded
 	store := fleet.DemoStore()
-	store.Places, store.Limit = scenario.StoreConcurrency, scenario.StoreLimit
+	store.Concurrency, store.Limit = scenario.StoreConcurrency, scenario.StoreLimit
 	overrides := variant.Overrides
 	if scenario.ReportsNotLoaded {
 		overrides = append([]string{"on-miss miss"}, overrides...)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -177,7 +177,7 @@
 	cells := cellsWithService(s, map[string][]float64{"module": {0.9, 0.9, 0.9}, "random": {0.9, 0.9, 0.9}})
 	for i := range cells {
 		if cells[i].Variant == "random" {
-			cells[i].Result.Violations = []invariant.Violation{{Rule: "cold", What: "x"}}
+			cells[i].Result.Violations = []invariant.Violation{{Rule: "cold", Detail: "x"}}
 		}
 	}
 	c := s.CompareScenario(cells, "quiet")[1]
--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -77,7 +77,7 @@
 	MemoryMB     float64
 	Reply        int
 	Patience     time.Duration
-	Habit        loadgen.Habit
+	Habit        loadgen.RetryPolicy
 	Retries      int
 	OwnFunctions bool
 }
@@ -115,7 +115,7 @@
 		Queue:       config.Queue,
 		LoadsAtOnce: config.MaxConcurrentLoads,
 		KeepAlive:   config.KeepAlive,
-		MissAnswers: config.MissAnswers,
+		MissAnswers: config.ReportsNotLoaded,
 		MoreCopies:  config.LoadsMoreReplicas,
 		StopsRuns:   config.CancelStopsWork,
 		ColdFrom:    config.ColdCapacity,
@@ -128,7 +128,7 @@
 
 func keyedStoreOf(config *model.StoreConfig) keyedStore {
 	return keyedStore{
-		Places:       config.Places,
+		Places:       config.Concurrency,
 		Limit:        config.Limit,
 		FallMultiple: config.OutageMultiple,
 		FallAfter:    config.OutageAfter,
@@ -142,15 +142,15 @@
 		Shape:        mix.Shape,
 		Functions:    mix.Functions,
 		Zipf:         mix.Zipf,
-		Once:         mix.Once,
+		Once:         mix.RequestedOnceShare,
 		Drift:        mix.Drift,
 		Work:         mix.Work,
 		WorkSigma:    mix.WorkSigma,
-		Load:         mix.Load,
+		Load:         mix.LoadTime,
 		MemoryMB:     mix.MemoryMB,
-		Reply:        mix.Reply,
-		Patience:     mix.Patience,
-		Habit:        mix.Habit,
+		Reply:        mix.ResponseBytes,
+		Patience:     mix.Timeout,
+		Habit:        mix.RetryPolicy,
 		Retries:      mix.Retries,
 		OwnFunctions: mix.OwnFunctions,
 	}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -128,7 +128,7 @@
 
 // Play runs one cell by name, as another build of this program asks for it. It returns the result as that build reads
 // it.
-func (s *Spec) Play(variant, scenario string, seed uint64) (StoredResult, error) {
+func (s *Spec) RunOne(variant, scenario string, seed uint64) (StoredResult, error) {
 	v, sc := s.find(variant, scenario)
 	if v.Name == "" || sc.Name == "" {
 		return StoredResult{}, fmt.Errorf("%w: no variant %q or day %q", ErrSpec, variant, scenario)
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -316,14 +316,14 @@
 func violationOf(x invariant.Violation) storedViolation {
 	return storedViolation{
 		Rule: x.Rule,
-		What: x.What,
+		What: x.Detail,
 	}
 }
 
 func (s storedViolation) violation() invariant.Violation {
 	return invariant.Violation{
-		Rule: s.Rule,
-		What: s.What,
+		Rule:   s.Rule,
+		Detail: s.What,
 	}
 }
 
--- a/lab/faultsearch/search.go
+++ b/lab/faultsearch/search.go
@@ -25,7 +25,7 @@
 	Keep     int               // findings
 	Seed     uint64
 	Parallel int          // simulations at a time
-	Tell     func(string) // is called with the progress
+	Report   func(string) // is called with the progress
 }
 
 // Finding is a bad scenario.
@@ -74,7 +74,7 @@
 		if err := search.round(); err != nil {
 			return nil, err
 		}
-		cfg.Tell(fmt.Sprintf("round %d: worst by %.3f, of %d kept", round+1, search.found[0].Score(), len(search.found)))
+		cfg.Report(fmt.Sprintf("round %d: worst by %.3f, of %d kept", round+1, search.found[0].Score(), len(search.found)))
 	}
 	for i := range search.found {
 		if ctx.Err() != nil {
@@ -184,7 +184,7 @@
 	switch {
 	case len(scheduler.Violations) > 0:
 		first := scheduler.Violations[0]
-		f.Violation = first.Rule + ": " + first.What
+		f.Violation = first.Rule + ": " + first.Detail
 	case !scheduler.Tally.Balanced():
 		f.Violation = "lost: " + scheduler.Tally.String()
 	}
--- a/lab/fleet/clients.go
+++ b/lab/fleet/clients.go
@@ -39,9 +39,9 @@
 	var mu sync.Mutex
 	outcomes := map[string]int{}
 	client.Runner{
-		Fronts: len(f.FrontEnds),
-		Pools:  func(i int) *client.Pool { return f.FrontEnds[i].Pool() },
-		Next:   source.Next,
+		FrontEnds: len(f.FrontEnds),
+		Pools:     func(i int) *client.Pool { return f.FrontEnds[i].Pool() },
+		Next:      source.Next,
 		Observe: func(o client.Observation) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -14,7 +14,7 @@
 )
 
 // DemoDay is a short scenario with several faults.
-const DemoDay = `
+const DemoScenario = `
 at 2s  crash 25% for 2s
 at 4s  store-slow factor 3 for 2s
 at 5s  hang 10% for 2s
@@ -79,7 +79,7 @@
 // DemoStore is the configuration of the demo's function store.
 func DemoStore() model.StoreConfig {
 	return model.StoreConfig{
-		Places:         8,
+		Concurrency:    8,
 		Limit:          40,
 		OutageMultiple: 3,
 		OutageAfter:    3 * time.Second,
@@ -90,16 +90,16 @@
 // DemoMix is what the demo's clients ask for, at a mean rate of requests a second.
 func DemoMix(rate float64) loadgen.Mix {
 	return loadgen.Mix{
-		Rate:      rate,
-		Functions: 8,
-		Work:      40 * time.Millisecond,
-		WorkSigma: 0.8,
-		Load:      400 * time.Millisecond,
-		MemoryMB:  300,
-		Reply:     2000,
-		Patience:  2 * time.Second,
-		Habit:     loadgen.Advised,
-		Retries:   1,
+		Rate:          rate,
+		Functions:     8,
+		Work:          40 * time.Millisecond,
+		WorkSigma:     0.8,
+		LoadTime:      400 * time.Millisecond,
+		MemoryMB:      300,
+		ResponseBytes: 2000,
+		Timeout:       2 * time.Second,
+		RetryPolicy:   loadgen.RetryAsAdvised,
+		Retries:       1,
 	}
 }
 
@@ -107,25 +107,25 @@
 type Demo struct {
 	Workers, FrontEnds int
 	Mix                loadgen.Mix
-	Lasts              time.Duration
-	Script             string   // text of the scenario
-	Set                []string // lines of settings put before DemoSettings
+	Duration           time.Duration
+	Scenario           string   // text of the scenario
+	Settings           []string // lines of settings put before DemoSettings
 	Seed               uint64
 	Log                zerolog.Logger
-	Tell               func(string) // is called with the progress
+	Report             func(string) // is called with the progress
 }
 
 // Result is the outcome of a Demo.
 type Result struct {
-	Seen   map[string]int // clients' requests by their outcomes, retries counted as one with their request
-	Tally  invariant.Tally
-	Breaks []invariant.Violation
-	Score  invariant.Score
+	Outcomes   map[string]int // clients' requests by their outcomes, retries counted as one with their request
+	Tally      invariant.Tally
+	Violations []invariant.Violation
+	Score      invariant.Score
 }
 
 // Run runs the demo until its time is over or ctx ends.
 func (d Demo) Run(ctx context.Context) (Result, error) {
-	faults, err := scenario.Parse("script", d.Script)
+	faults, err := scenario.Parse("script", d.Scenario)
 	if err != nil {
 		return Result{}, err
 	}
@@ -136,7 +136,7 @@
 		Zones:     scenario.MaxZone(faults),
 		Worker:    DemoWorker(),
 		Store:     DemoStore(),
-		Settings:  strings.Join(append(d.Set, DemoSettings), "\n"),
+		Settings:  strings.Join(append(d.Settings, DemoSettings), "\n"),
 		Tolerance: time.Second,
 		Log:       d.Log,
 	})
@@ -144,7 +144,7 @@
 		return Result{}, err
 	}
 	defer fleet.Close()
-	d.Tell("front ends, emulated workers, store and directory run on loopback")
+	d.Report("front ends, emulated workers, store and directory run on loopback")
 	outcomes, err := d.load(ctx, fleet, faults)
 	if err != nil {
 		return Result{}, err
@@ -163,13 +163,13 @@
 	besides, end := context.WithCancel(ctx)
 	defer end()
 	scenarioEnded := make(chan error, 1)
-	go func() { scenarioEnded <- f.RunScenario(besides, faults, d.Seed, d.Tell) }()
+	go func() { scenarioEnded <- f.RunScenario(besides, faults, d.Seed, d.Report) }()
 	progressEnded := make(chan struct{})
 	go func() {
 		defer close(progressEnded)
-		f.reportProgress(besides, d.Tell)
+		f.reportProgress(besides, d.Report)
 	}()
-	outcomes = f.RunClients(ctx, d.Mix, d.Lasts, d.Seed)
+	outcomes = f.RunClients(ctx, d.Mix, d.Duration, d.Seed)
 	end()
 	<-progressEnded
 	return outcomes, <-scenarioEnded
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -61,7 +61,7 @@
 
 // Start sets an installation up. Close ends it.
 func Start(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, Clock: model.NewWorld(), History: invariant.NewBook()}
+	f := &Fleet{cfg: cfg, Clock: model.NewRealClock(), History: invariant.NewHistory()}
 	if err := f.start(); err != nil {
 		f.Close()
 		return nil, err
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 func smallConfig(workers, frontEnds int) Config {
 	cfg := Config{
 		Workers: workers, Cells: 2, FrontEnds: frontEnds, Settings: threeClasses, Tolerance: time.Second, Log: zerolog.Nop(),
-		Worker: DemoWorker(), Store: model.StoreConfig{Places: 20, Limit: 100},
+		Worker: DemoWorker(), Store: model.StoreConfig{Concurrency: 20, Limit: 100},
 	}
 	cfg.Worker.MemoryMB, cfg.Worker.Queue, cfg.Worker.SlowStart, cfg.Worker.KeyRetention = 8000, 200, 3*time.Second, 4*time.Second
 	return cfg
@@ -73,7 +73,7 @@
 	for i := range 60 {
 		all.Go(func() {
 			class := []string{"quote", "log", "unlock"}[i%3]
-			seen, err := fleet.FrontEnds[i%2].Pool().Do(loadgen.Call{
+			seen, err := fleet.FrontEnds[i%2].Pool().Do(loadgen.Request{
 				ID: fmt.Sprint("call-", i), Class: class,
 				Function: class + "-f", Timeout: 2 * time.Second, Work: 2 * time.Millisecond, ResponseBytes: 100000 * (i % 2),
 				LoadTime: 50 * time.Millisecond, MemoryMB: 200, Concurrency: 2,
--- a/lab/fleet/front_end.go
+++ b/lab/fleet/front_end.go
@@ -69,7 +69,7 @@
 	defer e.mu.Unlock()
 	e.address, e.service, e.cancel, e.done = service.Address(), service, cancel, done
 	if e.pool == nil {
-		e.pool = &client.Pool{Name: e.Name(), Address: e.address, Book: e.fleet.History, Grace: cfg.Tolerance}
+		e.pool = &client.Pool{Name: e.Name(), Address: e.address, History: e.fleet.History, Grace: cfg.Tolerance}
 	}
 	go func() {
 		defer close(done)
--- a/lab/fleet/helpers_test.go
+++ b/lab/fleet/helpers_test.go
@@ -12,8 +12,8 @@
 
 const clientTimeout = 2 * time.Second
 
-func newRequest(id, class string, work time.Duration) loadgen.Call {
-	return loadgen.Call{
+func newRequest(id, class string, work time.Duration) loadgen.Request {
+	return loadgen.Request{
 		ID: id, Class: class, Function: class + "-f", IdempotencyKey: "key-" + id, Timeout: clientTimeout, Work: work,
 		LoadTime: 10 * time.Millisecond, MemoryMB: 50, Concurrency: 2,
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-func (f *Fleet) send(t *testing.T, front int, c loadgen.Call) client.Response {
+func (f *Fleet) send(t *testing.T, front int, c loadgen.Request) client.Response {
 	t.Helper()
 	seen, err := f.FrontEnds[front].Pool().Do(c)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 	violations, tally := f.Check()
 	for _, b := range violations {
-		t.Errorf("rule %s broken: %s", b.Rule, b.What)
+		t.Errorf("rule %s broken: %s", b.Rule, b.Detail)
 	}
 	if !tally.Balanced() {
 		t.Errorf("not all accounted for: %v", tally)
--- a/lab/fleet/invariants_test.go
+++ b/lab/fleet/invariants_test.go
@@ -60,7 +60,7 @@
 			_ = c.Close()
 		}
 	}()
-	r.pool = &client.Pool{Name: "rogue", Address: l.Addr().String(), Book: r.fleet.History, Grace: cfg.Tolerance}
+	r.pool = &client.Pool{Name: "rogue", Address: l.Addr().String(), History: r.fleet.History, Grace: cfg.Tolerance}
 	t.Cleanup(func() { r.pool.Close(); _ = l.Close(); <-done })
 	return r
 }
@@ -143,7 +143,7 @@
 
 func (r *misbehavingFrontEnd) request(id, class string) {
 	r.Helper()
-	if _, err := r.pool.Do(loadgen.Call{ID: id, Function: "f", Class: class, Timeout: 300 * time.Millisecond}); err != nil {
+	if _, err := r.pool.Do(loadgen.Request{ID: id, Function: "f", Class: class, Timeout: 300 * time.Millisecond}); err != nil {
 		r.Fatal(err)
 	}
 }
@@ -157,7 +157,7 @@
 		if b.Rule != rule {
 			r.Errorf("found broken too: %+v", b)
 		}
-		found = found || strings.Contains(b.What, word)
+		found = found || strings.Contains(b.Detail, word)
 	}
 	if !found {
 		r.Errorf("no violation of %q with %q in %+v", rule, word, violations)
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -15,7 +15,7 @@
 // seed. report is called with each fault.
 func (f *Fleet) RunScenario(ctx context.Context, faults []scenario.Fault, seed uint64, report func(string)) error {
 	target := &installation{Fleet: f}
-	clock := model.NewWorld() // of its own: the faults enter the workers' clock
+	clock := model.NewRealClock() // of its own: the faults enter the workers' clock
 	var player *scenario.Player
 	clock.Do(func() { player = scenario.Start(clock, target, faults, seed, report) })
 	<-ctx.Done()
@@ -60,13 +60,13 @@
 
 func (t *installation) FailStore(share float64) { t.Store.Fail(share) }
 
-func (t *installation) DelayDiscovery(d time.Duration) { t.Discovery.Lag(d) }
+func (t *installation) DelayDiscovery(d time.Duration) { t.Discovery.SetLag(d) }
 
-func (t *installation) SetDiscoveryDown(on bool) { t.Discovery.Down(on) }
+func (t *installation) SetDiscoveryDown(on bool) { t.Discovery.SetDown(on) }
 
-func (t *installation) LimitDiscovery(share float64) { t.Discovery.Partial(share) }
+func (t *installation) LimitDiscovery(share float64) { t.Discovery.SetListedShare(share) }
 
-func (t *installation) ResetDiscovery() { t.Discovery.Back() }
+func (t *installation) ResetDiscovery() { t.Discovery.ResetIndex() }
 
 func (t *installation) AddNetworkFault(fault model.NetworkFault) (end func()) {
 	var remove func()
--- a/lab/fleet/scenario_test.go
+++ b/lab/fleet/scenario_test.go
@@ -26,16 +26,16 @@
 		t.Fatal(err)
 	}
 	d := Demo{
-		Workers: 12, FrontEnds: 3, Mix: DemoMix(120), Lasts: lasts, Script: string(text), Seed: 7,
-		Log: zerolog.Nop(), Tell: func(s string) { t.Log(s) },
+		Workers: 12, FrontEnds: 3, Mix: DemoMix(120), Duration: lasts, Scenario: string(text), Seed: 7,
+		Log: zerolog.Nop(), Report: func(s string) { t.Log(s) },
 	}
 	r, err := d.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Log(r.Tally, r.Seen)
-	for _, b := range r.Breaks {
-		t.Errorf("rule %s broken: %s", b.Rule, b.What)
+	t.Log(r.Tally, r.Outcomes)
+	for _, b := range r.Violations {
+		t.Errorf("rule %s broken: %s", b.Rule, b.Detail)
 	}
 	if !r.Tally.Balanced() {
 		t.Error("not every call is accounted for")
--- a/lab/fleet/workers_test.go
+++ b/lab/fleet/workers_test.go
@@ -168,7 +168,7 @@
 // TestWorker_ReportsNotLoaded_ReceivesLoadOrders within the load rate limit, which the invariant checker holds.
 func TestWorker_ReportsNotLoaded_ReceivesLoadOrders(t *testing.T) {
 	cfg := smallConfig(4, 2)
-	cfg.Worker.MissAnswers = true
+	cfg.Worker.ReportsNotLoaded = true
 	cfg.Settings = "on-miss miss\nload-window 2s\nload-free 3\nload-share 0.2\n" + cfg.Settings
 	fleet := start(t, cfg)
 	waitUntil(t, "the lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
--- a/lab/invariant/checker.go
+++ b/lab/invariant/checker.go
@@ -8,8 +8,8 @@
 
 // Violation is one violated invariant.
 type Violation struct {
-	Rule string // lost, twice, drains, cold, loads
-	What string
+	Rule   string // lost, twice, drains, cold, loads
+	Detail string
 }
 
 // Check checks the whole history against the rules. It is to be called when everything has ended.
--- a/lab/invariant/history.go
+++ b/lab/invariant/history.go
@@ -108,7 +108,7 @@
 }
 
 // NewBook returns an empty History whose time starts now.
-func NewBook() *History {
+func NewHistory() *History {
 	start := time.Now()
 	return NewHistoryAt(start, func() time.Duration { return time.Since(start) })
 }
--- a/lab/loadgen/arrivals.go
+++ b/lab/loadgen/arrivals.go
@@ -17,14 +17,14 @@
 // arrival is a request and its time.
 type arrival struct {
 	at      time.Duration
-	request Call
+	request Request
 }
 
 // ParseArrivals reads recorded arrivals, one a line: milliseconds since the start, class, function, tenant (- for
 // none) and milliseconds of work. A comment runs from #. Everything else of the requests is as in m. It returns a
 // function that returns them one after another, as Source.Next does, and their number. Errors name the line; all are
 // reported at once. They wrap ErrArrivals.
-func ParseArrivals(name, text string, mix Mix) (next func() (time.Duration, Call, bool), count int, err error) {
+func ParseArrivals(name, text string, mix Mix) (next func() (time.Duration, Request, bool), count int, err error) {
 	var list []arrival
 	var errs []error
 	for i, line := range strings.Split(text, "\n") {
@@ -51,10 +51,10 @@
 }
 
 // replay returns arrivals one after another.
-func replay(list []arrival) func() (time.Duration, Call, bool) {
-	return func() (time.Duration, Call, bool) {
+func replay(list []arrival) func() (time.Duration, Request, bool) {
+	return func() (time.Duration, Request, bool) {
 		if len(list) == 0 {
-			return 0, Call{}, false
+			return 0, Request{}, false
 		}
 		first := list[0]
 		list = list[1:]
@@ -63,14 +63,14 @@
 }
 
 // complete sets what a recorded arrival does not have.
-func (c *Call) complete(number int, m Mix) {
+func (c *Request) complete(number int, m Mix) {
 	c.ID = fmt.Sprintf("c%d", number)
 	c.IdempotencyKey = fmt.Sprintf("k%d", number)
-	c.Timeout = m.Patience
+	c.Timeout = m.Timeout
 	c.MemoryMB = m.MemoryMB
 	c.Concurrency = replicaConcurrency
-	c.LoadTime = m.Load
-	c.RetryPolicy = m.Habit
+	c.LoadTime = m.LoadTime
+	c.RetryPolicy = m.RetryPolicy
 	c.Retries = m.Retries
 }
 
@@ -90,7 +90,7 @@
 	if tenant == "-" {
 		tenant = ""
 	}
-	return arrival{at, Call{Class: words[1], Function: words[2], Tenant: tenant, Work: work}}, nil
+	return arrival{at, Request{Class: words[1], Function: words[2], Tenant: tenant, Work: work}}, nil
 }
 
 func parseMillis(text string) (time.Duration, error) {
--- a/lab/loadgen/demand.go
+++ b/lab/loadgen/demand.go
@@ -74,10 +74,10 @@
 }
 
 // applyTenantDemand changes a drawn request by its tenant's demand.
-func (s *Source) applyTenantDemand(c *Call) {
+func (s *Source) applyTenantDemand(c *Request) {
 	own := s.demand.Tenants[c.Tenant]
 	if own.Repeats > 0 {
-		c.RetryPolicy, c.Retries = Impolite, own.Repeats
+		c.RetryPolicy, c.Retries = RetryAlways, own.Repeats
 	}
 	if own.WorkFactor > 0 {
 		c.Work = time.Duration(own.WorkFactor * float64(c.Work))
--- a/lab/loadgen/request.go
+++ b/lab/loadgen/request.go
@@ -5,7 +5,7 @@
 import "time"
 
 // Call is a client's request.
-type Call struct {
+type Request struct {
 	ID, Function, Class, Tenant string
 	IdempotencyKey              string
 	Timeout                     time.Duration // of the client
@@ -16,20 +16,20 @@
 	Concurrency                 int           // of a replica
 	LoadTime                    time.Duration // of a replica
 	DisconnectAfter             time.Duration // the client closes the connection then; 0: it does not
-	RetryPolicy                 Habit
+	RetryPolicy                 RetryPolicy
 	Retries                     int // at most
 }
 
 // Habit is a client's retry policy. Its values are the words of experiment files.
-type Habit string
+type RetryPolicy string
 
 // The retry policies.
 const (
-	Never    Habit = "never"
-	AtOnce   Habit = "at-once"  // retries a rejected request at once, whatever it was advised
-	Wait     Habit = "wait"     // retries a rejected request with a backoff of its own
-	Advised  Habit = "advised"  // retries a rejected request when it is advised to
-	Impolite Habit = "impolite" // retries at once, also after failures that may have executed; for retry storms
+	RetryNever       RetryPolicy = "never"
+	RetryAtOnce      RetryPolicy = "at-once"  // retries a rejected request at once, whatever it was advised
+	RetryWithBackoff RetryPolicy = "wait"     // retries a rejected request with a backoff of its own
+	RetryAsAdvised   RetryPolicy = "advised"  // retries a rejected request when it is advised to
+	RetryAlways      RetryPolicy = "impolite" // retries at once, also after failures that may have executed; for retry storms
 )
 
 // Outcomes of a request that a retry depends on.
@@ -47,19 +47,19 @@
 
 // Retry reports whether a client retries after an attempt, from 0, with an outcome, and after which wait. retryAfter
 // is what the response advised.
-func (c *Call) Retry(attempt int, outcome string, retryAfter time.Duration) (wait time.Duration, retry bool) {
+func (c *Request) Retry(attempt int, outcome string, retryAfter time.Duration) (wait time.Duration, retry bool) {
 	if attempt >= c.Retries || outcome == outcomeServed {
 		return 0, false
 	}
 	if outcome != outcomeRejected && outcome != outcomeUnreachable {
-		return 0, c.RetryPolicy == Impolite
+		return 0, c.RetryPolicy == RetryAlways
 	}
 	switch c.RetryPolicy {
-	case AtOnce, Impolite:
+	case RetryAtOnce, RetryAlways:
 		return 0, true
-	case Wait:
+	case RetryWithBackoff:
 		return firstBackoff << min(attempt, maxBackoffDoublings), true
-	case Advised:
+	case RetryAsAdvised:
 		return retryAfter, true
 	}
 	return 0, false
--- a/lab/loadgen/source.go
+++ b/lab/loadgen/source.go
@@ -24,20 +24,20 @@
 
 // Mix is what clients ask for.
 type Mix struct {
-	Rate      float64 // requests a second in all, the mean of the run
-	Shape     Shape
-	Functions int           // of each class, with popularity by Zipf's law
-	Zipf      float64       // its exponent, above 1; 0: 1.3
-	Once      float64       // share of requests for functions that are requested once only
-	Drift     time.Duration // after each of these, a fifth of the functions are replaced by others; 0: never
-	Work      time.Duration // mean of the work of a request
-	WorkSigma float64       // of its lognormal distribution
-	Load      time.Duration // of a replica
-	MemoryMB  float64       // of a replica
-	Reply     int           // bytes of a response at most, distributed evenly
-	Patience  time.Duration // timeout of a client at most; drawn from half of it up
-	Habit     Habit
-	Retries   int
+	Rate               float64 // requests a second in all, the mean of the run
+	Shape              Shape
+	Functions          int           // of each class, with popularity by Zipf's law
+	Zipf               float64       // its exponent, above 1; 0: 1.3
+	RequestedOnceShare float64       // share of requests for functions that are requested once only
+	Drift              time.Duration // after each of these, a fifth of the functions are replaced by others; 0: never
+	Work               time.Duration // mean of the work of a request
+	WorkSigma          float64       // of its lognormal distribution
+	LoadTime           time.Duration // of a replica
+	MemoryMB           float64       // of a replica
+	ResponseBytes      int           // bytes of a response at most, distributed evenly
+	Timeout            time.Duration // timeout of a client at most; drawn from half of it up
+	RetryPolicy        RetryPolicy
+	Retries            int
 
 	OwnFunctions bool // each tenant requests functions of its own
 }
@@ -96,7 +96,7 @@
 
 // Next draws the next request and its time; false when the run is over. Arrivals are a Poisson process that does not
 // wait for responses, so that a slow server is not spared. It may be called while Change is.
-func (s *Source) Next() (at time.Duration, request Call, more bool) {
+func (s *Source) Next() (at time.Duration, request Request, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
@@ -109,17 +109,17 @@
 
 // drawRequest draws a request, also of a tenant that is silent. The order of the random draws decides what a seed
 // gives.
-func (s *Source) drawRequest() (time.Duration, Call, bool) {
+func (s *Source) drawRequest() (time.Duration, Request, bool) {
 	mix := &s.mix
 	floods, flood := s.floodShares()
 	rate := mix.Rate * s.relativeRate(s.time) * s.demand.RateFactor
 	s.time += time.Duration(s.rng.ExpFloat64() / (rate * (1 + flood)) * float64(time.Second))
 	if s.time >= s.duration {
-		return 0, Call{}, false
+		return 0, Request{}, false
 	}
 	s.count++
 	class := s.classes[s.rng.IntN(len(s.classes))]
-	request := Call{
+	request := Request{
 		ID:             fmt.Sprintf("c%d", s.count),
 		IdempotencyKey: fmt.Sprintf("k%d", s.count),
 		Class:          class,
@@ -128,12 +128,12 @@
 		Work:           s.drawWork(),
 		MemoryMB:       mix.MemoryMB,
 		Concurrency:    replicaConcurrency,
-		LoadTime:       mix.Load,
-		RetryPolicy:    mix.Habit,
+		LoadTime:       mix.LoadTime,
+		RetryPolicy:    mix.RetryPolicy,
 		Retries:        mix.Retries,
 	}
-	if mix.Reply > 0 {
-		request.ResponseBytes = s.rng.IntN(mix.Reply)
+	if mix.ResponseBytes > 0 {
+		request.ResponseBytes = s.rng.IntN(mix.ResponseBytes)
 	}
 	if len(s.tenants) > 0 {
 		shares := s.shares
@@ -150,7 +150,7 @@
 }
 
 func (s *Source) drawTimeout() time.Duration {
-	longest := s.mix.Patience
+	longest := s.mix.Timeout
 	timeout := longest/2 + time.Duration(s.rng.Float64()*float64(longest/2))
 	return time.Duration(s.demand.TimeoutFactor * float64(timeout))
 }
@@ -163,7 +163,7 @@
 // drawFunction draws the function of a request.
 func (s *Source) drawFunction(class string) string {
 	d := &s.demand
-	once := s.mix.Once + d.ScanShare
+	once := s.mix.RequestedOnceShare + d.ScanShare
 	switch x := s.rng.Float64(); {
 	case x < once:
 		return s.functionRequestedOnce(class)
--- a/lab/loadgen/source_test.go
+++ b/lab/loadgen/source_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func drawAll(m Mix, lasts time.Duration) (times []time.Duration, calls []Call) {
+func drawAll(m Mix, lasts time.Duration) (times []time.Duration, calls []Request) {
 	s := NewSource(m, lasts, []string{"a", "b"}, []string{"t", "u"}, []float64{0.8, 0.2}, 1)
 	for at, c, more := s.Next(); more; at, c, more = s.Next() {
 		times, calls = append(times, at), append(calls, c)
@@ -18,7 +18,7 @@
 
 func TestSource_Shape_HasItsRate(t *testing.T) {
 	for _, shape := range []Shape{Steady, Bursty, Ramp, Daily} {
-		times, _ := drawAll(Mix{Rate: 200, Shape: shape, Functions: 10, Patience: time.Second}, 100*time.Second)
+		times, _ := drawAll(Mix{Rate: 200, Shape: shape, Functions: 10, Timeout: time.Second}, 100*time.Second)
 		if n := len(times); math.Abs(float64(n)-20000) > 1000 {
 			t.Errorf("%s: %d calls in 100 s at 200 a second", shape, n)
 		}
@@ -35,7 +35,7 @@
 }
 
 func TestSource_SameSeed_DrawsTheSame(t *testing.T) {
-	m := Mix{Rate: 100, Functions: 10, Patience: time.Second, Work: 10 * time.Millisecond, WorkSigma: 0.5, Once: 0.1}
+	m := Mix{Rate: 100, Functions: 10, Timeout: time.Second, Work: 10 * time.Millisecond, WorkSigma: 0.5, RequestedOnceShare: 0.1}
 	a, b := drawAll(m, 10*time.Second)
 	c, d := drawAll(m, 10*time.Second)
 	for i := range a {
@@ -46,9 +46,9 @@
 }
 
 // drawWithDemandChange draws 30 s at 100 requests a second, with a change of the demand from 10 s to 20 s.
-func drawWithDemandChange(t *testing.T, begin, end func(*Demand)) (times []time.Duration, calls []Call) {
+func drawWithDemandChange(t *testing.T, begin, end func(*Demand)) (times []time.Duration, calls []Request) {
 	t.Helper()
-	s := NewSource(Mix{Rate: 100, Functions: 10, Patience: time.Second}, 30*time.Second, []string{"a", "b"},
+	s := NewSource(Mix{Rate: 100, Functions: 10, Timeout: time.Second}, 30*time.Second, []string{"a", "b"},
 		[]string{"t", "u"}, []float64{0.8, 0.2}, 1)
 	changes := []func(*Demand){begin, end}
 	for at, c, more := s.Next(); more; at, c, more = s.Next() {
@@ -64,7 +64,7 @@
 }
 
 // countMatching counts the requests from 10 s to 20 s, and after, that match.
-func countMatching(times []time.Duration, calls []Call, match func(Call) bool) (during, after int) {
+func countMatching(times []time.Duration, calls []Request, match func(Request) bool) (during, after int) {
 	for i, at := range times {
 		switch {
 		case !match(calls[i]):
@@ -80,8 +80,8 @@
 func TestChange_FloodOfOneTenant_RaisesItsRateOnly(t *testing.T) {
 	times, calls := drawWithDemandChange(t, func(d *Demand) { d.ChangeTenant("u", func(o *TenantDemand) { o.RateFactor = 10 }) },
 		func(d *Demand) { d.ChangeTenant("u", func(o *TenantDemand) { o.RateFactor = 0 }) })
-	flooded, after := countMatching(times, calls, func(c Call) bool { return c.Tenant == "u" })
-	others, _ := countMatching(times, calls, func(c Call) bool { return c.Tenant == "t" })
+	flooded, after := countMatching(times, calls, func(c Request) bool { return c.Tenant == "u" })
+	others, _ := countMatching(times, calls, func(c Request) bool { return c.Tenant == "t" })
 	if math.Abs(float64(flooded)-2000) > 200 || math.Abs(float64(others)-800) > 120 || math.Abs(float64(after)-200) > 60 {
 		t.Errorf("%d of the tenant that floods, %d of the other, %d after the flood", flooded, others, after)
 	}
@@ -101,11 +101,11 @@
 	times, calls := drawWithDemandChange(t, func(d *Demand) { d.HotShare, d.HotFunctions, d.HotSpell, d.ScanShare = 0.3, 2, 1, 0.2 },
 		func(d *Demand) { d.HotShare, d.ScanShare = 0, 0 })
 	names := map[string]int{}
-	hot, after := countMatching(times, calls, func(c Call) bool {
+	hot, after := countMatching(times, calls, func(c Request) bool {
 		names[c.Function]++
 		return strings.Contains(c.Function, "-hot-1-")
 	})
-	once, _ := countMatching(times, calls, func(c Call) bool { return strings.Contains(c.Function, "-once-") && names[c.Function] == 1 })
+	once, _ := countMatching(times, calls, func(c Request) bool { return strings.Contains(c.Function, "-once-") && names[c.Function] == 1 })
 	if math.Abs(float64(hot)-300) > 60 || math.Abs(float64(once)-200) > 50 || after > 1 {
 		t.Errorf("%d hot, %d wanted once, %d hot ones after it", hot, once, after)
 	}
@@ -123,12 +123,12 @@
 			d.ChangeTenant("u", func(o *TenantDemand) { o.Repeats = 0 })
 			d.TimeoutFactor, d.WorkFactor = 1, 1
 		})
-	abuse := func(c Call) bool { return c.RetryPolicy == Impolite && c.Retries == 3 }
+	abuse := func(c Request) bool { return c.RetryPolicy == RetryAlways && c.Retries == 3 }
 	during, after := countMatching(times, calls, abuse)
 	if math.Abs(float64(during)-200) > 60 || after > 1 { // the first call after the time still has the old demand
 		t.Errorf("%d calls during, %d after", during, after)
 	}
-	long := func(c Call) bool { return c.Timeout > 500*time.Millisecond }
+	long := func(c Request) bool { return c.Timeout > 500*time.Millisecond }
 	if during, after := countMatching(times, calls, long); during > 1 || after < 900 {
 		t.Errorf("%d patient clients during, %d after", during, after)
 	}
@@ -136,7 +136,7 @@
 
 func TestChange_RateFactor_MultipliesRate(t *testing.T) {
 	times, calls := drawWithDemandChange(t, func(d *Demand) { d.RateFactor = 3 }, func(d *Demand) { d.RateFactor = 1 })
-	during, after := countMatching(times, calls, func(Call) bool { return true })
+	during, after := countMatching(times, calls, func(Request) bool { return true })
 	if math.Abs(float64(during)-3000) > 250 || math.Abs(float64(after)-1000) > 150 {
 		t.Errorf("%d during, %d after", during, after)
 	}
@@ -144,21 +144,21 @@
 
 func TestRetry_PolicyAndOutcome_Decide(t *testing.T) {
 	for _, x := range []struct {
-		habit   Habit
+		habit   RetryPolicy
 		outcome string
 		wait    time.Duration
 		again   bool
 	}{
-		{Never, "refused", 0, false},
-		{AtOnce, "refused", 0, true},
-		{AtOnce, "failed", 0, false},
-		{Advised, "refused", 7, true},
-		{Wait, "refused", 50 * time.Millisecond, true},
-		{Impolite, "failed", 0, true},
-		{Impolite, "served", 0, false},
-		{Advised, "unreachable", 7, true},
+		{RetryNever, "refused", 0, false},
+		{RetryAtOnce, "refused", 0, true},
+		{RetryAtOnce, "failed", 0, false},
+		{RetryAsAdvised, "refused", 7, true},
+		{RetryWithBackoff, "refused", 50 * time.Millisecond, true},
+		{RetryAlways, "failed", 0, true},
+		{RetryAlways, "served", 0, false},
+		{RetryAsAdvised, "unreachable", 7, true},
 	} {
-		c := Call{RetryPolicy: x.habit, Retries: 1}
+		c := Request{RetryPolicy: x.habit, Retries: 1}
 		if wait, again := c.Retry(0, x.outcome, 7); wait != x.wait || again != x.again {
 			t.Errorf("%+v: %v, %t", x, wait, again)
 		}
@@ -169,7 +169,7 @@
 }
 
 func TestParseArrivals_RecordedFile_IsReplayed(t *testing.T) {
-	next, n, err := ParseArrivals("f", "# recorded\n0 a f1 t 20\n12.5 b f2 - 5\n", Mix{Patience: time.Second})
+	next, n, err := ParseArrivals("f", "# recorded\n0 a f1 t 20\n12.5 b f2 - 5\n", Mix{Timeout: time.Second})
 	if err != nil || n != 2 {
 		t.Fatal(n, err)
 	}
--- a/lab/measure/benchmark.go
+++ b/lab/measure/benchmark.go
@@ -36,12 +36,12 @@
 // benchmark is the installation that is measured.
 type benchmark struct {
 	cfg          Config
-	routes       []*Way // direct, proxy, gateway
+	routes       []*Route // direct, proxy, gateway
 	discoveryURL string
 	cleanups     []func() // called in reverse order
 }
 
-func (b *benchmark) gatewayRoute() *Way { return b.routes[2] }
+func (b *benchmark) gatewayRoute() *Route { return b.routes[2] }
 
 func (b *benchmark) close() {
 	for _, f := range slices.Backward(b.cleanups) {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	b.routes = []*Way{
+	b.routes = []*Route{
 		{Name: "direct", Address: direct},
 		{Name: "proxy", Address: []string{proxy}},
 		{Name: "gateway", Address: []string{gate.Address()}},
@@ -95,8 +95,8 @@
 
 // worker starts one emulated worker on a clock of its own, and returns it with the address of its HTTP handler.
 func (b *benchmark) worker(i int) (*worker.Server, string, error) {
-	clock := model.NewWorld()
-	store, err := functionstore.Start(clock, model.StoreConfig{Places: 8, Limit: 40}, loopback)
+	clock := model.NewRealClock()
+	store, err := functionstore.Start(clock, model.StoreConfig{Concurrency: 8, Limit: 40}, loopback)
 	if err != nil {
 		return nil, "", err
 	}
@@ -117,7 +117,7 @@
 			KeepAlive:          time.Hour,
 		},
 	}
-	w, err := worker.Start(clock, cfg, fetcher, model.NewGroup(), discardObserver{})
+	w, err := worker.Start(clock, cfg, fetcher, model.NewKeyCache(), discardObserver{})
 	if err != nil {
 		return nil, "", err
 	}
--- a/lab/measure/latency.go
+++ b/lab/measure/latency.go
@@ -23,12 +23,12 @@
 }
 
 // connect opens the i-th connection of a route.
-func (b *benchmark) connect(w *Way, i int) (*connection, error) {
+func (b *benchmark) connect(w *Route, i int) (*connection, error) {
 	c, err := net.Dial("tcp", w.Address[i%len(w.Address)])
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", w.Name, err)
 	}
-	body := worker.Body(b.cfg.Work, b.cfg.Reply)
+	body := worker.Body(b.cfg.Work, b.cfg.ResponseBytes)
 	request := fmt.Appendf(nil, "POST /call/echo HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return &connection{c, bufio.NewReader(c), request}, nil
 }
@@ -77,7 +77,7 @@
 }
 
 // forEachConnection calls f for every connection of a route at once and returns the first error.
-func (b *benchmark) forEachConnection(w *Way, f func(i int, c *connection) error) error {
+func (b *benchmark) forEachConnection(w *Route, f func(i int, c *connection) error) error {
 	var tasks sync.WaitGroup
 	errs := make(chan error, b.cfg.Connections)
 	for i := range b.cfg.Connections {
@@ -99,7 +99,7 @@
 
 // measureClosedLoop measures with clients that each wait for a response before the next request: the highest rate of
 // the route.
-func (b *benchmark) measureClosedLoop(ctx context.Context, w *Way, duration time.Duration) (Sample, error) {
+func (b *benchmark) measureClosedLoop(ctx context.Context, w *Route, duration time.Duration) (Sample, error) {
 	l := newLatencies()
 	start, cpu := time.Now(), cpuTime()
 	err := b.forEachConnection(w, func(_ int, c *connection) error {
@@ -121,20 +121,20 @@
 		P999:   l.quantile(99.9),
 		Errors: l.errors,
 	}
-	s.CPUPerCallMicros = float64((cpuTime() - cpu).Microseconds()) / max(1, n+float64(l.errors))
+	s.CPUPerRequestMicros = float64((cpuTime() - cpu).Microseconds()) / max(1, n+float64(l.errors))
 	return s, err
 }
 
 // measureOpenLoop measures at a fixed rate: each connection has its times to send, and a request that is sent late
 // because the one before it was slow is measured from its time, so that a slow route is not spared (coordinated
 // omission).
-func (b *benchmark) measureOpenLoop(ctx context.Context, w *Way, sample *Sample, rate float64) error {
+func (b *benchmark) measureOpenLoop(ctx context.Context, w *Route, sample *Sample, rate float64) error {
 	l := newLatencies()
 	gap := time.Duration(float64(time.Second) * float64(b.cfg.Connections) / rate)
 	start := time.Now()
 	err := b.forEachConnection(w, func(i int, c *connection) error {
 		due := start.Add(gap * time.Duration(i) / time.Duration(b.cfg.Connections))
-		for ; due.Sub(start) < b.cfg.Lasts && ctx.Err() == nil; due = due.Add(gap) {
+		for ; due.Sub(start) < b.cfg.Duration && ctx.Err() == nil; due = due.Add(gap) {
 			time.Sleep(time.Until(due))
 			served, err := c.roundTrip()
 			if err != nil {
@@ -144,7 +144,7 @@
 		}
 		return nil
 	})
-	sample.Half50, sample.Half99, sample.Half999 = l.quantile(50), l.quantile(99), l.quantile(99.9)
+	sample.HalfLoadP50, sample.HalfLoadP99, sample.HalfLoadP999 = l.quantile(50), l.quantile(99), l.quantile(99.9)
 	sample.Errors += l.errors
 	return err
 }
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -16,27 +16,27 @@
 
 // Config describes a measurement.
 type Config struct {
-	Workers     int
-	Connections int           // of clients, each with one request in flight
-	Work        time.Duration // of a request at its worker
-	Reply       int           // bytes of a response
-	Lasts       time.Duration // of each measurement
-	Rounds      int
-	Loops       int // event loops of the front end
+	Workers       int
+	Connections   int           // of clients, each with one request in flight
+	Work          time.Duration // of a request at its worker
+	ResponseBytes int           // bytes of a response
+	Duration      time.Duration // of each measurement
+	Rounds        int
+	Loops         int // event loops of the front end
 }
 
 // Sample is one measurement of one route.
 type Sample struct {
-	Rate             float64 // requests a second, clients waiting for each response
-	P50, P99, P999   time.Duration
-	Half50, Half99   time.Duration // quantiles in an open loop at half the slowest route's rate
-	Half999          time.Duration
-	Errors           int
-	CPUPerCallMicros float64 // processor time a request
+	Rate                     float64 // requests a second, clients waiting for each response
+	P50, P99, P999           time.Duration
+	HalfLoadP50, HalfLoadP99 time.Duration // quantiles in an open loop at half the slowest route's rate
+	HalfLoadP999             time.Duration
+	Errors                   int
+	CPUPerRequestMicros      float64 // processor time a request
 }
 
 // Way is one route from a client to a worker.
-type Way struct {
+type Route struct {
 	Name    string
 	Address []string // clients are spread over them
 	Samples []Sample
@@ -46,7 +46,7 @@
 const settings = "keep-alive 60s\nmax-calls 100000\nqueue 100000\nclass echo\naim 1s\ngive-up 5s\nrepeat safe\nlanes 64\nend\n"
 
 // Run measures the routes: direct, proxy, gateway. report is called with the progress.
-func Run(ctx context.Context, cfg Config, report func(string)) ([]*Way, error) {
+func Run(ctx context.Context, cfg Config, report func(string)) ([]*Route, error) {
 	b := &benchmark{cfg: cfg}
 	defer b.close()
 	if err := b.start(); err != nil {
@@ -67,7 +67,7 @@
 func (b *benchmark) round(ctx context.Context, round int, report func(string)) error {
 	slowest := math.Inf(1)
 	for _, w := range b.routes {
-		s, err := b.measureClosedLoop(ctx, w, b.cfg.Lasts)
+		s, err := b.measureClosedLoop(ctx, w, b.cfg.Duration)
 		if err != nil {
 			return err
 		}
@@ -80,15 +80,15 @@
 			return err
 		}
 		report(fmt.Sprintf("round %d %-8s %8.0f/s p50 %v p99 %v p999 %v; half load p50 %v p99 %v p999 %v; errors %d", round+1,
-			w.Name, s.Rate, s.P50, s.P99, s.P999, s.Half50, s.Half99, s.Half999, s.Errors))
+			w.Name, s.Rate, s.P50, s.P99, s.P999, s.HalfLoadP50, s.HalfLoadP99, s.HalfLoadP999, s.Errors))
 	}
 	return nil
 }
 
 // warmUp loads replicas, opens connections and lets averages settle.
-func (b *benchmark) warmUp(ctx context.Context, routes ...*Way) error {
+func (b *benchmark) warmUp(ctx context.Context, routes ...*Route) error {
 	for _, w := range routes {
-		if _, err := b.measureClosedLoop(ctx, w, b.cfg.Lasts/4); err != nil {
+		if _, err := b.measureClosedLoop(ctx, w, b.cfg.Duration/4); err != nil {
 			return err
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // Ratios compares the samples of two routes in pairs: the least ratio, the median, the greatest.
-func Ratios(a, b *Way, of func(Sample) float64) (least, median, greatest float64) {
+func Ratios(a, b *Route, of func(Sample) float64) (least, median, greatest float64) {
 	var ratios []float64
 	for i := range a.Samples {
 		ratios = append(ratios, of(a.Samples[i])/of(b.Samples[i]))
@@ -110,7 +110,7 @@
 
 // Refusal measures the processor time of a request that is served and of one that is rejected by an event loop that is
 // behind, in microseconds of the whole process, clients and workers included, in turn for each round.
-func Refusal(ctx context.Context, cfg Config, report func(served, rejected float64)) error {
+func MeasureRejection(ctx context.Context, cfg Config, report func(served, rejected float64)) error {
 	b := &benchmark{cfg: cfg}
 	defer b.close()
 	if err := b.start(); err != nil {
@@ -120,28 +120,28 @@
 	if err != nil {
 		return err
 	}
-	toStalled := &Way{Name: "refused", Address: []string{stalled.Address()}}
+	toStalled := &Route{Name: "refused", Address: []string{stalled.Address()}}
 	if err := b.warmUp(ctx, b.gatewayRoute()); err != nil {
 		return err
 	}
 	for range cfg.Rounds {
-		served, err := b.measureClosedLoop(ctx, b.gatewayRoute(), cfg.Lasts)
+		served, err := b.measureClosedLoop(ctx, b.gatewayRoute(), cfg.Duration)
 		if err != nil {
 			return err
 		}
-		stalled.Stall(cfg.Lasts + recovery) // one request waits in the queue, the others are rejected
-		rejected, err := b.measureClosedLoop(ctx, toStalled, cfg.Lasts)
+		stalled.Stall(cfg.Duration + recovery) // one request waits in the queue, the others are rejected
+		rejected, err := b.measureClosedLoop(ctx, toStalled, cfg.Duration)
 		if err != nil {
 			return err
 		}
-		report(served.CPUPerCallMicros, rejected.CPUPerCallMicros)
+		report(served.CPUPerRequestMicros, rejected.CPUPerRequestMicros)
 		time.Sleep(recovery)
 	}
 	return nil
 }
 
 // Idle measures the memory of n idle connections to the gateway, both ends of each, in bytes a connection.
-func Idle(ctx context.Context, cfg Config, n int) (heap, stack float64, err error) {
+func MeasureIdleMemory(ctx context.Context, cfg Config, n int) (heap, stack float64, err error) {
 	b := &benchmark{cfg: cfg}
 	defer b.close()
 	if err := b.start(); err != nil {
--- a/lab/measure/overload.go
+++ b/lab/measure/overload.go
@@ -14,11 +14,11 @@
 
 // Point is what a whole installation behind sockets did at a multiple of its workers' capacity.
 type Point struct {
-	Factor  float64
-	Offered float64 // requests a second
-	Worth   float64 // goodput: priority weight of responses in time, a second
-	Tally   invariant.Tally
-	Breaks  []invariant.Violation
+	Factor     float64
+	Offered    float64 // requests a second
+	Goodput    float64 // goodput: priority weight of responses in time, a second
+	Tally      invariant.Tally
+	Violations []invariant.Violation
 }
 
 // OverloadConfig describes an overload measurement.
@@ -26,7 +26,7 @@
 	Factors            []float64
 	Workers, FrontEnds int
 	Work               time.Duration // of a request, mean
-	Lasts              time.Duration // at each factor; the first quarter, in which replicas load, does not count
+	Duration           time.Duration // at each factor; the first quarter, in which replicas load, does not count
 	Seed               uint64
 }
 
@@ -58,7 +58,7 @@
 		Cells:     overloadCells,
 		FrontEnds: cfg.FrontEnds,
 		Worker:    w,
-		Store:     model.StoreConfig{Places: 8, Limit: 40},
+		Store:     model.StoreConfig{Concurrency: 8, Limit: 40},
 		Settings:  fleet.DemoSettings,
 		Tolerance: time.Second,
 		Log:       zerolog.Nop(),
@@ -67,18 +67,18 @@
 		return Point{}, err
 	}
 	defer installation.Close()
-	installation.RunClients(ctx, cfg.mix(rate), cfg.Lasts, cfg.Seed)
+	installation.RunClients(ctx, cfg.mix(rate), cfg.Duration, cfg.Seed)
 	for _, e := range installation.FrontEnds {
 		if err := e.Stop(); err != nil {
 			return Point{}, err
 		}
 	}
 	p := Point{Factor: factor, Offered: rate}
-	p.Breaks, p.Tally = installation.Check()
+	p.Violations, p.Tally = installation.Check()
 	seconds := installation.Score().Seconds
 	from := len(seconds) / 4
 	for _, s := range seconds[from:] {
-		p.Worth += s.Earned / float64(len(seconds)-from)
+		p.Goodput += s.Earned / float64(len(seconds)-from)
 	}
 	return p, ctx.Err()
 }
@@ -86,14 +86,14 @@
 // mix is what the clients ask for.
 func (cfg OverloadConfig) mix(rate float64) loadgen.Mix {
 	return loadgen.Mix{
-		Rate:      rate,
-		Functions: 4,
-		Work:      cfg.Work,
-		WorkSigma: 0.5,
-		Load:      300 * time.Millisecond,
-		MemoryMB:  300,
-		Reply:     500,
-		Patience:  2 * time.Second,
-		Habit:     loadgen.Never,
+		Rate:          rate,
+		Functions:     4,
+		Work:          cfg.Work,
+		WorkSigma:     0.5,
+		LoadTime:      300 * time.Millisecond,
+		MemoryMB:      300,
+		ResponseBytes: 500,
+		Timeout:       2 * time.Second,
+		RetryPolicy:   loadgen.RetryNever,
 	}
 }
--- a/lab/model/clock.go
+++ b/lab/model/clock.go
@@ -24,7 +24,7 @@
 }
 
 // NewWorld returns a RealClock that starts now.
-func NewWorld() *RealClock { return &RealClock{start: time.Now()} }
+func NewRealClock() *RealClock { return &RealClock{start: time.Now()} }
 
 // Do runs f between callbacks.
 func (c *RealClock) Do(f func()) {
--- a/lab/model/estimate.go
+++ b/lab/model/estimate.go
@@ -87,7 +87,7 @@
 
 // estimateLoad is how long a load that takes load alone would take at the store's present pace.
 func (s *Store) estimateLoad(load time.Duration) time.Duration {
-	pace := max(1, float64(s.shared.Len()+1)/s.cfg.Places)
+	pace := max(1, float64(s.shared.Len()+1)/s.cfg.Concurrency)
 	if speed := s.shared.speed; speed > 0 {
 		pace /= speed
 	} else {
--- a/lab/model/execution.go
+++ b/lab/model/execution.go
@@ -129,7 +129,7 @@
 	loaded, loading := w.replicaCounts(a.Function)
 	queueFull := len(w.queue) >= w.Config.Queue
 	switch {
-	case loaded+loading == 0 && w.Config.MissAnswers:
+	case loaded+loading == 0 && w.Config.ReportsNotLoaded:
 		w.respond(a, NotLoaded)
 		return
 	case loaded+loading == 0:
--- a/lab/model/request.go
+++ b/lab/model/request.go
@@ -73,12 +73,12 @@
 }
 
 // NewGroup returns an empty KeyCache.
-func NewGroup() *KeyCache { return &KeyCache{executedAt: map[string]time.Duration{}} }
+func NewKeyCache() *KeyCache { return &KeyCache{executedAt: map[string]time.Duration{}} }
 
 // NewKeyCaches returns an empty KeyCache for each cell, and at least one.
 func NewKeyCaches(cells int) (caches []*KeyCache) {
 	for range max(1, cells) {
-		caches = append(caches, NewGroup())
+		caches = append(caches, NewKeyCache())
 	}
 	return caches
 }
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -4,7 +4,7 @@
 
 // StoreConfig describes the function store that all workers share.
 type StoreConfig struct {
-	Places         float64       // fetches that it serves at full speed
+	Concurrency    float64       // fetches that it serves at full speed
 	Limit          int           // fetches at a time beyond which it rejects
 	OutageMultiple float64       // it stops when asked for more than this many times what it can do; 0: never
 	OutageAfter    time.Duration // over this window, rejected fetches included
@@ -30,7 +30,7 @@
 
 // NewStore returns a Store without faults.
 func NewStore(c Clock, cfg StoreConfig) *Store {
-	return &Store{cfg: cfg, clock: c, shared: NewProcessorSharing(c, cfg.Places)}
+	return &Store{cfg: cfg, clock: c, shared: NewProcessorSharing(c, cfg.Concurrency)}
 }
 
 // Fetch asks for an artefact that takes work to fetch alone. done reports whether it was fetched; for a rejected fetch
@@ -60,7 +60,7 @@
 	for _, a := range s.recentWork {
 		total += a.work
 	}
-	if float64(total) > s.cfg.OutageMultiple*s.cfg.Places*float64(s.cfg.OutageAfter) {
+	if float64(total) > s.cfg.OutageMultiple*s.cfg.Concurrency*float64(s.cfg.OutageAfter) {
 		s.Outages++
 		s.StartOutage(s.cfg.OutageDuration)
 	}
--- a/lab/model/worker_config.go
+++ b/lab/model/worker_config.go
@@ -14,7 +14,7 @@
 	Queue              int           // requests that may wait
 	MaxConcurrentLoads int           // twice as many more may wait
 	KeepAlive          time.Duration // an idle replica is unloaded after this
-	MissAnswers        bool          // responds NotLoaded where a function has no replica; otherwise it loads one
+	ReportsNotLoaded   bool          // responds NotLoaded where a function has no replica; otherwise it loads one
 	LoadsMoreReplicas  bool          // loads another replica by itself when all replicas of a function are full
 	CancelStopsWork    bool          // a cancelled request stops executing
 	ColdCapacity       float64       // share of its capacity after a start; 0: no slow start
--- a/lab/platformdiscovery/server.go
+++ b/lab/platformdiscovery/server.go
@@ -34,7 +34,7 @@
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Asked delivers, for each connection, the number of the last event that the front end has.
-func (s *Server) Asked() <-chan uint64 { return s.resumed }
+func (s *Server) Resumed() <-chan uint64 { return s.resumed }
 
 func (s *Server) accept() {
 	for {
@@ -67,15 +67,15 @@
 func write(c net.Conn, raw []byte) { _, _ = c.Write(raw) }
 
 // Tell adds an event and sends it to all that are connected.
-func (s *Server) Tell(e endpointstream.Event) {
+func (s *Server) Publish(e endpointstream.Event) {
 	s.mu.Lock()
 	s.events = append(s.events, e)
 	s.mu.Unlock()
-	s.Raw(endpointstream.AppendEvent(nil, e))
+	s.WriteRaw(endpointstream.AppendEvent(nil, e))
 }
 
 // Raw writes bytes as they are to all that are connected.
-func (s *Server) Raw(raw []byte) {
+func (s *Server) WriteRaw(raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
@@ -84,7 +84,7 @@
 }
 
 // Break closes all connections.
-func (s *Server) Break() {
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
@@ -96,6 +96,6 @@
 // Close ends the server and its connections.
 func (s *Server) Close() {
 	_ = s.listener.Close()
-	s.Break()
+	s.CloseConnections()
 	s.tasks.Wait()
 }
--- a/lab/platformworker/server.go
+++ b/lab/platformworker/server.go
@@ -21,15 +21,15 @@
 }
 
 // Answer writes a response.
-func (c *Conn) Answer(f workerframe.Frame) {
+func (c *Conn) Respond(f workerframe.Frame) {
 	raw, err := workerframe.Append(nil, workerframe.FromWorker, f)
 	if err == nil {
-		c.Raw(raw)
+		c.WriteRaw(raw)
 	}
 }
 
 // Raw writes bytes as they are. A write that fails is the end of the connection, which the reading side notices.
-func (c *Conn) Raw(raw []byte) { _, _ = c.Write(raw) }
+func (c *Conn) WriteRaw(raw []byte) { _, _ = c.Write(raw) }
 
 // Reset closes the connection with a TCP reset.
 func (c *Conn) Reset() {
@@ -64,7 +64,7 @@
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Made is the number of connections that were made to the worker.
-func (s *Server) Made() int {
+func (s *Server) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connectionCount
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -94,7 +94,7 @@
 
 func TestText_Violations_ComeFirst(t *testing.T) {
 	r := testReport(t)
-	r.Cells[0].Result.Violations = []invariant.Violation{{Rule: "twice", What: "an effect"}}
+	r.Cells[0].Result.Violations = []invariant.Violation{{Rule: "twice", Detail: "an effect"}}
 	var text bytes.Buffer
 	r.Text(&text)
 	broken, table := strings.Index(text.String(), "broke rule twice"), strings.Index(text.String(), "all days")
--- a/lab/reportimport/events.go
+++ b/lab/reportimport/events.go
@@ -82,7 +82,7 @@
 	}
 	isCrash := func(f scenario.Fault) bool { return f.Kind == kindCrash }
 	crashNamed := slices.ContainsFunc(p.report.Faults, isCrash)
-	for _, f := range courses.faults(p.report.Lasts, p.report.Workers) {
+	for _, f := range courses.faults(p.report.Duration, p.report.Workers) {
 		if !isCrash(f) || !crashNamed {
 			p.addFault(f, "")
 		}
@@ -153,7 +153,7 @@
 			return e.at - at
 		}
 	}
-	return max(0, p.report.Lasts-at)
+	return max(0, p.report.Duration-at)
 }
 
 func share(n, of int) float64 { return min(1, float64(n)/float64(of)) }
--- a/lab/reportimport/parser.go
+++ b/lab/reportimport/parser.go
@@ -25,7 +25,7 @@
 
 // parser reads a report.
 type parser struct {
-	report     *Day
+	report     *RunReport
 	windows    []window
 	events     []event
 	servers    int // at most, over all windows
@@ -54,7 +54,7 @@
 	}
 	d := p.report
 	d.FrontEnds, d.Workers, d.Requests = frontEnds, workers, requests
-	d.Lasts = time.Duration(minutes)*time.Minute + time.Duration(seconds)*time.Second
+	d.Duration = time.Duration(minutes)*time.Minute + time.Duration(seconds)*time.Second
 	return true
 }
 
@@ -160,8 +160,8 @@
 		}
 	}
 	last := p.windows[len(p.windows)-1].from
-	if report.Lasts <= last {
-		report.Lasts = last + p.windowLength()
+	if report.Duration <= last {
+		report.Duration = last + p.windowLength()
 	}
 	if report.Workers < 1 || report.FrontEnds < 1 || report.Requests < 1 {
 		return errors.New("it tells of no workers or no requests")
@@ -195,7 +195,7 @@
 // addSurges makes the windows' rates from the mean one.
 func (p *parser) addSurges() {
 	for i, w := range p.windows {
-		end := p.report.Lasts
+		end := p.report.Duration
 		if i+1 < len(p.windows) {
 			end = p.windows[i+1].from
 		}
--- a/lab/reportimport/report.go
+++ b/lab/reportimport/report.go
@@ -17,9 +17,9 @@
 var ErrReport = errors.New("report")
 
 // Day is what a report says of a run.
-type Day struct {
+type RunReport struct {
 	FrontEnds, Workers int
-	Lasts              time.Duration
+	Duration           time.Duration
 	Requests           int
 	MaxAttempts        float64 // attempts a request, at most
 	Faults             []scenario.Fault
@@ -36,25 +36,25 @@
 )
 
 // Rate is the mean rate, in requests a second.
-func (d *Day) Rate() float64 { return float64(d.Requests) / d.Lasts.Seconds() }
+func (d *RunReport) Rate() float64 { return float64(d.Requests) / d.Duration.Seconds() }
 
 // Mix is a load like the report's, and like base where the report does not say. Requests have the work that uses a share
 // of the workers' cores, which a report does not say either.
-func (d *Day) Mix(base loadgen.Mix, utilization float64) loadgen.Mix {
+func (d *RunReport) Mix(base loadgen.Mix, utilization float64) loadgen.Mix {
 	base.Rate = d.Rate()
 	base.Work = time.Duration(utilization * workerCores * float64(d.Workers) / base.Rate * float64(time.Second)).Round(time.Millisecond)
-	base.Habit, base.Retries = loadgen.Never, 0
+	base.RetryPolicy, base.Retries = loadgen.RetryNever, 0
 	if d.MaxAttempts > retriesFrom {
-		base.Habit, base.Retries = loadgen.Wait, int(math.Ceil(d.MaxAttempts-1))
+		base.RetryPolicy, base.Retries = loadgen.RetryWithBackoff, int(math.Ceil(d.MaxAttempts-1))
 	}
 	return base
 }
 
 // Script is the report as a scenario file.
-func (d *Day) Script() string {
+func (d *RunReport) Script() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "# Transcribed from a report: %d front ends, %d workers, %d requests in %v, at most %.2f tries a request.\n",
-		d.FrontEnds, d.Workers, d.Requests, d.Lasts, d.MaxAttempts)
+		d.FrontEnds, d.Workers, d.Requests, d.Duration, d.MaxAttempts)
 	for _, t := range d.Faults {
 		line := scenario.Format(t)
 		if note := d.Notes[t.Line]; note != "" {
@@ -69,8 +69,8 @@
 }
 
 // Parse reads a report: the notes from on-call, or the report of one run. Its errors wrap ErrReport.
-func Parse(text string) (*Day, error) {
-	p := &parser{report: &Day{Notes: map[int]string{}}}
+func Parse(text string) (*RunReport, error) {
+	p := &parser{report: &RunReport{Notes: map[int]string{}}}
 	for _, line := range strings.Split(text, "\n") {
 		p.parseLine(line)
 	}
--- a/lab/reportimport/report_test.go
+++ b/lab/reportimport/report_test.go
@@ -41,7 +41,7 @@
     0:04 (x2)  worker a suspect
 `
 
-func parse(t *testing.T, text string) *Day {
+func parse(t *testing.T, text string) *RunReport {
 	t.Helper()
 	d, err := Parse(text)
 	if err != nil {
@@ -52,7 +52,7 @@
 
 func TestParse_OnCallNotes_BecomeScenario(t *testing.T) {
 	d := parse(t, onCallNotes)
-	if d.FrontEnds != 2 || d.Workers != 10 || d.Lasts != 20*time.Second || d.Requests != 3000 || d.MaxAttempts != 2.4 {
+	if d.FrontEnds != 2 || d.Workers != 10 || d.Duration != 20*time.Second || d.Requests != 3000 || d.MaxAttempts != 2.4 {
 		t.Errorf("%+v", d)
 	}
 	want := `# Transcribed from a report: 2 front ends, 10 workers, 3000 requests in 20s, at most 2.40 tries a request.
@@ -106,8 +106,8 @@
 	if used := m.Rate * m.Work.Seconds() / (10 * workerCores); math.Abs(used-0.5) > 0.01 || m.Rate != 150 || m.Functions != 7 {
 		t.Errorf("uses %.3f: %+v", used, m)
 	}
-	if m.Habit != loadgen.Wait || m.Retries != 2 {
-		t.Errorf("habit %v, %d retries", m.Habit, m.Retries)
+	if m.RetryPolicy != loadgen.RetryWithBackoff || m.Retries != 2 {
+		t.Errorf("habit %v, %d retries", m.RetryPolicy, m.Retries)
 	}
 }
 
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -18,7 +18,7 @@
 )
 
 // ErrScript is wrapped by every error about a scenario's text.
-var ErrScript = errors.New("script")
+var ErrScenario = errors.New("script")
 
 // Fault is one line of a scenario. Its kind says which of the parameters it has.
 type Fault struct {
@@ -42,7 +42,7 @@
 func Load(path string) ([]Fault, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrScript, err)
+		return nil, fmt.Errorf("%w: %w", ErrScenario, err)
 	}
 	return Parse(path, string(raw))
 }
@@ -66,7 +66,7 @@
 		faults = append(faults, f)
 	}
 	if len(errs) > 0 {
-		return nil, fmt.Errorf("%w:\n%w", ErrScript, errors.Join(errs...))
+		return nil, fmt.Errorf("%w:\n%w", ErrScenario, errors.Join(errs...))
 	}
 	SortByTime(faults)
 	return faults, nil
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -26,7 +26,7 @@
 	_, err := Parse("day", "at 2s crash 25% for 3s\nat noon crash 25% for 3s\nat 1s explode\nat 1s crash 250% for 3s\n"+
 		"at 1s fail 20% rate 2 for 1s\nat 1s crash 25% during 3s\nat 1s end now\ncrash\nat 1s kill 0 for 1s\n"+
 		"at 1s net-delay 1 2 by -1s for 1s\nat 1s clock-jump 10% by -1s for 1s\n")
-	if !errors.Is(err, ErrScript) {
+	if !errors.Is(err, ErrScenario) {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -21,7 +21,7 @@
 // clientAttempt is one attempt of a client's request.
 type clientAttempt struct {
 	s        *Simulation
-	request  loadgen.Call
+	request  loadgen.Request
 	firstID  string // of the request, without the attempt's number
 	number   int
 	front    *frontEnd
@@ -44,7 +44,7 @@
 }
 
 // sendRequest sends one attempt of a request to a front end by its number.
-func (s *Simulation) sendRequest(request loadgen.Call, firstID string, frontEnd, number int) {
+func (s *Simulation) sendRequest(request loadgen.Request, firstID string, frontEnd, number int) {
 	t := &clientAttempt{
 		s:       s,
 		request: request,
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -57,7 +57,7 @@
 	}
 	for i, b := range r.Violations {
 		if i < 10 {
-			t.Errorf("rule %s broken: %s", b.Rule, b.What)
+			t.Errorf("rule %s broken: %s", b.Rule, b.Detail)
 		}
 	}
 	if !r.Tally.Balanced() {
@@ -121,7 +121,7 @@
 		}
 		for _, b := range r.Violations {
 			if b.Rule != "cold" {
-				t.Errorf("%s: rule %s broken: %s", policy, b.Rule, b.What)
+				t.Errorf("%s: rule %s broken: %s", policy, b.Rule, b.Detail)
 			}
 		}
 		service[policy] = r.Score.Service()
@@ -142,8 +142,8 @@
 func TestRun_RealAndVirtualTime_AgreeWithinTolerance(t *testing.T) {
 	const script, duration = "at 2s crash 25% for 2s\nat 5s store-slow factor 3 for 2s\nat 6s slow 25% factor 3 for 2s\n", 9 * time.Second
 	d := fleet.Demo{
-		Workers: 12, FrontEnds: 3, Mix: fleet.DemoMix(150), Lasts: duration, Script: script, Seed: 1, Log: zerolog.Nop(),
-		Tell: func(string) {},
+		Workers: 12, FrontEnds: 3, Mix: fleet.DemoMix(150), Duration: duration, Scenario: script, Seed: 1, Log: zerolog.Nop(),
+		Report: func(string) {},
 	}
 	realTime, err := d.Run(context.Background())
 	if err != nil {
