--- a/cmd/havencart/measure.go
+++ b/cmd/havencart/measure.go
@@ -90,7 +90,7 @@
 
 // measureRejection compares the CPU time of a rejection with that of a served request.
 func measureRejection(cmd *cobra.Command, config measure.Config) error {
-	return measure.MeasureRejection(cmd.Context(), config, func(served, rejected float64) {
+	return measure.RejectionCost(cmd.Context(), config, func(served, rejected float64) {
 		results(cmd).printf("CPU of a call, whole process: served %.1f µs, refused %.1f µs, %.2f of it\n", served, rejected, rejected/served)
 	})
 }
@@ -147,7 +147,7 @@
 
 // measureIdleConnections measures the memory of a connection without a request.
 func measureIdleConnections(cmd *cobra.Command, config measure.Config, connections int) error {
-	heap, stack, err := measure.MeasureIdleMemory(cmd.Context(), config, connections)
+	heap, stack, err := measure.IdleMemory(cmd.Context(), config, connections)
 	if err != nil {
 		return err
 	}
--- a/lab/discoveryserver/server.go
+++ b/lab/discoveryserver/server.go
@@ -117,10 +117,10 @@
 	s.changed = make(chan struct{})
 }
 
-// Lag delays the notification of changes from now on.
+// SetLag delays the notification of changes from now on.
 func (s *Server) SetLag(d time.Duration) { s.update(func() { s.lag = d }) }
 
-// Down makes the service respond with 500, or ends that.
+// SetDown makes the service respond with 500, or ends that.
 func (s *Server) SetDown(on bool) {
 	s.update(func() {
 		s.down = on
@@ -128,7 +128,7 @@
 	})
 }
 
-// Partial makes the list name only a share of the workers; 1 ends it.
+// SetListedShare makes the list name only a share of the workers; 1 ends it.
 func (s *Server) SetListedShare(share float64) {
 	s.update(func() {
 		s.listedShare = share
@@ -136,7 +136,7 @@
 	})
 }
 
-// Back makes the index start again, as after a loss of the service's state.
+// ResetIndex makes the index start again, as after a loss of the service's state.
 func (s *Server) ResetIndex() { s.update(func() { s.setIndex(firstIndex) }) }
 
 func (s *Server) update(change func()) {
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -126,7 +126,7 @@
 	return r, ""
 }
 
-// Play runs one cell by name, as another build of this program asks for it. It returns the result as that build reads
+// RunOne runs one cell by name, as another build of this program asks for it. It returns the result as that build reads
 // it.
 func (s *Spec) RunOne(variant, scenario string, seed uint64) (StoredResult, error) {
 	v, sc := s.find(variant, scenario)
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -13,7 +13,7 @@
 	"havencart/lab/scenario"
 )
 
-// DemoDay is a short scenario with several faults.
+// DemoScenario is a short scenario with several faults.
 const DemoScenario = `
 at 2s  crash 25% for 2s
 at 4s  store-slow factor 3 for 2s
--- a/lab/invariant/history.go
+++ b/lab/invariant/history.go
@@ -107,7 +107,7 @@
 	stalls          []FrontEndStall
 }
 
-// NewBook returns an empty History whose time starts now.
+// NewHistory returns an empty History whose time starts now.
 func NewHistory() *History {
 	start := time.Now()
 	return NewHistoryAt(start, func() time.Duration { return time.Since(start) })
--- a/lab/loadgen/request.go
+++ b/lab/loadgen/request.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Call is a client's request.
+// Request is a client's request.
 type Request struct {
 	ID, Function, Class, Tenant string
 	IdempotencyKey              string
@@ -20,7 +20,7 @@
 	Retries                     int // at most
 }
 
-// Habit is a client's retry policy. Its values are the words of experiment files.
+// RetryPolicy is a client's retry policy. Its values are the words of experiment files.
 type RetryPolicy string
 
 // The retry policies.
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -35,7 +35,7 @@
 	CPUPerRequestMicros      float64 // processor time a request
 }
 
-// Way is one route from a client to a worker.
+// Route is one route from a client to a worker.
 type Route struct {
 	Name    string
 	Address []string // clients are spread over them
@@ -108,9 +108,9 @@
 // recovery is the time for which a stalled event loop is given to go on.
 const recovery = time.Second
 
-// Refusal measures the processor time of a request that is served and of one that is rejected by an event loop that is
+// RejectionCost measures the processor time of a request that is served and of one that is rejected by an event loop that is
 // behind, in microseconds of the whole process, clients and workers included, in turn for each round.
-func MeasureRejection(ctx context.Context, cfg Config, report func(served, rejected float64)) error {
+func RejectionCost(ctx context.Context, cfg Config, report func(served, rejected float64)) error {
 	b := &benchmark{cfg: cfg}
 	defer b.close()
 	if err := b.start(); err != nil {
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// Idle measures the memory of n idle connections to the gateway, both ends of each, in bytes a connection.
-func MeasureIdleMemory(ctx context.Context, cfg Config, n int) (heap, stack float64, err error) {
+// IdleMemory measures the memory of n idle connections to the gateway, both ends of each, in bytes a connection.
+func IdleMemory(ctx context.Context, cfg Config, n int) (heap, stack float64, err error) {
 	b := &benchmark{cfg: cfg}
 	defer b.close()
 	if err := b.start(); err != nil {
--- a/lab/model/clock.go
+++ b/lab/model/clock.go
@@ -23,7 +23,7 @@
 	start time.Time
 }
 
-// NewWorld returns a RealClock that starts now.
+// NewRealClock returns a RealClock that starts now.
 func NewRealClock() *RealClock { return &RealClock{start: time.Now()} }
 
 // Do runs f between callbacks.
--- a/lab/model/request.go
+++ b/lab/model/request.go
@@ -72,7 +72,7 @@
 	executedAt map[string]time.Duration
 }
 
-// NewGroup returns an empty KeyCache.
+// NewKeyCache returns an empty KeyCache.
 func NewKeyCache() *KeyCache { return &KeyCache{executedAt: map[string]time.Duration{}} }
 
 // NewKeyCaches returns an empty KeyCache for each cell, and at least one.
--- a/lab/platformdiscovery/server.go
+++ b/lab/platformdiscovery/server.go
@@ -33,7 +33,7 @@
 // Address is where the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Asked delivers, for each connection, the number of the last event that the front end has.
+// Resumed delivers, for each connection, the number of the last event that the front end has.
 func (s *Server) Resumed() <-chan uint64 { return s.resumed }
 
 func (s *Server) accept() {
@@ -66,7 +66,7 @@
 // write writes; a connection that broke is noticed by its other side.
 func write(c net.Conn, raw []byte) { _, _ = c.Write(raw) }
 
-// Tell adds an event and sends it to all that are connected.
+// Publish adds an event and sends it to all that are connected.
 func (s *Server) Publish(e endpointstream.Event) {
 	s.mu.Lock()
 	s.events = append(s.events, e)
@@ -74,7 +74,7 @@
 	s.WriteRaw(endpointstream.AppendEvent(nil, e))
 }
 
-// Raw writes bytes as they are to all that are connected.
+// WriteRaw writes bytes as they are to all that are connected.
 func (s *Server) WriteRaw(raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// Break closes all connections.
+// CloseConnections closes all connections.
 func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/platformworker/server.go
+++ b/lab/platformworker/server.go
@@ -20,7 +20,7 @@
 	Number int // from 1, in the order in which they were made
 }
 
-// Answer writes a response.
+// Respond writes a response.
 func (c *Conn) Respond(f workerframe.Frame) {
 	raw, err := workerframe.Append(nil, workerframe.FromWorker, f)
 	if err == nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-// Raw writes bytes as they are. A write that fails is the end of the connection, which the reading side notices.
+// WriteRaw writes bytes as they are. A write that fails is the end of the connection, which the reading side notices.
 func (c *Conn) WriteRaw(raw []byte) { _, _ = c.Write(raw) }
 
 // Reset closes the connection with a TCP reset.
@@ -63,7 +63,7 @@
 // Address is where the worker listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Made is the number of connections that were made to the worker.
+// ConnectionCount is the number of connections that were made to the worker.
 func (s *Server) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/reportimport/report.go
+++ b/lab/reportimport/report.go
@@ -16,7 +16,7 @@
 // ErrReport is wrapped by every error about a report.
 var ErrReport = errors.New("report")
 
-// Day is what a report says of a run.
+// RunReport is what a report says of a run.
 type RunReport struct {
 	FrontEnds, Workers int
 	Duration           time.Duration
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// ErrScript is wrapped by every error about a scenario's text.
+// ErrScenario is wrapped by every error about a scenario's text.
 var ErrScenario = errors.New("script")
 
 // Fault is one line of a scenario. Its kind says which of the parameters it has.
