--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -105,8 +105,8 @@
 }
 
 // Run serves until ctx ends, then shuts down gracefully: it accepts no new connections; what is in flight gets its
-// final response, at the latest when StopWait is over. It returns the totals, and ErrShutdownTimeout where that time was
-// needed in full. All goroutines of the service have ended when it returns.
+// final response, at the latest when the settings' ShutdownTimeout is over. It returns the totals, and ErrShutdownTimeout
+// where that time was needed in full. All goroutines of the service have ended when it returns.
 func (s *Service) Run(ctx context.Context) (Counts, error) {
 	loopsEnded := s.runLoops(ctx)
 	stopListening := context.AfterFunc(ctx, s.closeListener)
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -29,7 +29,7 @@
 	return files
 }
 
-// TestPolicyFiles_Size_IsLimited holds the limits that let the module be ported by hand.
+// TestPolicyFiles_Size_IsLimited holds the limits that let the scheduler be ported by hand.
 func TestPolicyFiles_Size_IsLimited(t *testing.T) {
 	const mostLines, mostWidth = 860, 110
 	files, lines := policyFiles(t), 0
