--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -36,8 +36,8 @@
 func (s *Scheduler) shouldShed(request *requestRecord) bool {
 	valueDensity := 1.0 // priority weight for work, relative to what else is requested
 	if weight := s.demand.priorityWeight.Value; weight > 0 {
-		work := float64(s.chargedWork(request))
-		valueDensity = request.class.PriorityWeight / work * s.demand.chargedRunTime.Value / weight
+		work := float64(s.cappedServiceTime(request))
+		valueDensity = request.class.PriorityWeight / work * s.demand.cappedServiceTime.Value / weight
 	}
 	tolerable := delayBudgetFraction * float64(s.queueDelayBudget()) * valueDensity
 	tolerable = max(tolerable, float64(s.unloadedRunTime(request.function.class)))
@@ -52,7 +52,7 @@
 // queueDelayBudget is how long requests of the most urgent class in use can wait and still meet their
 // objective.
 func (s *Scheduler) queueDelayBudget() time.Duration {
-	least := never
+	least := infiniteDuration
 	for i, class := range s.settings.Classes {
 		if s.latency.runTimeByClass[i].Samples > 0 {
 			least = min(least, class.LatencyObjective-min(s.unloadedRunTime(i), class.LatencyObjective/2))
@@ -61,13 +61,13 @@
 	return least
 }
 
-// finishHopeless answers at once the queued requests that cannot be served in time any more.
-func (s *Scheduler) finishHopeless(function *functionRecord) {
+// finishUnservable answers at once the queued requests that cannot be served in time any more.
+func (s *Scheduler) finishUnservable(function *functionRecord) {
 	inFlight := function.inFlight()
 	for i, request := range slices.Clone(function.queue) {
 		ownDelay := s.timeToDrain(function, i+inFlight, ownBacklog)
 		totalDelay := s.timeToDrain(function, i+inFlight, allBacklogs)
-		if ownDelay == never { // no replica can be used: a load is the way
+		if ownDelay == infiniteDuration { // no replica can be used: a load is the way
 			ownDelay = 0
 			if s.now-s.breaker.lastLoadAt < loadEvidenceWindow {
 				ownDelay = s.expectedLoadTime(function)
@@ -80,7 +80,7 @@
 		case s.missesDeadline(request, ownDelay):
 			s.rejectOrFail(request, DeadlineTooClose)
 		case s.shouldGiveUp(request, totalDelay):
-			s.rejectOrFail(request, Hopeless)
+			s.rejectOrFail(request, NoHeadroomInTime)
 		}
 	}
 }
@@ -106,5 +106,5 @@
 	if delay <= 0 || function.hasLoadingReplica() || s.awaitsResidency(function) {
 		return false
 	}
-	return s.pickWarmReplica(request, never) == nil
+	return s.pickWarmReplica(request, infiniteDuration) == nil
 }
--- a/scheduler/aggregates_test.go
+++ b/scheduler/aggregates_test.go
@@ -102,7 +102,7 @@
 func TestAggregates_RandomEvents_EqualScan(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			checker := newInvariantChecker(t, seed, ruleSettings(seed))
+			checker := newInvariantChecker(t, seed, invariantSettings(seed))
 			for i := range 20000 {
 				checker.step()
 				if i%50 == 0 {
@@ -116,13 +116,13 @@
 	}
 }
 
-// TestAggregates_ManyWorkersComeAndGo_EqualScan plays changes of a large list, whole and in part.
-func TestAggregates_ManyWorkersComeAndGo_EqualScan(t *testing.T) {
+// TestAggregates_WorkerChurn_EqualScan plays changes of a large list, whole and in part.
+func TestAggregates_WorkerChurn_EqualScan(t *testing.T) {
 	const workers, rounds = 400, 60
 	rng := rand.New(rand.NewPCG(1, 5))
 	settings := testSettings()
 	settings.ScaleIsCapacity = true
-	script := newHarness(t, settings, 0)
+	h := newHarness(t, settings, 0)
 	infos := map[WorkerID]WorkerInfo{}
 	for round := range rounds {
 		var changed []WorkerInfo
@@ -130,7 +130,7 @@
 			id := WorkerID(1 + rng.IntN(workers))
 			infos[id] = WorkerInfo{
 				ID: id, Scale: 0.1 + rng.Float64(), Cell: int(id) % 50, State: WorkerState(1 + rng.IntN(3)),
-				Started: script.now - time.Duration(rng.IntN(20))*time.Second,
+				Started: h.now - time.Duration(rng.IntN(20))*time.Second,
 			}
 			changed = append(changed, infos[id])
 		}
@@ -141,21 +141,21 @@
 					changed = append(changed, info)
 				}
 			}
-			script.scheduler.WorkersChanged(script.now, changed, true)
+			h.scheduler.WorkersChanged(h.now, changed, true)
 		} else {
-			script.scheduler.WorkersChanged(script.now, changed, false)
+			h.scheduler.WorkersChanged(h.now, changed, false)
 		}
 		for function := range FunctionID(6) {
-			script.request(function, rng.IntN(3))
+			h.request(function, rng.IntN(3))
 		}
-		script.answerQueries()
-		script.advance(time.Duration(rng.IntN(1000)) * ms)
-		for id, request := range script.scheduler.requests {
+		h.answerQueries()
+		h.advance(time.Duration(rng.IntN(1000)) * ms)
+		for id, request := range h.scheduler.requests {
 			if request.replica != nil {
-				script.endAttempt(id, []Status{OK, OK, Error, Reset, Overloaded}[id%5], WarmStart)
+				h.endAttempt(id, []Status{OK, OK, Error, Reset, Overloaded}[id%5], WarmStart)
 			}
 		}
-		verifyAggregates(t, script.scheduler)
+		verifyAggregates(t, h.scheduler)
 	}
 }
 
@@ -189,7 +189,7 @@
 	const workers = 200
 	settings := testSettings()
 	settings.ScaleIsCapacity = true
-	script := newHarness(t, settings, 0)
+	h := newHarness(t, settings, 0)
 	var list []WorkerInfo
 	for i := range workers {
 		scale := math.SmallestNonzeroFloat64
@@ -198,14 +198,14 @@
 		}
 		list = append(list, WorkerInfo{ID: WorkerID(i + 1), Scale: scale, Started: UnknownStart, State: Ready})
 	}
-	script.scheduler.WorkersChanged(script.now, list, true)
+	h.scheduler.WorkersChanged(h.now, list, true)
 	function := &functionRecord{id: 7}
 	for _, count := range []int{1, 10, workers} {
-		if order := script.scheduler.rendezvousOrder(function, count); len(order) < count {
+		if order := h.scheduler.rendezvousOrder(function, count); len(order) < count {
 			t.Errorf("%d workers are ranked, want %d", len(order), count)
 		}
 	}
-	for _, worker := range script.scheduler.rendezvousOrder(function, workers)[:3] {
+	for _, worker := range h.scheduler.rendezvousOrder(function, workers)[:3] {
 		if worker.ID > 3 {
 			t.Errorf("worker %d of next to no capacity is one of the first three", worker.ID)
 		}
@@ -216,14 +216,14 @@
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{120, 1920, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			script := newHarness(&testing.T{}, testSettings(), workers)
-			for _, worker := range script.scheduler.endpoints.list[:100] {
-				script.setQueueDelay(worker, time.Second)
+			h := newHarness(&testing.T{}, testSettings(), workers)
+			for _, worker := range h.scheduler.endpoints.list[:100] {
+				h.setQueueDelay(worker, time.Second)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				script.now += tickInterval
-				script.scheduler.TimerFired(script.now, tickTimer)
+				h.now += tickInterval
+				h.scheduler.TimerFired(h.now, tickTimer)
 			}
 		})
 	}
@@ -233,11 +233,11 @@
 func BenchmarkTopRanked(b *testing.B) {
 	for _, workers := range []int{120, 1920, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			script := newHarness(&testing.T{}, testSettings(), workers)
+			h := newHarness(&testing.T{}, testSettings(), workers)
 			function := &functionRecord{id: 7}
 			b.ReportAllocs()
 			for b.Loop() {
-				script.scheduler.topRanked(function, rendezvousLength(1, workers))
+				h.scheduler.topRanked(function, rendezvousLength(1, workers))
 			}
 		})
 	}
--- a/scheduler/clone.go
+++ b/scheduler/clone.go
@@ -59,7 +59,7 @@
 	settings  *Settings // of the copy
 	workers   map[*workerRecord]*workerRecord
 	functions map[*functionRecord]*functionRecord
-	replicas  map[*replicaBelief]*replicaBelief
+	replicas  map[*replicaRecord]*replicaRecord
 	requests  map[*requestRecord]*requestRecord
 }
 
@@ -68,7 +68,7 @@
 		settings:  settings,
 		workers:   map[*workerRecord]*workerRecord{},
 		functions: map[*functionRecord]*functionRecord{},
-		replicas:  map[*replicaBelief]*replicaBelief{},
+		replicas:  map[*replicaRecord]*replicaRecord{},
 		requests:  map[*requestRecord]*requestRecord{},
 	}
 }
@@ -91,8 +91,8 @@
 	})
 }
 
-func (c *cloner) replica(replica *replicaBelief) *replicaBelief {
-	return cloneOnce(c.replicas, replica, func(r *replicaBelief) {
+func (c *cloner) replica(replica *replicaRecord) *replicaRecord {
+	return cloneOnce(c.replicas, replica, func(r *replicaRecord) {
 		r.worker = c.worker(r.worker)
 		r.function = c.function(r.function)
 	})
--- a/scheduler/clone_test.go
+++ b/scheduler/clone_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-func TestClone_AfterRandomEvents_SharesNothingAndDiffersInNothing(t *testing.T) {
-	settings := ruleSettings(4) // with a load rate limit
+func TestClone_AfterRandomEvents_EqualsOriginalWithoutSharing(t *testing.T) {
+	settings := invariantSettings(4) // with a load rate limit
 	random := newInvariantChecker(t, 4, settings)
 	for range 3000 {
 		random.step()
--- a/scheduler/cold_worker.go
+++ b/scheduler/cold_worker.go
@@ -15,11 +15,11 @@
 func (s *Scheduler) pickColdWorker(
 	function *functionRecord, request *requestRecord, minIdle time.Duration,
 ) *workerRecord {
-	if minIdle > anyIdle && s.now < s.endpoints.noneIdleUntil {
+	if minIdle > noMinIdle && s.now < s.endpoints.noIdleWorkerUntil {
 		return nil
 	}
 	var best *workerRecord
-	leastDelay, searched := never, 0
+	leastDelay, searched := infiniteDuration, 0
 	for worker := range s.coldCandidates(function, request) {
 		if searched++; searched > placementSearch && !request.boundToKeyScope() {
 			break
@@ -34,8 +34,8 @@
 			return best // none has less
 		}
 	}
-	if best == nil && minIdle > anyIdle {
-		s.endpoints.noneIdleUntil = max(s.now+freshnessWindow, s.leastRecentContact()+minIdle)
+	if best == nil && minIdle > noMinIdle {
+		s.endpoints.noIdleWorkerUntil = max(s.now+freshnessWindow, s.oldestContact()+minIdle)
 	}
 	return best
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -36,7 +36,7 @@
 		} else if !request.mayHaveExecuted {
 			break
 		} else if request.boundToKeyScope() && !s.hasReplicaFor(request) {
-			s.startLoad(function, request, s.pickColdWorker(function, request, anyIdle), singleRequest)
+			s.startLoad(function, request, s.pickColdWorker(function, request, noMinIdle), singleRequest)
 		}
 	}
 	if len(function.queue) > 0 {
@@ -60,9 +60,9 @@
 // headroom. It returns nil where the queue delay exceeds maxDelay, or what is left until the latency
 // objective (until the timeout, for a late request). That guards against work for nobody: when clients are
 // impatient and their retries fill the queues, a late response takes the place of one in time.
-func (s *Scheduler) pickWarmReplica(request *requestRecord, maxDelay time.Duration) *replicaBelief {
+func (s *Scheduler) pickWarmReplica(request *requestRecord, maxDelay time.Duration) *replicaRecord {
 	function := request.function
-	var best *replicaBelief
+	var best *replicaRecord
 	leastCost := math.Inf(1)
 	run := float64(s.expectedRunTime(function))
 	remaining := min(request.objectiveAt, request.deadline) - s.now - s.serviceTime(function)
@@ -87,7 +87,7 @@
 }
 
 // accepts is whether a replica may be sent a request now.
-func (s *Scheduler) accepts(replica *replicaBelief, request *requestRecord, maxDelay time.Duration) bool {
+func (s *Scheduler) accepts(replica *replicaRecord, request *requestRecord, maxDelay time.Duration) bool {
 	worker, class := replica.worker, request.function.class
 	if replica.loadOrdered || replica.inFlight >= replica.capacity() || s.queueDelay(worker) > maxDelay {
 		return false
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -8,15 +8,15 @@
 )
 
 func TestDispatch_MoreRequestsThanConcurrency_QueuesTheRest(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	w := script.warm(7)
+	h := newHarness(t, testSettings(), 4)
+	w := h.warm(7)
 	var sent, queued int
 	for range 5 {
-		r := script.request(7, 0)
+		r := h.request(7, 0)
 		switch {
-		case len(script.sentTo[r]) == 0:
+		case len(h.sentTo[r]) == 0:
 			queued++
-		case script.workerOf(r) == w:
+		case h.workerOf(r) == w:
 			sent++
 		}
 	}
@@ -26,67 +26,67 @@
 }
 
 func TestDispatch_AttemptEnds_SendsNextQueuedRequest(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	script.warm(7)
-	first := script.request(7, 0)
+	h := newHarness(t, testSettings(), 4)
+	h.warm(7)
+	first := h.request(7, 0)
 	last := first
 	for range 2 {
-		last = script.request(7, 0)
+		last = h.request(7, 0)
 	}
-	if len(script.sentTo[last]) != 0 {
+	if len(h.sentTo[last]) != 0 {
 		t.Fatal("the request after a full replica was not queued")
 	}
-	script.now += 50 * ms
-	script.endAttempt(first, OK, WarmStart)
-	script.workerOf(last)
+	h.now += 50 * ms
+	h.endAttempt(first, OK, WarmStart)
+	h.workerOf(last)
 }
 
 func TestDispatch_HeadroomFreed_GoesToHighestPriority(t *testing.T) {
 	set := testSettings()
 	set.Classes[2].PriorityWeight = 6
-	script := newHarness(t, set, 1)
-	script.warm(7)
-	highPriority := script.request(8, 2)
-	script.answerQueries(1)
-	script.endAttempt(highPriority, OK, WarmStart)
-	script.scheduler.endpoints.byID[1].concurrencyLimit = 1
-	inFlight := script.request(7, 0)
-	lowPriority, highPriority := script.request(7, 0), script.request(8, 2)
-	if len(script.sentTo[lowPriority])+len(script.sentTo[highPriority]) != 0 {
+	h := newHarness(t, set, 1)
+	h.warm(7)
+	highPriority := h.request(8, 2)
+	h.answerQueries(1)
+	h.endAttempt(highPriority, OK, WarmStart)
+	h.scheduler.endpoints.byID[1].concurrencyLimit = 1
+	inFlight := h.request(7, 0)
+	lowPriority, highPriority := h.request(7, 0), h.request(8, 2)
+	if len(h.sentTo[lowPriority])+len(h.sentTo[highPriority]) != 0 {
 		t.Fatal("sent beyond the worker's limit")
 	}
-	script.now += 50 * ms
-	script.endAttempt(inFlight, OK, WarmStart)
-	sent := func(r RequestID) int { return slices.Index(script.actions, fmt.Sprintf("send %d", r)) }
+	h.now += 50 * ms
+	h.endAttempt(inFlight, OK, WarmStart)
+	sent := func(r RequestID) int { return slices.Index(h.actions, fmt.Sprintf("send %d", r)) }
 	if sent(highPriority) < 0 || sent(lowPriority) >= 0 && sent(lowPriority) < sent(highPriority) {
-		t.Errorf("the headroom that came free went to weight 1 before weight 6: %v", script.actions)
+		t.Errorf("the headroom that came free went to weight 1 before weight 6: %v", h.actions)
 	}
 }
 
 func TestPickWarmReplica_OtherZone_CostsMore(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	for _, worker := range script.scheduler.endpoints.list {
+	h := newHarness(t, testSettings(), 4)
+	for _, worker := range h.scheduler.endpoints.list {
 		worker.Zone = int(worker.ID) % 2 // front ends are in zone 0
 	}
 	for i := range 6 {
-		r := script.request(7, 0)
-		script.answerQueries(1, 2)
-		if w := script.workerOf(r); i > 0 && w != 2 { // the first goes to the first replica reported
+		r := h.request(7, 0)
+		h.answerQueries(1, 2)
+		if w := h.workerOf(r); i > 0 && w != 2 { // the first goes to the first replica reported
 			t.Errorf("sent to worker %d in another zone while worker 2 was as idle", w)
 		}
-		script.advance(50 * ms)
-		script.endAttempt(r, OK, WarmStart)
+		h.advance(50 * ms)
+		h.endAttempt(r, OK, WarmStart)
 	}
 }
 
 func TestPickWarmReplica_QueueDelayPastObjective_Rejects(t *testing.T) {
-	script := newHarness(t, testSettings(), 1)
-	worker := script.scheduler.endpoints.byID[script.warm(7)]
-	script.setQueueDelay(worker, 900*ms)
-	r := script.request(7, 0) // objective 800 ms, timeout 3 s
-	script.advance(2 * tickInterval)
-	if len(script.sentTo[r]) != 0 || script.answers[r] != "rejected" {
-		t.Errorf("sent to %v, answer %q: its response would have been late, in the place of one in time", script.sentTo[r], script.answers[r])
+	h := newHarness(t, testSettings(), 1)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	h.setQueueDelay(worker, 900*ms)
+	r := h.request(7, 0) // objective 800 ms, timeout 3 s
+	h.advance(2 * tickInterval)
+	if len(h.sentTo[r]) != 0 || h.answers[r] != "rejected" {
+		t.Errorf("sent to %v, answer %q: its response would have been late, in the place of one in time", h.sentTo[r], h.answers[r])
 	}
 }
 
@@ -95,18 +95,18 @@
 func TestPickWarmReplica_ObjectiveBelowDefaultRun_StillSends(t *testing.T) {
 	set := testSettings()
 	set.Classes[0] = Class{LatencyObjective: 80 * ms, Timeout: 120 * ms, PriorityWeight: 1, Idempotency: Idempotent}
-	script := newHarness(t, set, 4)
+	h := newHarness(t, set, 4)
 	sendUrgent := func() RequestID {
-		script.nextID++
-		script.scheduler.RequestReceived(script.now, Request{ID: script.nextID, Function: 7, Timeout: 120 * ms, ReplicaConcurrency: 2, LoadTimeEstimate: 50 * ms})
-		script.answerQueries()
-		return script.nextID
+		h.nextID++
+		h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Function: 7, Timeout: 120 * ms, ReplicaConcurrency: 2, LoadTimeEstimate: 50 * ms})
+		h.answerQueries()
+		return h.nextID
 	}
 	first := sendUrgent()
-	w := script.workerOf(first)
-	script.advance(60 * ms)
-	script.endAttempt(first, OK, ColdStartTriggered)
-	if got := script.workerOf(sendUrgent()); got != w {
+	w := h.workerOf(first)
+	h.advance(60 * ms)
+	h.endAttempt(first, OK, ColdStartTriggered)
+	if got := h.workerOf(sendUrgent()); got != w {
 		t.Errorf("the second request went to worker %d, a replica is loaded at %d", got, w)
 	}
 }
@@ -116,29 +116,29 @@
 		timeout time.Duration
 		answer  string
 	}{{3 * time.Second, ""}, {450 * ms, "rejected"}} {
-		script := newHarness(t, testSettings(), 1)
-		worker := script.scheduler.endpoints.byID[script.warm(7)]
-		script.setQueueDelay(worker, 400*ms)
-		script.nextID++
-		script.scheduler.RequestReceived(script.now, Request{ID: script.nextID, Function: 7, Timeout: test.timeout, ReplicaConcurrency: 2})
-		script.advance(350 * ms)
-		if sent := len(script.sentTo[script.nextID]) > 0; sent != (test.answer == "") || script.answers[script.nextID] != test.answer {
-			t.Errorf("a request with %v left, for a worker where requests wait 400 ms: sent %v, answer %q", test.timeout, sent, script.answers[script.nextID])
+		h := newHarness(t, testSettings(), 1)
+		worker := h.scheduler.endpoints.byID[h.warm(7)]
+		h.setQueueDelay(worker, 400*ms)
+		h.nextID++
+		h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Function: 7, Timeout: test.timeout, ReplicaConcurrency: 2})
+		h.advance(350 * ms)
+		if sent := len(h.sentTo[h.nextID]) > 0; sent != (test.answer == "") || h.answers[h.nextID] != test.answer {
+			t.Errorf("a request with %v left, for a worker where requests wait 400 ms: sent %v, answer %q", test.timeout, sent, h.answers[h.nextID])
 		}
 	}
 }
 
 func TestPickWarmReplica_Ties_Rotate(t *testing.T) {
-	script := newHarness(t, testSettings(), 3)
-	r := script.request(7, 0)
-	script.answerQueries(1, 2, 3)
-	script.endAttempt(r, OK, WarmStart)
+	h := newHarness(t, testSettings(), 3)
+	r := h.request(7, 0)
+	h.answerQueries(1, 2, 3)
+	h.endAttempt(r, OK, WarmStart)
 	seen := map[WorkerID]int{}
 	for range 9 {
-		r := script.request(7, 0)
-		seen[script.workerOf(r)]++
-		script.now += 10 * ms
-		script.endAttempt(r, OK, WarmStart)
+		r := h.request(7, 0)
+		seen[h.workerOf(r)]++
+		h.now += 10 * ms
+		h.endAttempt(r, OK, WarmStart)
 	}
 	if len(seen) != 3 {
 		t.Errorf("equally idle warm workers got %v of nine requests", seen)
@@ -146,10 +146,10 @@
 }
 
 func TestPickWarmReplica_FewestInFlight_IsPicked(t *testing.T) {
-	script := newHarness(t, testSettings(), 2)
-	first := script.request(7, 0)
-	script.answerQueries(1, 2)
-	if second := script.request(7, 0); script.workerOf(second) == script.workerOf(first) {
+	h := newHarness(t, testSettings(), 2)
+	first := h.request(7, 0)
+	h.answerQueries(1, 2)
+	if second := h.request(7, 0); h.workerOf(second) == h.workerOf(first) {
 		t.Error("the second request went to the worker that has the first, another warm one has none")
 	}
 }
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -19,11 +19,11 @@
 	meanScale float64
 	ranking   []rankedWorker // of list, in its order
 
-	counts        servingCounts
-	busy          []*workerRecord         // with attempts in flight, and some that had until the last tick
-	cells         map[int][]*workerRecord // made when it is needed, see cellMembers
-	cellsVersion  int                     // of the list that cells was made from
-	noneIdleUntil time.Duration           // no worker is without contact for idleProbeAfter before
+	counts            servingCounts
+	busy              []*workerRecord         // with attempts in flight, and some that had until the last tick
+	cells             map[int][]*workerRecord // made when it is needed, see cellMembers
+	cellsVersion      int                     // of the list that cells was made from
+	noIdleWorkerUntil time.Duration           // no worker is without contact for idleProbeAfter before
 }
 
 func newEndpointTable(classes int) endpointTable {
@@ -151,7 +151,7 @@
 	}
 	if isNew || info.Started > worker.Started {
 		lostReplicas = true
-		s.forgetRunTimes(worker)
+		s.dropRunTimes(worker)
 		*worker = s.newWorker(worker)
 	}
 	worker.WorkerInfo = info
@@ -176,7 +176,7 @@
 	delete(s.endpoints.byID, worker.ID)
 	s.uncount(worker)
 	s.delay.removeFromOrder(worker)
-	s.forgetRunTimes(worker)
+	s.dropRunTimes(worker)
 	return true
 }
 
@@ -191,8 +191,8 @@
 	return table.busy
 }
 
-// leastRecentContact is when the ready worker was contacted that was not for the longest time.
-func (s *Scheduler) leastRecentContact() time.Duration {
+// oldestContact is when the ready worker was contacted that was not for the longest time.
+func (s *Scheduler) oldestContact() time.Duration {
 	least := s.now
 	for _, worker := range s.endpoints.list {
 		if worker.State == Ready {
@@ -224,8 +224,8 @@
 	return least + (1-least)*age/float64(s.settings.SlowStartDuration)
 }
 
-// forgetSend takes back that an attempt was sent at a time: it never was.
-func (w *workerRecord) forgetSend(at time.Duration) {
+// removeSend takes back that an attempt was sent at a time: it never was.
+func (w *workerRecord) removeSend(at time.Duration) {
 	if i := slices.Index(w.sendTimes, at); i >= 0 {
 		w.sendTimes = slices.Delete(w.sendTimes, i, i+1)
 	}
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -32,11 +32,11 @@
 
 // demandEstimates are decayed sums over what was requested of this front end.
 type demandEstimates struct {
-	runTime        estimate.Decayed // expected, nanoseconds
-	chargedRunTime estimate.Decayed // the same without queue delays, nanoseconds; see Scheduler.chargedWork
-	priorityWeight estimate.Decayed
-	requests       estimate.Decayed
-	completions    estimate.Decayed // requests completed
+	runTime           estimate.Decayed // expected, nanoseconds
+	cappedServiceTime estimate.Decayed // the same without queue delays, nanoseconds; see Scheduler.cappedServiceTime
+	priorityWeight    estimate.Decayed
+	requests          estimate.Decayed
+	completions       estimate.Decayed // requests completed
 }
 
 // evictionEstimates tell what a load costs other functions.
@@ -114,13 +114,13 @@
 	run := float64(s.expectedRunTime(request.function))
 	request.function.requestedRunTime.Add(s.now, demandMemory, run)
 	s.demand.runTime.Add(s.now, demandMemory, run)
-	s.demand.chargedRunTime.Add(s.now, demandMemory, float64(s.chargedWork(request)))
+	s.demand.cappedServiceTime.Add(s.now, demandMemory, float64(s.cappedServiceTime(request)))
 	s.demand.priorityWeight.Add(s.now, demandMemory, request.class.PriorityWeight)
 	s.demand.requests.Add(s.now, demandMemory, 1)
 }
 
 // recordSuccess takes the time of a response: a load time where the attempt waited for its load, else a run time.
-func (s *Scheduler) recordSuccess(request *requestRecord, replica *replicaBelief, outcome *Outcome) {
+func (s *Scheduler) recordSuccess(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	worker, function := replica.worker, request.function
 	replica.lastUsed = s.now
 	s.demand.completions.Add(s.now, completionMemory, 1)
@@ -141,7 +141,7 @@
 }
 
 // recordRunTime takes the time of a run at a replica that was loaded.
-func (s *Scheduler) recordRunTime(replica *replicaBelief, runTime time.Duration) {
+func (s *Scheduler) recordRunTime(replica *replicaRecord, runTime time.Duration) {
 	worker, function, sample := replica.worker, replica.function, float64(runTime)
 	s.addRunTime(worker, function.class, sample)
 	s.recordQueueDelay(worker, function.class, runTime)
@@ -160,8 +160,8 @@
 	}
 }
 
-// forgetRunTimes notes that the run times of a worker tell nothing any more.
-func (s *Scheduler) forgetRunTimes(worker *workerRecord) {
+// dropRunTimes notes that the run times of a worker tell nothing any more.
+func (s *Scheduler) dropRunTimes(worker *workerRecord) {
 	for class, runTime := range worker.runTimeByClass {
 		if runTime.Samples >= unloadedMinSamples {
 			s.latency.sampledWorkers[class] = without(s.latency.sampledWorkers[class], worker)
@@ -208,8 +208,8 @@
 	return min(s.expectedRunTime(function), s.unloadedRunTime(function.class))
 }
 
-// chargedWork is what a request takes of a worker, as far as its latency objective lets that count.
-func (s *Scheduler) chargedWork(request *requestRecord) time.Duration {
+// cappedServiceTime is what a request takes of a worker, as far as its latency objective lets that count.
+func (s *Scheduler) cappedServiceTime(request *requestRecord) time.Duration {
 	return min(s.serviceTime(request.function), request.class.LatencyObjective/2)
 }
 
@@ -251,7 +251,7 @@
 // updateQueueDelays sets how long queue delays are remembered, and their medians over the workers.
 func (s *Scheduler) updateQueueDelays() {
 	s.delay.setMemory(s.now, min(maxDelayMemory, max(minDelayMemory, delayMemoryContacts*s.contactInterval())))
-	s.delay.dropDecayed(s.now, s.now-maxDelayMemory, contactsPerWorker*len(s.endpoints.list))
+	s.delay.dropDecayed(s.now, s.now-maxDelayMemory, maxContactsPerWorker*len(s.endpoints.list))
 	s.delay.median, s.delay.contactedMedian = s.medianDelay(), s.contactedDelay()
 }
 
@@ -267,13 +267,13 @@
 }
 
 // contactedDelay is the queue delay, as it was observed, that one in contactedDivisor of the ready workers contacted
-// lately stays below: of the latest contactedLatest within the memory of queue delays, and of all within the freshness
+// lately stays below: of the latest contactedSampleLimit within the memory of queue delays, and of all within the freshness
 // window. It is 0 where they are too few.
 func (s *Scheduler) contactedDelay() float64 {
 	var delays []float64
 	for _, contact := range slices.Backward(s.delay.contacts) {
 		age := s.now - contact.at
-		if age >= s.delay.memory || len(delays) >= contactedLatest && age >= freshnessWindow {
+		if age >= s.delay.memory || len(delays) >= contactedSampleLimit && age >= freshnessWindow {
 			break
 		}
 		if contact.isLatest() && contact.worker.State == Ready {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -8,7 +8,7 @@
 func (s *Scheduler) WorkersChanged(now time.Duration, list []WorkerInfo, complete bool) {
 	s.now = now
 	for _, worker := range s.updateEndpoints(list, complete) {
-		s.forgetReplicas(worker) // a process that restarted, drains or was removed holds nothing for us
+		s.dropReplicasOn(worker) // a process that restarted, drains or was removed holds nothing for us
 	}
 	s.dispatchAll()
 }
@@ -56,7 +56,7 @@
 	if replica := function.replicaOn(worker); ordered == residencyQuery {
 		s.recordResidency(function, worker, result.Replicas)
 	} else if replica != nil && replica.loadOrdered {
-		s.recordLoadOrder(replica, result)
+		s.recordLoadResult(replica, result)
 	}
 	s.dispatch(function)
 }
--- a/scheduler/finish_cause.go
+++ b/scheduler/finish_cause.go
@@ -8,7 +8,7 @@
 const (
 	ShedOnArrival       FinishCause = iota + 1 // randomized admission, in an overload of all workers
 	DeadlineTooClose                           // no run would end before the client gives up
-	Hopeless                                   // past its objective, or over quota, and no headroom is in sight
+	NoHeadroomInTime                           // past its objective, or over quota, and no headroom is in sight
 	KeyExpired                                 // it may have executed, and workers no longer drop its repeat
 	MayNotExecuteTwice                         // it may have executed, and its class forbids another attempt
 	AttemptsExhausted                          // Settings.MaxAttempts were made
@@ -21,7 +21,7 @@
 var finishCauseNames = [FinishCauses]string{
 	ShedOnArrival:      "shed on arrival",
 	DeadlineTooClose:   "deadline too close",
-	Hopeless:           "no headroom in time",
+	NoHeadroomInTime:   "no headroom in time",
 	KeyExpired:         "idempotency key expired",
 	MayNotExecuteTwice: "may have executed, must not execute twice",
 	AttemptsExhausted:  "attempts exhausted",
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -17,7 +17,7 @@
 	rng        *rand.Rand
 	set        Settings
 	now        time.Duration
-	fronts     []*fleetFront
+	frontEnds  []*fleetFront
 	list       []WorkerInfo
 	replicas   map[replicaKey]time.Duration // when a replica is or will be loaded
 	run        time.Duration
@@ -78,10 +78,10 @@
 }
 
 // start starts a front end, or starts it anew.
-func (f *fleet) start(frontEnd *fleetFront, self int) {
+func (f *fleet) start(frontEnd *fleetFront, index int) {
 	frontEnd.incarnation++
 	set := f.set
-	set.FrontEndIndex, set.Seed = self, f.rng.Uint64()
+	set.FrontEndIndex, set.Seed = index, f.rng.Uint64()
 	frontEnd.attempts = map[RequestID]int{}
 	frontEnd.scheduler = New(f.now, set, frontEnd)
 	frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
@@ -89,9 +89,9 @@
 
 // later does something to a front end unless it was started anew meanwhile.
 func (frontEnd *fleetFront) later(d time.Duration, do func()) {
-	life := frontEnd.incarnation
+	incarnation := frontEnd.incarnation
 	frontEnd.after(d, func() {
-		if frontEnd.incarnation == life {
+		if frontEnd.incarnation == incarnation {
 			do()
 		}
 	})
@@ -167,34 +167,34 @@
 )
 
 // newFleet starts a fleet whose front ends have unequal traffic: a tenth of them has four times what the others have.
-func newFleet(seed uint64, fronts, workers, functions int, set Settings) *fleet {
-	fleetRun := &fleet{
+func newFleet(seed uint64, frontEnds, workers, functions int, set Settings) *fleet {
+	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Minute, replicas: map[replicaKey]time.Duration{},
 		run: 100 * ms, load: 500 * ms, coldWorker: WorkerID(workers),
 	}
-	fleetRun.set.FrontEndCount = fronts
+	f.set.FrontEndCount = frontEnds
 	for i := range workers {
-		fleetRun.list = append(fleetRun.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
+		f.list = append(f.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
 	}
-	fleetRun.list[workers-1].State = Removed
+	f.list[workers-1].State = Removed
 	all := 0.0
-	for i := range fronts {
-		frontEnd := &fleetFront{fleet: fleetRun, trafficWeight: 1}
+	for i := range frontEnds {
+		frontEnd := &fleetFront{fleet: f, trafficWeight: 1}
 		if i%10 == 0 {
 			frontEnd.trafficWeight = 4
 		}
 		all += frontEnd.trafficWeight
-		fleetRun.fronts = append(fleetRun.fronts, frontEnd)
+		f.frontEnds = append(f.frontEnds, frontEnd)
 	}
-	zipf := rand.NewZipf(fleetRun.rng, 1.3, 2, uint64(functions-1))
-	fleetRun.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
+	zipf := rand.NewZipf(f.rng, 1.3, 2, uint64(functions-1))
+	f.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
 	rate := fleetLoad * requestsPerWorker * float64(workers-1)
-	for i, frontEnd := range fleetRun.fronts {
+	for i, frontEnd := range f.frontEnds {
 		frontEnd.trafficWeight /= all
-		fleetRun.after(time.Duration(i)*set.Resolution, func() { fleetRun.start(frontEnd, i) })
-		fleetRun.after(time.Second, func() { frontEnd.arrivals(rate) })
+		f.after(time.Duration(i)*set.Resolution, func() { f.start(frontEnd, i) })
+		f.after(time.Second, func() { frontEnd.arrivals(rate) })
 	}
-	return fleetRun
+	return f
 }
 
 // worstOverload is the largest count of sends to the cold worker in a window, beside what may be sent in that window.
@@ -218,7 +218,7 @@
 
 // functionsPlacedOnColdWorker returns functions that every front end would load at the cold worker first.
 func (f *fleet) functionsPlacedOnColdWorker(n int) (out []FunctionID) {
-	s := f.fronts[0].scheduler
+	s := f.frontEnds[0].scheduler
 	for id := FunctionID(1 << 20); len(out) < n; id++ {
 		if s.rendezvousOrder(&functionRecord{id: id}, 1)[0].ID == f.coldWorker {
 			out = append(out, id)
@@ -231,8 +231,8 @@
 // N + 2 sqrt N + 2 requests, N being what the settings allow the worker at that age.
 func TestFleet_ColdWorker_IsNotOverloaded(t *testing.T) {
 	for _, size := range []struct {
-		fronts, workers int
-		seeds           uint64
+		frontEnds, workers int
+		seeds              uint64
 	}{{30, 12, 5}, {300, 60, 1}} {
 		for _, test := range []struct {
 			name     string
@@ -244,30 +244,30 @@
 			{"started anew behind it", 0, 500 * ms},
 			{"a few new functions and started anew behind it", 4, 500 * ms},
 		} {
-			t.Run(fmt.Sprintf("%d front ends, %s", size.fronts, test.name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d front ends, %s", size.frontEnds, test.name), func(t *testing.T) {
 				for seed := range size.seeds {
-					fleetRun := newFleet(seed, size.fronts, size.workers, 400, testSettings())
-					fleetRun.advanceTo(fleetRun.now + 4*time.Second)
-					began := fleetRun.now
-					fleetRun.list[size.workers-1].State, fleetRun.list[size.workers-1].Started = Ready, began
-					for _, frontEnd := range fleetRun.fronts {
-						frontEnd.scheduler.WorkersChanged(fleetRun.now, fleetRun.list, true)
+					f := newFleet(seed, size.frontEnds, size.workers, 400, testSettings())
+					f.advanceTo(f.now + 4*time.Second)
+					began := f.now
+					f.list[size.workers-1].State, f.list[size.workers-1].Started = Ready, began
+					for _, frontEnd := range f.frontEnds {
+						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 					}
 					if test.few > 0 {
-						few := fleetRun.functionsPlacedOnColdWorker(test.few)
-						fleetRun.draw = func() FunctionID { return few[fleetRun.rng.IntN(len(few))] }
+						few := f.functionsPlacedOnColdWorker(test.few)
+						f.draw = func() FunctionID { return few[f.rng.IntN(len(few))] }
 					}
 					if test.restarts > 0 {
-						fleetRun.advanceTo(fleetRun.now + test.restarts)
-						for i, frontEnd := range fleetRun.fronts {
+						f.advanceTo(f.now + test.restarts)
+						for i, frontEnd := range f.frontEnds {
 							if i%10 < 7 {
-								fleetRun.start(frontEnd, i)
+								f.start(frontEnd, i)
 							}
 						}
 					}
-					fleetRun.advanceTo(began + 5*time.Second)
-					over, text := fleetRun.worstOverload(began)
-					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(fleetRun.sends), fleetRun.served)
+					f.advanceTo(began + 5*time.Second)
+					over, text := f.worstOverload(began)
+					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(f.sends), f.served)
 					if over > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
@@ -281,25 +281,25 @@
 // most of them are ejected at most front ends most of the time, and while half of them drain.
 func TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded(t *testing.T) {
 	const workers = 16
-	for _, fronts := range []int{1, 3, 6, 30} {
+	for _, frontEnds := range []int{1, 3, 6, 30} {
 		for _, half := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d front ends, half drain %t", fronts, half), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d front ends, half drain %t", frontEnds, half), func(t *testing.T) {
 				for seed := range uint64(5) {
-					fleetRun := newFleet(seed, fronts, workers, 200, testSettings())
-					fleetRun.advanceTo(fleetRun.now + 4*time.Second)
-					began := fleetRun.now
-					fleetRun.connectFailures = 0.4
-					fleetRun.list[workers-1].State, fleetRun.list[workers-1].Started = Ready, began
+					f := newFleet(seed, frontEnds, workers, 200, testSettings())
+					f.advanceTo(f.now + 4*time.Second)
+					began := f.now
+					f.connectFailures = 0.4
+					f.list[workers-1].State, f.list[workers-1].Started = Ready, began
 					for i := range workers / 2 {
 						if half {
-							fleetRun.list[i].State = Draining
+							f.list[i].State = Draining
 						}
 					}
-					for _, frontEnd := range fleetRun.fronts {
-						frontEnd.scheduler.WorkersChanged(fleetRun.now, fleetRun.list, true)
+					for _, frontEnd := range f.frontEnds {
+						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 					}
-					fleetRun.advanceTo(began + 8*time.Second)
-					if over, text := fleetRun.worstOverload(began); over > 0 {
+					f.advanceTo(began + 8*time.Second)
+					if over, text := f.worstOverload(began); over > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
 				}
@@ -308,26 +308,26 @@
 	}
 }
 
-// TestFleet_NewVersions_BringNoStormOfLoads: four in ten of the loaded replicas become stale at once, as their
+// TestFleet_NewVersions_CauseNoExcessLoads: four in ten of the loaded replicas become stale at once, as their
 // functions come in a new version. Each is loaded again where it is requested; hundreds of front ends that see
 // requests take longer there do not load it at other workers as well.
-func TestFleet_NewVersions_BringNoStormOfLoads(t *testing.T) {
-	for _, size := range []struct{ fronts, workers int }{{30, 12}, {300, 60}} {
-		t.Run(fmt.Sprint(size.fronts, " front ends"), func(t *testing.T) {
-			fleetRun := newFleet(1, size.fronts, size.workers, 200, testSettings())
-			fleetRun.advanceTo(fleetRun.now + 8*time.Second)
-			normalLoads := fleetRun.loads
-			fleetRun.advanceTo(fleetRun.now + 3*time.Second)
-			normalLoads = fleetRun.loads - normalLoads
-			stale, before := 0, fleetRun.loads
-			for key := range fleetRun.replicas {
+func TestFleet_NewVersions_CauseNoExcessLoads(t *testing.T) {
+	for _, size := range []struct{ frontEnds, workers int }{{30, 12}, {300, 60}} {
+		t.Run(fmt.Sprint(size.frontEnds, " front ends"), func(t *testing.T) {
+			f := newFleet(1, size.frontEnds, size.workers, 200, testSettings())
+			f.advanceTo(f.now + 8*time.Second)
+			normalLoads := f.loads
+			f.advanceTo(f.now + 3*time.Second)
+			normalLoads = f.loads - normalLoads
+			stale, before := 0, f.loads
+			for key := range f.replicas {
 				if key.function%10 < 4 {
-					delete(fleetRun.replicas, key)
+					delete(f.replicas, key)
 					stale++
 				}
 			}
-			fleetRun.advanceTo(fleetRun.now + 3*time.Second)
-			if got := fleetRun.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
+			f.advanceTo(f.now + 3*time.Second)
+			if got := f.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
 				t.Errorf("%d replicas stale; %d loads in the 3 s after it, %d in the 3 s before", stale, got, normalLoads)
 			}
 		})
--- a/scheduler/function_table.go
+++ b/scheduler/function_table.go
@@ -21,7 +21,7 @@
 	function := s.functions.byID[id]
 	if function == nil {
 		s.functions.added++
-		function = &functionRecord{id: id, class: class, sequence: s.functions.added, queriedAt: -never}
+		function = &functionRecord{id: id, class: class, sequence: s.functions.added, queriedAt: -infiniteDuration}
 		s.functions.byID[id] = function
 	}
 	s.activate(function)
@@ -60,7 +60,7 @@
 func (s *Scheduler) expireFunctions() {
 	s.functions.active = slices.DeleteFunc(s.functions.active, func(function *functionRecord) bool {
 		function.dropIdleReplicas(s.now - s.settings.ReplicaIdleTimeout)
-		s.finishHopeless(function)
+		s.finishUnservable(function)
 		if function.isReferenced() {
 			return false
 		}
--- a/scheduler/function_table_test.go
+++ b/scheduler/function_table_test.go
@@ -35,17 +35,17 @@
 }
 
 // answerOrders answers every load order: the replica is loaded.
-func (script *harness) answerOrders() {
-	for _, order := range script.orders {
-		script.scheduler.LoadEnded(script.now, LoadResult{Worker: order.worker, Function: order.function, Status: OK, Latency: 100 * ms, Replicas: 1})
+func (h *harness) answerOrders() {
+	for _, order := range h.orders {
+		h.scheduler.LoadEnded(h.now, LoadResult{Worker: order.worker, Function: order.function, Status: OK, Latency: 100 * ms, Replicas: 1})
 	}
-	script.orders = nil
+	h.orders = nil
 }
 
 // Requests for functions that come again and for others that come once: what is kept equals a scan, and nothing is kept
 // for long of what is requested no longer.
 func TestFunctionTable_RandomRequests_EqualsScan(t *testing.T) {
-	script := newHarness(t, testSettings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	rng := rand.New(rand.NewPCG(1, 7))
 	answered := map[RequestID]bool{}
 	for range 2000 {
@@ -53,63 +53,63 @@
 		if rng.IntN(4) == 0 {
 			id = FunctionID(1000 + rng.IntN(1_000_000))
 		}
-		script.request(id, rng.IntN(3))
-		script.answerQueries(WorkerID(1 + rng.IntN(6)))
-		script.answerOrders()
-		for _, request := range slices.Sorted(maps.Keys(script.sentTo)) {
+		h.request(id, rng.IntN(3))
+		h.answerQueries(WorkerID(1 + rng.IntN(6)))
+		h.answerOrders()
+		for _, request := range slices.Sorted(maps.Keys(h.sentTo)) {
 			if !answered[request] && rng.IntN(3) > 0 {
 				answered[request] = true
-				script.endAttempt(request, OK, WarmStart)
+				h.endAttempt(request, OK, WarmStart)
 			}
 		}
-		script.advance(time.Duration(rng.IntN(200)) * ms)
-		verifyFunctions(t, script.scheduler)
+		h.advance(time.Duration(rng.IntN(200)) * ms)
+		verifyFunctions(t, h.scheduler)
 	}
-	for _, request := range slices.Sorted(maps.Keys(script.sentTo)) {
+	for _, request := range slices.Sorted(maps.Keys(h.sentTo)) {
 		if !answered[request] {
-			script.endAttempt(request, OK, WarmStart)
+			h.endAttempt(request, OK, WarmStart)
 		}
 	}
-	for end := script.now + 2*functionIdleTime + script.scheduler.settings.ReplicaIdleTimeout; script.now < end; {
-		script.answerQueries() // of what still waited when the requests ended
-		script.answerOrders()
-		script.advance(time.Second)
+	for end := h.now + 2*functionIdleTime + h.scheduler.settings.ReplicaIdleTimeout; h.now < end; {
+		h.answerQueries() // of what still waited when the requests ended
+		h.answerOrders()
+		h.advance(time.Second)
 	}
-	verifyFunctions(t, script.scheduler)
-	if left := len(script.scheduler.functions.byID); left > 0 {
+	verifyFunctions(t, h.scheduler)
+	if left := len(h.scheduler.functions.byID); left > 0 {
 		t.Errorf("%d functions are known long after their last request", left)
 	}
 }
 
 // A function of which something is left is forgotten no sooner than functionIdleTime after its last request.
 func TestFunctionTable_Idle_IsForgottenAfterItsTime(t *testing.T) {
-	script := newHarness(t, testSettings(), 2)
-	s := script.scheduler
-	request, requestedAt := script.request(1, 0), script.now
-	script.answerQueries()
-	script.endAttempt(request, OK, WarmStart)
-	for s.functions.byID[1] != nil && script.now < requestedAt+2*functionIdleTime {
-		script.advance(tickInterval)
+	h := newHarness(t, testSettings(), 2)
+	s := h.scheduler
+	request, requestedAt := h.request(1, 0), h.now
+	h.answerQueries()
+	h.endAttempt(request, OK, WarmStart)
+	for s.functions.byID[1] != nil && h.now < requestedAt+2*functionIdleTime {
+		h.advance(tickInterval)
 	}
-	if kept := script.now - requestedAt; kept < functionIdleTime || kept > functionIdleTime+2*tickInterval {
+	if kept := h.now - requestedAt; kept < functionIdleTime || kept > functionIdleTime+2*tickInterval {
 		t.Errorf("kept for %v, want %v", kept, functionIdleTime)
 	}
 }
 
 // BenchmarkManyFunctions are the costs of one event where 12,000 functions were requested once within two minutes.
 func BenchmarkManyFunctions(b *testing.B) {
-	script := newHarness(&testing.T{}, testSettings(), 3000)
-	s := script.scheduler
+	h := newHarness(&testing.T{}, testSettings(), 3000)
+	s := h.scheduler
 	for i := range 12000 {
-		s.trackFunction(FunctionID(i), i%3).lastUsed = script.now
+		s.trackFunction(FunctionID(i), i%3).lastUsed = h.now
 	}
-	s.TimerFired(script.now, tickTimer) // they become idle
+	s.TimerFired(h.now, tickTimer) // they become idle
 	next := FunctionID(1_000_000)
 	for name, event := range map[string]func(){
 		"new function":   func() { next++; s.trackFunction(next, 0); s.expireFunctions() },
-		"tick":           func() { s.TimerFired(script.now, tickTimer) },
+		"tick":           func() { s.TimerFired(h.now, tickTimer) },
 		"response":       s.dispatchAll,
-		"worker changed": func() { s.forgetReplicas(s.endpoints.list[5]) },
+		"worker changed": func() { s.dropReplicasOn(s.endpoints.list[5]) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -24,37 +24,37 @@
 	nextID    RequestID
 }
 
-func (script *harness) note(format string, args ...any) {
-	script.actions = append(script.actions, fmt.Sprintf(format, args...))
+func (h *harness) note(format string, args ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(format, args...))
 }
 
-func (script *harness) Send(r RequestID, w WorkerID, _ time.Duration) {
-	script.sentTo[r] = append(script.sentTo[r], w)
-	script.note("send %d", r)
+func (h *harness) Send(r RequestID, w WorkerID, _ time.Duration) {
+	h.sentTo[r] = append(h.sentTo[r], w)
+	h.note("send %d", r)
 }
 
-func (script *harness) Reject(r RequestID, _ time.Duration, _ FinishCause) {
-	script.answers[r] = "rejected"
-	script.note("reject %d", r)
+func (h *harness) Reject(r RequestID, _ time.Duration, _ FinishCause) {
+	h.answers[r] = "rejected"
+	h.note("reject %d", r)
 }
 
-func (script *harness) Fail(r RequestID, _ FinishCause) {
-	script.answers[r] = "failed"
-	script.note("fail %d", r)
+func (h *harness) Fail(r RequestID, _ FinishCause) {
+	h.answers[r] = "failed"
+	h.note("fail %d", r)
 }
 
-func (script *harness) Cancel(r RequestID, _ int)      { script.note("cancel %d", r) }
-func (script *harness) Unload(WorkerID, FunctionID)    { script.note("unload") }
-func (script *harness) CheckHealth(w WorkerID)         { script.note("check health %d", w) }
-func (script *harness) SetTimer(time.Duration, uint64) {}
-func (script *harness) WatchEndpoints()                { script.note("watch") }
-func (script *harness) Log(string)                     {}
-func (script *harness) Load(w WorkerID, f FunctionID, replicas int) {
+func (h *harness) Cancel(r RequestID, _ int)      { h.note("cancel %d", r) }
+func (h *harness) Unload(WorkerID, FunctionID)    { h.note("unload") }
+func (h *harness) CheckHealth(w WorkerID)         { h.note("check health %d", w) }
+func (h *harness) SetTimer(time.Duration, uint64) {}
+func (h *harness) WatchEndpoints()                { h.note("watch") }
+func (h *harness) Log(string)                     {}
+func (h *harness) Load(w WorkerID, f FunctionID, replicas int) {
 	if replicas == 0 {
-		script.queries = append(script.queries, replicaKey{w, f})
+		h.queries = append(h.queries, replicaKey{w, f})
 	} else {
-		script.orders = append(script.orders, replicaKey{w, f})
-		script.note("load %d", w)
+		h.orders = append(h.orders, replicaKey{w, f})
+		h.note("load %d", w)
 	}
 }
 
@@ -73,103 +73,103 @@
 
 // newHarness starts a Scheduler and reports so many workers to it.
 func newHarness(t *testing.T, set Settings, workers int) *harness {
-	script := &harness{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, answers: map[RequestID]string{}}
-	script.scheduler = New(script.now, set, script)
+	h := &harness{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, answers: map[RequestID]string{}}
+	h.scheduler = New(h.now, set, h)
 	var list []WorkerInfo
 	for i := range workers {
 		list = append(list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready})
 	}
-	script.scheduler.WorkersChanged(script.now, list, true)
-	return script
+	h.scheduler.WorkersChanged(h.now, list, true)
+	return h
 }
 
-func (script *harness) changeWorker(info WorkerInfo) {
-	script.scheduler.WorkersChanged(script.now, []WorkerInfo{info}, false)
+func (h *harness) changeWorker(info WorkerInfo) {
+	h.scheduler.WorkersChanged(h.now, []WorkerInfo{info}, false)
 }
 
 // request reports a request for f and returns its identifier.
-func (script *harness) request(f FunctionID, class int) RequestID {
-	script.nextID++
-	script.scheduler.RequestReceived(script.now, Request{ID: script.nextID, Class: class, Function: f, Timeout: 3 * time.Second, ReplicaConcurrency: 2})
-	return script.nextID
+func (h *harness) request(f FunctionID, class int) RequestID {
+	h.nextID++
+	h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Class: class, Function: f, Timeout: 3 * time.Second, ReplicaConcurrency: 2})
+	return h.nextID
 }
 
 // advance lets time go by, with ticks.
-func (script *harness) advance(d time.Duration) {
-	for end := script.now + d; script.now < end; {
-		script.now = min(end, script.now+tickInterval)
-		script.scheduler.TimerFired(script.now, 0)
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(end, h.now+tickInterval)
+		h.scheduler.TimerFired(h.now, 0)
 	}
 }
 
 // answerQueries answers every residency query: the replicas at holders are loaded.
-func (script *harness) answerQueries(holders ...WorkerID) {
-	for len(script.queries) > 0 {
-		a := script.queries[0]
-		script.queries = script.queries[1:]
+func (h *harness) answerQueries(holders ...WorkerID) {
+	for len(h.queries) > 0 {
+		a := h.queries[0]
+		h.queries = h.queries[1:]
 		replicas := 0
 		if slices.Contains(holders, a.worker) {
 			replicas = 1
 		}
-		script.scheduler.LoadEnded(script.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms, Replicas: replicas})
+		h.scheduler.LoadEnded(h.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms, Replicas: replicas})
 	}
 }
 
 // workerOf is the worker of the latest attempt of r.
-func (script *harness) workerOf(r RequestID) WorkerID {
-	script.t.Helper()
-	if len(script.sentTo[r]) == 0 {
-		script.t.Fatalf("request %d was not sent; actions %v", r, script.actions)
+func (h *harness) workerOf(r RequestID) WorkerID {
+	h.t.Helper()
+	if len(h.sentTo[r]) == 0 {
+		h.t.Fatalf("request %d was not sent; actions %v", r, h.actions)
 	}
-	return script.sentTo[r][len(script.sentTo[r])-1]
+	return h.sentTo[r][len(h.sentTo[r])-1]
 }
 
 // inFlightFor is how long the latest attempt of r has been in flight.
-func (script *harness) inFlightFor(r RequestID) time.Duration {
-	if q := script.scheduler.requests[r]; q != nil {
-		return script.now - q.sentAt
+func (h *harness) inFlightFor(r RequestID) time.Duration {
+	if q := h.scheduler.requests[r]; q != nil {
+		return h.now - q.sentAt
 	}
 	return 0
 }
 
 // endAttempt ends the latest attempt of r now.
-func (script *harness) endAttempt(r RequestID, status Status, coldStart ColdStart) {
-	script.t.Helper()
-	w, n := script.workerOf(r), len(script.sentTo[r])
-	script.scheduler.AttemptEnded(script.now, Outcome{
-		Request: r, Attempt: n - 1, Worker: w, Status: status, Latency: script.inFlightFor(r),
+func (h *harness) endAttempt(r RequestID, status Status, coldStart ColdStart) {
+	h.t.Helper()
+	w, n := h.workerOf(r), len(h.sentTo[r])
+	h.scheduler.AttemptEnded(h.now, Outcome{
+		Request: r, Attempt: n - 1, Worker: w, Status: status, Latency: h.inFlightFor(r),
 		RequestClosed: status == OK, ColdStart: coldStart,
 	})
 }
 
 // avoidsWorker is whether a new request for f, with replicas found loaded at every worker, goes elsewhere than to w.
-func (script *harness) avoidsWorker(w WorkerID, f FunctionID) bool {
-	script.t.Helper()
-	r := script.request(f, 0)
-	script.answerQueries(1, 2, 3, 4)
-	return script.workerOf(r) != w
+func (h *harness) avoidsWorker(w WorkerID, f FunctionID) bool {
+	h.t.Helper()
+	r := h.request(f, 0)
+	h.answerQueries(1, 2, 3, 4)
+	return h.workerOf(r) != w
 }
 
 // warm makes one worker known to have f loaded, with a run of 100 ms, and returns it.
-func (script *harness) warm(f FunctionID) WorkerID {
-	script.t.Helper()
-	r := script.request(f, 0)
-	script.answerQueries()
-	script.answerQueries()
-	w := script.workerOf(r)
-	script.advance(600 * ms)
-	script.endAttempt(r, OK, ColdStartTriggered)
+func (h *harness) warm(f FunctionID) WorkerID {
+	h.t.Helper()
+	r := h.request(f, 0)
+	h.answerQueries()
+	h.answerQueries()
+	w := h.workerOf(r)
+	h.advance(600 * ms)
+	h.endAttempt(r, OK, ColdStartTriggered)
 	for range 4 {
-		r = script.request(f, 0)
-		script.advance(100 * ms)
-		script.endAttempt(r, OK, WarmStart)
+		r = h.request(f, 0)
+		h.advance(100 * ms)
+		h.endAttempt(r, OK, WarmStart)
 	}
 	return w
 }
 
 // count counts the actions noted that begin so.
-func (script *harness) count(action string) (n int) {
-	for _, a := range script.actions {
+func (h *harness) count(action string) (n int) {
+	for _, a := range h.actions {
 		if strings.HasPrefix(a, action) {
 			n++
 		}
@@ -178,24 +178,24 @@
 }
 
 // makePopular makes f a tenth of this front end's work, known to be loaded at one worker.
-func (script *harness) makePopular(f FunctionID) WorkerID {
-	script.t.Helper()
-	w := script.warm(f)
-	for script.scheduler.functions.byID[f].requestedRunTime.Value < float64(2*time.Second) {
-		r := script.request(f, 0)
-		script.advance(20 * ms)
-		script.endAttempt(r, OK, WarmStart)
+func (h *harness) makePopular(f FunctionID) WorkerID {
+	h.t.Helper()
+	w := h.warm(f)
+	for h.scheduler.functions.byID[f].requestedRunTime.Value < float64(2*time.Second) {
+		r := h.request(f, 0)
+		h.advance(20 * ms)
+		h.endAttempt(r, OK, WarmStart)
 	}
-	script.scheduler.demand.runTime.Add(script.now, demandMemory, 9*script.scheduler.demand.runTime.Read(script.now, demandMemory)) // of other functions
+	h.scheduler.demand.runTime.Add(h.now, demandMemory, 9*h.scheduler.demand.runTime.Read(h.now, demandMemory)) // of other functions
 	return w
 }
 
 // countColdRequests is how many requests at once may go to a cold worker, where 3000 were completed lately.
-func (script *harness) countColdRequests(id WorkerID) (n int) {
-	script.scheduler.demand.completions.Add(script.now, completionMemory, 3000)
-	worker, request := script.scheduler.endpoints.byID[id], &requestRecord{function: script.scheduler.trackFunction(7, 0)}
-	for script.scheduler.slowStartAllows(worker, request) {
-		worker.sendTimes = append(worker.sendTimes, script.now)
+func (h *harness) countColdRequests(id WorkerID) (n int) {
+	h.scheduler.demand.completions.Add(h.now, completionMemory, 3000)
+	worker, request := h.scheduler.endpoints.byID[id], &requestRecord{function: h.scheduler.trackFunction(7, 0)}
+	for h.scheduler.slowStartAllows(worker, request) {
+		worker.sendTimes = append(worker.sendTimes, h.now)
 		n++
 	}
 	return n
@@ -203,21 +203,21 @@
 
 // endAttemptWithQueueDepth ends the latest attempt of r as a worker does that held so many requests for the function
 // when it arrived.
-func (script *harness) endAttemptWithQueueDepth(r RequestID, status Status, queueDepth int) {
-	script.t.Helper()
-	script.scheduler.AttemptEnded(script.now, Outcome{
-		Request: r, Attempt: len(script.sentTo[r]) - 1, Worker: script.workerOf(r), Status: status,
-		Latency: script.inFlightFor(r), RequestClosed: status == OK, ColdStart: WarmStart, QueueDepth: queueDepth,
+func (h *harness) endAttemptWithQueueDepth(r RequestID, status Status, queueDepth int) {
+	h.t.Helper()
+	h.scheduler.AttemptEnded(h.now, Outcome{
+		Request: r, Attempt: len(h.sentTo[r]) - 1, Worker: h.workerOf(r), Status: status,
+		Latency: h.inFlightFor(r), RequestClosed: status == OK, ColdStart: WarmStart, QueueDepth: queueDepth,
 	})
 }
 
 // setQueueDelay sets the queue delay of a worker as if it had just been observed.
-func (script *harness) setQueueDelay(worker *workerRecord, delay time.Duration) {
-	script.scheduler.delay.set(worker, script.now, float64(delay))
+func (h *harness) setQueueDelay(worker *workerRecord, delay time.Duration) {
+	h.scheduler.delay.set(worker, h.now, float64(delay))
 }
 
 // clearQueueDelay sets the queue delay of a worker as if it had never been observed.
-func (script *harness) clearQueueDelay(worker *workerRecord) {
-	script.scheduler.delay.removeFromOrder(worker)
+func (h *harness) clearQueueDelay(worker *workerRecord) {
+	h.scheduler.delay.removeFromOrder(worker)
 	worker.queueDelay = workerDelay{}
 }
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -59,7 +59,7 @@
 
 // literalsAllowed are the declarations of files that hold no decision in which numbers other than 0, 1 and 2 stand:
 // sentinels and the arithmetic of hashes.
-var literalsAllowed = map[string]bool{"never": true, "UnknownStart": true, "rendezvousDraw": true}
+var literalsAllowed = map[string]bool{"infiniteDuration": true, "UnknownStart": true, "rendezvousDraw": true}
 
 // TestOtherFiles_HoldNoTunedValue holds that each file of the package that is not listed as policy is types and
 // bookkeeping: it has no number but 0, 1 and 2 and no unit of time.
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -11,7 +11,7 @@
 )
 
 // recordOutcome learns from the end of an attempt about the function, the replica and the worker.
-func (s *Scheduler) recordOutcome(request *requestRecord, replica *replicaBelief, outcome *Outcome) {
+func (s *Scheduler) recordOutcome(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	worker, function := replica.worker, request.function
 	health := &worker.healthByClass[function.class]
 	silent := health.lastResponseAt < request.sentAt
@@ -38,7 +38,7 @@
 		s.recordError(request, replica, outcome)
 	case NotSent:
 		if !outcome.ReachedWorker {
-			worker.forgetSend(request.sentAt)
+			worker.removeSend(request.sentAt)
 		}
 		if replica.loading && replica.inFlight == 0 { // what was to trigger its load was never sent
 			function.dropReplica(replica)
@@ -60,7 +60,7 @@
 
 // recordOverload takes an attempt that was rejected as overloaded, for want of memory or of an execution
 // slot.
-func (s *Scheduler) recordOverload(request *requestRecord, replica *replicaBelief, outcome *Outcome) {
+func (s *Scheduler) recordOverload(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	worker, function := replica.worker, request.function
 	hasSlot := s.settings.ReportsQueueDepth && outcome.QueueDepth < function.concurrency
 	if request.triggeredLoad || hasSlot { // no replica is loaded, and there is no memory for one
@@ -75,7 +75,7 @@
 
 // recordError takes an error response. It counts against the worker only where the function ran somewhere
 // before: else it may be the function's own fault, as with one that does not exist.
-func (s *Scheduler) recordError(request *requestRecord, replica *replicaBelief, outcome *Outcome) {
+func (s *Scheduler) recordError(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	function := request.function
 	if request.triggeredLoad { // guards against a load that is awaited for ever and counts against all others
 		function.dropReplica(replica)
@@ -88,8 +88,8 @@
 	}
 }
 
-// recordLoadOrder takes the result of a load order.
-func (s *Scheduler) recordLoadOrder(replica *replicaBelief, result LoadResult) {
+// recordLoadResult takes the result of a load order.
+func (s *Scheduler) recordLoadResult(replica *replicaRecord, result LoadResult) {
 	worker, function := replica.worker, replica.function
 	replica.loadOrdered, replica.loading, replica.lastUsed = false, false, s.now
 	if result.Status != OK {
@@ -106,7 +106,7 @@
 // connectionLost takes the connection or the process of a worker for gone: a dead process holds no replica.
 // It guards against a death that the endpoint list reports late.
 func (s *Scheduler) connectionLost(worker *workerRecord) {
-	s.forgetReplicas(worker)
+	s.dropReplicasOn(worker)
 	for class := range worker.healthByClass {
 		s.eject(worker, class, minEjectionTime, lostConnection)
 	}
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	ejectionThreshold     = 0.3                    // share of recent attempts failed that ejects a worker
-	failureWeight         = 0.2                    // of one more attempt in that share
-	probationRelief       = 0.6                    // of that share that is left by a success while ejected
-	ejectedFailureShare   = 0.5                    // of that share after an ejection, at least
-	minEjectionTime       = 500 * time.Millisecond // until a worker is tried, doubled by each failure
-	maxEjectionTime       = 16 * time.Second
-	minSilentEjectionTime = 6 * time.Second        // the same for a silent one: each try costs a late request
-	responseTimeoutFloor  = 300 * time.Millisecond // silence that is never held against a worker
-	responseTimeoutRuns   = 3                      // silence beyond it, in runs of the waiting request
-	stallTicks            = 3                      // ticks late that tell of a stall of this front end
+	ejectionThreshold      = 0.3                    // share of recent attempts failed that ejects a worker
+	failureWeight          = 0.2                    // of one more attempt in that share
+	probationSuccessFactor = 0.6                    // of that share that is left by a success while ejected
+	minEjectedFailureShare = 0.5                    // of that share after an ejection, at least
+	minEjectionTime        = 500 * time.Millisecond // until a worker is tried, doubled by each failure
+	maxEjectionTime        = 16 * time.Second
+	minSilentEjectionTime  = 6 * time.Second        // the same for a silent one: each try costs a late request
+	responseTimeoutFloor   = 300 * time.Millisecond // silence that is never held against a worker
+	responseTimeoutRuns    = 3                      // silence beyond it, in runs of the waiting request
+	stallTicks             = 3                      // ticks late that tell of a stall of this front end
 )
 
 // recordHealth counts an attempt for or against a worker, by class: a worker may fail one class and serve
@@ -33,7 +33,7 @@
 	}
 	health.failureShare *= 1 - failureWeight
 	if health.ejected {
-		health.failureShare *= probationRelief
+		health.failureShare *= probationSuccessFactor
 		health.ejectedUntil = s.now
 		if health.failureShare < ejectionThreshold {
 			health.ejected, health.backoff = false, 0
@@ -55,7 +55,7 @@
 	}
 	health.backoff = min(maxEjectionTime, max(minTime, 2*health.backoff))
 	health.ejected, health.ejectedUntil = true, s.now+health.backoff
-	health.failureShare = max(health.failureShare, ejectedFailureShare)
+	health.failureShare = max(health.failureShare, minEjectedFailureShare)
 	s.recount(worker)
 }
 
@@ -63,8 +63,8 @@
 // one at a time.
 func (s *Scheduler) isUsable(worker *workerRecord, class int) bool {
 	health := &worker.healthByClass[class]
-	onTrial := s.now >= health.ejectedUntil && len(worker.inFlight) == 0
-	return worker.State == Ready && (!health.ejected || onTrial)
+	mayProbe := s.now >= health.ejectedUntil && len(worker.inFlight) == 0
+	return worker.State == Ready && (!health.ejected || mayProbe)
 }
 
 // responseTimeout is how long an attempt may stay unanswered before that counts against its worker.
--- a/scheduler/outlier_ejection_test.go
+++ b/scheduler/outlier_ejection_test.go
@@ -6,137 +6,137 @@
 )
 
 func TestOutlierEjection_SilentWorker_IsEjectedAndSafeRequestsCancelled(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	w := script.warm(7)
-	r, unsafe := script.request(7, 0), script.request(7, 2)
-	if script.workerOf(r) != w {
+	h := newHarness(t, testSettings(), 4)
+	w := h.warm(7)
+	r, unsafe := h.request(7, 0), h.request(7, 2)
+	if h.workerOf(r) != w {
 		t.Fatal("not sent to the warm worker")
 	}
-	script.advance(2900 * ms)
-	if script.count(fmt.Sprintf("cancel %d", r)) == 0 {
+	h.advance(2900 * ms)
+	if h.count(fmt.Sprintf("cancel %d", r)) == 0 {
 		t.Error("an idempotent request was left with a worker that does not respond")
 	}
-	if script.count(fmt.Sprintf("cancel %d", unsafe)) != 0 {
+	if h.count(fmt.Sprintf("cancel %d", unsafe)) != 0 {
 		t.Error("a non-idempotent request was cancelled, though it may not be sent again")
 	}
-	if !script.avoidsWorker(w, 7) {
+	if !h.avoidsWorker(w, 7) {
 		t.Error("a new request went to the silent worker")
 	}
 }
 
-func TestOutlierEjection_FailingWorker_IsPassedOver(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	w := script.warm(7)
+func TestOutlierEjection_FailingWorker_IsAvoided(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	w := h.warm(7)
 	for range 3 {
-		r := script.request(7, 2)
-		if len(script.sentTo[r]) == 0 || script.workerOf(r) != w {
+		r := h.request(7, 2)
+		if len(h.sentTo[r]) == 0 || h.workerOf(r) != w {
 			break
 		}
-		script.endAttempt(r, Error, ColdStartUnknown)
+		h.endAttempt(r, Error, ColdStartUnknown)
 	}
-	if !script.avoidsWorker(w, 7) {
+	if !h.avoidsWorker(w, 7) {
 		t.Error("a worker that failed its last requests is still the first choice")
 	}
 }
 
 func TestOutlierEjection_TimeoutAtAnsweringWorker_DoesNotEject(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	w := script.warm(7)
+	h := newHarness(t, testSettings(), 4)
+	w := h.warm(7)
 	for range 6 {
-		slow, quick := script.request(7, 0), script.request(7, 0)
-		script.now += 100 * ms
-		script.endAttempt(quick, OK, WarmStart)
-		script.endAttempt(slow, Timeout, ColdStartUnknown)
-		script.now += 100 * ms
-		script.answerQueries(w)
-		for r := slow; r <= script.nextID; r++ {
-			if script.answers[r] == "" && script.scheduler.requests[r] != nil && script.scheduler.requests[r].replica != nil {
-				script.endAttempt(r, OK, WarmStart)
+		slow, quick := h.request(7, 0), h.request(7, 0)
+		h.now += 100 * ms
+		h.endAttempt(quick, OK, WarmStart)
+		h.endAttempt(slow, Timeout, ColdStartUnknown)
+		h.now += 100 * ms
+		h.answerQueries(w)
+		for r := slow; r <= h.nextID; r++ {
+			if h.answers[r] == "" && h.scheduler.requests[r] != nil && h.scheduler.requests[r].replica != nil {
+				h.endAttempt(r, OK, WarmStart)
 			}
 		}
 	}
-	if script.scheduler.endpoints.byID[w].healthByClass[0].ejected {
+	if h.scheduler.endpoints.byID[w].healthByClass[0].ejected {
 		t.Error("a worker that answers was ejected through requests of impatient clients")
 	}
 }
 
-func TestOutlierEjection_ImpatientClients_SayNothingOfWorker(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	worker := script.scheduler.endpoints.byID[script.warm(7)]
-	script.setQueueDelay(worker, 400*ms)
+func TestOutlierEjection_ShortClientTimeouts_DoNotEjectWorker(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	h.setQueueDelay(worker, 400*ms)
 	for range 6 {
-		script.nextID++
-		script.scheduler.RequestReceived(script.now, Request{ID: script.nextID, Class: 2, Function: 7, Timeout: 700 * ms, ReplicaConcurrency: 2})
-		script.answerQueries(worker.ID)
-		script.now += 100 * ms
-		script.endAttempt(script.nextID, Timeout, ColdStartUnknown)
+		h.nextID++
+		h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Class: 2, Function: 7, Timeout: 700 * ms, ReplicaConcurrency: 2})
+		h.answerQueries(worker.ID)
+		h.now += 100 * ms
+		h.endAttempt(h.nextID, Timeout, ColdStartUnknown)
 	}
-	if worker.healthByClass[0].ejected || script.scheduler.queueDelay(worker) < 280*ms {
-		t.Errorf("ejected %v, queue delay of 400 ms counts as %v after requests given up within 100 ms", worker.healthByClass[0].ejected, script.scheduler.queueDelay(worker))
+	if worker.healthByClass[0].ejected || h.scheduler.queueDelay(worker) < 280*ms {
+		t.Errorf("ejected %v, queue delay of 400 ms counts as %v after requests given up within 100 ms", worker.healthByClass[0].ejected, h.scheduler.queueDelay(worker))
 	}
 }
 
 func TestOutlierEjection_ConnectFailed_IsTriedAfterEjectionTime(t *testing.T) {
-	script := newHarness(t, testSettings(), 2)
-	w := script.warm(7)
-	script.endAttempt(script.request(7, 0), ConnectFailed, ColdStartUnknown)
-	if script.avoidsWorker(w, 8); !script.scheduler.endpoints.byID[w].healthByClass[0].ejected || script.scheduler.isUsable(script.scheduler.endpoints.byID[w], 0) {
+	h := newHarness(t, testSettings(), 2)
+	w := h.warm(7)
+	h.endAttempt(h.request(7, 0), ConnectFailed, ColdStartUnknown)
+	if h.avoidsWorker(w, 8); !h.scheduler.endpoints.byID[w].healthByClass[0].ejected || h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
 		t.Error("a worker that refused the connection is still sent requests")
 	}
-	script.advance(minEjectionTime + tickInterval)
-	if !script.scheduler.isUsable(script.scheduler.endpoints.byID[w], 0) {
+	h.advance(minEjectionTime + tickInterval)
+	if !h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
 		t.Error("a worker that refused the connection is not tried again after its ejection time")
 	}
 }
 
 func TestOutlierEjection_OneClassUnanswered_EjectsForThatClass(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	worker := script.scheduler.endpoints.byID[script.warm(7)]
-	unanswered := script.request(7, 0)
+	h := newHarness(t, testSettings(), 4)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	unanswered := h.request(7, 0)
 	for range 4 { // the other class is answered all the while
-		r := script.request(8, 2)
-		script.answerQueries(worker.ID)
-		script.advance(500 * ms)
-		if worker.healthByClass[2].ejected || !script.scheduler.isUsable(worker, 2) {
+		r := h.request(8, 2)
+		h.answerQueries(worker.ID)
+		h.advance(500 * ms)
+		if worker.healthByClass[2].ejected || !h.scheduler.isUsable(worker, 2) {
 			t.Fatal("a worker is ejected for a class that it serves because of another")
 		}
-		script.endAttempt(r, OK, WarmStart)
+		h.endAttempt(r, OK, WarmStart)
 	}
-	if !worker.healthByClass[0].ejected || script.scheduler.isUsable(worker, 0) || worker.healthByClass[2].ejected || !script.scheduler.isUsable(worker, 2) {
+	if !worker.healthByClass[0].ejected || h.scheduler.isUsable(worker, 0) || worker.healthByClass[2].ejected || !h.scheduler.isUsable(worker, 2) {
 		t.Errorf("ejected for the class without responses %v, for the one that it serves %v; want true and false",
 			worker.healthByClass[0].ejected, worker.healthByClass[2].ejected)
 	}
-	if script.count("cancel") == 0 {
-		t.Errorf("request %d, which may run twice, was not cancelled: %v", unanswered, script.actions)
+	if h.count("cancel") == 0 {
+		t.Errorf("request %d, which may run twice, was not cancelled: %v", unanswered, h.actions)
 	}
 }
 
-func TestOutlierEjection_OwnStall_IsNotTakenForSilence(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	worker := script.scheduler.endpoints.byID[script.warm(7)]
-	r := script.request(7, 0)
-	script.now += 2500 * ms // stalled; then the tick comes first, and the answer with it
-	script.scheduler.TimerFired(script.now, 0)
-	if worker.healthByClass[0].ejected || script.count("cancel") > 0 {
+func TestOutlierEjection_FrontEndStall_DoesNotEjectWorker(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	r := h.request(7, 0)
+	h.now += 2500 * ms // stalled; then the tick comes first, and the answer with it
+	h.scheduler.TimerFired(h.now, 0)
+	if worker.healthByClass[0].ejected || h.count("cancel") > 0 {
 		t.Error("a worker is ejected because this front end stalled")
 	}
-	script.scheduler.AttemptEnded(script.now, Outcome{Request: r, Worker: worker.ID, Status: OK, Latency: 100 * ms, RequestClosed: true, ColdStart: WarmStart})
-	if run := script.scheduler.expectedRunTime(script.scheduler.functions.byID[7]); run > 110*ms {
+	h.scheduler.AttemptEnded(h.now, Outcome{Request: r, Worker: worker.ID, Status: OK, Latency: 100 * ms, RequestClosed: true, ColdStart: WarmStart})
+	if run := h.scheduler.expectedRunTime(h.scheduler.functions.byID[7]); run > 110*ms {
 		t.Errorf("a response reported to have taken 100 ms counts as %v, as it was handled late", run)
 	}
-	script.request(7, 0)
-	script.advance(2900 * ms)
+	h.request(7, 0)
+	h.advance(2900 * ms)
 	if !worker.healthByClass[0].ejected {
 		t.Error("a worker that stays silent after the stall is not ejected")
 	}
 }
 
 func TestOutlierEjection_QueryConnectFailed_ForgetsReplicas(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	w := script.warm(7)
-	script.request(8, 0)
-	script.scheduler.LoadEnded(script.now, LoadResult{Worker: w, Function: 8, Status: ConnectFailed})
-	if script.scheduler.functions.byID[7].replicaOn(script.scheduler.endpoints.byID[w]) != nil || script.scheduler.isUsable(script.scheduler.endpoints.byID[w], 0) {
+	h := newHarness(t, testSettings(), 4)
+	w := h.warm(7)
+	h.request(8, 0)
+	h.scheduler.LoadEnded(h.now, LoadResult{Worker: w, Function: 8, Status: ConnectFailed})
+	if h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[w]) != nil || h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
 		t.Error("a worker that refuses the connection of a query is still believed to hold its replicas")
 	}
 }
--- a/scheduler/queue_delay.go
+++ b/scheduler/queue_delay.go
@@ -11,9 +11,9 @@
 	maxDelayMemory          = 10 * time.Second       // and at most, where workers are seldom contacted
 	delayMemoryContacts     = 15                     // contacts of a worker, between the two
 	contactedDivisor        = 2                      // one in so many contacted workers has less delay
-	contactedLatest         = 16                     // workers contacted last that count for it
+	contactedSampleLimit    = 16                     // workers contacted last that count for it
 	contactedMinSamples     = 4                      // of them that it takes to tell
-	contactsPerWorker       = 2                      // observations that are kept
+	maxContactsPerWorker    = 2                      // observations that are kept
 	unloadedDivisor         = 4                      // one in so many workers runs faster
 	unloadedMinSamples      = 3                      // responses of a worker that it takes to count
 	unloadedRefreshInterval = 500 * time.Millisecond // for which it stands
--- a/scheduler/rendezvous.go
+++ b/scheduler/rendezvous.go
@@ -76,7 +76,7 @@
 func (s *Scheduler) rankedBelow(function *functionRecord, limit float64) (entries []rankEntry) {
 	for i, worker := range s.endpoints.ranking {
 		draw := rendezvousDraw(function.id, worker.id)
-		if leastRank(draw, worker.capacity) >= limit {
+		if rankLowerBound(draw, worker.capacity) >= limit {
 			continue
 		}
 		if rank := rendezvousRank(draw, worker.capacity); rank < limit {
@@ -103,8 +103,8 @@
 	return min(-math.Log1p(-draw)/capacity, math.MaxFloat64)
 }
 
-// leastRank is not above rendezvousRank, and costs no logarithm: -ln(1-x) >= x.
-func leastRank(draw, capacity float64) float64 { return min(draw/capacity, math.MaxFloat64) }
+// rankLowerBound is not above rendezvousRank, and costs no logarithm: -ln(1-x) >= x.
+func rankLowerBound(draw, capacity float64) float64 { return min(draw/capacity, math.MaxFloat64) }
 
 // rankWorkers takes a change of the workers or their capacities.
 func (s *Scheduler) rankWorkers() {
--- a/scheduler/replicas.go
+++ b/scheduler/replicas.go
@@ -21,8 +21,8 @@
 	singleRequest = 1
 )
 
-// anyIdle lets pickColdWorker take workers however lately they were contacted.
-const anyIdle time.Duration = 0
+// noMinIdle lets pickColdWorker take workers however lately they were contacted.
+const noMinIdle time.Duration = 0
 
 // backlogScope says whose requests the time to drain a function's queue includes.
 type backlogScope int
@@ -41,7 +41,7 @@
 	concurrency        int           // requests that one replica executes at a time
 	advertisedLoadTime time.Duration // usual load time, 0 if not advertised
 	queue              []*requestRecord
-	replicas           []*replicaBelief
+	replicas           []*replicaRecord
 	runTime            estimate.MovingAverage // nanoseconds
 	loadTime           estimate.MovingAverage // nanoseconds
 	rendezvous         workerOrder            // in the order that all front ends share
@@ -53,8 +53,8 @@
 	requestedRunTime   estimate.Decayed       // nanoseconds, requested of this front end
 }
 
-// replicaBelief is the belief that a worker holds a function loaded, or is loading it for us.
-type replicaBelief struct {
+// replicaRecord is the belief that a worker holds a function loaded, or is loading it for us.
+type replicaRecord struct {
 	worker             *workerRecord
 	function           *functionRecord
 	inFlight           int
@@ -74,8 +74,8 @@
 	function FunctionID
 }
 
-// forgetReplicas drops every belief about what a worker holds.
-func (s *Scheduler) forgetReplicas(worker *workerRecord) {
+// dropReplicasOn drops every belief about what a worker holds.
+func (s *Scheduler) dropReplicasOn(worker *workerRecord) {
 	for _, function := range s.functions.active {
 		if replica := function.replicaOn(worker); replica != nil {
 			function.dropReplica(replica)
@@ -97,7 +97,7 @@
 
 // hasUsableReplica is whether some believed replica is at a worker that may be sent requests now.
 func (s *Scheduler) hasUsableReplica(function *functionRecord) bool {
-	return slices.ContainsFunc(function.replicas, func(replica *replicaBelief) bool {
+	return slices.ContainsFunc(function.replicas, func(replica *replicaRecord) bool {
 		return s.isUsable(replica.worker, function.class)
 	})
 }
@@ -105,7 +105,7 @@
 // hasReplicaFor is whether some believed replica may be sent the request once it has headroom.
 func (s *Scheduler) hasReplicaFor(request *requestRecord) bool {
 	function := request.function
-	return slices.ContainsFunc(function.replicas, func(replica *replicaBelief) bool {
+	return slices.ContainsFunc(function.replicas, func(replica *replicaRecord) bool {
 		return s.isUsable(replica.worker, function.class) && s.mayExecuteOn(request, replica.worker)
 	})
 }
@@ -120,12 +120,12 @@
 	function.pendingQueries = max(0, function.pendingQueries-1)
 	if loaded > 0 && function.replicaOn(worker) == nil && worker.State == Ready {
 		s.activate(function)
-		function.replicas = append(function.replicas, &replicaBelief{worker: worker, function: function, lastUsed: s.now})
+		function.replicas = append(function.replicas, &replicaRecord{worker: worker, function: function, lastUsed: s.now})
 	}
 }
 
 // replicaOn returns the replica believed to be at a worker, nil if none is.
-func (f *functionRecord) replicaOn(worker *workerRecord) *replicaBelief {
+func (f *functionRecord) replicaOn(worker *workerRecord) *replicaRecord {
 	for _, replica := range f.replicas {
 		if replica.worker == worker {
 			return replica
@@ -134,20 +134,20 @@
 	return nil
 }
 
-func (f *functionRecord) dropReplica(replica *replicaBelief) {
+func (f *functionRecord) dropReplica(replica *replicaRecord) {
 	f.replicas = without(f.replicas, replica)
 }
 
 // dropIdleReplicas drops the beliefs in replicas that were last used at a time or before: they may be unloaded by now.
 func (f *functionRecord) dropIdleReplicas(lastUsed time.Duration) {
-	f.replicas = slices.DeleteFunc(f.replicas, func(replica *replicaBelief) bool {
+	f.replicas = slices.DeleteFunc(f.replicas, func(replica *replicaRecord) bool {
 		return replica.inFlight == 0 && !replica.loading && replica.lastUsed <= lastUsed
 	})
 }
 
 // hasLoadingReplica is whether a replica is loading that queued requests may wait for.
 func (f *functionRecord) hasLoadingReplica() bool {
-	return slices.ContainsFunc(f.replicas, func(replica *replicaBelief) bool {
+	return slices.ContainsFunc(f.replicas, func(replica *replicaRecord) bool {
 		return replica.loading && !replica.prewarmed
 	})
 }
@@ -168,8 +168,8 @@
 // newLoadingReplica returns the belief in a replica whose load starts now.
 func newLoadingReplica(
 	function *functionRecord, worker *workerRecord, concurrency int, now time.Duration,
-) *replicaBelief {
-	return &replicaBelief{
+) *replicaRecord {
+	return &replicaRecord{
 		worker:             worker,
 		function:           function,
 		loading:            true,
@@ -180,7 +180,7 @@
 }
 
 // capacity is how many requests of ours the replica may hold.
-func (r *replicaBelief) capacity() int {
+func (r *replicaRecord) capacity() int {
 	if r.loading {
 		return r.loadingConcurrency
 	}
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -12,7 +12,7 @@
 	deadline        time.Duration // when its client gives up
 	objectiveAt     time.Duration // until when its response is in time
 	attempts        int
-	replica         *replicaBelief // where its attempt is in flight; nil while queued
+	replica         *replicaRecord // where its attempt is in flight; nil while queued
 	sentAt          time.Duration
 	queuedBehindOwn bool // sent while our own requests used the replica's whole concurrency
 	triggeredLoad   bool // sent to a replica that was not known to be loaded
@@ -58,7 +58,7 @@
 }
 
 // sendAttempt sends a queued request to the worker of a replica.
-func (s *Scheduler) sendAttempt(request *requestRecord, replica *replicaBelief) {
+func (s *Scheduler) sendAttempt(request *requestRecord, replica *replicaRecord) {
 	function, worker := request.function, replica.worker
 	function.queue = without(function.queue, request)
 	request.replica, request.sentAt = replica, s.now
@@ -87,7 +87,7 @@
 }
 
 // detach ends the attempt in flight and returns the replica that it was sent to.
-func (r *requestRecord) detach() *replicaBelief {
+func (r *requestRecord) detach() *replicaRecord {
 	replica := r.replica
 	replica.worker.inFlight = without(replica.worker.inFlight, r)
 	replica.inFlight--
--- a/scheduler/residency_test.go
+++ b/scheduler/residency_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-func TestReplicaBelief_Evidence_EndsIt(t *testing.T) {
+func TestReplicaRecord_ContraryEvidence_RemovesRecord(t *testing.T) {
 	tests := map[string]func(*harness, WorkerID){
-		"idle timeout": func(script *harness, _ WorkerID) { script.advance(10*time.Second + tickInterval) },
-		"process restarted": func(script *harness, w WorkerID) {
-			script.changeWorker(WorkerInfo{ID: w, Cell: int(w+1) % 2, Started: script.now - time.Second, State: Ready})
+		"idle timeout": func(h *harness, _ WorkerID) { h.advance(10*time.Second + tickInterval) },
+		"process restarted": func(h *harness, w WorkerID) {
+			h.changeWorker(WorkerInfo{ID: w, Cell: int(w+1) % 2, Started: h.now - time.Second, State: Ready})
 		},
-		"not loaded": func(script *harness, _ WorkerID) {
-			r := script.request(7, 0)
-			script.endAttempt(r, NotLoaded, ColdStartUnknown)
+		"not loaded": func(h *harness, _ WorkerID) {
+			r := h.request(7, 0)
+			h.endAttempt(r, NotLoaded, ColdStartUnknown)
 		},
-		"connection lost": func(script *harness, _ WorkerID) {
-			r := script.request(7, 0)
-			script.endAttempt(r, Reset, ColdStartUnknown)
+		"connection lost": func(h *harness, _ WorkerID) {
+			r := h.request(7, 0)
+			h.endAttempt(r, Reset, ColdStartUnknown)
 		},
 	}
 	for name, end := range tests {
 		t.Run(name, func(t *testing.T) {
-			script := newHarness(t, testSettings(), 4)
-			w := script.warm(7)
-			end(script, w)
-			if script.scheduler.functions.byID[7].replicaOn(script.scheduler.endpoints.byID[w]) != nil {
+			h := newHarness(t, testSettings(), 4)
+			w := h.warm(7)
+			end(h, w)
+			if h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[w]) != nil {
 				t.Error("the replica is still believed to be loaded")
 			}
 		})
@@ -33,69 +33,69 @@
 }
 
 func TestResidencyQuery_ReplicaElsewhere_IsUsed(t *testing.T) {
-	script := newHarness(t, testSettings(), 8)
-	r := script.request(7, 0)
-	if len(script.queries) != residencyQueryFanout || len(script.sentTo[r]) != 0 {
-		t.Fatalf("%d workers queried before a load, want %d; sent %v", len(script.queries), residencyQueryFanout, script.sentTo[r])
+	h := newHarness(t, testSettings(), 8)
+	r := h.request(7, 0)
+	if len(h.queries) != residencyQueryFanout || len(h.sentTo[r]) != 0 {
+		t.Fatalf("%d workers queried before a load, want %d; sent %v", len(h.queries), residencyQueryFanout, h.sentTo[r])
 	}
-	holder := script.queries[1].worker
-	script.answerQueries(holder)
-	if script.workerOf(r) != holder {
-		t.Errorf("sent to %d, the replica is loaded at %d", script.workerOf(r), holder)
+	holder := h.queries[1].worker
+	h.answerQueries(holder)
+	if h.workerOf(r) != holder {
+		t.Errorf("sent to %d, the replica is loaded at %d", h.workerOf(r), holder)
 	}
 }
 
 func TestResidencyQuery_Unanswered_KeepsRequests(t *testing.T) {
-	script := newHarness(t, testSettings(), 8)
+	h := newHarness(t, testSettings(), 8)
 	var ids []RequestID
 	for range 6 {
-		ids = append(ids, script.request(7, 0)) // the answers to the queries are still on their way
+		ids = append(ids, h.request(7, 0)) // the answers to the queries are still on their way
 	}
-	script.advance(tickInterval)
+	h.advance(tickInterval)
 	for _, r := range ids {
-		if script.answers[r] != "" {
-			t.Fatalf("request %d was %s before it was known whether a replica is loaded", r, script.answers[r])
+		if h.answers[r] != "" {
+			t.Fatalf("request %d was %s before it was known whether a replica is loaded", r, h.answers[r])
 		}
 	}
 }
 
 func TestResidencyQuery_QueueDelayAtWarmReplica_PrecedesLoad(t *testing.T) {
-	script := newHarness(t, testSettings(), 4)
-	w := script.warm(7)
-	script.advance(2 * time.Second)
-	script.setQueueDelay(script.scheduler.endpoints.byID[w], 5*time.Second)
+	h := newHarness(t, testSettings(), 4)
+	w := h.warm(7)
+	h.advance(2 * time.Second)
+	h.setQueueDelay(h.scheduler.endpoints.byID[w], 5*time.Second)
 	other := w%4 + 1
-	r := script.request(7, 0)
-	if len(script.sentTo[r]) != 0 {
-		t.Fatalf("sent to worker %d before it was known whether a replica is loaded elsewhere", script.workerOf(r))
+	r := h.request(7, 0)
+	if len(h.sentTo[r]) != 0 {
+		t.Fatalf("sent to worker %d before it was known whether a replica is loaded elsewhere", h.workerOf(r))
 	}
-	for _, a := range script.queries {
+	for _, a := range h.queries {
 		if a.worker == w {
 			t.Error("the worker whose replica is known is queried")
 		}
 	}
-	script.answerQueries(other)
-	if script.workerOf(r) != other || script.scheduler.functions.byID[7].replicaOn(script.scheduler.endpoints.byID[other]).loading {
-		t.Errorf("sent to worker %d, loading; a replica is loaded at %d", script.workerOf(r), other)
+	h.answerQueries(other)
+	if h.workerOf(r) != other || h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[other]).loading {
+		t.Errorf("sent to worker %d, loading; a replica is loaded at %d", h.workerOf(r), other)
 	}
 }
 
 func TestResidencyQuery_OldQueryUnanswered_QueriesAgain(t *testing.T) {
-	script := newHarness(t, testSettings(), 8)
-	script.request(7, 0)
-	unanswered := script.queries[0].worker
-	script.queries = script.queries[1:]
-	script.answerQueries()
-	script.advance(2 * freshnessWindow) // a load began without the last answer
-	function := script.scheduler.functions.byID[7]
+	h := newHarness(t, testSettings(), 8)
+	h.request(7, 0)
+	unanswered := h.queries[0].worker
+	h.queries = h.queries[1:]
+	h.answerQueries()
+	h.advance(2 * freshnessWindow) // a load began without the last answer
+	function := h.scheduler.functions.byID[7]
 	function.replicas = nil
-	script.request(7, 0)
-	if len(script.queries) != residencyQueryFanout-1 || len(function.replicas) > 0 {
+	h.request(7, 0)
+	if len(h.queries) != residencyQueryFanout-1 || len(function.replicas) > 0 {
 		t.Errorf("%d workers are queried and %d loads begun while an answer from long ago is still awaited",
-			len(script.queries), len(function.replicas))
+			len(h.queries), len(function.replicas))
 	}
-	script.scheduler.LoadEnded(script.now, LoadResult{Worker: unanswered, Function: 7, Status: Timeout})
-	script.answerQueries()
+	h.scheduler.LoadEnded(h.now, LoadResult{Worker: unanswered, Function: 7, Status: Timeout})
+	h.answerQueries()
 	if function.pendingQueries != 0 {
 		t.Errorf("%d answers awaited after all have come", function.pendingQueries)
 	}
@@ -104,36 +104,36 @@
 // TestResidencyQuery_LoadsTooSlow_KeepsRequest holds that a request is not rejected as too late for a load while
 // a query may yet find a loaded replica.
 func TestResidencyQuery_LoadsTooSlow_KeepsRequest(t *testing.T) {
-	script := newHarness(t, testSettings(), 8)
+	h := newHarness(t, testSettings(), 8)
 	for range 3 {
-		script.warm(7)
+		h.warm(7)
 	}
-	script.scheduler.latency.loadTime.Add(float64(5*time.Second), averageWindow) // loads take longer than any request may
-	script.scheduler.breaker.lastLoadAt = script.now
-	r := script.request(8, 0)
-	if len(script.sentTo[r]) > 0 || !script.scheduler.awaitsResidency(script.scheduler.functions.byID[8]) {
-		t.Fatalf("no worker was queried; actions %v", script.actions)
+	h.scheduler.latency.loadTime.Add(float64(5*time.Second), averageWindow) // loads take longer than any request may
+	h.scheduler.breaker.lastLoadAt = h.now
+	r := h.request(8, 0)
+	if len(h.sentTo[r]) > 0 || !h.scheduler.awaitsResidency(h.scheduler.functions.byID[8]) {
+		t.Fatalf("no worker was queried; actions %v", h.actions)
 	}
-	script.advance(tickInterval)
-	if script.scheduler.requests[r] == nil {
-		t.Errorf("rejected while queries are pending; actions %v", script.actions)
+	h.advance(tickInterval)
+	if h.scheduler.requests[r] == nil {
+		t.Errorf("rejected while queries are pending; actions %v", h.actions)
 	}
 }
 
 func TestResidencyQuery_ManyWorkers_QueriesFirstInOrder(t *testing.T) {
 	for _, workers := range []int{3, 60} {
-		script := newHarness(t, testSettings(), workers)
-		r := script.request(7, 0)
-		if n := len(script.queries); n != min(workers, residencyQueryFanout) {
+		h := newHarness(t, testSettings(), workers)
+		r := h.request(7, 0)
+		if n := len(h.queries); n != min(workers, residencyQueryFanout) {
 			t.Errorf("%d of %d workers queried, want %d", n, workers, min(workers, residencyQueryFanout))
 		}
-		for range script.queries {
-			a := script.queries[0]
-			script.queries = script.queries[1:]
-			script.scheduler.LoadEnded(script.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms})
+		for range h.queries {
+			a := h.queries[0]
+			h.queries = h.queries[1:]
+			h.scheduler.LoadEnded(h.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms})
 		}
-		if first := script.scheduler.rendezvousOrder(script.scheduler.functions.byID[7], 1)[0].ID; len(script.queries) != 0 || script.workerOf(r) != first {
-			t.Errorf("of %d workers %d more were queried, the request went to worker %d, not %d", workers, len(script.queries), script.workerOf(r), first)
+		if first := h.scheduler.rendezvousOrder(h.scheduler.functions.byID[7], 1)[0].ID; len(h.queries) != 0 || h.workerOf(r) != first {
+			t.Errorf("of %d workers %d more were queried, the request went to worker %d, not %d", workers, len(h.queries), h.workerOf(r), first)
 		}
 	}
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -53,7 +53,7 @@
 // rejectOrFail gives a queued request its final answer: a rejection, which the client may retry, where a
 // repeat does no harm, else a failure.
 func (s *Scheduler) rejectOrFail(request *requestRecord, cause FinishCause) {
-	if s.mayPromiseRetry(request) {
+	if s.isSafeToReject(request) {
 		s.actions.Reject(request.ID, s.settings.MaxRetryAfter, cause)
 	} else {
 		s.actions.Fail(request.ID, cause)
@@ -61,10 +61,10 @@
 	s.closeRequest(request)
 }
 
-// mayPromiseRetry is whether another try by the client does no harm, whenever it comes and wherever it goes:
+// isSafeToReject is whether another try by the client does no harm, whenever it comes and wherever it goes:
 // nothing was executed, or a repeat is harmless, or all workers drop it. These must still know its key when
 // the client, who waits as long as it was told, has its try sent at the last moment.
-func (s *Scheduler) mayPromiseRetry(request *requestRecord) bool {
+func (s *Scheduler) isSafeToReject(request *requestRecord) bool {
 	class := request.class
 	if !request.mayHaveExecuted || class.Idempotency == Idempotent {
 		return true
@@ -72,8 +72,8 @@
 	if class.Idempotency == NonIdempotent || class.KeyScope != ScopeAll {
 		return false
 	}
-	lastSend := s.now + s.settings.MaxRetryAfter + class.Timeout
-	return lastSend < request.firstSentAt+class.KeyRetention
+	latestRetrySend := s.now + s.settings.MaxRetryAfter + class.Timeout
+	return latestRetrySend < request.firstSentAt+class.KeyRetention
 }
 
 // ClientDisconnected takes the news that a client left: no answer is owed, and an attempt in flight is
--- a/scheduler/scale_out.go
+++ b/scheduler/scale_out.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	idleProbeAfter  = 60 * time.Second // without contact until a worker is probed: 12 times the source's 5 s
-	evictionMemory  = 10 * time.Second // memory of what loads evicted
-	maxEvictionCost = 3.0              // loads that one load may cost others, at most
-	noisePart       = 5                // a queue delay of this part of a run is noise
-	notSlowerWaits  = 2                // requests that wait for a load at a worker that is not slower
-	leastRunPart    = 4                // of the expected run, that a run without its delay takes at least
+	idleProbeAfter           = 60 * time.Second // without contact until a worker is probed: 12 times the source's 5 s
+	evictionMemory           = 10 * time.Second // memory of what loads evicted
+	maxEvictionCost          = 3.0              // loads that one load may cost others, at most
+	noiseDivisor             = 5                // a queue delay of this part of a run is noise
+	normalLoadingConcurrency = 2                // requests that wait for a load at a worker that is not slower
+	minRunDivisor            = 4                // of the expected run, that a run without its delay takes at least
 )
 
 // considerScaleOut is the comparison of the design: queued requests go to a cold worker only where the warm
@@ -22,11 +22,11 @@
 	request := function.queue[0]
 	if !s.hasUsableReplica(function) {
 		if !s.queryResidency(function) {
-			s.startLoad(function, request, s.pickColdWorker(function, request, anyIdle), function.concurrency)
+			s.startLoad(function, request, s.pickColdWorker(function, request, noMinIdle), function.concurrency)
 		}
 		return
 	}
-	if worker := s.pickColdWorker(function, request, anyIdle); worker != nil {
+	if worker := s.pickColdWorker(function, request, noMinIdle); worker != nil {
 		pending, run := len(function.queue)+function.inFlight(), s.serviceTime(function)
 		coldRun := s.queueDelay(worker) + run
 		usualRun := s.delay.median + run
@@ -46,7 +46,7 @@
 		return
 	}
 	for _, request := range slices.Clone(function.queue) { // no load helps, however long the queue delay
-		if replica := s.pickWarmReplica(request, never); replica != nil {
+		if replica := s.pickWarmReplica(request, infiniteDuration); replica != nil {
 			s.sendAttempt(request, replica)
 		}
 	}
@@ -71,7 +71,7 @@
 			continue
 		}
 		delay := time.Duration(backlog) * s.queueDelay(worker)
-		runHere := max(run/leastRunPart, replica.runTime.Duration(run)-delay) // its mean contains the delay
+		runHere := max(run/minRunDivisor, replica.runTime.Duration(run)-delay) // its mean contains the delay
 		concurrency := min(float64(function.concurrency), worker.concurrencyLimit)
 		server := estimate.Server{Rate: concurrency / float64(runHere), From: float64(delay)}
 		if replica.loading {
@@ -79,7 +79,7 @@
 		}
 		servers = append(servers, server)
 	}
-	return estimate.DrainTime(servers, float64(max(1, requests)), never)
+	return estimate.DrainTime(servers, float64(max(1, requests)), infiniteDuration)
 }
 
 // startLoad starts a load of a function on a cold worker, by a load order or by sending the request there.
@@ -91,8 +91,8 @@
 	if worker == nil || !s.breaker.allows(s.now) {
 		return
 	}
-	if concurrency == byQueueDelay && s.queueDelay(worker) <= s.unloadedRunTime(function.class)/noisePart {
-		concurrency = notSlowerWaits
+	if concurrency == byQueueDelay && s.queueDelay(worker) <= s.unloadedRunTime(function.class)/noiseDivisor {
+		concurrency = normalLoadingConcurrency
 	}
 	replica := newLoadingReplica(function, worker, max(singleRequest, concurrency), s.now)
 	if s.settings.AnswersNotLoaded || request == nil {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -5,7 +5,7 @@
 // This file keeps what a Scheduler remembers as a whole; it decides nothing.
 
 // never is a delay without end, short enough to be added to a time.
-const never time.Duration = 1e15
+const infiniteDuration time.Duration = 1e15
 
 // The tokens of timers.
 const (
@@ -70,14 +70,14 @@
 	d.lastTickAt = now
 }
 
-// isOver is whether no stall was seen lately. While one was, a silence of workers may be our own.
-func (d *stallDetector) isOver(now time.Duration) bool {
+// hasRecovered is whether no stall was seen lately. While one was, a silence of workers may be our own.
+func (d *stallDetector) hasRecovered(now time.Duration) bool {
 	return now-d.resumedAt > stallTicks*tickInterval
 }
 
 // isLagging is whether a stall was seen lately: this front end has less processor time than it wants.
 func (d *stallDetector) isLagging(now time.Duration) bool {
-	return d.resumedAt > 0 && !d.isOver(now)
+	return d.resumedAt > 0 && !d.hasRecovered(now)
 }
 
 // dropBefore returns the times, which ascend, that are not before from.
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -35,8 +35,8 @@
 	capacity := perWorker * s.relativeCapacity(worker) * window
 	requested := function.requestedRunTime.RatePerSecond(s.now, demandMemory, uptime)
 	demand := requested / float64(s.expectedRunTime(function)) * window
-	reach := max(capacity, min(1/slowStartSkew, capacity/min(1, demand)))
-	budget := slowStartSafety * s.settings.OverloadFactor * fraction * reach
+	allowance := max(capacity, min(1/slowStartSkew, capacity/min(1, demand)))
+	budget := slowStartSafety * s.settings.OverloadFactor * fraction * allowance
 	budget = max(budget, slowStartMinRequests/float64(max(1, s.settings.FrontEndCount)))
 	windowNumber := uint64(age / s.settings.OverloadWindow)
 	draw := estimate.Mix(estimate.Mix(s.settings.Seed, uint64(worker.ID)), windowNumber)
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -8,21 +8,21 @@
 	"havencart/internal/estimate"
 )
 
-func TestSlowStart_JustStartedWorker_GetsFewRequestsOfAllFrontEnds(t *testing.T) {
+func TestSlowStart_JustStartedWorker_LimitsRequestsOfAllFrontEnds(t *testing.T) {
 	for frontEnds, most := range map[int]int{1: 4 * 400, 4: 400, 400: 400 / 3} {
 		sent := 0
 		for seed := range uint64(400) { // each is one of as many front ends
 			set := testSettings()
 			set.Seed, set.FrontEndCount = seed, frontEnds
-			script := newHarness(t, set, 1)
-			script.changeWorker(WorkerInfo{ID: 1, Started: script.now, State: Ready})
+			h := newHarness(t, set, 1)
+			h.changeWorker(WorkerInfo{ID: 1, Started: h.now, State: Ready})
 			for f := range FunctionID(6) {
-				script.request(f, 0)
-				script.answerQueries()
-				script.answerQueries()
+				h.request(f, 0)
+				h.answerQueries()
+				h.answerQueries()
 			}
-			script.advance(time.Second)
-			sent += script.count("send")
+			h.advance(time.Second)
+			sent += h.count("send")
 		}
 		if sent == 0 || sent > most {
 			t.Errorf("%d requests of 400 front ends to a worker that has just started, each configured for %d; want some, %d at most",
@@ -35,13 +35,13 @@
 	countRequests := func(scale float64) int {
 		set := testSettings()
 		set.ScaleIsCapacity, set.FrontEndCount = true, 1
-		script := newHarness(t, set, 0)
-		list := []WorkerInfo{{ID: 1, Scale: scale, Started: script.now, State: Ready}}
+		h := newHarness(t, set, 0)
+		list := []WorkerInfo{{ID: 1, Scale: scale, Started: h.now, State: Ready}}
 		for i := range 4 {
 			list = append(list, WorkerInfo{ID: WorkerID(i + 2), Scale: 1, Started: UnknownStart, State: Ready})
 		}
-		script.scheduler.WorkersChanged(script.now, list, true)
-		return script.countColdRequests(1)
+		h.scheduler.WorkersChanged(h.now, list, true)
+		return h.countColdRequests(1)
 	}
 	if small, large := countRequests(0.5), countRequests(2); float64(large) < 2.5*float64(small) {
 		t.Errorf("a cold worker gets %d requests at half the size and %d at twice the size", small, large)
@@ -57,17 +57,17 @@
 	sent, windows := 0, 40
 	for i := range frontEnds {
 		set.Seed = uint64(i)
-		script := newHarness(t, set, workers)
-		script.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: script.now, State: Ready})
-		script.now += set.SlowStartDuration / 2
-		worker, request := script.scheduler.endpoints.byID[1], &requestRecord{function: script.scheduler.trackFunction(7, 0)}
+		h := newHarness(t, set, workers)
+		h.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: h.now, State: Ready})
+		h.now += set.SlowStartDuration / 2
+		worker, request := h.scheduler.endpoints.byID[1], &requestRecord{function: h.scheduler.trackFunction(7, 0)}
 		for n := range windows {
-			script.now += set.OverloadWindow
-			script.scheduler.now, worker.Started = script.now, script.now-set.SlowStartDuration/2-time.Duration(n)
-			script.scheduler.demand.completions = estimate.Decayed{Value: each * workers / frontEnds * completionMemory.Seconds(), ReadAt: script.now}
+			h.now += set.OverloadWindow
+			h.scheduler.now, worker.Started = h.now, h.now-set.SlowStartDuration/2-time.Duration(n)
+			h.scheduler.demand.completions = estimate.Decayed{Value: each * workers / frontEnds * completionMemory.Seconds(), ReadAt: h.now}
 			draw := estimate.Mix(uint64(i), uint64(n)+1000)
-			if estimate.UnitInterval(draw) < wanted*each*set.OverloadWindow.Seconds()/frontEnds && script.scheduler.slowStartAllows(worker, request) {
-				worker.sendTimes = append(worker.sendTimes, script.now)
+			if estimate.UnitInterval(draw) < wanted*each*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
+				worker.sendTimes = append(worker.sendTimes, h.now)
 				sent++
 			}
 		}
@@ -84,11 +84,11 @@
 	countRequests := func(others int) int {
 		set := testSettings()
 		set.FrontEndCount = 1
-		script := newHarness(t, set, 4)
+		h := newHarness(t, set, 4)
 		for i := range others + 1 {
-			script.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: script.now, State: Ready})
+			h.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: h.now, State: Ready})
 		}
-		return script.countColdRequests(10)
+		return h.countColdRequests(10)
 	}
 	if alone, among := countRequests(0), countRequests(8); float64(among) < 0.6*float64(alone) {
 		t.Errorf("a cold worker gets %d requests among eight others that are cold, %d alone", among, alone)
@@ -99,33 +99,33 @@
 // are removed: what they completed lately is not what the others can take.
 func TestSlowStart_ServingWorkersLeave_BudgetDoesNotGrow(t *testing.T) {
 	const cold, others = 10, 8
-	leave := map[string]func(script *harness, worker *workerRecord){
+	leave := map[string]func(h *harness, worker *workerRecord){
 		"stay":    func(*harness, *workerRecord) {},
-		"ejected": func(script *harness, worker *workerRecord) { script.scheduler.connectionLost(worker) },
-		"draining": func(script *harness, worker *workerRecord) {
-			script.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Draining})
+		"ejected": func(h *harness, worker *workerRecord) { h.scheduler.connectionLost(worker) },
+		"draining": func(h *harness, worker *workerRecord) {
+			h.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Draining})
 		},
-		"removed": func(script *harness, worker *workerRecord) {
-			script.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Removed})
+		"removed": func(h *harness, worker *workerRecord) {
+			h.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Removed})
 		},
-		"long gone": func(script *harness, worker *workerRecord) {
+		"long gone": func(h *harness, worker *workerRecord) {
 			worker.healthByClass[0].lastResponseAt = 0
-			script.scheduler.connectionLost(worker)
+			h.scheduler.connectionLost(worker)
 		},
 	}
 	sent := map[string]int{}
 	for name, leaves := range leave {
 		set := testSettings()
 		set.FrontEndCount = 1
-		script := newHarness(t, set, others)
-		script.changeWorker(WorkerInfo{ID: cold, Scale: 1, Started: script.now, State: Ready})
-		s := script.scheduler
+		h := newHarness(t, set, others)
+		h.changeWorker(WorkerInfo{ID: cold, Scale: 1, Started: h.now, State: Ready})
+		s := h.scheduler
 		s.demand.completions = estimate.Decayed{Value: 20 * completionMemory.Seconds(), ReadAt: s.now}
 		for id := range WorkerID(others) {
 			worker := s.endpoints.byID[id+1]
 			worker.healthByClass[0].lastResponseAt = s.now
 			if id > 0 {
-				leaves(script, worker)
+				leaves(h, worker)
 			}
 		}
 		worker, request := s.endpoints.byID[cold], &requestRecord{function: s.trackFunction(7, 0)}
@@ -147,8 +147,8 @@
 // What was never sent takes nothing from the budget of a worker in slow start.
 func TestSlowStart_AttemptNotSent_LeavesBudget(t *testing.T) {
 	worker := &workerRecord{sendTimes: []time.Duration{time.Second, 2 * time.Second, 2 * time.Second}}
-	worker.forgetSend(2 * time.Second)
-	worker.forgetSend(time.Minute)
+	worker.removeSend(2 * time.Second)
+	worker.removeSend(time.Minute)
 	if want := []time.Duration{time.Second, 2 * time.Second}; !slices.Equal(worker.sendTimes, want) {
 		t.Errorf("sent at %v, want %v", worker.sendTimes, want)
 	}
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -30,7 +30,7 @@
 	s.actions.SetTimer(tickInterval, tickTimer)
 	s.stall.tick(now)
 	s.updateCounts()
-	if s.stall.isOver(now) {
+	if s.stall.hasRecovered(now) {
 		for _, worker := range s.busyWorkers() {
 			s.ejectIfSilent(worker)
 		}
