--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -8,11 +8,13 @@
 )
 
 const (
-	delayBudgetFraction = 0.25            // of the slack of a request, that its queue delay may take
-	loadEvidenceWindow  = 3 * time.Second // for which the last load tells how long another would take
+	// delayBudgetFraction is the fraction of a request's slack that its queue delay may use.
+	delayBudgetFraction = 0.25
+	// loadEvidenceWindow is how long the most recent load is evidence of the duration of the next one.
+	loadEvidenceWindow = 3 * time.Second
 )
 
-// RequestReceived takes on a request: it is sent, queued, or rejected before the call returns.
+// RequestReceived accepts a request and sends, queues or rejects it before returning.
 func (s *Scheduler) RequestReceived(now time.Duration, received Request) {
 	s.now = now
 	request := s.addRequest(received)
@@ -27,14 +29,15 @@
 	}
 }
 
-// shouldShed is randomized admission: it reports whether to reject a request on arrival. While requests wait
-// at the workers contacted last, as many are admitted as the most urgent class can wait behind, the more of a
-// class the higher its priority weight for its work, unless a replica with a short queue delay is known. A
-// queue delay below an unloaded run counts as none: runs differ by as much. It guards against an overload of
-// all workers, where each request admitted makes others late. It would harm where only the workers in use are
-// slow.
+// shouldShed implements randomized admission: it reports whether to reject a request on arrival. When
+// requests wait at the workers contacted most recently, it admits as many requests as can wait without making
+// the most urgent class in use miss its objective. Classes with more priority weight per unit of work are
+// admitted more often, and a request is always admitted if a replica with a short, recently observed queue
+// delay is available. A queue delay shorter than an unloaded run is ignored, because run times vary by as
+// much. Shedding guards against an overload of all workers, in which each admitted request delays others. It
+// does harm if only the workers in use are slow.
 func (s *Scheduler) shouldShed(request *requestRecord) bool {
-	valueDensity := 1.0 // priority weight for work, relative to what else is requested
+	valueDensity := 1.0 // priority weight per unit of work, relative to recent demand
 	if weight := s.demand.priorityWeight.Value; weight > 0 {
 		work := float64(s.cappedServiceTime(request))
 		valueDensity = request.class.PriorityWeight / work * s.demand.cappedServiceTime.Value / weight
@@ -49,8 +52,8 @@
 	return replica == nil || s.now-replica.worker.queueDelay.observedAt > s.delay.memory
 }
 
-// queueDelayBudget is how long requests of the most urgent class in use can wait and still meet their
-// objective.
+// queueDelayBudget returns how long requests of the most urgent class in use can wait and still meet their
+// latency objective.
 func (s *Scheduler) queueDelayBudget() time.Duration {
 	least := infiniteDuration
 	for i, class := range s.settings.Classes {
@@ -61,13 +64,13 @@
 	return least
 }
 
-// finishUnservable answers at once the queued requests that cannot be served in time any more.
+// finishUnservable immediately rejects or fails the queued requests that can no longer be served in time.
 func (s *Scheduler) finishUnservable(function *functionRecord) {
 	inFlight := function.inFlight()
 	for i, request := range slices.Clone(function.queue) {
 		ownDelay := s.timeToDrain(function, i+inFlight, ownBacklog)
 		totalDelay := s.timeToDrain(function, i+inFlight, allBacklogs)
-		if ownDelay == infiniteDuration { // no replica can be used: a load is the way
+		if ownDelay == infiniteDuration { // no usable replica: the function must be loaded first
 			ownDelay = 0
 			if s.now-s.breaker.lastLoadAt < loadEvidenceWindow {
 				ownDelay = s.expectedLoadTime(function)
@@ -85,16 +88,16 @@
 	}
 }
 
-// missesDeadline is whether a request that starts after delay cannot be answered before its client gives up.
+// missesDeadline reports whether a request that starts after delay would end after its client gives up.
 func (s *Scheduler) missesDeadline(request *requestRecord, delay time.Duration) bool {
 	run := max(tickInterval, s.expectedRunTime(request.function))
 	return s.now+delay+run+2*s.settings.Resolution >= request.deadline
 }
 
-// shouldGiveUp is whether a queued request is over quota, or would be past its objective after delay,
-// and finds no headroom. It guards against spending an overload on work of little value. It acts when no
-// replica is loading or queried for, and not by a guessed run time: before a run of the class was seen, a
-// burst at the start would be rejected that a fast worker soon works off.
+// shouldGiveUp reports whether a queued request finds no headroom although it is over quota or would miss its
+// latency objective after delay. It guards against spending scarce capacity on work of little value. It
+// returns false while a replica is loading or being queried for, and before a run of the class was observed:
+// a guessed run time would reject an initial burst that a fast worker soon completes.
 func (s *Scheduler) shouldGiveUp(request *requestRecord, delay time.Duration) bool {
 	function := request.function
 	if !request.overQuota {
--- a/scheduler/cold_worker.go
+++ b/scheduler/cold_worker.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// placementSearch is how many workers are looked at for one that may load a function.
+// placementSearch is the maximum number of workers examined when choosing one to load a function.
 const placementSearch = 256
 
-// pickColdWorker picks the worker that loads a function: the first in placement order whose queue delay is
-// not above the median (one without reports looks idle); an ejected one only when no other is left. All front
-// ends rank the workers of a function alike, so that without communication they load it in the same places.
+// pickColdWorker picks the worker that loads a function: the first in placement order whose queue delay is at
+// most the median. A worker without observations counts as having the median delay. An ejected worker is used
+// only if no healthy one is left. All front ends rank the workers of a function alike, so that they load it
+// at the same workers without communicating.
 func (s *Scheduler) pickColdWorker(
 	function *functionRecord, request *requestRecord, minIdle time.Duration,
 ) *workerRecord {
-	if minIdle > noMinIdle && s.now < s.endpoints.noIdleWorkerUntil {
+	if minIdle > anyIdle && s.now < s.endpoints.noIdleWorkerUntil {
 		return nil
 	}
 	var best *workerRecord
@@ -31,17 +32,17 @@
 			best, leastDelay = worker, delay
 		}
 		if best != nil && leastDelay == s.delay.median {
-			return best // none has less
+			return best // no other candidate has a lower delay
 		}
 	}
-	if best == nil && minIdle > noMinIdle {
+	if best == nil && minIdle > anyIdle {
 		s.endpoints.noIdleWorkerUntil = max(s.now+freshnessWindow, s.oldestContact()+minIdle)
 	}
 	return best
 }
 
-// coldCandidates are the workers that may load a function, in placement order. A request that is bound to a
-// small cell has few, which need not be searched for among all.
+// coldCandidates returns the workers that may load a function, in placement order. For a request bound to a
+// small cell it returns only the members of that cell, which avoids a search of all workers.
 func (s *Scheduler) coldCandidates(function *functionRecord, request *requestRecord) iter.Seq[*workerRecord] {
 	if request.boundToKeyScope() && request.class.KeyScope == ScopeCell {
 		members := s.cellMembers(request.firstWorker.Cell)
@@ -52,7 +53,7 @@
 	return s.placementOrder(function)
 }
 
-// mayLoad is whether a worker may load a function for a request now.
+// mayLoad reports whether a worker may load a function for a request now.
 func (s *Scheduler) mayLoad(function *functionRecord, request *requestRecord, worker *workerRecord) bool {
 	if !s.acceptsLoads(worker) || function.replicaOn(worker) != nil || !s.mayExecuteOn(request, worker) {
 		return false
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// headroomByRank is the part of a worker's limit that requests of each queue rank may fill.
+// headroomByRank is the fraction of a worker's concurrency limit that requests of each queue rank may fill.
 var headroomByRank = [...]float64{inTime: 1, pastObjective: 0.5, overQuota: 0.35}
 
-const crossZoneCost = 0.5 // of a worker in another zone, in requests in flight
+// crossZoneCost is the cost of sending to a worker in another zone, expressed in requests in flight.
+const crossZoneCost = 0.5
 
-// comparePriority orders functions by the priority weight of their class: headroom that comes free goes to
-// the highest that is queued, and among equals to the function that was requested first.
+// comparePriority orders functions by the priority weight of their class, highest first, and within equal
+// weights by when they were first requested. Freed headroom is offered to queued functions in this order.
 func (s *Scheduler) comparePriority(a, b *functionRecord) int {
 	classes := s.settings.Classes
 	byWeight := cmp.Compare(classes[b.class].PriorityWeight, classes[a.class].PriorityWeight)
 	return cmp.Or(byWeight, cmp.Compare(a.sequence, b.sequence))
 }
 
-// dispatch sends queued requests of a function to its warm replicas as far as these have headroom, and
-// decides whether to scale out for the rest.
+// dispatch sends queued requests of a function to its warm replicas while these have headroom, and then
+// decides whether to scale out for the remaining requests.
 func (s *Scheduler) dispatch(function *functionRecord) {
 	if len(function.queue) == 0 {
 		return
@@ -36,7 +37,7 @@
 		} else if !request.mayHaveExecuted {
 			break
 		} else if request.boundToKeyScope() && !s.hasReplicaFor(request) {
-			s.startLoad(function, request, s.pickColdWorker(function, request, noMinIdle), singleRequest)
+			s.startLoad(function, request, s.pickColdWorker(function, request, anyIdle), singleRequest)
 		}
 	}
 	if len(function.queue) > 0 {
@@ -44,8 +45,8 @@
 	}
 }
 
-// queueRank orders queued requests: in quota and in time first, then late, then beyond the quota of their
-// tenant.
+// queueRank returns the rank of a queued request: requests within quota and in time come first, then those
+// past their latency objective, then those over their tenant's quota.
 func (s *Scheduler) queueRank(request *requestRecord) queueRank {
 	switch {
 	case request.overQuota:
@@ -56,10 +57,11 @@
 	return inTime
 }
 
-// pickWarmReplica picks the replica with the fewest requests in flight, ties rotated, among those with
-// headroom. It returns nil where the queue delay exceeds maxDelay, or what is left until the latency
-// objective (until the timeout, for a late request). That guards against work for nobody: when clients are
-// impatient and their retries fill the queues, a late response takes the place of one in time.
+// pickWarmReplica picks the replica with the lowest cost in requests in flight, queue delay and zone
+// crossing, rotating among ties, from those with headroom. It skips replicas whose queue delay exceeds
+// maxDelay or the time left until the latency objective (until the timeout, for a late request), and returns
+// nil if none remains. The limit guards against work whose result nobody awaits: when clients time out
+// quickly and their retries fill the queues, late responses would displace responses in time.
 func (s *Scheduler) pickWarmReplica(request *requestRecord, maxDelay time.Duration) *replicaRecord {
 	function := request.function
 	var best *replicaRecord
@@ -86,7 +88,7 @@
 	return best
 }
 
-// accepts is whether a replica may be sent a request now.
+// accepts reports whether a replica may be sent a request now.
 func (s *Scheduler) accepts(replica *replicaRecord, request *requestRecord, maxDelay time.Duration) bool {
 	worker, class := replica.worker, request.function.class
 	if replica.loadOrdered || replica.inFlight >= replica.capacity() || s.queueDelay(worker) > maxDelay {
@@ -101,8 +103,8 @@
 	return s.hasHeadroom(worker, request)
 }
 
-// hasHeadroom is whether a worker may be sent one more request. Lower queue ranks find less headroom: where
-// workers are short, requests still in time, of tenants within their quota, come first over all functions.
+// hasHeadroom reports whether a worker may be sent one more request. Lower queue ranks get less headroom, so
+// that when workers are scarce, requests in time and within quota are preferred across all functions.
 func (s *Scheduler) hasHeadroom(worker *workerRecord, request *requestRecord) bool {
 	limit := max(1, worker.concurrencyLimit*headroomByRank[s.queueRank(request)])
 	return float64(len(worker.inFlight)) < limit && s.slowStartAllows(worker, request)
--- a/scheduler/load_rate.go
+++ b/scheduler/load_rate.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// allows keeps the load rate limit: load orders within the window stay within the burst plus a share of the
-// requests received. It counts the order that it allows.
+// allows reports whether the load rate limit permits another load order, and records the order if it does.
+// Orders within the window are limited to a burst plus a fraction of the requests received in the window.
 func (l *loadRateLimiter) allows(now time.Duration, settings *Settings) bool {
 	if settings.LoadRateWindow <= 0 {
 		return true
 	}
 	windowStart := now - settings.LoadRateWindow
-	margin := max(tickInterval, settings.Resolution) // whoever judges may see its ends elsewhere
+	margin := max(tickInterval, settings.Resolution) // an observer may see the window's edges shifted
 	l.orderTimes = dropBefore(l.orderTimes, windowStart-margin)
 	l.requestTimes = dropBefore(l.requestTimes, windowStart+margin)
 	allowed := settings.LoadRateBurst + settings.LoadRatePerRequest*float64(len(l.requestTimes))
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -3,14 +3,16 @@
 import "time"
 
 const (
-	averageWindow     = 20                     // samples that a moving average remembers
-	defaultRunTime    = 150 * time.Millisecond // before any response, and at most
-	defaultRunDivisor = 4                      // this part of the latency objective
-	defaultLoadTime   = time.Second            // before any load was seen
-	minRunTime        = time.Millisecond       // guards every rate against a run of no time
+	averageWindow = 20 // number of samples that a moving average spans
+	// defaultRunTime is the upper bound of the run time assumed before any response was received.
+	defaultRunTime = 150 * time.Millisecond
+	// defaultRunDivisor divides the latency objective to give the other upper bound.
+	defaultRunDivisor = 4
+	defaultLoadTime   = time.Second      // assumed before any load was observed
+	minRunTime        = time.Millisecond // keeps rates finite when a run takes no measurable time
 )
 
-// recordOutcome learns from the end of an attempt about the function, the replica and the worker.
+// recordOutcome updates the state of the function, the replica and the worker after an attempt has ended.
 func (s *Scheduler) recordOutcome(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	worker, function := replica.worker, request.function
 	health := &worker.healthByClass[function.class]
@@ -40,10 +42,10 @@
 		if !outcome.ReachedWorker {
 			worker.removeSend(request.sentAt)
 		}
-		if replica.loading && replica.inFlight == 0 { // what was to trigger its load was never sent
+		if replica.loading && replica.inFlight == 0 { // the request that triggers the load was not sent
 			function.dropReplica(replica)
 		}
-	case Timeout, Cancelled: // a cancelled attempt tells of a delay as well
+	case Timeout, Cancelled: // a cancelled attempt is evidence of a delay too
 		if replica.loading {
 			function.dropReplica(replica)
 		}
@@ -52,32 +54,33 @@
 		}
 		if silent && outcome.Latency > s.responseTimeout(request) {
 			s.eject(worker, function.class, minSilentEjectionTime, noResponse)
-		} else if outcome.Latency > s.queueDelay(worker) { // else its client was impatient
+		} else if outcome.Latency > s.queueDelay(worker) { // otherwise the timeout was too short to tell
 			s.recordQueueDelay(worker, function.class, outcome.Latency)
 		}
 	}
 }
 
-// recordOverload takes an attempt that was rejected as overloaded, for want of memory or of an execution
-// slot.
+// recordOverload handles an attempt that was rejected as overloaded, for lack of either memory or an
+// execution slot.
 func (s *Scheduler) recordOverload(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	worker, function := replica.worker, request.function
 	hasSlot := s.settings.ReportsQueueDepth && outcome.QueueDepth < function.concurrency
-	if request.triggeredLoad || hasSlot { // no replica is loaded, and there is no memory for one
+	if request.triggeredLoad || hasSlot { // no replica is loaded, and memory is short
 		worker.noLoadsUntil = s.now + freshnessWindow
 		function.dropReplica(replica)
 		return
 	}
 	s.decreaseLimit(worker)
-	delay := 2 * (s.loadCost(function) + s.expectedRunTime(function)) // so that a load is sooner
+	delay := 2 * (s.loadCost(function) + s.expectedRunTime(function)) // a load elsewhere is faster
 	s.delay.set(worker, s.now, float64(delay))
 }
 
-// recordError takes an error response. It counts against the worker only where the function ran somewhere
-// before: else it may be the function's own fault, as with one that does not exist.
+// recordError handles an error response. It counts against the worker only if the function has run somewhere
+// before; otherwise the function itself may be at fault, for example because it does not exist.
 func (s *Scheduler) recordError(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	function := request.function
-	if request.triggeredLoad { // guards against a load that is awaited for ever and counts against all others
+	// Without this, the replica would be awaited indefinitely and count against the limit of loads in flight.
+	if request.triggeredLoad {
 		function.dropReplica(replica)
 	}
 	if outcome.ColdStart == ColdStartFailed {
@@ -88,14 +91,14 @@
 	}
 }
 
-// recordLoadResult takes the result of a load order.
+// recordLoadResult handles the result of a load order.
 func (s *Scheduler) recordLoadResult(replica *replicaRecord, result LoadResult) {
 	worker, function := replica.worker, replica.function
 	replica.loadOrdered, replica.loading, replica.lastUsed = false, false, s.now
 	if result.Status != OK {
 		worker.noLoadsUntil = s.now + freshnessWindow
 		function.dropReplica(replica)
-	} else if result.Latency > residencyQueryTimeout { // else it was loaded already
+	} else if result.Latency > residencyQueryTimeout { // a shorter one means the function was already loaded
 		s.recordLoadTime(function, result.Latency)
 	}
 	if result.Status == Timeout {
@@ -103,8 +106,8 @@
 	}
 }
 
-// connectionLost takes the connection or the process of a worker for gone: a dead process holds no replica.
-// It guards against a death that the endpoint list reports late.
+// connectionLost assumes that the worker's process has ended: it drops the worker's replicas and ejects the
+// worker for all classes. It guards against a crash that the endpoint list reports late.
 func (s *Scheduler) connectionLost(worker *workerRecord) {
 	s.dropReplicasOn(worker)
 	for class := range worker.healthByClass {
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	ejectionThreshold      = 0.3                    // share of recent attempts failed that ejects a worker
-	failureWeight          = 0.2                    // of one more attempt in that share
-	probationSuccessFactor = 0.6                    // of that share that is left by a success while ejected
-	minEjectedFailureShare = 0.5                    // of that share after an ejection, at least
-	minEjectionTime        = 500 * time.Millisecond // until a worker is tried, doubled by each failure
+	ejectionThreshold      = 0.3                    // share of recent failed attempts that ejects a worker
+	failureWeight          = 0.2                    // weight of one attempt in the failure share
+	probationSuccessFactor = 0.6                    // extra factor for a success while ejected
+	minEjectedFailureShare = 0.5                    // lowest failure share after an ejection
+	minEjectionTime        = 500 * time.Millisecond // first ejection period; doubles with each failure
 	maxEjectionTime        = 16 * time.Second
-	minSilentEjectionTime  = 6 * time.Second        // the same for a silent one: each try costs a late request
-	responseTimeoutFloor   = 300 * time.Millisecond // silence that is never held against a worker
-	responseTimeoutRuns    = 3                      // silence beyond it, in runs of the waiting request
-	stallTicks             = 3                      // ticks late that tell of a stall of this front end
+	// minSilentEjectionTime is the first ejection period of a silent worker. It is longer because each probe
+	// of a silent worker makes a request late.
+	minSilentEjectionTime = 6 * time.Second
+	responseTimeoutFloor  = 300 * time.Millisecond // silence that never counts against a worker
+	responseTimeoutRuns   = 3                      // further silence allowed, in run times of the function
+	stallTicks            = 3                      // tick intervals without a tick that indicate a stall
 )
 
-// recordHealth counts an attempt for or against a worker, by class: a worker may fail one class and serve
-// others. One that fails many attempts, for whatever reason, is ejected and tried again with one request at a
-// time after a time that doubles.
+// recordHealth records the result of an attempt for the worker and the class; a worker may fail one class and
+// serve others. A worker that fails many attempts, for any reason, is ejected. Once its ejection period,
+// which doubles with each failure, is over, it is probed with one request at a time.
 func (s *Scheduler) recordHealth(worker *workerRecord, class int, succeeded bool) {
 	health := &worker.healthByClass[class]
 	if !succeeded {
@@ -42,8 +44,7 @@
 	}
 }
 
-// eject takes a worker out of use for a class for at least minTime; one that is ejected already stays as it
-// is.
+// eject ejects a worker for a class for at least minTime. It has no effect during an ejection period.
 func (s *Scheduler) eject(worker *workerRecord, class int, minTime time.Duration, reason ejectionReason) {
 	health := &worker.healthByClass[class]
 	if health.ejected && s.now < health.ejectedUntil {
@@ -59,21 +60,21 @@
 	s.recount(worker)
 }
 
-// isUsable is whether a worker may be sent requests of a class now; an ejected one whose time is over takes
-// one at a time.
+// isUsable reports whether a worker may be sent requests of a class now. An ejected worker whose ejection
+// period is over may be sent one request at a time.
 func (s *Scheduler) isUsable(worker *workerRecord, class int) bool {
 	health := &worker.healthByClass[class]
 	mayProbe := s.now >= health.ejectedUntil && len(worker.inFlight) == 0
 	return worker.State == Ready && (!health.ejected || mayProbe)
 }
 
-// responseTimeout is how long an attempt may stay unanswered before that counts against its worker.
+// responseTimeout returns how long an attempt may stay unanswered before its worker counts as silent.
 func (s *Scheduler) responseTimeout(request *requestRecord) time.Duration {
 	return responseTimeoutFloor + responseTimeoutRuns*s.expectedRunTime(request.function) + s.delay.median
 }
 
-// ejectIfSilent looks for a worker that takes requests of a class and answers none of them for long: hung,
-// cut off, stalled, or failing that class. Requests there that may be repeated are cancelled, to be sent
+// ejectIfSilent ejects a worker for each class whose requests it has not answered for too long, because it
+// hangs, is partitioned, stalls or fails that class. It cancels the requests there that may be retried
 // elsewhere.
 func (s *Scheduler) ejectIfSilent(worker *workerRecord) {
 	for _, request := range slices.Clone(worker.inFlight) {
@@ -96,7 +97,7 @@
 	}
 }
 
-// mayRetry is whether a request that is cancelled now would be sent again.
+// mayRetry reports whether a request that is cancelled now would be sent again.
 func (s *Scheduler) mayRetry(request *requestRecord) bool {
 	return request.class.Idempotency != NonIdempotent &&
 		request.attempts < s.settings.MaxAttempts && !s.missesDeadline(request, 0)
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	demandMemory     = 10 * time.Second // memory of a function's part of the requested work
-	demandSmoothing  = 10               // runs as if of other functions, while few were requested
-	placementSpread  = 3.0              // times the workers that its part of the work fills
-	rendezvousStep   = 32               // workers of a rendezvous order that are ranked beyond those needed
-	rendezvousMargin = 2                // one more for so many that are needed
+	demandMemory     = 10 * time.Second // time constant of the demand estimates
+	demandSmoothing  = 10               // runs added to the total demand, for shares of few requests
+	placementSpread  = 3.0              // replicas for each worker that the function's demand would fill
+	rendezvousStep   = 32               // workers ranked beyond those needed, a constant part
+	rendezvousMargin = 2                // one further worker is ranked per rendezvousMargin needed
 )
 
-// placementOrder lists the workers in the order in which this front end would load a function: the rendezvous
-// order, begun at this front end's own place among the first targetReplicaCount, its own zone first there.
+// placementOrder returns the workers in the order in which this front end would load a function. The first
+// targetReplicaCount workers of the rendezvous order are rotated to start at a position specific to this
+// front end, with workers of its own zone first; the rest follow in rendezvous order.
 func (s *Scheduler) placementOrder(function *functionRecord) iter.Seq[*workerRecord] {
 	return func(yield func(*workerRecord) bool) {
 		preferred := s.preferredWorkers(function)
@@ -34,7 +35,8 @@
 	}
 }
 
-// preferredWorkers are the first targetReplicaCount workers in placement order, none where that is one.
+// preferredWorkers returns the first targetReplicaCount workers in placement order, or nil if that count is
+// one.
 func (s *Scheduler) preferredWorkers(function *functionRecord) []*workerRecord {
 	target := s.targetReplicaCount(function)
 	if target < 2 {
@@ -51,7 +53,7 @@
 	return preferred.workers
 }
 
-// ownZoneFirst joins two lists of workers, those of this front end's zone first.
+// ownZoneFirst joins two lists of workers and moves those in this front end's zone to the front.
 func (s *Scheduler) ownZoneFirst(first, second []*workerRecord) []*workerRecord {
 	joined := make([]*workerRecord, 0, len(first)+len(second))
 	for crossZone := range 2 {
@@ -66,8 +68,9 @@
 	return joined
 }
 
-// rendezvousLength is how many workers of a rendezvous order are ranked at once where count are needed of so
-// many: most functions need the first few only, and an order that is made anew costs as much again.
+// rendezvousLength returns how many workers of a rendezvous order to compute at once when count are needed.
+// Most functions need only the first few, but extending an order later means computing it again from the
+// start.
 func rendezvousLength(count, workers int) int {
 	length := rendezvousStep + count + count/rendezvousMargin
 	if 2*length >= workers {
@@ -76,12 +79,13 @@
 	return length
 }
 
-// targetReplicaCount is on how many workers the requests of all front ends for a function should be loaded.
-// One of many front ends has a request at a time and no backlog, but what it receives is a sample of what all
-// do: a function with a part of the work needs that part of the workers, several times over, as others are
-// there too. It would harm where memory is short, and where a front end's clients want what no other's do.
+// targetReplicaCount returns on how many workers a function should be loaded for the requests of all front
+// ends. A single front end has few requests at a time and no backlog, but its requests are a sample of all
+// requests: a function with a given share of the work needs that share of the workers, multiplied by
+// placementSpread because these workers serve other functions too. It does harm if memory is scarce, or if
+// this front end's clients use functions that the clients of other front ends do not.
 func (s *Scheduler) targetReplicaCount(function *functionRecord) int {
-	run := float64(s.expectedRunTime(function)) // the first request says nothing of how many follow
+	run := float64(s.expectedRunTime(function)) // a function's first request is no evidence of more to come
 	own := max(0, function.requestedRunTime.Read(s.now, demandMemory)-run)
 	share := own / (s.demand.runTime.Read(s.now, demandMemory) + demandSmoothing*run)
 	workers := len(s.endpoints.list)
--- a/scheduler/queue_delay.go
+++ b/scheduler/queue_delay.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	initialLimit            = 12.0                   // requests of ours at a worker, before any response
-	limitDecrease           = 0.9                    // of the limit, left after a slow run or a rejection
-	limitDecreaseInterval   = 100 * time.Millisecond // between two decreases of a limit
+	initialLimit            = 12.0                   // concurrency limit of a worker before any response
+	limitDecrease           = 0.9                    // factor on the limit after a slow run or a rejection
+	limitDecreaseInterval   = 100 * time.Millisecond // minimum time between two decreases
 	slowDelayRuns           = 2.5                    // queue delay of a slow worker, in unloaded run times
-	minDelayMemory          = time.Second            // after which an observed queue delay is stale, at least
-	maxDelayMemory          = 10 * time.Second       // and at most, where workers are seldom contacted
-	delayMemoryContacts     = 15                     // contacts of a worker, between the two
-	contactedDivisor        = 2                      // one in so many contacted workers has less delay
-	contactedSampleLimit    = 16                     // workers contacted last that count for it
-	contactedMinSamples     = 4                      // of them that it takes to tell
-	maxContactsPerWorker    = 2                      // observations that are kept
-	unloadedDivisor         = 4                      // one in so many workers runs faster
-	unloadedMinSamples      = 3                      // responses of a worker that it takes to count
-	unloadedRefreshInterval = 500 * time.Millisecond // for which it stands
-	unloadedRiseDivisor     = 400                    // part of a rise of it that is believed each time
+	minDelayMemory          = time.Second            // shortest time constant of a worker's queue delay
+	maxDelayMemory          = 10 * time.Second       // longest, where workers are seldom contacted
+	delayMemoryContacts     = 15                     // between the bounds: this many contacts of a worker
+	contactedDivisor        = 2                      // contactedDelay is the 1/contactedDivisor quantile
+	contactedSampleLimit    = 16                     // workers that contactedDelay samples, latest first
+	contactedMinSamples     = 4                      // samples that contactedDelay needs
+	maxContactsPerWorker    = 2                      // observations kept per worker, on average
+	unloadedDivisor         = 4                      // unloadedRunTime is the 1/unloadedDivisor quantile
+	unloadedMinSamples      = 3                      // responses of a worker before its run times are used
+	unloadedRefreshInterval = 500 * time.Millisecond // how long an unloaded run time is cached
+	unloadedRiseDivisor     = 400                    // a refresh applies 1/unloadedRiseDivisor of a rise
 )
 
-// recordQueueDelay learns how long requests wait at a worker beyond an unloaded run, and from it the limit of
-// our requests there: additive increase, multiplicative decrease (Chiu, Jain 1989). It guards against queues
-// of whatever cause: neighbours, other front ends' requests, a cold or dying worker, more concurrency than
-// cores.
+// recordQueueDelay records how long requests wait at a worker beyond an unloaded run, and adjusts the
+// worker's concurrency limit by additive increase and multiplicative decrease (Chiu, Jain 1989). It guards
+// against queues of any cause: other processes on the host, requests of other front ends, a cold or failing
+// worker, or a replica concurrency above the number of cores.
 func (s *Scheduler) recordQueueDelay(worker *workerRecord, class int, latency time.Duration) {
 	unloaded := float64(s.unloadedRunTime(class))
 	delay := max(0, float64(latency)-unloaded)
@@ -35,7 +35,7 @@
 	}
 }
 
-// decreaseLimit lowers the limit of our requests at a worker, at most once in limitDecreaseInterval.
+// decreaseLimit lowers a worker's concurrency limit, at most once per limitDecreaseInterval.
 func (s *Scheduler) decreaseLimit(worker *workerRecord) {
 	if s.now-worker.limitDecreasedAt > limitDecreaseInterval {
 		worker.limitDecreasedAt = s.now
--- a/scheduler/replicas.go
+++ b/scheduler/replicas.go
@@ -21,8 +21,8 @@
 	singleRequest = 1
 )
 
-// noMinIdle lets pickColdWorker take workers however lately they were contacted.
-const noMinIdle time.Duration = 0
+// anyIdle lets pickColdWorker take workers however lately they were contacted.
+const anyIdle time.Duration = 0
 
 // backlogScope says whose requests the time to drain a function's queue includes.
 type backlogScope int
--- a/scheduler/residency.go
+++ b/scheduler/residency.go
@@ -4,11 +4,12 @@
 
 const (
 	residencyQueryTimeout = 30 * time.Millisecond // how long a request waits for answers
-	residencyQueryFanout  = 5                     // workers queried, the first in placement order
+	residencyQueryFanout  = 5                     // number of workers queried, the first in placement order
 )
 
-// prewarm orders a function loaded at this front end's own place, while its requests go on to loaded
-// replicas. A front end that lags does not: its requests need what processor time it has.
+// prewarm orders a load of the function at the first of this front end's preferred workers that is available,
+// while requests continue to use loaded replicas. A lagging front end does not prewarm, because its requests
+// need the processor time.
 func (s *Scheduler) prewarm(function *functionRecord) {
 	if !s.settings.LoadOrdersAllowed || s.stall.isLagging(s.now) {
 		return
@@ -27,11 +28,11 @@
 	}
 }
 
-// queryResidency finds replicas that others loaded before a load is started: it acts when no replica is
-// believed warm, or the queue delays at the warm ones call for a load, and costs milliseconds where a load
-// costs hundreds. It queries the first workers in placement order and reports whether to wait for their
-// answers. A front end that lags asks nobody: each query may cost it a connection, and the place where it
-// loads then is the first that others load in too.
+// queryResidency looks for replicas that other front ends have loaded before this front end starts a load. It
+// is called when no replica is known to be warm, or when queue delays at the warm ones call for another load;
+// a query costs milliseconds, a load hundreds. It queries the first workers in placement order and reports
+// whether to wait for their answers. A lagging front end sends no queries: each may cost it a new connection,
+// and it would load the function at the worker where the other front ends load it first.
 func (s *Scheduler) queryResidency(function *functionRecord) bool {
 	if s.stall.isLagging(s.now) {
 		return s.awaitsResidency(function)
@@ -39,7 +40,7 @@
 	if !s.settings.LoadOrdersAllowed || s.now-function.queriedAt < freshnessWindow {
 		return s.awaitsResidency(function)
 	}
-	function.queriedAt, function.pendingQueries = s.now, 0 // an older query without an answer says nothing
+	function.queriedAt, function.pendingQueries = s.now, 0 // older unanswered queries are disregarded
 	queried := 0
 	for worker := range s.placementOrder(function) {
 		if queried++; queried > residencyQueryFanout {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// retryOrFinish decides what becomes of a request whose attempt ended without a response. A request that must
-// not execute twice, and may have executed, fails at once.
+// retryOrFinish queues a request again, or gives it a final response, after an attempt that ended without a
+// response for the client. A non-idempotent request that may have executed fails immediately.
 func (s *Scheduler) retryOrFinish(request *requestRecord, worker *workerRecord, status Status) {
 	if status.MayHaveExecuted() {
 		request.recordPossibleExecution(worker)
@@ -25,8 +25,8 @@
 	}
 }
 
-// mayExecuteOn is whether the request may be sent to a worker: one that may have executed goes only where the
-// repeat is dropped, while its idempotency key is remembered there.
+// mayExecuteOn reports whether a request may be sent to a worker. A request that may have executed is sent
+// only to workers that would drop the repeat, and only while they retain its idempotency key.
 func (s *Scheduler) mayExecuteOn(request *requestRecord, worker *workerRecord) bool {
 	if !request.mayHaveExecuted || request.class.Idempotency == Idempotent {
 		return true
@@ -45,13 +45,13 @@
 	return false
 }
 
-// keyExpires is whether the idempotency key of a request may be forgotten before the next tick.
+// keyExpires reports whether the idempotency key of a request may expire before the next tick.
 func (s *Scheduler) keyExpires(request *requestRecord) bool {
 	return s.now-request.firstSentAt >= request.class.KeyRetention-tickInterval
 }
 
-// rejectOrFail gives a queued request its final answer: a rejection, which the client may retry, where a
-// repeat does no harm, else a failure.
+// rejectOrFail gives a request its final response: a rejection, which the client may retry, if a repeat does
+// no harm, and a failure otherwise.
 func (s *Scheduler) rejectOrFail(request *requestRecord, cause FinishCause) {
 	if s.isSafeToReject(request) {
 		s.actions.Reject(request.ID, s.settings.MaxRetryAfter, cause)
@@ -61,9 +61,9 @@
 	s.closeRequest(request)
 }
 
-// isSafeToReject is whether another try by the client does no harm, whenever it comes and wherever it goes:
-// nothing was executed, or a repeat is harmless, or all workers drop it. These must still know its key when
-// the client, who waits as long as it was told, has its try sent at the last moment.
+// isSafeToReject reports whether a retry by the client does no harm, at any time and through any front end:
+// nothing was executed, a repeat is harmless, or all workers drop it. In the last case the key must still be
+// retained if the client waits as long as advised and the retry is sent just before it times out.
 func (s *Scheduler) isSafeToReject(request *requestRecord) bool {
 	class := request.class
 	if !request.mayHaveExecuted || class.Idempotency == Idempotent {
@@ -76,8 +76,8 @@
 	return latestRetrySend < request.firstSentAt+class.KeyRetention
 }
 
-// ClientDisconnected takes the news that a client left: no answer is owed, and an attempt in flight is
-// wasted.
+// ClientDisconnected handles the disconnect of a request's client: no response is owed any longer, and an
+// attempt in flight is cancelled if that is allowed and its response has not begun.
 func (s *Scheduler) ClientDisconnected(now time.Duration, id RequestID) {
 	s.now = now
 	if request := s.requests[id]; request != nil {
--- a/scheduler/scale_out.go
+++ b/scheduler/scale_out.go
@@ -8,25 +8,28 @@
 )
 
 const (
-	idleProbeAfter           = 60 * time.Second // without contact until a worker is probed: 12 times the source's 5 s
-	evictionMemory           = 10 * time.Second // memory of what loads evicted
-	maxEvictionCost          = 3.0              // loads that one load may cost others, at most
-	noiseDivisor             = 5                // a queue delay of this part of a run is noise
-	normalLoadingConcurrency = 2                // requests that wait for a load at a worker that is not slower
-	minRunDivisor            = 4                // of the expected run, that a run without its delay takes at least
+	// idleProbeAfter is the time without contact after which a worker is probed: 12 times the 5 s of the
+	// design's source.
+	idleProbeAfter           = 60 * time.Second
+	evictionMemory           = 10 * time.Second // time constant of the eviction estimates
+	maxEvictionCost          = 3.0              // maximum number of reloads charged to one load
+	noiseDivisor             = 5                // a queue delay below 1/noiseDivisor of a run is noise
+	normalLoadingConcurrency = 2                // requests waiting for a load where the queue delay is noise
+	minRunDivisor            = 4                // least run without delay: expected run / minRunDivisor
 )
 
-// considerScaleOut is the comparison of the design: queued requests go to a cold worker only where the warm
-// replicas need longer to drain the queue than a load and one run there take.
+// considerScaleOut makes the design's comparison: it sends queued requests to a cold worker only if the warm
+// replicas would take longer to drain the queue than a load and one run on the cold worker. It also makes the
+// design's probe of a worker that has not been contacted for long.
 func (s *Scheduler) considerScaleOut(function *functionRecord) {
 	request := function.queue[0]
 	if !s.hasUsableReplica(function) {
 		if !s.queryResidency(function) {
-			s.startLoad(function, request, s.pickColdWorker(function, request, noMinIdle), function.concurrency)
+			s.startLoad(function, request, s.pickColdWorker(function, request, anyIdle), function.concurrency)
 		}
 		return
 	}
-	if worker := s.pickColdWorker(function, request, noMinIdle); worker != nil {
+	if worker := s.pickColdWorker(function, request, anyIdle); worker != nil {
 		pending, run := len(function.queue)+function.inFlight(), s.serviceTime(function)
 		coldRun := s.queueDelay(worker) + run
 		usualRun := s.delay.median + run
@@ -45,23 +48,25 @@
 		s.startLoad(function, request, worker, singleRequest)
 		return
 	}
-	for _, request := range slices.Clone(function.queue) { // no load helps, however long the queue delay
+	for _, request := range slices.Clone(function.queue) { // no load helps: send despite the queue delay
 		if replica := s.pickWarmReplica(request, infiniteDuration); replica != nil {
 			s.sendAttempt(request, replica)
 		}
 	}
 }
 
-// loadCost is the time of a load of the function and, as in the design's source, of loading again what it
-// evicts: as often as replicas that we counted on were found gone for each load of ours.
+// loadCost returns the expected time of a load of the function plus that of reloading the replicas it evicts.
+// As in the design's source, the number of reloads is estimated by the replicas found missing per load
+// started.
 func (s *Scheduler) loadCost(function *functionRecord) time.Duration {
 	lost := s.evictions.lostReplicas.Read(s.now, evictionMemory)
 	reloads := min(maxEvictionCost, lost/max(1, s.evictions.startedLoads.Read(s.now, evictionMemory)))
 	return time.Duration(float64(s.expectedLoadTime(function)) * (1 + reloads))
 }
 
-// timeToDrain is how long the usable replicas of a function need for so many requests, loading ones from the
-// time they should be loaded; with allBacklogs also behind the requests of other front ends there.
+// timeToDrain returns how long the usable replicas of a function need to serve the given number of requests.
+// Loading replicas count from when their load should end. With allBacklogs, the requests of other front ends
+// are included.
 func (s *Scheduler) timeToDrain(function *functionRecord, requests int, backlog backlogScope) time.Duration {
 	var servers []estimate.Server
 	run, load := s.expectedRunTime(function), s.expectedLoadTime(function)
@@ -71,7 +76,7 @@
 			continue
 		}
 		delay := time.Duration(backlog) * s.queueDelay(worker)
-		runHere := max(run/minRunDivisor, replica.runTime.Duration(run)-delay) // its mean contains the delay
+		runHere := max(run/minRunDivisor, replica.runTime.Duration(run)-delay) // its mean includes the delay
 		concurrency := min(float64(function.concurrency), worker.concurrencyLimit)
 		server := estimate.Server{Rate: concurrency / float64(runHere), From: float64(delay)}
 		if replica.loading {
@@ -83,8 +88,8 @@
 }
 
 // startLoad starts a load of a function on a cold worker, by a load order or by sending the request there.
-// concurrency limits the requests that wait for the load; byQueueDelay lets the queue delay there decide. It
-// does nothing where worker is nil or a limit on loads forbids it.
+// The concurrency argument limits how many requests may wait for the load; byQueueDelay derives the limit
+// from the worker's queue delay. It does nothing if worker is nil or a limit on loads forbids the load.
 func (s *Scheduler) startLoad(function *functionRecord, request *requestRecord, worker *workerRecord,
 	concurrency int,
 ) {
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -8,20 +8,24 @@
 )
 
 const (
-	completionMemory     = 10 * time.Second // memory of the rate of completed requests
-	slowStartSafety      = 0.8              // of what would overload a cold worker, to leave room for chance
-	slowStartSkew        = 6.0              // times the mean of what a worker is sent, that one is wanted for
-	slowStartMinRequests = 4.0              // in a window, that all front ends together may always send
+	completionMemory     = 10 * time.Second // time constant of the completion rate
+	slowStartSafety      = 0.8              // fraction of the overload threshold used, to allow for chance
+	slowStartSkew        = 6.0              // highest demand for one worker, in multiples of the mean
+	slowStartMinRequests = 4.0              // requests per window always allowed to all front ends together
 )
 
-// slowStartAllows is whether a worker that just started may be sent one more request: fewer than would
-// overload it if every front end sent as many. What it could serve warm is estimated from what workers
-// completed for this front end, shared among all that did: those that were ejected or drain since count too,
-// else a worker that just started would seem to take what all of them did. Where this front end's budget is
-// below one request, it is a chance, drawn anew in each window: the higher, the fewer front ends have a
-// request for that worker then: as many as this one's own demand for the function tells, at most
-// slowStartSkew times as many as for a worker in the mean. It would harm where more had one that each sees
-// seldom: functions are placed so that none needs a third of one worker.
+// slowStartAllows reports whether a worker in slow start may be sent one more request. The budget stays below
+// what would overload the worker if every front end sent as much.
+//
+// The worker's warm capacity is estimated from this front end's completions, divided among all workers that
+// contributed to them. Workers that have since been ejected or started to drain are included; otherwise a
+// worker that just started would be expected to serve what all of them served.
+//
+// A budget below one request is used as a probability, drawn anew in each window. It is higher if fewer front
+// ends are likely to have a request for the worker in that window. Their number is estimated from this front
+// end's demand for the function, and is at most slowStartSkew times that for an average worker. It does harm
+// if more front ends than that each have few requests; functions are placed so that none needs a third of a
+// worker.
 func (s *Scheduler) slowStartAllows(worker *workerRecord, request *requestRecord) bool {
 	age := s.now - worker.Started
 	if s.isWarmedUp(worker) || s.settings.OverloadWindow <= 0 {
--- a/scheduler/tenant_quota.go
+++ b/scheduler/tenant_quota.go
@@ -1,13 +1,14 @@
 package scheduler
 
 const (
-	quotaWindow     = 300 // requests by which the share of a tenant is judged, all tenants counted
-	quotaMinSamples = 100 // of them that it takes to judge
-	quotaTolerance  = 1.2 // times its share that a tenant may use
+	quotaWindow     = 300 // span of the share estimate, in requests of all tenants
+	quotaMinSamples = 100 // requests needed before a share is judged
+	quotaTolerance  = 1.2 // multiple of its share that a tenant may use
 )
 
-// exceeds counts a request and reports whether it is over the quota of its tenant: of the requests of a
-// tenant that uses more than quotaTolerance times its share of this front end, as many as are too many.
+// exceeds counts a request and reports whether it is over its tenant's quota. If the tenant uses more than
+// quotaTolerance times its share of this front end's requests, the excess requests are reported as over
+// quota. The quota argument is that share, from 0 to 1.
 func (q *tenantQuotas) exceeds(tenant int, quota float64) bool {
 	share := q.countRequest(tenant)
 	if allowed := quotaTolerance * quota; share > allowed {
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Tuned values. Here and in the other policy files none belongs to one deployment.
+// Tuned values. None here or in the other policy files is specific to one deployment.
 const (
-	tickInterval       = 20 * time.Millisecond // between two looks at the queues without another event
-	watchRetryInterval = time.Second           // until the endpoint list is asked for again after a failure
-	freshnessWindow    = time.Second           // for which an observation is taken as current
-	functionIdleTime   = 2 * idleProbeAfter    // after which an unused function is forgotten
+	tickInterval       = 20 * time.Millisecond // between two evaluations of the queues without another event
+	watchRetryInterval = time.Second           // before the endpoint list is requested again after a failure
+	freshnessWindow    = time.Second           // how long an observation counts as current
+	functionIdleTime   = 2 * idleProbeAfter    // how long an unused function is remembered
 )
 
-// New returns the scheduler of a front end that starts at now and knows nothing yet.
+// New returns the scheduler of a front end that starts at now. It initially knows no workers and no
+// functions.
 func New(now time.Duration, settings Settings, actions Actions) *Scheduler {
 	s := newScheduler(now, settings, actions)
 	if settings.WatchOnStart {
@@ -20,7 +21,7 @@
 	return s
 }
 
-// TimerFired takes the end of a timer that was set with Actions.SetTimer.
+// TimerFired handles the expiry of a timer set with Actions.SetTimer.
 func (s *Scheduler) TimerFired(now time.Duration, token uint64) {
 	s.now = now
 	if token == watchTimer {
