--- a/scheduler/clone.go
+++ b/scheduler/clone.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// This file copies a Scheduler; it decides nothing. What it must copy is every slice, map and pointer that a Scheduler
-// reaches: a new field of such a type in any of its types needs a line here.
+// This file copies a Scheduler. It contains no scheduling decisions. It must copy every slice, map and pointer
+// reachable from a Scheduler: a new field of such a type needs a line here.
 
-// Clone returns a Scheduler that remembers all that s does and shares nothing with it. It goes on by settings, whose
-// classes and tenants must be as many, and calls actions. The shadow evaluation compares the two on the same events.
+// Clone returns a deep copy of s that uses the given settings, which must have the same number of classes and
+// tenants, and calls the given actions. The shadow evaluation compares the original and the clone on the same events.
 func (s *Scheduler) Clone(settings Settings, actions Actions) *Scheduler {
 	clone := *s
 	clone.settings, clone.actions = settings, actions
@@ -48,15 +48,15 @@
 	clone.tenants.usage = slices.Clone(s.tenants.usage)
 	clone.tenants.overage = slices.Clone(s.tenants.overage)
 	if settings.ScaleIsCapacity != s.settings.ScaleIsCapacity {
-		clone.endpoints.version++ // rendezvous orders are made anew
+		clone.endpoints.version++ // invalidates the cached rendezvous orders
 		clone.rankWorkers()
 	}
 	return &clone
 }
 
-// cloner remembers what it has copied, so that records that refer to one another do so in the copy.
+// cloner maps originals to their copies, so that records shared in the original are shared in the copy.
 type cloner struct {
-	settings  *Settings // of the copy
+	settings  *Settings // settings of the copy
 	workers   map[*workerRecord]*workerRecord
 	functions map[*functionRecord]*functionRecord
 	replicas  map[*replicaRecord]*replicaRecord
@@ -106,7 +106,7 @@
 	})
 }
 
-// cloneElements copies a list of records.
+// cloneElements copies a slice of records.
 func cloneElements[T any](list []*T, clone func(*T) *T) []*T {
 	out := make([]*T, len(list))
 	for i, x := range list {
@@ -115,7 +115,7 @@
 	return out
 }
 
-// cloneValues copies a table of records.
+// cloneValues copies a map of records.
 func cloneValues[K comparable, T any](table map[K]*T, clone func(*T) *T) map[K]*T {
 	out := make(map[K]*T, len(table))
 	for key, x := range table {
@@ -124,7 +124,7 @@
 	return out
 }
 
-// cloneOnce copies x and, where it was not copied before, lets fill copy what x holds.
+// cloneOnce returns the copy of x. On the first call for x it makes the copy and calls fill to copy what x refers to.
 func cloneOnce[T any](done map[*T]*T, x *T, fill func(*T)) *T {
 	if x == nil {
 		return nil
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -9,67 +9,67 @@
 	"havencart/internal/estimate"
 )
 
-// This file keeps the workers and what is known of each; it decides nothing.
+// This file defines the worker records. It contains no scheduling decisions.
 
-// endpointTable holds the workers of the endpoint list, and those removed from it until expireRemoved.
+// endpointTable holds the workers of the endpoint list, and removed workers until expireRemoved drops them.
 type endpointTable struct {
 	byID      map[WorkerID]*workerRecord
-	list      []*workerRecord // by identifier
-	version   int             // counts changes of the list, of cells and of scales, to tell what is stale
+	list      []*workerRecord // sorted by identifier
+	version   int             // counts changes of the list, cells and scales, to invalidate caches
 	meanScale float64
-	ranking   []rankedWorker // of list, in its order
+	ranking   []rankedWorker // inputs of the ranks, in the order of list
 
 	counts            servingCounts
-	busy              []*workerRecord         // with attempts in flight, and some that had until the last tick
-	cells             map[int][]*workerRecord // made when it is needed, see cellMembers
-	cellsVersion      int                     // of the list that cells was made from
-	noIdleWorkerUntil time.Duration           // no worker is without contact for idleProbeAfter before
+	busy              []*workerRecord         // workers with attempts in flight now or at the last tick
+	cells             map[int][]*workerRecord // computed on demand by cellMembers
+	cellsVersion      int                     // version for which cells was computed
+	noIdleWorkerUntil time.Duration           // until then, no worker is without contact for idleProbeAfter
 }
 
 func newEndpointTable(classes int) endpointTable {
 	return endpointTable{byID: map[WorkerID]*workerRecord{}, cells: map[int][]*workerRecord{}, counts: newServingCounts(classes)}
 }
 
-// workerRecord is what is known of a worker. A restart of its process resets all but the attempts in flight.
+// workerRecord is the state of a worker. A restart of its process resets everything except the attempts in flight.
 type workerRecord struct {
 	WorkerInfo
-	lastContact      time.Duration    // when it was first listed, or a request was last sent there
-	inFlight         []*requestRecord // whose attempt is in flight there, oldest first
-	sendTimes        []time.Duration  // of attempts within the overload window
+	lastContact      time.Duration    // when the worker was first listed or a request was last sent to it
+	inFlight         []*requestRecord // requests with their attempt in flight there, oldest first
+	sendTimes        []time.Duration  // send times of attempts within the overload window
 	slowStart        slowStartWindow
 	runTimeByClass   []estimate.MovingAverage // nanoseconds
-	concurrencyLimit float64                  // requests of ours that it may hold
+	concurrencyLimit float64                  // requests of this front end that the worker may hold
 	limitDecreasedAt time.Duration
 	queueDelay       workerDelay
-	noLoadsUntil     time.Duration // no load may start there before
-	removedAt        time.Duration // 0: it is listed
+	noLoadsUntil     time.Duration // time before which no load may start there
+	removedAt        time.Duration // 0 while the worker is listed
 	healthByClass    []workerHealth
 
-	cold             bool // it is counted as in slow start
-	servesByResponse bool // it is in servingCounts.servingByResponse
-	busy             bool // it is in endpointTable.busy
+	cold             bool // counted as in slow start
+	servesByResponse bool // in servingCounts.servingByResponse
+	busy             bool // in endpointTable.busy
 }
 
 // slowStartWindow is what a worker in slow start was sent in the current overload window, for the log.
 type slowStartWindow struct {
 	window int     // number of the window since the worker's start
-	sent   int     // requests of this front end
-	budget float64 // the highest that applied
+	sent   int     // requests sent by this front end
+	budget float64 // highest budget that applied in the window
 }
 
-// workerHealth is what outlier ejection knows of how a worker serves one class.
+// workerHealth is the outlier ejection state of a worker for one class.
 type workerHealth struct {
 	lastResponseAt time.Duration
-	failureShare   float64 // of recent attempts
+	failureShare   float64 // decayed share of failed attempts, from 0 to 1
 	ejected        bool
-	ejectedUntil   time.Duration // when an ejected worker may be tried again
-	backoff        time.Duration // how long it was last ejected
+	ejectedUntil   time.Duration // when an ejected worker may be probed
+	backoff        time.Duration // length of the last ejection period
 
-	countedHealthy bool // in servingCounts.healthy
-	countedServing bool // in servingCounts.serving
+	countedHealthy bool // counted in servingCounts.healthy
+	countedServing bool // counted in servingCounts.serving
 }
 
-// ejectionReason says in the log why a worker was ejected.
+// ejectionReason is the reason for an ejection, as logged.
 type ejectionReason string
 
 const (
@@ -79,8 +79,8 @@
 	silence        ejectionReason = "silent"
 )
 
-// newWorker returns the record of a process that was just listed, with what its predecessor under that name has in
-// flight.
+// newWorker returns the record of a process that was just listed. It takes over the attempts in flight and their send
+// times from the record of the worker's previous process.
 func (s *Scheduler) newWorker(predecessor *workerRecord) workerRecord {
 	classes := len(s.settings.Classes)
 	return workerRecord{
@@ -94,8 +94,8 @@
 	}
 }
 
-// updateEndpoints takes a change of the endpoint list, or the complete list. It returns the workers that hold no
-// replicas for us any more: those whose process is another one than before, and those that are no longer ready.
+// updateEndpoints applies a change of the endpoint list, or the complete list. It returns the workers whose replicas
+// are no longer available: those with a new process and those that are no longer ready.
 func (s *Scheduler) updateEndpoints(list []WorkerInfo, complete bool) (changed []*workerRecord) {
 	table, before := &s.endpoints, s.endpoints.version
 	if complete {
@@ -115,7 +115,7 @@
 	return changed
 }
 
-// unlisted returns the workers that a complete list lacks, as removed.
+// unlisted returns the known workers that a complete list lacks, marked as removed.
 func (s *Scheduler) unlisted(list []WorkerInfo) (missing []WorkerInfo) {
 	listed := make(map[WorkerID]bool, len(list))
 	for _, info := range list {
@@ -131,7 +131,7 @@
 	return missing
 }
 
-// updateWorker takes an entry of the endpoint list. It reports whether the worker lost the replicas that it held.
+// updateWorker applies one entry of the endpoint list. It reports whether the worker lost its replicas.
 func (s *Scheduler) updateWorker(info WorkerInfo) (worker *workerRecord, lostReplicas bool) {
 	table := &s.endpoints
 	worker = table.byID[info.ID]
@@ -168,7 +168,8 @@
 
 func compareWorkerIDs(a, b *workerRecord) int { return cmp.Compare(a.ID, b.ID) }
 
-// expireRemoved forgets a worker that was removed so long ago that another process under its name would be warm.
+// expireRemoved drops a worker that was removed so long ago that a new process with the same identifier would have
+// finished its slow start. It reports whether it did.
 func (s *Scheduler) expireRemoved(worker *workerRecord) bool {
 	if worker.State != Removed || len(worker.inFlight) > 0 || s.now-worker.removedAt < s.settings.SlowStartDuration {
 		return false
@@ -180,7 +181,7 @@
 	return true
 }
 
-// busyWorkers lists the workers with attempts in flight, by identifier.
+// busyWorkers returns the workers with attempts in flight, sorted by identifier.
 func (s *Scheduler) busyWorkers() []*workerRecord {
 	table := &s.endpoints
 	table.busy = slices.DeleteFunc(table.busy, func(worker *workerRecord) bool {
@@ -191,7 +192,7 @@
 	return table.busy
 }
 
-// oldestContact is when the ready worker was contacted that was not for the longest time.
+// oldestContact returns the last contact time of the ready worker that has not been contacted for the longest time.
 func (s *Scheduler) oldestContact() time.Duration {
 	least := s.now
 	for _, worker := range s.endpoints.list {
@@ -202,7 +203,7 @@
 	return least
 }
 
-// relativeCapacity is a worker's capacity relative to the mean of all, 1 where the endpoint list does not tell.
+// relativeCapacity returns a worker's capacity relative to the mean of all, or 1 if capacities are not known.
 func (s *Scheduler) relativeCapacity(worker *workerRecord) float64 {
 	if !s.settings.ScaleIsCapacity || worker.Scale <= 0 || s.endpoints.meanScale <= 0 {
 		return 1
@@ -210,12 +211,12 @@
 	return worker.Scale / s.endpoints.meanScale
 }
 
-// isWarmedUp is whether the slow start of a worker's process is over, or its start is not known.
+// isWarmedUp reports whether the slow start of a worker's process is over, or its start time is unknown.
 func (s *Scheduler) isWarmedUp(worker *workerRecord) bool {
 	return worker.Started == UnknownStart || s.now-worker.Started >= s.settings.SlowStartDuration
 }
 
-// capacityFraction is the part of its warm capacity that a worker has: it grows linearly during slow start.
+// capacityFraction returns the fraction of its warm capacity that a worker has. It grows linearly during slow start.
 func (s *Scheduler) capacityFraction(worker *workerRecord) float64 {
 	if s.isWarmedUp(worker) {
 		return 1
@@ -224,29 +225,30 @@
 	return least + (1-least)*age/float64(s.settings.SlowStartDuration)
 }
 
-// removeSend takes back that an attempt was sent at a time: it never was.
+// removeSend removes a recorded send time because that attempt was not sent after all.
 func (w *workerRecord) removeSend(at time.Duration) {
 	if i := slices.Index(w.sendTimes, at); i >= 0 {
 		w.sendTimes = slices.Delete(w.sendTimes, i, i+1)
 	}
 }
 
-// respondedSince is whether the worker responded to a request of any class since a time.
+// respondedSince reports whether the worker responded to a request of any class at or after a time.
 func (w *workerRecord) respondedSince(from time.Duration) bool {
 	return slices.ContainsFunc(w.healthByClass, func(health workerHealth) bool {
 		return health.lastResponseAt > 0 && health.lastResponseAt >= from
 	})
 }
 
-// acceptsLoads is whether a function may be loaded at a worker now, which then has memory for it as far as is known.
+// acceptsLoads reports whether a function may be loaded at a worker now: it is ready, and no recent rejection or failed
+// load order indicates that it lacks memory.
 func (s *Scheduler) acceptsLoads(worker *workerRecord) bool {
 	return worker.State == Ready && s.now >= worker.noLoadsUntil
 }
 
-// isEjected is whether a worker is ejected as an outlier for a class.
+// isEjected reports whether a worker is ejected as an outlier for a class.
 func (w *workerRecord) isEjected(class int) bool { return w.healthByClass[class].ejected }
 
-// crossZone is 1 for a worker in another zone than this front end, else 0.
+// crossZone returns 1 for a worker in another zone than this front end, and 0 otherwise.
 func (s *Scheduler) crossZone(worker *workerRecord) int {
 	if worker.Zone != s.settings.Zone {
 		return 1
@@ -254,8 +256,8 @@
 	return 0
 }
 
-// recordSlowStartSend counts a request that is sent to a worker in slow start, and logs for each window what was sent
-// and the highest budget of it, when the next window's first request is sent.
+// recordSlowStartSend counts a request sent to a worker in slow start. On the first request of a new window it logs
+// the number of requests sent and the highest budget of the previous window.
 func (s *Scheduler) recordSlowStartSend(worker *workerRecord) {
 	if s.settings.OverloadWindow <= 0 || s.isWarmedUp(worker) {
 		return
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -8,17 +8,17 @@
 	"havencart/internal/estimate"
 )
 
-// This file keeps the estimates that the decisions are made from; it decides nothing. Their tuned windows and
-// thresholds stand in the policy files.
+// This file keeps the estimates on which decisions are based. It contains no scheduling decisions; the tuned windows
+// and thresholds are in the policy files.
 
-// latencyEstimates are of run and load times, in nanoseconds where they are averages.
+// latencyEstimates are estimates of run and load times. Averages are in nanoseconds.
 type latencyEstimates struct {
 	runTimeByClass    []estimate.MovingAverage
-	sampledWorkers    [][]*workerRecord      // by class, with unloadedMinSamples run times at least
+	sampledWorkers    [][]*workerRecord      // by class; workers with at least unloadedMinSamples run times
 	unloadedRunTime   []time.Duration        // by class; see Scheduler.unloadedRunTime
-	unloadedRunTimeAt []time.Duration        // when it was last refreshed; 0: never
-	loadTime          estimate.MovingAverage // of all functions
-	loadTimeRatio     estimate.MovingAverage // of load times to advertised ones
+	unloadedRunTimeAt []time.Duration        // by class; time of the last refresh, 0 if there was none
+	loadTime          estimate.MovingAverage // over all functions
+	loadTimeRatio     estimate.MovingAverage // observed load times relative to advertised ones
 }
 
 func newLatencyEstimates(classes int) latencyEstimates {
@@ -30,59 +30,59 @@
 	}
 }
 
-// demandEstimates are decayed sums over what was requested of this front end.
+// demandEstimates are decayed sums over the requests received by this front end.
 type demandEstimates struct {
-	runTime           estimate.Decayed // expected, nanoseconds
-	cappedServiceTime estimate.Decayed // the same without queue delays, nanoseconds; see Scheduler.cappedServiceTime
+	runTime           estimate.Decayed // expected run times, nanoseconds
+	cappedServiceTime estimate.Decayed // nanoseconds; see Scheduler.cappedServiceTime
 	priorityWeight    estimate.Decayed
 	requests          estimate.Decayed
-	completions       estimate.Decayed // requests completed
+	completions       estimate.Decayed // completed requests
 }
 
-// evictionEstimates tell what a load costs other functions.
+// evictionEstimates are decayed counts from which the cost of evictions by loads is estimated.
 type evictionEstimates struct {
-	lostReplicas estimate.Decayed // replicas that were counted on and found gone
-	startedLoads estimate.Decayed // loads of ours
+	lostReplicas estimate.Decayed // replicas that were expected to be loaded and were not
+	startedLoads estimate.Decayed // loads started by this front end
 }
 
-// loadRateLimiter holds what the load rate limit counts.
+// loadRateLimiter holds the events that the load rate limit counts.
 type loadRateLimiter struct {
-	orderTimes   []time.Duration // of load orders
-	requestTimes []time.Duration // of requests received
+	orderTimes   []time.Duration // times of load orders
+	requestTimes []time.Duration // times at which requests were received
 }
 
 // loadBreaker is the circuit breaker of loads.
 type loadBreaker struct {
 	loadsInFlight int
-	failures      int           // since a load last succeeded
-	openFor       time.Duration // how long it was last open
+	failures      int           // failures since the last successful load
+	openFor       time.Duration // length of the last open period
 	openUntil     time.Duration
-	lastLoadAt    time.Duration // when a load last succeeded
+	lastLoadAt    time.Duration // time of the last successful load
 }
 
-// tenantQuotas hold what each tenant used of this front end.
+// tenantQuotas tracks each tenant's use of this front end.
 type tenantQuotas struct {
 	usage   []tenantUsage // by tenant
-	total   float64       // of all tenants, decayed as theirs
-	counted uint64        // requests of all tenants
-	overage []float64     // by tenant: what it is over quota by, in requests, and was not counted against it yet
+	total   float64       // decayed number of requests of all tenants
+	counted uint64        // number of requests of all tenants
+	overage []float64     // by tenant: requests over quota that have not yet been reported as such
 }
 
-// tenantUsage counts the requests of a tenant, decayed with each request of any.
+// tenantUsage is the number of requests of a tenant, decayed with each request of any tenant.
 type tenantUsage struct {
 	requests  float64
-	countedAt uint64 // number of the request at which it was last decayed
+	countedAt uint64 // value of counted when requests was last decayed
 }
 
 func newTenantQuotas(tenants int) tenantQuotas {
 	return tenantQuotas{usage: make([]tenantUsage, tenants), overage: make([]float64, tenants)}
 }
 
-// has is whether there is such a tenant.
+// has reports whether the tenant exists.
 func (q *tenantQuotas) has(tenant int) bool { return tenant < len(q.usage) }
 
-// countRequest counts a request of a tenant and returns its share of the requests received lately, 0 while they are
-// too few to tell.
+// countRequest counts a request of a tenant and returns the tenant's share of recent requests, or 0 while there are
+// too few requests to judge.
 func (q *tenantQuotas) countRequest(tenant int) (share float64) {
 	const kept = 1 - 1.0/quotaWindow
 	q.counted++
@@ -96,20 +96,20 @@
 	return usage.requests / q.total
 }
 
-// recordRequest counts a request that was received; window is 0 where there is no load rate limit.
+// recordRequest records a received request. The window is 0 if there is no load rate limit.
 func (l *loadRateLimiter) recordRequest(now, window time.Duration) {
 	if window > 0 {
 		l.requestTimes = append(dropBefore(l.requestTimes, now-window), now)
 	}
 }
 
-// recordSuccess takes a load that succeeded.
+// recordSuccess records a successful load and closes the breaker.
 func (b *loadBreaker) recordSuccess(now time.Duration) {
 	b.failures, b.openFor = 0, 0
 	b.lastLoadAt, b.loadsInFlight = now, max(0, b.loadsInFlight-1)
 }
 
-// recordDemand counts a request that was received.
+// recordDemand adds a received request to the demand estimates.
 func (s *Scheduler) recordDemand(request *requestRecord) {
 	run := float64(s.expectedRunTime(request.function))
 	request.function.requestedRunTime.Add(s.now, demandMemory, run)
@@ -119,7 +119,8 @@
 	s.demand.requests.Add(s.now, demandMemory, 1)
 }
 
-// recordSuccess takes the time of a response: a load time where the attempt waited for its load, else a run time.
+// recordSuccess records the time of a response. It counts as a run time if the replica was loaded. If the attempt
+// waited for a load, it counts as a load time if the replica was known to be loading, and is not used otherwise.
 func (s *Scheduler) recordSuccess(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	worker, function := replica.worker, request.function
 	replica.lastUsed = s.now
@@ -140,7 +141,7 @@
 	replica.loading = false
 }
 
-// recordRunTime takes the time of a run at a replica that was loaded.
+// recordRunTime records the time of a run at a loaded replica.
 func (s *Scheduler) recordRunTime(replica *replicaRecord, runTime time.Duration) {
 	worker, function, sample := replica.worker, replica.function, float64(runTime)
 	s.addRunTime(worker, function.class, sample)
@@ -150,7 +151,8 @@
 	s.latency.runTimeByClass[function.class].Add(sample, averageWindow)
 }
 
-// addRunTime takes a run time of a worker in nanoseconds, and notes when there are enough to tell of it.
+// addRunTime adds a run time of a worker, in nanoseconds, and adds the worker to sampledWorkers once it has enough
+// samples.
 func (s *Scheduler) addRunTime(worker *workerRecord, class int, sample float64) {
 	runTime := &worker.runTimeByClass[class]
 	wasSampled := runTime.Samples >= unloadedMinSamples
@@ -160,7 +162,7 @@
 	}
 }
 
-// dropRunTimes notes that the run times of a worker tell nothing any more.
+// dropRunTimes removes a worker whose run times are obsolete from sampledWorkers.
 func (s *Scheduler) dropRunTimes(worker *workerRecord) {
 	for class, runTime := range worker.runTimeByClass {
 		if runTime.Samples >= unloadedMinSamples {
@@ -169,7 +171,7 @@
 	}
 }
 
-// recordLoadTime takes the time of a load that succeeded.
+// recordLoadTime records the time of a successful load.
 func (s *Scheduler) recordLoadTime(function *functionRecord, loadTime time.Duration) {
 	s.breaker.recordSuccess(s.now)
 	if function.advertisedLoadTime > 0 {
@@ -179,19 +181,21 @@
 	s.latency.loadTime.Add(float64(loadTime), averageWindow)
 }
 
-// expectedRunTime is the expected time of one run of a function, with the queue delays that runs contain.
+// expectedRunTime returns the expected time of one run of a function, including the queue delays that observed runs
+// contain.
 func (s *Scheduler) expectedRunTime(function *functionRecord) time.Duration {
 	return function.runTime.Duration(s.expectedClassRunTime(function.class))
 }
 
-// expectedClassRunTime is the expected time of one run of a class. The default stays below the latency objective: a
-// class that tolerates less delay than the default run would else never be sent to a worker, and never be known.
+// expectedClassRunTime returns the expected time of one run of a class. The default stays below the latency
+// objective; otherwise, requests of a class that tolerates less delay than the default run time would never be sent,
+// and their run time would never be observed.
 func (s *Scheduler) expectedClassRunTime(class int) time.Duration {
 	prior := min(defaultRunTime, s.settings.Classes[class].LatencyObjective/defaultRunDivisor)
 	return s.latency.runTimeByClass[class].Duration(prior)
 }
 
-// expectedLoadTime is the expected time of one load of a function.
+// expectedLoadTime returns the expected time of one load of a function.
 func (s *Scheduler) expectedLoadTime(function *functionRecord) time.Duration {
 	advertised := function.advertisedLoadTime
 	if advertised <= 0 {
@@ -203,18 +207,18 @@
 	return time.Duration(float64(advertised) * s.latency.loadTimeRatio.Value)
 }
 
-// serviceTime is the expected time of one run of a function without queue delay.
+// serviceTime returns the expected time of one run of a function without queue delay.
 func (s *Scheduler) serviceTime(function *functionRecord) time.Duration {
 	return min(s.expectedRunTime(function), s.unloadedRunTime(function.class))
 }
 
-// cappedServiceTime is what a request takes of a worker, as far as its latency objective lets that count.
+// cappedServiceTime returns the service time of a request, limited to half its latency objective.
 func (s *Scheduler) cappedServiceTime(request *requestRecord) time.Duration {
 	return min(s.serviceTime(request.function), request.class.LatencyObjective/2)
 }
 
-// lowQuantileRunTime is the run time of a class that one in divisor of the ready workers with enough responses stays
-// below, 0 if none has them.
+// lowQuantileRunTime returns the 1/divisor quantile of the run times of a class over the ready workers with enough
+// samples, or 0 if there are none.
 func (s *Scheduler) lowQuantileRunTime(class, divisor int) time.Duration {
 	var runs []float64
 	for _, worker := range s.latency.sampledWorkers[class] {
@@ -225,8 +229,8 @@
 	return time.Duration(estimate.UpperBoundOfOneIn(divisor, runs))
 }
 
-// unloadedRunTime is the run time of a class at workers with little load: what a cold worker would need once loaded.
-// It rises slowly, which guards against taking an overload of all workers for the normal state.
+// unloadedRunTime returns the run time of a class at lightly loaded workers, which is also what a cold worker would
+// need once loaded. It rises slowly, so that an overload of all workers is not taken for the normal state.
 func (s *Scheduler) unloadedRunTime(class int) time.Duration {
 	refreshedAt := s.latency.unloadedRunTimeAt[class]
 	if refreshedAt != 0 && s.now-refreshedAt <= unloadedRefreshInterval {
@@ -243,32 +247,34 @@
 	return run
 }
 
-// queueDelay is how long requests at a worker last waited beyond an unloaded run, decayed since.
+// queueDelay returns how long requests at a worker were last observed to wait beyond an unloaded run, decayed since
+// then.
 func (s *Scheduler) queueDelay(worker *workerRecord) time.Duration {
 	return time.Duration(s.delay.read(worker, s.now))
 }
 
-// updateQueueDelays sets how long queue delays are remembered, and their medians over the workers.
+// updateQueueDelays updates the memory of queue delays and their medians over the workers.
 func (s *Scheduler) updateQueueDelays() {
 	s.delay.setMemory(s.now, min(maxDelayMemory, max(minDelayMemory, delayMemoryContacts*s.contactInterval())))
 	s.delay.dropDecayed(s.now, s.now-maxDelayMemory, maxContactsPerWorker*len(s.endpoints.list))
 	s.delay.median, s.delay.contactedMedian = s.medianDelay(), s.contactedDelay()
 }
 
-// contactInterval is how often this front end contacts a worker, if its requests go to all of them alike.
+// contactInterval returns the mean interval between contacts of a worker, assuming that requests are spread evenly
+// over all workers.
 func (s *Scheduler) contactInterval() time.Duration {
 	workers, requests := float64(len(s.endpoints.list)), s.demand.requests.Read(s.now, demandMemory)
 	return time.Duration(float64(demandMemory) * workers / (1 + requests))
 }
 
-// medianDelay is the median queue delay over the ready workers.
+// medianDelay returns the median queue delay over the ready workers.
 func (s *Scheduler) medianDelay() time.Duration {
 	return s.delay.medianOf(s.endpoints.counts.ready, s.now)
 }
 
-// contactedDelay is the queue delay, as it was observed, that one in contactedDivisor of the ready workers contacted
-// lately stays below: of the latest contactedSampleLimit within the memory of queue delays, and of all within the freshness
-// window. It is 0 where they are too few.
+// contactedDelay returns the 1/contactedDivisor quantile of the undecayed queue delays of recently contacted ready
+// workers: the latest contactedSampleLimit within the memory of queue delays, and all within the freshness window. It
+// returns 0 if there are fewer than contactedMinSamples.
 func (s *Scheduler) contactedDelay() float64 {
 	var delays []float64
 	for _, contact := range slices.Backward(s.delay.contacts) {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// This file hands events to the stages that decide about them; it decides nothing itself.
+// This file passes events to the code that decides about them. It contains no scheduling decisions.
 
-// WorkersChanged takes a change of the endpoint list, or the whole list where complete is set.
+// WorkersChanged handles a change of the endpoint list, or the complete list if complete is set.
 func (s *Scheduler) WorkersChanged(now time.Duration, list []WorkerInfo, complete bool) {
 	s.now = now
 	for _, worker := range s.updateEndpoints(list, complete) {
-		s.dropReplicasOn(worker) // a process that restarted, drains or was removed holds nothing for us
+		s.dropReplicasOn(worker) // a worker that restarted, drains or was removed has no usable replicas
 	}
 	s.dispatchAll()
 }
 
-// WatchFailed takes the news that the endpoint list could not be had.
+// WatchFailed handles a failure to get the endpoint list, and schedules another watch.
 func (s *Scheduler) WatchFailed(now time.Duration) {
 	s.now = now
 	s.actions.SetTimer(watchRetryInterval, watchTimer)
 }
 
-// AttemptEnded takes the end of an attempt; one that the scheduler does not have in flight is ignored.
+// AttemptEnded handles the end of an attempt. It ignores attempts that the scheduler does not have in flight.
 func (s *Scheduler) AttemptEnded(now time.Duration, outcome Outcome) {
 	s.now = now
 	request := s.requests[outcome.Request]
@@ -34,10 +34,10 @@
 	} else {
 		s.retryOrFinish(request, replica.worker, outcome.Status)
 	}
-	s.dispatchAll() // the headroom that came free goes to the highest priority that is queued
+	s.dispatchAll() // offers the freed headroom to the queued requests of highest priority
 }
 
-// LoadEnded takes the result of a load order or of a residency query.
+// LoadEnded handles the result of a load order or of a residency query.
 func (s *Scheduler) LoadEnded(now time.Duration, result LoadResult) {
 	s.now = now
 	key := replicaKey{result.Worker, result.Function}
@@ -61,21 +61,21 @@
 	s.dispatch(function)
 }
 
-// dispatchAll dispatches the queues of all functions that have one, highest priority first.
+// dispatchAll dispatches the queues of all active functions, highest priority first.
 func (s *Scheduler) dispatchAll() {
 	for _, function := range s.functions.active {
 		s.dispatch(function)
 	}
 }
 
-// ResponseStarted takes the news that a streamed response began: the request may no longer be cancelled, as neither
-// its timeout nor its latency objective holds any longer.
+// ResponseStarted handles the start of a streamed response: the request may no longer be cancelled, because its
+// timeout and latency objective no longer apply.
 func (s *Scheduler) ResponseStarted(_ time.Duration, id RequestID) {
 	if request := s.requests[id]; request != nil {
 		request.streamed = true
 	}
 }
 
-// HealthChecked takes the result of a health check. The scheduler asks for none: a request that may be repeated tells
-// as much.
+// HealthChecked handles the result of a health check. The scheduler sends no health checks, because a request that
+// may be repeated provides the same evidence.
 func (s *Scheduler) HealthChecked(now time.Duration, _ HealthCheckResult) { s.now = now }
--- a/scheduler/finish_cause.go
+++ b/scheduler/finish_cause.go
@@ -1,21 +1,21 @@
 package scheduler
 
-// FinishCause says why a Scheduler answered a request itself. It is for logs and totals: what the client is told depends
-// on whether the request may have executed.
+// FinishCause says why a Scheduler itself gave a request its final response. It is used in logs and totals; what the
+// client is told depends on whether the request may have executed.
 type FinishCause int
 
 // The causes.
 const (
-	ShedOnArrival       FinishCause = iota + 1 // randomized admission, in an overload of all workers
+	ShedOnArrival       FinishCause = iota + 1 // rejected by randomized admission during an overload of all workers
 	DeadlineTooClose                           // no run would end before the client gives up
-	NoHeadroomInTime                           // past its objective, or over quota, and no headroom is in sight
-	KeyExpired                                 // it may have executed, and workers no longer drop its repeat
-	MayNotExecuteTwice                         // it may have executed, and its class forbids another attempt
-	AttemptsExhausted                          // Settings.MaxAttempts were made
+	NoHeadroomInTime                           // late or over quota, and no headroom is expected in time
+	KeyExpired                                 // may have executed, and workers no longer drop a repeat
+	MayNotExecuteTwice                         // may have executed, and its class forbids another attempt
+	AttemptsExhausted                          // Settings.MaxAttempts attempts were made
 	finishCauseSentinel                        // one more than the last cause
 )
 
-// FinishCauses is one more than the highest cause, for tables by cause.
+// FinishCauses is one more than the highest cause, the length of a table indexed by cause.
 const FinishCauses = int(finishCauseSentinel)
 
 var finishCauseNames = [FinishCauses]string{
@@ -55,7 +55,8 @@
 	return statusNames[s]
 }
 
-// MayHaveExecuted is whether an attempt that ended so, without a response that says otherwise, may have executed.
+// MayHaveExecuted reports whether an attempt that ended with this status may have executed, in the absence of a
+// response that says otherwise.
 func (s Status) MayHaveExecuted() bool {
 	return s == Error || s == Timeout || s == Reset || s == Cancelled
 }
--- a/scheduler/function_table.go
+++ b/scheduler/function_table.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// This file keeps the functions that were requested lately, so that those of which nothing is left cost nothing; it
-// decides nothing.
+// This file keeps the recently requested functions, separating the active ones so that idle ones cost nothing per
+// event. It contains no scheduling decisions.
 
-// functionTable holds the functions that were requested lately. Each is either active or idle.
+// functionTable holds the recently requested functions. Each is either active or idle.
 type functionTable struct {
 	byID   map[FunctionID]*functionRecord
-	active []*functionRecord // those with something left, and some that had until the last tick; see comparePriority
-	idle   []*functionRecord // those with nothing left but what is known of them, the one that was last requested first
-	added  uint64            // functions that were ever added
+	active []*functionRecord // referenced now, or were at the last tick; sorted by comparePriority
+	idle   []*functionRecord // known but unreferenced; sorted by last request, oldest first
+	added  uint64            // number of functions ever added
 }
 
-// trackFunction returns the record of a function, made if there is none. It is active from then on.
+// trackFunction returns the record of a function, which it creates if there is none, and marks the function active.
 func (s *Scheduler) trackFunction(id FunctionID, class int) *functionRecord {
 	function := s.functions.byID[id]
 	if function == nil {
@@ -28,7 +28,7 @@
 	return function
 }
 
-// activate notes that a request, a replica or a residency query of a function is added.
+// activate marks a function as active because a request, a replica or a residency query of it is being added.
 func (s *Scheduler) activate(function *functionRecord) {
 	if function.active {
 		return
@@ -42,7 +42,7 @@
 	table.active = slices.Insert(table.active, i, function)
 }
 
-// deactivate notes that nothing of a function is left. The caller removes it from those that are active.
+// deactivate marks a function that is no longer referenced as idle. The caller removes it from the active functions.
 func (s *Scheduler) deactivate(function *functionRecord) {
 	function.active = false
 	table := &s.functions
@@ -50,13 +50,14 @@
 	table.idle = slices.Insert(table.idle, i, function)
 }
 
-// compareLastUsed orders functions by when they were last requested, those of one time by when they were added.
+// compareLastUsed orders functions by the time of their last request, and within the same time by when they were
+// added.
 func compareLastUsed(a, b *functionRecord) int {
 	return cmp.Or(cmp.Compare(a.lastUsed, b.lastUsed), cmp.Compare(a.sequence, b.sequence))
 }
 
-// expireFunctions drops the idle replicas and hopeless requests of the active functions, and forgets the functions that
-// have been idle for long.
+// expireFunctions drops the idle replicas and the unservable requests of the active functions, and removes the
+// functions that have been idle for longer than functionIdleTime.
 func (s *Scheduler) expireFunctions() {
 	s.functions.active = slices.DeleteFunc(s.functions.active, func(function *functionRecord) bool {
 		function.dropIdleReplicas(s.now - s.settings.ReplicaIdleTimeout)
--- a/scheduler/queue_delay_index.go
+++ b/scheduler/queue_delay_index.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// This file keeps the queue delays of the workers, so that their median costs nothing for workers that were not
-// contacted; it decides nothing.
+// This file keeps the queue delays of the workers in sorted order, so that the median needs no scan of all workers.
+// It contains no scheduling decisions.
 
-// workerDelay is how long requests at one worker wait beyond an unloaded run.
+// workerDelay is the queue delay at one worker: how long requests there wait beyond an unloaded run.
 type workerDelay struct {
-	value      float64       // nanoseconds, as it was at clock
-	clock      float64       // of the index, see queueDelayEstimates.clock
-	rank       float64       // orders delays that were observed at different times; see rankOf
-	observed   float64       // nanoseconds as last observed, not decayed since
-	observedAt time.Duration // 0: never
+	value      float64       // nanoseconds, at the index's time clock
+	clock      float64       // value of queueDelayEstimates.clock to which value refers
+	rank       float64       // orders delays observed at different times; see rankOf
+	observed   float64       // nanoseconds, as last observed, without decay
+	observedAt time.Duration // time of the last observation; 0 if there was none
 	ordered    bool          // the worker is in queueDelayEstimates.ordered
 }
 
-// read is the delay at a time of the index's clock.
+// read returns the delay at a reading of the index's clock.
 func (d *workerDelay) read(clock float64) float64 { return d.value * math.Exp(d.clock-clock) }
 
-// rankOf returns what stays the order of delays: the logarithm of a delay falls as fast as the clock advances.
+// rankOf returns a sort key that preserves the order of delays over time: the logarithm of a delay falls as fast as
+// the clock advances.
 func rankOf(value, clock float64) float64 { return math.Log(value) + clock }
 
 // delayContact is one observation of a worker's queue delay.
@@ -32,22 +33,22 @@
 	at     time.Duration
 }
 
-// queueDelayEstimates hold the queue delays of all workers, and what was read from them at the last tick. All delays
-// decay by one clock, which runs at 1/memory:
+// queueDelayEstimates holds the queue delays of all workers, and the values derived from them at the last tick. All
+// delays decay by one clock, which advances at the rate 1/memory:
 //
 //	delay(t) = delay(t0) * exp(clock(t0) - clock(t))
 type queueDelayEstimates struct {
-	memory          time.Duration // of the queue delay at a worker
+	memory          time.Duration // time constant of the decay
 	median          time.Duration // over the ready workers
-	contactedMedian float64       // nanoseconds, over the workers contacted lately; 0: too few
+	contactedMedian float64       // nanoseconds; see contactedDelay; 0 if there are too few samples
 
-	clock    float64 // memories that have passed
+	clock    float64 // elapsed time in units of memory
 	clockAt  time.Duration
-	ordered  []*workerRecord // the ready workers with a queue delay, least first
-	contacts []delayContact  // oldest first; at most maxContacts
+	ordered  []*workerRecord // the ready workers with a queue delay, shortest first
+	contacts []delayContact  // oldest first; dropDecayed limits their number
 }
 
-// advance moves the clock on.
+// advance advances the clock to now.
 func (q *queueDelayEstimates) advance(now time.Duration) {
 	q.clock += float64(now-q.clockAt) / float64(q.memory)
 	q.clockAt = now
@@ -59,7 +60,7 @@
 	q.memory = memory
 }
 
-// read is the queue delay of a worker, in nanoseconds.
+// read returns the queue delay of a worker, in nanoseconds.
 func (q *queueDelayEstimates) read(worker *workerRecord, now time.Duration) float64 {
 	if worker.queueDelay.value == 0 {
 		return 0
@@ -68,8 +69,8 @@
 	return worker.queueDelay.read(q.clock)
 }
 
-// observe takes a sample of a worker's queue delay. It weighs the more the longer ago the last one was, as measured by
-// smoothing:
+// observe records a sample of a worker's queue delay. The weight of the sample grows with the time since the previous
+// observation, relative to smoothing:
 //
 //	w = 1 - exp(-(now - observedAt) / smoothing)
 //	delay = (1 - w) * delay(now) + w * sample
@@ -78,7 +79,7 @@
 	q.set(worker, now, (1-weight)*q.read(worker, now)+weight*sample)
 }
 
-// set sets the queue delay of a worker as it was observed.
+// set sets the queue delay of a worker as observed now.
 func (q *queueDelayEstimates) set(worker *workerRecord, now time.Duration, value float64) {
 	q.advance(now)
 	q.removeFromOrder(worker)
@@ -92,7 +93,7 @@
 	}
 }
 
-// addToOrder puts a worker into the order if it is ready and requests wait there.
+// addToOrder inserts a worker into the sorted order if it is ready and has a queue delay.
 func (q *queueDelayEstimates) addToOrder(worker *workerRecord) {
 	if worker.State != Ready || worker.queueDelay.value <= 0 {
 		return
@@ -102,7 +103,7 @@
 	q.ordered = slices.Insert(q.ordered, i, worker)
 }
 
-// removeFromOrder takes a worker out of the order.
+// removeFromOrder removes a worker from the sorted order.
 func (q *queueDelayEstimates) removeFromOrder(worker *workerRecord) {
 	if !worker.queueDelay.ordered {
 		return
@@ -116,7 +117,8 @@
 	return cmp.Or(cmp.Compare(a.queueDelay.rank, b.queueDelay.rank), cmp.Compare(a.ID, b.ID))
 }
 
-// medianOf is the median over so many ready workers, of which those that are not in the order have no queue delay.
+// medianOf returns the median over the given number of ready workers. Workers that are not in the sorted order have
+// no queue delay.
 func (q *queueDelayEstimates) medianOf(ready int, now time.Duration) time.Duration {
 	place := ready/2 - (ready - len(q.ordered))
 	if place < 0 || place >= len(q.ordered) {
@@ -125,8 +127,9 @@
 	return time.Duration(q.read(q.ordered[place], now))
 }
 
-// dropDecayed takes those out of the order that have decayed to nothing, and forgets contacts that are older than a
-// time or were followed by another one at the same worker where there are too many.
+// dropDecayed removes workers whose delay has decayed to nothing from the sorted order. It also drops contacts up to
+// the time oldest and, if there are more than maxContacts, those that were superseded by a later contact of the same
+// worker.
 func (q *queueDelayEstimates) dropDecayed(now, oldest time.Duration, maxContacts int) {
 	decayed := 0
 	for decayed < len(q.ordered) && q.read(q.ordered[decayed], now) < 1 {
@@ -145,5 +148,5 @@
 	}
 }
 
-// isLatest is whether the worker's queue delay was not observed again since, and its process is the same.
+// isLatest reports whether the worker's queue delay was not observed again since, and its process is still the same.
 func (c *delayContact) isLatest() bool { return c.worker.queueDelay.observedAt == c.at }
--- a/scheduler/rendezvous.go
+++ b/scheduler/rendezvous.go
@@ -7,27 +7,29 @@
 	"havencart/internal/estimate"
 )
 
-// This file keeps the order in which all front ends rank the workers for a function; it decides nothing.
+// This file computes the order in which all front ends rank the workers for a function. It contains no scheduling
+// decisions.
 
-// rankedWorker is what a worker's rank depends on, apart from its record: ranks are made for many workers at a time.
+// rankedWorker holds the inputs of a worker's rank. They are stored contiguously, apart from the worker records,
+// because ranks are computed for many workers at a time.
 type rankedWorker struct {
 	id       WorkerID
-	capacity float64 // relative, see relativeCapacity
+	capacity float64 // relative to the mean; see relativeCapacity
 }
 
-// workerOrder holds the first workers of an order that was made for a function.
+// workerOrder caches the first workers of an order computed for a function.
 type workerOrder struct {
-	version int // of the endpoint table that it was made from
+	version int // endpointTable.version for which the order was computed
 	workers []*workerRecord
 }
 
-// rankEntry is a worker's rank in a rendezvous order that is being made.
+// rankEntry is a worker's rank in a rendezvous order under construction.
 type rankEntry struct {
 	rank  float64
-	index int // in endpointTable.list, which decides between equal ranks
+	index int // position in endpointTable.list, which breaks ties
 }
 
-// compareRanks orders workers by rank, and equal ranks as the list has them.
+// compareRanks orders entries by rank and breaks ties by position in the list.
 func compareRanks(a, b rankEntry) int {
 	switch {
 	case a.rank < b.rank:
@@ -38,8 +40,8 @@
 	return a.index - b.index
 }
 
-// rendezvousOrder lists the workers in the order that every front end computes alike for a function: the first count of
-// them at least, all where there are fewer. The list stands until the next change of the endpoint list.
+// rendezvousOrder returns at least the first count workers, or all if there are fewer, in an order that every front
+// end computes alike for a function. The result is valid until the next change of the endpoint list.
 func (s *Scheduler) rendezvousOrder(function *functionRecord, count int) []*workerRecord {
 	table, order := &s.endpoints, &function.rendezvous
 	if order.version != table.version {
@@ -55,11 +57,11 @@
 	return order.workers
 }
 
-// topRanked returns the workers that come first in the rendezvous order of a function, in that order: count at least,
-// all where there are fewer.
+// topRanked returns at least the first count workers, or all if there are fewer, in the rendezvous order of a
+// function.
 //
-// Of n workers of capacity 1 in the mean, about n * limit have a rank below a small limit. Only those are ranked and
-// sorted, with a limit that lets enough through most times, and is doubled where it did not.
+// Of n workers with a mean capacity of 1, about n * limit have a rank below a small limit. Only these are ranked and
+// sorted. The first limit usually admits enough workers; it is doubled when it does not.
 func (s *Scheduler) topRanked(function *functionRecord, count int) []rankEntry {
 	ranking := s.endpoints.ranking
 	if count >= len(ranking) {
@@ -72,7 +74,7 @@
 	}
 }
 
-// rankedBelow returns the workers whose rank for a function is below a limit, in their order.
+// rankedBelow returns the workers whose rank for a function is below a limit, in rank order.
 func (s *Scheduler) rankedBelow(function *functionRecord, limit float64) (entries []rankEntry) {
 	for i, worker := range s.endpoints.ranking {
 		draw := rendezvousDraw(function.id, worker.id)
@@ -87,26 +89,26 @@
 	return entries
 }
 
-// rendezvousDraw is a hash of both identifiers in (0, 1).
+// rendezvousDraw returns a hash of both identifiers in the open interval (0, 1).
 func rendezvousDraw(function FunctionID, worker WorkerID) float64 {
 	return estimate.UnitInterval(estimate.Mix(uint64(function), uint64(worker))) + 0.5/(1<<53)
 }
 
-// rendezvousRank is lower for workers that come sooner in the rendezvous order, by weighted rendezvous hashing:
-// -ln(1-draw) / capacity. A worker comes first for as large a part of the functions as it has of the capacity.
+// rendezvousRank returns a worker's rank in weighted rendezvous hashing: -ln(1-draw) / capacity. Lower ranks come
+// first. The fraction of functions for which a worker comes first equals its fraction of the total capacity.
 //
 // Thaler, Ravishankar: "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking, 1998;
 // with weights: Schindelhauer, Schomaker: "Weighted distributed hash tables", SPAA 2005.
 //
-// It is finite, so that each worker has a rank below some limit, also one whose capacity is next to nothing.
+// The rank is always finite, so that each worker is below some limit even if its capacity is close to zero.
 func rendezvousRank(draw, capacity float64) float64 {
 	return min(-math.Log1p(-draw)/capacity, math.MaxFloat64)
 }
 
-// rankLowerBound is not above rendezvousRank, and costs no logarithm: -ln(1-x) >= x.
+// rankLowerBound returns a lower bound of rendezvousRank without computing a logarithm: -ln(1-x) >= x.
 func rankLowerBound(draw, capacity float64) float64 { return min(draw/capacity, math.MaxFloat64) }
 
-// rankWorkers takes a change of the workers or their capacities.
+// rankWorkers updates the inputs of the ranks after a change of the workers or their capacities.
 func (s *Scheduler) rankWorkers() {
 	table := &s.endpoints
 	table.meanScale = 0
@@ -119,7 +121,7 @@
 	}
 }
 
-// cellMembers lists the workers of a cell, by identifier.
+// cellMembers returns the workers of a cell, sorted by identifier.
 func (s *Scheduler) cellMembers(cell int) []*workerRecord {
 	table := &s.endpoints
 	if table.cellsVersion != table.version {
@@ -132,7 +134,7 @@
 	return table.cells[cell]
 }
 
-// inRendezvousOrder returns some workers in the rendezvous order of a function.
+// inRendezvousOrder returns the given workers in the rendezvous order of a function.
 func (s *Scheduler) inRendezvousOrder(function *functionRecord, workers []*workerRecord) []*workerRecord {
 	entries := make([]rankEntry, len(workers))
 	for i, worker := range workers {
--- a/scheduler/replicas.go
+++ b/scheduler/replicas.go
@@ -7,74 +7,76 @@
 	"havencart/internal/estimate"
 )
 
-// This file keeps the functions, their queues, and the beliefs about where they are loaded; it decides nothing.
+// This file defines the functions, their queues and the replicas assumed to be loaded. It contains no scheduling
+// decisions.
 
-// Replicas that a load order asks for.
+// Numbers of replicas in a load order.
 const (
-	residencyQuery = 0 // none: it only asks how many are loaded
+	residencyQuery = 0 // only queries how many replicas are loaded
 	oneReplica     = 1
 )
 
-// Limits of the requests that wait for a load, as startLoad takes them.
+// Values of startLoad's limit on the requests that wait for a load.
 const (
 	byQueueDelay  = 0
 	singleRequest = 1
 )
 
-// anyIdle lets pickColdWorker take workers however lately they were contacted.
+// anyIdle makes pickColdWorker consider workers regardless of how recently they were contacted.
 const anyIdle time.Duration = 0
 
-// backlogScope says whose requests the time to drain a function's queue includes.
+// backlogScope selects whose requests are included in the time to drain a function's queue.
 type backlogScope int
 
 const (
-	ownBacklog  backlogScope = iota // this front end's
-	allBacklogs                     // all front ends', as the queue delays at the workers tell
+	ownBacklog  backlogScope = iota // requests of this front end
+	allBacklogs                     // requests of all front ends, estimated from queue delays at the workers
 )
 
-// functionRecord is what is known of a function, and its requests that wait here.
+// functionRecord is the state of a function and its queue at this front end.
 type functionRecord struct {
 	id                 FunctionID
 	class              int
-	sequence           uint64        // of its addition to the table
-	active             bool          // it is in functionTable.active, else in idle
+	sequence           uint64        // order in which functions were added to the table
+	active             bool          // whether it is in functionTable.active or functionTable.idle
 	concurrency        int           // requests that one replica executes at a time
-	advertisedLoadTime time.Duration // usual load time, 0 if not advertised
+	advertisedLoadTime time.Duration // usual load time; 0 if not advertised
 	queue              []*requestRecord
 	replicas           []*replicaRecord
 	runTime            estimate.MovingAverage // nanoseconds
 	loadTime           estimate.MovingAverage // nanoseconds
-	rendezvous         workerOrder            // in the order that all front ends share
-	preferred          workerOrder            // the first targetReplicaCount, in the order of this front end
-	rotation           int                    // where pickWarmReplica begins
-	pendingQueries     int                    // residency queries without an answer
-	queriedAt          time.Duration          // when residency was last queried
-	lastUsed           time.Duration          // when it was last requested
-	requestedRunTime   estimate.Decayed       // nanoseconds, requested of this front end
+	rendezvous         workerOrder            // order shared by all front ends
+	preferred          workerOrder            // first targetReplicaCount workers, in this front end's order
+	rotation           int                    // index at which pickWarmReplica begins its search
+	pendingQueries     int                    // unanswered residency queries
+	queriedAt          time.Duration          // time of the last residency query
+	lastUsed           time.Duration          // time of the last request
+	requestedRunTime   estimate.Decayed       // nanoseconds requested of this front end, decayed
 }
 
-// replicaRecord is the belief that a worker holds a function loaded, or is loading it for us.
+// replicaRecord is a replica that this front end assumes to be loaded at a worker, or that it is loading there. The
+// assumption may be wrong: the worker may have evicted the replica.
 type replicaRecord struct {
 	worker             *workerRecord
 	function           *functionRecord
 	inFlight           int
-	loadingConcurrency int  // requests that may wait there while it is loading
-	loading            bool // no response since its load began
-	prewarmed          bool // ordered ahead of requests, which go elsewhere and need not wait for it
-	loadOrdered        bool // its load order is in flight; requests wait here until that ends
+	loadingConcurrency int  // requests that may wait at the replica while it is loading
+	loading            bool // no response since the load began
+	prewarmed          bool // ordered ahead of demand; queued requests do not wait for it
+	loadOrdered        bool // a load order is in flight; no requests are sent until it ends
 	loadStartedAt      time.Duration
 	lastUsed           time.Duration
-	lastEndedAt        time.Duration          // when an attempt last ended, by the time that the worker reported
-	runTime            estimate.MovingAverage // nanoseconds, here
+	lastEndedAt        time.Duration          // when the last attempt ended, by the latency that the worker reported
+	runTime            estimate.MovingAverage // nanoseconds, at this replica
 }
 
-// replicaKey names the replica of a function at a worker.
+// replicaKey identifies the replica of a function at a worker.
 type replicaKey struct {
 	worker   WorkerID
 	function FunctionID
 }
 
-// dropReplicasOn drops every belief about what a worker holds.
+// dropReplicasOn drops all replicas assumed to be loaded at a worker.
 func (s *Scheduler) dropReplicasOn(worker *workerRecord) {
 	for _, function := range s.functions.active {
 		if replica := function.replicaOn(worker); replica != nil {
@@ -95,14 +97,14 @@
 	return count
 }
 
-// hasUsableReplica is whether some believed replica is at a worker that may be sent requests now.
+// hasUsableReplica reports whether some replica is at a worker that may be sent requests now.
 func (s *Scheduler) hasUsableReplica(function *functionRecord) bool {
 	return slices.ContainsFunc(function.replicas, func(replica *replicaRecord) bool {
 		return s.isUsable(replica.worker, function.class)
 	})
 }
 
-// hasReplicaFor is whether some believed replica may be sent the request once it has headroom.
+// hasReplicaFor reports whether some replica may be sent the request once it has headroom.
 func (s *Scheduler) hasReplicaFor(request *requestRecord) bool {
 	function := request.function
 	return slices.ContainsFunc(function.replicas, func(replica *replicaRecord) bool {
@@ -110,12 +112,12 @@
 	})
 }
 
-// awaitsResidency is whether answers to residency queries are still waited for.
+// awaitsResidency reports whether answers to residency queries are still awaited.
 func (s *Scheduler) awaitsResidency(function *functionRecord) bool {
 	return function.pendingQueries > 0 && s.now-function.queriedAt < residencyQueryTimeout
 }
 
-// recordResidency takes the answer to a residency query.
+// recordResidency handles the answer to a residency query.
 func (s *Scheduler) recordResidency(function *functionRecord, worker *workerRecord, loaded int) {
 	function.pendingQueries = max(0, function.pendingQueries-1)
 	if loaded > 0 && function.replicaOn(worker) == nil && worker.State == Ready {
@@ -124,7 +126,7 @@
 	}
 }
 
-// replicaOn returns the replica believed to be at a worker, nil if none is.
+// replicaOn returns the replica assumed to be at a worker, or nil if there is none.
 func (f *functionRecord) replicaOn(worker *workerRecord) *replicaRecord {
 	for _, replica := range f.replicas {
 		if replica.worker == worker {
@@ -138,21 +140,21 @@
 	f.replicas = without(f.replicas, replica)
 }
 
-// dropIdleReplicas drops the beliefs in replicas that were last used at a time or before: they may be unloaded by now.
+// dropIdleReplicas drops the replicas that were last used at or before a time, because they may have been unloaded.
 func (f *functionRecord) dropIdleReplicas(lastUsed time.Duration) {
 	f.replicas = slices.DeleteFunc(f.replicas, func(replica *replicaRecord) bool {
 		return replica.inFlight == 0 && !replica.loading && replica.lastUsed <= lastUsed
 	})
 }
 
-// hasLoadingReplica is whether a replica is loading that queued requests may wait for.
+// hasLoadingReplica reports whether some replica is loading that queued requests may wait for.
 func (f *functionRecord) hasLoadingReplica() bool {
 	return slices.ContainsFunc(f.replicas, func(replica *replicaRecord) bool {
 		return replica.loading && !replica.prewarmed
 	})
 }
 
-// isReferenced is whether a request, a replica or a residency query of the function is left.
+// isReferenced reports whether the function has a queued request, a replica or a pending residency query.
 func (f *functionRecord) isReferenced() bool {
 	return len(f.queue)+len(f.replicas)+f.pendingQueries > 0
 }
@@ -165,7 +167,7 @@
 	return count
 }
 
-// newLoadingReplica returns the belief in a replica whose load starts now.
+// newLoadingReplica returns a replica whose load starts now.
 func newLoadingReplica(
 	function *functionRecord, worker *workerRecord, concurrency int, now time.Duration,
 ) *replicaRecord {
@@ -179,7 +181,7 @@
 	}
 }
 
-// capacity is how many requests of ours the replica may hold.
+// capacity returns how many requests of this front end the replica may hold.
 func (r *replicaRecord) capacity() int {
 	if r.loading {
 		return r.loadingConcurrency
@@ -187,7 +189,7 @@
 	return r.function.concurrency
 }
 
-// without returns the list with x taken out of it.
+// without removes x from the list in place and returns the list.
 func without[T comparable](list []T, x T) []T {
 	return slices.DeleteFunc(list, func(y T) bool { return y == x })
 }
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// This file keeps the requests; it decides nothing.
+// This file defines the request records. It contains no scheduling decisions.
 
 // requestRecord is a request that is queued here or has an attempt in flight.
 type requestRecord struct {
 	Request
 	class           *Class
 	function        *functionRecord
-	deadline        time.Duration // when its client gives up
-	objectiveAt     time.Duration // until when its response is in time
+	deadline        time.Duration // time at which the client gives up
+	objectiveAt     time.Duration // time until which a response is in time
 	attempts        int
-	replica         *replicaRecord // where its attempt is in flight; nil while queued
+	replica         *replicaRecord // replica of the attempt in flight; nil while queued
 	sentAt          time.Duration
-	queuedBehindOwn bool // sent while our own requests used the replica's whole concurrency
+	queuedBehindOwn bool // sent while this front end's requests used the replica's whole concurrency
 	triggeredLoad   bool // sent to a replica that was not known to be loaded
 	mayHaveExecuted bool // an earlier attempt may have executed
 	firstSentAt     time.Duration
-	firstWorker     WorkerInfo // where, for the scope of its idempotency key
-	closed          bool       // no answer is owed any more
-	streamed        bool       // its response has begun
-	overQuota       bool       // of its tenant
+	firstWorker     WorkerInfo // worker of that attempt, which determines the idempotency key's scope
+	closed          bool       // no response is owed any longer
+	streamed        bool       // the response has begun
+	overQuota       bool       // over the quota of its tenant
 }
 
-// queueRank is the order of queued requests, first to last.
+// queueRank is the rank of a queued request; lower ranks are sent first.
 type queueRank int
 
 const (
@@ -33,7 +33,7 @@
 	overQuota
 )
 
-// addRequest records a request and puts it into the queue of its function.
+// addRequest records a request and appends it to the queue of its function.
 func (s *Scheduler) addRequest(received Request) *requestRecord {
 	function := s.trackFunction(received.Function, received.Class)
 	function.concurrency = max(1, received.ReplicaConcurrency)
@@ -77,7 +77,7 @@
 	s.actions.Send(request.ID, worker.ID, 0)
 }
 
-// closeRequest notes that no answer is owed any more, and forgets the request unless an attempt is in flight.
+// closeRequest marks a request as owed no response any longer, and removes it unless an attempt is in flight.
 func (s *Scheduler) closeRequest(request *requestRecord) {
 	request.closed = true
 	if request.replica == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// detach ends the attempt in flight and returns the replica that it was sent to.
+// detach removes the attempt in flight from its replica and worker, and returns the replica.
 func (r *requestRecord) detach() *replicaRecord {
 	replica := r.replica
 	replica.worker.inFlight = without(replica.worker.inFlight, r)
@@ -95,24 +95,25 @@
 	return replica
 }
 
-// recordPossibleExecution notes that the attempt that ended at a worker may have executed; the first one counts.
+// recordPossibleExecution records that the attempt just ended at a worker may have executed. Only the first such
+// attempt is recorded.
 func (r *requestRecord) recordPossibleExecution(worker *workerRecord) {
 	if !r.mayHaveExecuted {
 		r.mayHaveExecuted, r.firstSentAt, r.firstWorker = true, r.sentAt, worker.WorkerInfo
 	}
 }
 
-// boundToKeyScope is whether the request may be sent only to the workers that drop its repeats.
+// boundToKeyScope reports whether the request may be sent only to workers that drop its repeats.
 func (r *requestRecord) boundToKeyScope() bool {
 	return r.mayHaveExecuted && r.class.Idempotency == IdempotentByKey
 }
 
-// isResponse is whether the worker itself answered.
+// isResponse reports whether the worker itself answered.
 func (s Status) isResponse() bool {
 	return s == OK || s == Overloaded || s == NotLoaded || s == Error
 }
 
-// waitedForLoad is whether the attempt waited for a load, its own or another request's.
+// waitedForLoad reports whether the attempt waited for a load, triggered by itself or by another request.
 func (o *Outcome) waitedForLoad() bool {
 	return o.ColdStart == ColdStartTriggered || o.ColdStart == ColdStartAwaited
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// This file keeps what a Scheduler remembers as a whole; it decides nothing.
+// This file defines the Scheduler's overall state. It contains no scheduling decisions.
 
-// never is a delay without end, short enough to be added to a time.
+// infiniteDuration stands for an unlimited duration. It is small enough to be added to a time without overflow.
 const infiniteDuration time.Duration = 1e15
 
-// The tokens of timers.
+// Timer tokens.
 const (
 	tickTimer uint64 = iota
 	watchTimer
 )
 
-// Scheduler decides for one front end which worker each of its requests goes to, which requests wait, where functions
-// are loaded and which requests are rejected. It is a pure state machine: its owner (a gateway's event loop, the
-// simulator's adapter, the shadow evaluation) reports events one after another, each with its time since the process's
-// start, and carries out the Actions that the Scheduler calls meanwhile. It is not safe for concurrent use.
+// Scheduler decides for one front end which worker each of its requests is sent to, which requests wait, where
+// functions are loaded and which requests are rejected. It is a pure state machine: its owner (a gateway's event
+// loop, the simulator's adapter or the shadow evaluation) reports events one at a time, each with its time since the
+// process's start, and carries out the Actions that the Scheduler calls while handling the event. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	settings  Settings
 	actions   Actions
-	now       time.Duration // of the event being handled
+	now       time.Duration // time of the event being handled
 	startedAt time.Duration
 
 	endpoints  endpointTable
 	functions  functionTable
-	requests   map[RequestID]*requestRecord // not closed, or with an attempt in flight
-	loadOrders map[replicaKey]int           // replicas asked for by each order in flight; residencyQuery for a query
+	requests   map[RequestID]*requestRecord // requests that are not closed or have an attempt in flight
+	loadOrders map[replicaKey]int           // replicas ordered by each load order in flight; residencyQuery for a query
 
 	stall     stallDetector
 	latency   latencyEstimates
@@ -38,7 +39,7 @@
 	tenants   tenantQuotas
 }
 
-// newScheduler returns a Scheduler that knows nothing and has asked for nothing.
+// newScheduler returns a Scheduler with empty state and no pending actions.
 func newScheduler(now time.Duration, settings Settings, actions Actions) *Scheduler {
 	return &Scheduler{
 		settings:   settings,
@@ -56,13 +57,13 @@
 	}
 }
 
-// stallDetector notices that this front end itself stood still, by ticks that come late.
+// stallDetector detects stalls of this front end itself by late ticks.
 type stallDetector struct {
 	lastTickAt time.Duration
 	resumedAt  time.Duration // end of the last stall
 }
 
-// tick notes a tick; a late one tells of a stall.
+// tick records a tick. A late tick indicates a stall.
 func (d *stallDetector) tick(now time.Duration) {
 	if now-d.lastTickAt > stallTicks*tickInterval {
 		d.resumedAt = now
@@ -70,17 +71,18 @@
 	d.lastTickAt = now
 }
 
-// hasRecovered is whether no stall was seen lately. While one was, a silence of workers may be our own.
+// hasRecovered reports whether no stall was observed recently. After a stall, an apparent silence of a worker may
+// have been caused by this front end.
 func (d *stallDetector) hasRecovered(now time.Duration) bool {
 	return now-d.resumedAt > stallTicks*tickInterval
 }
 
-// isLagging is whether a stall was seen lately: this front end has less processor time than it wants.
+// isLagging reports whether a stall was observed recently, that is, whether this front end lacks processor time.
 func (d *stallDetector) isLagging(now time.Duration) bool {
 	return d.resumedAt > 0 && !d.hasRecovered(now)
 }
 
-// dropBefore returns the times, which ascend, that are not before from.
+// dropBefore returns the times at or after from. The times must be in ascending order.
 func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] < from {
--- a/scheduler/serving_capacity.go
+++ b/scheduler/serving_capacity.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// This file counts the workers that serve, as they change; it decides nothing. No worker is looked at for the time that
-// passes but those in slow start and those that count by a response alone.
+// This file counts the serving workers incrementally. It contains no scheduling decisions. The passage of time
+// requires a scan only of the workers in slow start and of those that count as serving by a response alone.
 
-// capacitySum is the capacity of some workers, in warm ones. That of a worker in slow start grows linearly with time.
+// capacitySum is the total capacity of a set of workers, in units of one warm worker. The capacity of a worker in
+// slow start grows linearly with time.
 type capacitySum struct {
 	warm       int
-	cold       int   // in slow start
-	coldStarts int64 // microseconds, the sum of their starts
+	cold       int   // workers in slow start
+	coldStarts int64 // sum of the start times of the cold workers, in microseconds
 }
 
-// add adds a worker, or takes it out where sign is -1.
+// add adds a worker to the sum, or removes it if sign is -1.
 func (c *capacitySum) add(worker *workerRecord, sign int) {
 	if !worker.cold {
 		c.warm += sign
@@ -26,7 +27,8 @@
 	c.coldStarts += int64(sign) * worker.Started.Microseconds()
 }
 
-// read is the capacity at a time, where workers begin with a part of it and have all after slowStart.
+// read returns the capacity at a time. A worker starts with the fraction begin of its capacity and has all of it
+// after slowStart.
 func (c *capacitySum) read(now, slowStart time.Duration, begin float64) float64 {
 	if c.cold == 0 || slowStart <= 0 {
 		return float64(c.warm + c.cold)
@@ -36,13 +38,13 @@
 	return float64(c.warm) + begin*float64(c.cold) + ramp
 }
 
-// servingCounts are over the workers of the endpoint list.
+// servingCounts are counts over the workers of the endpoint list.
 type servingCounts struct {
 	ready   int
 	healthy []int         // by class: ready and not ejected
 	serving []capacitySum // by class: healthy, or responded within completionMemory
 	cold    []*workerRecord
-	// servingByResponse are those that count as serving by a response alone, which grows old.
+	// servingByResponse are the workers that count as serving only by a recent response, which expires.
 	servingByResponse []*workerRecord
 }
 
@@ -50,17 +52,18 @@
 	return servingCounts{healthy: make([]int, classes), serving: make([]capacitySum, classes)}
 }
 
-// servingCapacity is to how many warm workers those amount that served, or may have served, what was completed within
-// completionMemory: those that are ready and not ejected for a class, and those that responded meanwhile.
+// servingCapacity returns the capacity, in warm workers, of those that may have contributed to the completions within
+// completionMemory: the workers that are ready and not ejected for a class, and those that responded within that
+// time.
 func (s *Scheduler) servingCapacity(class int) float64 {
 	counts := &s.endpoints.counts
 	return counts.serving[class].read(s.now, s.settings.SlowStartDuration, s.settings.SlowStartFraction)
 }
 
-// hasHealthy is whether some worker is ready and not ejected for a class.
+// hasHealthy reports whether some worker is ready and not ejected for a class.
 func (s *Scheduler) hasHealthy(class int) bool { return s.endpoints.counts.healthy[class] > 0 }
 
-// count begins to count a worker.
+// count adds a worker to the counts.
 func (s *Scheduler) count(worker *workerRecord) {
 	counts := &s.endpoints.counts
 	if worker.State == Ready {
@@ -74,7 +77,8 @@
 	s.recount(worker)
 }
 
-// uncount ends the counting of a worker, before its state, its start or its record changes.
+// uncount removes a worker from the counts. It must be called before the worker's state, start time or record
+// changes.
 func (s *Scheduler) uncount(worker *workerRecord) {
 	counts := &s.endpoints.counts
 	if worker.State == Ready {
@@ -99,7 +103,7 @@
 	return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.ID, b.ID))
 }
 
-// recount counts a worker anew that was ejected, is no longer ejected, or responded.
+// recount updates the counts after a worker was ejected, ended its ejection, or responded.
 func (s *Scheduler) recount(worker *workerRecord) {
 	responded := worker.respondedSince(s.now - completionMemory)
 	byResponse := false
@@ -131,7 +135,7 @@
 	}
 }
 
-// signOf is 1 for what is counted in addition, -1 for what no longer counts.
+// signOf returns 1 for a worker that starts to count, and -1 for one that no longer counts.
 func signOf(counts bool) int {
 	if counts {
 		return 1
@@ -139,7 +143,7 @@
 	return -1
 }
 
-// updateCounts takes the time that has passed: slow starts that are over, and responses that are too old.
+// updateCounts updates the counts for the passage of time: slow starts that are over and responses that have expired.
 func (s *Scheduler) updateCounts() {
 	counts := &s.endpoints.counts
 	warmed := 0
@@ -157,7 +161,7 @@
 	})
 }
 
-// countAsWarm counts a worker whose slow start is over in full.
+// countAsWarm counts a worker whose slow start is over with its full capacity.
 func (s *Scheduler) countAsWarm(worker *workerRecord) {
 	for class, health := range worker.healthByClass {
 		if health.countedServing {
