--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -10,7 +10,7 @@
 	r := h.request(7, 0)
 	h.advance(2990 * ms)
 	if h.answers[r] != "rejected" {
-		t.Errorf("with no worker known the answer is %q", h.answers[r])
+		t.Errorf("response %q with no known workers, want rejected", h.answers[r])
 	}
 }
 
@@ -18,7 +18,7 @@
 	h := newHarness(t, testSettings(), 0)
 	h.scheduler.RequestReceived(h.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
 	if h.answers[1] != "rejected" {
-		t.Errorf("answer %q to a request that no tick will see in time", h.answers[1])
+		t.Errorf("response %q to a request that times out before the next tick, want rejected", h.answers[1])
 	}
 }
 
@@ -31,7 +31,7 @@
 	r := h.request(7, 0)
 	h.advance(100 * ms)
 	if h.answers[r] != "" {
-		t.Errorf("request %s though a warm worker is about to have headroom", h.answers[r])
+		t.Errorf("request %s although a warm worker will soon have headroom", h.answers[r])
 	}
 }
 
@@ -42,19 +42,19 @@
 		h.scheduler.tenants.exceeds(1, 0.5)
 	}
 	counted := 0
-	for range 20 { // a tenant that sends all requests, with half the service as its share
+	for range 20 { // a tenant that sends all requests, although its share is half
 		if h.scheduler.tenants.exceeds(1, 0.5) {
 			counted++
 		}
 	}
 	if counted < 5 || counted > 10 {
-		t.Errorf("%d of 20 requests counted as over quota, want about two in five", counted)
+		t.Errorf("%d of 20 requests are over quota, want 5 to 10", counted)
 	}
 	within, beyond := h.request(7, 0), h.request(7, 0)
 	h.scheduler.requests[beyond].overQuota = true
 	worker.concurrencyLimit = 4
 	if !h.scheduler.hasHeadroom(worker, h.scheduler.requests[within]) || h.scheduler.hasHeadroom(worker, h.scheduler.requests[beyond]) {
-		t.Error("with two of four slots in use there must be headroom for a request in quota, none for one over it")
+		t.Error("with two of four slots in use, a request within quota must have headroom and one over quota must not")
 	}
 }
 
@@ -63,12 +63,12 @@
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	worker.concurrencyLimit = 2
 	var ids []RequestID
-	for range 40 { // concurrency 2 at 100 ms a run: the last would wait for two seconds
+	for range 40 { // concurrency 2 and 100 ms per run: the last one would wait for two seconds
 		ids = append(ids, h.request(7, 0))
 	}
 	h.advance(2 * tickInterval)
 	if h.answers[ids[39]] != "rejected" || h.answers[ids[4]] != "" {
-		t.Errorf("answers %q to the last and %q to an early one of 40, want rejected and none",
+		t.Errorf("responses %q to the last and %q to the fifth of 40 requests, want rejected and none",
 			h.answers[ids[39]], h.answers[ids[4]])
 	}
 }
@@ -92,13 +92,13 @@
 	}
 	long, short := 700*ms, 5*ms
 	if n := rejected(long, long, long, long, long, long); n < 50 || n == 100 {
-		t.Errorf("%d of 100 requests are rejected at once while all workers have requests wait for %v, want most, not all", n, long)
+		t.Errorf("%d of 100 requests rejected on arrival while the queue delay of all workers is %v, want 50 to 99", n, long)
 	}
 	if n := rejected(long, long, short, short, short, short); n != 0 {
-		t.Errorf("%d of 100 requests are rejected at once while four workers of six have headroom", n)
+		t.Errorf("%d of 100 requests rejected on arrival while four of six workers have headroom, want 0", n)
 	}
 	if n := rejected(long, long, long); n != 0 {
-		t.Errorf("%d of 100 requests are rejected by the queue delays of three workers", n)
+		t.Errorf("%d of 100 requests rejected with only three queue delay samples, want 0", n)
 	}
 }
 
@@ -122,10 +122,10 @@
 		}
 	}
 	if rejected[1] >= rejected[0]*3/4 {
-		t.Errorf("of 200 requests each %d are rejected of the class of weight 3 and %d of weight 1, for the same work", rejected[1], rejected[0])
+		t.Errorf("%d of 200 requests of weight 3 rejected, %d of weight 1, for the same work", rejected[1], rejected[0])
 	}
 	if d := rejected[2] - rejected[0]; d < -30 || d > 30 {
-		t.Errorf("of 200 requests each %d are rejected of the class that can wait and %d of the urgent one, which is starved",
+		t.Errorf("%d of 200 requests with a long objective rejected, %d with a short one; want similar numbers",
 			rejected[2], rejected[0])
 	}
 }
@@ -136,7 +136,7 @@
 	h := newHarness(t, set, 2)
 	h.warm(7)
 	if slack := h.scheduler.queueDelayBudget(); slack < 600*ms {
-		t.Errorf("requests may wait %v by a class that nobody uses; the objective of the others is 800ms", slack)
+		t.Errorf("queue delay budget is %v, want it to ignore the unused class; the objective of the others is 800ms", slack)
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	h.advance(40 * ms)
 	if n := h.count("reject"); n != 0 {
-		t.Errorf("%d of 16 requests rejected before any run was seen", n)
+		t.Errorf("%d of 16 requests rejected before any run was observed, want 0", n)
 	}
 	for id := first + 1; id <= first+2; id++ {
 		h.endAttempt(id, OK, WarmStart)
@@ -163,11 +163,12 @@
 	}
 	h.advance(40 * ms)
 	if h.count("reject") == 0 {
-		t.Error("none of 200 requests rejected that runs of 40 ms make late")
+		t.Error("none of 200 requests rejected although runs of 40 ms make some late")
 	}
 }
 
-// TestShedding_DelayBelowUnloadedRun_AdmitsAll holds that queue delays of less than a run are no overload, however urgent a class.
+// TestShedding_DelayBelowUnloadedRun_AdmitsAll verifies that a queue delay shorter than a run does not count as an
+// overload, however short the latency objective of a class is.
 func TestShedding_DelayBelowUnloadedRun_AdmitsAll(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
@@ -183,7 +184,7 @@
 	rejected := func(delay time.Duration) (n int) {
 		h.scheduler.delay.contactedMedian = float64(delay)
 		for id := range RequestID(200) {
-			function := h.scheduler.trackFunction(FunctionID(1000), 0) // of which no replica is known
+			function := h.scheduler.trackFunction(FunctionID(1000), 0) // without any known replica
 			if h.scheduler.shouldShed(&requestRecord{Request: Request{ID: 5000 + id}, class: &h.scheduler.settings.Classes[0], function: function}) {
 				n++
 			}
@@ -191,7 +192,7 @@
 		return n
 	}
 	if few, many := rejected(unloaded*9/10), rejected(10*unloaded+time.Second); few > 0 || many < 100 {
-		t.Errorf("of 200 requests %d are rejected at a queue delay of 0.9 unloaded runs, %d at one of over 10", few, many)
+		t.Errorf("%d of 200 requests rejected at a queue delay of 0.9 unloaded runs, %d at more than 10; want 0 and at least 100", few, many)
 	}
 }
 
@@ -206,6 +207,6 @@
 	queued := h.request(7, 0)
 	h.advance(3 * time.Second)
 	if h.answers[queued] == "" {
-		t.Errorf("no answer for a request queued behind runs of no time, expected run %v", h.scheduler.expectedRunTime(h.scheduler.functions.byID[7]))
+		t.Errorf("no response to a request queued behind runs of zero duration; the expected run time is %v", h.scheduler.expectedRunTime(h.scheduler.functions.byID[7]))
 	}
 }
--- a/scheduler/aggregates_test.go
+++ b/scheduler/aggregates_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// These tests hold that what is kept as workers change equals what a look at all of them tells.
+// These tests compare the incrementally updated counts and orders with a scan of all workers.
 
-// verifyAggregates compares the counts and orders of a Scheduler with a scan of its workers, after an update of what
-// depends on time alone.
+// verifyAggregates compares the counts and orders of a Scheduler with a scan of its workers, after updating those
+// that depend on the passage of time.
 func verifyAggregates(t *testing.T, s *Scheduler) {
 	t.Helper()
 	s.updateCounts()
@@ -27,17 +27,17 @@
 			busy++
 		}
 		if s.endpoints.byID[worker.ID] != worker {
-			t.Errorf("worker %d is listed and not known by its identifier", worker.ID)
+			t.Errorf("worker %d is in list but not in byID", worker.ID)
 		}
 	}
 	if counted := s.endpoints.counts.ready; counted != ready {
-		t.Errorf("%d workers are counted as ready, %d are", counted, ready)
+		t.Errorf("%d workers counted as ready, want %d", counted, ready)
 	}
 	if len(s.endpoints.busy) != busy {
-		t.Errorf("%d workers are noted as busy, %d are", len(s.endpoints.busy), busy)
+		t.Errorf("%d workers in the busy list, want %d", len(s.endpoints.busy), busy)
 	}
 	if !slices.IsSortedFunc(s.endpoints.list, compareWorkerIDs) {
-		t.Error("the workers are not sorted")
+		t.Error("the workers are not sorted by identifier")
 	}
 	verifyMedian(t, s, delays)
 	for class := range s.settings.Classes {
@@ -56,10 +56,10 @@
 		want = delays[len(delays)/2]
 	}
 	if got := float64(s.medianDelay()); math.Abs(got-want) > 1+1e-9*want {
-		t.Errorf("the median queue delay is %v, by a scan %v", time.Duration(got), time.Duration(want))
+		t.Errorf("the median queue delay is %v, a scan finds %v", time.Duration(got), time.Duration(want))
 	}
 	if !slices.IsSortedFunc(s.delay.ordered, compareDelays) {
-		t.Error("the workers with a queue delay are not sorted")
+		t.Error("the workers with a queue delay are not sorted by delay")
 	}
 }
 
@@ -79,23 +79,23 @@
 		}
 	}
 	if counted := s.endpoints.counts.healthy[class]; counted != healthy {
-		t.Errorf("%d workers are counted as healthy for class %d, %d are", counted, class, healthy)
+		t.Errorf("%d workers counted as healthy for class %d, want %d", counted, class, healthy)
 	}
 	if counted := s.servingCapacity(class); math.Abs(counted-serving) > 1e-3 {
-		t.Errorf("the serving capacity for class %d is %.4f, by a scan %.4f", class, counted, serving)
+		t.Errorf("the serving capacity for class %d is %.4f, a scan finds %.4f", class, counted, serving)
 	}
 	if noted := len(s.latency.sampledWorkers[class]); noted != sampled {
-		t.Errorf("%d workers are noted with run times of class %d, %d have them", noted, class, sampled)
+		t.Errorf("%d workers in sampledWorkers of class %d, want %d", noted, class, sampled)
 	}
 }
 
-// verifyRendezvousOrder compares the first workers of a function with those of a sort of all.
+// verifyRendezvousOrder compares the first workers in the rendezvous order of a function with a sort of all workers.
 func verifyRendezvousOrder(t *testing.T, s *Scheduler, function *functionRecord) {
 	t.Helper()
 	all := s.inRendezvousOrder(function, s.endpoints.list)
 	count := min(3, len(all))
 	if order := s.rendezvousOrder(function, count); !slices.Equal(order, all[:len(order)]) {
-		t.Errorf("the first %d workers of function %d differ from those of a sort", len(order), function.id)
+		t.Errorf("the first %d workers of function %d differ from a full sort", len(order), function.id)
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestAggregates_WorkerChurn_EqualScan plays changes of a large list, whole and in part.
+// TestAggregates_WorkerChurn_EqualScan applies complete and incremental changes of a large endpoint list.
 func TestAggregates_WorkerChurn_EqualScan(t *testing.T) {
 	const workers, rounds = 400, 60
 	rng := rand.New(rand.NewPCG(1, 5))
@@ -159,15 +159,16 @@
 	}
 }
 
-// TestRendezvousOrder_OneWorkerLess_KeepsOrderOfOthers holds that all front ends rank alike whatever they saw before, and
-// that the loss of a worker moves no other function's first place.
+// TestRendezvousOrder_OneWorkerLess_KeepsOrderOfOthers verifies that all front ends rank workers alike regardless of
+// earlier events, and that the loss of a worker changes the first worker of only those functions for which it came
+// first.
 func TestRendezvousOrder_OneWorkerLess_KeepsOrderOfOthers(t *testing.T) {
 	const workers, functions = 500, 300
 	before, after := newHarness(t, testSettings(), workers), newHarness(t, testSettings(), workers)
 	lost := WorkerID(7)
 	after.changeWorker(WorkerInfo{ID: lost, State: Removed})
 	after.advance(testSettings().SlowStartDuration + time.Second)
-	after.changeWorker(WorkerInfo{ID: lost, State: Removed}) // it is forgotten with the next change
+	after.changeWorker(WorkerInfo{ID: lost, State: Removed}) // the next change drops it
 	moved := 0
 	for id := range FunctionID(functions) {
 		first := before.scheduler.rendezvousOrder(&functionRecord{id: id}, 2)
@@ -175,16 +176,17 @@
 		if first[0].ID != other[0].ID {
 			moved++
 			if first[0].ID != lost && other[0].ID != lost {
-				t.Errorf("function %d moved from worker %d to %d as worker %d left", id, first[0].ID, other[0].ID, lost)
+				t.Errorf("the first worker of function %d changed from %d to %d when worker %d was removed", id, first[0].ID, other[0].ID, lost)
 			}
 		}
 	}
 	if moved > functions/50 {
-		t.Errorf("%d of %d functions moved as one of %d workers left", moved, functions, workers)
+		t.Errorf("the first workers of %d of %d functions changed when one of %d workers was removed", moved, functions, workers)
 	}
 }
 
-// TestRendezvousOrder_ExtremeCapacities_RanksAll holds that the search for the first places ends whatever the weights are.
+// TestRendezvousOrder_ExtremeCapacities_RanksAll verifies that the search for the first workers ends for any
+// capacities.
 func TestRendezvousOrder_ExtremeCapacities_RanksAll(t *testing.T) {
 	const workers = 200
 	settings := testSettings()
@@ -202,17 +204,17 @@
 	function := &functionRecord{id: 7}
 	for _, count := range []int{1, 10, workers} {
 		if order := h.scheduler.rendezvousOrder(function, count); len(order) < count {
-			t.Errorf("%d workers are ranked, want %d", len(order), count)
+			t.Errorf("%d workers ranked, want at least %d", len(order), count)
 		}
 	}
 	for _, worker := range h.scheduler.rendezvousOrder(function, workers)[:3] {
 		if worker.ID > 3 {
-			t.Errorf("worker %d of next to no capacity is one of the first three", worker.ID)
+			t.Errorf("worker %d, with almost no capacity, is among the first three", worker.ID)
 		}
 	}
 }
 
-// BenchmarkTick is a tick of a Scheduler whose workers are idle but for a few.
+// BenchmarkTick measures a tick of a Scheduler, most of whose workers are idle.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{120, 1920, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -229,7 +231,7 @@
 	}
 }
 
-// BenchmarkTopRanked is the making of a function's first places after a change of the list.
+// BenchmarkTopRanked measures the ranking of a function's first workers after a change of the endpoint list.
 func BenchmarkTopRanked(b *testing.B) {
 	for _, workers := range []int{120, 1920, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/scheduler/clone_test.go
+++ b/scheduler/clone_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// aliasChecker walks a Scheduler and its clone side by side and reports what they share, or where they differ.
+// aliasChecker walks a Scheduler and its clone in parallel and reports shared memory and differences.
 type aliasChecker struct {
 	t       *testing.T
-	clones  map[uintptr]uintptr  // of the pointers visited, from the original to the clone
-	reached map[reflect.Kind]int // slices, maps and pointers that were compared, to show that the test reaches them
+	clones  map[uintptr]uintptr  // maps each visited pointer of the original to that of the clone
+	reached map[reflect.Kind]int // numbers of slices, maps and pointers compared, which show that the test reaches them
 }
 
 // compare compares the values at path.
@@ -35,7 +35,7 @@
 
 func (c *aliasChecker) comparePointers(path string, original, clone reflect.Value) {
 	if original.IsNil() != clone.IsNil() {
-		c.t.Errorf("%s is nil %v, in the clone %v", path, original.IsNil(), clone.IsNil())
+		c.t.Errorf("%s is nil: %v, in the clone: %v", path, original.IsNil(), clone.IsNil())
 		return
 	}
 	if original.IsNil() {
@@ -43,7 +43,7 @@
 	}
 	if known, visited := c.clones[original.Pointer()]; visited {
 		if known != clone.Pointer() {
-			c.t.Errorf("%s is the clone of another record than elsewhere", path)
+			c.t.Errorf("%s has another clone here than elsewhere", path)
 		}
 		return
 	}
@@ -113,9 +113,9 @@
 		checker.compare(field.Name, reflect.ValueOf(original).Elem().Field(i), reflect.ValueOf(clone).Elem().Field(i))
 	}
 	if len(original.requests) == 0 || len(original.endpoints.list) == 0 || len(original.functions.active) == 0 {
-		t.Error("the random events left no request, worker or function to clone")
+		t.Error("the random events left no requests, workers or functions to clone")
 	}
 	if checker.reached[reflect.Pointer] < 20 || checker.reached[reflect.Slice] < 20 || checker.reached[reflect.Map] < 4 {
-		t.Errorf("only %v pointers, slices and maps were compared", checker.reached)
+		t.Errorf("too few pointers, slices and maps compared: %v", checker.reached)
 	}
 }
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -21,7 +21,7 @@
 		}
 	}
 	if sent != 2 || queued != 3 {
-		t.Errorf("%d sent to the warm worker and %d queued; its concurrency is 2", sent, queued)
+		t.Errorf("%d requests sent to the warm worker and %d queued, want 2 and 3", sent, queued)
 	}
 }
 
@@ -34,7 +34,7 @@
 		last = h.request(7, 0)
 	}
 	if len(h.sentTo[last]) != 0 {
-		t.Fatal("the request after a full replica was not queued")
+		t.Fatal("the request beyond the replica's concurrency was not queued")
 	}
 	h.now += 50 * ms
 	h.endAttempt(first, OK, WarmStart)
@@ -53,26 +53,26 @@
 	inFlight := h.request(7, 0)
 	lowPriority, highPriority := h.request(7, 0), h.request(8, 2)
 	if len(h.sentTo[lowPriority])+len(h.sentTo[highPriority]) != 0 {
-		t.Fatal("sent beyond the worker's limit")
+		t.Fatal("a request was sent beyond the worker's concurrency limit")
 	}
 	h.now += 50 * ms
 	h.endAttempt(inFlight, OK, WarmStart)
 	sent := func(r RequestID) int { return slices.Index(h.actions, fmt.Sprintf("send %d", r)) }
 	if sent(highPriority) < 0 || sent(lowPriority) >= 0 && sent(lowPriority) < sent(highPriority) {
-		t.Errorf("the headroom that came free went to weight 1 before weight 6: %v", h.actions)
+		t.Errorf("the freed headroom went to weight 1 before weight 6: %v", h.actions)
 	}
 }
 
 func TestPickWarmReplica_OtherZone_CostsMore(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	for _, worker := range h.scheduler.endpoints.list {
-		worker.Zone = int(worker.ID) % 2 // front ends are in zone 0
+		worker.Zone = int(worker.ID) % 2 // the front end is in zone 0
 	}
 	for i := range 6 {
 		r := h.request(7, 0)
 		h.answerQueries(1, 2)
-		if w := h.workerOf(r); i > 0 && w != 2 { // the first goes to the first replica reported
-			t.Errorf("sent to worker %d in another zone while worker 2 was as idle", w)
+		if w := h.workerOf(r); i > 0 && w != 2 { // the first request goes to the first replica reported
+			t.Errorf("sent to worker %d in another zone, want worker 2, which was equally idle", w)
 		}
 		h.advance(50 * ms)
 		h.endAttempt(r, OK, WarmStart)
@@ -86,12 +86,12 @@
 	r := h.request(7, 0) // objective 800 ms, timeout 3 s
 	h.advance(2 * tickInterval)
 	if len(h.sentTo[r]) != 0 || h.answers[r] != "rejected" {
-		t.Errorf("sent to %v, answer %q: its response would have been late, in the place of one in time", h.sentTo[r], h.answers[r])
+		t.Errorf("sent to %v, response %q; want the late request rejected", h.sentTo[r], h.answers[r])
 	}
 }
 
-// TestPickWarmReplica_ObjectiveBelowDefaultRun_StillSends holds where requests
-// tolerate less queue delay than the default run time, before a run was seen.
+// TestPickWarmReplica_ObjectiveBelowDefaultRun_StillSends verifies that requests which tolerate less queue delay than
+// the default run time are sent before any run was observed.
 func TestPickWarmReplica_ObjectiveBelowDefaultRun_StillSends(t *testing.T) {
 	set := testSettings()
 	set.Classes[0] = Class{LatencyObjective: 80 * ms, Timeout: 120 * ms, PriorityWeight: 1, Idempotency: Idempotent}
@@ -107,7 +107,7 @@
 	h.advance(60 * ms)
 	h.endAttempt(first, OK, ColdStartTriggered)
 	if got := h.workerOf(sendUrgent()); got != w {
-		t.Errorf("the second request went to worker %d, a replica is loaded at %d", got, w)
+		t.Errorf("the second request was sent to worker %d, want %d, where a replica is loaded", got, w)
 	}
 }
 
@@ -123,7 +123,7 @@
 		h.scheduler.RequestReceived(h.now, Request{ID: h.nextID, Function: 7, Timeout: test.timeout, ReplicaConcurrency: 2})
 		h.advance(350 * ms)
 		if sent := len(h.sentTo[h.nextID]) > 0; sent != (test.answer == "") || h.answers[h.nextID] != test.answer {
-			t.Errorf("a request with %v left, for a worker where requests wait 400 ms: sent %v, answer %q", test.timeout, sent, h.answers[h.nextID])
+			t.Errorf("request with a timeout of %v at a queue delay of 400 ms: sent %v, response %q", test.timeout, sent, h.answers[h.nextID])
 		}
 	}
 }
@@ -133,15 +133,15 @@
 	r := h.request(7, 0)
 	h.answerQueries(1, 2, 3)
 	h.endAttempt(r, OK, WarmStart)
-	seen := map[WorkerID]int{}
+	requestsByWorker := map[WorkerID]int{}
 	for range 9 {
 		r := h.request(7, 0)
-		seen[h.workerOf(r)]++
+		requestsByWorker[h.workerOf(r)]++
 		h.now += 10 * ms
 		h.endAttempt(r, OK, WarmStart)
 	}
-	if len(seen) != 3 {
-		t.Errorf("equally idle warm workers got %v of nine requests", seen)
+	if len(requestsByWorker) != 3 {
+		t.Errorf("nine requests to three equally idle warm workers were sent as %v, want some to each", requestsByWorker)
 	}
 }
 
@@ -150,6 +150,6 @@
 	first := h.request(7, 0)
 	h.answerQueries(1, 2)
 	if second := h.request(7, 0); h.workerOf(second) == h.workerOf(first) {
-		t.Error("the second request went to the worker that has the first, another warm one has none")
+		t.Error("the second request was sent to the busy worker although another warm one was idle")
 	}
 }
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -15,7 +15,7 @@
 			r := h.request(7, 0)
 			h.answerQueries(1, 2, 3, 4)
 			if h.workerOf(r) == w {
-				t.Fatalf("sent to a worker in state %d", state)
+				t.Fatalf("request sent to a worker in state %d", state)
 			}
 			h.now += 50 * ms
 			h.endAttempt(r, OK, WarmStart)
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestEndpoints_RemovedWorkers_AreForgotten holds that workers that are replaced all the time leave nothing
-// behind: neither memory nor a part in the means over all workers.
+// TestEndpoints_RemovedWorkers_AreForgotten verifies that removed workers are dropped. Under continuous replacement
+// they would otherwise accumulate in memory and distort the means over all workers.
 func TestEndpoints_RemovedWorkers_AreForgotten(t *testing.T) {
 	set := testSettings()
 	set.SlowStartDuration = 10 * time.Second
@@ -47,6 +47,6 @@
 		h.scheduler.WorkersChanged(h.now, []WorkerInfo{{ID: id, State: Removed, Scale: 1}}, false)
 	}
 	if n := len(h.scheduler.endpoints.list); n > 4+12 || n != len(h.scheduler.endpoints.byID) {
-		t.Errorf("%d workers are known, %d by name, 4 are there", n, len(h.scheduler.endpoints.byID))
+		t.Errorf("%d workers in list, %d in byID, want the same number, at most 16", n, len(h.scheduler.endpoints.byID))
 	}
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// These tests hold what many front ends, each with a Scheduler of its own and no communication between them, send
-// together to one cold worker.
+// These tests check what many front ends, each with its own Scheduler and without communication, together send to one
+// cold worker.
 
-// fleet is many Schedulers before the same workers, in virtual time.
+// fleet simulates many Schedulers that share the same workers, in virtual time.
 type fleet struct {
 	rng        *rand.Rand
 	set        Settings
 	now        time.Duration
 	frontEnds  []*fleetFront
 	list       []WorkerInfo
-	replicas   map[replicaKey]time.Duration // when a replica is or will be loaded
+	replicas   map[replicaKey]time.Duration // time from which each replica is loaded
 	run        time.Duration
 	load       time.Duration
 	pending    fleetEvents
 	seq        int
 	coldWorker WorkerID
-	sends      []time.Duration // to the cold worker
+	sends      []time.Duration // times of sends to the cold worker
 	served     int
 	loads      int
 	draw       func() FunctionID
 
-	connectFailures float64 // part of the attempts at the other workers that end without a connection
+	connectFailures float64 // fraction of the attempts at the other workers that fail to connect
 }
 
 // fleetFront is one front end of a fleet.
@@ -77,7 +77,7 @@
 	f.now = until
 }
 
-// start starts a front end, or starts it anew.
+// start starts or restarts a front end.
 func (f *fleet) start(frontEnd *fleetFront, index int) {
 	frontEnd.incarnation++
 	set := f.set
@@ -87,7 +87,7 @@
 	frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 }
 
-// later does something to a front end unless it was started anew meanwhile.
+// later schedules a call for a front end unless the front end is restarted before.
 func (frontEnd *fleetFront) later(d time.Duration, do func()) {
 	incarnation := frontEnd.incarnation
 	frontEnd.after(d, func() {
@@ -149,7 +149,7 @@
 func (frontEnd *fleetFront) WatchEndpoints()                              {}
 func (frontEnd *fleetFront) Log(string)                                   {}
 
-// arrivals has requests come to x at its part of the rate.
+// arrivals generates the front end's share of requests at the given total rate.
 func (frontEnd *fleetFront) arrivals(rate float64) {
 	var next func()
 	next = func() {
@@ -161,12 +161,15 @@
 }
 
 const (
-	fleetLoad         = 0.6 // of what warm workers can serve, that is requested, as on the platform's large scenarios at most
-	requestsPerWorker = 20  // requests a second that a warm worker can serve
+	// fleetLoad is the requested fraction of the capacity of the warm workers, the highest of the platform's large
+	// scenarios.
+	fleetLoad         = 0.6
+	requestsPerWorker = 20 // requests per second that a warm worker can serve
 	connectTimeout    = 250 * ms
 )
 
-// newFleet starts a fleet whose front ends have unequal traffic: a tenth of them has four times what the others have.
+// newFleet starts a fleet with unequal traffic: a tenth of the front ends receives four times the traffic of the
+// others.
 func newFleet(seed uint64, frontEnds, workers, functions int, set Settings) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Minute, replicas: map[replicaKey]time.Duration{},
@@ -177,30 +180,31 @@
 		f.list = append(f.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
 	}
 	f.list[workers-1].State = Removed
-	all := 0.0
+	totalWeight := 0.0
 	for i := range frontEnds {
 		frontEnd := &fleetFront{fleet: f, trafficWeight: 1}
 		if i%10 == 0 {
 			frontEnd.trafficWeight = 4
 		}
-		all += frontEnd.trafficWeight
+		totalWeight += frontEnd.trafficWeight
 		f.frontEnds = append(f.frontEnds, frontEnd)
 	}
 	zipf := rand.NewZipf(f.rng, 1.3, 2, uint64(functions-1))
 	f.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
 	rate := fleetLoad * requestsPerWorker * float64(workers-1)
 	for i, frontEnd := range f.frontEnds {
-		frontEnd.trafficWeight /= all
+		frontEnd.trafficWeight /= totalWeight
 		f.after(time.Duration(i)*set.Resolution, func() { f.start(frontEnd, i) })
 		f.after(time.Second, func() { frontEnd.arrivals(rate) })
 	}
 	return f
 }
 
-// worstOverload is the largest count of sends to the cold worker in a window, beside what may be sent in that window.
-func (f *fleet) worstOverload(began time.Duration) (over float64, text string) {
+// worstOverload returns the largest excess of sends to the cold worker over the limit in any window, with a
+// description.
+func (f *fleet) worstOverload(began time.Duration) (excess float64, text string) {
 	from := 0
-	over = math.Inf(-1)
+	excess = math.Inf(-1)
 	for i, at := range f.sends {
 		for f.sends[from] <= at-f.set.OverloadWindow {
 			from++
@@ -208,15 +212,15 @@
 		age := max(0, at-f.set.OverloadWindow-began)
 		part := f.set.SlowStartFraction + (1-f.set.SlowStartFraction)*float64(age)/float64(f.set.SlowStartDuration)
 		n := f.set.OverloadFactor * part * requestsPerWorker * f.set.OverloadWindow.Seconds()
-		got, most := float64(i-from+1), n+2*math.Sqrt(n)+2
-		if got-most > over {
-			over, text = got-most, fmt.Sprintf("%.0f sends in the window that ends %v after its start, %.1f at most", got, at-began, most)
+		got, limit := float64(i-from+1), n+2*math.Sqrt(n)+2
+		if got-limit > excess {
+			excess, text = got-limit, fmt.Sprintf("%.0f sends in the window that ends %v after its start, want at most %.1f", got, at-began, limit)
 		}
 	}
-	return over, text
+	return excess, text
 }
 
-// functionsPlacedOnColdWorker returns functions that every front end would load at the cold worker first.
+// functionsPlacedOnColdWorker returns functions for which the cold worker is the first in rendezvous order.
 func (f *fleet) functionsPlacedOnColdWorker(n int) (out []FunctionID) {
 	s := f.frontEnds[0].scheduler
 	for id := FunctionID(1 << 20); len(out) < n; id++ {
@@ -227,22 +231,24 @@
 	return out
 }
 
-// TestFleet_ColdWorker_IsNotOverloaded holds the slow start limit for the sum of all front ends: over the window that the settings name,
-// N + 2 sqrt N + 2 requests, N being what the settings allow the worker at that age.
+// TestFleet_ColdWorker_IsNotOverloaded verifies the slow start limit for the requests of all front ends together: at
+// most N + 2 sqrt N + 2 requests per overload window, where N is the number that the settings allow the worker at its
+// age.
 func TestFleet_ColdWorker_IsNotOverloaded(t *testing.T) {
 	for _, size := range []struct {
 		frontEnds, workers int
 		seeds              uint64
 	}{{30, 12, 5}, {300, 60, 1}} {
 		for _, test := range []struct {
-			name     string
-			few      int           // new functions, which all would load there, in place of the many; 0: as before
-			restarts time.Duration // after the worker's start, that seven in ten front ends start anew; 0: none
+			name string
+			// newFunctions is the number of new functions, all placed on the cold worker, that replace the others; 0: none.
+			newFunctions int
+			restarts     time.Duration // time after the worker's start at which seven in ten front ends restart; 0: none
 		}{
-			{"as before", 0, 0},
+			{"unchanged", 0, 0},
 			{"a few new functions", 4, 0},
-			{"started anew behind it", 0, 500 * ms},
-			{"a few new functions and started anew behind it", 4, 500 * ms},
+			{"front end restarts", 0, 500 * ms},
+			{"a few new functions and front end restarts", 4, 500 * ms},
 		} {
 			t.Run(fmt.Sprintf("%d front ends, %s", size.frontEnds, test.name), func(t *testing.T) {
 				for seed := range size.seeds {
@@ -253,9 +259,9 @@
 					for _, frontEnd := range f.frontEnds {
 						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 					}
-					if test.few > 0 {
-						few := f.functionsPlacedOnColdWorker(test.few)
-						f.draw = func() FunctionID { return few[f.rng.IntN(len(few))] }
+					if test.newFunctions > 0 {
+						functions := f.functionsPlacedOnColdWorker(test.newFunctions)
+						f.draw = func() FunctionID { return functions[f.rng.IntN(len(functions))] }
 					}
 					if test.restarts > 0 {
 						f.advanceTo(f.now + test.restarts)
@@ -266,9 +272,9 @@
 						}
 					}
 					f.advanceTo(began + 5*time.Second)
-					over, text := f.worstOverload(began)
+					excess, text := f.worstOverload(began)
 					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(f.sends), f.served)
-					if over > 0 {
+					if excess > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
 				}
@@ -277,8 +283,9 @@
 	}
 }
 
-// TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded holds the same while connects to the other workers time out, so that
-// most of them are ejected at most front ends most of the time, and while half of them drain.
+// TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded verifies the same limit while connections to the other workers
+// time out, so that most workers are ejected at most front ends most of the time, and while half of the workers
+// drain.
 func TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded(t *testing.T) {
 	const workers = 16
 	for _, frontEnds := range []int{1, 3, 6, 30} {
@@ -299,7 +306,7 @@
 						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 					}
 					f.advanceTo(began + 8*time.Second)
-					if over, text := f.worstOverload(began); over > 0 {
+					if excess, text := f.worstOverload(began); excess > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
 				}
@@ -308,9 +315,9 @@
 	}
 }
 
-// TestFleet_NewVersions_CauseNoExcessLoads: four in ten of the loaded replicas become stale at once, as their
-// functions come in a new version. Each is loaded again where it is requested; hundreds of front ends that see
-// requests take longer there do not load it at other workers as well.
+// TestFleet_NewVersions_CauseNoExcessLoads guards against excess loads when four in ten of the loaded replicas become
+// stale at once because their functions get a new version. Each must be loaded again where it is requested, but
+// hundreds of front ends that see slower responses there must not load it at other workers too.
 func TestFleet_NewVersions_CauseNoExcessLoads(t *testing.T) {
 	for _, size := range []struct{ frontEnds, workers int }{{30, 12}, {300, 60}} {
 		t.Run(fmt.Sprint(size.frontEnds, " front ends"), func(t *testing.T) {
@@ -328,7 +335,7 @@
 			}
 			f.advanceTo(f.now + 3*time.Second)
 			if got := f.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
-				t.Errorf("%d replicas stale; %d loads in the 3 s after it, %d in the 3 s before", stale, got, normalLoads)
+				t.Errorf("%d replicas became stale; %d loads in the next 3 s, %d in the 3 s before", stale, got, normalLoads)
 			}
 		})
 	}
--- a/scheduler/function_table_test.go
+++ b/scheduler/function_table_test.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// verifyFunctions compares what is kept of the functions with a look at all of them.
+// verifyFunctions compares the function table with a scan of all functions.
 func verifyFunctions(t *testing.T, s *Scheduler) {
 	t.Helper()
 	table := &s.functions
 	if len(table.active)+len(table.idle) != len(table.byID) {
-		t.Errorf("%d functions are active and %d idle, of %d", len(table.active), len(table.idle), len(table.byID))
+		t.Errorf("%d active and %d idle functions do not add up to %d", len(table.active), len(table.idle), len(table.byID))
 	}
 	for id, function := range table.byID {
 		if function.id != id {
-			t.Errorf("function %d is known as %d", function.id, id)
+			t.Errorf("function %d has the key %d", function.id, id)
 		}
 		if function.isReferenced() && !function.active {
-			t.Errorf("function %d has something left and is idle", id)
+			t.Errorf("function %d is referenced but idle", id)
 		}
 		if isActive := slices.Contains(table.active, function); isActive != function.active {
-			t.Errorf("function %d is active: %t, noted as %t", id, isActive, function.active)
+			t.Errorf("function %d is in the active list: %t, its active field: %t", id, isActive, function.active)
 		}
 	}
 	if !slices.IsSortedFunc(table.active, s.comparePriority) {
-		t.Error("the active functions are not in the order of their priority")
+		t.Error("the active functions are not sorted by priority")
 	}
 	if !slices.IsSortedFunc(table.idle, compareLastUsed) {
-		t.Error("the idle functions are not in the order of their last requests")
+		t.Error("the idle functions are not sorted by last request")
 	}
 }
 
-// answerOrders answers every load order: the replica is loaded.
+// answerOrders reports every load order as successful.
 func (h *harness) answerOrders() {
 	for _, order := range h.orders {
 		h.scheduler.LoadEnded(h.now, LoadResult{Worker: order.worker, Function: order.function, Status: OK, Latency: 100 * ms, Replicas: 1})
@@ -42,8 +42,8 @@
 	h.orders = nil
 }
 
-// Requests for functions that come again and for others that come once: what is kept equals a scan, and nothing is kept
-// for long of what is requested no longer.
+// TestFunctionTable_RandomRequests_EqualsScan compares the function table with a scan for recurring and one-time
+// functions, and verifies that functions that are no longer requested are dropped.
 func TestFunctionTable_RandomRequests_EqualsScan(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	rng := rand.New(rand.NewPCG(1, 7))
@@ -71,17 +71,18 @@
 		}
 	}
 	for end := h.now + 2*functionIdleTime + h.scheduler.settings.ReplicaIdleTimeout; h.now < end; {
-		h.answerQueries() // of what still waited when the requests ended
+		h.answerQueries() // answers those still pending when the requests ended
 		h.answerOrders()
 		h.advance(time.Second)
 	}
 	verifyFunctions(t, h.scheduler)
 	if left := len(h.scheduler.functions.byID); left > 0 {
-		t.Errorf("%d functions are known long after their last request", left)
+		t.Errorf("%d functions are kept long after their last request", left)
 	}
 }
 
-// A function of which something is left is forgotten no sooner than functionIdleTime after its last request.
+// TestFunctionTable_Idle_IsForgottenAfterItsTime verifies that an idle function is kept for functionIdleTime after
+// its last request.
 func TestFunctionTable_Idle_IsForgottenAfterItsTime(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	s := h.scheduler
@@ -92,18 +93,18 @@
 		h.advance(tickInterval)
 	}
 	if kept := h.now - requestedAt; kept < functionIdleTime || kept > functionIdleTime+2*tickInterval {
-		t.Errorf("kept for %v, want %v", kept, functionIdleTime)
+		t.Errorf("function kept for %v, want %v", kept, functionIdleTime)
 	}
 }
 
-// BenchmarkManyFunctions are the costs of one event where 12,000 functions were requested once within two minutes.
+// BenchmarkManyFunctions measures single events after 12,000 functions were requested once within two minutes.
 func BenchmarkManyFunctions(b *testing.B) {
 	h := newHarness(&testing.T{}, testSettings(), 3000)
 	s := h.scheduler
 	for i := range 12000 {
 		s.trackFunction(FunctionID(i), i%3).lastUsed = h.now
 	}
-	s.TimerFired(h.now, tickTimer) // they become idle
+	s.TimerFired(h.now, tickTimer) // the functions become idle
 	next := FunctionID(1_000_000)
 	for name, event := range map[string]func(){
 		"new function":   func() { next++; s.trackFunction(next, 0); s.expireFunctions() },
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// harness reports events to a Scheduler and notes its actions. It is the front end only: what workers answer is
-// written in each test.
+// harness reports events to a Scheduler and records its actions. It simulates only the front end; each test supplies
+// the workers' answers.
 type harness struct {
 	t         *testing.T
 	scheduler *Scheduler
@@ -58,7 +58,7 @@
 	}
 }
 
-// testSettings are those of three front ends whose workers load what they lack.
+// testSettings returns the settings of one of three front ends whose workers load missing functions on request.
 func testSettings() Settings {
 	return Settings{
 		Seed: 1, FrontEndCount: 3, ReplicaIdleTimeout: 10 * time.Second, LoadOrdersAllowed: true, HealthChecksAllowed: true, CancelAllowed: true,
@@ -71,7 +71,7 @@
 	}
 }
 
-// newHarness starts a Scheduler and reports so many workers to it.
+// newHarness starts a Scheduler and reports the given number of workers to it.
 func newHarness(t *testing.T, set Settings, workers int) *harness {
 	h := &harness{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, answers: map[RequestID]string{}}
 	h.scheduler = New(h.now, set, h)
@@ -94,7 +94,7 @@
 	return h.nextID
 }
 
-// advance lets time go by, with ticks.
+// advance advances time by d, with ticks.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, h.now+tickInterval)
@@ -102,7 +102,7 @@
 	}
 }
 
-// answerQueries answers every residency query: the replicas at holders are loaded.
+// answerQueries answers every residency query; the workers in holders report a loaded replica.
 func (h *harness) answerQueries(holders ...WorkerID) {
 	for len(h.queries) > 0 {
 		a := h.queries[0]
@@ -115,7 +115,7 @@
 	}
 }
 
-// workerOf is the worker of the latest attempt of r.
+// workerOf returns the worker of the latest attempt of r.
 func (h *harness) workerOf(r RequestID) WorkerID {
 	h.t.Helper()
 	if len(h.sentTo[r]) == 0 {
@@ -124,7 +124,7 @@
 	return h.sentTo[r][len(h.sentTo[r])-1]
 }
 
-// inFlightFor is how long the latest attempt of r has been in flight.
+// inFlightFor returns how long the latest attempt of r has been in flight.
 func (h *harness) inFlightFor(r RequestID) time.Duration {
 	if q := h.scheduler.requests[r]; q != nil {
 		return h.now - q.sentAt
@@ -142,7 +142,8 @@
 	})
 }
 
-// avoidsWorker is whether a new request for f, with replicas found loaded at every worker, goes elsewhere than to w.
+// avoidsWorker reports whether a new request for f is sent to another worker than w when workers 1 to 4 report
+// replicas.
 func (h *harness) avoidsWorker(w WorkerID, f FunctionID) bool {
 	h.t.Helper()
 	r := h.request(f, 0)
@@ -150,7 +151,7 @@
 	return h.workerOf(r) != w
 }
 
-// warm makes one worker known to have f loaded, with a run of 100 ms, and returns it.
+// warm has one worker load f and complete runs of 100 ms, and returns that worker.
 func (h *harness) warm(f FunctionID) WorkerID {
 	h.t.Helper()
 	r := h.request(f, 0)
@@ -167,7 +168,7 @@
 	return w
 }
 
-// count counts the actions noted that begin so.
+// count returns the number of recorded actions that have the given prefix.
 func (h *harness) count(action string) (n int) {
 	for _, a := range h.actions {
 		if strings.HasPrefix(a, action) {
@@ -177,7 +178,8 @@
 	return n
 }
 
-// makePopular makes f a tenth of this front end's work, known to be loaded at one worker.
+// makePopular makes f a tenth of this front end's work, with one known replica, and returns the worker of the
+// replica.
 func (h *harness) makePopular(f FunctionID) WorkerID {
 	h.t.Helper()
 	w := h.warm(f)
@@ -186,11 +188,12 @@
 		h.advance(20 * ms)
 		h.endAttempt(r, OK, WarmStart)
 	}
-	h.scheduler.demand.runTime.Add(h.now, demandMemory, 9*h.scheduler.demand.runTime.Read(h.now, demandMemory)) // of other functions
+	// Add the demand for other functions.
+	h.scheduler.demand.runTime.Add(h.now, demandMemory, 9*h.scheduler.demand.runTime.Read(h.now, demandMemory))
 	return w
 }
 
-// countColdRequests is how many requests at once may go to a cold worker, where 3000 were completed lately.
+// countColdRequests returns how many requests may be sent to a cold worker at once after 3000 recent completions.
 func (h *harness) countColdRequests(id WorkerID) (n int) {
 	h.scheduler.demand.completions.Add(h.now, completionMemory, 3000)
 	worker, request := h.scheduler.endpoints.byID[id], &requestRecord{function: h.scheduler.trackFunction(7, 0)}
@@ -201,8 +204,8 @@
 	return n
 }
 
-// endAttemptWithQueueDepth ends the latest attempt of r as a worker does that held so many requests for the function
-// when it arrived.
+// endAttemptWithQueueDepth ends the latest attempt of r and reports how many requests for the function the worker
+// held when the attempt arrived.
 func (h *harness) endAttemptWithQueueDepth(r RequestID, status Status, queueDepth int) {
 	h.t.Helper()
 	h.scheduler.AttemptEnded(h.now, Outcome{
@@ -211,12 +214,12 @@
 	})
 }
 
-// setQueueDelay sets the queue delay of a worker as if it had just been observed.
+// setQueueDelay sets the queue delay of a worker as observed now.
 func (h *harness) setQueueDelay(worker *workerRecord, delay time.Duration) {
 	h.scheduler.delay.set(worker, h.now, float64(delay))
 }
 
-// clearQueueDelay sets the queue delay of a worker as if it had never been observed.
+// clearQueueDelay sets the queue delay of a worker to never observed.
 func (h *harness) clearQueueDelay(worker *workerRecord) {
 	h.scheduler.delay.removeFromOrder(worker)
 	worker.queueDelay = workerDelay{}
--- a/scheduler/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// invariantChecker reports random legal events and checks the five rules on every action. It models no worker:
-// outcomes are drawn at random among those that the protocols allow.
+// invariantChecker reports random legal events to a Scheduler and checks the invariants on every action. It does not
+// model workers: outcomes are drawn at random from those that the protocols allow.
 type invariantChecker struct {
 	t             *testing.T
 	set           Settings
@@ -19,7 +19,7 @@
 	workers       map[WorkerID]WorkerInfo
 	ids           []WorkerID
 	open          map[RequestID]*trackedRequest
-	order         []RequestID // open, oldest first
+	order         []RequestID // identifiers in open, oldest first
 	pendingLoads  []replicaKey
 	pendingCounts []int
 	loads         []time.Duration
@@ -39,7 +39,7 @@
 	class           Class
 	deadline        time.Duration
 	attempts        int
-	worker          WorkerID // 0: none
+	worker          WorkerID // worker of the attempt in flight, 0 if there is none
 	sentAt          time.Duration
 	mayHaveExecuted bool
 	firstSentAt     time.Duration
@@ -60,29 +60,30 @@
 	r, info := c.open[id], c.workers[w]
 	switch {
 	case r == nil || r.answered:
-		c.violate("rule 1", "request %d sent after its end", id)
+		c.violate("one final response", "request %d sent after its final response", id)
 	case r.worker != 0:
-		c.violate("rule 2", "two attempts of %d are in flight", id)
+		c.violate("safe retries", "request %d has two attempts in flight", id)
 	case r.attempts >= c.set.MaxAttempts:
-		c.violate("limits", "attempt %d of %d", r.attempts+1, id)
+		c.violate("attempt limit", "attempt %d of request %d", r.attempts+1, id)
 	case info.State != Ready:
-		c.violate("rule 3", "request %d sent to worker %d in state %d", id, w, info.State)
+		c.violate("worker state", "request %d sent to worker %d in state %d", id, w, info.State)
 	case r.mayHaveExecuted && r.class.Idempotency == NonIdempotent:
-		c.violate("rule 2", "non-idempotent request %d sent again", id)
+		c.violate("safe retries", "non-idempotent request %d sent again", id)
 	case r.mayHaveExecuted && r.class.Idempotency == IdempotentByKey:
 		same := r.class.KeyScope == ScopeAll || r.class.KeyScope == ScopeZone && info.Zone == r.firstWorker.Zone ||
 			r.class.KeyScope == ScopeCell && info.Cell == r.firstWorker.Cell
 		if !same || c.now-r.firstSentAt > r.class.KeyRetention {
-			c.violate("rule 2", "keyed request %d sent outside its key scope or past its key retention", id)
+			c.violate("safe retries", "request %d with an idempotency key sent outside its key scope or past its key retention", id)
 		}
 	}
 	if age := c.now - info.Started; info.Started != UnknownStart && age < c.set.SlowStartDuration {
-		// Answers come no faster here than one a millisecond: far under this part of one worker's capacity.
+		// At most one response per millisecond arrives in this test, far less than this fraction of one worker's
+		// capacity.
 		part := c.set.SlowStartFraction + (1-c.set.SlowStartFraction)*float64(age)/float64(c.set.SlowStartDuration)
-		most := max(1, c.set.OverloadFactor*part*1000*c.set.OverloadWindow.Seconds()/float64(len(c.ids)))
+		limit := max(1, c.set.OverloadFactor*part*1000*c.set.OverloadWindow.Seconds()/float64(len(c.ids)))
 		c.sends[w] = append(dropBefore(c.sends[w], c.now-c.set.OverloadWindow), c.now)
-		if float64(len(c.sends[w])) > most {
-			c.violate("rule 4", "%d requests to a cold worker, %.0f at most", len(c.sends[w]), most)
+		if float64(len(c.sends[w])) > limit {
+			c.violate("slow start", "%d requests to a cold worker, want at most %.0f", len(c.sends[w]), limit)
 		}
 	}
 	r.attempts++
@@ -93,13 +94,13 @@
 	r := c.open[id]
 	switch {
 	case r == nil || r.answered:
-		c.violate("rule 1", "a second answer for %d", id)
+		c.violate("one final response", "second final response for request %d", id)
 	case c.now > r.deadline+8*ms:
-		c.violate("rule 1", "answer for %d comes %v late", id, c.now-r.deadline)
+		c.violate("one final response", "final response for request %d is %v late", id, c.now-r.deadline)
 	case rejected && r.mayHaveExecuted && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != ScopeAll):
-		c.violate("rule 2", "request %d rejected though it may have executed", id)
+		c.violate("safe retries", "request %d rejected though it may have executed", id)
 	case rejected && r.worker != 0 && r.class.Idempotency != Idempotent:
-		c.violate("rule 2", "request %d rejected with an attempt in flight", id)
+		c.violate("safe retries", "request %d rejected with an attempt in flight", id)
 	}
 	r.answered = true
 }
@@ -118,12 +119,12 @@
 	c.note("load %d %d %d", w, fn, replicas)
 	if replicas > 0 {
 		if c.workers[w].State != Ready {
-			c.violate("rule 3", "order to load to worker %d in state %d", w, c.workers[w].State)
+			c.violate("worker state", "load order to worker %d in state %d", w, c.workers[w].State)
 		}
 		from := c.now - c.set.LoadRateWindow
 		c.loads, c.received = append(dropBefore(c.loads, from), c.now), dropBefore(c.received, from)
-		if most := c.set.LoadRateBurst + c.set.LoadRatePerRequest*float64(len(c.received)); c.set.LoadRateWindow > 0 && float64(len(c.loads)) > most {
-			c.violate("rule 5", "%d orders in the window, %.1f at most", len(c.loads), most)
+		if limit := c.set.LoadRateBurst + c.set.LoadRatePerRequest*float64(len(c.received)); c.set.LoadRateWindow > 0 && float64(len(c.loads)) > limit {
+			c.violate("load rate limit", "%d load orders in the window, want at most %.1f", len(c.loads), limit)
 		}
 	}
 	c.pendingLoads, c.pendingCounts = append(c.pendingLoads, replicaKey{w, fn}), append(c.pendingCounts, replicas)
@@ -185,7 +186,7 @@
 	c.scheduler.AttemptEnded(c.now, o)
 }
 
-// step lets a millisecond pass and plays what falls due and what the random numbers say.
+// step advances time by a millisecond, fires the timers that are due and generates random events.
 func (c *invariantChecker) step() {
 	c.now += ms
 	for i := 0; i < len(c.timers); i++ {
@@ -207,7 +208,7 @@
 		status := []Status{OK, OK, OK, Overloaded, Error, Reset, Timeout}[c.rng.IntN(7)]
 		c.scheduler.LoadEnded(c.now, LoadResult{Worker: a.worker, Function: a.function, Status: status, Replicas: max(count, c.rng.IntN(2))})
 	}
-	var still []RequestID
+	var remaining []RequestID
 	for _, id := range c.order {
 		r := c.open[id]
 		switch {
@@ -220,15 +221,15 @@
 			c.scheduler.ClientDisconnected(c.now, id)
 		}
 		if !r.answered && c.now > r.deadline+8*ms {
-			c.violate("rule 1", "no answer for %d", id)
+			c.violate("one final response", "no final response for request %d", id)
 		}
 		if !r.answered || r.worker != 0 {
-			still = append(still, id)
+			remaining = append(remaining, id)
 		} else {
 			delete(c.open, id)
 		}
 	}
-	c.order = still
+	c.order = remaining
 }
 
 func newInvariantChecker(t *testing.T, seed uint64, set Settings) *invariantChecker {
@@ -265,7 +266,7 @@
 				c.step()
 			}
 			if len(c.trace) < 1000 {
-				t.Errorf("only %d actions: the events cover too little", len(c.trace))
+				t.Errorf("only %d actions recorded, want at least 1000", len(c.trace))
 			}
 		})
 	}
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// policyFiles are the files that hold the decision logic, as the deployment names them.
+// policyFiles returns the files that contain the scheduling decisions, as listed in deploy/balancer.toml.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
@@ -20,7 +20,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(raw)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
 	var files []string
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
@@ -29,13 +29,13 @@
 	return files
 }
 
-// TestPolicyFiles_Size_IsLimited holds that each policy file is one concern that can be read at a glance: few lines, none
-// of them wide. How many files there are is not limited.
+// TestPolicyFiles_Size_IsLimited verifies that each policy file is one concern that is easy to survey: it has few
+// lines and no wide ones. The number of policy files is not limited.
 func TestPolicyFiles_Size_IsLimited(t *testing.T) {
-	const mostLines, mostWidth = 120, 110
+	const maxLines, maxWidth = 120, 110
 	files := policyFiles(t)
 	if len(files) == 0 {
-		t.Error("no policy file is listed")
+		t.Error("deploy/balancer.toml lists no policy files")
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
@@ -47,22 +47,22 @@
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > mostWidth {
-				t.Errorf("%s:%d is %d characters wide, %d at most", file, i+1, width, mostWidth)
+			if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > maxWidth {
+				t.Errorf("%s:%d is %d characters wide, want at most %d", file, i+1, width, maxWidth)
 			}
 		}
-		if lines == 0 || lines > mostLines {
-			t.Errorf("%s has %d lines that are not blank, 1 to %d allowed: a file is one concern", file, lines, mostLines)
+		if lines == 0 || lines > maxLines {
+			t.Errorf("%s has %d non-blank lines, want 1 to %d", file, lines, maxLines)
 		}
 	}
 }
 
-// literalsAllowed are the declarations of files that hold no decision in which numbers other than 0, 1 and 2 stand:
-// sentinels and the arithmetic of hashes.
+// literalsAllowed are the declarations in non-policy files that may contain numbers other than 0, 1 and 2: sentinels
+// and the arithmetic of hashes.
 var literalsAllowed = map[string]bool{"infiniteDuration": true, "UnknownStart": true, "rendezvousDraw": true}
 
-// TestOtherFiles_HoldNoTunedValue holds that each file of the package that is not listed as policy is types and
-// bookkeeping: it has no number but 0, 1 and 2 and no unit of time.
+// TestOtherFiles_HoldNoTunedValue verifies that each file of the package that is not listed as policy contains only
+// types and bookkeeping: no numbers except 0, 1 and 2, and no units of time.
 func TestOtherFiles_HoldNoTunedValue(t *testing.T) {
 	listed := map[string]bool{}
 	for _, file := range policyFiles(t) {
@@ -81,11 +81,11 @@
 		checkNoTunedValue(t, name)
 	}
 	if others == 0 || len(listed) == 0 {
-		t.Errorf("%d files listed as policy, %d others: both should be some", len(listed), others)
+		t.Errorf("%d policy files and %d other files found, want some of each", len(listed), others)
 	}
 }
 
-// checkNoTunedValue reports the numbers and units of time in a file's declarations, but for those allowed.
+// checkNoTunedValue reports numbers and units of time in a file's declarations, except in those of literalsAllowed.
 func checkNoTunedValue(t *testing.T, name string) {
 	t.Helper()
 	fileSet := token.NewFileSet()
@@ -106,11 +106,11 @@
 		case *ast.BasicLit:
 			isNumber := n.Kind == token.INT || n.Kind == token.FLOAT
 			if isNumber && !small[n.Value] {
-				t.Errorf("%s has the number %s: a tuned value belongs into a policy file", fileSet.Position(n.Pos()), n.Value)
+				t.Errorf("%s has the number %s: tuned values belong in policy files", fileSet.Position(n.Pos()), n.Value)
 			}
 		case *ast.SelectorExpr:
 			if x, isIdent := n.X.(*ast.Ident); isIdent && x.Name == "time" && units[n.Sel.Name] {
-				t.Errorf("%s uses time.%s: a tuned value belongs into a policy file", fileSet.Position(n.Pos()), n.Sel.Name)
+				t.Errorf("%s uses time.%s: tuned values belong in policy files", fileSet.Position(n.Pos()), n.Sel.Name)
 			}
 		}
 		return true
--- a/scheduler/load_limits_test.go
+++ b/scheduler/load_limits_test.go
@@ -16,17 +16,17 @@
 	}
 	h.advance(time.Second)
 	if len(h.orders) != 2 {
-		t.Errorf("%d orders, the load rate limit is 2", len(h.orders))
+		t.Errorf("%d load orders, want 2, the load rate limit", len(h.orders))
 	}
 }
 
 func TestStartLoad_ManyColdFunctions_LimitsLoadsInFlight(t *testing.T) {
 	h := newHarness(t, testSettings(), 20)
-	h.scheduler.demand.runTime.Add(h.now, demandMemory, float64(time.Hour)) // of other functions
+	h.scheduler.demand.runTime.Add(h.now, demandMemory, float64(time.Hour)) // demand for other functions
 	for f := range FunctionID(3 * maxLoadsInFlight) {
 		h.warm(f)
 	}
-	h.advance(2 * h.scheduler.settings.ReplicaIdleTimeout) // nothing is believed any more
+	h.advance(2 * h.scheduler.settings.ReplicaIdleTimeout) // all replicas expire
 	before := h.count("send")
 	for f := range FunctionID(3 * maxLoadsInFlight) {
 		h.request(f, 0)
@@ -38,11 +38,12 @@
 	}
 }
 
-// TestLoadBreaker_StoppedStore_OpensUntilALoadSucceeds: each load fails at once, and its request is sent to the next
-// worker. After a few failures the breaker opens, then lets one load through at a time; the first success closes it.
+// TestLoadBreaker_StoppedStore_OpensUntilALoadSucceeds guards against continued loads during an outage of the
+// function store, in which each load fails at once and its request is sent to the next worker. The breaker must open
+// after a few failures, then allow one load at a time, and close after the first success.
 func TestLoadBreaker_StoppedStore_OpensUntilALoadSucceeds(t *testing.T) {
 	h := newHarness(t, testSettings(), 20)
-	tried := func(as Status, coldStart ColdStart) (loads int) {
+	attemptLoads := func(status Status, coldStart ColdStart) (loads int) {
 		for range 100 {
 			r := h.request(7, 0)
 			h.answerQueries()
@@ -50,19 +51,19 @@
 			for id := RequestID(1); id <= r; id++ {
 				for n := 0; h.answers[id] == "" && h.scheduler.requests[id] != nil && h.scheduler.requests[id].replica != nil && n < 50; n++ {
 					loads++
-					h.endAttempt(id, as, coldStart)
+					h.endAttempt(id, status, coldStart)
 				}
 			}
 			h.advance(20 * ms)
 		}
 		return loads
 	}
-	if loads := tried(NotLoaded, ColdStartFailed); loads < 4 || loads > 12 {
-		t.Errorf("%d loads were tried in 2 s of a stopped store", loads)
+	if loads := attemptLoads(NotLoaded, ColdStartFailed); loads < 4 || loads > 12 {
+		t.Errorf("%d loads attempted while the store was down for 2 s, want 4 to 12", loads)
 	}
 	h.advance(2 * maxBreakerOpenTime)
-	if loads := tried(OK, ColdStartTriggered); loads < 80 {
-		t.Errorf("%d requests of 100 were sent once the store was back", loads)
+	if loads := attemptLoads(OK, ColdStartTriggered); loads < 80 {
+		t.Errorf("%d of 100 requests sent after the store recovered, want at least 80", loads)
 	}
 }
 
@@ -74,16 +75,16 @@
 		h.scheduler.loadRate.requestTimes = append(h.scheduler.loadRate.requestTimes, h.now)
 	}
 	h.scheduler.loadRate.orderTimes = append(h.scheduler.loadRate.orderTimes, h.now)
-	h.scheduler.now += 5 * time.Second // whether the requests still count is for the window's judge to say
+	h.scheduler.now += 5 * time.Second // an outside observer may or may not count the requests now
 	if h.scheduler.loadRate.allows(h.scheduler.now, &h.scheduler.settings) {
-		t.Error("an order is allowed by requests at the very edge of the window")
+		t.Error("requests at the edge of the window allowed an order")
 	}
 	h.scheduler.loadRate.requestTimes = append(h.scheduler.loadRate.requestTimes, h.scheduler.now)
 	if h.scheduler.loadRate.allows(h.scheduler.now, &h.scheduler.settings) {
-		t.Error("an order at the very edge of the window does not count")
+		t.Error("an order at the edge of the window was not counted")
 	}
 	h.scheduler.now += tickInterval + ms
 	if !h.scheduler.loadRate.allows(h.scheduler.now, &h.scheduler.settings) {
-		t.Error("no order is allowed though one request was taken and none ordered in the window")
+		t.Error("no order allowed although one request was received and no load ordered in the window")
 	}
 }
--- a/scheduler/outlier_ejection_test.go
+++ b/scheduler/outlier_ejection_test.go
@@ -10,17 +10,17 @@
 	w := h.warm(7)
 	r, unsafe := h.request(7, 0), h.request(7, 2)
 	if h.workerOf(r) != w {
-		t.Fatal("not sent to the warm worker")
+		t.Fatal("the request was not sent to the warm worker")
 	}
 	h.advance(2900 * ms)
 	if h.count(fmt.Sprintf("cancel %d", r)) == 0 {
-		t.Error("an idempotent request was left with a worker that does not respond")
+		t.Error("an idempotent request at a silent worker was not cancelled")
 	}
 	if h.count(fmt.Sprintf("cancel %d", unsafe)) != 0 {
-		t.Error("a non-idempotent request was cancelled, though it may not be sent again")
+		t.Error("a non-idempotent request was cancelled although it must not be retried")
 	}
 	if !h.avoidsWorker(w, 7) {
-		t.Error("a new request went to the silent worker")
+		t.Error("a new request was sent to the silent worker")
 	}
 }
 
@@ -35,7 +35,7 @@
 		h.endAttempt(r, Error, ColdStartUnknown)
 	}
 	if !h.avoidsWorker(w, 7) {
-		t.Error("a worker that failed its last requests is still the first choice")
+		t.Error("a new request was sent to a worker that failed its last requests")
 	}
 }
 
@@ -56,7 +56,7 @@
 		}
 	}
 	if h.scheduler.endpoints.byID[w].healthByClass[0].ejected {
-		t.Error("a worker that answers was ejected through requests of impatient clients")
+		t.Error("a responsive worker was ejected because of short client timeouts")
 	}
 }
 
@@ -72,7 +72,7 @@
 		h.endAttempt(h.nextID, Timeout, ColdStartUnknown)
 	}
 	if worker.healthByClass[0].ejected || h.scheduler.queueDelay(worker) < 280*ms {
-		t.Errorf("ejected %v, queue delay of 400 ms counts as %v after requests given up within 100 ms", worker.healthByClass[0].ejected, h.scheduler.queueDelay(worker))
+		t.Errorf("after client timeouts of 100 ms: ejected %v, queue delay %v; want false and about 400 ms", worker.healthByClass[0].ejected, h.scheduler.queueDelay(worker))
 	}
 }
 
@@ -81,11 +81,11 @@
 	w := h.warm(7)
 	h.endAttempt(h.request(7, 0), ConnectFailed, ColdStartUnknown)
 	if h.avoidsWorker(w, 8); !h.scheduler.endpoints.byID[w].healthByClass[0].ejected || h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
-		t.Error("a worker that refused the connection is still sent requests")
+		t.Error("a worker that refused the connection is not ejected or is still usable")
 	}
 	h.advance(minEjectionTime + tickInterval)
 	if !h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
-		t.Error("a worker that refused the connection is not tried again after its ejection time")
+		t.Error("a worker that refused the connection is not usable after its ejection period")
 	}
 }
 
@@ -93,21 +93,21 @@
 	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	unanswered := h.request(7, 0)
-	for range 4 { // the other class is answered all the while
+	for range 4 { // the other class continues to be answered
 		r := h.request(8, 2)
 		h.answerQueries(worker.ID)
 		h.advance(500 * ms)
 		if worker.healthByClass[2].ejected || !h.scheduler.isUsable(worker, 2) {
-			t.Fatal("a worker is ejected for a class that it serves because of another")
+			t.Fatal("a worker was ejected for a class that it serves because it does not serve another")
 		}
 		h.endAttempt(r, OK, WarmStart)
 	}
 	if !worker.healthByClass[0].ejected || h.scheduler.isUsable(worker, 0) || worker.healthByClass[2].ejected || !h.scheduler.isUsable(worker, 2) {
-		t.Errorf("ejected for the class without responses %v, for the one that it serves %v; want true and false",
+		t.Errorf("ejected for the unanswered class: %v, for the answered class: %v; want true and false",
 			worker.healthByClass[0].ejected, worker.healthByClass[2].ejected)
 	}
 	if h.count("cancel") == 0 {
-		t.Errorf("request %d, which may run twice, was not cancelled: %v", unanswered, h.actions)
+		t.Errorf("idempotent request %d was not cancelled: %v", unanswered, h.actions)
 	}
 }
 
@@ -115,19 +115,19 @@
 	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	r := h.request(7, 0)
-	h.now += 2500 * ms // stalled; then the tick comes first, and the answer with it
+	h.now += 2500 * ms // after a stall, the tick is handled before the response that arrived meanwhile
 	h.scheduler.TimerFired(h.now, 0)
 	if worker.healthByClass[0].ejected || h.count("cancel") > 0 {
-		t.Error("a worker is ejected because this front end stalled")
+		t.Error("a worker was ejected because this front end stalled")
 	}
 	h.scheduler.AttemptEnded(h.now, Outcome{Request: r, Worker: worker.ID, Status: OK, Latency: 100 * ms, RequestClosed: true, ColdStart: WarmStart})
 	if run := h.scheduler.expectedRunTime(h.scheduler.functions.byID[7]); run > 110*ms {
-		t.Errorf("a response reported to have taken 100 ms counts as %v, as it was handled late", run)
+		t.Errorf("expected run time is %v after a response with a latency of 100 ms that was handled late", run)
 	}
 	h.request(7, 0)
 	h.advance(2900 * ms)
 	if !worker.healthByClass[0].ejected {
-		t.Error("a worker that stays silent after the stall is not ejected")
+		t.Error("a worker that stayed silent after the stall was not ejected")
 	}
 }
 
@@ -137,6 +137,6 @@
 	h.request(8, 0)
 	h.scheduler.LoadEnded(h.now, LoadResult{Worker: w, Function: 8, Status: ConnectFailed})
 	if h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[w]) != nil || h.scheduler.isUsable(h.scheduler.endpoints.byID[w], 0) {
-		t.Error("a worker that refuses the connection of a query is still believed to hold its replicas")
+		t.Error("a worker that refused the connection for a query is still usable or assumed to hold replicas")
 	}
 }
--- a/scheduler/queue_delay_test.go
+++ b/scheduler/queue_delay_test.go
@@ -14,7 +14,7 @@
 	h.now += 200 * ms
 	h.endAttempt(h.nextID, Overloaded, ColdStartUnknown)
 	if worker.concurrencyLimit >= before {
-		t.Errorf("limit %.1f after a request was rejected as overloaded, %.1f before", worker.concurrencyLimit, before)
+		t.Errorf("the concurrency limit is %.1f after a rejection as overloaded, %.1f before", worker.concurrencyLimit, before)
 	}
 }
 
@@ -28,11 +28,11 @@
 		h.endAttempt(r, OK, WarmStart)
 		h.answerQueries()
 		for _, worker := range h.scheduler.endpoints.list {
-			h.clearQueueDelay(worker) // decayed when the next one comes
+			h.clearQueueDelay(worker) // as if it had decayed before the next request
 		}
 	}
 	if now := h.scheduler.unloadedRunTime(0); now > before+before/2 {
-		t.Errorf("the unloaded run time rose from %v to %v while all were slow", before, now)
+		t.Errorf("the unloaded run time rose from %v to %v while all workers were slow", before, now)
 	}
 }
 
@@ -46,7 +46,7 @@
 		h.scheduler.delay.set(worker, contactedAt, delay)
 	}
 	if now := h.scheduler.contactedDelay(); now < float64(time.Second) {
-		t.Errorf("the queue delay is %v by the workers contacted in ten seconds; at those contacted last it is 2s", time.Duration(now))
+		t.Errorf("the contacted delay is %v, want about 2s, the delay of the latest contacted workers", time.Duration(now))
 	}
 }
 
@@ -55,12 +55,12 @@
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
 	h.endAttemptWithQueueDepth(h.request(7, 0), Overloaded, 20)
 	if worker.queueDelay.observed < float64(time.Second) {
-		t.Errorf("a worker that rejected a request as overloaded counts as one where requests wait %v", time.Duration(worker.queueDelay.observed))
+		t.Errorf("the observed queue delay is %v after a rejection as overloaded, want at least 1s", time.Duration(worker.queueDelay.observed))
 	}
 }
 
-// TestContactedDelay_LongRun_IsNoQueueDelay holds that a long run is not taken for a queue delay: among several
-// requests in flight at a worker one has always been so for long.
+// TestContactedDelay_LongRun_IsNoQueueDelay verifies that a long run does not count as a queue delay: of several
+// requests in flight at a worker, the oldest has always been in flight for long.
 func TestContactedDelay_LongRun_IsNoQueueDelay(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	worker := h.scheduler.endpoints.byID[h.warm(7)]
@@ -68,16 +68,16 @@
 		h.setQueueDelay(other, 0)
 	}
 	if r := h.request(7, 0); h.workerOf(r) != worker.ID {
-		t.Fatalf("the request went to worker %d, a replica is loaded at %d", h.workerOf(r), worker.ID)
+		t.Fatalf("the request was sent to worker %d, want %d, where a replica is loaded", h.workerOf(r), worker.ID)
 	}
 	h.advance(responseTimeoutFloor)
 	if now := h.scheduler.contactedDelay(); now > 0 {
-		t.Errorf("a request in flight for %v counts as a queue delay of %v", responseTimeoutFloor, time.Duration(now))
+		t.Errorf("a request in flight for %v produced a queue delay of %v, want 0", responseTimeoutFloor, time.Duration(now))
 	}
 }
 
-// TestQueueDelay_FrequentContacts_ShortenMemory holds that a front end with many requests for few workers does not
-// avoid one for long after a queue delay that passed.
+// TestQueueDelay_FrequentContacts_ShortenMemory verifies that a front end with many requests for few workers does not
+// avoid a worker for long after its queue delay has ended.
 func TestQueueDelay_FrequentContacts_ShortenMemory(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.warm(7)
@@ -88,7 +88,7 @@
 		h.advance(tickInterval)
 	}
 	if frequentlyContacted := h.scheduler.delay.memory; rarelyContacted != maxDelayMemory || frequentlyContacted > maxDelayMemory/4 || frequentlyContacted < minDelayMemory {
-		t.Errorf("queue delays are remembered for %v with few requests, %v with many", rarelyContacted, frequentlyContacted)
+		t.Errorf("the memory of queue delays is %v with few requests, %v with many", rarelyContacted, frequentlyContacted)
 	}
 }
 
@@ -101,7 +101,7 @@
 	before := h.scheduler.queueDelay(worker)
 	h.advance(2 * maxDelayMemory)
 	if after := h.scheduler.queueDelay(worker); before < time.Second || after > before/4 {
-		t.Errorf("a queue delay of %v counts as %v %v later", before, after, 2*maxDelayMemory)
+		t.Errorf("a queue delay of %v decayed to %v in %v", before, after, 2*maxDelayMemory)
 	}
 }
 
--- a/scheduler/residency_test.go
+++ b/scheduler/residency_test.go
@@ -26,7 +26,7 @@
 			w := h.warm(7)
 			end(h, w)
 			if h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[w]) != nil {
-				t.Error("the replica is still believed to be loaded")
+				t.Error("the replica is still assumed to be loaded")
 			}
 		})
 	}
@@ -36,12 +36,12 @@
 	h := newHarness(t, testSettings(), 8)
 	r := h.request(7, 0)
 	if len(h.queries) != residencyQueryFanout || len(h.sentTo[r]) != 0 {
-		t.Fatalf("%d workers queried before a load, want %d; sent %v", len(h.queries), residencyQueryFanout, h.sentTo[r])
+		t.Fatalf("%d workers queried before a load, want %d; sent to %v", len(h.queries), residencyQueryFanout, h.sentTo[r])
 	}
 	holder := h.queries[1].worker
 	h.answerQueries(holder)
 	if h.workerOf(r) != holder {
-		t.Errorf("sent to %d, the replica is loaded at %d", h.workerOf(r), holder)
+		t.Errorf("sent to worker %d, want %d, where a replica is loaded", h.workerOf(r), holder)
 	}
 }
 
@@ -49,12 +49,12 @@
 	h := newHarness(t, testSettings(), 8)
 	var ids []RequestID
 	for range 6 {
-		ids = append(ids, h.request(7, 0)) // the answers to the queries are still on their way
+		ids = append(ids, h.request(7, 0)) // the queries are still unanswered
 	}
 	h.advance(tickInterval)
 	for _, r := range ids {
 		if h.answers[r] != "" {
-			t.Fatalf("request %d was %s before it was known whether a replica is loaded", r, h.answers[r])
+			t.Fatalf("request %d was %s while residency queries were pending", r, h.answers[r])
 		}
 	}
 }
@@ -67,16 +67,16 @@
 	other := w%4 + 1
 	r := h.request(7, 0)
 	if len(h.sentTo[r]) != 0 {
-		t.Fatalf("sent to worker %d before it was known whether a replica is loaded elsewhere", h.workerOf(r))
+		t.Fatalf("sent to worker %d before residency was queried elsewhere", h.workerOf(r))
 	}
 	for _, a := range h.queries {
 		if a.worker == w {
-			t.Error("the worker whose replica is known is queried")
+			t.Error("the worker with a known replica was queried")
 		}
 	}
 	h.answerQueries(other)
 	if h.workerOf(r) != other || h.scheduler.functions.byID[7].replicaOn(h.scheduler.endpoints.byID[other]).loading {
-		t.Errorf("sent to worker %d, loading; a replica is loaded at %d", h.workerOf(r), other)
+		t.Errorf("sent to worker %d, want %d, where a replica is loaded", h.workerOf(r), other)
 	}
 }
 
@@ -86,37 +86,37 @@
 	unanswered := h.queries[0].worker
 	h.queries = h.queries[1:]
 	h.answerQueries()
-	h.advance(2 * freshnessWindow) // a load began without the last answer
+	h.advance(2 * freshnessWindow) // a load started without the last answer
 	function := h.scheduler.functions.byID[7]
 	function.replicas = nil
 	h.request(7, 0)
 	if len(h.queries) != residencyQueryFanout-1 || len(function.replicas) > 0 {
-		t.Errorf("%d workers are queried and %d loads begun while an answer from long ago is still awaited",
+		t.Errorf("%d workers queried and %d loads started while an old query is unanswered",
 			len(h.queries), len(function.replicas))
 	}
 	h.scheduler.LoadEnded(h.now, LoadResult{Worker: unanswered, Function: 7, Status: Timeout})
 	h.answerQueries()
 	if function.pendingQueries != 0 {
-		t.Errorf("%d answers awaited after all have come", function.pendingQueries)
+		t.Errorf("%d queries pending after all were answered", function.pendingQueries)
 	}
 }
 
-// TestResidencyQuery_LoadsTooSlow_KeepsRequest holds that a request is not rejected as too late for a load while
-// a query may yet find a loaded replica.
+// TestResidencyQuery_LoadsTooSlow_KeepsRequest verifies that a request is not rejected because loads take too long
+// while a query may still find a loaded replica.
 func TestResidencyQuery_LoadsTooSlow_KeepsRequest(t *testing.T) {
 	h := newHarness(t, testSettings(), 8)
 	for range 3 {
 		h.warm(7)
 	}
-	h.scheduler.latency.loadTime.Add(float64(5*time.Second), averageWindow) // loads take longer than any request may
+	h.scheduler.latency.loadTime.Add(float64(5*time.Second), averageWindow) // longer than any request may take
 	h.scheduler.breaker.lastLoadAt = h.now
 	r := h.request(8, 0)
 	if len(h.sentTo[r]) > 0 || !h.scheduler.awaitsResidency(h.scheduler.functions.byID[8]) {
-		t.Fatalf("no worker was queried; actions %v", h.actions)
+		t.Fatalf("no residency query is pending; actions %v", h.actions)
 	}
 	h.advance(tickInterval)
 	if h.scheduler.requests[r] == nil {
-		t.Errorf("rejected while queries are pending; actions %v", h.actions)
+		t.Errorf("the request was rejected while queries were pending; actions %v", h.actions)
 	}
 }
 
@@ -133,7 +133,7 @@
 			h.scheduler.LoadEnded(h.now, LoadResult{Worker: a.worker, Function: a.function, Status: OK, Latency: ms})
 		}
 		if first := h.scheduler.rendezvousOrder(h.scheduler.functions.byID[7], 1)[0].ID; len(h.queries) != 0 || h.workerOf(r) != first {
-			t.Errorf("of %d workers %d more were queried, the request went to worker %d, not %d", workers, len(h.queries), h.workerOf(r), first)
+			t.Errorf("of %d workers, %d more were queried; the request was sent to worker %d, want %d", workers, len(h.queries), h.workerOf(r), first)
 		}
 	}
 }
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -10,14 +10,14 @@
 		name   string
 		class  int
 		status Status
-		want   string // the final answer, or "" for another attempt or queueing
+		want   string // final response, or "" while the request is retried or queued
 	}{
 		{"idempotent is retried", 0, Error, ""},
 		{"non-idempotent that may have executed fails", 2, Error, "failed"},
 		{"non-idempotent reset fails", 2, Reset, "failed"},
-		{"non-idempotent timed out fails", 2, Timeout, "failed"},
+		{"non-idempotent timeout fails", 2, Timeout, "failed"},
 		{"non-idempotent that never executed is retried", 2, Overloaded, ""},
-		{"keyed is retried in its key scope", 1, Error, ""},
+		{"idempotent by key is retried in its key scope", 1, Error, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -31,29 +31,30 @@
 			h.answerQueries()
 			h.advance(300 * ms)
 			if h.answers[r] != test.want {
-				t.Errorf("final answer %q, want %q", h.answers[r], test.want)
+				t.Errorf("final response %q, want %q", h.answers[r], test.want)
 			}
 			if again := h.sentTo[r][1:]; test.class == 1 && len(again) > 0 && (again[0]-first)%2 != 0 {
-				t.Errorf("a keyed request went from worker %d to %d, another key scope", first, again[0])
+				t.Errorf("a request with an idempotency key was retried from worker %d to %d, outside its key scope", first, again[0])
 			}
 		})
 	}
 }
 
 func TestRetry_KeyRetentionPassed_Fails(t *testing.T) {
-	h := newHarness(t, testSettings(), 2) // one worker a cell
+	h := newHarness(t, testSettings(), 2) // one worker per cell
 	h.warm(7)
 	r := h.request(7, 1)
 	h.changeWorker(WorkerInfo{ID: h.workerOf(r), Cell: int(h.workerOf(r)+1) % 2, Started: UnknownStart, State: Draining})
 	h.endAttempt(r, Error, ColdStartUnknown)
 	h.advance(1100 * ms)
 	if h.answers[r] != "failed" || len(h.sentTo[r]) != 1 {
-		t.Errorf("answer %q after %d attempts, want failed after 1", h.answers[r], len(h.sentTo[r]))
+		t.Errorf("final response %q after %d attempts, want failed after 1", h.answers[r], len(h.sentTo[r]))
 	}
 }
 
-// A client that is rejected may come back when it was told to, and have its try sent at its own timeout: the key must still
-// be known then.
+// TestRetry_KeyKnownEverywhere_RejectsOnlyWhileKeyOutlivesTheRetry verifies that a request is rejected only if its
+// idempotency key outlives the latest possible retry: the client may wait as long as it was told to, and the retry
+// may be sent just before its timeout.
 func TestRetry_KeyKnownEverywhere_RejectsOnlyWhileKeyOutlivesTheRetry(t *testing.T) {
 	set := testSettings()
 	set.MaxAttempts = 1
@@ -68,7 +69,7 @@
 		h.advance(100 * ms)
 		h.endAttempt(r, Error, ColdStartUnknown)
 		if h.answers[r] != want {
-			t.Errorf("key remembered for %v: %s, want %s", retention, h.answers[r], want)
+			t.Errorf("key retention %v: %s, want %s", retention, h.answers[r], want)
 		}
 	}
 }
@@ -80,7 +81,7 @@
 	h.endAttemptWithQueueDepth(r, Overloaded, 20)
 	h.answerQueries()
 	if sent := h.sentTo[r]; len(sent) != 2 || sent[1] == w {
-		t.Errorf("a request rejected as overloaded at worker %d went on to %v", w, sent)
+		t.Errorf("a request rejected as overloaded by worker %d was sent to %v, want one retry elsewhere", w, sent)
 	}
 }
 
@@ -93,21 +94,21 @@
 		r := h.request(7, 0)
 		h.scheduler.ClientDisconnected(h.now, r)
 		if cancelled := h.count("cancel") == 1; cancelled != mayCancel {
-			t.Errorf("cancelled %v after its client left, allowed %v", cancelled, mayCancel)
+			t.Errorf("cancelled after the client disconnected: %v, want %v", cancelled, mayCancel)
 		}
 		h.advance(time.Second)
 		h.endAttempt(r, Cancelled, ColdStartUnknown)
 		if worker := h.scheduler.endpoints.byID[h.workerOf(r)]; h.scheduler.queueDelay(worker) < 400*ms {
-			t.Errorf("a request cancelled after a second tells of a queue delay of %v", h.scheduler.queueDelay(worker))
+			t.Errorf("the queue delay is %v after an attempt was cancelled after 1s, want at least 400ms", h.scheduler.queueDelay(worker))
 		}
 		if h.answers[r] != "" || len(h.sentTo[r]) != 1 {
-			t.Errorf("a request whose client left got answer %q, sent %d times", h.answers[r], len(h.sentTo[r]))
+			t.Errorf("a request of a disconnected client got response %q after %d attempts, want none after 1", h.answers[r], len(h.sentTo[r]))
 		}
 	}
 }
 
-// A keyed request that may have run is loaded elsewhere in its cell only, however many workers or members of the cell there
-// are: more than are looked at for another request.
+// TestRetry_KeyedInLargeFleet_LoadsWithinCell verifies that a request with an idempotency key that may have executed
+// is retried only within its cell, even if the fleet or the cell has more workers than placementSearch.
 func TestRetry_KeyedInLargeFleet_LoadsWithinCell(t *testing.T) {
 	for name, cells := range map[string]int{"small cells": 150, "large cells": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -127,7 +128,7 @@
 			h.answerQueries()
 			second := h.workerOf(r)
 			if len(h.sentTo[r]) != 2 || first == second || (int(first)-1)%cells != (int(second)-1)%cells {
-				t.Errorf("sent to workers %v, want a second one of the cell of the first", h.sentTo[r])
+				t.Errorf("sent to workers %v, want a second worker in the cell of the first", h.sentTo[r])
 			}
 		})
 	}
--- a/scheduler/scale_out_test.go
+++ b/scheduler/scale_out_test.go
@@ -19,11 +19,11 @@
 		}
 	}
 	if len(waitingForLoad) == 0 {
-		t.Error("20 requests at 100 ms at concurrency 2 were all kept for a worker that needs a second for them")
+		t.Error("20 requests of 100 ms at concurrency 2 all waited for one worker, which needs 1 s for them")
 	}
 	for w, n := range waitingForLoad {
 		if n > 2 {
-			t.Errorf("%d requests wait for the load at worker %d, 2 at most", n, w)
+			t.Errorf("%d requests wait for the load at worker %d, want at most 2", n, w)
 		}
 	}
 }
@@ -37,17 +37,18 @@
 	h.answerQueries()
 	h.advance(100 * ms)
 	if len(h.orders) != 1 || len(h.sentTo[r]) != 0 {
-		t.Fatalf("%d orders, request sent to %v before the replica is loaded", len(h.orders), h.sentTo[r])
+		t.Fatalf("%d load orders, request sent to %v before the replica is loaded; want 1 and none", len(h.orders), h.sentTo[r])
 	}
 	h.now += 400 * ms
 	h.scheduler.LoadEnded(h.now, LoadResult{Worker: h.orders[0].worker, Function: 7, Status: OK, Latency: 400 * ms, Replicas: 1})
 	if h.workerOf(r) != h.orders[0].worker {
-		t.Error("the request was not sent once its load order succeeded")
+		t.Error("the request was not sent to the worker whose load order succeeded")
 	}
 }
 
-// TestStartLoad_FirstRequestFails_LeavesNoLoadInFlight holds that requests for functions that do not exist, and requests
-// that were never sent, are no loads in flight: so many of them kept back the loads of all others.
+// TestStartLoad_FirstRequestFails_LeavesNoLoadInFlight verifies that requests for functions that do not exist, and
+// requests that were never sent, do not remain counted as loads in flight, where they would block the loads of all
+// other functions.
 func TestStartLoad_FirstRequestFails_LeavesNoLoadInFlight(t *testing.T) {
 	for _, end := range []Status{Error, NotSent} {
 		set := testSettings()
@@ -56,7 +57,7 @@
 		for i := range 3 * maxLoadsInFlight {
 			r := h.request(FunctionID(100+i), 2)
 			if h.workerOf(r) == 0 {
-				t.Fatalf("the first request of function %d is not sent after %d that ended with %d", 100+i, i, end)
+				t.Fatalf("the first request of function %d was not sent after %d requests that ended with status %d", 100+i, i, end)
 			}
 			h.endAttempt(r, end, ColdStartUnknown)
 			h.scheduler.ClientDisconnected(h.now, r)
@@ -64,7 +65,7 @@
 		}
 		for _, worker := range h.scheduler.endpoints.list {
 			if worker.healthByClass[2].ejected {
-				t.Errorf("worker %d is ejected for functions that never ran anywhere (%d)", worker.ID, end)
+				t.Errorf("worker %d was ejected for functions that never ran anywhere (status %d)", worker.ID, end)
 			}
 		}
 	}
@@ -77,9 +78,9 @@
 		queueDepth     int
 		loadsElsewhere bool
 	}{
-		{"quick", 100 * ms, 0, false},
-		{"late behind others", 2500 * ms, 20, true},
-		{"late at a slow worker", 2500 * ms, 0, true},
+		{"short latency", 100 * ms, 0, false},
+		{"long latency behind other requests", 2500 * ms, 20, true},
+		{"long latency at a slow worker", 2500 * ms, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), 4)
@@ -91,7 +92,7 @@
 			r = h.request(7, 0)
 			h.answerQueries() // no replica is loaded elsewhere
 			if isElsewhere := h.workerOf(r) != w; isElsewhere != test.loadsElsewhere {
-				t.Errorf("after an answer in %v with %d others there the next request loads elsewhere: %v", test.latency, test.queueDepth, isElsewhere)
+				t.Errorf("after a response in %v at a queue depth of %d, the next request loads elsewhere: %v", test.latency, test.queueDepth, isElsewhere)
 			}
 		})
 	}
@@ -105,22 +106,22 @@
 	for range 3 {
 		r := h.request(7, 0)
 		h.advance(700 * ms)
-		h.endAttempt(r, OK, ColdStartTriggered) // the replica that we counted on was gone
+		h.endAttempt(r, OK, ColdStartTriggered) // the replica that was assumed loaded was gone
 	}
 	if after := h.scheduler.loadCost(function); after < before+h.scheduler.expectedLoadTime(function)/2 {
-		t.Errorf("a load costs %v after replicas were found gone, %v before", after, before)
+		t.Errorf("load cost is %v after replicas were found gone, %v before", after, before)
 	}
 }
 
 func TestExpectedLoadTime_FirstResponse_IsLearned(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	h.warm(7) // 600 ms for the first answer, 100 ms a run
+	h.warm(7) // 600 ms for the first response, 100 ms per run
 	function := h.scheduler.functions.byID[7]
 	if load := h.scheduler.expectedLoadTime(function); load < 400*ms || load > 600*ms {
-		t.Errorf("a load is taken for %v, want 600 ms less a run", load)
+		t.Errorf("expected load time %v, want 400 to 600 ms", load)
 	}
 	if run := h.scheduler.expectedRunTime(function); run < 90*ms || run > 110*ms {
-		t.Errorf("a run is taken for %v, want 100 ms", run)
+		t.Errorf("expected run time %v, want about 100 ms", run)
 	}
 }
 
@@ -140,7 +141,7 @@
 	for _, idle := range []time.Duration{idleProbeAfter / 2, idleProbeAfter} {
 		h := newHarness(t, testSettings(), 2)
 		w := h.warm(7)
-		for range int(idle / time.Second) { // the replica at w stays believed, the other worker is not contacted
+		for range int(idle / time.Second) { // keeps the replica at w in use; the other worker is not contacted
 			r := h.request(7, 0)
 			h.now += 100 * ms
 			h.endAttempt(r, OK, WarmStart)
@@ -156,7 +157,7 @@
 			}
 		}
 		if want := int(idle / idleProbeAfter); probes != want {
-			t.Errorf("%d requests sent as probes after %v, want %d", probes, idle, want)
+			t.Errorf("%d probes sent after %v without contact, want %d", probes, idle, want)
 		}
 	}
 }
@@ -171,6 +172,6 @@
 	}
 	h.answerQueries()
 	if len(cold.inFlight) != 1 {
-		t.Errorf("%d requests wait for the load at a worker half as fast, want 1", len(cold.inFlight))
+		t.Errorf("%d requests wait for the load at a slower worker, want 1", len(cold.inFlight))
 	}
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestSlowStart_JustStartedWorker_LimitsRequestsOfAllFrontEnds(t *testing.T) {
-	for frontEnds, most := range map[int]int{1: 4 * 400, 4: 400, 400: 400 / 3} {
+	for frontEnds, limit := range map[int]int{1: 4 * 400, 4: 400, 400: 400 / 3} {
 		sent := 0
-		for seed := range uint64(400) { // each is one of as many front ends
+		for seed := range uint64(400) { // each seed is one of 400 front ends
 			set := testSettings()
 			set.Seed, set.FrontEndCount = seed, frontEnds
 			h := newHarness(t, set, 1)
@@ -24,9 +24,9 @@
 			h.advance(time.Second)
 			sent += h.count("send")
 		}
-		if sent == 0 || sent > most {
-			t.Errorf("%d requests of 400 front ends to a worker that has just started, each configured for %d; want some, %d at most",
-				sent, frontEnds, most)
+		if sent == 0 || sent > limit {
+			t.Errorf("400 front ends, each configured for %[2]d, sent %[1]d requests to a worker that just started; want 1 to %[3]d",
+				sent, frontEnds, limit)
 		}
 	}
 }
@@ -44,14 +44,17 @@
 		return h.countColdRequests(1)
 	}
 	if small, large := countRequests(0.5), countRequests(2); float64(large) < 2.5*float64(small) {
-		t.Errorf("a cold worker gets %d requests at half the size and %d at twice the size", small, large)
+		t.Errorf("a cold worker may be sent %d requests at scale 0.5 and %d at scale 2", small, large)
 	}
 }
 
-// TestSlowStart_HundredsOfFrontEnds_DoNotOverloadColdWorker lets each have a request now and
-// then for a worker that just started, four times as often as for the mean worker, as after half of them went down.
+// TestSlowStart_HundredsOfFrontEnds_DoNotOverloadColdWorker verifies that many front ends together do not overload a
+// worker that just started. Each has a request for it now and then, four times as often as for an average worker, as
+// after half of the workers have failed.
 func TestSlowStart_HundredsOfFrontEnds_DoNotOverloadColdWorker(t *testing.T) {
-	const frontEnds, workers, each, wanted = 500, 100, 3.0, 4 // each worker serves so many requests a second of all front ends
+	// Each worker serves workerRate requests per second of all front ends, and demandFactor times that are requested
+	// of the cold worker.
+	const frontEnds, workers, workerRate, demandFactor = 500, 100, 3.0, 4
 	set := testSettings()
 	set.FrontEndCount, set.OverloadWindow = frontEnds, 2*time.Second
 	sent, windows := 0, 40
@@ -64,22 +67,22 @@
 		for n := range windows {
 			h.now += set.OverloadWindow
 			h.scheduler.now, worker.Started = h.now, h.now-set.SlowStartDuration/2-time.Duration(n)
-			h.scheduler.demand.completions = estimate.Decayed{Value: each * workers / frontEnds * completionMemory.Seconds(), ReadAt: h.now}
+			h.scheduler.demand.completions = estimate.Decayed{Value: workerRate * workers / frontEnds * completionMemory.Seconds(), ReadAt: h.now}
 			draw := estimate.Mix(uint64(i), uint64(n)+1000)
-			if estimate.UnitInterval(draw) < wanted*each*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
+			if estimate.UnitInterval(draw) < demandFactor*workerRate*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
 				worker.sendTimes = append(worker.sendTimes, h.now)
 				sent++
 			}
 		}
 	}
 	part := set.SlowStartFraction + (1-set.SlowStartFraction)/2
-	if mean, most := float64(sent)/float64(windows), set.OverloadFactor*part*each*set.OverloadWindow.Seconds(); mean > most {
-		t.Errorf("%.1f requests in a window, %.1f overload it", mean, most)
+	if mean, limit := float64(sent)/float64(windows), set.OverloadFactor*part*workerRate*set.OverloadWindow.Seconds(); mean > limit {
+		t.Errorf("%.1f requests per window, want at most %.1f", mean, limit)
 	}
 }
 
-// TestSlowStart_OtherColdWorkers_CountByCapacityFraction holds that the low throughput of
-// others that just started says nothing of what a warm worker can serve.
+// TestSlowStart_OtherColdWorkers_CountByCapacityFraction verifies that the low throughput of other workers in slow
+// start does not count as what a warm worker can serve.
 func TestSlowStart_OtherColdWorkers_CountByCapacityFraction(t *testing.T) {
 	countRequests := func(others int) int {
 		set := testSettings()
@@ -91,15 +94,15 @@
 		return h.countColdRequests(10)
 	}
 	if alone, among := countRequests(0), countRequests(8); float64(among) < 0.6*float64(alone) {
-		t.Errorf("a cold worker gets %d requests among eight others that are cold, %d alone", among, alone)
+		t.Errorf("a cold worker may be sent %d requests among eight other cold workers, %d alone", among, alone)
 	}
 }
 
-// TestSlowStart_ServingWorkersLeave_BudgetDoesNotGrow guards against a budget that grows as workers are ejected, drain or
-// are removed: what they completed lately is not what the others can take.
+// TestSlowStart_ServingWorkersLeave_BudgetDoesNotGrow guards against a budget that grows when workers are ejected,
+// drain or are removed: the remaining workers cannot take over all that those workers recently completed.
 func TestSlowStart_ServingWorkersLeave_BudgetDoesNotGrow(t *testing.T) {
 	const cold, others = 10, 8
-	leave := map[string]func(h *harness, worker *workerRecord){
+	departures := map[string]func(h *harness, worker *workerRecord){
 		"stay":    func(*harness, *workerRecord) {},
 		"ejected": func(h *harness, worker *workerRecord) { h.scheduler.connectionLost(worker) },
 		"draining": func(h *harness, worker *workerRecord) {
@@ -108,13 +111,13 @@
 		"removed": func(h *harness, worker *workerRecord) {
 			h.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Removed})
 		},
-		"long gone": func(h *harness, worker *workerRecord) {
+		"ejected long ago": func(h *harness, worker *workerRecord) {
 			worker.healthByClass[0].lastResponseAt = 0
 			h.scheduler.connectionLost(worker)
 		},
 	}
 	sent := map[string]int{}
-	for name, leaves := range leave {
+	for name, depart := range departures {
 		set := testSettings()
 		set.FrontEndCount = 1
 		h := newHarness(t, set, others)
@@ -125,7 +128,7 @@
 			worker := s.endpoints.byID[id+1]
 			worker.healthByClass[0].lastResponseAt = s.now
 			if id > 0 {
-				leaves(h, worker)
+				depart(h, worker)
 			}
 		}
 		worker, request := s.endpoints.byID[cold], &requestRecord{function: s.trackFunction(7, 0)}
@@ -136,20 +139,21 @@
 	}
 	for _, name := range []string{"ejected", "draining", "removed"} {
 		if sent[name] > sent["stay"] {
-			t.Errorf("%s: a cold worker gets %d requests, %d where all stay", name, sent[name], sent["stay"])
+			t.Errorf("%s: a cold worker may be sent %d requests, want at most %d as when all stay", name, sent[name], sent["stay"])
 		}
 	}
-	if sent["long gone"] <= sent["stay"] {
-		t.Errorf("a cold worker gets %d requests where the others are long gone, %d where all serve", sent["long gone"], sent["stay"])
+	if sent["ejected long ago"] <= sent["stay"] {
+		t.Errorf("a cold worker may be sent %d requests when the others stopped serving long ago, want more than the %d when all serve", sent["ejected long ago"], sent["stay"])
 	}
 }
 
-// What was never sent takes nothing from the budget of a worker in slow start.
+// TestSlowStart_AttemptNotSent_LeavesBudget verifies that an attempt that was not sent does not use the budget of a
+// worker in slow start.
 func TestSlowStart_AttemptNotSent_LeavesBudget(t *testing.T) {
 	worker := &workerRecord{sendTimes: []time.Duration{time.Second, 2 * time.Second, 2 * time.Second}}
 	worker.removeSend(2 * time.Second)
 	worker.removeSend(time.Minute)
 	if want := []time.Duration{time.Second, 2 * time.Second}; !slices.Equal(worker.sendTimes, want) {
-		t.Errorf("sent at %v, want %v", worker.sendTimes, want)
+		t.Errorf("send times %v, want %v", worker.sendTimes, want)
 	}
 }
