--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -30,7 +30,8 @@
 	return endpointTable{byID: map[WorkerID]*workerRecord{}, cells: map[int][]*workerRecord{}, counts: newServingCounts(classes)}
 }
 
-// workerRecord is the state of a worker. A restart of its process resets everything except the attempts in flight.
+// workerRecord is the state of a worker. A restart of its process resets everything except the attempts in
+// flight and the send times.
 type workerRecord struct {
 	WorkerInfo
 	lastContact      time.Duration    // when the worker was first listed or a request was last sent to it
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -12,8 +12,8 @@
 	demandMemory     = 10 * time.Second // time constant of the demand estimates
 	demandSmoothing  = 10               // runs added to the total demand, for shares of few requests
 	placementSpread  = 3.0              // replicas for each worker that the function's demand would fill
-	rendezvousStep   = 32               // workers ranked beyond those needed, a constant part
-	rendezvousMargin = 2                // one further worker is ranked per rendezvousMargin needed
+	rendezvousStep   = 32               // constant number of workers ranked beyond those needed
+	rendezvousMargin = 2                // a further worker is ranked per rendezvousMargin needed
 )
 
 // placementOrder returns the workers in the order in which this front end would load a function. The first
@@ -82,7 +82,7 @@
 // targetReplicaCount returns on how many workers a function should be loaded for the requests of all front
 // ends. A single front end has few requests at a time and no backlog, but its requests are a sample of all
 // requests: a function with a given share of the work needs that share of the workers, multiplied by
-// placementSpread because these workers serve other functions too. It does harm if memory is scarce, or if
+// placementSpread because these workers serve other functions too. This does harm if memory is scarce, or if
 // this front end's clients use functions that the clients of other front ends do not.
 func (s *Scheduler) targetReplicaCount(function *functionRecord) int {
 	run := float64(s.expectedRunTime(function)) // a function's first request is no evidence of more to come
--- a/scheduler/queue_delay.go
+++ b/scheduler/queue_delay.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	initialLimit            = 12.0                   // concurrency limit of a worker before any response
-	limitDecrease           = 0.9                    // factor on the limit after a slow run or a rejection
-	limitDecreaseInterval   = 100 * time.Millisecond // minimum time between two decreases
+	initialLimit            = 12.0                   // requests of this front end at a worker before any response
+	limitDecrease           = 0.9                    // factor on the limit after a slow run or rejection
+	limitDecreaseInterval   = 100 * time.Millisecond // minimum time between two decreases of a limit
 	slowDelayRuns           = 2.5                    // queue delay of a slow worker, in unloaded run times
 	minDelayMemory          = time.Second            // shortest time constant of a worker's queue delay
-	maxDelayMemory          = 10 * time.Second       // longest, where workers are seldom contacted
-	delayMemoryContacts     = 15                     // between the bounds: this many contacts of a worker
+	maxDelayMemory          = 10 * time.Second       // longest time constant, for seldom contacted workers
+	delayMemoryContacts     = 15                     // time constant between these bounds, in contacts
 	contactedDivisor        = 2                      // contactedDelay is the 1/contactedDivisor quantile
 	contactedSampleLimit    = 16                     // workers that contactedDelay samples, latest first
 	contactedMinSamples     = 4                      // samples that contactedDelay needs
--- a/scheduler/queue_delay_index.go
+++ b/scheduler/queue_delay_index.go
@@ -12,8 +12,8 @@
 
 // workerDelay is the queue delay at one worker: how long requests there wait beyond an unloaded run.
 type workerDelay struct {
-	value      float64       // nanoseconds, at the index's time clock
-	clock      float64       // value of queueDelayEstimates.clock to which value refers
+	value      float64       // nanoseconds, when the index's clock was at the value of clock
+	clock      float64       // queueDelayEstimates.clock at the time of the observation
 	rank       float64       // orders delays observed at different times; see rankOf
 	observed   float64       // nanoseconds, as last observed, without decay
 	observedAt time.Duration // time of the last observation; 0 if there was none
