--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -23,9 +23,9 @@
 //
 // A budget below one request is used as a probability, drawn anew in each window. It is higher if fewer front
 // ends are likely to have a request for the worker in that window. Their number is estimated from this front
-// end's demand for the function, and is at most slowStartSkew times that for an average worker. This does harm
-// if more front ends than that each have few requests; functions are placed so that none needs a third of a
-// worker.
+// end's demand for the function, and is at most slowStartSkew times that for an average worker. This does
+// harm if more front ends than that each have few requests; functions are placed so that none needs a third
+// of a worker.
 func (s *Scheduler) slowStartAllows(worker *workerRecord, request *requestRecord) bool {
 	age := s.now - worker.Started
 	if s.isWarmedUp(worker) || s.settings.OverloadWindow <= 0 {
