--- a/scheduler/replicas.go
+++ b/scheduler/replicas.go
@@ -38,7 +38,7 @@
 	id                 FunctionID
 	class              int
 	sequence           uint64        // order in which functions were added to the table
-	active             bool          // whether it is in functionTable.active or functionTable.idle
+	active             bool          // true if in functionTable.active, false if in functionTable.idle
 	concurrency        int           // requests that one replica executes at a time
 	advertisedLoadTime time.Duration // usual load time; 0 if not advertised
 	queue              []*requestRecord
