--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// These tests hold what many front ends, each with a Scheduler of its own and no communication between them, send
-// together to one cold worker.
+// These tests check what many front ends, each with its own Scheduler and without communication, together send to one
+// cold worker.
 
-// fleet is many Schedulers before the same workers, in virtual time.
+// fleet simulates many Schedulers that share the same workers, in virtual time.
 type fleet struct {
 	rng        *rand.Rand
 	set        Settings
 	now        time.Duration
-	fronts     []*fleetFront
+	frontEnds  []*fleetFront
 	list       []WorkerInfo
-	replicas   map[replicaKey]time.Duration // when a replica is or will be loaded
+	replicas   map[replicaKey]time.Duration // time from which each replica is loaded
 	run        time.Duration
 	load       time.Duration
 	pending    fleetEvents
 	seq        int
 	coldWorker WorkerID
-	sends      []time.Duration // to the cold worker
+	sends      []time.Duration // times of sends to the cold worker
 	served     int
 	loads      int
 	draw       func() FunctionID
 
-	connectFailures float64 // part of the attempts at the other workers that end without a connection
+	connectFailures float64 // fraction of the attempts at the other workers that fail to connect
 }
 
 // fleetFront is one front end of a fleet.
@@ -77,21 +77,21 @@
 	f.now = until
 }
 
-// start starts a front end, or starts it anew.
-func (f *fleet) start(frontEnd *fleetFront, self int) {
+// start starts or restarts a front end.
+func (f *fleet) start(frontEnd *fleetFront, index int) {
 	frontEnd.incarnation++
 	set := f.set
-	set.FrontEndIndex, set.Seed = self, f.rng.Uint64()
+	set.FrontEndIndex, set.Seed = index, f.rng.Uint64()
 	frontEnd.attempts = map[RequestID]int{}
 	frontEnd.scheduler = New(f.now, set, frontEnd)
 	frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 }
 
-// later does something to a front end unless it was started anew meanwhile.
+// later schedules a call for a front end unless the front end is restarted before.
 func (frontEnd *fleetFront) later(d time.Duration, do func()) {
-	life := frontEnd.incarnation
+	incarnation := frontEnd.incarnation
 	frontEnd.after(d, func() {
-		if frontEnd.incarnation == life {
+		if frontEnd.incarnation == incarnation {
 			do()
 		}
 	})
@@ -149,7 +149,7 @@
 func (frontEnd *fleetFront) WatchEndpoints()                              {}
 func (frontEnd *fleetFront) Log(string)                                   {}
 
-// arrivals has requests come to x at its part of the rate.
+// arrivals generates the front end's share of requests at the given total rate.
 func (frontEnd *fleetFront) arrivals(rate float64) {
 	var next func()
 	next = func() {
@@ -161,46 +161,50 @@
 }
 
 const (
-	fleetLoad         = 0.6 // of what warm workers can serve, that is requested, as on the platform's large scenarios at most
-	requestsPerWorker = 20  // requests a second that a warm worker can serve
+	// fleetLoad is the requested fraction of the capacity of the warm workers, the highest of the platform's large
+	// scenarios.
+	fleetLoad         = 0.6
+	requestsPerWorker = 20 // requests per second that a warm worker can serve
 	connectTimeout    = 250 * ms
 )
 
-// newFleet starts a fleet whose front ends have unequal traffic: a tenth of them has four times what the others have.
-func newFleet(seed uint64, fronts, workers, functions int, set Settings) *fleet {
-	fleetRun := &fleet{
+// newFleet starts a fleet with unequal traffic: a tenth of the front ends receives four times the traffic of the
+// others.
+func newFleet(seed uint64, frontEnds, workers, functions int, set Settings) *fleet {
+	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Minute, replicas: map[replicaKey]time.Duration{},
 		run: 100 * ms, load: 500 * ms, coldWorker: WorkerID(workers),
 	}
-	fleetRun.set.FrontEndCount = fronts
+	f.set.FrontEndCount = frontEnds
 	for i := range workers {
-		fleetRun.list = append(fleetRun.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
+		f.list = append(f.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
 	}
-	fleetRun.list[workers-1].State = Removed
-	all := 0.0
-	for i := range fronts {
-		frontEnd := &fleetFront{fleet: fleetRun, trafficWeight: 1}
+	f.list[workers-1].State = Removed
+	totalWeight := 0.0
+	for i := range frontEnds {
+		frontEnd := &fleetFront{fleet: f, trafficWeight: 1}
 		if i%10 == 0 {
 			frontEnd.trafficWeight = 4
 		}
-		all += frontEnd.trafficWeight
-		fleetRun.fronts = append(fleetRun.fronts, frontEnd)
+		totalWeight += frontEnd.trafficWeight
+		f.frontEnds = append(f.frontEnds, frontEnd)
 	}
-	zipf := rand.NewZipf(fleetRun.rng, 1.3, 2, uint64(functions-1))
-	fleetRun.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
+	zipf := rand.NewZipf(f.rng, 1.3, 2, uint64(functions-1))
+	f.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
 	rate := fleetLoad * requestsPerWorker * float64(workers-1)
-	for i, frontEnd := range fleetRun.fronts {
-		frontEnd.trafficWeight /= all
-		fleetRun.after(time.Duration(i)*set.Resolution, func() { fleetRun.start(frontEnd, i) })
-		fleetRun.after(time.Second, func() { frontEnd.arrivals(rate) })
+	for i, frontEnd := range f.frontEnds {
+		frontEnd.trafficWeight /= totalWeight
+		f.after(time.Duration(i)*set.Resolution, func() { f.start(frontEnd, i) })
+		f.after(time.Second, func() { frontEnd.arrivals(rate) })
 	}
-	return fleetRun
+	return f
 }
 
-// worstOverload is the largest count of sends to the cold worker in a window, beside what may be sent in that window.
-func (f *fleet) worstOverload(began time.Duration) (over float64, text string) {
+// worstOverload returns the largest excess of sends to the cold worker over the limit in any window, with a
+// description.
+func (f *fleet) worstOverload(began time.Duration) (excess float64, text string) {
 	from := 0
-	over = math.Inf(-1)
+	excess = math.Inf(-1)
 	for i, at := range f.sends {
 		for f.sends[from] <= at-f.set.OverloadWindow {
 			from++
@@ -208,17 +212,17 @@
 		age := max(0, at-f.set.OverloadWindow-began)
 		part := f.set.SlowStartFraction + (1-f.set.SlowStartFraction)*float64(age)/float64(f.set.SlowStartDuration)
 		n := f.set.OverloadFactor * part * requestsPerWorker * f.set.OverloadWindow.Seconds()
-		got, most := float64(i-from+1), n+2*math.Sqrt(n)+2
-		if got-most > over {
-			over, text = got-most, fmt.Sprintf("%.0f sends in the window that ends %v after its start, %.1f at most", got, at-began, most)
+		got, limit := float64(i-from+1), n+2*math.Sqrt(n)+2
+		if got-limit > excess {
+			excess, text = got-limit, fmt.Sprintf("%.0f sends in the window that ends %v after its start, want at most %.1f", got, at-began, limit)
 		}
 	}
-	return over, text
+	return excess, text
 }
 
-// functionsPlacedOnColdWorker returns functions that every front end would load at the cold worker first.
+// functionsPlacedOnColdWorker returns functions for which the cold worker is the first in rendezvous order.
 func (f *fleet) functionsPlacedOnColdWorker(n int) (out []FunctionID) {
-	s := f.fronts[0].scheduler
+	s := f.frontEnds[0].scheduler
 	for id := FunctionID(1 << 20); len(out) < n; id++ {
 		if s.rendezvousOrder(&functionRecord{id: id}, 1)[0].ID == f.coldWorker {
 			out = append(out, id)
@@ -227,48 +231,50 @@
 	return out
 }
 
-// TestFleet_ColdWorker_IsNotOverloaded holds the slow start limit for the sum of all front ends: over the window that the settings name,
-// N + 2 sqrt N + 2 requests, N being what the settings allow the worker at that age.
+// TestFleet_ColdWorker_IsNotOverloaded verifies the slow start limit for the requests of all front ends together: at
+// most N + 2 sqrt N + 2 requests per overload window, where N is the number that the settings allow the worker at its
+// age.
 func TestFleet_ColdWorker_IsNotOverloaded(t *testing.T) {
 	for _, size := range []struct {
-		fronts, workers int
-		seeds           uint64
+		frontEnds, workers int
+		seeds              uint64
 	}{{30, 12, 5}, {300, 60, 1}} {
 		for _, test := range []struct {
-			name     string
-			few      int           // new functions, which all would load there, in place of the many; 0: as before
-			restarts time.Duration // after the worker's start, that seven in ten front ends start anew; 0: none
+			name string
+			// newFunctions is the number of new functions, all placed on the cold worker, that replace the others; 0: none.
+			newFunctions int
+			restarts     time.Duration // time after the worker's start at which seven in ten front ends restart; 0: none
 		}{
-			{"as before", 0, 0},
+			{"unchanged", 0, 0},
 			{"a few new functions", 4, 0},
-			{"started anew behind it", 0, 500 * ms},
-			{"a few new functions and started anew behind it", 4, 500 * ms},
+			{"front end restarts", 0, 500 * ms},
+			{"a few new functions and front end restarts", 4, 500 * ms},
 		} {
-			t.Run(fmt.Sprintf("%d front ends, %s", size.fronts, test.name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d front ends, %s", size.frontEnds, test.name), func(t *testing.T) {
 				for seed := range size.seeds {
-					fleetRun := newFleet(seed, size.fronts, size.workers, 400, testSettings())
-					fleetRun.advanceTo(fleetRun.now + 4*time.Second)
-					began := fleetRun.now
-					fleetRun.list[size.workers-1].State, fleetRun.list[size.workers-1].Started = Ready, began
-					for _, frontEnd := range fleetRun.fronts {
-						frontEnd.scheduler.WorkersChanged(fleetRun.now, fleetRun.list, true)
+					f := newFleet(seed, size.frontEnds, size.workers, 400, testSettings())
+					f.advanceTo(f.now + 4*time.Second)
+					began := f.now
+					f.list[size.workers-1].State, f.list[size.workers-1].Started = Ready, began
+					for _, frontEnd := range f.frontEnds {
+						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 					}
-					if test.few > 0 {
-						few := fleetRun.functionsPlacedOnColdWorker(test.few)
-						fleetRun.draw = func() FunctionID { return few[fleetRun.rng.IntN(len(few))] }
+					if test.newFunctions > 0 {
+						functions := f.functionsPlacedOnColdWorker(test.newFunctions)
+						f.draw = func() FunctionID { return functions[f.rng.IntN(len(functions))] }
 					}
 					if test.restarts > 0 {
-						fleetRun.advanceTo(fleetRun.now + test.restarts)
-						for i, frontEnd := range fleetRun.fronts {
+						f.advanceTo(f.now + test.restarts)
+						for i, frontEnd := range f.frontEnds {
 							if i%10 < 7 {
-								fleetRun.start(frontEnd, i)
+								f.start(frontEnd, i)
 							}
 						}
 					}
-					fleetRun.advanceTo(began + 5*time.Second)
-					over, text := fleetRun.worstOverload(began)
-					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(fleetRun.sends), fleetRun.served)
-					if over > 0 {
+					f.advanceTo(began + 5*time.Second)
+					excess, text := f.worstOverload(began)
+					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(f.sends), f.served)
+					if excess > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
 				}
@@ -277,29 +283,30 @@
 	}
 }
 
-// TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded holds the same while connects to the other workers time out, so that
-// most of them are ejected at most front ends most of the time, and while half of them drain.
+// TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded verifies the same limit while connections to the other workers
+// time out, so that most workers are ejected at most front ends most of the time, and while half of the workers
+// drain.
 func TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded(t *testing.T) {
 	const workers = 16
-	for _, fronts := range []int{1, 3, 6, 30} {
+	for _, frontEnds := range []int{1, 3, 6, 30} {
 		for _, half := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d front ends, half drain %t", fronts, half), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d front ends, half drain %t", frontEnds, half), func(t *testing.T) {
 				for seed := range uint64(5) {
-					fleetRun := newFleet(seed, fronts, workers, 200, testSettings())
-					fleetRun.advanceTo(fleetRun.now + 4*time.Second)
-					began := fleetRun.now
-					fleetRun.connectFailures = 0.4
-					fleetRun.list[workers-1].State, fleetRun.list[workers-1].Started = Ready, began
+					f := newFleet(seed, frontEnds, workers, 200, testSettings())
+					f.advanceTo(f.now + 4*time.Second)
+					began := f.now
+					f.connectFailures = 0.4
+					f.list[workers-1].State, f.list[workers-1].Started = Ready, began
 					for i := range workers / 2 {
 						if half {
-							fleetRun.list[i].State = Draining
+							f.list[i].State = Draining
 						}
 					}
-					for _, frontEnd := range fleetRun.fronts {
-						frontEnd.scheduler.WorkersChanged(fleetRun.now, fleetRun.list, true)
+					for _, frontEnd := range f.frontEnds {
+						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
 					}
-					fleetRun.advanceTo(began + 8*time.Second)
-					if over, text := fleetRun.worstOverload(began); over > 0 {
+					f.advanceTo(began + 8*time.Second)
+					if excess, text := f.worstOverload(began); excess > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
 				}
@@ -308,27 +315,27 @@
 	}
 }
 
-// TestFleet_NewVersions_BringNoStormOfLoads: four in ten of the loaded replicas become stale at once, as their
-// functions come in a new version. Each is loaded again where it is requested; hundreds of front ends that see
-// requests take longer there do not load it at other workers as well.
-func TestFleet_NewVersions_BringNoStormOfLoads(t *testing.T) {
-	for _, size := range []struct{ fronts, workers int }{{30, 12}, {300, 60}} {
-		t.Run(fmt.Sprint(size.fronts, " front ends"), func(t *testing.T) {
-			fleetRun := newFleet(1, size.fronts, size.workers, 200, testSettings())
-			fleetRun.advanceTo(fleetRun.now + 8*time.Second)
-			normalLoads := fleetRun.loads
-			fleetRun.advanceTo(fleetRun.now + 3*time.Second)
-			normalLoads = fleetRun.loads - normalLoads
-			stale, before := 0, fleetRun.loads
-			for key := range fleetRun.replicas {
+// TestFleet_NewVersions_CauseNoExcessLoads guards against excess loads when four in ten of the loaded replicas become
+// stale at once because their functions get a new version. Each must be loaded again where it is requested, but
+// hundreds of front ends that see slower responses there must not load it at other workers too.
+func TestFleet_NewVersions_CauseNoExcessLoads(t *testing.T) {
+	for _, size := range []struct{ frontEnds, workers int }{{30, 12}, {300, 60}} {
+		t.Run(fmt.Sprint(size.frontEnds, " front ends"), func(t *testing.T) {
+			f := newFleet(1, size.frontEnds, size.workers, 200, testSettings())
+			f.advanceTo(f.now + 8*time.Second)
+			normalLoads := f.loads
+			f.advanceTo(f.now + 3*time.Second)
+			normalLoads = f.loads - normalLoads
+			stale, before := 0, f.loads
+			for key := range f.replicas {
 				if key.function%10 < 4 {
-					delete(fleetRun.replicas, key)
+					delete(f.replicas, key)
 					stale++
 				}
 			}
-			fleetRun.advanceTo(fleetRun.now + 3*time.Second)
-			if got := fleetRun.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
-				t.Errorf("%d replicas stale; %d loads in the 3 s after it, %d in the 3 s before", stale, got, normalLoads)
+			f.advanceTo(f.now + 3*time.Second)
+			if got := f.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
+				t.Errorf("%d replicas became stale; %d loads in the next 3 s, %d in the 3 s before", stale, got, normalLoads)
 			}
 		})
 	}
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -8,25 +8,25 @@
 	"havencart/internal/estimate"
 )
 
-func TestSlowStart_JustStartedWorker_GetsFewRequestsOfAllFrontEnds(t *testing.T) {
-	for frontEnds, most := range map[int]int{1: 4 * 400, 4: 400, 400: 400 / 3} {
+func TestSlowStart_JustStartedWorker_LimitsRequestsOfAllFrontEnds(t *testing.T) {
+	for frontEnds, limit := range map[int]int{1: 4 * 400, 4: 400, 400: 400 / 3} {
 		sent := 0
-		for seed := range uint64(400) { // each is one of as many front ends
+		for seed := range uint64(400) { // each seed is one of 400 front ends
 			set := testSettings()
 			set.Seed, set.FrontEndCount = seed, frontEnds
-			script := newHarness(t, set, 1)
-			script.changeWorker(WorkerInfo{ID: 1, Started: script.now, State: Ready})
+			h := newHarness(t, set, 1)
+			h.changeWorker(WorkerInfo{ID: 1, Started: h.now, State: Ready})
 			for f := range FunctionID(6) {
-				script.request(f, 0)
-				script.answerQueries()
-				script.answerQueries()
+				h.request(f, 0)
+				h.answerQueries()
+				h.answerQueries()
 			}
-			script.advance(time.Second)
-			sent += script.count("send")
+			h.advance(time.Second)
+			sent += h.count("send")
 		}
-		if sent == 0 || sent > most {
-			t.Errorf("%d requests of 400 front ends to a worker that has just started, each configured for %d; want some, %d at most",
-				sent, frontEnds, most)
+		if sent == 0 || sent > limit {
+			t.Errorf("400 front ends, each configured for %[2]d, sent %[1]d requests to a worker that just started; want 1 to %[3]d",
+				sent, frontEnds, limit)
 		}
 	}
 }
@@ -35,97 +35,100 @@
 	countRequests := func(scale float64) int {
 		set := testSettings()
 		set.ScaleIsCapacity, set.FrontEndCount = true, 1
-		script := newHarness(t, set, 0)
-		list := []WorkerInfo{{ID: 1, Scale: scale, Started: script.now, State: Ready}}
+		h := newHarness(t, set, 0)
+		list := []WorkerInfo{{ID: 1, Scale: scale, Started: h.now, State: Ready}}
 		for i := range 4 {
 			list = append(list, WorkerInfo{ID: WorkerID(i + 2), Scale: 1, Started: UnknownStart, State: Ready})
 		}
-		script.scheduler.WorkersChanged(script.now, list, true)
-		return script.countColdRequests(1)
+		h.scheduler.WorkersChanged(h.now, list, true)
+		return h.countColdRequests(1)
 	}
 	if small, large := countRequests(0.5), countRequests(2); float64(large) < 2.5*float64(small) {
-		t.Errorf("a cold worker gets %d requests at half the size and %d at twice the size", small, large)
+		t.Errorf("a cold worker may be sent %d requests at scale 0.5 and %d at scale 2", small, large)
 	}
 }
 
-// TestSlowStart_HundredsOfFrontEnds_DoNotOverloadColdWorker lets each have a request now and
-// then for a worker that just started, four times as often as for the mean worker, as after half of them went down.
+// TestSlowStart_HundredsOfFrontEnds_DoNotOverloadColdWorker verifies that many front ends together do not overload a
+// worker that just started. Each has a request for it now and then, four times as often as for an average worker, as
+// after half of the workers have failed.
 func TestSlowStart_HundredsOfFrontEnds_DoNotOverloadColdWorker(t *testing.T) {
-	const frontEnds, workers, each, wanted = 500, 100, 3.0, 4 // each worker serves so many requests a second of all front ends
+	// Each worker serves workerRate requests per second of all front ends, and demandFactor times that are requested
+	// of the cold worker.
+	const frontEnds, workers, workerRate, demandFactor = 500, 100, 3.0, 4
 	set := testSettings()
 	set.FrontEndCount, set.OverloadWindow = frontEnds, 2*time.Second
 	sent, windows := 0, 40
 	for i := range frontEnds {
 		set.Seed = uint64(i)
-		script := newHarness(t, set, workers)
-		script.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: script.now, State: Ready})
-		script.now += set.SlowStartDuration / 2
-		worker, request := script.scheduler.endpoints.byID[1], &requestRecord{function: script.scheduler.trackFunction(7, 0)}
+		h := newHarness(t, set, workers)
+		h.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: h.now, State: Ready})
+		h.now += set.SlowStartDuration / 2
+		worker, request := h.scheduler.endpoints.byID[1], &requestRecord{function: h.scheduler.trackFunction(7, 0)}
 		for n := range windows {
-			script.now += set.OverloadWindow
-			script.scheduler.now, worker.Started = script.now, script.now-set.SlowStartDuration/2-time.Duration(n)
-			script.scheduler.demand.completions = estimate.Decayed{Value: each * workers / frontEnds * completionMemory.Seconds(), ReadAt: script.now}
+			h.now += set.OverloadWindow
+			h.scheduler.now, worker.Started = h.now, h.now-set.SlowStartDuration/2-time.Duration(n)
+			h.scheduler.demand.completions = estimate.Decayed{Value: workerRate * workers / frontEnds * completionMemory.Seconds(), ReadAt: h.now}
 			draw := estimate.Mix(uint64(i), uint64(n)+1000)
-			if estimate.UnitInterval(draw) < wanted*each*set.OverloadWindow.Seconds()/frontEnds && script.scheduler.slowStartAllows(worker, request) {
-				worker.sendTimes = append(worker.sendTimes, script.now)
+			if estimate.UnitInterval(draw) < demandFactor*workerRate*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
+				worker.sendTimes = append(worker.sendTimes, h.now)
 				sent++
 			}
 		}
 	}
 	part := set.SlowStartFraction + (1-set.SlowStartFraction)/2
-	if mean, most := float64(sent)/float64(windows), set.OverloadFactor*part*each*set.OverloadWindow.Seconds(); mean > most {
-		t.Errorf("%.1f requests in a window, %.1f overload it", mean, most)
+	if mean, limit := float64(sent)/float64(windows), set.OverloadFactor*part*workerRate*set.OverloadWindow.Seconds(); mean > limit {
+		t.Errorf("%.1f requests per window, want at most %.1f", mean, limit)
 	}
 }
 
-// TestSlowStart_OtherColdWorkers_CountByCapacityFraction holds that the low throughput of
-// others that just started says nothing of what a warm worker can serve.
+// TestSlowStart_OtherColdWorkers_CountByCapacityFraction verifies that the low throughput of other workers in slow
+// start does not count as what a warm worker can serve.
 func TestSlowStart_OtherColdWorkers_CountByCapacityFraction(t *testing.T) {
 	countRequests := func(others int) int {
 		set := testSettings()
 		set.FrontEndCount = 1
-		script := newHarness(t, set, 4)
+		h := newHarness(t, set, 4)
 		for i := range others + 1 {
-			script.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: script.now, State: Ready})
+			h.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: h.now, State: Ready})
 		}
-		return script.countColdRequests(10)
+		return h.countColdRequests(10)
 	}
 	if alone, among := countRequests(0), countRequests(8); float64(among) < 0.6*float64(alone) {
-		t.Errorf("a cold worker gets %d requests among eight others that are cold, %d alone", among, alone)
+		t.Errorf("a cold worker may be sent %d requests among eight other cold workers, %d alone", among, alone)
 	}
 }
 
-// TestSlowStart_ServingWorkersLeave_BudgetDoesNotGrow guards against a budget that grows as workers are ejected, drain or
-// are removed: what they completed lately is not what the others can take.
+// TestSlowStart_ServingWorkersLeave_BudgetDoesNotGrow guards against a budget that grows when workers are ejected,
+// drain or are removed: the remaining workers cannot take over all that those workers recently completed.
 func TestSlowStart_ServingWorkersLeave_BudgetDoesNotGrow(t *testing.T) {
 	const cold, others = 10, 8
-	leave := map[string]func(script *harness, worker *workerRecord){
+	departures := map[string]func(h *harness, worker *workerRecord){
 		"stay":    func(*harness, *workerRecord) {},
-		"ejected": func(script *harness, worker *workerRecord) { script.scheduler.connectionLost(worker) },
-		"draining": func(script *harness, worker *workerRecord) {
-			script.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Draining})
+		"ejected": func(h *harness, worker *workerRecord) { h.scheduler.connectionLost(worker) },
+		"draining": func(h *harness, worker *workerRecord) {
+			h.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Draining})
 		},
-		"removed": func(script *harness, worker *workerRecord) {
-			script.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Removed})
+		"removed": func(h *harness, worker *workerRecord) {
+			h.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Removed})
 		},
-		"long gone": func(script *harness, worker *workerRecord) {
+		"ejected long ago": func(h *harness, worker *workerRecord) {
 			worker.healthByClass[0].lastResponseAt = 0
-			script.scheduler.connectionLost(worker)
+			h.scheduler.connectionLost(worker)
 		},
 	}
 	sent := map[string]int{}
-	for name, leaves := range leave {
+	for name, depart := range departures {
 		set := testSettings()
 		set.FrontEndCount = 1
-		script := newHarness(t, set, others)
-		script.changeWorker(WorkerInfo{ID: cold, Scale: 1, Started: script.now, State: Ready})
-		s := script.scheduler
+		h := newHarness(t, set, others)
+		h.changeWorker(WorkerInfo{ID: cold, Scale: 1, Started: h.now, State: Ready})
+		s := h.scheduler
 		s.demand.completions = estimate.Decayed{Value: 20 * completionMemory.Seconds(), ReadAt: s.now}
 		for id := range WorkerID(others) {
 			worker := s.endpoints.byID[id+1]
 			worker.healthByClass[0].lastResponseAt = s.now
 			if id > 0 {
-				leaves(script, worker)
+				depart(h, worker)
 			}
 		}
 		worker, request := s.endpoints.byID[cold], &requestRecord{function: s.trackFunction(7, 0)}
@@ -136,20 +139,21 @@
 	}
 	for _, name := range []string{"ejected", "draining", "removed"} {
 		if sent[name] > sent["stay"] {
-			t.Errorf("%s: a cold worker gets %d requests, %d where all stay", name, sent[name], sent["stay"])
+			t.Errorf("%s: a cold worker may be sent %d requests, want at most %d as when all stay", name, sent[name], sent["stay"])
 		}
 	}
-	if sent["long gone"] <= sent["stay"] {
-		t.Errorf("a cold worker gets %d requests where the others are long gone, %d where all serve", sent["long gone"], sent["stay"])
+	if sent["ejected long ago"] <= sent["stay"] {
+		t.Errorf("a cold worker may be sent %d requests when the others stopped serving long ago, want more than the %d when all serve", sent["ejected long ago"], sent["stay"])
 	}
 }
 
-// What was never sent takes nothing from the budget of a worker in slow start.
+// TestSlowStart_AttemptNotSent_LeavesBudget verifies that an attempt that was not sent does not use the budget of a
+// worker in slow start.
 func TestSlowStart_AttemptNotSent_LeavesBudget(t *testing.T) {
 	worker := &workerRecord{sendTimes: []time.Duration{time.Second, 2 * time.Second, 2 * time.Second}}
-	worker.forgetSend(2 * time.Second)
-	worker.forgetSend(time.Minute)
+	worker.removeSend(2 * time.Second)
+	worker.removeSend(time.Minute)
 	if want := []time.Duration{time.Second, 2 * time.Second}; !slices.Equal(worker.sendTimes, want) {
-		t.Errorf("sent at %v, want %v", worker.sendTimes, want)
+		t.Errorf("send times %v, want %v", worker.sendTimes, want)
 	}
 }
