--- a/internal/decide/connadmission/connadmission_test.go
+++ b/internal/decide/connadmission/connadmission_test.go
@@ -9,10 +9,11 @@
 	for _, descriptors := range []int{1, 64, 256, 1024} {
 		clients, workers := SplitDescriptors(descriptors)
 		if clients < 1 || workers < 1 || descriptors > 2*reservedDescriptors && clients+workers+reservedDescriptors > descriptors {
-			t.Errorf("of %d descriptors %d are for clients, %d for workers", descriptors, clients, workers)
+			t.Errorf("SplitDescriptors(%d) = %d for clients, %d for workers; want at least 1 each and a sum within the limit",
+				descriptors, clients, workers)
 		}
 		if descriptors >= 256 && clients < descriptors/3 {
-			t.Errorf("of %d descriptors %d are for clients, who may hold a third", descriptors, clients)
+			t.Errorf("SplitDescriptors(%d) = %d for clients, want at least a third", descriptors, clients)
 		}
 	}
 }
@@ -32,7 +33,7 @@
 		"partial message, request in flight": {Connection{InFlight: 1, PartialMessage: true, StateAge: long}, false},
 	} {
 		if got := ShouldClose(test.c); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: ShouldClose = %v, want %v", name, got, test.want)
 		}
 	}
 }
@@ -51,7 +52,7 @@
 		"message arriving":     {[]Connection{arriving}, -1},
 	} {
 		if got := SelectEviction(test.all); got != test.want {
-			t.Errorf("%s: %d", name, got)
+			t.Errorf("%s: SelectEviction = %d, want %d", name, got, test.want)
 		}
 	}
 }
