--- a/internal/decide/connpool/connpool.go
+++ b/internal/decide/connpool/connpool.go
@@ -1,58 +1,60 @@
-// Package connpool decides on multiplexed connections to workers: which connection carries the next request, and
-// when another one is opened, dialled again, drained or closed. It is pure: times come in as durations since the
-// process's start, and the caller does the I/O.
+// Package connpool implements the policy for multiplexed connections to workers: which connection carries the next
+// request, and when a connection is opened, redialled, drained or closed. The package does no I/O and reads no clock:
+// times are passed in as durations since the start of the process, and the caller does the I/O.
 package connpool
 
 import "time"
 
 const (
-	// maxSilentResets is how many connections in a row may be reset before anything is received on them, for one
-	// request.
+	// maxSilentResets is the number of consecutive connections opened for one request that may be reset before anything
+	// is received on them.
 	maxSilentResets = 3
-	// idleFraction is the part of the worker's idle timeout for which we keep an idle connection.
+	// idleFraction is the fraction of the worker's idle timeout for which the front end keeps an idle connection.
 	idleFraction = 0.7
-	// extraIdleTimeout is how long an idle connection is kept beside another one to the same worker.
+	// extraIdleTimeout is how long an idle connection is kept if there is another connection to the same worker.
 	extraIdleTimeout = 5 * time.Second
-	// frameTimeout is the time allowed between the header of a response and its end.
+	// frameTimeout is the maximum time between the header of a response and its end.
 	frameTimeout = time.Second
-	// writeTimeout is how long a write may make no progress.
+	// writeTimeout is the maximum time without progress of a write.
 	writeTimeout = 2 * time.Second
-	// cancelledWriteTimeout is the same once a request in the write was cancelled: by the platform's rules an attempt
-	// starts at most 0.1 s after that.
+	// cancelledWriteTimeout is the maximum duration of a write after a request in it was cancelled. The platform's rules
+	// allow an attempt to start at most 0.1 s after the cancellation.
 	cancelledWriteTimeout = 50 * time.Millisecond
-	// reservedDivisor gives the part of all connections (1/8) that is reserved for workers that have none.
+	// reservedDivisor is the divisor of the connection limit that gives the part (1/8) reserved for workers without a
+	// connection.
 	reservedDivisor = 8
 )
 
-// Connection is the state of one connection to a worker, as far as the choice depends on it.
+// Connection is the part of the state of a connection to a worker that Select depends on.
 type Connection struct {
-	InFlight int           // requests and load orders assigned to it, those not yet written included
-	Draining bool          // it accepts no new request
-	LastUsed time.Duration // when a request was last assigned to it, since the process's start
+	InFlight int           // number of assigned requests and load orders, including those not yet written
+	Draining bool          // whether the connection accepts no new requests
+	LastUsed time.Duration // time of the last assignment of a request, since the start of the process
 }
 
 // Choice is the result of Select: the index of a connection, NoConnection or OpenConnection.
 type Choice int
 
 const (
-	// NoConnection means that no connection has room and none may be opened: the request waits.
+	// NoConnection means that no connection has a free stream and none may be opened, so that the request waits.
 	NoConnection Choice = -1 - iota
-	// OpenConnection means that the request goes on a new connection.
+	// OpenConnection means that the request is sent on a new connection.
 	OpenConnection
 )
 
-// Select chooses the connection to a worker for a request: an idle one, the last one used first; else a new one if
-// mayOpen; else the one with the fewest requests in flight, below maxStreams.
+// Select chooses the connection to a worker for a request: the most recently used idle connection; otherwise a new one
+// if mayOpen is set; otherwise the connection with the fewest requests in flight, provided that these are fewer than
+// maxStreams.
 //
-// One request a connection, as long as there are connections enough, limits what one malformed response or one
-// reset takes with it: everything in flight on that connection, of which non-idempotent requests are lost. It would
-// harm where connections are expensive: each costs the worker one handshake.
+// Carrying one request per connection while enough connections are available limits the effect of a malformed
+// response or a reset, which ends everything in flight on its connection and makes non-idempotent requests fail. The
+// drawback is the cost of connections: each one costs the worker a handshake.
 func Select(all []Connection, maxStreams int, mayOpen bool) Choice {
 	idle, leastLoaded := NoConnection, NoConnection
 	for i, c := range all {
 		switch {
 		case c.Draining || c.InFlight >= maxStreams:
-			// accepts no request
+			// The connection accepts no request.
 		case c.InFlight == 0:
 			if idle == NoConnection || c.LastUsed > all[idle].LastUsed {
 				idle = Choice(i)
@@ -70,10 +72,12 @@
 	return leastLoaded
 }
 
-// MayOpen reports whether another connection may be opened to a worker that has own connections, while used of at
-// most limit connections to all workers exist, of which some are idle. The last eighth is reserved for workers that have
-// none, so that load on one worker does not make the others unreachable; and such a worker may have the place of an idle
-// connection: with more workers than connections, idle ones would else keep all other workers out of reach.
+// MayOpen reports whether another connection may be opened to a worker that already has own connections. Of at most
+// limit connections to all workers, used are open and idle of these are idle.
+//
+// The last eighth of the limit is reserved for workers without a connection, so that load on one worker does not make
+// the others unreachable. At the limit, a worker without a connection may replace an idle connection: if there are
+// more workers than connections, idle connections would otherwise make all other workers unreachable.
 func MayOpen(own, used, idle, limit int) bool {
 	if own > 0 {
 		return used < limit-limit/reservedDivisor
@@ -81,19 +85,19 @@
 	return used < limit || idle > 0
 }
 
-// RetryAfterReset reports whether a connection is dialled again for the requests that wait for it, after so many
-// connections in a row were reset before anything was received on them. It guards against connections that are
-// reset while new.
+// RetryAfterReset reports whether to redial for the requests that wait for a connection, after silentResets
+// consecutive connections were reset before anything was received on them. It protects against connections that are
+// reset soon after they are established.
 func RetryAfterReset(silentResets int) bool { return silentResets < maxSilentResets }
 
-// DrainOnCancel reports whether a connection is drained once a request was cancelled that the worker had received.
-// The response may have stopped halfway, and what follows it would never be read. It would harm where many requests
-// are cancelled: each costs a connection.
+// DrainOnCancel reports whether a connection is drained after the cancellation of a request that the worker had
+// received. The response may have stopped halfway, in which case nothing after it on the connection would ever be
+// read. The drawback is that each cancelled request costs a connection.
 func DrainOnCancel() bool { return true }
 
-// IdleTimeout is for how long an idle connection is kept; only says that it is the only one to its worker, and
-// workerTimeout is when the worker closes it. We close first: a request that crosses the worker's close may have
-// been executed for all we know.
+// IdleTimeout returns how long an idle connection is kept. The parameter only tells whether it is the only connection
+// to its worker, and workerTimeout is the time after which the worker closes an idle connection. The front end closes
+// first, because it cannot tell whether a request sent while the worker closes the connection was executed.
 func IdleTimeout(only bool, workerTimeout time.Duration) time.Duration {
 	timeout := time.Duration(idleFraction * float64(workerTimeout))
 	if only {
@@ -102,14 +106,15 @@
 	return min(timeout, extraIdleTimeout)
 }
 
-// FrameTimeout is the time within which the rest of a response must follow its header. It guards against responses
-// that stop short on a connection that stays open.
+// FrameTimeout returns the time within which the rest of a response must follow its header. It protects against
+// incomplete responses on a connection that stays open.
 func FrameTimeout() time.Duration { return frameTimeout }
 
-// CancelledWriteTimeout is how long the write in progress may go on once a request in it was cancelled. It guards
-// against a request that reaches a worker, which had stopped reading for a while, long after the client
-// disconnected. It would harm the other requests of that write: those not written whole go to another worker.
+// CancelledWriteTimeout returns how long a write in progress may continue after a request in it was cancelled. It
+// protects against a worker that stops reading for a while and receives the request long after the client
+// disconnected. The drawback affects the other requests in that write: those not written completely are sent to
+// another worker.
 func CancelledWriteTimeout() time.Duration { return cancelledWriteTimeout }
 
-// WriteTimeout is how long a write may make no progress before the connection is closed.
+// WriteTimeout returns the time without progress of a write after which the connection is closed.
 func WriteTimeout() time.Duration { return writeTimeout }
--- a/internal/decide/connpool/connpool_test.go
+++ b/internal/decide/connpool/connpool_test.go
@@ -20,7 +20,7 @@
 		"draining is skipped":           {[]Connection{{Draining: true}, {InFlight: 3}}, false, 1},
 	} {
 		if got := Select(test.all, 4, test.mayOpen); got != test.want {
-			t.Errorf("%s: %d, wanted %d", name, got, test.want)
+			t.Errorf("%s: Select = %d, want %d", name, got, test.want)
 		}
 	}
 }
@@ -31,14 +31,15 @@
 		own++
 	}
 	if own != 70 || !MayOpen(0, own, 0, 80) || MayOpen(0, 80, 0, 80) {
-		t.Errorf("one worker may have %d of 80 connections, another then one: %v", own, MayOpen(0, own, 0, 80))
+		t.Errorf("one worker may open %d of 80 connections, want 70; another worker may then open its first: %v, want true",
+			own, MayOpen(0, own, 0, 80))
 	}
 }
 
-// An idle connection makes room for a worker that has none, and for no second one.
+// At the limit, a worker without a connection may replace an idle one; a worker that has a connection may not.
 func TestMayOpen_LimitReachedWithIdleConnections_OnlyWorkersWithNone(t *testing.T) {
 	if !MayOpen(0, 80, 1, 80) || MayOpen(1, 80, 80, 80) {
-		t.Errorf("with idle connections at the limit: a worker with none may open one: %v, one with a connection another: %v",
+		t.Errorf("idle connections at the limit: worker without a connection may open one: %v, want true; worker with one: %v, want false",
 			MayOpen(0, 80, 1, 80), MayOpen(1, 80, 80, 80))
 	}
 }
@@ -46,7 +47,7 @@
 func TestIdleTimeout_AnyWorkerTimeout_ClosesFirst(t *testing.T) {
 	for _, limit := range []time.Duration{time.Second, 30 * time.Second} {
 		if only, more := IdleTimeout(true, limit), IdleTimeout(false, limit); only >= limit || more > only || more <= 0 {
-			t.Errorf("of %v the only one is kept %v, another %v", limit, only, more)
+			t.Errorf("worker timeout %v: the only connection is kept for %v, an additional one for %v; want both shorter", limit, only, more)
 		}
 	}
 }
