--- a/internal/decide/endpointlease/endpointlease.go
+++ b/internal/decide/endpointlease/endpointlease.go
@@ -1,9 +1,10 @@
-// Package endpointlease decides for how long an endpoint list is valid without a new confirmation, and for how long a worker's
-// own confirmation is valid in its place.
+// Package endpointlease implements the endpoint lease: for how long a front end may rely on its endpoint list without a
+// new confirmation from the endpoint service, and for how long it may rely on a worker's own confirmation instead.
 //
-// A list is a snapshot. By the platform's rules a front end counts as notified of what the endpoint service knows
-// at certain times, also while the service is out of reach; after that and the grace of a drain, nothing new may begin at a
-// worker that drains or was removed. The package is pure: times are durations since the process's start.
+// An endpoint list is a snapshot. The platform's rules set times after which a front end counts as notified of a
+// change, even if it could not reach the endpoint service. After that time and the drain grace period, no new work may
+// start at a worker that is draining or was removed. The package does no I/O and reads no clock: times are durations
+// since the start of the process.
 package endpointlease
 
 import (
@@ -11,53 +12,56 @@
 	"time"
 )
 
-// Unlimited is the end of a lease that never ends.
+// Unlimited is the expiry time of a lease that never expires.
 const Unlimited = time.Duration(math.MaxInt64)
 
-// ruleSlack is by how much the platform extends each of its times.
+// ruleSlack is the tolerance that the platform adds to each time in its rules.
 const ruleSlack = 50 * time.Millisecond
 
-// graceDivisor gives the part of the grace in which new work may begin. The rest is for a process that stands still
-// between its last look at the clock and the write.
+// graceDivisor is the divisor that gives the part (1/2) of the drain grace period in which new work may start. The rest
+// covers a stall of the process between its last reading of the clock and the write.
 const graceDivisor = 2
 
-// A worker that says it drains is asked again after firstRecheck, and then after twice as long each time, up to maxRecheck.
+// A worker that reports that it is draining is checked again after minRecheckDelay. The delay doubles with each further
+// such report, up to maxRecheckDelay.
 const (
-	firstRecheck       = time.Second
-	maxRecheck         = 8 * time.Second
-	maxRecheckDoubling = 3
+	minRecheckDelay     = time.Second
+	maxRecheckDelay     = 8 * time.Second
+	maxRecheckDoublings = 3
 )
 
-// The bounds of HealthCheckTimeout.
+// Bounds of HealthCheckTimeout.
 const (
 	minHealthCheckTimeout = 50 * time.Millisecond
 	maxHealthCheckTimeout = time.Second
 )
 
-// Rules are the times after which a front end counts as notified. Without a Silence, lists are valid without end.
+// Rules are the platform's times after which a front end counts as notified of a change. If Silence is 0, endpoint
+// lists never expire.
 type Rules struct {
-	Silence time.Duration // after the service fell silent
-	Break   time.Duration // after its stream broke off
-	Grace   time.Duration // for which new work may begin at a worker after the notice that it drains
+	Silence time.Duration // delay of the notification after the service's last message
+	Break   time.Duration // delay of the notification after the service's stream was interrupted
+	Grace   time.Duration // time after the notification in which new work may still start at a draining worker
 }
 
-// HealthCheckTimeout is how long new work waits for a worker's response to a health check: as long as a connect may take,
-// within bounds that leave the work time to go elsewhere.
+// HealthCheckTimeout returns how long new work waits for a worker's response to a health check: the connect timeout,
+// within bounds that leave enough time to send the work to another worker.
 func HealthCheckTimeout(connectTimeout time.Duration) time.Duration {
 	return min(maxHealthCheckTimeout, max(minHealthCheckTimeout, connectTimeout))
 }
 
-// RecheckDelay is how long a worker is avoided that said for so many times in a row that it drains. It guards against taking
-// one for good for what it may have said for another reason, such as too many health checks at a time.
+// RecheckDelay returns how long a worker is avoided after it has reported several times in a row that it is draining.
+// The delay is bounded because a worker may give that response for another reason, such as too many concurrent health
+// checks, and must not be avoided forever.
 func RecheckDelay(times int) time.Duration {
-	return min(maxRecheck, firstRecheck<<min(max(0, times-1), maxRecheckDoubling))
+	return min(maxRecheckDelay, minRecheckDelay<<min(max(0, times-1), maxRecheckDoublings))
 }
 
-// startMargin is for how long after a notice new work may begin.
+// startMargin returns for how long after the notification new work may start.
 func (r Rules) startMargin() time.Duration { return (r.Grace + ruleSlack) / graceDivisor }
 
-// AcceptedUntil is until when new work may begin at a worker that accepted some at a time: had it begun to drain right
-// after, the notice would not have come before.
+// AcceptedUntil returns until when new work may start at a worker that accepted work at the given time. Even if the
+// worker began to drain immediately afterwards, the notification cannot have preceded that time.
 func (r Rules) AcceptedUntil(at time.Duration) time.Duration {
 	if r.Silence == 0 {
 		return Unlimited
@@ -65,42 +69,44 @@
 	return at + r.startMargin()
 }
 
-// Lease is how long the endpoint list is valid. It is a value: a copy goes on by itself.
+// Lease tracks how long an endpoint list is valid. It has value semantics: a copy is independent of the original.
 type Lease struct {
 	rules       Rules
-	confirmedAt time.Duration // when the list was last known to be what the service has
-	notifiedAt  time.Duration // when this front end counts as notified of what came after
+	confirmedAt time.Duration // last time at which the list was known to match the service's
+	notifiedAt  time.Duration // time at which this front end counts as notified of any later change
 }
 
-// New returns the lease on a list that was received at now and not confirmed by the service since: a change of that very
-// moment may have been missed, as in a process that starts while the service is out of reach.
+// New returns the lease on a list that was received at now and that the service has not confirmed since. A change made
+// at that moment may have been missed, for example by a process that starts while the service is unreachable.
 func New(rules Rules, now time.Duration) Lease {
 	return Lease{rules: rules, confirmedAt: now, notifiedAt: now}
 }
 
-// Confirm notes that the list was what the service had at a time.
+// Confirm records that the list matched the service's at the time asOf.
 func (l *Lease) Confirm(asOf time.Duration) {
 	l.confirmedAt = max(l.confirmedAt, asOf)
 	l.notifiedAt = l.confirmedAt + l.rules.Silence
 }
 
-// Interrupt notes that the stream broke off, at any time since the list was last confirmed.
+// Interrupt records that the stream from the service was interrupted at some time since the last confirmation.
 func (l *Lease) Interrupt() { l.notifiedAt = min(l.notifiedAt, l.confirmedAt+l.rules.Break) }
 
-// Request notes that the service was asked at a time for what changed: what it had then counts as notified.
+// Request records that changes were requested from the service at the given time. The front end counts as notified of
+// all changes that the service had by then.
 func (l *Lease) Request(at time.Duration) { l.notifiedAt = min(l.notifiedAt, at) }
 
-// ConfirmedAt is when the list was last known to be what the service has.
+// ConfirmedAt returns the last time at which the list was known to match the service's.
 func (l *Lease) ConfirmedAt() time.Duration { return l.confirmedAt }
 
-// MayHaveRestarted reports whether a worker may have restarted without this front end being told, although by the rules it
-// counts as notified. It is the same process if its connection is older than the list's last confirmation.
+// MayHaveRestarted reports whether a worker may have restarted without this front end learning of it, although the
+// rules count the front end as notified. A worker whose connection is older than the last confirmation of the list is
+// still the same process.
 func (l *Lease) MayHaveRestarted(now, connectedAt time.Duration) bool {
-	isSilentForLong := l.rules.Silence > 0 && now > l.confirmedAt+l.rules.Silence
-	return isSilentForLong && connectedAt > l.confirmedAt
+	silenceExceeded := l.rules.Silence > 0 && now > l.confirmedAt+l.rules.Silence
+	return silenceExceeded && connectedAt > l.confirmedAt
 }
 
-// Until is until when new work may begin at workers that the list has as ready.
+// Until returns the time until which new work may start at workers that the list shows as ready.
 func (l *Lease) Until() time.Duration {
 	if l.rules.Silence == 0 {
 		return Unlimited
--- a/internal/decide/endpointlease/endpointlease_test.go
+++ b/internal/decide/endpointlease/endpointlease_test.go
@@ -11,47 +11,47 @@
 
 var platformRules = Rules{Silence: 4 * time.Second, Break: 2 * time.Second, Grace: 500 * ms}
 
-// margin is half of the grace and of the slack.
+// margin is half the sum of platformRules.Grace and ruleSlack.
 const margin = 275 * ms
 
-func TestLease_EachEvent_EndsWithTheNotice(t *testing.T) {
+func TestLease_EachEvent_ExpiresAfterNotification(t *testing.T) {
 	const start = 10 * time.Second
 	cases := map[string]struct {
 		observe func(*Lease)
-		want    time.Duration // after the start
+		want    time.Duration // notification time, relative to start
 	}{
 		"never confirmed":           {func(*Lease) {}, 0},
 		"confirmed":                 {func(l *Lease) { l.Confirm(start + time.Second) }, 5 * time.Second},
 		"confirmed, then silent":    {func(l *Lease) { l.Confirm(start); l.Confirm(start + time.Second) }, 5 * time.Second},
-		"an older confirmation":     {func(l *Lease) { l.Confirm(start + time.Second); l.Confirm(start) }, 5 * time.Second},
-		"broke off":                 {func(l *Lease) { l.Confirm(start); l.Interrupt() }, 2 * time.Second},
-		"broke off twice":           {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.Interrupt() }, 2 * time.Second},
+		"older confirmation":        {func(l *Lease) { l.Confirm(start + time.Second); l.Confirm(start) }, 5 * time.Second},
+		"interrupted":               {func(l *Lease) { l.Confirm(start); l.Interrupt() }, 2 * time.Second},
+		"interrupted twice":         {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.Interrupt() }, 2 * time.Second},
 		"requested again":           {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.Request(start + time.Second) }, time.Second},
-		"requested when it is over": {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.Request(start + time.Minute) }, 2 * time.Second},
+		"requested after expiry":    {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.Request(start + time.Minute) }, 2 * time.Second},
 		"confirmed after a request": {func(l *Lease) { l.Request(start); l.Confirm(start + time.Second) }, 5 * time.Second},
 	}
 	for name, c := range cases {
 		lease := New(platformRules, start)
 		c.observe(&lease)
 		if got, want := lease.Until(), start+c.want+margin; got != want {
-			t.Errorf("%s: until %v, want %v", name, got, want)
+			t.Errorf("%s: lease expires at %v, want %v", name, got, want)
 		}
 	}
 }
 
-func TestLease_WithoutRules_NeverEnds(t *testing.T) {
+func TestLease_WithoutRules_NeverExpires(t *testing.T) {
 	lease := New(Rules{Grace: time.Second}, time.Minute)
 	lease.Interrupt()
 	lease.Request(time.Minute)
 	if lease.Until() != Unlimited || (Rules{}).AcceptedUntil(time.Minute) != Unlimited {
-		t.Errorf("until %v", lease.Until())
+		t.Errorf("lease expires at %v, acceptance at %v; want both Unlimited", lease.Until(), (Rules{}).AcceptedUntil(time.Minute))
 	}
 }
 
 func TestRecheckDelay_Doubles(t *testing.T) {
 	for times, want := range map[int]time.Duration{0: time.Second, 1: time.Second, 2: 2 * time.Second, 4: 8 * time.Second, 100: 8 * time.Second} {
 		if got := RecheckDelay(times); got != want {
-			t.Errorf("after %d times %v, want %v", times, got, want)
+			t.Errorf("RecheckDelay(%d) = %v, want %v", times, got, want)
 		}
 	}
 }
@@ -59,14 +59,14 @@
 func TestHealthCheckTimeout_IsTimeToConnectWithinBounds(t *testing.T) {
 	for connect, want := range map[time.Duration]time.Duration{0: 50 * ms, 250 * ms: 250 * ms, time.Minute: time.Second} {
 		if got := HealthCheckTimeout(connect); got != want {
-			t.Errorf("with %v to connect %v, want %v", connect, got, want)
+			t.Errorf("HealthCheckTimeout(%v) = %v, want %v", connect, got, want)
 		}
 	}
 }
 
-// Whenever the outage began after the last confirmation, and whenever a worker began to drain in it, nothing new may begin
-// later than the rules allow.
-func TestLease_AnyOutage_EndsBeforeWhatTheRulesAllow(t *testing.T) {
+// Regardless of when an outage begins after the last confirmation, and of when a worker begins to drain during it, no
+// new work may start later than the rules allow.
+func TestLease_AnyOutage_ExpiresWithinTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) time.Duration { return time.Duration(rapid.IntRange(0, 8000).Draw(t, name)) * ms }
 		lease := New(platformRules, 0)
@@ -75,7 +75,7 @@
 		outageAt := confirmedAt + draw("outage after")
 		drainAt := outageAt + draw("drain after")
 		notified := max(drainAt, outageAt+platformRules.Silence)
-		if rapid.Bool().Draw(t, "broke off") {
+		if rapid.Bool().Draw(t, "interrupted") {
 			lease.Interrupt()
 			notified = max(drainAt, outageAt+platformRules.Break)
 		}
@@ -85,11 +85,12 @@
 			notified = max(drainAt, min(notified, requestedAt))
 		}
 		if end := notified + platformRules.Grace; lease.Until() > end {
-			t.Fatalf("new work may begin until %v, the rules allow it until %v", lease.Until(), end)
+			t.Fatalf("new work may start until %v, but the rules allow it only until %v", lease.Until(), end)
 		}
 		accepted := outageAt + draw("accepted after")
 		if accepted <= drainAt && platformRules.AcceptedUntil(accepted) > drainAt+platformRules.Grace {
-			t.Fatalf("a worker that accepted at %v and drained at %v may be sent new work until %v", accepted, drainAt, platformRules.AcceptedUntil(accepted))
+			t.Fatalf("worker that accepted work at %v and drained from %v may be sent new work until %v, after its grace period",
+				accepted, drainAt, platformRules.AcceptedUntil(accepted))
 		}
 	})
 }
