--- a/internal/decide/execution/record_test.go
+++ b/internal/decide/execution/record_test.go
@@ -21,7 +21,7 @@
 	return scheduler.Class{Idempotency: scheduler.IdempotentByKey, KeyScope: scope, KeyRetention: time.Second}
 }
 
-// executedAt returns a record whose first attempt, sent at a time to here, may have executed.
+// executedAt returns a record whose first attempt, sent at sentAt to the location here, may have executed.
 func executedAt(t *testing.T, class *scheduler.Class, sentAt time.Duration) Record {
 	t.Helper()
 	record := NewRecord(class)
@@ -41,26 +41,26 @@
 		want     Violation
 		notAfter time.Duration
 	}{
-		"idempotent, anywhere and any time": {scheduler.Class{}, 4 * time.Second, elsewhere, NoViolation, deadline},
-		"non-idempotent":                    {scheduler.Class{Idempotency: scheduler.NonIdempotent}, 200 * ms, here, RetryOfNonIdempotent, 0},
-		"all workers know the key":          {keyed(scheduler.ScopeAll), 200 * ms, elsewhere, NoViolation, sentAt + time.Second},
-		"the zone knows the key":            {keyed(scheduler.ScopeZone), 200 * ms, sameZone, NoViolation, sentAt + time.Second},
-		"another zone":                      {keyed(scheduler.ScopeZone), 200 * ms, elsewhere, RetryOutsideKeyScope, 0},
-		"the cell knows the key":            {keyed(scheduler.ScopeCell), 200 * ms, here, NoViolation, sentAt + time.Second},
-		"another cell":                      {keyed(scheduler.ScopeCell), 200 * ms, sameZone, RetryOutsideKeyScope, 0},
-		"last moment of the key":            {keyed(scheduler.ScopeCell), sentAt + time.Second - 1, here, NoViolation, sentAt + time.Second},
-		"key expired":                       {keyed(scheduler.ScopeCell), sentAt + time.Second, here, RetryAfterKeyExpired, 0},
+		"idempotent, any worker and time": {scheduler.Class{}, 4 * time.Second, elsewhere, NoViolation, deadline},
+		"non-idempotent":                  {scheduler.Class{Idempotency: scheduler.NonIdempotent}, 200 * ms, here, RetryOfNonIdempotent, 0},
+		"all workers know the key":        {keyed(scheduler.ScopeAll), 200 * ms, elsewhere, NoViolation, sentAt + time.Second},
+		"the zone knows the key":          {keyed(scheduler.ScopeZone), 200 * ms, sameZone, NoViolation, sentAt + time.Second},
+		"another zone":                    {keyed(scheduler.ScopeZone), 200 * ms, elsewhere, RetryOutsideKeyScope, 0},
+		"the cell knows the key":          {keyed(scheduler.ScopeCell), 200 * ms, here, NoViolation, sentAt + time.Second},
+		"another cell":                    {keyed(scheduler.ScopeCell), 200 * ms, sameZone, RetryOutsideKeyScope, 0},
+		"last moment of the key":          {keyed(scheduler.ScopeCell), sentAt + time.Second - 1, here, NoViolation, sentAt + time.Second},
+		"key expired":                     {keyed(scheduler.ScopeCell), sentAt + time.Second, here, RetryAfterKeyExpired, 0},
 	}
 	for name, c := range cases {
 		record := executedAt(t, &c.class, sentAt)
 		permit, violation := record.Start(c.now, deadline, c.worker)
 		if violation != c.want || permit.NotAfter != c.notAfter {
-			t.Errorf("%s: %v until %v, want %v until %v", name, violation, permit.NotAfter, c.want, c.notAfter)
+			t.Errorf("%s: violation %v, permit until %v; want %v until %v", name, violation, permit.NotAfter, c.want, c.notAfter)
 		}
 	}
 }
 
-// The key's retention counts from the first attempt that may have executed, whatever came before and after it.
+// The key retention is counted from the first attempt that may have executed, regardless of earlier and later attempts.
 func TestStart_SeveralRetries_KeyCountsFromFirstPossibleExecution(t *testing.T) {
 	class := keyed(scheduler.ScopeCell)
 	record := NewRecord(&class)
@@ -77,19 +77,19 @@
 	} {
 		permit, violation := record.Start(step.now, time.Hour, here)
 		if violation != NoViolation || permit.NotAfter != step.want {
-			t.Errorf("at %v: %v until %v, want until %v", step.now, violation, permit.NotAfter, step.want)
+			t.Errorf("at %v: violation %v, permit until %v; want none until %v", step.now, violation, permit.NotAfter, step.want)
 		}
 		record.End(step.status)
 	}
 	if _, violation := record.Start(1500*ms, time.Hour, here); violation != RetryAfterKeyExpired {
-		t.Errorf("after the retention: %v", violation)
+		t.Errorf("after the retention: violation %v, want %v", violation, RetryAfterKeyExpired)
 	}
 	if age := record.ExecutionAge(1500 * ms); age != time.Second {
-		t.Errorf("age of the first possible execution %v", age)
+		t.Errorf("age of the first possible execution is %v, want %v", age, time.Second)
 	}
 }
 
-func TestMayReject_PromisesOnlyWhatIsHarmless(t *testing.T) {
+func TestMayReject_OnlyIfSafeToResend(t *testing.T) {
 	nonIdempotent := scheduler.Class{Idempotency: scheduler.NonIdempotent}
 	cases := map[string]struct {
 		class scheduler.Class
@@ -105,21 +105,21 @@
 	for name, c := range cases {
 		record := executedAt(t, &c.class, 0)
 		if violation := record.MayReject(c.now); violation != c.want {
-			t.Errorf("%s: %v, want %v", name, violation, c.want)
+			t.Errorf("%s: MayReject = %v, want %v", name, violation, c.want)
 		}
 	}
 	record := NewRecord(&nonIdempotent)
 	record.Start(0, time.Hour, here)
 	if violation := record.MayReject(0); violation != RejectionWithAttemptInFlight {
-		t.Errorf("with an attempt in flight: %v", violation)
+		t.Errorf("with an attempt in flight: MayReject = %v, want %v", violation, RejectionWithAttemptInFlight)
 	}
 	record.End(scheduler.NotSent)
 	if violation := record.MayReject(0); violation != NoViolation {
-		t.Errorf("never sent: %v", violation)
+		t.Errorf("attempt not sent: MayReject = %v, want %v", violation, NoViolation)
 	}
 }
 
-// Whatever is asked in whatever order, what is permitted executes no request twice and answers none twice.
+// For random sequences of operations, the permitted ones execute no request twice and give no second final response.
 func TestRecord_RandomHistory_KeepsRules(t *testing.T) {
 	statuses := []scheduler.Status{
 		scheduler.Error, scheduler.Overloaded, scheduler.Timeout, scheduler.ConnectFailed, scheduler.Reset,
@@ -146,18 +146,19 @@
 				}
 				switch {
 				case inFlight || responses > 0:
-					t.Fatalf("permitted with an attempt in flight %t, %d final responses", inFlight, responses)
+					t.Fatalf("attempt permitted with another attempt in flight: %t, final responses: %d", inFlight, responses)
 				case len(executions) > 0 && class.Idempotency == scheduler.NonIdempotent:
-					t.Fatal("a non-idempotent request was permitted again")
+					t.Fatal("permitted a retry of a non-idempotent request that may have executed")
 				case len(executions) > 0 && class.Idempotency == scheduler.IdempotentByKey:
 					first := executions[0]
 					if permit.NotAfter > first.sentAt+class.KeyRetention || now >= permit.NotAfter {
-						t.Fatalf("permitted at %v until %v, first sent at %v, retention %v", now, permit.NotAfter, first.sentAt, class.KeyRetention)
+						t.Fatalf("permitted at %v until %v, after the key retention: first sent at %v, retention %v",
+							now, permit.NotAfter, first.sentAt, class.KeyRetention)
 					}
 					outside := class.KeyScope == scheduler.ScopeZone && worker.Zone != first.worker.Zone ||
 						class.KeyScope == scheduler.ScopeCell && worker.Cell != first.worker.Cell
 					if outside {
-						t.Fatal("permitted outside the scope of its key")
+						t.Fatal("permitted a retry outside the scope of the idempotency key")
 					}
 				}
 				inFlight = true
@@ -174,14 +175,14 @@
 				}
 				record.Close()
 				if class.Idempotency == scheduler.NonIdempotent && (inFlight || len(executions) > 0) {
-					t.Fatal("a rejection promises too much")
+					t.Fatal("permitted the rejection of a non-idempotent request that may have executed or may still execute")
 				}
 				responses++
 			case 3:
 				record.Close()
 				responses++
 				if violation := record.MayReject(now); violation != SecondFinalResponse {
-					t.Fatalf("a second final response: %v", violation)
+					t.Fatalf("rejection after the final response: violation %v, want %v", violation, SecondFinalResponse)
 				}
 			}
 		}
@@ -193,7 +194,7 @@
 	for violation := NoViolation; violation < violationSentinel; violation++ {
 		name := violation.String()
 		if name == "" || seen[name] {
-			t.Errorf("violation %d has the name %q", violation, name)
+			t.Errorf("violation %d has the empty or duplicate name %q", violation, name)
 		}
 		seen[name] = true
 	}
--- a/internal/decide/execution/violation.go
+++ b/internal/decide/execution/violation.go
@@ -1,25 +1,25 @@
 package execution
 
-// Violation is a rule that was about to be broken, or was.
+// Violation identifies an execution rule that an action would break or has broken.
 type Violation int
 
-// The violations. All but LateWrite are prevented where they are found.
+// The violations. All except LateWrite are prevented when they are detected.
 const (
 	NoViolation                  Violation = iota
-	SendAfterFinalResponse                 // an attempt of a request that has its final response, or whose client left
-	SecondAttemptInFlight                  // an attempt while another one of the request is in flight
-	RetryOfNonIdempotent                   // a retry of what may have executed and must not execute twice
-	RetryAfterKeyExpired                   // a retry of what may have executed, whose key may be forgotten
-	RetryOutsideKeyScope                   // a retry of what may have executed, at a worker that does not know its key
-	SecondFinalResponse                    // a final response after the first one
-	RejectionWithAttemptInFlight           // a promise while an attempt is in flight that may execute
-	RejectionAfterExecution                // a promise although the request may have executed
-	StartAtDrainingWorker                  // an attempt or an order to load at a worker that drains or was removed
-	LateWrite                              // a frame was written whole after its permit had ended
+	SendAfterFinalResponse                 // attempt of a request that has its final response or whose client disconnected
+	SecondAttemptInFlight                  // attempt while another attempt of the request is in flight
+	RetryOfNonIdempotent                   // retry of a non-idempotent request that may have executed
+	RetryAfterKeyExpired                   // retry of a request that may have executed, after its key retention ended
+	RetryOutsideKeyScope                   // retry of a request that may have executed, at a worker outside its key scope
+	SecondFinalResponse                    // second final response to a request
+	RejectionWithAttemptInFlight           // rejection while an attempt that may execute is in flight
+	RejectionAfterExecution                // rejection of a request that may have executed
+	StartAtDrainingWorker                  // attempt or load order sent to a worker that is draining or was removed
+	LateWrite                              // frame whose write was completed after its permit had expired
 	violationSentinel                      // one more than the last violation
 )
 
-// Violations is one more than the highest Violation, for tables.
+// Violations is one more than the highest Violation, for use as an array length.
 const Violations = int(violationSentinel)
 
 var violationNames = [Violations]string{
@@ -36,7 +36,7 @@
 	LateWrite:                    "late-write",
 }
 
-// String returns the violation's name in logs and totals.
+// String returns the violation's name, as used in logs and totals.
 func (v Violation) String() string {
 	if v < 0 || v >= violationSentinel {
 		return "unknown"
