--- a/internal/decide/incarnation/incarnation.go
+++ b/internal/decide/incarnation/incarnation.go
@@ -1,8 +1,8 @@
-// Package incarnation decides from when a worker process counts as started, out of what the endpoint list says and
-// what the worker reports of itself. The rule that no cold worker is overloaded depends on that time, and neither
-// source is certain: the list arrives late and its times are another machine's wall clock; the worker's own report is
-// exact but exists only once there is a connection. It is pure: times come in and go out as durations since the
-// front end's start.
+// Package incarnation determines the start time of each worker process from the endpoint list and from the worker's
+// own report. The rule that no cold worker may be overloaded depends on that start time, and both sources are
+// unreliable: the list arrives late and takes its times from another machine's wall clock; the worker's report is exact
+// but is available only after a connection is established. The package does no I/O and reads no clock: times are passed
+// in and returned as durations since the start of the front end.
 package incarnation
 
 import (
@@ -13,43 +13,46 @@
 )
 
 const (
-	// startTolerance is how far apart two reports of one start may lie: workers and front ends have different clocks.
+	// startTolerance is the maximum difference between two reported times of the same start. Reports differ because
+	// workers and front ends have different clocks.
 	startTolerance = 2 * time.Second
-	// maxUnlistedWorkers is how many more workers than a list names are remembered; beyond that, those it lacks are
-	// forgotten.
+	// maxUnlistedWorkers is the number of workers tracked beyond the size of the endpoint list. If there are more, the
+	// workers that are not in the list are removed from the tracker.
 	maxUnlistedWorkers = 256
 )
 
-// Tracker remembers the current incarnation of each worker. It is not safe for concurrent use.
+// Tracker keeps the current incarnation of each worker. It is not safe for concurrent use.
 type Tracker struct {
 	workers map[scheduler.WorkerID]*worker
 }
 
-// worker is what is known of one worker.
+// worker is the tracked state of one worker.
 type worker struct {
-	info          scheduler.WorkerInfo // as last returned; its Started is the effective one
-	listedStart   time.Duration        // start as last listed, uncorrected
-	incarnationID uint64               // as last reported by the worker, 0 if it never was
+	info          scheduler.WorkerInfo // entry as last returned, with the effective start time in Started
+	listedStart   time.Duration        // start time in the last list, uncorrected
+	incarnationID uint64               // ID last reported by the worker, 0 before the first report
 }
 
-// New returns a Tracker that knows no worker.
+// New returns a Tracker without workers.
 func New() *Tracker { return &Tracker{workers: map[scheduler.WorkerID]*worker{}} }
 
-// ObserveList takes an endpoint list received at now, whose Started fields are the list's own, and returns a copy
-// with the effective starts. Workers that a whole list lacks are remembered, as they may come back with the same
-// process.
+// ObserveList processes a complete endpoint list received at now, with uncorrected Started fields, and returns a copy
+// with the effective start times. Workers that are missing from the list are kept, because they may reappear with the
+// same process.
 //
-// A listed start in the future counts as now: that guards against a worker's clock that is ahead, which would leave
-// it cold for good. A start is corrected once, when the list first gives it, so that it does not move with
-// each list. A start earlier than the effective one changes nothing: a list may be older than a connection.
+// A listed start time in the future is replaced by now: if a worker's clock is ahead, the worker would otherwise count
+// as cold forever. A start time is corrected only once, when it is first listed, so that it does not change with each
+// list. A start time before the effective one is ignored, because the list may be older than the connection that gave
+// the effective start time.
 func (t *Tracker) ObserveList(now time.Duration, list []scheduler.WorkerInfo) []scheduler.WorkerInfo {
 	effective := t.observeEntries(now, list)
 	t.forgetUnlisted(list)
 	return effective
 }
 
-// ObserveChanges takes the entries of an endpoint list that changed, as ObserveList takes all of them. listed is how many
-// workers the list names now: where many more are remembered, those that were removed are forgotten.
+// ObserveChanges processes the changed entries of an endpoint list in the same way as ObserveList processes a complete
+// list. The parameter listed is the number of workers now in the list. If many more workers are tracked, those in state
+// Removed are dropped from the tracker.
 func (t *Tracker) ObserveChanges(now time.Duration, changed []scheduler.WorkerInfo, listed int) []scheduler.WorkerInfo {
 	effective := t.observeEntries(now, changed)
 	if len(t.workers) > listed+maxUnlistedWorkers {
@@ -58,7 +61,7 @@
 	return effective
 }
 
-// observeEntries returns entries of a list with the effective starts.
+// observeEntries processes entries of a list and returns them with the effective start times.
 func (t *Tracker) observeEntries(now time.Duration, entries []scheduler.WorkerInfo) []scheduler.WorkerInfo {
 	effective := make([]scheduler.WorkerInfo, len(entries))
 	for i, info := range entries {
@@ -67,7 +70,7 @@
 	return effective
 }
 
-// observeListed takes one entry of a list and returns it with the effective start.
+// observeListed processes one entry of a list and returns it with the effective start time.
 func (t *Tracker) observeListed(now time.Duration, info scheduler.WorkerInfo) scheduler.WorkerInfo {
 	w, known := t.workers[info.ID]
 	if !known {
@@ -84,12 +87,14 @@
 	return info
 }
 
-// sameStart reports whether a listed start is no news: it was listed before, or is not later than the effective one.
+// sameStart reports whether a listed start time belongs to the known incarnation: it equals the last listed one, or is
+// not later than the effective start time plus the tolerance.
 func (w *worker) sameStart(listedStart time.Duration) bool {
 	return listedStart == w.listedStart || listedStart <= w.info.Started+startTolerance
 }
 
-// forgetUnlisted bounds the memory: where too many workers are remembered, those that a whole list lacks go.
+// forgetUnlisted bounds the number of tracked workers: if there are too many, those missing from the complete list are
+// removed.
 func (t *Tracker) forgetUnlisted(list []scheduler.WorkerInfo) {
 	if len(t.workers) <= len(list)+maxUnlistedWorkers {
 		return
@@ -101,11 +106,12 @@
 	maps.DeleteFunc(t.workers, func(id scheduler.WorkerID, _ *worker) bool { return !listed[id] })
 }
 
-// ObserveConnection takes what a worker reports at now on a new connection: incarnationID differs between its
-// processes, and uptime is how long this one has run by its own monotonic clock. It returns the worker's entry and
-// whether that is a new incarnation; a worker that was never listed returns false, as no request may be sent to it.
+// ObserveConnection processes a worker's report at now on a new connection: incarnationID differs between processes of
+// the worker, and uptime is the process's running time by its own monotonic clock. It returns the worker's entry and
+// whether it is a new incarnation. For a worker that was never listed it returns false, as no request may be sent
+// there.
 //
-// It guards against a list that shows a restart late or, its clock being wrong, not at all.
+// The report reveals a restart that the list shows late or, because of a wrong clock, not at all.
 func (t *Tracker) ObserveConnection(
 	now time.Duration, id scheduler.WorkerID, incarnationID uint64, uptime time.Duration,
 ) (info scheduler.WorkerInfo, restarted bool) {
@@ -117,7 +123,7 @@
 	w.incarnationID = incarnationID
 	started := now - max(0, uptime)
 	if otherIncarnation {
-		started = max(started, w.info.Started+1) // whatever its clock says, it is not the process of before
+		started = max(started, w.info.Started+1) // a new process started later, even if its reported uptime is wrong
 	}
 	if !otherIncarnation && started <= w.info.Started+startTolerance {
 		return w.info, false
