--- a/internal/decide/loadshed/loadshed.go
+++ b/internal/decide/loadshed/loadshed.go
@@ -1,5 +1,6 @@
-// Package loadshed decides when a front end's event loop rejects requests because it lags behind: by how long they
-// waited in its queue, not by how many wait. It is pure: times come in as durations since the process's start.
+// Package loadshed decides when a front end's event loop sheds requests because it is overloaded. The decision depends
+// on the delay of requests in the loop's queue, not on the queue length. The package does no I/O and reads no clock:
+// times are passed in as durations since the start of the process.
 package loadshed
 
 import (
@@ -8,43 +9,43 @@
 )
 
 const (
-	// target is the queue delay that does not matter (CoDel's TARGET).
+	// target is the acceptable queue delay (CoDel's TARGET).
 	target = 5 * time.Millisecond
-	// interval is how long the delay must stay on one side of target before the queue counts as standing, or no
-	// longer as standing (CoDel's INTERVAL).
+	// interval is how long the delay must stay at or above target before the queue counts as a standing queue, and below
+	// target before it no longer does (CoDel's INTERVAL).
 	interval = 100 * time.Millisecond
-	// admittedDelay is the expected queue delay up to which requests are admitted while the queue stands.
+	// admittedDelay is the expected queue delay up to which requests are admitted during a standing queue.
 	admittedDelay = 2 * target
-	// maxDelay is the queue delay from which a request that was admitted before is rejected while the queue stands.
+	// maxDelay is the queue delay from which an already queued request is rejected during a standing queue.
 	maxDelay = 4 * admittedDelay
-	// rateWindow is the least time over which the decision rate is counted.
+	// rateWindow is the minimum length of a window over which the decision rate is measured.
 	rateWindow = interval / 10
-	// rateDecay is applied to the best decision rate from window to window.
+	// rateDecay is the factor by which the best decision rate decays with each window.
 	rateDecay = 0.95
 )
 
-// Shedder tells a burst, which passes, from a standing queue. The signal is that of CoDel (K. Nichols, V. Jacobson,
-// "Controlling Queue Delay", 2012): the least delay in an interval. The reaction is simpler than a router's may be:
-// while the queue stands, a request is rejected before it joins the queue if it would wait longer than admittedDelay
-// there (QueueLimit), and one that joined earlier and waited for maxDelay is rejected when it leaves the queue
+// Shedder distinguishes a short burst from a standing queue. Its signal is that of CoDel (K. Nichols, V. Jacobson,
+// "Controlling Queue Delay", 2012): the minimum delay within an interval. Its reaction is simpler than CoDel's in a
+// router: during a standing queue, a request is rejected before it is queued if its delay would exceed admittedDelay
+// (QueueLimit), and a request that was queued earlier and has waited for maxDelay is rejected when it leaves the queue
 // (ShouldReject).
 //
-// A request rejected before it joins costs the loop nothing. Where each rejection costs a fifth of a decision, a
-// loop at four times its capacity has a quarter of its time left for the requests that it admits.
+// Rejecting a request before it is queued costs the loop nothing. If every rejection took a fifth of the time of a
+// decision, a loop at four times its capacity would have only a quarter of its time left for the requests it admits.
 //
-// It guards against a loop that spends its time on requests whose clients have nearly given up. It could harm where
-// the machine stops the loop for longer than interval now and then: one interval's requests are then rejected
-// although there is room.
+// Shedding keeps the loop from spending its time on requests whose clients are about to give up. Its drawback appears
+// where the machine occasionally stops the loop for longer than interval: requests are then rejected for one interval
+// although there is capacity.
 //
-// The zero value is ready to use. It belongs to one goroutine, the event loop.
+// The zero value is ready to use. A Shedder belongs to a single goroutine, the event loop.
 type Shedder struct {
-	aboveTarget bool          // the last delay was target or more
-	since       time.Duration // from when on all delays were on that side of target
-	standing    bool          // the queue counts as standing
+	aboveTarget bool          // whether the last delay was at or above target
+	since       time.Duration // time since which all delays have been on the same side of target
+	standing    bool          // whether the queue counts as a standing queue
 	decisions   rateMeter
 }
 
-// ShouldReject takes a request that left the queue at now after it waited there for delay, and reports whether the
+// ShouldReject records that a request left the queue at now after it had waited for delay, and reports whether the
 // event loop must reject it.
 func (s *Shedder) ShouldReject(now, delay time.Duration) bool {
 	if aboveTarget := delay >= target; aboveTarget != s.aboveTarget {
@@ -58,8 +59,8 @@
 	return reject
 }
 
-// QueueEmptied reports to the shedder that the queue is empty at now. It guards against a limit that stays low long
-// after the overload, as no request arrived that could have shown the end of it.
+// QueueEmptied records that the queue is empty at now. Without it, the limit would stay low long after an overload if
+// no request arrived whose delay could show that the overload is over.
 func (s *Shedder) QueueEmptied(now time.Duration) {
 	if s.aboveTarget {
 		s.aboveTarget, s.since = false, now
@@ -68,31 +69,31 @@
 	s.standing = s.standing && now-s.since < interval
 }
 
-// QueueLimit is how many requests may wait in the queue; one that finds as many there is to be rejected at once. It
-// is math.MaxInt unless the queue stands, and at least 1.
+// QueueLimit returns the maximum number of requests in the queue; a request that arrives at a full queue is to be
+// rejected immediately. The limit is math.MaxInt if there is no standing queue, and is always at least 1.
 func (s *Shedder) QueueLimit() int {
 	if !s.standing {
 		return math.MaxInt
 	}
-	return max(1, int(s.decisions.best*admittedDelay.Seconds()))
+	return max(1, int(s.decisions.bestRate*admittedDelay.Seconds()))
 }
 
-// rateMeter measures how many requests a second the event loop decides while its queue is never empty.
+// rateMeter measures the number of decisions per second that the event loop makes while its queue is not empty.
 type rateMeter struct {
-	best    float64       // decisions a second: the best window lately, decayed
-	running bool          // a window is open: the queue was not empty since its start
-	start   time.Duration // of the open window
-	count   int           // decisions in it
+	bestRate float64       // decayed maximum of the rates of recent windows, in decisions per second
+	running  bool          // whether a window is open, which requires that the queue was not empty since its start
+	start    time.Duration // start of the open window
+	count    int           // number of decisions in the open window
 }
 
-// observe counts a request that left the queue at now, if it was decided and not rejected. The best recent rate
-// counts, so that a loop that stood still for another reason, say to collect garbage, does not lower the limit.
+// observe records that a request left the queue at now, and counts it unless it was rejected. The meter keeps the best
+// recent rate, so that a pause of the loop for another reason, such as garbage collection, does not lower the limit.
 func (m *rateMeter) observe(now time.Duration, decided bool) {
 	if !m.running {
 		m.running, m.start, m.count = true, now, 0
 	}
 	if elapsed := now - m.start; elapsed >= rateWindow {
-		m.best = max(rateDecay*m.best, float64(m.count)/elapsed.Seconds())
+		m.bestRate = max(rateDecay*m.bestRate, float64(m.count)/elapsed.Seconds())
 		m.start, m.count = now, 0
 	}
 	if decided {
@@ -100,5 +101,5 @@
 	}
 }
 
-// stop drops the open window.
+// stop discards the open window.
 func (m *rateMeter) stop() { m.running = false }
--- a/internal/decide/loadshed/loadshed_test.go
+++ b/internal/decide/loadshed/loadshed_test.go
@@ -11,7 +11,7 @@
 	var shedder Shedder
 	for i := range 90 {
 		if shedder.ShouldReject(time.Duration(i)*ms, 90*ms-time.Duration(i)*ms) || shedder.QueueLimit() < 1e6 {
-			t.Fatalf("rejected %d ms into a burst that passes", i)
+			t.Fatalf("request rejected or queue limited %d ms into a short burst", i)
 		}
 	}
 }
@@ -25,19 +25,19 @@
 		}
 	}
 	if rejected != 200 {
-		t.Errorf("%d of 300 rejected, want all after the first interval", rejected)
+		t.Errorf("%d of 300 requests rejected, want 200: all after the first interval", rejected)
 	}
 	if got := shedder.QueueLimit(); got < 2 || got > 10 {
-		t.Errorf("room for %d at a millisecond each, want 10 ms of them, or less as none was decided lately", got)
+		t.Errorf("queue limit %d at 1 ms per request, want 10 at most, and less because of the recent rejections", got)
 	}
 	if shedder.ShouldReject(300*ms, 4*ms) || shedder.QueueLimit() > 10 {
-		t.Error("rejected a request that did not wait, or took the queue for one that does not stand after one short wait")
+		t.Error("request with a short delay rejected, or limit lifted after a single short delay")
 	}
 	if shedder.ShouldReject(400*ms, 4*ms) || shedder.QueueLimit() < 1e6 {
-		t.Error("still standing after a hundred milliseconds of short waits")
+		t.Error("still a standing queue after 100 ms of short delays")
 	}
 	if shedder.ShouldReject(401*ms, 50*ms) {
-		t.Error("rejected at once after the queue was short")
+		t.Error("request rejected at the first long delay after the standing queue ended")
 	}
 }
 
@@ -48,20 +48,21 @@
 	}
 	shedder.QueueEmptied(300 * ms)
 	if shedder.QueueLimit() > 10 {
-		t.Error("no limit after one moment without requests")
+		t.Error("limit lifted as soon as the queue was empty")
 	}
 	shedder.QueueEmptied(400 * ms)
 	if shedder.QueueLimit() < 1e6 {
-		t.Error("still limited after a hundred milliseconds without requests")
+		t.Error("still limited after 100 ms without requests")
 	}
 }
 
-// simulateLoop runs a loop that can decide 1,000 requests a second, and reject five times as many, against factor
-// times that for ten seconds. It returns how many it decided and the longest wait of one, both after the first second.
-func simulateLoop(factor float64, limited bool) (decided int, worst time.Duration) {
+// simulateLoop simulates for 10 s a loop that can decide 1,000 requests per second, or reject 5,000, and receives
+// factor times 1,000 requests per second. It returns the number of decided requests and their longest delay, both
+// counted after the first second.
+func simulateLoop(factor float64, limited bool) (decided int, longestDelay time.Duration) {
 	const decide, reject = ms, ms / 5
 	var shedder Shedder
-	var queue []time.Duration // when each was received
+	var queue []time.Duration // times at which the queued requests were received
 	every := time.Duration(float64(ms) / factor)
 	next, now := time.Duration(0), time.Duration(0)
 	for now < 10*time.Second {
@@ -82,22 +83,23 @@
 		}
 		if now > time.Second {
 			decided++
-			worst = max(worst, now-received)
+			longestDelay = max(longestDelay, now-received)
 		}
 		now += decide
 	}
-	return decided, worst
+	return decided, longestDelay
 }
 
-// At four times what it can do the loop decides nine tenths of what it can, and what it decides has waited little.
-// Without a queue limit it spends its time on rejections.
+// Up to ten times its capacity, the loop still decides nine tenths of its capacity, and the decided requests had short
+// delays. Without the queue limit it would spend its time on rejections.
 func TestShedder_OverloadedLoop_DecidesFreshRequests(t *testing.T) {
 	for _, factor := range []float64{1.05, 1.5, 2, 4, 10} {
-		if decided, worst := simulateLoop(factor, true); decided < 8100 || worst > 150*ms {
-			t.Errorf("at %v times: %d of 9000 decided, the oldest had waited %v", factor, decided, worst)
+		if decided, longestDelay := simulateLoop(factor, true); decided < 8100 || longestDelay > 150*ms {
+			t.Errorf("at %v times the capacity: %d of 9000 requests decided, longest delay %v; want at least 8100 and at most 150ms",
+				factor, decided, longestDelay)
 		}
 	}
 	if decided, _ := simulateLoop(4, false); decided > 6000 {
-		t.Errorf("%d decided without a queue limit: the test shows nothing", decided)
+		t.Errorf("%d requests decided without a queue limit, want at most 6000; otherwise the test shows no effect of the limit", decided)
 	}
 }
