--- a/internal/decide/looplag/stall.go
+++ b/internal/decide/looplag/stall.go
@@ -3,85 +3,90 @@
 import "time"
 
 const (
-	// sendLease is how long worker clients write new work after the event loop last renewed their lease. By the
-	// platform's rules an attempt starts at most 0.1 s after its client left; a write takes a part of that. An event loop
-	// that made no pass for longer has stalled.
+	// sendLease is how long worker clients may write new work after the event loop last renewed their lease. The
+	// platform's rules allow an attempt to start at most 0.1 s after its client disconnected, and the write takes part of
+	// that time. An event loop that makes no pass for longer than the lease counts as stalled.
 	sendLease = 60 * time.Millisecond
-	// catchUpTime is for how long after a stall the lease is not renewed, until what was received meanwhile is handled: so
-	// long at least, and catchUpPart of the stall in addition, as more was received in a longer one.
-	catchUpTime = 5 * time.Millisecond
-	catchUpPart = 10
-	// maxCatchUpTime bounds it: after so long most clients' requests are new ones.
+	// catchUpTime is the minimum time after a stall in which the lease is not renewed, so that the event loop can handle
+	// what was received during the stall. The time is extended by 1/catchUpDivisor of the stall, because more is received
+	// during a longer stall.
+	catchUpTime    = 5 * time.Millisecond
+	catchUpDivisor = 10
+	// maxCatchUpTime is the upper bound of the catch-up time. After that time, most requests of clients are new ones.
 	maxCatchUpTime = 100 * time.Millisecond
-	// maxReadDelay bounds how long after a stall a connection may be read for the first time: for as long as the stall
-	// lasted, as that much may have been received on all of them.
+	// maxReadDelay is the upper bound of the time after a stall within which every connection is read for the first time.
+	// Below the bound, this time equals the length of the stall, during which data may have arrived on all connections.
 	maxReadDelay = time.Second
-	// maxRecentStalls bounds the stalls that are remembered.
+	// maxRecentStalls is the maximum number of stalls that a StallTracker keeps.
 	maxRecentStalls = 16
 )
 
-// What is passed to EarliestArrival where it is not known after what a request arrived.
+// Values that are passed to EarliestArrival if it is not known when the connection was last seen empty.
 const (
-	UnknownArrival time.Duration = iota // nobody looked at its connection
-	AnyArrival                          // it is the first on its connection, and may have arrived at any time
+	UnknownArrival time.Duration = iota // connection was not checked for data before the request was read
+	AnyArrival                          // request is the first on its connection and may have arrived at any time
 )
 
-// stall is a time in which the process did not run.
+// stall is a period in which the process did not run.
 type stall struct {
 	began, ended time.Duration
-	readBy       time.Duration // when all connections have been read that something was received on meanwhile
+	readBy       time.Duration // time by which all connections that received data during the stall have been read
 }
 
-// SendLease is how long a lease on sending new work lasts.
+// SendLease returns the duration of a lease on sending new work.
 func SendLease() time.Duration { return sendLease }
 
-// StallTracker notices that the event loop, and most likely its process, stood still, by passes of the loop that are far
-// apart. It decides what is still known after that: it belongs to the loop's goroutine.
+// StallTracker detects stalls of the event loop, and most likely of the whole process, from long gaps between passes of
+// the loop. It decides which information is still valid after a stall. It belongs to the goroutine of the event loop.
 type StallTracker struct {
-	lastPass   time.Duration
-	stalledAt  time.Duration // when the last stall began, or the first of several that followed before it had caught up
-	caughtUpAt time.Duration // from when on what was received during the stall is handled
-	recent     []stall       // the last ones, in their order; at most maxRecentStalls
+	lastPass     time.Duration
+	stalledAt    time.Duration // start of the last stall, or of the first in a series without complete catch-up in between
+	caughtUpAt   time.Duration // time from which everything received during the stall counts as handled
+	recentStalls []stall       // most recent stalls in chronological order, at most maxRecentStalls
 }
 
-// MayRenewLease takes a pass of the event loop at now, and reports whether the lease on sending new work may be renewed:
-// at each pass, but after a stall only once the goroutines that read connections had time to tell what they received. It
-// guards against work that is sent on what was known before the stall. It would harm where each pass of the loop takes
-// longer than a lease: new work is then sent a little later.
+// MayRenewLease records a pass of the event loop at now, and reports whether the lease on sending new work may be
+// renewed. This is so at each pass, except after a stall: the goroutines that read connections must first have had time
+// to pass on what they received.
+//
+// It prevents work from being sent on the basis of information from before the stall. Its drawback appears where each
+// pass of the loop takes longer than the lease: new work is then sent slightly later.
 func (t *StallTracker) MayRenewLease(now time.Duration) bool {
 	if now-t.lastPass > sendLease {
-		t.remember(t.lastPass, now)
+		t.recordStall(t.lastPass, now)
 		if t.lastPass >= t.caughtUpAt {
 			t.stalledAt = t.lastPass
 		}
-		t.caughtUpAt = now + min(maxCatchUpTime, catchUpTime+(now-t.stalledAt)/catchUpPart)
+		t.caughtUpAt = now + min(maxCatchUpTime, catchUpTime+(now-t.stalledAt)/catchUpDivisor)
 	}
 	t.lastPass = now
 	return now >= t.caughtUpAt
 }
 
-// remember notes a stall. Nothing was read during it, so that what came in earlier ones is read later by as much.
-func (t *StallTracker) remember(began, ended time.Duration) {
+// recordStall adds a stall to the recent ones. Nothing was read during the stall, so the readBy times of earlier stalls
+// that had not yet been reached are postponed by its length.
+func (t *StallTracker) recordStall(began, ended time.Duration) {
 	length := ended - began
-	for i := range t.recent {
-		if t.recent[i].readBy >= began {
-			t.recent[i].readBy += length
+	for i := range t.recentStalls {
+		if t.recentStalls[i].readBy >= began {
+			t.recentStalls[i].readBy += length
 		}
 	}
-	oldest := max(0, len(t.recent)+1-maxRecentStalls)
-	t.recent = append(t.recent[oldest:], stall{began, ended, ended + min(maxReadDelay, length)})
+	oldest := max(0, len(t.recentStalls)+1-maxRecentStalls)
+	t.recentStalls = append(t.recentStalls[oldest:], stall{began, ended, ended + min(maxReadDelay, length)})
 }
 
-// NextRenewal is when the lease may be renewed at the earliest.
+// NextRenewal returns the earliest time at which the lease may be renewed.
 func (t *StallTracker) NextRenewal() time.Duration { return t.caughtUpAt }
 
-// EarliestArrival is since when a request may have waited to be read that was read at a time. arrivedAfter is when its
-// connection was last seen without anything to read before that, so that it arrived later; else UnknownArrival or
-// AnyArrival. What is read after a stall may have arrived when it began: counted from when it was read, its client would get
-// its response too late, and a worker be told more time than the client has left.
+// EarliestArrival returns the earliest time at which a request that was read at readAt may have arrived. The parameter
+// arrivedAfter is the last time before readAt at which its connection was seen empty, so that the request arrived
+// later; it is UnknownArrival or AnyArrival if no such time is known.
 //
-// It would harm requests that did arrive after the stall, as the first on a connection or where nothing is known: they are
-// given up sooner than they need be.
+// A request that is read after a stall may have arrived when the stall began. If its timeout were counted from readAt,
+// the client would get its response too late, and the worker would be given more time than the client has left. The
+// drawback affects requests that did arrive after the stall, if they are the first on their connection or nothing is
+// known about their arrival: they are given up earlier than necessary.
 func (t *StallTracker) EarliestArrival(readAt, arrivedAfter time.Duration) time.Duration {
 	if arrivedAfter == UnknownArrival {
 		if readAt > t.stalledAt && readAt <= t.caughtUpAt {
@@ -89,7 +94,7 @@
 		}
 		return readAt
 	}
-	for _, stall := range t.recent {
+	for _, stall := range t.recentStalls {
 		if arrivedAfter < stall.ended && readAt > stall.began && readAt <= stall.readBy {
 			return max(stall.began, arrivedAfter)
 		}
--- a/internal/decide/looplag/stall_test.go
+++ b/internal/decide/looplag/stall_test.go
@@ -9,43 +9,43 @@
 	var tracker StallTracker
 	tracker.MayRenewLease(0)
 	if !tracker.MayRenewLease(catchUpTime) || !tracker.MayRenewLease(catchUpTime+sendLease) {
-		t.Error("not renewed by a loop that keeps up")
+		t.Error("lease not renewed by a loop that does not stall")
 	}
 	resumed := catchUpTime + 2*sendLease + ms
 	const stall = sendLease + ms
-	caughtUp := resumed + catchUpTime + stall/catchUpPart
+	caughtUp := resumed + catchUpTime + stall/catchUpDivisor
 	if tracker.MayRenewLease(resumed) || tracker.MayRenewLease(caughtUp-1) {
-		t.Error("renewed at once after a stall")
+		t.Error("lease renewed immediately after a stall")
 	}
 	if tracker.NextRenewal() != caughtUp || !tracker.MayRenewLease(caughtUp) {
 		t.Errorf("next renewal at %v, want %v", tracker.NextRenewal(), caughtUp)
 	}
 }
 
-func TestStallTracker_RequestReadAfterStall_CountsFromItsBegin(t *testing.T) {
+func TestStallTracker_RequestReadAfterStall_CountsFromStallStart(t *testing.T) {
 	var tracker StallTracker
 	const before = 100 * ms
 	for now := 0 * ms; now <= before; now += sendLease / 3 {
 		tracker.MayRenewLease(now)
 	}
 	if got := tracker.EarliestArrival(before-ms, UnknownArrival); got != before-ms {
-		t.Errorf("without a stall a request read at %v counts from %v", before-ms, got)
+		t.Errorf("without a stall, a request read at %v counts from %v", before-ms, got)
 	}
 	resumed := before + 10*sendLease
 	tracker.MayRenewLease(resumed)
 	if got := tracker.EarliestArrival(resumed+catchUpTime+sendLease/2, UnknownArrival); got != tracker.stalledAt || got > before {
-		t.Errorf("read just after the stall counts from %v, want the last pass before it", got)
+		t.Errorf("request read just after the stall counts from %v, want the last pass before it", got)
 	}
 	if late := resumed + maxCatchUpTime + ms; tracker.EarliestArrival(late, UnknownArrival) != late {
-		t.Error("read once caughtUp, and does not count from then")
+		t.Error("a request read after catching up does not count from the time it was read")
 	}
 	if early := tracker.stalledAt; tracker.EarliestArrival(early-ms, UnknownArrival) != early-ms {
-		t.Error("read before the stall, and does not count from then")
+		t.Error("a request read before the stall does not count from the time it was read")
 	}
 }
 
-// A process that is stopped again before it has caught up still has requests to read that arrived during the first stop.
-func TestStallTracker_StalledAgainBeforeCaughtUp_CountsFromTheFirstBegin(t *testing.T) {
+// A process that stalls again before it has caught up still has unread requests that arrived during the first stall.
+func TestStallTracker_StalledAgainBeforeCaughtUp_CountsFromFirstStallStart(t *testing.T) {
 	var tracker StallTracker
 	const began, stall, between = 100 * ms, 880 * ms, 15 * ms
 	for now := 0 * ms; now <= began; now += sendLease / 3 {
@@ -57,10 +57,10 @@
 	tracker.MayRenewLease(resumed + between)
 	resumedAgain := resumed + between + stall
 	if tracker.MayRenewLease(resumedAgain) {
-		t.Error("renewed at once after the second stall")
+		t.Error("lease renewed immediately after the second stall")
 	}
 	if got := tracker.EarliestArrival(resumedAgain+ms, UnknownArrival); got != lastPass {
-		t.Errorf("read after the second stall counts from %v, want %v, the last pass before the first one", got, lastPass)
+		t.Errorf("request read after the second stall counts from %v, want %v, the last pass before the first stall", got, lastPass)
 	}
 	caughtUp := tracker.NextRenewal()
 	for now := resumedAgain; now < caughtUp; now += sendLease / 3 {
@@ -69,11 +69,11 @@
 	tracker.MayRenewLease(caughtUp)
 	tracker.MayRenewLease(caughtUp + stall)
 	if got := tracker.EarliestArrival(caughtUp+stall+ms, UnknownArrival); got != caughtUp {
-		t.Errorf("read after a stall that began once it had caught up counts from %v, want %v", got, caughtUp)
+		t.Errorf("request read after a stall that began after catching up counts from %v, want %v", got, caughtUp)
 	}
 }
 
-// What is known of a connection tells more than the time that has passed since a stall.
+// A known time at which the connection was empty takes precedence over the time since the last stall.
 func TestStallTracker_ConnectionSeenEmpty_RequestArrivedLater(t *testing.T) {
 	var tracker StallTracker
 	const began, length = 100 * ms, 900 * ms
@@ -98,7 +98,7 @@
 	}
 }
 
-// Of several stalls in which a connection was not read the first one counts, however far apart they are.
+// If a connection was not read since several stalls, the first of these counts, however far apart they are.
 func TestStallTracker_SeveralStalls_CountsFromTheFirstNotRead(t *testing.T) {
 	var tracker StallTracker
 	const length, between = 400 * ms, 200 * ms
@@ -114,9 +114,9 @@
 	}
 	last := len(ends) - 1
 	if got, want := tracker.EarliestArrival(now+ms, ends[last-2]), ends[last-1]-length-20*ms; got != want {
-		t.Errorf("not read since two stalls: counts from %v, want %v", got, want)
+		t.Errorf("connection not read since two stalls: request counts from %v, want %v", got, want)
 	}
-	if len(tracker.recent) > maxRecentStalls {
-		t.Errorf("%d stalls are remembered", len(tracker.recent))
+	if len(tracker.recentStalls) > maxRecentStalls {
+		t.Errorf("%d stalls are kept, want at most %d", len(tracker.recentStalls), maxRecentStalls)
 	}
 }
