--- a/internal/decide/reconnect/backoff_test.go
+++ b/internal/decide/reconnect/backoff_test.go
@@ -7,23 +7,23 @@
 	"pgregory.net/rapid"
 )
 
-func TestBackoff_RepeatedFailures_WaitGrowsWithinBounds(t *testing.T) {
+func TestBackoff_RepeatedFailures_DelayGrowsWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		backoff, now := NewBackoff(rapid.Uint64().Draw(t, "seed")), time.Duration(0)
 		if backoff.NextDial() > now {
-			t.Fatal("the first attempt must wait")
+			t.Fatal("the first attempt is not allowed immediately")
 		}
 		longest := time.Duration(0)
 		for range 200 {
 			backoff.Failed(now)
-			wait := backoff.NextDial() - now
-			if wait < minBackoff || wait > maxBackoff {
-				t.Fatalf("wait %v", wait)
+			delay := backoff.NextDial() - now
+			if delay < minBackoff || delay > maxBackoff {
+				t.Fatalf("delay %v, want %v to %v", delay, minBackoff, maxBackoff)
 			}
-			longest, now = max(longest, wait), backoff.NextDial()
+			longest, now = max(longest, delay), backoff.NextDial()
 		}
 		if longest < maxBackoff/4 {
-			t.Fatalf("after 200 failures the longest wait was %v", longest)
+			t.Fatalf("the longest delay of 200 failures was %v, want at least %v", longest, maxBackoff/4)
 		}
 	})
 }
@@ -38,29 +38,29 @@
 		seen[backoff.NextDial().Round(time.Millisecond)] = true
 	}
 	if len(seen) < 25 {
-		t.Errorf("50 front ends dial again at %d different times", len(seen))
+		t.Errorf("50 front ends reconnect at %d different times, want at least 25", len(seen))
 	}
 }
 
-func TestBackoff_WaitingRequest_ShortensTheWait(t *testing.T) {
+func TestBackoff_WaitingRequest_ShortensDelay(t *testing.T) {
 	backoff := NewBackoff(1)
 	for range 20 {
 		backoff.Failed(time.Minute)
 	}
 	backoff.Requested()
 	if got := backoff.NextDial(); got != time.Minute+minBackoff {
-		t.Errorf("dials at %v, want %v after the failure", got, minBackoff)
+		t.Errorf("next dial at %v, want %v", got, time.Minute+minBackoff)
 	}
 }
 
-func TestBackoff_AfterConnecting_StartsFromTheLeastWait(t *testing.T) {
+func TestBackoff_AfterConnecting_StartsFromMinimumDelay(t *testing.T) {
 	backoff := NewBackoff(1)
 	for range 20 {
 		backoff.Failed(0)
 	}
 	backoff.Connected()
 	backoff.Failed(time.Minute)
-	if wait := backoff.NextDial() - time.Minute; wait != minBackoff {
-		t.Errorf("the first wait after a success is %v", wait)
+	if delay := backoff.NextDial() - time.Minute; delay != minBackoff {
+		t.Errorf("the first delay after a success is %v, want %v", delay, minBackoff)
 	}
 }
--- a/internal/decide/reconnect/endpointwatch.go
+++ b/internal/decide/reconnect/endpointwatch.go
@@ -3,47 +3,48 @@
 import "time"
 
 const (
-	// watchSilence is the least silence after which the endpoint watch is connected again. The service sends at least
-	// an empty event each second.
-	watchSilence = 2200 * time.Millisecond
-	// watchSilenceSpread is the largest random addition to watchSilence.
+	// minWatchSilence is the minimum time without data after which the endpoint watch reconnects. The service sends at
+	// least an empty event every second.
+	minWatchSilence = 2200 * time.Millisecond
+	// watchSilenceSpread is the upper bound of the random addition to minWatchSilence.
 	watchSilenceSpread = 800 * time.Millisecond
-	// watchDialTimeout bounds the time that a connection to the service may take to be established.
+	// watchDialTimeout is the maximum time to establish a connection to the service.
 	watchDialTimeout = time.Second
-	// firstWatchRetry is the range of the first wait before a retry; each failure doubles it.
-	firstWatchRetry = 200 * time.Millisecond
-	// maxWatchRetry bounds that range.
-	maxWatchRetry = 500 * time.Millisecond
-	// maxWatchDoublings keeps the doubling from overflowing.
+	// firstWatchRetryDelay is the upper bound of the first retry delay. Each further failure doubles the bound.
+	firstWatchRetryDelay = 200 * time.Millisecond
+	// maxWatchRetryDelay is the maximum of the doubled bound.
+	maxWatchRetryDelay = 500 * time.Millisecond
+	// maxWatchDoublings limits the number of doublings, to avoid an overflow.
 	maxWatchDoublings = 10
 )
 
-// The parameter random of the functions below is a number in [0, 1), drawn anew for each call. It spreads what
-// hundreds of front ends do when one service resets, moves or falls silent for all of them at once; else they would
-// all reconnect to it in one instant. It costs each of them a part of a second without news.
+// The parameter random of the functions below is a number in [0, 1) that the caller draws for each call. It spreads the
+// reconnections of hundreds of front ends when a service resets, moves or falls silent for all of them at the same
+// time; otherwise they would all reconnect simultaneously. The cost is a fraction of a second without updates at each
+// of them.
 
-// WatchSilenceTimeout is the silence after which the connection of the endpoint watch is replaced. It guards against
-// a service that has stopped and left its connections open.
+// WatchSilenceTimeout returns the time without data after which the connection of the endpoint watch is replaced. It
+// protects against a service that has stopped but has left its connections open.
 func WatchSilenceTimeout(random float64) time.Duration {
-	return watchSilence + fraction(watchSilenceSpread, random)
+	return minWatchSilence + fraction(watchSilenceSpread, random)
 }
 
-// WatchDialTimeout is how long establishing the connection of the endpoint watch may take.
+// WatchDialTimeout returns the maximum time to establish the connection of the endpoint watch.
 func WatchDialTimeout() time.Duration { return watchDialTimeout }
 
-// WatchRetryDelay is how long to wait before the endpoint watch is connected again after so many failures in a row.
-// A connection that delivered something, and a service that has moved, count as no failure. The first waits follow
-// "full jitter", later ones "equal jitter": a fixed half and a random half (M. Brooker, "Exponential Backoff And
-// Jitter", 2015).
+// WatchRetryDelay returns the delay before the endpoint watch reconnects after the given number of consecutive
+// failures. The loss of a connection that delivered data does not count as a failure, and neither does a service that
+// has moved. The first delays follow "full jitter", later ones "equal jitter" with a fixed half and a random half (M.
+// Brooker, "Exponential Backoff And Jitter", 2015).
 func WatchRetryDelay(failures int, random float64) time.Duration {
 	if failures < 2 {
-		return fraction(firstWatchRetry, random)
+		return fraction(firstWatchRetryDelay, random)
 	}
-	limit := min(maxWatchRetry, firstWatchRetry<<min(failures-1, maxWatchDoublings))
+	limit := min(maxWatchRetryDelay, firstWatchRetryDelay<<min(failures-1, maxWatchDoublings))
 	return limit/2 + fraction(limit/2, random)
 }
 
-// fraction is the given part of a duration.
+// fraction returns the given fraction of a duration.
 func fraction(d time.Duration, part float64) time.Duration {
 	return time.Duration(part * float64(d))
 }
--- a/internal/decide/reconnect/keepalive_test.go
+++ b/internal/decide/reconnect/keepalive_test.go
@@ -17,12 +17,12 @@
 			pings++
 		}
 		if next <= now {
-			t.Fatalf("%v at %v says to check again at %v", verdict, now, next)
+			t.Fatalf("verdict %v at %v sets the next check to %v, want a later time", verdict, now, next)
 		}
 		now = next
 	}
 	if now != deadAfter || pings != 3 {
-		t.Errorf("given up at %v after %d pings", now, pings)
+		t.Errorf("connection dead at %v after %d pings, want at %v after 3", now, pings, deadAfter)
 	}
 }
 
@@ -31,7 +31,7 @@
 	for now := time.Duration(0); now < time.Minute; now += 100 * time.Millisecond {
 		keepalive.Received(now)
 		if verdict, _ := keepalive.Check(now); verdict != Wait {
-			t.Fatalf("verdict %v at %v for a peer that sends", verdict, now)
+			t.Fatalf("verdict %v at %v for a peer that sends, want %v", verdict, now, Wait)
 		}
 	}
 }
