--- a/internal/decide/reconnect/endpointwatch.go
+++ b/internal/decide/reconnect/endpointwatch.go
@@ -10,7 +10,8 @@
 	watchSilenceSpread = 800 * time.Millisecond
 	// watchDialTimeout is the maximum time to establish a connection to the service.
 	watchDialTimeout = time.Second
-	// firstWatchRetryDelay is the upper bound of the first retry delay. Each further failure doubles the bound.
+	// firstWatchRetryDelay is the upper bound of the first retry delay. From the second failure on, each failure
+	// doubles the bound.
 	firstWatchRetryDelay = 200 * time.Millisecond
 	// maxWatchRetryDelay is the maximum of the doubled bound.
 	maxWatchRetryDelay = 500 * time.Millisecond
