--- a/internal/decide/tenancy/quota.go
+++ b/internal/decide/tenancy/quota.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// quotaBurst is how many seconds' worth of its quota a tenant may use at once.
+// quotaBurst is the period whose whole quota a tenant may use in a single burst.
 const quotaBurst = time.Second
 
-// withinQuota counts one request of the tenant against its quota and reports whether that allowed it. It is the
-// generic cell rate algorithm (ITU-T I.371).
-func (t *Limiter) withinQuota(now time.Duration, tenant int) bool {
+// consumeQuota reports whether the tenant's quota allows another request, and if so counts the request against it. It
+// implements the generic cell rate algorithm (ITU-T I.371).
+func (t *Limiter) consumeQuota(now time.Duration, tenant int) bool {
 	if !t.hasQuota(tenant) {
 		return true
 	}
--- a/internal/decide/tenancy/quota_test.go
+++ b/internal/decide/tenancy/quota_test.go
@@ -14,7 +14,7 @@
 		}
 	}
 	if admitted != 10 {
-		t.Errorf("%d of 200 requests at once admitted, want a second's 10", admitted)
+		t.Errorf("%d of 200 simultaneous requests admitted, want 10, the quota of one second", admitted)
 	}
 	for i := range 1000 {
 		if limiter.RequestReceived(2*time.Second+time.Duration(i)*10*ms, 0) == Admit {
@@ -22,6 +22,6 @@
 		}
 	}
 	if admitted < 105 || admitted > 121 {
-		t.Errorf("%d requests admitted in 11 s at 10 a second and a burst of 10", admitted)
+		t.Errorf("%d requests admitted within 11 s at 10 per second and a burst of 10, want 105 to 121", admitted)
 	}
 }
--- a/internal/decide/tenancy/restraint.go
+++ b/internal/decide/tenancy/restraint.go
@@ -3,40 +3,41 @@
 import "time"
 
 const (
-	// recentOutcomeMemory is the memory of how requests ended.
+	// recentOutcomeMemory is the time constant of the decayed counts of recent request outcomes.
 	recentOutcomeMemory = time.Second
-	// longOutcomeMemory is the same where fewer than minRecentOutcomes ended in that time, and the memory of the rate
-	// of requests.
+	// longOutcomeMemory is the time constant of the outcome counts that are used if there are fewer than
+	// minRecentOutcomes recent ones, and of the request rate.
 	longOutcomeMemory = 10 * time.Second
-	// minRecentOutcomes is the decayed number of requests below which how they ended says little.
+	// minRecentOutcomes is the decayed number of requests below which the recent outcomes are not significant.
 	minRecentOutcomes = 20.0
-	// presenceTimeout is how long after the last end of a request of a tenant within its share nobody counts as
-	// suffering.
-	presenceTimeout = 2 * time.Second
-	// startupPeriod is the time after the first request in which ends do not count: all functions are being loaded
-	// and requests miss their objectives for that.
+	// outcomeTimeout is the time after the last outcome of a tenant within its share from which no shortage is assumed.
+	outcomeTimeout = 2 * time.Second
+	// startupPeriod is the time after the first request in which outcomes do not count: all functions are being loaded,
+	// which makes requests miss their objectives.
 	startupPeriod = 5 * time.Second
-	// shortageFraction is the part of the requests of tenants within their shares that may miss the objective; more
-	// is a shortage.
+	// shortageFraction is the fraction of the requests of tenants within their shares above which missed objectives
+	// indicate a shortage.
 	shortageFraction = 0.04
-	// minMissed is the least decayed number of such requests that is a shortage, so that a single one is not.
+	// minMissed is the minimum decayed number of missed objectives for a shortage, so that a single one is not enough.
 	minMissed = 2.0
 
-	// strictRestraint is the restraint at which only what tenants within their shares leave is lent.
+	// strictRestraint is the restraint at which only the capacity left by tenants within their shares is lent.
 	strictRestraint = 1.0
-	// maxRestraint is the restraint at which nothing is lent: at full use, all wait for each other.
+	// maxRestraint is the restraint at which no capacity is lent, because at full utilization all requests delay each
+	// other.
 	maxRestraint = 2.0
-	// coarseStep is added up to strictRestraint at each evaluation that finds a shortage.
+	// coarseStep is the increase of the restraint, up to strictRestraint, at each evaluation that finds a shortage.
 	coarseStep = 0.5
-	// fineStep is added beyond strictRestraint, and taken back from there: the work done follows only after a while.
+	// fineStep is the increase and decrease of the restraint above strictRestraint. It is small because the measured work
+	// follows a change only after a delay.
 	fineStep = 0.1
-	// releaseStep is taken back below strictRestraint at each evaluation without a shortage.
+	// releaseStep is the decrease of the restraint below strictRestraint at each evaluation without a shortage.
 	releaseStep = 0.01
 )
 
-// hasShortage reports whether tenants within their shares suffer at now.
+// hasShortage reports whether tenants within their shares lack capacity at now.
 func (t *Limiter) hasShortage(now time.Duration) bool {
-	if now-t.lastOutcome > presenceTimeout {
+	if now-t.lastOutcome > outcomeTimeout {
 		return false
 	}
 	ended, missed := t.recentOutcomes.at(now, recentOutcomeMemory)
@@ -46,7 +47,7 @@
 	return missed >= minMissed && missed > shortageFraction*ended
 }
 
-// updateRestraint moves the restraint one step, by whether there is a shortage.
+// updateRestraint raises the restraint by one step if there is a shortage, and lowers it by one step otherwise.
 func (t *Limiter) updateRestraint(shortage bool) {
 	switch {
 	case shortage && t.restraint < strictRestraint:
--- a/internal/decide/tenancy/shares.go
+++ b/internal/decide/tenancy/shares.go
@@ -8,50 +8,51 @@
 )
 
 const (
-	// minRateMemory is the memory of the rates of work where the front end receives many requests.
+	// minRateMemory is the minimum time constant of the decayed work rates, used at high request rates.
 	minRateMemory = 3 * time.Second
-	// maxRateMemory is the same where it receives few.
+	// maxRateMemory is the maximum time constant of the decayed work rates, used at low request rates.
 	maxRateMemory = 30 * time.Second
-	// rateSampleSize is how many requests that memory should hold.
+	// rateSampleSize is the number of requests that the work rates should cover.
 	rateSampleSize = 100.0
 	// idleThreshold is the decayed number of requests below which a tenant counts as idle.
 	idleThreshold = 0.01
-	// defaultWork is the work of a request before any was measured.
+	// defaultWork is the assumed work of a request before any work was measured.
 	defaultWork = 100 * time.Millisecond
-	// overShareFactor is how many times what the others demand for their shares a tenant must demand for its own to
-	// be over its share.
+	// overShareFactor is the ratio of a tenant's demand per share to that of the other tenants above which the tenant is
+	// over its share.
 	overShareFactor = 1.5
-	// demandDeviations is how many standard deviations of chance in a tenant's number of requests are left out of
-	// its demand when it is judged.
+	// demandDeviations is the number of standard deviations of the tenant's request count by which its demand is reduced
+	// before it is compared with its share.
 	demandDeviations = 2.0
-	// minShare stands in for a share of 0.
+	// minShare replaces a share of 0 in divisions.
 	minShare = 1e-9
-	// minRequestCount stands in for a count of 0 as a divisor.
+	// minRequestCount replaces a request count of 0 in divisions.
 	minRequestCount = 1e-9
-	// maxLendingFactor is how many times the unused work is lent at no restraint. The factor falls exponentially to 1
-	// at strictRestraint.
+	// maxLendingFactor is the multiple of the unused work that is lent at a restraint of 0. The factor falls
+	// exponentially to 1 at strictRestraint.
 	maxLendingFactor = 8.0
 )
 
-// tenantState is what a Limiter knows of one tenant.
+// tenantState is the Limiter's state for one tenant.
 type tenantState struct {
-	requests           decayedSum    // received
-	demand             float64       // decayed work of those requests, in seconds, by what requests take now
-	work               float64       // moving average of the work of one request, in seconds
-	active             bool          // it is in Limiter.active: it sent requests recently
-	overShare          bool          // it demands more than its share
-	admitFraction      float64       // part of its requests that is admitted
-	credit             float64       // sum of admitFraction since the last admission; a request is admitted at 1
-	theoreticalArrival time.Duration // of its quota's generic cell rate algorithm
+	requests           decayedSum    // decayed number of received requests
+	demand             float64       // decayed work of the received requests at the current work per request, in seconds
+	work               float64       // moving average of the work per request, in seconds
+	active             bool          // whether the tenant sent requests recently and is in Limiter.active
+	overShare          bool          // whether the tenant demands more than its share
+	admitFraction      float64       // fraction of the tenant's requests that is admitted, 0 to 1
+	credit             float64       // accumulated admitFraction; each admitted request takes 1
+	theoreticalArrival time.Duration // theoretical arrival time in the generic cell rate algorithm of the quota
 }
 
-// demands are sums over several tenants.
+// demands holds sums over several tenants.
 type demands struct {
-	work   float64 // demand in seconds
+	work   float64 // sum of the demands, in seconds
 	shares float64
 }
 
-// workOf is what a request counts for whose work is that many seconds, 0 if unknown.
+// workOf returns the work, in seconds, that a request is counted with. The parameter is its estimated work in seconds,
+// 0 if unknown.
 func (t *Limiter) workOf(work float64) float64 {
 	if t.settings.Basis == ByRequestCount {
 		return defaultWork.Seconds()
@@ -59,7 +60,7 @@
 	return cmp.Or(work, defaultWork.Seconds())
 }
 
-// updateRateMemory adapts the memory of the rates to how many requests arrive.
+// updateRateMemory adapts the time constant of the work rates to the request rate.
 func (t *Limiter) updateRateMemory(now time.Duration) {
 	counted := min(longOutcomeMemory, now-t.firstRequest+evaluationInterval)
 	rate := t.received.at(now, longOutcomeMemory) / counted.Seconds()
@@ -67,7 +68,8 @@
 	t.rateMemory = min(maxRateMemory, max(minRateMemory, wanted))
 }
 
-// updateDemands drops tenants that are idle by now from the active ones, and returns the sums over the others.
+// updateDemands updates the demand of each active tenant, removes idle tenants from the active ones, and returns the
+// sums over the remaining tenants.
 func (t *Limiter) updateDemands(now time.Duration) demands {
 	var total demands
 	t.active = slices.DeleteFunc(t.active, func(tenant int) bool {
@@ -86,11 +88,12 @@
 	return total
 }
 
-// findOverShare marks the tenants that demand more, for their shares, than the others do on average, and admits all
-// requests of everyone for the time being. The tenant with the largest demand for its share is judged first; once it
-// is over, its demand no longer counts for the others, so that two large ones do not make each other look modest.
+// findOverShare marks the tenants whose demand per share clearly exceeds that of the other tenants, and resets the
+// admitted fraction of every active tenant to 1. Tenants are examined in descending order of demand per share. A tenant
+// found to be over its share is excluded from the demand that the next ones are compared with; otherwise two tenants
+// with large demands would hide each other.
 //
-// It returns the tenants over their shares, largest demand first, and the work that the others demand, in seconds.
+// It returns the tenants over their shares in that order, and the total demand of the others in seconds.
 func (t *Limiter) findOverShare(total demands) (over []int, othersWork float64) {
 	slices.SortFunc(t.active, func(a, b int) int {
 		return cmp.Or(cmp.Compare(t.relativeDemand(b), t.relativeDemand(a)), cmp.Compare(a, b))
@@ -110,34 +113,36 @@
 	return over, rest.work
 }
 
-// relativeDemand is a tenant's demand divided by its share.
+// relativeDemand returns a tenant's demand divided by its share.
 func (t *Limiter) relativeDemand(tenant int) float64 {
 	return t.tenants[tenant].demand / max(t.settings.Shares[tenant], minShare)
 }
 
-// exceedsShare reports whether the tenant certainly demands more for its share than the others do for theirs.
+// exceedsShare reports whether the tenant's demand per share exceeds that of the others by more than overShareFactor,
+// with an allowance for random variation in its number of requests.
 func (s *tenantState) exceedsShare(share float64, others demands) bool {
-	return s.certainDemand()*others.shares > overShareFactor*others.work*max(share, minShare)
+	return s.demandLowerBound()*others.shares > overShareFactor*others.work*max(share, minShare)
 }
 
-// certainDemand is the tenant's demand less what may be chance in its number of requests. It guards against judging
-// a tenant by two requests that happened to arrive together, where a front end receives few of each tenant.
-func (s *tenantState) certainDemand() float64 {
+// demandLowerBound returns the tenant's demand reduced by the random variation of its number of requests. Without the
+// reduction, two requests that happen to arrive together could put a tenant over its share at a front end that receives
+// few requests per tenant.
+func (s *tenantState) demandLowerBound() float64 {
 	return s.demand * max(0, 1-demandDeviations/math.Sqrt(max(s.requests.value, minRequestCount)))
 }
 
-// divide gives the work that is being done, less what the others demand, to the tenants over their shares, by
-// weighted max-min fairness (D. Bertsekas, R. Gallager, "Data Networks", 6.5): the smallest demand for its share
-// first. None gets less than its share of the work done.
+// allocate distributes the work being done, less the demand of the others, among the tenants over their shares by
+// weighted max-min fairness (D. Bertsekas, R. Gallager, "Data Networks", 6.5), in ascending order of demand per share.
+// No tenant is allocated less than its share of the work done, unless it demands less.
 //
-// The work done stands for what can be done. They are equal while the workers are fully used; where less is done,
-// more and more is lent until someone within a share suffers by it.
-func (t *Limiter) divide(over []int, othersWork, totalShares, workDone float64) {
+// The work done serves as the estimate of the capacity. The two are equal while the workers are fully utilized; below
+// full utilization, lending increases until a tenant within its share lacks capacity.
+func (t *Limiter) allocate(over []int, othersWork, totalShares, workDone float64) {
 	shares := 0.0
 	for _, tenant := range over {
 		shares += t.settings.Shares[tenant]
 	}
-	available := t.lendable(workDone*shares/totalShares, workDone-othersWork)
+	available := t.lendableWork(workDone*shares/totalShares, workDone-othersWork)
 	for _, tenant := range slices.Backward(over) {
 		state, part := &t.tenants[tenant], 0.0
 		if shares > 0 {
@@ -149,9 +154,10 @@
 	}
 }
 
-// lendable is the work, in seconds, for all tenants over their shares together: promised is the sum of their shares,
-// unused is what the others leave. Restraint moves it from a multiple of unused down to promised.
-func (t *Limiter) lendable(promised, unused float64) float64 {
+// lendableWork returns the work, in seconds, that is available to all tenants over their shares together. The parameter
+// promised is the work that corresponds to their shares, and unused is the work that the other tenants leave. As the
+// restraint grows, the result falls from a multiple of the larger of the two down to promised.
+func (t *Limiter) lendableWork(promised, unused float64) float64 {
 	available := max(promised, unused)
 	if t.restraint < strictRestraint {
 		return available * math.Pow(maxLendingFactor, strictRestraint-t.restraint)
--- a/internal/decide/tenancy/simulation_test.go
+++ b/internal/decide/tenancy/simulation_test.go
@@ -7,7 +7,8 @@
 
 const ms = time.Millisecond
 
-// offeredLoad is a tenant that sends rate requests a second of the given work each, evenly, from start on.
+// offeredLoad is the load of one tenant: from start on, it sends rate requests per second at equal intervals, each with
+// the given work.
 type offeredLoad struct {
 	tenant int
 	rate   float64
@@ -15,13 +16,14 @@
 	start  time.Duration
 }
 
-// tenantResult counts the requests of one tenant in the measured part of a simulation.
+// tenantResult counts a tenant's requests in the measured part of a simulation.
 type tenantResult struct{ sent, admitted, inTime int }
 
 func (r tenantResult) goodput() float64 { return float64(r.inTime) / float64(max(1, r.sent)) }
 
-// simulate offers loads for 30 s to a single worker that does one second of work a second, first come first served. A
-// request that waits longer than 200 ms misses its objective; one that would wait longer than a second is given up then.
+// simulate offers loads for 30 s to a single worker that does one second of work per second in order of arrival. A
+// request that waits longer than 200 ms misses its objective, and a request that would wait longer than a second is
+// given up.
 func simulate(limiter *Limiter, loads ...offeredLoad) (results []tenantResult, utilization float64) {
 	const duration, measured = 30 * time.Second, 15 * time.Second
 	type request struct {
--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -1,70 +1,71 @@
-// Package tenancy decides which requests a front end admits when tenants demand more than there is: those of tenants
-// within their shares always, of the others as much as is left. It is pure: times come in as durations since the
-// process's start, and there is no randomness.
+// Package tenancy decides which requests a front end admits when the demand of all tenants exceeds the capacity.
+// Requests of tenants within their shares are always admitted; of the other tenants' requests, as many as the remaining
+// capacity allows. The package does no I/O and reads no clock: times are passed in as durations since the start of the
+// process, and there is no randomness.
 //
-// Each front end decides by what it observes itself. Requests count by the work that they are expected to make,
-// since a tenant whose requests take twenty times as long takes twenty times as much. Idle capacity may be borrowed
-// without limit while no tenant within its share suffers by it; docs/tenants.md discusses the alternatives, start-time
-// fair queueing and deficit round robin among them.
+// Each front end decides by its own observations. Requests are weighted by their expected work, since a tenant whose
+// requests take twenty times as long uses twenty times as much capacity. Idle capacity may be borrowed without limit as
+// long as no tenant within its share lacks capacity as a result; docs/tenants.md discusses alternatives such as
+// start-time fair queueing and deficit round robin.
 //
-// No constant of this package belongs to one installation.
+// No constant of this package is specific to one installation.
 package tenancy
 
 import "time"
 
-// evaluationInterval is the least time between two evaluations of who demands how much.
+// evaluationInterval is the minimum time between two evaluations of the tenants' demands.
 const evaluationInterval = 100 * time.Millisecond
 
-// ShareBasis is the measure by which shares are held.
+// ShareBasis is the measure by which shares are enforced.
 type ShareBasis int
 
 const (
-	// ByWork measures what a tenant's requests take at the workers.
+	// ByWork measures the work of a tenant's requests at the workers.
 	ByWork ShareBasis = iota
-	// ByRequestCount measures their number: each counts as the same work.
+	// ByRequestCount measures the number of a tenant's requests; each request counts as the same amount of work.
 	ByRequestCount
-	// NotEnforced means that shares are not held; quotas are.
+	// NotEnforced means that shares are not enforced. Quotas still are.
 	NotEnforced
 )
 
-// Settings are what the tenants were promised. Tenants are numbered from 0.
+// Settings are the shares and quotas of the tenants. Tenants are numbered from 0.
 type Settings struct {
-	Shares []float64 // by tenant, relative to their sum; a tenant of share 0 is promised nothing
-	Quotas []float64 // by tenant, requests a second at this front end; 0 or missing is no limit
+	Shares []float64 // shares by tenant, relative to their sum; a share of 0 guarantees nothing
+	Quotas []float64 // quotas by tenant, in requests per second at this front end; 0 or missing means no limit
 	Basis  ShareBasis
 }
 
-// Verdict is the decision on a request.
+// Verdict is the admission decision on a request.
 type Verdict int
 
 const (
 	// Admit means that the request is admitted.
 	Admit Verdict = iota
-	// OverQuota means that it is rejected because the tenant's quota is used up.
+	// OverQuota means that the request is rejected because its tenant's quota is used up.
 	OverQuota
-	// OverShare means that it is rejected because the tenant exceeds its share while others lack theirs.
+	// OverShare means that the request is rejected because its tenant exceeds its share while others cannot use theirs.
 	OverShare
 )
 
-// String returns the reason that a client is given. The texts are part of the protocol.
+// String returns the reason that is given to the client. The texts are part of the protocol.
 func (v Verdict) String() string {
 	return [...]string{"taken", "its tenant's quota is used up", "its tenant is beyond its share while others lack theirs"}[v]
 }
 
-// Limiter is the state of one front end. It belongs to one goroutine, the event loop.
+// Limiter enforces the shares and quotas at one front end. It belongs to a single goroutine, the event loop.
 type Limiter struct {
 	settings       Settings
 	tenants        []tenantState
 	active         []int          // tenants that sent requests recently
-	firstRequest   time.Duration  // when it was received
-	received       decayedSum     // requests of all tenants
-	rateMemory     time.Duration  // of the rates of work
-	lastEvaluation time.Duration  // 0 before the first request
-	workDone       decayedSum     // seconds
-	lastOutcome    time.Duration  // last end of a request of a tenant within its share
-	recentOutcomes outcomeCounter // of the requests of tenants within their shares
-	longOutcomes   outcomeCounter // the same, with a longer memory
-	restraint      float64        // of lending, 0 to maxRestraint
+	firstRequest   time.Duration  // time of the first request
+	received       decayedSum     // decayed number of requests of all tenants
+	rateMemory     time.Duration  // time constant of the decayed work rates
+	lastEvaluation time.Duration  // time of the last evaluation, 0 before the first request
+	workDone       decayedSum     // decayed work of served requests, in seconds
+	lastOutcome    time.Duration  // last time at which a request of a tenant within its share ended
+	recentOutcomes outcomeCounter // outcomes of tenants within their shares, with recentOutcomeMemory
+	longOutcomes   outcomeCounter // outcomes of tenants within their shares, with longOutcomeMemory
+	restraint      float64        // restriction of lending, 0 to maxRestraint; see Restraint
 }
 
 // New returns a Limiter without observations.
@@ -72,8 +73,7 @@
 	return &Limiter{settings: settings, tenants: make([]tenantState, len(settings.Shares)), rateMemory: minRateMemory}
 }
 
-// RequestReceived decides on a request of a tenant that is received at now. Requests of unknown tenants are
-// admitted.
+// RequestReceived decides on a request of a tenant that was received at now. Requests of unknown tenants are admitted.
 func (t *Limiter) RequestReceived(now time.Duration, tenant int) Verdict {
 	if tenant >= len(t.tenants) {
 		return Admit
@@ -83,7 +83,7 @@
 		t.countRequest(now, tenant)
 	}
 	switch {
-	case !t.withinQuota(now, tenant):
+	case !t.consumeQuota(now, tenant):
 		return OverQuota
 	case t.settings.Basis != NotEnforced && !t.tenants[tenant].useCredit():
 		return OverShare
@@ -91,7 +91,7 @@
 	return Admit
 }
 
-// countRequest takes a request into the demand of its tenant.
+// countRequest adds a request to the demand of its tenant.
 func (t *Limiter) countRequest(now time.Duration, tenant int) {
 	t.received.add(now, longOutcomeMemory, 1)
 	state := &t.tenants[tenant]
@@ -102,7 +102,8 @@
 	}
 }
 
-// useCredit reports whether the next request is within the admitted fraction, which is spread evenly.
+// useCredit reports whether the tenant's next request is admitted. Admissions are spread evenly over the requests, at
+// the rate of the admitted fraction.
 func (s *tenantState) useCredit() bool {
 	s.credit += s.admitFraction
 	if s.credit < 1 {
@@ -112,14 +113,14 @@
 	return true
 }
 
-// RequestEnd is how an admitted request ended.
+// RequestEnd is the outcome of an admitted request.
 type RequestEnd struct {
-	Work            time.Duration // the estimated work of a request of its function, 0 if unknown
+	Work            time.Duration // estimated work of one request of the function, 0 if unknown
 	Served          bool
-	MissedObjective bool // for want of capacity: rejected, timed out or late
+	MissedObjective bool // whether the request was rejected, timed out or late for lack of capacity
 }
 
-// RequestEnded records the end of an admitted request of a tenant at now.
+// RequestEnded records that an admitted request of a tenant ended at now.
 func (t *Limiter) RequestEnded(now time.Duration, tenant int, end RequestEnd) {
 	if tenant >= len(t.tenants) || t.settings.Basis == NotEnforced {
 		return
@@ -148,14 +149,15 @@
 	}
 }
 
-// evaluate judges who demands more than a share, whether those who do not suffer, and what the others may have.
+// evaluate determines which tenants demand more than their shares, whether the remaining tenants lack capacity, and how
+// much the tenants over their shares are allocated.
 //
-// It guards against a tenant's burst that takes what others were promised. It could harm where requests of tenants
-// within their shares miss their objectives by a fault of their own, say functions slower than the objective: the
-// others then get their shares and what these leave, and no more.
+// It keeps a burst of one tenant from using the capacity promised to others. Its drawback appears where requests of
+// tenants within their shares miss their objectives for a reason of their own, such as functions slower than the
+// objective: the other tenants are then limited to their shares and the capacity left unused.
 func (t *Limiter) evaluate(now time.Duration) {
 	if now-t.lastEvaluation > longOutcomeMemory {
-		t.restraint = 0 // no request was received meanwhile
+		t.restraint = 0 // no request was received since the last evaluation
 	}
 	t.lastEvaluation = now
 	t.updateRateMemory(now)
@@ -163,10 +165,10 @@
 	t.updateRestraint(t.hasShortage(now))
 	over, othersWork := t.findOverShare(total)
 	if t.restraint > 0 && len(over) > 0 {
-		t.divide(over, othersWork, total.shares, t.workDone.at(now, t.rateMemory))
+		t.allocate(over, othersWork, total.shares, t.workDone.at(now, t.rateMemory))
 	}
 }
 
-// Restraint is how far lending is held back now, 0 to 2: at 0 all that is demanded is lent, at 1 what tenants within
-// their shares leave, at 2 nothing.
+// Restraint returns how far lending of capacity is restricted, from 0 to 2. At 0 all demand is admitted, at 1 only the
+// capacity left by tenants within their shares is lent, and at 2 no capacity is lent.
 func (t *Limiter) Restraint() float64 { return t.restraint }
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -14,7 +14,7 @@
 				shares[i] = 1 / float64(n)
 			}
 			limiter := New(Settings{Shares: shares})
-			for i := range b.N { // 10,000 requests a second, of twenty tenants
+			for i := range b.N { // 10,000 requests per second from up to 20 tenants
 				now := time.Duration(i) * 100 * time.Microsecond
 				limiter.RequestReceived(now, i%20%n)
 				limiter.RequestEnded(now, i%20%n, RequestEnd{Work: ms, Served: true, MissedObjective: i%7 == 0})
--- a/internal/decide/tenancy/workestimate.go
+++ b/internal/decide/tenancy/workestimate.go
@@ -6,40 +6,41 @@
 )
 
 const (
-	// tenantAverageWindow is the number of requests that the moving average of a tenant's work remembers.
+	// tenantAverageWindow is the window of the moving average of a tenant's work, in requests.
 	tenantAverageWindow = 10
-	// elapsedBatch is the number of elapsed times of which the shortest counts, and the number of reported ones that
-	// the moving average remembers.
+	// elapsedBatch is the number of elapsed times in a batch, of which only the shortest is used. It is also the window of
+	// the moving average of reported execution times.
 	elapsedBatch = 4
-	// changedFactor is how many times the average the shortest of a batch must be to replace it: the function does
-	// other work by now.
+	// changedFactor is the multiple of the average above which the shortest elapsed time of a batch replaces the average,
+	// because the work of the function must have changed.
 	changedFactor = 2
 )
 
-// WorkEstimator estimates the work of one request of one function: the time for which it occupies a worker. What
-// workers report counts where they do. Else, the shortest of a few elapsed times counts: the time that requests wait
-// for each other is not work, and would make all functions look alike where it is long.
+// WorkEstimator estimates the work of one request of one function, which is the time for which the request occupies a
+// worker. It uses the execution times that workers report, if they do. Otherwise, it uses the shortest of several
+// elapsed times: time spent in a queue is not work, and a long queue would make all functions look alike.
 //
-// The zero value is ready to use. It is not safe for concurrent use.
+// The zero value is ready to use. A WorkEstimator is not safe for concurrent use.
 type WorkEstimator struct {
-	mean     float64 // seconds; 0 before the first observation
-	shortest float64 // seconds, of the batch in progress
-	count    int     // elapsed times in that batch
+	mean     float64 // estimated work in seconds, 0 before the first observation
+	shortest float64 // shortest elapsed time of the current batch, in seconds
+	count    int     // number of elapsed times in the current batch
 }
 
-// ObserveReported takes the execution time that a worker reported.
+// ObserveReported records an execution time that a worker reported.
 func (c *WorkEstimator) ObserveReported(execution time.Duration) {
 	c.mean = movingAverage(c.mean, execution, elapsedBatch)
 	c.count = 0
 }
 
-// movingAverage takes a sample into an average in seconds that remembers window samples; 0 is no sample yet.
+// movingAverage returns the mean, in seconds, updated with a sample at the weight 1/window. A mean of 0 means that
+// there is no sample yet.
 func movingAverage(mean float64, sample time.Duration, window float64) float64 {
 	mean = cmp.Or(mean, sample.Seconds())
 	return mean + (sample.Seconds()-mean)/window
 }
 
-// ObserveElapsed takes the time from sending a request to its response, waiting included.
+// ObserveElapsed records the time from sending a request to its response, including any queue delay.
 func (c *WorkEstimator) ObserveElapsed(elapsed time.Duration) {
 	c.count++
 	if c.count == 1 || elapsed.Seconds() < c.shortest {
@@ -57,13 +58,13 @@
 	}
 }
 
-// ObserveAbandoned takes a request that was given up after elapsed, unanswered. Several in a row mean that the
-// function takes longer than estimated.
+// ObserveAbandoned records a request that was given up after elapsed without a response. Several such requests in a row
+// mean that the function takes longer than estimated.
 func (c *WorkEstimator) ObserveAbandoned(elapsed time.Duration) {
 	if elapsed.Seconds() > c.mean {
 		c.ObserveElapsed(elapsed)
 	}
 }
 
-// Estimate is the expected work of one request, 0 before the first observation.
+// Estimate returns the expected work of one request, or 0 before the first observation.
 func (c *WorkEstimator) Estimate() time.Duration { return time.Duration(c.mean * float64(time.Second)) }
