--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -11,7 +11,7 @@
 	never  = 1000 * time.Hour
 )
 
-func TestMovingAverage_FirstSamples_CountFully(t *testing.T) {
+func TestMovingAverage_FirstSamples_HaveEqualWeight(t *testing.T) {
 	var average MovingAverage
 	if got := average.Duration(time.Second); got != time.Second {
 		t.Errorf("average without samples is %v, want the prior of 1s", got)
@@ -43,7 +43,7 @@
 		decayed.Read(decayed.ReadAt+halfLife, memory)
 	}
 	if math.Abs(decayed.Value-1) > 1e-6 {
-		t.Errorf("8 is %v after three half-lives, want 1", decayed.Value)
+		t.Errorf("a value of 8 is %v after three half-lives, want 1", decayed.Value)
 	}
 }
 
@@ -63,7 +63,7 @@
 			count.Add(now, memory, 0.05)
 		}
 		if rate := count.RatePerSecond(age, memory, age); math.Abs(rate-50) > 0.1 {
-			t.Errorf("50 a second are counted as %v after %v", rate, age)
+			t.Errorf("rate is %v after %v, want 50 per second", rate, age)
 		}
 	}
 }
@@ -113,13 +113,14 @@
 	}
 }
 
-// TestMix_Values_AreUniformAndFixed pins two values: placement on workers and all random draws follow from them.
+// TestMix_Values_AreUniformAndFixed pins two hash values, because placement on workers and all random draws depend on
+// the hash.
 func TestMix_Values_AreUniformAndFixed(t *testing.T) {
 	if first, second := Mix(1, 2), Mix(42, 1<<63); first != 0xc6c62fe4e45e3f6f || second != 0xde7518d6b83e4283 {
-		t.Errorf("hashes are %#x and %#x, want those of before", first, second)
+		t.Errorf("hashes are %#x and %#x, want 0xc6c62fe4e45e3f6f and 0xde7518d6b83e4283", first, second)
 	}
 	if Mix(1, 2) == Mix(2, 1) {
-		t.Error("the hash does not depend on the order of its parts")
+		t.Error("the hash does not depend on the order of its arguments")
 	}
 	const draws = 10000
 	sum := 0.0
