--- a/internal/decide/endpointlease/endpointlease.go
+++ b/internal/decide/endpointlease/endpointlease.go
@@ -39,9 +39,9 @@
 // Rules are the platform's times after which a front end counts as notified of a change. If Silence is 0, endpoint
 // lists never expire.
 type Rules struct {
-	Silence time.Duration // delay of the notification after the service's last message
-	Break   time.Duration // delay of the notification after the service's stream was interrupted
-	Grace   time.Duration // time after the notification in which new work may still start at a draining worker
+	Silence time.Duration // time from the start of the service's silence until the front end counts as notified
+	Break   time.Duration // time from an interruption of the service's stream until the front end counts as notified
+	Grace   time.Duration // time after the notification during which new work may still start at a draining worker
 }
 
 // HealthCheckTimeout returns how long new work waits for a worker's response to a health check: the connect timeout,
--- a/internal/decide/loadshed/loadshed_test.go
+++ b/internal/decide/loadshed/loadshed_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("%d of 300 requests rejected, want 200: all after the first interval", rejected)
 	}
 	if got := shedder.QueueLimit(); got < 2 || got > 10 {
-		t.Errorf("queue limit %d at 1 ms per request, want 10 at most, and less because of the recent rejections", got)
+		t.Errorf("queue limit %d at 1 ms per request, want 2 to 10: 10 ms of requests, or fewer after the recent rejections", got)
 	}
 	if shedder.ShouldReject(300*ms, 4*ms) || shedder.QueueLimit() > 10 {
 		t.Error("request with a short delay rejected, or limit lifted after a single short delay")
