--- a/internal/decide/endpointlease/endpointlease_test.go
+++ b/internal/decide/endpointlease/endpointlease_test.go
@@ -26,9 +26,9 @@
 		"older confirmation":        {func(l *Lease) { l.Confirm(start + time.Second); l.Confirm(start) }, 5 * time.Second},
 		"interrupted":               {func(l *Lease) { l.Confirm(start); l.Interrupt() }, 2 * time.Second},
 		"interrupted twice":         {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.Interrupt() }, 2 * time.Second},
-		"requested again":           {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.Request(start + time.Second) }, time.Second},
-		"requested after expiry":    {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.Request(start + time.Minute) }, 2 * time.Second},
-		"confirmed after a request": {func(l *Lease) { l.Request(start); l.Confirm(start + time.Second) }, 5 * time.Second},
+		"requested again":           {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.RequestUpdate(start + time.Second) }, time.Second},
+		"requested after expiry":    {func(l *Lease) { l.Confirm(start); l.Interrupt(); l.RequestUpdate(start + time.Minute) }, 2 * time.Second},
+		"confirmed after a request": {func(l *Lease) { l.RequestUpdate(start); l.Confirm(start + time.Second) }, 5 * time.Second},
 	}
 	for name, c := range cases {
 		lease := New(platformRules, start)
@@ -42,7 +42,7 @@
 func TestLease_WithoutRules_NeverExpires(t *testing.T) {
 	lease := New(Rules{Grace: time.Second}, time.Minute)
 	lease.Interrupt()
-	lease.Request(time.Minute)
+	lease.RequestUpdate(time.Minute)
 	if lease.Until() != Unlimited || (Rules{}).AcceptedUntil(time.Minute) != Unlimited {
 		t.Errorf("lease expires at %v, acceptance at %v; want both Unlimited", lease.Until(), (Rules{}).AcceptedUntil(time.Minute))
 	}
@@ -81,7 +81,7 @@
 		}
 		if rapid.Bool().Draw(t, "requested") {
 			requestedAt := outageAt + draw("requested after")
-			lease.Request(requestedAt)
+			lease.RequestUpdate(requestedAt)
 			notified = max(drainAt, min(notified, requestedAt))
 		}
 		if end := notified + platformRules.Grace; lease.Until() > end {
--- a/internal/gateway/endpoint_changes.go
+++ b/internal/gateway/endpoint_changes.go
@@ -143,7 +143,7 @@
 
 // ListRequested implements discovery.Sink.
 func (e discoveryEvents) ListRequested(at time.Time) {
-	e.loop.endpointChanges.observe(func(lease *endpointlease.Lease) { lease.Request(e.onLoopClock(at)) })
+	e.loop.endpointChanges.observe(func(lease *endpointlease.Lease) { lease.RequestUpdate(e.onLoopClock(at)) })
 }
 
 // ListConfirmed implements discovery.Sink.
