--- a/internal/decide/endpointlease/endpointlease.go
+++ b/internal/decide/endpointlease/endpointlease.go
@@ -91,8 +91,8 @@
 // Interrupt records that the stream from the service was interrupted at some time since the last confirmation.
 func (l *Lease) Interrupt() { l.notifiedAt = min(l.notifiedAt, l.confirmedAt+l.rules.Break) }
 
-// RequestUpdate records that changes were requested from the service at the given time. The front end counts as notified of
-// all changes that the service had by then.
+// RequestUpdate records that changes were requested from the service at the given time. The front end counts as
+// notified of all changes that the service had by then.
 func (l *Lease) RequestUpdate(at time.Duration) { l.notifiedAt = min(l.notifiedAt, at) }
 
 // ConfirmedAt returns the last time at which the list was known to match the service's.
