--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -10,15 +10,15 @@
 	"havencart/scheduler"
 )
 
-// RequestReceived admits a request or rejects it at once. One whose client disconnected while it waited in the event
-// loop's queue is dropped.
+// RequestReceived admits a request or rejects it immediately. It drops a request whose client disconnected, or that
+// expired, while the request waited in the event loop's queue.
 func (f *FrontEnd) RequestReceived(now time.Duration, request *Request) {
 	f.now = now
 	if request.state != requestSubmitted {
 		return
 	}
 	if !request.delivery.claim() {
-		request.enter(requestCompleted) // it expired while it waited
+		request.enter(requestCompleted) // the request expired in the queue
 		return
 	}
 	request.deadline = request.StartedAt + request.Timeout - f.settings.DeadlineMargin - f.lag.DeadlineMargin(now)
@@ -30,9 +30,9 @@
 	f.runDeferred()
 }
 
-// rejectionReason is why a request is rejected whatever its tenant and function, or noReason.
+// rejectionReason returns the reason to reject a request regardless of its tenant and function, or noReason.
 func (f *FrontEnd) rejectionReason(request *Request) Reason {
-	// The shedder observes the queue delay of each request, also of one that is rejected for another reason.
+	// The shedder must observe the queue delay of every request, including requests rejected for another reason.
 	queued := request.queuedAt > 0
 	overloaded := queued && f.shedder.ShouldReject(f.now, f.now-request.queuedAt)
 	switch {
@@ -48,8 +48,8 @@
 	return noReason
 }
 
-// QueueLimit returns how many requests may wait in the event loop's queue, of which so many wait at now. A request that
-// finds as many waiting is to be rejected without the FrontEnd.
+// QueueLimit returns how many requests may wait in the event loop's queue, given the number that are waiting at now.
+// While that many requests are waiting, the caller rejects further ones without passing them to the FrontEnd.
 func (f *FrontEnd) QueueLimit(now time.Duration, waiting int) int {
 	if waiting == 0 {
 		f.shedder.QueueEmptied(now)
@@ -57,13 +57,14 @@
 	return f.shedder.QueueLimit()
 }
 
-// reject gives a request that is not admitted its final response.
+// reject gives the final response to a request that is not admitted.
 func (f *FrontEnd) reject(request *Request, reason Reason) {
 	f.counts.Shed++
 	request.complete(FinalResponse{Kind: Rejected, Reason: reason.String(), RetryAfter: f.settings.Scheduler.MaxRetryAfter})
 }
 
-// admit hands a request to the scheduler, unless its tenant or its function's name forbids it.
+// admit passes a request to the scheduler. It rejects the request if the tenant is over its limit, or if the function's
+// identifier collides with that of another function.
 func (f *FrontEnd) admit(request *Request) {
 	if verdict := f.tenancy.RequestReceived(f.now, request.Tenant); verdict != tenancy.Admit {
 		f.reject(request, tenantRejection(verdict))
@@ -96,9 +97,9 @@
 	})
 }
 
-// registerFunction notes the use of a function with its latest replica specification. It returns nil for a function
-// whose name has the identifier of another one's, made so on purpose or by great chance: replicas of one would be
-// taken for the other's.
+// registerFunction records that a function was used and stores its latest replica specification. It returns nil if the
+// hash of the function's name collides with that of another known function, whether by chance or by intent: the
+// scheduler could not distinguish the replicas of the two functions.
 func (f *FrontEnd) registerFunction(id scheduler.FunctionID, replica muxframe.ReplicaSpec) *function {
 	known := f.functions[id]
 	if known == nil {
@@ -112,7 +113,7 @@
 	return known
 }
 
-// nextRequestID returns an identifier that no request in flight has; 0 is none.
+// nextRequestID returns a nonzero identifier that no request in flight uses.
 func (f *FrontEnd) nextRequestID() scheduler.RequestID {
 	for {
 		f.lastRequestID++
@@ -122,13 +123,13 @@
 	}
 }
 
-// fillNames gives a request the names that its client left out.
+// fillNames generates the request ID and the idempotency key if the client did not provide them.
 func (f *FrontEnd) fillNames(request *Request) {
 	if request.ID == "" {
 		request.ID = fmt.Sprintf("%s-%x-%d", f.settings.Name, f.settings.ClockStart.UnixNano(), request.id)
 	}
 	class := f.settings.Scheduler.Classes[request.Class]
 	if request.IdempotencyKey == "" && class.Idempotency == scheduler.IdempotentByKey {
-		request.IdempotencyKey = request.ID // so that at least our own retries are deduplicated
+		request.IdempotencyKey = request.ID // lets workers deduplicate at least the gateway's own retries
 	}
 }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -9,32 +9,32 @@
 	"havencart/scheduler"
 )
 
-// unknownQueueDepth stands in a result for a worker that reported no queue depth.
+// unknownQueueDepth is the queue depth in the result of an attempt for which the worker reported none.
 const unknownQueueDepth = -1
 
-// requestAttempt is one attempt of a request at one worker.
+// requestAttempt is one attempt to execute a request on one worker.
 type requestAttempt struct {
 	workerconn.Attempt
 	request *Request
-	number  int     // of the request's attempts, from 0
-	worker  *worker // nil: the scheduler named a worker that is not known
+	number  int     // index among the request's attempts, from 0
+	worker  *worker // nil if the scheduler chose an unknown worker
 	sentAt  time.Duration
-	timer   timer // its response timeout
+	timer   timer // response timeout, or the end of the permit to send if that is earlier
 	state   attemptState
 }
 
-// attemptState is where an attempt stands. See requestAttempt.enter for the transitions.
+// attemptState is the state of an attempt. See requestAttempt.enter for the transitions.
 type attemptState uint8
 
 const (
-	attemptAwaitingWorker attemptState = iota // its worker has not confirmed that it accepts new work
-	attemptPending                            // queued, or sent and without a response
-	attemptStreaming                          // its response has started and is passed on to the client
-	attemptEnded                              // final: its outcome was reported to the scheduler
+	attemptAwaitingWorker attemptState = iota // held until the worker confirms that it accepts new work
+	attemptPending                            // queued for sending, or sent and awaiting the response
+	attemptStreaming                          // the response has started and is being forwarded to the client
+	attemptEnded                              // final state: the outcome is reported to the scheduler
 )
 
-// enter moves the attempt to its next state and reports whether it did. The state only moves forward, so that the
-// first end of an attempt is the one that counts.
+// enter moves the attempt to the state next and reports whether the state changed. The state only moves forward, so
+// that only the first event that ends an attempt takes effect.
 func (attempt *requestAttempt) enter(next attemptState) bool {
 	if next <= attempt.state {
 		return false
@@ -43,7 +43,8 @@
 	return true
 }
 
-// Send implements scheduler.Actions: it starts an attempt, which times out at until.
+// Send implements scheduler.Actions. It starts an attempt that times out at until, or at the request's deadline if that
+// is earlier or until is not positive.
 func (f *FrontEnd) Send(id scheduler.RequestID, to scheduler.WorkerID, until time.Duration) {
 	request := f.requests[id]
 	if request == nil {
@@ -74,8 +75,8 @@
 	f.begin(attempt)
 }
 
-// permit has the guard permit an attempt, and reports whether it did. What it forbids is a fault of the scheduler's
-// decision: it is counted and not sent.
+// permit checks an attempt against the execution rules and reports whether it may be sent. An attempt that would break
+// a rule is a fault in the scheduler's decision: it is counted as a violation and must not be sent.
 func (f *FrontEnd) permit(attempt *requestAttempt) bool {
 	request := attempt.request
 	if attempt.worker == nil || attempt.worker.state != scheduler.Ready {
@@ -91,13 +92,13 @@
 	return true
 }
 
-// violated counts and logs a violation that was prevented.
+// violated counts and logs a rule violation that was prevented.
 func (f *FrontEnd) violated(violation execution.Violation, request *Request) {
 	f.guard.Count(violation)
 	f.trace.violated(f.now, violation, request)
 }
 
-// newAttempt returns a request's next attempt.
+// newAttempt returns the request's next attempt, for the worker target, with until as its deadline.
 func (f *FrontEnd) newAttempt(request *Request, target *worker, until time.Duration) *requestAttempt {
 	return &requestAttempt{
 		Attempt: workerconn.Attempt{
@@ -119,7 +120,7 @@
 	}
 }
 
-// sendable reports whether a worker is known, a response is owed and time is left.
+// sendable reports whether the attempt's worker is known, the request still awaits its final response and time is left.
 func (f *FrontEnd) sendable(attempt *requestAttempt) bool {
 	if attempt.worker == nil || attempt.request.state != requestInFlight {
 		return false
@@ -127,7 +128,7 @@
 	return attempt.Deadline > f.now
 }
 
-// tenantName is the name of a tenant, empty where the settings list none.
+// tenantName returns the name of the tenant with that index, or an empty string if the settings list no tenants.
 func (f *FrontEnd) tenantName(tenant int) string {
 	if tenant < len(f.settings.Tenants) {
 		return f.settings.Tenants[tenant]
@@ -135,7 +136,7 @@
 	return ""
 }
 
-// Cancel implements scheduler.Actions: it gives up a pending attempt.
+// Cancel implements scheduler.Actions. It cancels the current attempt, unless its response is already being streamed.
 func (f *FrontEnd) Cancel(id scheduler.RequestID, number int) {
 	request := f.requests[id]
 	if request == nil || request.current == nil {
@@ -148,8 +149,8 @@
 	f.deferred = append(f.deferred, func() { f.abandonAttempt(attempt, scheduler.Cancelled, attemptCancelled) })
 }
 
-// ResponseStarted takes the start of a streamed response: it is the final response, and is passed on to the client
-// while it is received.
+// ResponseStarted handles the start of a streamed response. That response is the final response of the request and is
+// forwarded to the client as it arrives.
 func (f *FrontEnd) ResponseStarted(now time.Duration, sent *workerconn.Attempt, result workerconn.Result) {
 	f.now = now
 	attempt := f.attempts[sent]
@@ -160,17 +161,18 @@
 		f.abandonAttempt(attempt, scheduler.Cancelled, attemptUnwanted)
 	} else {
 		attempt.enter(attemptStreaming)
-		f.timers.remove(&attempt.timer) // the client's connection bounds how long a response may stall
+		f.timers.remove(&attempt.timer) // the client connection limits how long a stream may stall
 		f.scheduler.ResponseStarted(now, attempt.request.id)
 		f.respond(attempt.request, FinalResponse{Kind: Served, Response: result.Response, Worker: attempt.worker.Name})
-		if attempt.request.expired { // nobody reads the stream
+		if attempt.request.expired { // the client has its final response and does not read the stream
 			f.abandonAttempt(attempt, scheduler.Cancelled, attemptUnwanted)
 		}
 	}
 	f.runDeferred()
 }
 
-// AttemptEnded takes the outcome of an attempt from its worker client. An attempt that has ended already is ignored.
+// AttemptEnded handles the outcome of an attempt, as reported by its worker client. It ignores an attempt that has
+// already ended.
 func (f *FrontEnd) AttemptEnded(now time.Duration, sent *workerconn.Attempt, result workerconn.Result) {
 	f.now = now
 	if attempt := f.attempts[sent]; attempt != nil {
@@ -182,11 +184,11 @@
 	f.runDeferred()
 }
 
-// LateResponse counts a response that nothing waited for any longer.
+// LateResponse counts a worker's response to an attempt that has already ended.
 func (f *FrontEnd) LateResponse(time.Duration) { f.counts.LateResponses++ }
 
-// abandonAttempt ends an attempt from this side. One that was not sent ends as that: NotSent where it was cancelled,
-// and ConnectFailed where it timed out in the send queue, as there was no connection that took it.
+// abandonAttempt ends an attempt on the gateway's initiative. If the attempt was never sent, its status is NotSent,
+// except that an attempt that timed out in the send queue ends with ConnectFailed, because no connection took it.
 func (f *FrontEnd) abandonAttempt(attempt *requestAttempt, status scheduler.Status, reason Reason) {
 	if attempt.state == attemptEnded {
 		return
@@ -203,13 +205,13 @@
 	f.endAttempt(attempt, abandonedResult(status, reason))
 }
 
-// abandonedResult is the result of an attempt that was ended from this side.
+// abandonedResult returns the result of an attempt that the gateway ended itself.
 func abandonedResult(status scheduler.Status, reason Reason) workerconn.Result {
 	return workerconn.Result{Status: status, Reason: reason.String(), QueueDepth: unknownQueueDepth}
 }
 
-// endAttempt reports the outcome of an attempt to the scheduler, once. The request gets its final response before,
-// where the worker served it.
+// endAttempt ends an attempt and reports its outcome to the scheduler, at most once. If the worker served the request,
+// the request gets its final response before the scheduler is notified.
 func (f *FrontEnd) endAttempt(attempt *requestAttempt, result workerconn.Result) {
 	if !attempt.enter(attemptEnded) {
 		return
@@ -245,7 +247,7 @@
 	f.forget(request)
 }
 
-// countAttempt counts how an attempt ended, where no response of the worker ended it.
+// countAttempt counts an attempt that ended without a response from the worker.
 func (f *FrontEnd) countAttempt(status scheduler.Status) {
 	switch status {
 	case scheduler.NotSent, scheduler.ConnectFailed:
@@ -255,8 +257,9 @@
 	}
 }
 
-// latency is how long an attempt took until its response was read. What the response then waited for the event loop
-// is left out: counted as the worker's, a loop that lags would hold back requests from workers that are fast.
+// latency returns the time from the start of an attempt until its response was read. The time that the response then
+// waited for the event loop is excluded: if it were attributed to the worker, a lagging event loop would make the
+// scheduler send fewer requests to fast workers.
 func (f *FrontEnd) latency(attempt *requestAttempt, result workerconn.Result) time.Duration {
 	if result.ReceivedAt > attempt.sentAt && result.ReceivedAt < f.now {
 		return result.ReceivedAt - attempt.sentAt
@@ -264,7 +267,7 @@
 	return f.now - attempt.sentAt
 }
 
-// learnCost learns from an attempt how long requests of its function execute, without the cold starts in it.
+// learnCost updates the estimate of the function's execution time from an attempt, leaving out cold starts.
 func (f *FrontEnd) learnCost(attempt *requestAttempt, result workerconn.Result) {
 	cost := &attempt.request.function.cost
 	coldStart := result.ColdStart == scheduler.ColdStartTriggered || result.ColdStart == scheduler.ColdStartAwaited
--- a/internal/gateway/catalog.go
+++ b/internal/gateway/catalog.go
@@ -11,30 +11,30 @@
 	"havencart/internal/native/muxframe"
 )
 
-// Catalog is what the settings say of classes, tenants and functions, by name. It does not change: its methods may be
-// called from any goroutine.
+// Catalog holds the classes, tenants and functions that the settings define, and resolves their names. It is immutable,
+// so its methods may be called from any goroutine.
 type Catalog struct {
 	Classes    []CatalogClass // in the order of Settings.Classes
 	Tenants    []string       // in the order of Settings.Tenants
 	Functions  map[string]CatalogFunction
-	ListedOnly bool // requests for other functions are invalid
+	ListedOnly bool // whether requests for functions that are not listed are invalid
 }
 
-// CatalogClass is a class as clients name it, with defaults for its functions.
+// CatalogClass is a class, with the defaults for its functions.
 type CatalogClass struct {
 	Name       string
-	MaxTimeout time.Duration // where a request gives none, and at most
+	MaxTimeout time.Duration // upper bound of a request's timeout, and its default
 	Replica    muxframe.ReplicaSpec
 }
 
-// CatalogFunction is a function that the settings list.
+// CatalogFunction is a function that is listed in the settings.
 type CatalogFunction struct {
 	Class   int // index into Catalog.Classes
 	Replica muxframe.ReplicaSpec
 }
 
-// UnknownNameError is returned for a request that names something that the settings do not list. Clients receive its
-// text.
+// UnknownNameError is returned for a request with the name of a function, class or tenant that the settings do not list.
+// Its text is sent to clients.
 type UnknownNameError struct {
 	Kind string // "function", "class" or "tenant"
 	Name string
@@ -43,7 +43,8 @@
 // Error implements error.
 func (e *UnknownNameError) Error() string { return fmt.Sprintf("no %s %q", e.Kind, e.Name) }
 
-// ClassMismatchError is returned for a request that gives a listed function another class. Clients receive its text.
+// ClassMismatchError is returned for a request that gives a listed function a class other than its own. Its text is sent
+// to clients.
 type ClassMismatchError struct{ Function, Class string }
 
 // Error implements error.
@@ -51,7 +52,7 @@
 	return fmt.Sprintf("function %q is not of class %q", e.Function, e.Class)
 }
 
-// NewCatalog returns what the settings say of classes, tenants and functions.
+// NewCatalog returns the catalog of the classes, tenants and functions in the settings.
 func NewCatalog(set *gatewayconfig.Settings) *Catalog {
 	catalog := &Catalog{Functions: map[string]CatalogFunction{}, ListedOnly: set.ListedFunctionsOnly}
 	for _, class := range set.Classes {
@@ -72,8 +73,8 @@
 	return catalog
 }
 
-// Resolve fills in a request's class, tenant, timeout and replica specification. An error means that the request is
-// invalid; it is an *UnknownNameError or a *ClassMismatchError.
+// Resolve sets the class, tenant, timeout and replica specification of request from the request that was received. An
+// error means that the request is invalid; it is an *UnknownNameError or a *ClassMismatchError.
 func (k *Catalog) Resolve(received *httpserver.Request, request *Request) error {
 	function, listed := k.Functions[received.Function]
 	if !listed && k.ListedOnly {
@@ -111,10 +112,10 @@
 	return nil
 }
 
-// millis is a duration in milliseconds.
+// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// replicaSpec is the specification of a replica without its function.
+// replicaSpec returns a replica specification without the function's name.
 func replicaSpec(memoryMB, concurrency int, loadTime time.Duration) muxframe.ReplicaSpec {
 	return muxframe.ReplicaSpec{MemoryMB: float64(memoryMB), Concurrency: concurrency, LoadMillis: millis(loadTime)}
 }
--- a/internal/gateway/counts.go
+++ b/internal/gateway/counts.go
@@ -7,35 +7,37 @@
 	"havencart/internal/shadow"
 )
 
-// Counts are the totals of a FrontEnd since its start. All but ShadowDifferences count requests, attempts or orders.
+// Counts are the totals of a FrontEnd since it started. Except for Violations and ShadowDifferences, each field counts
+// requests, attempts, responses, health checks, load orders or residency queries.
 type Counts struct {
-	// Admitted requests, and how they ended; Disconnected counts those whose client disconnected before the response,
-	// admitted or not.
+	// Admitted counts the admitted requests; Served, Rejected and Failed count them by their final response.
+	// Disconnected counts the requests, admitted or not, whose client disconnected before the final response.
 	Admitted, Served, Rejected, Failed, Disconnected uint64
-	// Shed requests were rejected without being admitted.
+	// Shed counts the requests that were rejected without being admitted.
 	Shed                                                 uint64
 	Attempts, LoadOrders, ResidencyQueries, HealthChecks uint64
-	// Retries are the Attempts after the first of their request. AttemptsNotSent ended without having been written whole,
-	// AttemptsUnanswered without a response although the worker may have received them.
+	// Retries counts the attempts other than the first one of their request. AttemptsNotSent counts the attempts that
+	// ended before they were completely written, AttemptsUnanswered those that the worker may have received but that
+	// ended without a response.
 	Retries, AttemptsNotSent, AttemptsUnanswered uint64
-	// LateResponses of workers were received when nothing waited for them any longer.
+	// LateResponses counts the workers' responses to attempts that had already ended.
 	LateResponses uint64
-	// PastDeadline counts final responses given by the FrontEnd because the scheduler did not decide in time.
+	// PastDeadline counts the final responses that the FrontEnd gave because the scheduler did not decide in time.
 	PastDeadline uint64
-	// Expired requests got their final response from their expiry, as the event loop did not give it in time. Those that the
-	// loop had admitted count as Failed and PastDeadline too.
+	// Expired counts the requests that got their final response from the expiry timer, because the event loop did not
+	// give it in time. Those that the loop had admitted also count as Failed and PastDeadline.
 	Expired uint64
-	// Violations are rules that were about to be broken, or were.
+	// Violations counts rule violations, both those that were prevented and those that were not.
 	Violations ViolationCounts
-	// ShadowDifferences are decisions in which the shadow settings diverge.
+	// ShadowDifferences counts the decisions that would have been different with the shadow settings.
 	ShadowDifferences shadow.Counts
 }
 
-// ViolationCounts is how often each rule was about to be broken or was, by execution.Violation. All are 0 unless the
-// program has a fault.
+// ViolationCounts is the number of violations of each rule, prevented or not, indexed by execution.Violation. All counts
+// are 0 unless the program has a fault.
 type ViolationCounts [execution.Violations]uint64
 
-// Total is how many there were.
+// Total returns the number of violations of all rules.
 func (v ViolationCounts) Total() (total uint64) {
 	for _, count := range v {
 		total += count
@@ -43,7 +45,7 @@
 	return total
 }
 
-// MarshalJSON writes the counts by name, without those that are 0.
+// MarshalJSON implements json.Marshaler. It encodes the nonzero counts as an object keyed by the violation's name.
 func (v ViolationCounts) MarshalJSON() ([]byte, error) {
 	named := map[string]uint64{}
 	for violation, count := range v {
@@ -54,7 +56,7 @@
 	return json.Marshal(named)
 }
 
-// Add adds the totals of another FrontEnd.
+// Add adds the totals of another FrontEnd to c.
 func (c *Counts) Add(other Counts) {
 	c.Admitted += other.Admitted
 	c.Served += other.Served
@@ -78,7 +80,7 @@
 	c.ShadowDifferences.Add(other.ShadowDifferences)
 }
 
-// Counts returns the totals.
+// Counts returns the totals since the FrontEnd started.
 func (f *FrontEnd) Counts() Counts {
 	if f.shadow != nil {
 		f.counts.ShadowDifferences = f.shadow.Counts()
@@ -88,7 +90,7 @@
 	return counts
 }
 
-// InFlight returns the number of requests that are owed a final response.
+// InFlight returns the number of admitted requests that have no final response yet.
 func (f *FrontEnd) InFlight() int {
 	inFlight := 0
 	for _, request := range f.requests {
@@ -99,5 +101,5 @@
 	return inFlight
 }
 
-// Idle reports whether nothing is in flight: neither requests nor responses on their way to clients.
+// Idle reports whether no requests or attempts are in flight, including responses that are still being streamed.
 func (f *FrontEnd) Idle() bool { return len(f.requests) == 0 && len(f.attempts) == 0 }
--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -6,7 +6,7 @@
 	"havencart/scheduler"
 )
 
-// SetTimer implements scheduler.Actions: it sets a timer of the scheduler's.
+// SetTimer implements scheduler.Actions. It sets a timer for the scheduler, which receives token when the timer fires.
 func (f *FrontEnd) SetTimer(after time.Duration, token uint64) {
 	f.timers.add(&timer{
 		kind:           schedulerTimer,
@@ -15,15 +15,15 @@
 	})
 }
 
-// setRequestTimer sets the timer for the final response that the scheduler does not give in time. It is due after the
-// request's deadline and before the client gives up.
+// setRequestTimer sets the timer that gives the final response if the scheduler does not give it in time. The timer is
+// due after the request's deadline and before the client gives up.
 func (f *FrontEnd) setRequestTimer(request *Request) {
 	due := request.StartedAt + request.Timeout - f.settings.DeadlineMargin/2
 	request.timer = timer{kind: requestTimer, due: due, request: request}
 	f.requestTimers.add(&request.timer)
 }
 
-// NextTimer returns when the next timer is due.
+// NextTimer returns the time at which the next timer is due.
 func (f *FrontEnd) NextTimer() time.Duration {
 	next := f.timers.first().due
 	if f.requestTimers.Len() > 0 {
@@ -32,7 +32,7 @@
 	return next
 }
 
-// ObserveLag notes that something else of the front end's process came late to what was due.
+// ObserveLag records that another goroutine of the process handled something later than it was due.
 func (f *FrontEnd) ObserveLag(now, late time.Duration) { f.lag.Observe(now, late) }
 
 // FireTimers fires the timers that are due at now.
@@ -47,7 +47,7 @@
 	}
 }
 
-// nextDue takes the next timer that is due out of its heap; nil: there is none.
+// nextDue removes and returns the next timer that is due, or returns nil if there is none.
 func (f *FrontEnd) nextDue() *timer {
 	if t := f.timers.popDue(f.now); t != nil {
 		return t
@@ -55,7 +55,7 @@
 	return f.requestTimers.popDue(f.now + f.lag.DeadlineMargin(f.now))
 }
 
-// fire does what a timer was set for.
+// fire carries out the action of a timer that is due.
 func (f *FrontEnd) fire(t *timer) {
 	switch t.kind {
 	case schedulerTimer:
@@ -79,22 +79,23 @@
 	}
 }
 
-// attemptDue ends an attempt that is out of time, or one that is still unsent when its permit ends.
+// attemptDue handles an attempt's timer. It ends an attempt whose deadline has passed, and one that is still unsent when
+// its permit to be sent ends.
 func (f *FrontEnd) attemptDue(attempt *requestAttempt) {
 	switch {
-	case attempt.state > attemptPending: // its response has started, or it has ended
+	case attempt.state > attemptPending: // the response has started, or the attempt has ended
 	case f.now >= attempt.Deadline:
 		f.abandonAttempt(attempt, scheduler.Timeout, attemptTimedOut)
 	case attempt.state == attemptAwaitingWorker || attempt.worker.cancelUnsent(attempt):
 		f.endAttempt(attempt, abandonedResult(scheduler.NotSent, attemptNotSentInTime))
-	default: // it was sent in time, and its response is waited for
+	default: // the attempt was sent in time: wait for the response until the deadline
 		attempt.timer.due = attempt.Deadline
 		f.timers.add(&attempt.timer)
 	}
 }
 
-// answerPastDeadline gives the final response that the scheduler has not given, as it counts on more time than an
-// event loop that lags has left. One that does not lag never needs it.
+// answerPastDeadline gives the final response in place of the scheduler, which assumes more remaining time than a lagging
+// event loop has. An event loop that does not lag never needs it.
 func (f *FrontEnd) answerPastDeadline(request *Request) {
 	f.counts.PastDeadline++
 	f.log.Warn().Str("request", request.ID).Str("function", request.Replica.Function).Int("attempts", request.attempts).
@@ -102,8 +103,9 @@
 	f.abort(request, NoResponse)
 }
 
-// abort ends a request against the scheduler's will: rejected only where no attempt can have executed. The request has
-// its final state before the scheduler is notified of its attempt, so that it is not sent again.
+// abort ends a request without a decision by the scheduler. The request is rejected if no attempt can have executed, and
+// failed otherwise. It enters its final state before the scheduler is notified of its attempt, so that the scheduler
+// does not retry it.
 func (f *FrontEnd) abort(request *Request, reason Reason) {
 	if request.state != requestInFlight {
 		return
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,13 +1,13 @@
-// Package gateway is one front end: it takes requests from clients' connections, has the scheduler decide where each
-// one is sent, and gives each exactly one final response.
+// Package gateway implements a front end: it receives requests from client connections, asks the scheduler which worker
+// each request is sent to, and gives each request exactly one final response.
 //
-// It has three layers. FrontEnd is the state machine of the requests: it receives events with their time, one at a
-// time, carries out the scheduler's actions, and does no I/O itself, so that it runs in real time, in tests and in a
-// simulation alike. EventLoop is the goroutine that owns a FrontEnd: everything else posts events to its bounded
-// queues. Service and PlatformServer are processes: a clients' listener and the event loops behind it, for our own
-// protocols and for the platform's.
+// The package has three layers. FrontEnd is the state machine that processes requests. It handles timestamped events
+// one at a time, carries out the scheduler's actions and does no I/O itself, so that the same code runs in production,
+// in tests and in the simulator. EventLoop is the goroutine that owns a FrontEnd; all other goroutines post events to
+// its bounded queues. Service and PlatformServer are complete server processes, each with a client listener and the
+// event loops behind it: Service uses the native protocols, PlatformServer those of the platform.
 //
-// A request's record has one owner at a time: the goroutine of its client's connection until Submit, the event loop
-// from there on. Its final response is a state that is entered once, in Request.complete. Times are durations since
-// Settings.ClockStart on the monotonic clock, read once an event.
+// A Request has one owner at a time: the goroutine of the client's connection until EventLoop.Submit, and the event
+// loop afterwards. Request.complete enters the state that stands for the final response, at most once. Times are
+// durations since Settings.ClockStart on the monotonic clock, which is read once per event.
 package gateway
--- a/internal/gateway/endpoint_changes.go
+++ b/internal/gateway/endpoint_changes.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// maxEndpointChanges is how many workers one step of the event loop takes in.
+	// maxEndpointChanges is the maximum number of changed workers that one step of the event loop handles.
 	maxEndpointChanges = 128
-	// maxPendingChanges bounds the workers whose changes wait for the loop; beyond, discovery waits too.
+	// maxPendingChanges is the number of workers with pending changes above which discovery waits for the event loop.
 	maxPendingChanges = 1 << 13
 )
 
-// endpointChanges are the changes of the endpoint list that wait for the event loop. Discovery adds them as they come, and
-// the loop takes some at each pass, so that no release of workers, however large, is one step of it. Of a worker that
-// changes again while it waits the last state counts. Workers that may get nothing new are taken first.
+// endpointChanges holds the changes of the endpoint list that the event loop has not handled yet. Discovery adds changes
+// as they arrive, and the loop takes a bounded number in each pass, so that a deployment of many workers does not become
+// one long step of the loop. If a worker with a pending change changes again, only its latest state is kept. Changes of
+// workers that must not be sent new work are taken first.
 type endpointChanges struct {
-	added workerconn.Signal // there is something to take
+	added workerconn.Signal // notifies the event loop that there is something to take
 
 	mu       sync.Mutex
-	byName   map[string]*discovery.Worker // those that wait
-	inOrder  []*discovery.Worker          // the same, by when they first changed
-	reported bool                         // something was reported, if only that the list is as it was
+	byName   map[string]*discovery.Worker // latest state of each worker with a pending change
+	inOrder  []*discovery.Worker          // the same workers, in the order of their first pending change
+	reported bool                         // whether there is a report to handle, possibly of an unchanged list
 
-	lease        endpointlease.Lease // on the list with all that was reported
-	leaseChanged bool                // since it was last taken
+	lease        endpointlease.Lease // lease on the list, with all reported changes applied
+	leaseChanged bool                // whether the lease changed since the last take
 }
 
-// endpointStep is what one step of the event loop takes in of what was reported of the endpoint list.
+// endpointStep is the part of the reported changes that one step of the event loop handles.
 type endpointStep struct {
 	changed  []discovery.Worker
-	reported bool // the list was reported, if only as it was
+	reported bool // whether the list was reported, possibly unchanged
 	lease    endpointlease.Lease
-	isWhole  bool // nothing that was reported waits any longer: the lease is on the list as it is after this step
+	isWhole  bool // whether no changes remain pending, so that the lease applies to the list after this step
 }
 
 func newEndpointChanges(lease endpointlease.Lease) *endpointChanges {
 	return &endpointChanges{added: workerconn.NewSignal(), byName: map[string]*discovery.Worker{}, lease: lease}
 }
 
-// add adds changes, and returns how many workers wait.
+// add adds changes and returns the number of workers with pending changes.
 func (c *endpointChanges) add(changed []discovery.Worker) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,7 +63,7 @@
 	return len(c.byName)
 }
 
-// observe changes the lease.
+// observe applies change to the lease.
 func (c *endpointChanges) observe(change func(lease *endpointlease.Lease)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,8 @@
 	c.added.Notify()
 }
 
-// take takes out what one step of the loop handles. It returns false if nothing was reported since the last call.
+// take removes and returns the changes that one step of the loop handles. It returns false if there is nothing to handle:
+// no pending changes, and neither a report nor a change of the lease since the last call.
 func (c *endpointChanges) take() (step endpointStep, isNews bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +93,7 @@
 	return step, true
 }
 
-// takeWhere adds the workers for which a condition holds to those taken, as long as a step has room for them.
+// takeWhere removes the pending workers that satisfy holds and appends them to taken, up to the maximum of a step.
 func (c *endpointChanges) takeWhere(taken []discovery.Worker, holds func(*discovery.Worker) bool) []discovery.Worker {
 	c.inOrder = slices.DeleteFunc(c.inOrder, func(worker *discovery.Worker) bool {
 		if len(taken) == maxEndpointChanges || !holds(worker) {
@@ -104,7 +106,7 @@
 	return taken
 }
 
-// takeEndpointChanges hands some changes of the endpoint list to the FrontEnd.
+// takeEndpointChanges passes pending changes of the endpoint list to the FrontEnd, at most one step's worth.
 func (l *EventLoop) takeEndpointChanges() {
 	step, isNews := l.endpointChanges.take()
 	if !isNews {
@@ -118,15 +120,15 @@
 	l.endStep(stepEndpoints, now)
 }
 
-// discoveryEvents hands over what endpoint discovery reports. It is a discovery.Sink.
+// discoveryEvents implements discovery.Sink. It forwards the reports of endpoint discovery to an event loop.
 type discoveryEvents struct{ loop *EventLoop }
 
-// EndpointsChanged implements discovery.Sink. It waits until the list is handled: changes come after it.
+// EndpointsChanged implements discovery.Sink. It waits until the list is handled, because later changes build on it.
 func (e discoveryEvents) EndpointsChanged(list []discovery.Worker) {
 	e.loop.postAndWait(stepEndpoints, func(now time.Duration) { e.loop.frontEnd.EndpointsChanged(now, list) })
 }
 
-// EndpointsUpdated implements discovery.Sink.
+// EndpointsUpdated implements discovery.Sink. It blocks while too many changes are pending.
 func (e discoveryEvents) EndpointsUpdated(changed []discovery.Worker) {
 	for waiting := e.loop.endpointChanges.add(changed); waiting > maxPendingChanges; waiting = e.loop.endpointChanges.add(nil) {
 		if !e.loop.postAndWait(stepOther, func(time.Duration) {}) {
@@ -151,7 +153,7 @@
 	e.loop.endpointChanges.observe(func(lease *endpointlease.Lease) { lease.Confirm(e.onLoopClock(asOf)) })
 }
 
-// onLoopClock is a time of this process on the event loop's clock.
+// onLoopClock converts a time of this process to the event loop's clock.
 func (e discoveryEvents) onLoopClock(at time.Time) time.Duration {
 	return at.Sub(e.loop.cfg.ClockStart)
 }
--- a/internal/gateway/endpoint_lease.go
+++ b/internal/gateway/endpoint_lease.go
@@ -6,8 +6,8 @@
 	"havencart/internal/decide/endpointlease"
 )
 
-// EndpointLeaseChanged takes the lease on the endpoint list. isWhole is whether all that was reported of the list was taken
-// in: only then may the lease become longer.
+// EndpointLeaseChanged handles a change of the lease on the endpoint list. isWhole reports whether the FrontEnd has handled
+// all changes of the list that were reported. The lease may be extended only if it has; it may be shortened at any time.
 func (f *FrontEnd) EndpointLeaseChanged(now time.Duration, lease endpointlease.Lease, isWhole bool) {
 	f.now = now
 	if isWhole || lease.Until() < f.lease.Until() {
@@ -21,10 +21,11 @@
 	}
 }
 
-// listIsConfirmed reports whether workers may be sent new work because the endpoint list has them as ready.
+// listIsConfirmed reports whether the endpoint lease is valid. While it is, workers that are listed as ready may be sent
+// new work without a confirmation of their own.
 func (f *FrontEnd) listIsConfirmed() bool { return f.now <= f.lease.Until() }
 
-// logLeaseChange logs that the lease on the endpoint list has ended, or holds again.
+// logLeaseChange logs when the lease on the endpoint list ends and when it is valid again.
 func (f *FrontEnd) logLeaseChange() {
 	if ended := !f.listIsConfirmed(); ended != f.leaseEnded {
 		f.leaseEnded = ended
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -8,15 +8,15 @@
 	"havencart/scheduler"
 )
 
-// sweepInterval is the time between two sweeps of what nothing needs any longer.
+// sweepInterval is the time between two sweeps. See FrontEnd.sweep.
 const sweepInterval = time.Second
 
-// functionRetention is how long the name of a function is kept after its last request. The scheduler forgets a
-// function sooner.
+// functionRetention is how long the record of a function is kept after its last request. It is longer than the time for
+// which the scheduler remembers a function.
 const functionRetention = 10 * time.Minute
 
-// EndpointsChanged takes a whole list of workers. Clients of workers that drain or are removed give back what was not
-// sent before the scheduler is notified, so that nothing new can be sent from here on.
+// EndpointsChanged handles a complete list of workers. The clients of draining and removed workers return their unsent
+// work before the scheduler is notified, so that nothing new can be sent to these workers afterwards.
 func (f *FrontEnd) EndpointsChanged(now time.Duration, list []discovery.Worker) {
 	f.now = now
 	infos, listed := f.applyEntries(list)
@@ -30,7 +30,7 @@
 	f.runDeferred()
 }
 
-// EndpointsUpdated takes the workers that changed, as EndpointsChanged takes all of them. It costs nothing for the others.
+// EndpointsUpdated handles the workers that changed. Unlike EndpointsChanged, it does not process the unchanged workers.
 func (f *FrontEnd) EndpointsUpdated(now time.Duration, changed []discovery.Worker) {
 	f.now = now
 	infos, _ := f.applyEntries(changed)
@@ -38,7 +38,8 @@
 	f.runDeferred()
 }
 
-// applyEntries applies entries of the endpoint list, and returns them as the scheduler receives them.
+// applyEntries applies entries of the endpoint list. It returns them in the form that the scheduler receives, and the set
+// of the identifiers in the list.
 func (f *FrontEnd) applyEntries(entries []discovery.Worker) (infos []scheduler.WorkerInfo, listed map[scheduler.WorkerID]bool) {
 	infos = make([]scheduler.WorkerInfo, 0, len(entries))
 	listed = make(map[scheduler.WorkerID]bool, len(entries))
@@ -50,7 +51,7 @@
 		}
 		listed[id] = true
 		if entry.State == scheduler.Removed && f.workers[id] == nil {
-			continue // nothing is sent there
+			continue // the removed worker is not known here
 		}
 		f.updateWorker(id, entry)
 		infos = append(infos, f.workerInfo(id, entry))
@@ -58,13 +59,13 @@
 	return infos, listed
 }
 
-// isOtherWorker reports whether an identifier is that of a worker with another name, which is listed.
+// isOtherWorker reports whether the identifier belongs to a listed worker with a different name.
 func (f *FrontEnd) isOtherWorker(id scheduler.WorkerID, name string) bool {
 	w := f.workers[id]
 	return w != nil && w.Name != name && w.state != scheduler.Removed
 }
 
-// workerInfo is an entry of the list as the scheduler receives it.
+// workerInfo converts an entry of the endpoint list to the form that the scheduler receives.
 func (f *FrontEnd) workerInfo(id scheduler.WorkerID, entry discovery.Worker) scheduler.WorkerInfo {
 	return scheduler.WorkerInfo{
 		ID:      id,
@@ -77,7 +78,7 @@
 	}
 }
 
-// startTime turns a wall time into one of the event loop's clock.
+// startTime converts a worker's start from wall time to the event loop's clock. The zero time means that it is unknown.
 func (f *FrontEnd) startTime(wall time.Time) time.Duration {
 	if wall.IsZero() {
 		return scheduler.UnknownStart
@@ -85,7 +86,8 @@
 	return wall.Sub(f.settings.ClockStart)
 }
 
-// updateWorker takes an entry of the list: it opens a client for a new worker, or for one at a new address.
+// updateWorker applies an entry of the endpoint list to a worker. It opens a client if the worker is new or its address
+// has changed.
 func (f *FrontEnd) updateWorker(id scheduler.WorkerID, entry discovery.Worker) {
 	w := f.workers[id]
 	if w == nil {
@@ -108,7 +110,7 @@
 	f.setWorkerState(w, entry.State)
 }
 
-// setWorkerState notes a worker's state and closes or opens its client for new work.
+// setWorkerState sets a worker's state, and drains or resumes its client accordingly.
 func (f *FrontEnd) setWorkerState(w *worker, state scheduler.WorkerState) {
 	if w.state == state {
 		return
@@ -127,7 +129,7 @@
 	}
 }
 
-// workerStateName is a worker's state as logs have it.
+// workerStateName returns the name of a worker's state for the log.
 func workerStateName(state scheduler.WorkerState) string {
 	switch state {
 	case scheduler.Ready:
@@ -140,7 +142,7 @@
 	return strconv.Itoa(int(state))
 }
 
-// drainClient closes a worker's client for new work; what was not sent yet ends as that.
+// drainClient drains a worker's client. Attempts and load orders that were not sent end without being sent.
 func (f *FrontEnd) drainClient(w *worker) {
 	f.deferred = append(f.deferred, func() { f.endWaiting(w, scheduler.NotSent) })
 	attempts, orders := w.client.Drain(f.settings.Scheduler.DrainGrace)
@@ -156,7 +158,8 @@
 	}
 }
 
-// sweep stops clients that nothing needs any longer and forgets functions without requests.
+// sweep runs the periodic maintenance: it stops the clients that are no longer needed, discards functions without recent
+// requests, rechecks draining workers and logs changes of the endpoint lease.
 func (f *FrontEnd) sweep() {
 	f.logLeaseChange()
 	f.recheckDraining()
@@ -170,7 +173,8 @@
 	}
 }
 
-// sweepWorker stops the clients of a worker that is retiring, or that was at another address, once they are idle.
+// sweepWorker stops the idle clients of a worker's previous addresses and, if the worker was removed and is idle, its
+// current client.
 func (f *FrontEnd) sweepWorker(w *worker) {
 	w.stopIdlePrevious()
 	switch {
@@ -184,7 +188,7 @@
 	}
 }
 
-// stopIdlePrevious stops the clients of previous addresses once nothing is in flight there.
+// stopIdlePrevious stops those clients of previous addresses that have nothing in flight.
 func (w *worker) stopIdlePrevious() {
 	busy := w.previousClients[:0]
 	for _, client := range w.previousClients {
@@ -197,16 +201,16 @@
 	w.previousClients = busy
 }
 
-// idle reports whether nothing is in flight at the worker.
+// idle reports whether the worker's clients have nothing in flight.
 func (w *worker) idle() bool { return len(w.previousClients) == 0 && !w.client.Busy() }
 
-// WatchFailed takes the failure to receive the list: the previous one stays in force until its lease ends.
+// WatchFailed handles a failure to receive the endpoint list. The previous list remains in use until its lease ends.
 func (f *FrontEnd) WatchFailed(now time.Duration, cause error) {
 	f.now = now
-	f.log.Warn().Err(cause).Msg("endpoint watch failed, the endpoint list stays in force until its lease ends")
+	f.log.Warn().Err(cause).Msg("endpoint watch failed; the endpoint list remains in use until its lease ends")
 	f.scheduler.WatchFailed(now)
 	f.runDeferred()
 }
 
-// WatchEndpoints implements scheduler.Actions: it requests the endpoint list anew.
+// WatchEndpoints implements scheduler.Actions: it requests the endpoint list again.
 func (f *FrontEnd) WatchEndpoints() { f.dependencies.WatchEndpoints() }
--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -14,45 +14,45 @@
 	"havencart/internal/workerconn"
 )
 
-// EventLoopConfig is what an EventLoop needs beside its FrontEnd's settings.
+// EventLoopConfig is the configuration of an EventLoop and of its FrontEnd.
 type EventLoopConfig struct {
 	Settings
-	WorkerClient    muxclient.Config // Worker, Address, FrontEnd, Seed and Now are set for each client
-	Dial            Dial             // in place of WorkerClient, where workers speak another protocol; else nil
+	WorkerClient    muxclient.Config // template; Worker, Address, FrontEnd, Guard, Seed and Now are set for each client
+	Dial            Dial             // if not nil, opens worker clients for another protocol instead of WorkerClient
 	Source          discovery.Source
-	RequestQueue    int           // requests that may wait for the loop; more are rejected at once
-	EventQueue      int           // events that may wait; beyond, worker clients stop reading
-	ShutdownTimeout time.Duration // how long a shutdown waits for what is in flight
+	RequestQueue    int           // capacity of the request queue; when it is full, requests are rejected immediately
+	EventQueue      int           // capacity of the event queue; when it is full, worker clients stop reading
+	ShutdownTimeout time.Duration // how long a shutdown waits for requests in flight
 }
 
-// EventLoop owns a FrontEnd: the goroutine of Run hands it all events, in the order in which they were received. The
-// other methods may be called from any goroutine.
+// EventLoop owns a FrontEnd: the goroutine that calls Run passes events to it one at a time. Exported methods other than
+// Run and OpenWorker may be called from any goroutine.
 type EventLoop struct {
 	cfg           EventLoopConfig
 	log           zerolog.Logger
 	frontEnd      *FrontEnd
-	requests      chan *Request                 // bounded by RequestQueue; a request that finds it full is rejected
-	events        chan loopEvent                // bounded by EventQueue; who posts to a full queue waits
-	workerClients []ClosableWorkerClient        // started and not known to have ended; the loop's goroutine only
-	nextPrune     int                           // of them, at which those that have ended are forgotten
-	newTestClient func(*EventLoop) WorkerClient // in place of a worker client, where the loop is tested alone; else nil
+	requests      chan *Request                 // capacity RequestQueue; when it is full, requests are rejected
+	events        chan loopEvent                // capacity EventQueue; when it is full, post blocks
+	workerClients []ClosableWorkerClient        // clients not known to have ended; used only by the loop's goroutine
+	nextPrune     int                           // length of workerClients at which ended clients are removed from it
+	newTestClient func(*EventLoop) WorkerClient // if not nil, a test's replacement for worker clients
 	kill          chan struct{}                 // closed by Kill
 	done          chan struct{}                 // closed when the loop has ended
 	gate          queueGate
 	guard         *workerconn.Guard    // shared with the worker clients
-	stalls        looplag.StallTracker // the loop's goroutine only
-	times         LoopTimes            // the loop's goroutine only
+	stalls        looplag.StallTracker // used only by the loop's goroutine
+	times         LoopTimes            // used only by the loop's goroutine
 
 	endpointChanges *endpointChanges
 }
 
-// loopEvent is something for the loop to do, in its goroutine.
+// loopEvent is an event that handle processes in the loop's goroutine.
 type loopEvent struct {
 	step   loopStep
 	handle func(now time.Duration)
 }
 
-// NewEventLoop returns an EventLoop that starts with Run.
+// NewEventLoop returns an EventLoop. Run starts it.
 func NewEventLoop(cfg EventLoopConfig, log zerolog.Logger) *EventLoop {
 	l := &EventLoop{
 		cfg:      cfg,
@@ -70,11 +70,12 @@
 	return l
 }
 
-// Now returns the loop's clock: the monotonic time since Settings.ClockStart.
+// Now returns the time on the loop's clock, which is the monotonic time since Settings.ClockStart.
 func (l *EventLoop) Now() time.Duration { return time.Since(l.cfg.ClockStart) }
 
-// Submit hands a request over; its final response is delivered as its constructor says, at the latest when it expires. A
-// loop that is overloaded, whose queue is full, or that has ended, rejects at once, at no cost to the loop's own goroutine.
+// Submit transfers the request to the event loop. The final response is delivered in the way that the request's
+// constructor documents, at the latest when the request expires. If the loop is overloaded or has ended, or its queue is
+// full, Submit rejects the request immediately without involving the loop's goroutine.
 func (l *EventLoop) Submit(request *Request) {
 	request.queuedAt = l.Now()
 	reason := l.enqueue(request)
@@ -85,7 +86,7 @@
 	request.complete(FinalResponse{Kind: Rejected, Reason: reason.String(), RetryAfter: l.cfg.Scheduler.MaxRetryAfter})
 }
 
-// enqueue puts a request into the queue, or returns why not.
+// enqueue puts a request into the queue and returns noReason, or returns the reason why the request must be rejected.
 func (l *EventLoop) enqueue(request *Request) Reason {
 	if int64(len(l.requests)) >= l.gate.limit.Load() {
 		return LoopOverloaded
@@ -104,7 +105,7 @@
 	}
 }
 
-// ObserveLag reports that a goroutine outside of the loop came so late to what was due.
+// ObserveLag records that a goroutine other than the loop's handled something later than it was due, by late.
 func (l *EventLoop) ObserveLag(late time.Duration) { l.gate.observeLag(late) }
 
 // Disconnect reports that a request's client has disconnected.
@@ -112,19 +113,19 @@
 	l.post(stepDisconnect, func(now time.Duration) { l.frontEnd.ClientDisconnected(now, request) })
 }
 
-// Counts returns the FrontEnd's totals, zero once the loop has ended. It waits for the loop.
+// Counts returns the loop's totals, or the zero value if the loop has ended. It waits for the loop to process the query.
 func (l *EventLoop) Counts() Counts { return l.Snapshot().Counts }
 
-// LoopSnapshot is what an EventLoop tells of itself at one time.
+// LoopSnapshot is the state of an EventLoop at one point in time.
 type LoopSnapshot struct {
 	Counts    Counts
 	Times     LoopTimes
-	Workers   int // listed, or removed with something in flight
-	Functions int // requested lately
-	InFlight  int // requests that are owed a final response, or have an attempt in flight
+	Workers   int // workers that are listed, or that were removed and still have work in flight
+	Functions int // functions with recent requests
+	InFlight  int // requests that await their final response or have an attempt in flight
 }
 
-// Snapshot returns the loop's state, the zero value once it has ended. It waits for the loop.
+// Snapshot returns the loop's state, or the zero value if the loop has ended. It waits for the loop to process the query.
 func (l *EventLoop) Snapshot() LoopSnapshot {
 	reply := make(chan LoopSnapshot, 1)
 	l.post(stepOther, func(time.Duration) { reply <- l.snapshot() })
@@ -146,7 +147,7 @@
 	}
 }
 
-// counts are the FrontEnd's totals, with what was rejected without it.
+// counts returns the FrontEnd's totals together with the requests that were rejected or expired outside of the FrontEnd.
 func (l *EventLoop) counts() Counts {
 	counts := l.frontEnd.Counts()
 	counts.Shed += l.gate.rejected.Load()
@@ -154,13 +155,13 @@
 	return counts
 }
 
-// Kill ends Run at once. It may be called once.
+// Kill makes Run return without waiting for requests in flight. It must not be called more than once.
 func (l *EventLoop) Kill() { close(l.kill) }
 
-// Stall blocks the loop for d, as a pause of the process does; it is for laboratories.
+// Stall blocks the loop for d, to emulate a pause of the process in experiments.
 func (l *EventLoop) Stall(d time.Duration) { l.post(stepOther, func(time.Duration) { time.Sleep(d) }) }
 
-// post queues an event. It waits where the queue is full: who posts stops reading meanwhile.
+// post queues an event. It blocks while the queue is full, so that the caller, such as a worker client, stops reading.
 func (l *EventLoop) post(step loopStep, handle func(now time.Duration)) {
 	select {
 	case l.events <- loopEvent{step, handle}:
@@ -168,7 +169,7 @@
 	}
 }
 
-// postAndWait queues an event, and returns true once it is handled, or false if the loop has ended.
+// postAndWait queues an event and waits until it is handled. It returns false if the loop has ended.
 func (l *EventLoop) postAndWait(step loopStep, handle func(now time.Duration)) bool {
 	handled := make(chan struct{})
 	l.post(step, func(now time.Duration) {
@@ -183,9 +184,9 @@
 	}
 }
 
-// Run serves until ctx ends. Then it rejects what is received, waits for what is in flight, ShutdownTimeout at most,
-// and gives the rest its final response. It returns the totals, and whether all ended in time. When it returns, the
-// goroutines of its worker clients and of the endpoint watch have ended.
+// Run processes requests until ctx ends. It then rejects new requests, waits up to ShutdownTimeout for those in flight,
+// and gives the remaining ones a final response. It returns the totals, and whether all requests ended in time. When it
+// returns, the goroutines of its worker clients and of the endpoint watch have ended.
 func (l *EventLoop) Run(ctx context.Context) (Counts, bool) {
 	l.frontEnd = NewFrontEnd(l.Now(), l.cfg.Settings, l, l.log)
 	watchCtx, stopWatch := context.WithCancel(context.Background())
@@ -205,7 +206,8 @@
 	return l.counts(), clean
 }
 
-// serve is the loop. It reports whether nothing was left in flight.
+// serve runs the loop until it is idle after a shutdown, the shutdown times out, or the loop is killed. It reports whether
+// nothing was left in flight.
 func (l *EventLoop) serve(ctx context.Context) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -236,8 +238,8 @@
 	}
 }
 
-// beginPass handles what has been received, and then what is due: timers may send something new, which workers that drain
-// are not to get. It returns the time of the pass.
+// beginPass handles the received events and endpoint changes before the timers that are due, because a timer may send new
+// work, which draining workers must not get. It returns the time of the pass.
 func (l *EventLoop) beginPass() time.Duration {
 	l.drainEvents()
 	l.takeEndpointChanges()
@@ -247,14 +249,14 @@
 	return now
 }
 
-// renewLease lets worker clients send new work for another while, if the loop is up to date.
+// renewLease extends the time for which worker clients may send new work, unless the loop has just stalled.
 func (l *EventLoop) renewLease(now time.Duration) {
 	if l.stalls.MayRenewLease(now) {
 		l.guard.Renew(now)
 	}
 }
 
-// nextPass is when the loop is due again without an event: at the next timer, or when the lease may be renewed.
+// nextPass returns the time of the next pass if no event arrives: that of the next timer, or of the next lease renewal.
 func (l *EventLoop) nextPass(now time.Duration) time.Duration {
 	next := l.frontEnd.NextTimer()
 	if renewal := l.stalls.NextRenewal(); renewal > now {
@@ -263,8 +265,9 @@
 	return next
 }
 
-// receive hands a request to the FrontEnd, which counts from when it may have arrived. After a stall a request may be
-// what the loop sees first.
+// receive passes a request to the FrontEnd. The request's timeout counts from the earliest time at which the request may
+// have arrived; after a stall of the process, that can be before the time at which the request was read. The lease is
+// renewed first, because a request can be the first thing that the loop handles after a stall.
 func (l *EventLoop) receive(request *Request) {
 	l.renewLease(l.Now())
 	request.StartedAt = l.stalls.EarliestArrival(request.StartedAt, request.ArrivedAfter)
@@ -274,7 +277,8 @@
 	l.endStep(stepRequest, now)
 }
 
-// prepare hands the observed lag to the FrontEnd, fires its timers and sets the queue's limit.
+// prepare reports the observed lag to the FrontEnd, fires the timers that are due and updates the limit of the request
+// queue.
 func (l *EventLoop) prepare(now time.Duration) {
 	if lag := l.gate.swapLag(); lag > 0 {
 		l.frontEnd.ObserveLag(now, lag)
@@ -286,13 +290,14 @@
 	l.gate.setLimit(l.frontEnd.QueueLimit(now, len(l.requests)))
 }
 
-// idle reports whether nothing is in flight or queued.
+// idle reports whether no requests are in flight or queued.
 func (l *EventLoop) idle() bool { return l.frontEnd.Idle() && len(l.requests) == 0 }
 
-// drainEvents handles the events that are queued before timers and requests, those included that are received meanwhile. It
-// guards against a loop that lags, or a process that stands still while an event is handled: a response received meanwhile
-// would find its attempt timed out, and its request failed. And in an overload, requests admitted before the responses
-// that make room for them only lengthen the scheduler's backlog. Timers wait for one queue of events at most.
+// drainEvents handles the queued events, including those that are posted meanwhile, before timers and requests. Otherwise,
+// if the loop lags or the process stalls while an event is handled, a response received meanwhile would find its attempt
+// timed out and its request failed. Under overload, requests that are admitted before the responses that make room for
+// them would only lengthen the scheduler's backlog. To bound the delay of timers, it handles at most one full queue of
+// events.
 func (l *EventLoop) drainEvents() {
 	for range cap(l.events) {
 		select {
@@ -304,20 +309,20 @@
 	}
 }
 
-// handle handles an event.
+// handle processes an event and records the time that it took.
 func (l *EventLoop) handle(event loopEvent) {
 	now := l.Now()
 	event.handle(now)
 	l.endStep(event.step, now)
 }
 
-// rejectQueued answers what was submitted and never received by the FrontEnd, and releases who posts.
+// rejectQueued rejects the requests that the FrontEnd has not received, and unblocks goroutines that are posting events.
 func (l *EventLoop) rejectQueued() {
 	close(l.done)
 	for {
 		select {
 		case request := <-l.requests:
-			l.frontEnd.RequestReceived(l.Now(), request) // rejected: it admits nothing any longer
+			l.frontEnd.RequestReceived(l.Now(), request) // rejected, as the FrontEnd no longer admits requests
 		default:
 			return
 		}
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -8,7 +8,8 @@
 	"havencart/scheduler"
 )
 
-// workerEvents posts what one worker client reports. It is a muxclient.Events, called from the client's goroutines.
+// workerEvents implements muxclient.Events. It posts the reports of one worker client to the event loop, and is called
+// from the client's goroutines.
 type workerEvents struct {
 	loop   *EventLoop
 	worker scheduler.WorkerID
--- a/internal/gateway/expiry.go
+++ b/internal/gateway/expiry.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// expiryMarginDivisor gives the part of the deadline margin that is left for the way to the client when a request expires.
-// What the scheduler decides is due before, by the whole margin: a request expires only where the loop did not get to it.
+// expiryMarginDivisor determines when a request expires: the deadline margin, divided by it, before the client's timeout.
+// The remaining time is for sending the response to the client. The scheduler's decision is due earlier, by the whole
+// margin before the timeout, so a request expires only if the event loop did not get to it.
 const expiryMarginDivisor = 2
 
-// delivery is who may give a request its final response. The FrontEnd owns the request and gives it; the expiry, which has
-// a goroutine of its own, gives it where the event loop does not, however long the loop stands still and whatever for.
-// Whichever comes first has the only final response: done is entered once.
+// delivery decides which goroutine gives a request its final response. Normally the FrontEnd does, as the owner of the
+// request. If the event loop does not get to it in time, for example because it is stalled, the expiry timer does, which
+// runs in a goroutine of its own. The state deliveryDone is entered only once, so that there is only one final response.
 type delivery struct{ state atomic.Uint32 }
 
 const (
-	deliveryQueued uint32 = iota // the request waits for the event loop: nothing was done for it
-	deliveryOwned                // the FrontEnd has it, and may have sent it to a worker
-	deliveryDone                 // the final response was given, or is owed no longer
+	deliveryQueued uint32 = iota // the request waits in the event loop's queue and was not processed
+	deliveryOwned                // the FrontEnd owns the request and may have sent it to a worker
+	deliveryDone                 // the final response was given or is no longer needed
 )
 
-// claim gives the request to the FrontEnd, and reports whether a final response is still owed.
+// claim marks the request as owned by the FrontEnd. It returns false if the request has already expired.
 func (d *delivery) claim() bool { return d.state.CompareAndSwap(deliveryQueued, deliveryOwned) }
 
-// finish reports whether the caller is to give the final response.
+// finish marks the final response as given, and reports whether the caller must deliver it.
 func (d *delivery) finish() bool { return d.state.Swap(deliveryDone) != deliveryDone }
 
-// expire reports whether the expiry is to give the final response, and whether the FrontEnd has the request.
+// expire marks the final response as given. It reports whether the caller must deliver it, and whether the FrontEnd owns
+// the request.
 func (d *delivery) expire() (owed, owned bool) {
 	if d.state.CompareAndSwap(deliveryQueued, deliveryDone) {
 		return true, false
@@ -34,7 +36,7 @@
 	return d.state.CompareAndSwap(deliveryOwned, deliveryDone), true
 }
 
-// expireAfter has a request expire. It is called before anything else can have the request.
+// expireAfter starts the expiry timer of a request. It must be called before other goroutines can access the request.
 func (l *EventLoop) expireAfter(request *Request) {
 	if request.Timeout <= 0 {
 		return
@@ -43,8 +45,9 @@
 	request.expiry = time.AfterFunc(max(0, due-l.Now()), func() { l.expire(request) })
 }
 
-// expire gives a request its final response in place of an event loop that has not: a rejection where the loop never saw
-// it, else one that promises nothing. The loop is told, as it still has the request.
+// expire gives a request its final response if the event loop has not done so in time. The request is rejected if the
+// loop never received it. Otherwise it is failed, because it may have executed, and the loop is notified so that it ends
+// the work for the request.
 func (l *EventLoop) expire(request *Request) {
 	owed, owned := request.delivery.expire()
 	if !owed {
@@ -59,7 +62,7 @@
 	l.post(stepOther, func(now time.Duration) { l.frontEnd.RequestExpired(now, request) })
 }
 
-// RequestExpired ends what is done for a request whose client was given its final response in the FrontEnd's place.
+// RequestExpired ends the work for a request that got its final response from the expiry timer.
 func (f *FrontEnd) RequestExpired(now time.Duration, request *Request) {
 	f.now = now
 	if request.state == requestInFlight {
