--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -16,7 +16,7 @@
 	}
 	harness.wantResponse(harness.submit(idempotentClass), Rejected)
 	if n := harness.Counts().Shed; n != 1 || harness.InFlight() != 3 {
-		t.Errorf("rejected %d, in flight %d", n, harness.InFlight())
+		t.Errorf("%d requests shed, want 1; %d in flight, want 3", n, harness.InFlight())
 	}
 }
 
@@ -30,7 +30,7 @@
 	harness.wantResponse(request, Rejected)
 }
 
-// TestAdmission_FunctionNameCollision_Rejected guards against taking replicas of one function for those of another.
+// TestAdmission_FunctionNameCollision_Rejected guards against mistaking the replicas of one function for those of another.
 func TestAdmission_FunctionNameCollision_Rejected(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	request := harness.submit(idempotentClass)
@@ -41,7 +41,8 @@
 	harness.endWith(request, scheduler.OK)
 }
 
-// TestAdmission_QueueDelayTooLong_Shed is about rejections without the scheduler, so that the queue empties.
+// TestAdmission_QueueDelayTooLong_Shed checks that requests are shed without the scheduler while the queue delay stays too
+// long, so that the queue empties.
 func TestAdmission_QueueDelayTooLong_Shed(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	submitQueued := func() *Request {
@@ -53,17 +54,17 @@
 		harness.RequestReceived(harness.clock, request)
 		return request
 	}
-	harness.wantResponse(submitQueued(), 0) // a burst
+	harness.wantResponse(submitQueued(), 0) // a short burst is tolerated
 	harness.advance(200 * ms)
 	admitted := harness.Counts().Admitted
 	harness.wantResponse(submitQueued(), Rejected)
 	if harness.Counts().Admitted != admitted {
-		t.Error("it was admitted")
+		t.Error("the second request was admitted despite its queue delay")
 	}
-	harness.wantResponse(harness.submit(idempotentClass), 0) // it waited in no queue
+	harness.wantResponse(harness.submit(idempotentClass), 0) // this request was not queued
 }
 
-// TestAdmission_OverTenantQuota_Rejected expects the rejection with advice when to retry, and without the scheduler.
+// TestAdmission_OverTenantQuota_Rejected checks that the request is rejected without the scheduler and with a retry delay.
 func TestAdmission_OverTenantQuota_Rejected(t *testing.T) {
 	harness := newHarness(t, 1, func(s *Settings) { s.Tenancy = tenancy.Settings{Shares: []float64{1}, Quotas: []float64{1}} })
 	harness.submit(idempotentClass)
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestRetry_NonIdempotent_OnlyIfNeverExecuted holds for every status that a worker client reports: what may have executed fails, what
-// never executed is retried.
+// TestRetry_NonIdempotent_OnlyIfNeverExecuted checks, for every status that a worker client reports, that a non-idempotent
+// request fails if the attempt may have executed and is retried if it never executed.
 func TestRetry_NonIdempotent_OnlyIfNeverExecuted(t *testing.T) {
 	for _, s := range []scheduler.Status{scheduler.Reset, scheduler.Error, scheduler.Timeout, scheduler.Cancelled} {
 		harness := newHarness(t, 3, nil)
@@ -37,7 +37,7 @@
 		harness.endWith(request, s)
 		harness.advance(100 * ms)
 		if request.attempts < 2 || !harness.hasAttempt(request) {
-			t.Errorf("status %d: %d attempts, in flight %t: it never executed", s, request.attempts, harness.hasAttempt(request))
+			t.Errorf("status %d: %d attempts, in flight %t; want a retry, as it never executed", s, request.attempts, harness.hasAttempt(request))
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	harness.advance(100 * ms)
 	harness.wantResponse(request, Served)
 	if request.attempts != 1 || !harness.Idle() {
-		t.Errorf("%d attempts, idle %t: part of a response was sent, it must not be retried", request.attempts, harness.Idle())
+		t.Errorf("%d attempts, idle %t: part of the response was sent, so it must not be retried", request.attempts, harness.Idle())
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestLatency_ResponseWaitedForLoop_NotCounted guards against reporting workers as slow where the event loop lags.
+// TestLatency_ResponseWaitedForLoop_NotCounted guards against reporting workers as slow when the event loop lags.
 func TestLatency_ResponseWaitedForLoop_NotCounted(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	request := harness.submit(idempotentClass)
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestAttempt_TimeoutAndResponse_FirstEndCounts holds in both orders of the two events.
+// TestAttempt_TimeoutAndResponse_FirstEndCounts checks both orders of the two events.
 func TestAttempt_TimeoutAndResponse_FirstEndCounts(t *testing.T) {
 	inBothOrders(t, "response", "timeout", func(t *testing.T, responseFirst bool) {
 		harness := newHarness(t, 1, nil)
@@ -106,9 +106,9 @@
 			harness.advance(3 * time.Second)
 			harness.wantResponse(request, Served)
 		} else {
-			harness.advance(2*time.Second - 20*ms) // until the response is due
+			harness.advance(2*time.Second - 20*ms) // until the final response is due
 			respond()
-			harness.wantResponse(request, Failed) // it may have executed
+			harness.wantResponse(request, Failed) // the attempt may have executed
 		}
 		if n := harness.Counts().Attempts; n != 1 || !harness.Idle() {
 			t.Errorf("%d attempts, idle %v", n, harness.Idle())
@@ -116,7 +116,8 @@
 	})
 }
 
-// TestLearnCost_WorkerReportsRunTime_IsUsed expects the reported time, as queueing at the worker is not the tenant's work.
+// TestLearnCost_WorkerReportsRunTime_IsUsed checks that a reported execution time takes precedence over the elapsed time,
+// because the time spent queueing at the worker is not the tenant's work.
 func TestLearnCost_WorkerReportsRunTime_IsUsed(t *testing.T) {
 	for _, runTime := range []time.Duration{30 * ms, 0} {
 		harness := newHarness(t, 1, nil)
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -12,7 +12,8 @@
 	"havencart/scheduler"
 )
 
-// BenchmarkFrontEnd is the event loop's part of a request, scheduler included: from its receipt to its final response.
+// BenchmarkFrontEnd measures the event loop's work for a request from its receipt to its final response, including the
+// scheduler.
 func BenchmarkFrontEnd(b *testing.B) {
 	t := &testing.T{}
 	harness := newHarness(t, 8, nil)
@@ -36,7 +37,8 @@
 	}
 }
 
-// BenchmarkEndpointsUpdated is the largest step of a change of the endpoint list, before 3,000 workers: all change cell.
+// BenchmarkEndpointsUpdated measures the largest possible step for changes of the endpoint list with 3,000 workers: every
+// worker in the step changes its cell.
 func BenchmarkEndpointsUpdated(b *testing.B) {
 	harness := newHarness(&testing.T{}, 3000, nil)
 	changed := make([]discovery.Worker, maxEndpointChanges)
@@ -53,7 +55,7 @@
 	}
 }
 
-// BenchmarkShed is the event loop's part of a request that is rejected because of its queue delay.
+// BenchmarkShed measures the event loop's work for a request that is shed because of its queue delay.
 func BenchmarkShed(b *testing.B) {
 	harness := newHarness(&testing.T{}, 8, nil)
 	at := harness.clock
@@ -69,7 +71,7 @@
 	}
 }
 
-// BenchmarkQueueGate is the cost of a request that is rejected before it is queued; none of it is the event loop's.
+// BenchmarkQueueGate measures the cost of rejecting a request before it is queued. The event loop is not involved.
 func BenchmarkQueueGate(b *testing.B) {
 	loop := NewEventLoop(EventLoopConfig{RequestQueue: 1}, zerolog.Nop())
 	loop.gate.setLimit(0)
--- a/internal/gateway/deadlines_test.go
+++ b/internal/gateway/deadlines_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestDeadline_WorkersSilent_RespondsBeforeClientTimeout covers every class, with no response of any worker.
+// TestDeadline_WorkersSilent_RespondsBeforeClientTimeout checks every class when no worker responds.
 func TestDeadline_WorkersSilent_RespondsBeforeClientTimeout(t *testing.T) {
 	for class, want := range []ResponseKind{idempotentClass: Rejected, keyedClass: Failed, nonIdempotentClass: Failed} {
 		harness := newHarness(t, 2, nil)
@@ -19,12 +19,13 @@
 		}
 		harness.wantResponse(request, want)
 		if harness.Counts().PastDeadline != 0 {
-			t.Errorf("class %d: the scheduler gave none", class)
+			t.Errorf("class %d: the scheduler gave no final response before the deadline", class)
 		}
 	}
 }
 
-// TestDeadline_AttemptNeverSent_IsRejected has the time pass while the attempt is in the write buffer: it cannot have executed.
+// TestDeadline_AttemptNeverSent_IsRejected checks a request whose attempt is still in the write buffer at the deadline. The
+// request cannot have executed.
 func TestDeadline_AttemptNeverSent_IsRejected(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	harness.clients["w0"].holdsWrites = true
@@ -33,13 +34,13 @@
 	harness.wantResponse(request, Rejected)
 }
 
-// TestDeadline_LoopLags_RespondsSooner has the event loop handle timers 50 ms late each time, as where it shares its core;
-// the final response is then written later still.
+// TestDeadline_LoopLags_RespondsSooner checks an event loop that handles every timer 50 ms late, as one that shares its
+// core may. The final response must be given early enough, because writing it is delayed as well.
 func TestDeadline_LoopLags_RespondsSooner(t *testing.T) {
 	for _, lag := range []time.Duration{0, 50 * ms} {
 		harness := newHarness(t, 1, nil)
 		request := harness.submit(nonIdempotentClass)
-		harness.sentAttempt(request) // its worker never responds
+		harness.sentAttempt(request) // the worker never responds
 		submittedAt := harness.clock
 		for kind := ResponseKind(0); kind == 0; kind = harness.responseKind(request) {
 			harness.clock = max(harness.clock, harness.NextTimer()) + lag
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -24,7 +24,7 @@
 		request := harness.submit(idempotentClass)
 		harness.ClientDisconnected(harness.clock, request)
 		if !harness.Idle() {
-			t.Error("the request is kept")
+			t.Error("the request was not removed")
 		}
 		harness.advance(3 * time.Second)
 		harness.wantResponse(request, 0)
@@ -35,7 +35,7 @@
 		worker, attempt := harness.sentAttempt(request)
 		harness.ResponseStarted(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, QueueDepth: -1, Response: &workerconn.Response{Stream: &workerconn.Stream{}}})
 		harness.wantResponse(request, Served)
-		harness.advance(3 * time.Second) // neither timeout nor deadline applies to it
+		harness.advance(3 * time.Second) // neither the response timeout nor the deadline applies to a stream
 		if len(worker.canceled) != 0 {
 			t.Fatal("a streamed response was cut off")
 		}
@@ -46,8 +46,8 @@
 	})
 }
 
-// TestClientDisconnected_BeforeOrAfterReceipt_NothingInFlight covers both orders: the event loop takes events before requests, so
-// that a disconnect may be handled before the request that it is about.
+// TestClientDisconnected_BeforeOrAfterReceipt_NothingInFlight checks both orders of receipt and disconnect. The event loop
+// handles events before requests, so a disconnect may be handled before the request that it refers to.
 func TestClientDisconnected_BeforeOrAfterReceipt_NothingInFlight(t *testing.T) {
 	for _, disconnectFirst := range []bool{true, false} {
 		harness := newHarness(t, 1, nil)
@@ -78,7 +78,8 @@
 	}
 }
 
-// TestClientDisconnected_UnsentAttempt_IsCancelled holds also where sent attempts may not be cancelled.
+// TestClientDisconnected_UnsentAttempt_IsCancelled checks that an unsent attempt is cancelled even if sent attempts may not
+// be cancelled.
 func TestClientDisconnected_UnsentAttempt_IsCancelled(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		for _, sent := range []bool{true, false} {
@@ -90,22 +91,22 @@
 			harness.sentAttempt(request)
 			harness.ClientDisconnected(harness.clock, request)
 			if got := len(worker.sent) + len(worker.queued); got != 0 && !staysSent {
-				t.Errorf("may cancel %v, sent %v: %d are with the worker client", mayCancel, sent, got)
+				t.Errorf("may cancel %v, sent %v: the worker client still has %d attempts", mayCancel, sent, got)
 			}
 			if cancelled := len(worker.canceled) > 0; cancelled != (sent && mayCancel) {
 				t.Errorf("may cancel %v, sent %v: cancelled %v", mayCancel, sent, cancelled)
 			}
 			if staysSent {
-				harness.endWith(request, scheduler.OK) // nothing waits for it
+				harness.endWith(request, scheduler.OK) // no client waits for this response
 			}
 			if !harness.Idle() {
-				t.Errorf("may cancel %v, sent %v: not forgotten", mayCancel, sent)
+				t.Errorf("may cancel %v, sent %v: the request was not removed", mayCancel, sent)
 			}
 		}
 	}
 }
 
-// TestClientDisconnected_BetweenAttempts_NothingSent has an attempt end with each status that would be retried.
+// TestClientDisconnected_BetweenAttempts_NothingSent checks each attempt status that would otherwise cause a retry.
 func TestClientDisconnected_BetweenAttempts_NothingSent(t *testing.T) {
 	for _, end := range []scheduler.Status{scheduler.Overloaded, scheduler.NotLoaded, scheduler.ConnectFailed, scheduler.Error, scheduler.Timeout, scheduler.Reset} {
 		inBothOrders(t, "disconnected", "ended", func(t *testing.T, disconnectFirst bool) {
@@ -134,13 +135,14 @@
 	}
 }
 
-// TestClientDisconnected_AwaitingLoadOrder_NothingSent leaves the load order: it may serve other requests.
+// TestClientDisconnected_AwaitingLoadOrder_NothingSent checks that no attempt is made after the load order ends. The load
+// order itself is not cancelled, because other requests may use the replica.
 func TestClientDisconnected_AwaitingLoadOrder_NothingSent(t *testing.T) {
 	inBothOrders(t, "disconnected", "loaded", func(t *testing.T, disconnectFirst bool) {
 		harness := newHarness(t, 1, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
 		request := harness.submit(idempotentClass)
 		worker := harness.clients["w0"]
-		for len(worker.orders) > 0 { // residency queries, then the order
+		for len(worker.orders) > 0 { // residency queries, followed by the load order
 			order := worker.orders[0]
 			worker.orders = worker.orders[1:]
 			if order.Load.Replicas == 0 {
--- a/internal/gateway/endpoint_steps_test.go
+++ b/internal/gateway/endpoint_steps_test.go
@@ -16,10 +16,10 @@
 	"havencart/scheduler"
 )
 
-// changedEndpoints is a discovery.Source whose list is empty at first and changes once.
+// changedEndpoints is a discovery.Source whose list is initially empty and changes once.
 type changedEndpoints struct {
 	changed  []discovery.Worker
-	reported chan struct{} // closed when the change was reported
+	reported chan struct{} // closed after the change was reported
 }
 
 func (c changedEndpoints) Run(ctx context.Context, sink discovery.Sink) {
@@ -31,8 +31,8 @@
 
 func (c changedEndpoints) Refresh() {}
 
-// runWithChange runs an event loop until it has handled a change of the endpoint list, and returns its state. observe is
-// called in the loop for each worker that a client is opened for, with the number of steps for endpoints before.
+// runWithChange runs an event loop until it has handled a change of the endpoint list, and returns the loop's state. The
+// loop calls observe whenever it opens a worker client, with the number of endpoint steps completed so far.
 func runWithChange(t *testing.T, changed []discovery.Worker, observe func(step uint64)) LoopSnapshot {
 	t.Helper()
 	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, ClockStart: time.Now()}
@@ -58,7 +58,8 @@
 	return snapshot
 }
 
-// A release of thousands of workers is no single step: requests, responses and timers come in between.
+// A deployment that changes thousands of workers must be handled in several steps, so that requests, responses and timers
+// are handled in between.
 func TestEndpointsUpdated_ThousandsOfChanges_StepsAreBounded(t *testing.T) {
 	const workers = 3000
 	var changed []discovery.Worker
@@ -72,12 +73,12 @@
 	}
 	for step, count := range perStep {
 		if count > 128 {
-			t.Errorf("step %d took in %d changes, want 128 at most", step, count)
+			t.Errorf("step %d handled %d changes, want at most 128", step, count)
 		}
 	}
 }
 
-// What may get nothing new is known first, however many others are added with it or before.
+// Changes of workers that must not be sent new work are taken first, however many other changes are pending.
 func TestEndpointChanges_NotReadyComeFirst(t *testing.T) {
 	changes := newEndpointChanges(endpointlease.Lease{})
 	var many []discovery.Worker
@@ -101,7 +102,8 @@
 	}
 }
 
-// Whatever changes while others wait: applied one after the other, what is taken gives the last state of each worker.
+// Applying the taken changes in order yields the latest state of each worker, even if workers change while others are
+// pending.
 func TestEndpointChanges_AnyChanges_LastStateCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		changes := newEndpointChanges(endpointlease.Lease{})
@@ -134,12 +136,12 @@
 			t.Fatalf("applied %v, reported %v", applied, reported)
 		}
 		if len(changes.byName)+len(changes.inOrder) > 0 {
-			t.Fatalf("%d and %d still wait", len(changes.byName), len(changes.inOrder))
+			t.Fatalf("%d workers by name and %d in order are still pending", len(changes.byName), len(changes.inOrder))
 		}
 	})
 }
 
-// The lease becomes longer only with the last of the changes that were reported before it.
+// The lease is extended only by the step that handles the last of the changes that were reported before the lease.
 func TestEndpointChanges_ManyWait_LeaseIsOnTheWholeList(t *testing.T) {
 	rules := endpointlease.Rules{Silence: time.Second}
 	changes := newEndpointChanges(endpointlease.New(rules, 0))
@@ -156,11 +158,11 @@
 		}
 	}
 	if _, isNews := changes.take(); isNews {
-		t.Error("the same lease is taken twice")
+		t.Error("the unchanged lease was taken twice")
 	}
 }
 
-// orderingScheduler notes the order in which it is called.
+// orderingScheduler records the order in which it is called.
 type orderingScheduler struct {
 	Scheduler
 	calls *[]string
@@ -176,7 +178,7 @@
 	s.Scheduler.TimerFired(now, token)
 }
 
-// A drain that waits is known before a timer that is due can send something new.
+// A pending drain must be handled before a timer that is due, because the timer may send new work.
 func TestBeginPass_DrainAndTimerDue_DrainFirst(t *testing.T) {
 	loop := newIdleLoop(4)
 	var calls []string
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -10,7 +10,7 @@
 	"havencart/scheduler"
 )
 
-// TestDrain_UnsentAttempt_IsRetriedElsewhere also holds for a request that is not idempotent.
+// TestDrain_UnsentAttempt_IsRetriedElsewhere uses a non-idempotent request, which may be retried because it was not sent.
 func TestDrain_UnsentAttempt_IsRetriedElsewhere(t *testing.T) {
 	harness := newHarness(t, 2, nil)
 	for _, worker := range harness.clients {
@@ -67,22 +67,23 @@
 	harness := newHarness(t, 1, nil)
 	harness.WatchFailed(harness.clock, errors.New("down"))
 	if harness.watches != 0 {
-		t.Error("requested at once")
+		t.Error("the endpoint list was requested without a backoff")
 	}
 	harness.advance(1100 * ms)
 	if harness.watches != 1 {
-		t.Errorf("requested %d times", harness.watches)
+		t.Errorf("the endpoint list was requested %d times, want once", harness.watches)
 	}
 }
 
-// TestEndpoints_ResponseOfRemovedWorker_Counts holds in both orders of the two events; a worker that is listed again is used again.
+// TestEndpoints_ResponseOfRemovedWorker_Counts checks both orders of the removal and the response. It also checks that a
+// worker that is listed again is used again.
 func TestEndpoints_ResponseOfRemovedWorker_Counts(t *testing.T) {
 	inBothOrders(t, "removed", "responded", func(t *testing.T, removedFirst bool) {
 		harness := newHarness(t, 1, nil)
 		request := harness.submit(nonIdempotentClass)
 		if removedFirst {
 			harness.listWorkers(0, nil)
-			harness.advance(2 * time.Second / 4) // the sweep keeps a busy client
+			harness.advance(2 * time.Second / 4) // the sweep must not stop a busy client
 			harness.endWith(request, scheduler.OK)
 		} else {
 			harness.endWith(request, scheduler.OK)
@@ -97,14 +98,15 @@
 	})
 }
 
-// TestEndpoints_WorkerDroppedAndRelisted_KeepsClient is about the client and what is in flight there; nothing new is sent meanwhile.
+// TestEndpoints_WorkerDroppedAndRelisted_KeepsClient checks that the client of a worker that is listed again is kept with
+// its work in flight, and that no new work is sent to it in between.
 func TestEndpoints_WorkerDroppedAndRelisted_KeepsClient(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	inFlight := harness.submit(idempotentClass)
 	worker := harness.clients["w0"]
 	harness.listWorkers(0, nil)
 	if !worker.drained || harness.hasAttempt(harness.submit(nonIdempotentClass)) {
-		t.Error("a worker that is not listed is sent something")
+		t.Error("a worker that is not listed was not drained or was sent new work")
 	}
 	harness.listWorkers(1, nil)
 	if worker.drained || harness.opened != 1 {
--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -249,14 +249,16 @@
 	return now
 }
 
-// renewLease extends the time for which worker clients may send new work, unless the loop has just stalled.
+// renewLease extends the time for which worker clients may send new work, unless the loop is still catching up after a
+// stall.
 func (l *EventLoop) renewLease(now time.Duration) {
 	if l.stalls.MayRenewLease(now) {
 		l.guard.Renew(now)
 	}
 }
 
-// nextPass returns the time of the next pass if no event arrives: that of the next timer, or of the next lease renewal.
+// nextPass returns the time of the next pass if no event arrives: that of the next timer or, if it is earlier, the time at
+// which the lease may be renewed after a stall.
 func (l *EventLoop) nextPass(now time.Duration) time.Duration {
 	next := l.frontEnd.NextTimer()
 	if renewal := l.stalls.NextRenewal(); renewal > now {
--- a/internal/gateway/event_loop_test.go
+++ b/internal/gateway/event_loop_test.go
@@ -27,12 +27,13 @@
 	}
 }
 
-// TestSubmit_OverQueueLimit_RejectedAndCounted holds without the event loop's goroutine.
+// TestSubmit_OverQueueLimit_RejectedAndCounted checks that requests are rejected while the event loop's goroutine is
+// blocked.
 func TestSubmit_OverQueueLimit_RejectedAndCounted(t *testing.T) {
 	loop, stop := startLoop(1)
 	defer stop()
 	blocked, unblock := make(chan struct{}), make(chan struct{})
-	loop.post(stepOther, func(time.Duration) { close(blocked); <-unblock }) // the loop handles nothing meanwhile
+	loop.post(stepOther, func(time.Duration) { close(blocked); <-unblock }) // blocks the loop
 	<-blocked
 	loop.gate.setLimit(1)
 	admitted := NewRequest()
@@ -55,7 +56,7 @@
 	}
 }
 
-// The loop stalls while a request waits to be read, and the request is the first that it sees afterwards.
+// The loop stalls while a request waits to be read, and the request is the first thing that it handles afterwards.
 func TestReceive_FirstAfterStall_CountsFromItsBegin(t *testing.T) {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now().Add(-time.Hour)}}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1}, loop, zerolog.Nop())
@@ -68,13 +69,13 @@
 	}
 }
 
-// A request that is read a while after a stall, as there was much to read, on a connection that was not read since.
+// A request is read some time after a stall, because there was much to read, on a connection that had not been read since.
 func TestReceive_ReadWhileAfterStall_CountsFromItsBegin(t *testing.T) {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now().Add(-time.Hour)}}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1}, loop, zerolog.Nop())
 	now := loop.Now()
 	for pass := now - 1500*time.Millisecond; pass < now; pass += 20 * time.Millisecond {
-		if pass < now-1400*time.Millisecond || pass > now-400*time.Millisecond { // it stands still in between
+		if pass < now-1400*time.Millisecond || pass > now-400*time.Millisecond { // the loop stalls in between
 			loop.renewLease(pass)
 		}
 	}
@@ -86,14 +87,14 @@
 	}
 }
 
-// newIdleLoop returns an event loop that the test runs by hand.
+// newIdleLoop returns an event loop without a goroutine: the test calls its methods.
 func newIdleLoop(events int) *EventLoop {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now()}, EventQueue: events}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}}, loop, zerolog.Nop())
 	return loop
 }
 
-// A response that is received while the loop handles an event, as one that stalls, comes before timers.
+// A response that is received while the loop handles a slow event must be handled before timers.
 func TestDrainEvents_EventReceivedMeanwhile_IsHandled(t *testing.T) {
 	loop := newIdleLoop(4)
 	handled := false
@@ -102,11 +103,11 @@
 	})
 	loop.drainEvents()
 	if !handled {
-		t.Error("an event that was received while another one was handled waits for the timers")
+		t.Error("an event that was received while another was handled was not handled before the timers")
 	}
 }
 
-// Events without end do not keep timers from firing.
+// An endless sequence of events must not keep timers from firing.
 func TestDrainEvents_EventsWithoutEnd_Returns(t *testing.T) {
 	loop := newIdleLoop(4)
 	handled := 0
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -12,7 +12,7 @@
 
 const expiryTimeout = time.Second
 
-// newStuckLoop returns an event loop that handles nothing but what the test calls.
+// newStuckLoop returns an event loop without a goroutine, which handles only what the test passes to it.
 func newStuckLoop() *EventLoop {
 	settings := Settings{
 		Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 8, ClockStart: time.Now(),
@@ -30,7 +30,7 @@
 	return request
 }
 
-// expectResponse waits for the final response and reports one of another kind, or one after the client's timeout.
+// expectResponse waits for the final response and checks that it is of the given kind and precedes the client's timeout.
 func expectResponse(t *testing.T, loop *EventLoop, request *Request, kind ResponseKind) {
 	t.Helper()
 	response := <-request.Response()
@@ -46,7 +46,7 @@
 		expectResponse(t, loop, request, Rejected)
 		loop.receive(<-loop.requests)
 		if counts := loop.counts(); counts.Admitted != 0 || counts.Expired != 1 || request.state != requestCompleted {
-			t.Errorf("after it expired it was received: state %d, %+v", request.state, counts)
+			t.Errorf("the request was received after it expired: state %d, %+v", request.state, counts)
 		}
 	})
 }
@@ -57,7 +57,7 @@
 		request := submitToStuckLoop(loop)
 		loop.receive(<-loop.requests)
 		if loop.frontEnd.InFlight() != 1 {
-			t.Fatal("not admitted")
+			t.Fatal("the request was not admitted")
 		}
 		expectResponse(t, loop, request, Failed)
 		synctest.Wait()
@@ -68,7 +68,7 @@
 	})
 }
 
-// What the FrontEnd decides for a request that has expired, and before it knows, reaches nobody.
+// A final response that the FrontEnd gives before it is notified of the expiry must not be delivered.
 func TestExpiry_ResponseAfterwards_IsNotDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		loop := newStuckLoop()
@@ -96,12 +96,12 @@
 		expectResponse(t, loop, request, Served)
 		time.Sleep(2 * expiryTimeout)
 		if len(request.Response()) > 0 || loop.counts().Expired != 0 {
-			t.Errorf("a request that was answered expired: %+v", loop.counts())
+			t.Errorf("a request expired after its final response: %+v", loop.counts())
 		}
 	})
 }
 
-// TestDelivery_OwnerAndExpiryAtOnce_OneDelivers is for the race detector.
+// TestDelivery_OwnerAndExpiryAtOnce_OneDelivers is meant to be run with the race detector.
 func TestDelivery_OwnerAndExpiryAtOnce_OneDelivers(t *testing.T) {
 	for range 2000 {
 		var state delivery
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -13,11 +13,11 @@
 	"havencart/scheduler"
 )
 
-// This file explores the life of requests exhaustively in a small scope: every order of the events of two requests
-// on two workers, with the real FrontEnd and the real scheduler, up to a depth. What worker clients and clients see is
-// checked against the invariants at each step and at the end.
+// This file is an exhaustive model check in a small scope: it runs every order, up to a depth, of the events of two
+// requests on two workers, with the real FrontEnd and the real scheduler. At each step and at the end it checks the
+// invariants on what worker clients and clients observe.
 
-// simulation is one order of events: a FrontEnd, and what worker clients and clients saw.
+// simulation runs one order of events. It consists of a FrontEnd and a record of what worker clients and clients observed.
 type simulation struct {
 	*testHarness
 	classes       [2]int
@@ -26,23 +26,23 @@
 	kinds         [2]ResponseKind
 	received      int
 	disconnected  [2]bool
-	abandoned     []*workerconn.Attempt // given up here after they were sent
+	abandoned     []*workerconn.Attempt // attempts that the FrontEnd abandoned after they were sent
 	draining      bool
 	sentByRequest map[string][]sentRecord
 	path          []string
 	violation     string
 }
 
-// sentRecord is one attempt as a worker could know of it.
+// sentRecord records an attempt that was passed to a worker client.
 type sentRecord struct {
 	attempt       *workerconn.Attempt
 	cell          int
 	sentAt        time.Duration
-	neverExecuted bool // it is known not to have executed
+	neverExecuted bool // whether the FrontEnd knows that the attempt did not execute
 	written       bool
 }
 
-// recordingClient is a worker client that notes each attempt and keeps it in the write buffer until a step writes it.
+// recordingClient is a worker client that records each attempt and keeps it in the write buffer until a step writes it.
 type recordingClient struct {
 	*fakeWorkerClient
 	simulation *simulation
@@ -84,7 +84,7 @@
 			return &list[i]
 		}
 	}
-	panic("an attempt that was never handed over")
+	panic("attempt was never passed to a worker client")
 }
 
 func (sim *simulation) violated(format string, args ...any) {
@@ -93,16 +93,17 @@
 	}
 }
 
-// checkSend checks invariants 2 and 3 when an attempt is handed to a worker client.
+// checkSend checks, when an attempt is passed to a worker client, that the request may still be sent to that worker and
+// that a retry is permitted for its class (invariants 2 and 3).
 func (sim *simulation) checkSend(worker *fakeWorkerClient, attempt *workerconn.Attempt) {
 	id := attempt.Request.ID
 	index := int(id[0] - '0')
 	cell := int(worker.name[1]-'0') % 2
 	if sim.responses[index] > 0 || sim.disconnected[index] {
-		sim.violated("request %d is sent after its final state", index)
+		sim.violated("request %d was sent after its final state", index)
 	}
 	if worker.drained {
-		sim.violated("request %d is sent to a worker that drains", index)
+		sim.violated("request %d was sent to a draining worker", index)
 	}
 	for _, earlier := range sim.sentByRequest[id] {
 		if earlier.neverExecuted {
@@ -110,17 +111,18 @@
 		}
 		switch sim.classes[index] {
 		case nonIdempotentClass:
-			sim.violated("non-idempotent request %d is retried, and may have executed", index)
+			sim.violated("non-idempotent request %d was retried although it may have executed", index)
 		case keyedClass:
 			if earlier.cell != cell || sim.clock-earlier.sentAt > time.Second {
-				sim.violated("keyed request %d is retried outside its scope or retention", index)
+				sim.violated("keyed request %d was retried outside its key's scope or retention", index)
 			}
 		}
 	}
 	sim.sentByRequest[id] = append(sim.sentByRequest[id], sentRecord{attempt: attempt, cell: cell, sentAt: sim.clock})
 }
 
-// checkResponse checks invariant 1, and that nothing that may have executed is rejected.
+// checkResponse checks that a request gets only one final response, in time (invariant 1), and that no request that may
+// have executed is rejected.
 func (sim *simulation) checkResponse(i int, response FinalResponse) {
 	sim.responses[i]++
 	sim.kinds[i] = response.Kind
@@ -138,7 +140,7 @@
 	}
 	for _, s := range sim.sentByRequest[sim.submitted[i].ID] {
 		if !s.neverExecuted {
-			sim.violated("request %d is rejected, and may have executed", i)
+			sim.violated("request %d was rejected although it may have executed", i)
 		}
 	}
 }
@@ -155,13 +157,13 @@
 	return sim
 }
 
-// step is an event that can happen now.
+// step is a possible next event.
 type step struct {
 	name string
 	run  func()
 }
 
-// possibleSteps lists all events that can happen now, in an order that is always the same.
+// possibleSteps lists all possible next events in a deterministic order.
 func (sim *simulation) possibleSteps() (list []step) {
 	add := func(do func(), format string, args ...any) {
 		list = append(list, step{fmt.Sprintf(format, args...), do})
@@ -228,7 +230,7 @@
 
 func (sim *simulation) writeOut(worker *fakeWorkerClient, attempt *workerconn.Attempt) {
 	if sim.draining && worker.name == "w0" {
-		sim.violated("request %s is written to a worker that drains", attempt.Request.ID)
+		sim.violated("request %s was written to a draining worker", attempt.Request.ID)
 	}
 	worker.remove(attempt)
 	worker.sent = append(worker.sent, attempt)
@@ -241,7 +243,7 @@
 	sim.AttemptEnded(sim.clock, attempt, workerconn.Result{Status: s, QueueDepth: -1, Response: &workerconn.Response{}})
 }
 
-// checkEnd lets all time pass: each request whose client stayed connected must have its final response.
+// checkEnd advances past all deadlines and checks that each request whose client stayed connected has its final response.
 func (sim *simulation) checkEnd() {
 	sim.advance(2100 * ms)
 	for i := range sim.received {
@@ -250,11 +252,11 @@
 		}
 	}
 	if sim.Counts().PastDeadline > 0 {
-		sim.violated("the scheduler left a request past its deadline")
+		sim.violated("the scheduler did not end a request before its deadline")
 	}
 }
 
-// explorer walks all orders of a depth by running each from its beginning.
+// explorer runs all orders of events up to a depth. It restarts each order from its beginning.
 type explorer struct {
 	t       *testing.T
 	classes [2]int
@@ -294,11 +296,11 @@
 	total := 0
 	for _, classes := range [][2]int{{nonIdempotentClass, keyedClass}, {keyedClass, keyedClass}, {nonIdempotentClass, nonIdempotentClass}, {idempotentClass, nonIdempotentClass}} {
 		x := &explorer{t: t, classes: classes, depth: depth}
-		x.walk([]int{0}) // a request is received first
+		x.walk([]int{0}) // the first event is always the receipt of a request
 		total += x.paths
 	}
 	t.Logf("%d orders of %d events each", total, depth+1)
 	if total < 5000 {
-		t.Errorf("only %d paths: the scope has shrunk", total)
+		t.Errorf("only %d orders were run, want at least 5000", total)
 	}
 }
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -18,89 +18,90 @@
 	"havencart/scheduler"
 )
 
-// Settings are what a FrontEnd needs beside the scheduler's own settings.
+// Settings configure a FrontEnd and its scheduler.
 type Settings struct {
 	Scheduler      scheduler.Settings
-	Name           string   // of this front end, unique among all
-	Classes        []string // names, in the order of Scheduler.Classes
-	Tenants        []string // names, in the order of Scheduler.Tenants
-	Zones          []string // names; Scheduler.Zone is an index into them
+	Name           string   // name of this front end, unique among all front ends
+	Classes        []string // class names, in the order of Scheduler.Classes
+	Tenants        []string // tenant names, in the order of Scheduler.Tenants
+	Zones          []string // zone names; Scheduler.Zone is an index into them
 	Tenancy        tenancy.Settings
-	EndpointRules  endpointlease.Rules // without a Silence, the endpoint list is valid without end
-	DeadlineMargin time.Duration       // the final response is due this long before the client gives up
-	MaxInFlight    int                 // requests in flight; more are rejected at once
-	ClockStart     time.Time           // wall time at 0 of the clock
-	// Guard is shared with the worker clients; nil: the FrontEnd has one of its own.
+	EndpointRules  endpointlease.Rules // if Silence is 0, the endpoint list never becomes invalid
+	DeadlineMargin time.Duration       // how long before the client's timeout the final response is due
+	MaxInFlight    int                 // limit of requests in flight; further ones are rejected immediately
+	ClockStart     time.Time           // wall time at which the clock is 0
+	// Guard is shared with the worker clients. If nil, the FrontEnd creates its own.
 	Guard *workerconn.Guard
 
-	// NewScheduler makes the scheduler; nil stands for scheduler.New.
+	// NewScheduler creates the scheduler. If nil, scheduler.New is used.
 	NewScheduler func(now time.Duration, set scheduler.Settings, a scheduler.Actions) Scheduler
-	// Shadow, where not nil, are settings that decide nothing: the decisions in which they diverge are counted.
+	// Shadow holds settings that are evaluated without effect, or nil. Decisions that would differ with them are counted.
 	Shadow *shadow.Settings
 }
 
-// Scheduler decides: it is a scheduler.Scheduler, or in the laboratory a baseline compared with it. The FrontEnd calls
-// it from its own goroutine, and reports what its actions led to after the call that asked for them has returned.
+// Scheduler decides what happens to requests. It is a scheduler.Scheduler or, in experiments, a baseline that is compared
+// with it. The FrontEnd calls it from the goroutine that owns the FrontEnd. The outcome of an action is reported only
+// after the call in which the scheduler requested the action has returned.
 type Scheduler interface {
-	// WorkersChanged reports workers: all of them where whole is set, else only those that changed.
+	// WorkersChanged reports the complete list of workers if whole is set, and otherwise only the workers that changed.
 	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool)
 	// WatchFailed reports that the endpoint list could not be received.
 	WatchFailed(now time.Duration)
-	// TimerFired reports that the timer of an action SetTimer is due.
+	// TimerFired reports that a timer set with scheduler.Actions.SetTimer is due.
 	TimerFired(now time.Duration, token uint64)
-	// RequestReceived hands over an admitted request, which the scheduler sends, rejects or fails.
+	// RequestReceived reports an admitted request. The scheduler must send, reject or fail it.
 	RequestReceived(now time.Duration, r scheduler.Request)
-	// AttemptEnded reports the outcome of an attempt, once each.
+	// AttemptEnded reports the outcome of an attempt. It is called once per attempt.
 	AttemptEnded(now time.Duration, o scheduler.Outcome)
-	// ClientDisconnected reports that no final response is owed any longer.
+	// ClientDisconnected reports that a request no longer needs a final response.
 	ClientDisconnected(now time.Duration, id scheduler.RequestID)
-	// LoadEnded reports the result of a load order or residency query, once each.
+	// LoadEnded reports the result of a load order or residency query. It is called once for each.
 	LoadEnded(now time.Duration, l scheduler.LoadResult)
-	// ResponseStarted reports that a request is served; its attempt ends later.
+	// ResponseStarted reports that a request is being served with a streamed response. Its attempt ends later.
 	ResponseStarted(now time.Duration, id scheduler.RequestID)
 	// HealthChecked reports the result of a health check.
 	HealthChecked(now time.Duration, p scheduler.HealthCheckResult)
 }
 
-// WorkerClient is the client of one worker, as muxclient.Client is. None of its methods waits for the worker; what
-// happens later is reported by events.
+// WorkerClient is the client of one worker, such as a muxclient.Client. Its methods do not wait for the worker: what
+// happens after they return is reported by events.
 type WorkerClient interface {
-	// Send queues an attempt. A result that is not nil is its outcome: no event follows.
+	// Send queues an attempt. A non-nil result is the outcome of the attempt, and no event follows.
 	Send(*workerconn.Attempt) *workerconn.Result
-	// CancelUnsent takes an attempt back if none of it was written, and reports whether it did.
+	// CancelUnsent cancels an attempt if no part of it was written, and reports whether it did.
 	CancelUnsent(*workerconn.Attempt) (unsent bool)
-	// Abandon gives an attempt up and reports whether the worker may have received it.
+	// Abandon stops waiting for an attempt and reports whether the worker may have received it.
 	Abandon(*workerconn.Attempt) (mayBeReceived bool)
-	// Load sends a load order, or a residency query. A status other than 0 is its outcome: no event follows.
+	// Load sends a load order or a residency query. A nonzero status is its outcome, and no event follows.
 	Load(*workerconn.LoadOrder) scheduler.Status
-	// AbandonLoad gives a load order up: no event follows.
+	// AbandonLoad stops waiting for a load order or residency query. No event follows.
 	AbandonLoad(*workerconn.LoadOrder)
-	// Unload asks for the idle replicas of a function to be unloaded. It has no response.
+	// Unload asks the worker to unload the idle replicas of a function. The worker sends no response.
 	Unload(function string)
-	// CheckHealth sends a health check. A status other than 0 is its outcome: no event follows.
+	// CheckHealth sends a health check. A nonzero status is its outcome, and no event follows.
 	CheckHealth(*workerconn.HealthCheck) scheduler.Status
-	// AbandonHealthCheck gives a health check up.
+	// AbandonHealthCheck stops waiting for a health check.
 	AbandonHealthCheck(*workerconn.HealthCheck)
-	// Drain admits nothing new until Resume, and returns what was not sent yet.
+	// Drain stops accepting new work until Resume is called, and returns the work that was not sent.
 	Drain(grace time.Duration) ([]*workerconn.Attempt, []*workerconn.LoadOrder)
 	// Resume ends a drain.
 	Resume()
-	// Busy reports whether anything is in flight.
+	// Busy reports whether the client has work in flight.
 	Busy() bool
-	// Stop closes all connections for good.
+	// Stop permanently closes all connections.
 	Stop()
 }
 
-// Dependencies are what a FrontEnd reaches beside its worker clients.
+// Dependencies provides a FrontEnd with worker clients and with access to endpoint discovery.
 type Dependencies interface {
-	// OpenWorker starts a client; what happens on it is reported to the FrontEnd with this worker's identifier.
+	// OpenWorker starts a client of a worker. The client's events are reported to the FrontEnd with the worker's identifier.
 	OpenWorker(id scheduler.WorkerID, w discovery.Worker) WorkerClient
-	// WatchEndpoints requests the endpoint list anew.
+	// WatchEndpoints requests the endpoint list again.
 	WatchEndpoints()
 }
 
-// FrontEnd is the state machine of one front end. It has no lock: one goroutine owns it and calls all its methods,
-// with times that never go back. It is also the scheduler.Actions of its scheduler.
+// FrontEnd is the state machine of one front end. It is not safe for concurrent use: one goroutine owns it and calls all
+// its methods, with times that never decrease. It also implements scheduler.Actions for its scheduler.
 type FrontEnd struct {
 	settings     Settings
 	dependencies Dependencies
@@ -108,18 +109,18 @@
 	trace        *trace
 	guard        *workerconn.Guard
 	scheduler    Scheduler
-	shadow       *shadow.Scheduler // the scheduler, where shadow settings are evaluated; else nil
+	shadow       *shadow.Scheduler // same as scheduler if shadow settings are evaluated, else nil
 	incarnations *incarnation.Tracker
-	lease        endpointlease.Lease // on the endpoint list
-	leaseEnded   bool                // the log has that it ended
+	lease        endpointlease.Lease // lease on the endpoint list
+	leaseEnded   bool                // whether the end of the lease was logged
 	shedder      loadshed.Shedder
 	tenancy      *tenancy.Limiter
 	lag          looplag.Estimator
-	now          time.Duration // of the event that is handled
+	now          time.Duration // time of the event that is being handled
 
 	timers        timerHeap
-	requestTimers timerHeap // fire sooner, by the margin for the event loop's lag
-	deferred      []func()  // outcomes deferred until the scheduler returns
+	requestTimers timerHeap // these fire early, by the margin for the event loop's lag
+	deferred      []func()  // calls deferred until the scheduler returns; see runDeferred
 
 	requests      map[scheduler.RequestID]*Request
 	lastRequestID scheduler.RequestID
@@ -127,27 +128,27 @@
 	loadOrders    map[*workerconn.LoadOrder]*loadOrder
 	healthChecks  map[*workerconn.HealthCheck]*healthCheck
 	workers       map[scheduler.WorkerID]*worker
-	retiring      map[scheduler.WorkerID]*worker // those with clients that sweep is to stop
-	overridden    map[scheduler.WorkerID]*worker // whose state or start differs from the list's until that is confirmed
+	retiring      map[scheduler.WorkerID]*worker // workers with clients that sweep has to stop
+	overridden    map[scheduler.WorkerID]*worker // workers whose state or start overrides the list until it is confirmed
 	functions     map[scheduler.FunctionID]*function
 
-	// Numbers of names for the scheduler, in the order in which they were first seen.
+	// Numbers that stand for names in the scheduler, assigned in the order in which the names are first seen.
 	zones map[string]int
 	cells map[string]int
 	kinds map[string]int
 
-	shuttingDown bool // nothing is admitted any longer
+	shuttingDown bool // whether all new requests are rejected
 	counts       Counts
 }
 
-// function is what is known of a function from its requests.
+// function is the state of a function, collected from its requests.
 type function struct {
 	replica  muxframe.ReplicaSpec
 	lastUsed time.Duration
 	cost     tenancy.WorkEstimator
 }
 
-// NewFrontEnd returns a FrontEnd that starts at now and knows no workers.
+// NewFrontEnd returns a FrontEnd that starts at now, without workers.
 func NewFrontEnd(now time.Duration, settings Settings, dependencies Dependencies, log zerolog.Logger) *FrontEnd {
 	frontEnd := &FrontEnd{
 		settings:     settings,
@@ -189,7 +190,7 @@
 	return frontEnd
 }
 
-// longestTimeout is the longest that a client of any class waits.
+// longestTimeout returns the longest request timeout of all classes.
 func longestTimeout(classes []scheduler.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -198,8 +199,8 @@
 	return longest
 }
 
-// runDeferred reports to the scheduler what its own actions led to at once, after it has returned. Outcomes may be
-// deferred meanwhile.
+// runDeferred makes the deferred calls. They report the immediate outcomes of actions to the scheduler, and wait until the
+// scheduler has returned from the call in which it requested the actions. Deferred calls may defer further calls.
 func (f *FrontEnd) runDeferred() {
 	for len(f.deferred) > 0 {
 		next := f.deferred[0]
@@ -208,10 +209,10 @@
 	}
 }
 
-// logShadowDifference logs a decision in which the shadow settings diverge.
+// logShadowDifference logs a decision that would have been different with the shadow settings.
 func (f *FrontEnd) logShadowDifference(kind string) {
 	f.log.Info().Str("decision", kind).Msg("shadow settings would have decided differently")
 }
 
-// Log implements scheduler.Actions: it logs a line of the scheduler's.
+// Log implements scheduler.Actions: it logs a message from the scheduler.
 func (f *FrontEnd) Log(text string) { f.log.Info().Str("component", "scheduler").Msg(text) }
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -8,7 +8,8 @@
 	"havencart/scheduler"
 )
 
-// The second attempt of a request that may have executed waits for a connection. The key is remembered for a second.
+// The second attempt of a request that may have executed waits for a connection. Workers retain the idempotency key for
+// one second, after which the attempt must not be sent.
 func TestRetry_UnsentWhenKeyExpires_FailsAtOnce(t *testing.T) {
 	harness := newHarness(t, 4, nil)
 	request := harness.submit(keyedClass)
@@ -23,7 +24,7 @@
 	}
 	harness.advance(850 * ms)
 	if len(worker.queued) != 1 {
-		t.Fatal("given up before the key expired")
+		t.Fatal("the retry was abandoned before the key expired")
 	}
 	harness.advance(50 * ms)
 	if len(worker.queued)+len(worker.sent) != 0 {
@@ -32,7 +33,7 @@
 	harness.wantResponse(request, Failed)
 }
 
-// An attempt that was written in time is not ended by the expiry: its response counts until the deadline.
+// An attempt that was written before the key expires does not end with the key: its response counts until the deadline.
 func TestRetry_SentBeforeKeyExpires_ResponseCountsAfterwards(t *testing.T) {
 	harness := newHarness(t, 4, nil)
 	request := harness.submit(keyedClass)
@@ -46,7 +47,7 @@
 	}
 }
 
-// recklessScheduler asks for whatever a test says, in whatever state the request is.
+// recklessScheduler is a scheduler whose actions are chosen by a test, regardless of the state of the request.
 type recklessScheduler struct {
 	Scheduler
 	actions scheduler.Actions
@@ -71,7 +72,7 @@
 	return harness, reckless
 }
 
-// do calls an action of the scheduler within an event.
+// do calls an action of the scheduler as if it were part of an event.
 func (s *recklessScheduler) do(harness *testHarness, action func()) {
 	action()
 	harness.runDeferred()
@@ -81,7 +82,7 @@
 	s.do(harness, func() { s.actions.Send(s.request.ID, WorkerID(worker), 0) })
 }
 
-// wantViolation checks that just this was counted, and how many attempts the worker clients have.
+// wantViolation checks that only the given violation was counted, and the number of attempts that worker clients have.
 func wantViolation(t *testing.T, harness *testHarness, want execution.Violation, attempts int) {
 	t.Helper()
 	counts := harness.Counts().Violations
@@ -97,7 +98,7 @@
 	}
 }
 
-// Workers w0 and w2 are of one cell, w1 and w3 of another one.
+// Workers w0 and w2 are in one cell, w1 and w3 in another.
 func TestGuard_ForbiddenSend_IsCountedAndNotSent(t *testing.T) {
 	cases := map[string]struct {
 		class   int
@@ -154,7 +155,7 @@
 	harness.listWorkers(4, map[string]scheduler.WorkerState{"w0": scheduler.Draining})
 	reckless.do(harness, func() { reckless.actions.Load(WorkerID("w0"), FunctionID("f"), 1) })
 	if orders := len(harness.clients["w0"].orders); orders != 0 {
-		t.Errorf("%d orders were sent", orders)
+		t.Errorf("%d load orders were sent", orders)
 	}
 	wantViolation(t, harness, execution.StartAtDrainingWorker, 0)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -16,18 +16,18 @@
 
 const ms = time.Millisecond
 
-// fakeWorkerClient stands in for a worker client: it keeps what the FrontEnd gave it until a test says what became of it.
+// fakeWorkerClient is a WorkerClient that keeps the work from the FrontEnd until a test decides its outcome.
 type fakeWorkerClient struct {
 	name         string
-	queued       []*workerconn.Attempt // not written
+	queued       []*workerconn.Attempt // not written yet
 	sent         []*workerconn.Attempt
 	orders       []*workerconn.LoadOrder
 	canceled     []*workerconn.Attempt
 	drained      bool
 	stopped      bool
-	healthChecks []*workerconn.HealthCheck // without a response
+	healthChecks []*workerconn.HealthCheck // health checks without a response
 	unloads      int
-	holdsWrites  bool // attempts stay in the write buffer
+	holdsWrites  bool // whether attempts stay in the write buffer
 	rejection    *workerconn.Result
 }
 
@@ -99,7 +99,7 @@
 	return taken, nil
 }
 
-// testHarness hands events to a FrontEnd, at its own clock.
+// testHarness passes events to a FrontEnd, with a clock that the test controls.
 type testHarness struct {
 	*testing.T
 	*FrontEnd
@@ -149,7 +149,7 @@
 	return harness
 }
 
-// listWorkers reports a list of n workers, all ready but those in states.
+// listWorkers reports an endpoint list of n workers. They are ready unless states gives them another state.
 func (harness *testHarness) listWorkers(n int, states map[string]scheduler.WorkerState) {
 	var list []discovery.Worker
 	for i := range n {
@@ -164,7 +164,7 @@
 
 func (harness *testHarness) submit(class int) *Request { return harness.submitTo(class, 2) }
 
-// submitTo submits a request of a function whose replicas execute so many at a time.
+// submitTo submits a request for a function whose replicas have the given concurrency.
 func (harness *testHarness) submitTo(class, concurrency int) *Request {
 	request := NewRequest()
 	request.Class = class
@@ -182,7 +182,7 @@
 	}
 }
 
-// sentAttempt is the attempt that a worker client has for a request.
+// sentAttempt returns the worker client that has an attempt of a request, and the attempt.
 func (harness *testHarness) sentAttempt(request *Request) (*fakeWorkerClient, *workerconn.Attempt) {
 	harness.Helper()
 	for _, worker := range harness.clients {
--- a/internal/gateway/http_handler.go
+++ b/internal/gateway/http_handler.go
@@ -2,20 +2,20 @@
 
 import "havencart/internal/native/httpserver"
 
-// httpHandler hands the requests of one client connection to one event loop. It is an httpserver.Handler, called from
-// the connection's goroutine.
+// httpHandler implements httpserver.Handler. It submits the requests of one client connection to one event loop, and is
+// called from the connection's goroutine.
 type httpHandler struct {
 	loop    *EventLoop
 	catalog *Catalog
 }
 
-// pendingRequest is a request that was submitted to an event loop. It is an httpserver.Pending.
+// pendingRequest implements httpserver.Pending. It is a request that was submitted to an event loop.
 type pendingRequest struct {
 	loop    *EventLoop
 	request *Request
 }
 
-// Take implements httpserver.Handler. An error is one of Catalog.Resolve.
+// Handle implements httpserver.Handler. Its errors are those of Catalog.Resolve.
 func (h httpHandler) Handle(received *httpserver.Request) (httpserver.Pending, error) {
 	request := NewRequest()
 	request.ID = received.ID
@@ -40,17 +40,17 @@
 	}
 }
 
-// Leave implements httpserver.Pending: the client has disconnected.
+// Cancel implements httpserver.Pending: it reports that the client has disconnected.
 func (p pendingRequest) Cancel() { p.loop.Disconnect(p.request) }
 
-// httpOutcomes are the kinds of final responses as HTTP clients receive them.
+// httpOutcomes maps the kinds of final responses to the outcomes that HTTP clients receive.
 var httpOutcomes = map[ResponseKind]httpserver.Outcome{
 	Served:   httpserver.Served,
 	Rejected: httpserver.Rejected,
 	Failed:   httpserver.Failed,
 }
 
-// httpResponse is the final response of the request with that ID as HTTP clients receive it.
+// httpResponse converts the final response of the request with that ID to the form that HTTP clients receive.
 func (f FinalResponse) httpResponse(id string) httpserver.Response {
 	out := httpserver.Response{
 		Outcome:    httpOutcomes[f.Kind],
@@ -67,7 +67,7 @@
 	out.ContentType = f.Response.ContentType
 	out.Body = f.Response.Body
 	out.Length = f.Response.Length
-	if f.Response.Stream != nil { // a nil *Stream is no nil interface
+	if f.Response.Stream != nil { // a nil *Stream in an interface would not compare equal to nil
 		out.Stream = f.Response.Stream
 	}
 	return out
--- a/internal/gateway/load_orders.go
+++ b/internal/gateway/load_orders.go
@@ -9,17 +9,18 @@
 	"havencart/scheduler"
 )
 
-// loadOrder is an order to load replicas, or a residency query, that awaits its response.
+// loadOrder is a load order, or a residency query, that awaits its response.
 type loadOrder struct {
 	workerconn.LoadOrder
 	worker   *worker
 	function scheduler.FunctionID
 	sentAt   time.Duration
-	timer    timer // its timeout
-	ended    bool  // its result was reported to the scheduler
+	timer    timer // timeout of the response
+	ended    bool  // whether the result was reported to the scheduler
 }
 
-// Load implements scheduler.Actions: it orders replicas of a function loaded, or with 0 asks how many are resident.
+// Load implements scheduler.Actions. It sends an order to load replicas of a function or, if replicas is 0, a residency
+// query, which asks how many replicas are resident.
 func (f *FrontEnd) Load(to scheduler.WorkerID, id scheduler.FunctionID, replicas int) {
 	worker, function := f.workers[to], f.functions[id]
 	if worker == nil || function == nil {
@@ -53,7 +54,7 @@
 	}
 }
 
-// Unload implements scheduler.Actions: it has the idle replicas of a function unloaded.
+// Unload implements scheduler.Actions: it asks a worker to unload the idle replicas of a function.
 func (f *FrontEnd) Unload(from scheduler.WorkerID, id scheduler.FunctionID) {
 	worker, function := f.workers[from], f.functions[id]
 	if worker != nil && function != nil {
@@ -61,8 +62,8 @@
 	}
 }
 
-// LoadEnded takes the response to a load order from its worker client, with the replicas that are resident. An order
-// that has ended already is ignored.
+// LoadEnded handles the result of a load order or residency query, as reported by its worker client. replicas is the
+// number of resident replicas. It ignores an order that has already ended.
 func (f *FrontEnd) LoadEnded(now time.Duration, sent *workerconn.LoadOrder, status scheduler.Status, replicas int) {
 	f.now = now
 	if order := f.loadOrders[sent]; order != nil {
@@ -74,7 +75,7 @@
 	f.runDeferred()
 }
 
-// endLoadOrder reports the result of a load order to the scheduler, once.
+// endLoadOrder ends a load order or residency query and reports its result to the scheduler, at most once.
 func (f *FrontEnd) endLoadOrder(order *loadOrder, status scheduler.Status, replicas int) {
 	if order.ended {
 		return
--- a/internal/gateway/loop_times.go
+++ b/internal/gateway/loop_times.go
@@ -7,19 +7,20 @@
 	"github.com/rs/zerolog"
 )
 
-// slowStep is from when on a step of the event loop is logged: a request waits for several of them.
+// slowStep is the duration from which a step of the event loop is logged. A request waits for several steps, so that the
+// delays add up.
 const slowStep = 25 * time.Millisecond
 
-// loopStep is a kind of work of an event loop.
+// loopStep is the kind of a step of an event loop.
 type loopStep uint8
 
-// The kinds of work.
+// The kinds of steps.
 const (
 	stepRequest    loopStep = iota // a request is admitted or rejected
 	stepEndpoints                  // the endpoint list changed
-	stepWorker                     // a worker client reports a response, an end or a connection
-	stepDisconnect                 // a client cancelled or disconnected
-	stepTimers                     // timers are due, the scheduler's ticks among them
+	stepWorker                     // a worker client reports the progress of its work or of its connection
+	stepDisconnect                 // a client disconnected or cancelled its request
+	stepTimers                     // timers fired, including those of the scheduler
 	stepOther
 	loopStepCount int = iota
 )
@@ -33,17 +34,17 @@
 	stepOther:      "other",
 }
 
-// String returns the kind as logs and totals name it.
+// String returns the name of the kind in logs and totals.
 func (s loopStep) String() string { return loopStepNames[s] }
 
-// stepTotals are the totals of one kind of work.
+// stepTotals are the totals of one kind of step.
 type stepTotals struct {
 	Steps   uint64
 	Total   time.Duration
 	Longest time.Duration
 }
 
-// MarshalJSON writes the durations in milliseconds.
+// MarshalJSON implements json.Marshaler. It encodes the durations in milliseconds.
 func (t stepTotals) MarshalJSON() ([]byte, error) {
 	return json.Marshal(struct {
 		Steps     uint64  `json:"steps"`
@@ -52,14 +53,15 @@
 	}{t.Steps, millis(t.Total), millis(t.Longest)})
 }
 
-// LoopTimes are what an event loop spent its time on since its start, and how long requests waited for it. Times are the
-// clock's: on a shared core they contain the time in which the process did not run.
+// LoopTimes records the time that an event loop has spent on each kind of step since its start, and the longest time that
+// a request has waited for it. Times are elapsed times: on a shared core they include the time during which the process
+// did not run.
 type LoopTimes struct {
 	byStep      [loopStepCount]stepTotals
-	LongestWait time.Duration // of a request in the loop's queue
+	LongestWait time.Duration // longest time that a request waited in the loop's queue
 }
 
-// MarshalJSON writes the totals by name.
+// MarshalJSON implements json.Marshaler. It encodes the totals as an object keyed by the kind of step.
 func (t LoopTimes) MarshalJSON() ([]byte, error) {
 	named := map[string]any{"longest-wait-ms": millis(t.LongestWait)}
 	for step, totals := range t.byStep {
@@ -70,7 +72,7 @@
 	return json.Marshal(named)
 }
 
-// add notes a step that took a time.
+// add adds a step and the time that it took to the totals.
 func (t *LoopTimes) add(step loopStep, took time.Duration) {
 	totals := &t.byStep[step]
 	totals.Steps++
@@ -78,7 +80,7 @@
 	totals.Longest = max(totals.Longest, took)
 }
 
-// endStep notes that a step which began at a time has ended, and logs it where it was slow.
+// endStep records the duration of a step that began at the time began, and logs the step if it was slow.
 func (l *EventLoop) endStep(step loopStep, began time.Duration) {
 	took := l.Now() - began
 	l.times.add(step, took)
@@ -87,7 +89,7 @@
 	}
 }
 
-// describe adds what the cost of a step may depend on.
+// describe adds the sizes that the cost of a step may depend on to a log line.
 func (l *EventLoop) describe(line *zerolog.Event) *zerolog.Event {
 	return line.Int("requests-queued", len(l.requests)).Int("events-queued", len(l.events)).
 		Int("workers", len(l.frontEnd.workers)).Int("functions", len(l.frontEnd.functions)).
--- a/internal/gateway/names.go
+++ b/internal/gateway/names.go
@@ -10,15 +10,15 @@
 	"havencart/scheduler"
 )
 
-// WorkerID returns the scheduler's identifier of the worker of a name, the same at all front ends.
+// WorkerID returns the scheduler's identifier of the worker with a name. It is a hash, the same on all front ends.
 func WorkerID(name string) scheduler.WorkerID { return scheduler.WorkerID(xxhash.Sum64String(name)) }
 
-// FunctionID returns the scheduler's identifier of the function of a name, the same at all front ends.
+// FunctionID returns the scheduler's identifier of the function with a name. It is a hash, the same on all front ends.
 func FunctionID(name string) scheduler.FunctionID {
 	return scheduler.FunctionID(xxhash.Sum64String(name))
 }
 
-// intern numbers names in the order in which they are first seen.
+// intern returns the number of a name in table. Names are numbered from 0, in the order in which they are first seen.
 func intern(table map[string]int, name string) int {
 	number, known := table[name]
 	if !known {
@@ -28,5 +28,5 @@
 	return number
 }
 
-// sortedKeys returns the keys in order: nothing that is done for each entry may depend on the order of a map.
+// sortedKeys returns the keys of a map in ascending order. It is used to process entries in a deterministic order.
 func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K { return slices.Sorted(maps.Keys(table)) }
--- a/internal/gateway/open_worker.go
+++ b/internal/gateway/open_worker.go
@@ -10,25 +10,25 @@
 	"havencart/scheduler"
 )
 
-// This file starts the clients of workers, and keeps those that are to be waited for.
+// This file starts worker clients and keeps track of those that the event loop has to wait for when it ends.
 
-// minPrune is the least number of worker clients at which those that have ended are looked for.
+// minPrune is the minimum number of worker clients at which ended ones are pruned.
 const minPrune = 16
 
-// Dial starts a client of a worker, which lives in the runtime of an event loop.
+// Dial starts a client of a worker for the event loop that provides runtime.
 type Dial func(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) ClosableWorkerClient
 
 // ClientRuntime is what an event loop provides to a worker client.
 type ClientRuntime struct {
-	Now    func() time.Duration // the loop's clock
-	Events muxclient.Events     // where the client reports what happens
+	Now    func() time.Duration // returns the time on the loop's clock
+	Events muxclient.Events     // receives the client's reports
 	Guard  *workerconn.Guard
 }
 
-// ClosableWorkerClient is a WorkerClient with goroutines to wait for.
+// ClosableWorkerClient is a WorkerClient whose goroutines can be waited for.
 type ClosableWorkerClient interface {
 	WorkerClient
-	// Done is closed when all of them have ended, after Stop.
+	// Done returns a channel that is closed when all goroutines of the client have ended after Stop.
 	Done() <-chan struct{}
 }
 
@@ -45,8 +45,8 @@
 	return client
 }
 
-// pruneWorkerClients forgets the clients that have ended. It is due again once there are twice as many, so that it costs
-// little for each client that is opened.
+// pruneWorkerClients removes the ended clients from the list. It runs again when the list has doubled in length, so that
+// the amortized cost per opened client is constant.
 func (l *EventLoop) pruneWorkerClients() {
 	l.workerClients = slices.DeleteFunc(l.workerClients, func(client ClosableWorkerClient) bool {
 		select {
@@ -59,7 +59,7 @@
 	l.nextPrune = max(minPrune, 2*len(l.workerClients))
 }
 
-// newWorkerClient starts a client in the protocol of the configuration.
+// newWorkerClient starts a client for the protocol that the loop is configured with.
 func (l *EventLoop) newWorkerClient(id scheduler.WorkerID, w discovery.Worker) ClosableWorkerClient {
 	if l.cfg.Dial != nil {
 		return l.cfg.Dial(id, w, ClientRuntime{Now: l.Now, Events: workerEvents{l, id}, Guard: l.guard})
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,7 +17,7 @@
 	"havencart/scheduler"
 )
 
-// instantWorker is a client of a worker that responds at once, so that the event loop alone is measured.
+// instantWorker is the client of a worker that responds immediately, so that only the event loop is measured.
 type instantWorker struct {
 	fakeWorkerClient
 	sent chan *workerconn.Attempt
@@ -30,7 +30,7 @@
 
 func (l *instantWorker) Abandon(*workerconn.Attempt) bool { return true }
 
-// respondToAll responds until the channel of attempts is closed.
+// respondToAll responds to each attempt until the channel of attempts is closed.
 func (l *instantWorker) respondToAll(loop *EventLoop) {
 	answer := &workerconn.Response{}
 	for attempt := range l.sent {
@@ -40,7 +40,7 @@
 	}
 }
 
-// fixedEndpoints is a discovery.Source with one list.
+// fixedEndpoints is a discovery.Source whose list never changes.
 type fixedEndpoints []discovery.Worker
 
 func (f fixedEndpoints) Run(ctx context.Context, sink discovery.Sink) {
@@ -49,7 +49,7 @@
 }
 func (f fixedEndpoints) Refresh() {}
 
-// startLoop runs an event loop with workers that respond at once, and returns what ends it.
+// startLoop runs an event loop with workers that respond immediately. It returns the loop and a function that ends it.
 func startLoop(workers int) (*EventLoop, func()) {
 	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1 << 20, ClockStart: time.Now()}
 	var list fixedEndpoints
@@ -82,11 +82,11 @@
 	}
 }
 
-// tally counts how requests ended.
+// tally counts the final responses of requests.
 type tally struct {
 	served, rejected atomic.Int64
 	mu               sync.Mutex
-	latencies        []time.Duration // of served requests
+	latencies        []time.Duration // latencies of a sample of the served requests
 }
 
 func (results *tally) newRequest(loop *EventLoop) *Request {
@@ -108,7 +108,7 @@
 	return request
 }
 
-// measureCapacity is what the event loop serves in a second, with a hundred requests in flight at any time.
+// measureCapacity returns the number of requests per second that the event loop serves with a hundred requests in flight.
 func measureCapacity(loop *EventLoop) float64 {
 	var o tally
 	start, sent := time.Now(), int64(0)
@@ -121,7 +121,7 @@
 	return float64(o.served.Load()) / time.Since(start).Seconds()
 }
 
-// offerLoad submits requests at a rate, whatever becomes of them.
+// offerLoad submits requests at a constant rate, regardless of their responses.
 func offerLoad(loop *EventLoop, rate float64, duration time.Duration, submit func(*Request)) *tally {
 	results := &tally{}
 	start := time.Now()
@@ -134,7 +134,7 @@
 		for ; float64(sent) < rate*at.Seconds(); sent++ {
 			before := loop.gate.rejected.Load()
 			submit(request)
-			if loop.gate.rejected.Load() > before { // rejected by the gate: nothing else has it, and it is used again
+			if loop.gate.rejected.Load() > before { // rejected by the gate: no other goroutine has the request, so reuse it
 				request.state = requestSubmitted
 				request.delivery.state.Store(deliveryQueued)
 				request.StartedAt = loop.Now()
@@ -145,7 +145,7 @@
 	}
 }
 
-// bypassGate queues a request as if there were no gate.
+// bypassGate returns a function that queues requests without the queue gate.
 func bypassGate(loop *EventLoop) func(*Request) {
 	return func(request *Request) {
 		request.queuedAt = loop.Now()
@@ -157,8 +157,8 @@
 	}
 }
 
-// BenchmarkOverload offers an event loop a multiple of its capacity, with and without the queue gate. What is served is
-// reported as a fraction of the capacity measured in the same run.
+// BenchmarkOverload offers an event loop multiples of its capacity, with and without the queue gate. It reports the served
+// requests as a fraction of the capacity measured in the same run.
 func BenchmarkOverload(b *testing.B) {
 	for _, gated := range []bool{true, false} {
 		for _, factor := range []float64{1, 1.5, 2, 4} {
--- a/internal/gateway/platform_config.go
+++ b/internal/gateway/platform_config.go
@@ -11,9 +11,9 @@
 	"havencart/scheduler"
 )
 
-// This file derives the configurations of a platform server's parts from its own.
+// This file derives the configurations of the parts of a PlatformServer from the server's configuration.
 
-// clientRules are the names and bounds of what clients may ask.
+// clientRules returns the names that clients' requests may use and the limits that apply to the requests.
 func clientRules(site platformconfig.Settings) rpcserver.Rules {
 	rules := rpcserver.Rules{Tenants: site.TenantNames, MaxMemoryMB: site.MaxWorkerMemoryMB}
 	for i, class := range site.Scheduler.Classes {
@@ -48,7 +48,8 @@
 	}
 }
 
-// endpointRules are the times at which the platform takes a front end for notified of what the endpoint service knows.
+// endpointRules returns the times after which the platform regards a front end as notified of changes of the endpoint
+// list.
 func (p *PlatformServer) endpointRules() endpointlease.Rules {
 	return endpointlease.Rules{
 		Silence: platformNoticeAfterSilence,
@@ -57,7 +58,7 @@
 	}
 }
 
-// newWorkerClient starts a client of a worker in the platform's protocol. It is a Dial.
+// newWorkerClient implements Dial for the platform's worker protocol.
 func (p *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) ClosableWorkerClient {
 	site := p.config.Settings
 	return workerclient.New(workerclient.Config{
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -23,29 +23,29 @@
 	"havencart/internal/platform/workerclient"
 )
 
-// The bounds of a platform server, beside those of its configuration.
+// The limits of a platform server other than those of its configuration.
 const (
-	platformRequestQueue       = 1024                   // requests that wait for the event loop; more are rejected at once
-	platformEventQueue         = 1024                   // events that wait for it; beyond, worker clients stop reading
-	platformMaxInFlight        = 4096                   // requests; more are rejected at once
-	platformDeadlineMargin     = 15 * time.Millisecond  // the final response is due this long before the client gives up
-	platformMaxResponse        = 64 << 10               // bytes of a worker's response
-	platformMaxUnsent          = 256 << 10              // bytes of responses that a client has not read
-	platformWriteTimeout       = 2 * time.Second        // that a client may stall while a response is written to it
-	platformMaxOpen            = 32                     // requests of one connection in flight, by the platform's rules
-	platformAcceptGrace        = 700 * time.Millisecond // after a shutdown has begun, clients are still accepted for this long
-	platformMaxShutdown        = 3 * time.Second        // bounds the longest deadline at a shutdown, counted from the last accept
-	platformAcceptRest         = 100 * time.Millisecond // by which the last clients within platformAcceptGrace may be late
-	platformNoticeAfterSilence = 4 * time.Second        // of changes of the endpoint list, after its stream fell silent
-	platformNoticeAfterBreak   = 2 * time.Second        // the same after it broke off
-	platformLogInterval        = 5 * time.Second        // between two log lines of the totals
-	memoryLimitFraction        = 0.7                    // of the memory, from which the runtime collects harder
-	bodyMemoryFraction         = 0.25                   // of the memory, for bodies of requests in flight
+	platformRequestQueue       = 1024                   // requests waiting for the event loop; the rest are rejected
+	platformEventQueue         = 1024                   // events waiting for the event loop; worker clients then block
+	platformMaxInFlight        = 4096                   // requests in flight; the rest are rejected
+	platformDeadlineMargin     = 15 * time.Millisecond  // how long before the client's timeout the final response is due
+	platformMaxResponse        = 64 << 10               // maximum size of a worker's response in bytes
+	platformMaxUnsent          = 256 << 10              // bytes of responses queued for a client that does not read them
+	platformWriteTimeout       = 2 * time.Second        // how long a client may stall while a response is written to it
+	platformMaxOpen            = 32                     // requests in flight per connection, by the platform's rules
+	platformAcceptGrace        = 700 * time.Millisecond // how long clients are still accepted after a shutdown has begun
+	platformMaxShutdown        = 3 * time.Second        // limit of the shutdown time after the last accept
+	platformAcceptRest         = 100 * time.Millisecond // further time for clients in the listener's backlog
+	platformNoticeAfterSilence = 4 * time.Second        // see endpointlease.Rules.Silence
+	platformNoticeAfterBreak   = 2 * time.Second        // see endpointlease.Rules.Break
+	platformLogInterval        = 5 * time.Second        // time between two log lines with the totals
+	memoryLimitFraction        = 0.7                    // fraction of the memory that the Go runtime may use
+	bodyMemoryFraction         = 0.25                   // fraction of the memory for the bodies of requests in flight
 	bytesPerMB                 = 1 << 20
 )
 
-// PlatformServer is a front end on the users' platform: one event loop, with the platform's protocols towards clients,
-// workers and endpoint discovery. Its methods may be called from any goroutine; Run once.
+// PlatformServer is a front end on the platform: one event loop that uses the platform's protocols for clients, workers
+// and endpoint discovery. Its methods may be called from any goroutine. Run must be called at most once.
 type PlatformServer struct {
 	config    *platformconfig.Config
 	log       zerolog.Logger
@@ -54,14 +54,14 @@
 	clients   *rpcserver.Server
 	endpoints *discovery.EndpointStream
 	budget    *workerclient.ConnectionBudget
-	draining  atomic.Bool                 // the shutdown has begun
-	after     func(time.Duration, func()) // calls a function later; tests do so by hand
+	draining  atomic.Bool                 // whether the shutdown has begun
+	after     func(time.Duration, func()) // calls a function after a delay; replaced in tests
 	recentIDs recentIDs
-	bodyBytes atomic.Int64 // of the requests in flight
+	bodyBytes atomic.Int64 // total size of the bodies of requests in flight
 }
 
-// NewPlatformServer prepares a front end and opens its listener, which Run closes. It sets limits of the whole
-// process: the processors and the memory that the runtime uses.
+// NewPlatformServer creates a front end and opens its listener, which Run closes. It sets two limits of the whole process:
+// GOMAXPROCS and the memory limit of the Go runtime.
 func NewPlatformServer(config *platformconfig.Config, log zerolog.Logger) (*PlatformServer, error) {
 	runtime.GOMAXPROCS(max(1, int(config.Cores+0.5)))
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(config.MemoryMB) * bytesPerMB))
@@ -96,19 +96,19 @@
 	return server, nil
 }
 
-// Address returns where clients connect.
+// Address returns the address on which the server accepts clients.
 func (p *PlatformServer) Address() string { return p.listener.Addr().String() }
 
-// Ready implements rpcserver.Handler: it is true until the shutdown begins.
+// Ready implements rpcserver.Handler: it returns true until the shutdown begins.
 func (p *PlatformServer) Ready() bool { return !p.draining.Load() }
 
-// Handle implements rpcserver.Handler. An error wraps rpcserver.ErrProtocol.
+// Handle implements rpcserver.Handler. An error that it returns wraps rpcserver.ErrProtocol.
 func (p *PlatformServer) Handle(received *rpcserver.Request, respond func(rpcserver.Response)) (disconnect func(), err error) {
 	if !p.recentIDs.admit(received.ID) {
 		return nil, fmt.Errorf("%w: id %s was used before", rpcserver.ErrProtocol, received.ID)
 	}
 	size := int64(len(received.Body))
-	release := sync.OnceFunc(func() { // by the final response or the client's disconnect, whichever comes first
+	release := sync.OnceFunc(func() { // called at the final response or the client's disconnect, whichever comes first
 		p.recentIDs.release(received.ID)
 		p.bodyBytes.Add(-size)
 	})
@@ -132,7 +132,7 @@
 	}, nil
 }
 
-// fill copies what a client sent to a request.
+// fill sets the fields of a request from the request that was received.
 func (p *PlatformServer) fill(request *Request, received *rpcserver.Request) {
 	request.ID = received.ID
 	request.Class = received.Class
@@ -154,19 +154,20 @@
 	}
 }
 
-// maxBodyBytes bounds the bodies of the requests in flight; beyond, requests are rejected at once.
+// maxBodyBytes returns the limit of the total size of the bodies of requests in flight. Requests that would exceed it are
+// rejected immediately.
 func (p *PlatformServer) maxBodyBytes() int64 {
 	return int64(bodyMemoryFraction * float64(p.config.MemoryMB) * bytesPerMB)
 }
 
-// rpcKinds are the kinds of final responses as the platform's clients receive them.
+// rpcKinds maps the kinds of final responses to those that the platform's clients receive.
 var rpcKinds = map[ResponseKind]rpcserver.ResponseKind{
 	Served:   rpcserver.Served,
 	Rejected: rpcserver.Rejected,
 	Failed:   rpcserver.Failed,
 }
 
-// rpcResponse is a final response as the platform's clients receive it.
+// rpcResponse converts a final response to the form that the platform's clients receive.
 func (f FinalResponse) rpcResponse() rpcserver.Response {
 	out := rpcserver.Response{Kind: rpcKinds[f.Kind], RetryAfter: f.RetryAfter}
 	if f.Response != nil {
@@ -175,25 +176,25 @@
 	return out
 }
 
-// Reload takes a configuration that was read again. Only the address of endpoint discovery can change while the server
-// runs; a configuration of another deployment changes nothing.
+// Reload applies a configuration that was read again. Only the address of endpoint discovery can change while the server
+// runs. If any other field differs, the configuration belongs to another front end and is ignored.
 func (p *PlatformServer) Reload(config *platformconfig.Config) {
 	if field := p.config.FirstDifference(config); field != "" {
-		p.log.Error().Str("field", field).Msg("the configuration stays as it was: the new one is of another front end")
+		p.log.Error().Str("field", field).Msg("new configuration ignored: it belongs to another front end")
 		return
 	}
 	p.log.Info().Str("discovery-address", config.EndpointStreamAddress).Msg("configuration reloaded")
 	p.endpoints.SetAddress(config.EndpointStreamAddress)
 }
 
-// Run serves until ctx ends, then shuts down gracefully: clients are accepted for platformAcceptGrace more, and after
-// that nothing new is; what is in flight gets its final response, and Run returns the totals. All goroutines of the
-// server have ended then.
+// Run serves clients until ctx ends, and then shuts down gracefully. It accepts clients for another platformAcceptGrace,
+// then admits no new requests, waits until all requests in flight have their final response, and returns the totals. When
+// it returns, all goroutines of the server have ended.
 func (p *PlatformServer) Run(ctx context.Context) (Counts, error) {
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
 	if ctx.Err() != nil {
-		p.draining.Store(true) // AfterFunc's goroutine may come later than the first heartbeat
+		p.draining.Store(true) // the goroutine of AfterFunc may run only after the first heartbeat
 	}
 	stopShutdown := context.AfterFunc(ctx, func() { p.beginShutdown(stopLoop) })
 	defer stopShutdown()
@@ -206,7 +207,7 @@
 	go func() {
 		err := p.clients.Serve(serveCtx, p.listener)
 		if err != nil {
-			stopLoop() // no client can connect any longer: better no front end than one that serves nobody
+			stopLoop() // no client can connect any longer, so stop instead of running without clients
 		}
 		accepted <- err
 	}()
@@ -221,7 +222,8 @@
 	return counts, err
 }
 
-// beginShutdown fails heartbeats at once, and after platformAcceptGrace ends the accepting and the event loop.
+// beginShutdown makes heartbeats fail immediately. After platformAcceptGrace it stops accepting clients and ends the event
+// loop.
 func (p *PlatformServer) beginShutdown(stopLoop func()) {
 	p.draining.Store(true)
 	p.log.Info().Msg("stopping")
@@ -231,7 +233,7 @@
 	})
 }
 
-// logSettings logs the settings on which it depends when a request may be sent, repeated or given up.
+// logSettings logs the settings that determine when a request may be sent, retried or given up.
 func (p *PlatformServer) logSettings() {
 	site := p.config.Settings
 	for i, class := range site.Scheduler.Classes {
@@ -253,7 +255,7 @@
 	periodic.Run(ctx, platformLogInterval, p.logTotalsOnce)
 }
 
-// logTotalsOnce logs the totals and what the process uses.
+// logTotalsOnce logs the totals and the resource usage of the process.
 func (p *PlatformServer) logTotalsOnce() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -266,7 +268,7 @@
 		Msg("totals")
 }
 
-// processorTime is what the process has used since its start, 0 if the system does not tell.
+// processorTime returns the CPU time that the process has used since its start, or 0 if it is not available.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/gateway/platform_server_test.go
+++ b/internal/gateway/platform_server_test.go
@@ -21,7 +21,7 @@
 	"havencart/lab/platformworker"
 )
 
-// relayConfig is a configuration, with verbs for the addresses of endpoint discovery and of a worker.
+// relayConfig is the format string of a configuration, with verbs for the addresses of endpoint discovery and of a worker.
 const relayConfig = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1,"memory_mb":256,"sockets":256},"bulletin":"%s",
 	"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[
@@ -34,13 +34,13 @@
 	"classes":[{"name":"quote","deadline":20000.0,"onTime":10000.0,"repeat":"retryable","worth":2.0},
 	{"name":"unlock","deadline":20000.0,"onTime":10000.0,"repeat":"fragile","worth":6.0}]}}`
 
-// platformHarness is a PlatformServer between stand-ins of discovery and of a worker.
+// platformHarness is a PlatformServer with a fake discovery service and a fake worker.
 type platformHarness struct {
 	*PlatformServer
 	t         *testing.T
 	discovery *platformdiscovery.Server
 	stop      context.CancelFunc
-	delayed   chan func() // functions called later; here the end of platformAcceptGrace
+	delayed   chan func() // receives delayed calls, such as the one at the end of platformAcceptGrace
 	ended     chan error
 }
 
@@ -65,7 +65,7 @@
 	return server
 }
 
-// newPlatformHarness prepares a PlatformServer, which listens; run starts its Run.
+// newPlatformHarness creates a PlatformServer that listens. The returned function runs it in a goroutine.
 func newPlatformHarness(t *testing.T, discovery, worker string) (server *platformHarness, run func()) {
 	t.Helper()
 	set, err := platformconfig.ParseConfig(fmt.Appendf(nil, relayConfig, discovery, worker))
@@ -119,7 +119,7 @@
 	}
 }
 
-// checkHeartbeat sends a heartbeat and expects its response.
+// checkHeartbeat sends a heartbeat and checks the response.
 func (server *platformHarness) checkHeartbeat(c net.Conn, number int, well bool) {
 	server.t.Helper()
 	raw, err := msgpack.Marshal([]any{0, number, "heartbeat", []any{map[string]string{}}})
@@ -132,7 +132,8 @@
 	server.expect(c, rpcframe.AppendHeartbeat(nil, uint32(number), well))
 }
 
-// TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints expects it to be ready at once.
+// TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints checks that the server is ready immediately if discovery is
+// down, using the endpoints in its configuration.
 func TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	e, err := platformworker.Start(respondServed)
@@ -141,22 +142,23 @@
 	}
 	t.Cleanup(e.Close)
 	server, run := newPlatformHarness(t, "127.0.0.1:1", e.Address())
-	c := server.connect() // before it runs: the kernel accepts it
+	c := server.connect() // the kernel accepts the connection before the server runs
 	run()
 	server.checkHeartbeat(c, 1, true)
 	if n := e.ConnectionCount(); n != 0 {
-		t.Errorf("%d connections to workers before any request: hundreds of front ends that start together would all dial", n)
+		t.Errorf("%d connections to workers before any request; hundreds of front ends that start together would all dial", n)
 	}
 	server.sendRequest(c, 2, "quote", 1)
 	server.expect(c, rpcframe.AppendServed(nil, 2, []byte("did body")))
 	server.shutDown()
 }
 
-// TestPlatformServer_ShutdownBeforeStart_Ends expects it to end by itself, and to answer the connection that the kernel accepted meanwhile.
+// TestPlatformServer_ShutdownBeforeStart_Ends checks that a server that is stopped before it starts ends by itself, and
+// responds on a connection that the kernel accepted in the meantime.
 func TestPlatformServer_ShutdownBeforeStart_Ends(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	server, run := newPlatformHarness(t, "127.0.0.1:1", "127.0.0.1:1")
-	server.stop() // SIGTERM, before the endpoint list and before anything is served
+	server.stop() // as SIGTERM does, before the server has an endpoint list or serves a request
 	c := server.connect()
 	run()
 	server.checkHeartbeat(c, 1, false)
@@ -184,8 +186,8 @@
 	server.shutDown()
 }
 
-// TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried runs on sockets: a request whose response cannot be read may have
-// executed.
+// TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried checks over real sockets that a non-idempotent request
+// with an unreadable response is not retried, because it may have executed.
 func TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried(t *testing.T) {
 	executions := map[uint64]int{}
 	seen := make(chan uint64, 16)
@@ -198,7 +200,7 @@
 	c := server.connect()
 	server.sendRequest(c, 1, "unlock", 1)
 	server.expect(c, rpcframe.AppendError(nil, 1, "Lost", "", ""))
-	server.sendRequest(c, 2, "quote", 2) // may be retried, and is
+	server.sendRequest(c, 2, "quote", 2) // idempotent, so it is retried
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +227,8 @@
 	server.shutDown()
 }
 
-// TestPlatformServer_Shutdown_CompletesRequestsInFlight covers both those that were sent and those that clients send while it accepts.
+// TestPlatformServer_Shutdown_CompletesRequestsInFlight checks requests that were sent before the shutdown began, and
+// requests that arrive while clients are still accepted.
 func TestPlatformServer_Shutdown_CompletesRequestsInFlight(t *testing.T) {
 	received, respond := make(chan bool, 4), make(chan bool)
 	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- true; <-respond; respondServed(c, f) })
@@ -233,7 +236,7 @@
 	server.sendRequest(c, 1, "quote", 1)
 	<-received
 	server.stop()
-	endAccepting := <-server.delayed // no client is accepted once this is called
+	endAccepting := <-server.delayed // no client is accepted after this is called
 	server.checkHeartbeat(c, 2, false)
 	lateClient := server.connect()
 	server.checkHeartbeat(lateClient, 1, false)
@@ -259,12 +262,13 @@
 	moved.EndpointStreamAddress = other.Address()
 	server.Reload(&moved)
 	if last := <-other.Resumed(); last != 1 {
-		t.Errorf("requested from event %d", last)
+		t.Errorf("the new stream was requested from event %d, want 1", last)
 	}
 	server.shutDown()
 }
 
-// TestPlatformServer_BodiesBeyondMemory_Rejected expects rejections at once; a final response or a disconnect makes room.
+// TestPlatformServer_BodiesBeyondMemory_Rejected checks that requests are rejected immediately when the bodies in flight
+// reach their limit, and that a final response or a disconnect releases the memory of its request.
 func TestPlatformServer_BodiesBeyondMemory_Rejected(t *testing.T) {
 	received, respond := make(chan bool, 64), make(chan bool)
 	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
@@ -274,7 +278,7 @@
 			respondServed(c, workerframe.Frame{ID: f.ID})
 		}
 	})
-	server.config.MemoryMB = 1 // of which a quarter is for bodies
+	server.config.MemoryMB = 1 // a quarter of it is for bodies
 	large := make([]byte, rpcframe.MaxBody)
 	c := server.connect()
 	for i := range 16 {
--- a/internal/gateway/queue_gate.go
+++ b/internal/gateway/queue_gate.go
@@ -7,28 +7,28 @@
 	"golang.org/x/sys/cpu"
 )
 
-// queueGate is what the connections' goroutines share with the event loop's. Each value has a cache line of its own:
-// in an overload they touch both counters at each request.
+// queueGate holds the values that the goroutines of connections share with that of the event loop. Each value has its own
+// cache line to avoid false sharing: under overload, the goroutines access the counters for every request.
 type queueGate struct {
 	_        cpu.CacheLinePad
-	limit    atomic.Int64 // requests that may wait for the loop, as the FrontEnd sets it
+	limit    atomic.Int64 // number of requests that may wait for the loop, set by the FrontEnd
 	_        cpu.CacheLinePad
-	rejected atomic.Uint64 // requests that were rejected without the FrontEnd
+	rejected atomic.Uint64 // number of requests rejected without the FrontEnd
 	_        cpu.CacheLinePad
-	expired  atomic.Uint64 // requests that expired
+	expired  atomic.Uint64 // number of requests that expired
 	_        cpu.CacheLinePad
-	worstLag atomic.Int64 // nanoseconds; the worst since the loop took it last
+	worstLag atomic.Int64 // worst lag since the last swapLag, in nanoseconds
 	_        cpu.CacheLinePad
 }
 
-// setLimit sets the limit where it has changed.
+// setLimit sets the limit. It writes to memory only if the limit has changed.
 func (g *queueGate) setLimit(limit int) {
 	if int64(limit) != g.limit.Load() {
 		g.limit.Store(int64(limit))
 	}
 }
 
-// observeLag notes a lag if it is the worst since swapLag.
+// observeLag records a lag if it is the worst since the last swapLag.
 func (g *queueGate) observeLag(lag time.Duration) {
 	for {
 		worst := g.worstLag.Load()
@@ -38,7 +38,7 @@
 	}
 }
 
-// swapLag returns the worst lag since it was taken last, 0 if there was none.
+// swapLag returns the worst lag since the last call, or 0 if there was none, and resets it.
 func (g *queueGate) swapLag() time.Duration {
 	if g.worstLag.Load() <= 0 {
 		return 0
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -8,32 +8,34 @@
 	"havencart/scheduler"
 )
 
-// This file lets new work begin at a worker only where the endpoint list or the worker itself confirms that it accepts some.
+// This file ensures that new work is sent to a worker only if the endpoint list or the worker itself confirms that the
+// worker accepts new work.
 
-// readiness is what a worker itself reports of whether it accepts new work, for while the endpoint list is not confirmed.
+// readiness records what a worker itself has reported about whether it accepts new work. It is used while the endpoint
+// list is not confirmed.
 type readiness struct {
-	acceptedAt   time.Duration // when it last accepted some, or was healthy; 0: never
-	connectedAt  time.Duration // when the connection was made by which it was last taken as restarted
-	check        *healthCheck  // in flight; nil: there is none
-	drainReports int           // health checks in a row that it answered as draining
-	recheckAt    time.Duration // when it is checked again, where a health check has it as draining
+	acceptedAt   time.Duration // when the worker last accepted new work or passed a health check; 0 if never
+	connectedAt  time.Duration // when the connection was made because of which the worker last counted as restarted
+	check        *healthCheck  // health check in flight, or nil
+	drainReports int           // number of consecutive health checks that reported the worker as draining
+	recheckAt    time.Duration // when a worker that reported itself as draining is to be checked again
 	waiting      waitingWork
 }
 
-// waitingWork is new work that waits for the response to a health check.
+// waitingWork is new work for a worker that waits for the response to a health check.
 type waitingWork struct {
-	attempts []*requestAttempt // some of them may have ended meanwhile
+	attempts []*requestAttempt // may include attempts that have ended meanwhile
 	orders   []*loadOrder
 }
 
-// removeWaiting removes and returns the work that waits.
+// removeWaiting removes and returns the waiting work.
 func (r *readiness) removeWaiting() waitingWork {
 	waiting := r.waiting
 	r.waiting = waitingWork{}
 	return waiting
 }
 
-// endWaiting ends the work that waits for a worker's confirmation: it was never sent.
+// endWaiting ends the work that waits for a worker's confirmation, without sending it.
 func (f *FrontEnd) endWaiting(w *worker, status scheduler.Status) {
 	waiting := w.readiness.removeWaiting()
 	for _, attempt := range waiting.attempts {
@@ -44,24 +46,25 @@
 	}
 }
 
-// accepted notes that new work was accepted that was sent at a time.
+// accepted records that the worker accepted new work that was sent at the time at.
 func (w *worker) accepted(at time.Duration) { w.readiness.acceptedAt = max(w.readiness.acceptedAt, at) }
 
-// healthCheck is a health check without a response.
+// healthCheck is a health check that awaits its response.
 type healthCheck struct {
 	workerconn.HealthCheck
 	worker *worker
-	timer  timer // its timeout
+	timer  timer // timeout of the response
 }
 
-// mayBeginAt reports whether new work may begin at a worker now, and until when the worker itself has confirmed it. It
-// guards against work for a worker that drains while discovery is out of reach: this front end counts as notified all the same.
+// mayBeginAt reports whether a worker may be sent new work now, and until when the worker itself has confirmed that it
+// accepts new work. Without this check, a worker that starts to drain while discovery is unreachable would be sent new
+// work, although the platform regards this front end as notified of the drain.
 func (f *FrontEnd) mayBeginAt(w *worker) (confirmedUntil time.Duration, may bool) {
 	confirmedUntil = f.settings.EndpointRules.AcceptedUntil(w.readiness.acceptedAt)
 	return confirmedUntil, f.listIsConfirmed() || f.now <= confirmedUntil
 }
 
-// begin hands an attempt to its worker's client, or has it wait until the worker confirms that it accepts new work.
+// begin passes an attempt to the worker's client, or holds it until the worker confirms that it accepts new work.
 func (f *FrontEnd) begin(attempt *requestAttempt) {
 	w := attempt.worker
 	confirmedUntil, may := f.mayBeginAt(w)
@@ -77,7 +80,7 @@
 	}
 }
 
-// beginLoad sends an order to load, or has it wait as begin does an attempt.
+// beginLoad sends a load order, or holds it until the worker confirms that it accepts new work.
 func (f *FrontEnd) beginLoad(order *loadOrder) {
 	w := order.worker
 	confirmedUntil, may := f.mayBeginAt(w)
@@ -90,14 +93,15 @@
 	f.sendLoadOrder(order)
 }
 
-// sendLoadOrder hands a load order or a residency query to its worker's client.
+// sendLoadOrder passes a load order or a residency query to the worker's client.
 func (f *FrontEnd) sendLoadOrder(order *loadOrder) {
 	if status := order.worker.client.Load(&order.LoadOrder); status != 0 {
 		f.deferred = append(f.deferred, func() { f.endLoadOrder(order, status, 0) })
 	}
 }
 
-// confirm asks a worker whether it accepts new work. Where health checks are forbidden, what waits for it is not sent.
+// confirm asks a worker whether it accepts new work. If health checks are not allowed, it ends the work that waits for the
+// worker instead.
 func (f *FrontEnd) confirm(w *worker) {
 	if f.settings.Scheduler.HealthChecksAllowed {
 		f.checkHealth(w)
@@ -106,14 +110,14 @@
 	f.deferred = append(f.deferred, func() { f.endWaiting(w, scheduler.NotSent) })
 }
 
-// CheckHealth implements scheduler.Actions: it asks a worker for its load.
+// CheckHealth implements scheduler.Actions: it sends a health check to a worker, whose response contains a load report.
 func (f *FrontEnd) CheckHealth(id scheduler.WorkerID) {
 	if w := f.workers[id]; w != nil {
 		f.checkHealth(w)
 	}
 }
 
-// checkHealth sends a health check, unless one is in flight.
+// checkHealth sends a health check to a worker unless one is in flight.
 func (f *FrontEnd) checkHealth(w *worker) {
 	if w.readiness.check != nil {
 		return
@@ -131,7 +135,7 @@
 	}
 }
 
-// HealthChecked takes the response to a health check. One that has ended already is ignored.
+// HealthChecked handles the result of a health check. It ignores a health check that has already ended.
 func (f *FrontEnd) HealthChecked(now time.Duration, sent *workerconn.HealthCheck, status scheduler.Status, loadReport []float64) {
 	f.now = now
 	if check := f.healthChecks[sent]; check != nil {
@@ -140,13 +144,13 @@
 	f.runDeferred()
 }
 
-// expireHealthCheck ends a health check without a response.
+// expireHealthCheck ends a health check that got no response in time.
 func (f *FrontEnd) expireHealthCheck(check *healthCheck) {
 	check.worker.client.AbandonHealthCheck(&check.HealthCheck)
 	f.endHealthCheck(check, scheduler.Timeout, nil)
 }
 
-// endHealthCheck takes the result of a health check, and lets the work begin that waited for it, or ends it.
+// endHealthCheck handles the result of a health check: the work that waited for it is sent or ended.
 func (f *FrontEnd) endHealthCheck(check *healthCheck, status scheduler.Status, loadReport []float64) {
 	if !f.removeHealthCheck(check) {
 		return
@@ -169,12 +173,12 @@
 		f.treatAsDraining(w)
 	case scheduler.NotSent:
 		f.endWaiting(w, scheduler.NotSent)
-	default: // no connection, or no response: the worker is not there
+	default: // no connection or no response: the worker is unreachable
 		f.endWaiting(w, scheduler.ConnectFailed)
 	}
 }
 
-// removeHealthCheck removes a health check, and reports whether it was still waited for.
+// removeHealthCheck removes a health check and reports whether it was still in flight.
 func (f *FrontEnd) removeHealthCheck(check *healthCheck) bool {
 	if f.healthChecks[&check.HealthCheck] == nil {
 		return false
@@ -185,7 +189,8 @@
 	return true
 }
 
-// release lets the work begin that waited for a worker's confirmation. What came too late for it waits for another one.
+// release sends the work that waited for a worker's confirmation. Work for which the confirmation is no longer valid is
+// held again until the next one.
 func (f *FrontEnd) release(w *worker) {
 	waiting := w.readiness.removeWaiting()
 	for _, attempt := range waiting.attempts {
@@ -200,8 +205,9 @@
 	}
 }
 
-// treatAsDraining takes a worker that answered a health check as draining out of use, until the list is confirmed or it is
-// healthy. A confirmed list takes precedence: the drain rule goes by the list.
+// treatAsDraining handles a worker that responded to a health check that it is draining. The worker is not used until the
+// endpoint list is confirmed or the worker passes a health check. If the list is confirmed already, the list takes
+// precedence, because the platform's drain rule refers to the list, and the waiting work is sent.
 func (f *FrontEnd) treatAsDraining(w *worker) {
 	switch {
 	case f.listIsConfirmed():
@@ -214,8 +220,8 @@
 	}
 }
 
-// recheckDraining lets the scheduler use workers again that a health check had as draining, once they are due to be checked
-// again: they get nothing new before they are healthy.
+// recheckDraining makes workers that reported themselves as draining available to the scheduler again once their next
+// health check is due. They are still sent no new work before they pass that health check.
 func (f *FrontEnd) recheckDraining() {
 	for _, id := range sortedKeys(f.overridden) {
 		w := f.overridden[id]
@@ -225,8 +231,8 @@
 	}
 }
 
-// treatAsRestarted takes a worker for one that has just started, where it may have restarted and discovery could not
-// report it. It guards against overloading it in its slow start.
+// treatAsRestarted reports a worker to the scheduler as just started if the worker may have restarted while discovery could
+// not report it. This prevents the worker from being overloaded during its slow start.
 func (f *FrontEnd) treatAsRestarted(w *worker, connectedAt time.Duration) {
 	isKnownProcess := connectedAt <= w.readiness.connectedAt
 	if isKnownProcess || !f.lease.MayHaveRestarted(f.now, connectedAt) {
@@ -237,10 +243,11 @@
 	info := f.listedInfo(w)
 	info.Started = f.now
 	f.scheduler.WorkersChanged(f.now, []scheduler.WorkerInfo{info}, false)
-	f.endWaiting(w, scheduler.NotSent) // more may wait than a worker may be sent in its slow start: it is decided anew
+	// More work may wait than a worker in slow start may be sent, so the scheduler decides again.
+	f.endWaiting(w, scheduler.NotSent)
 }
 
-// endOverrides gives workers the state and start again that the list has, which is confirmed.
+// endOverrides restores the listed state and start of all overridden workers. The list must be confirmed.
 func (f *FrontEnd) endOverrides() {
 	for _, id := range sortedKeys(f.overridden) {
 		w := f.overridden[id]
@@ -251,7 +258,7 @@
 	}
 }
 
-// changeState changes a worker's state, and reports it to the scheduler.
+// changeState changes a worker's state and reports the change to the scheduler.
 func (f *FrontEnd) changeState(w *worker, state scheduler.WorkerState) {
 	f.setWorkerState(w, state)
 	info := f.listedInfo(w)
@@ -259,13 +266,13 @@
 	f.scheduler.WorkersChanged(f.now, []scheduler.WorkerInfo{info}, false)
 }
 
-// listedInfo is a worker as the list has it, with its effective start.
+// listedInfo returns the worker's entry in the endpoint list as the scheduler receives it, with the effective start.
 func (f *FrontEnd) listedInfo(w *worker) scheduler.WorkerInfo {
 	listed := []scheduler.WorkerInfo{f.workerInfo(w.id, w.Worker)}
 	return f.incarnations.ObserveChanges(f.now, listed, len(f.workers))[0]
 }
 
-// forgetReadiness forgets what a worker reported at an address that it has left.
+// forgetReadiness discards what a worker has reported at its previous address.
 func (f *FrontEnd) forgetReadiness(w *worker) {
 	if check := w.readiness.check; check != nil {
 		w.client.AbandonHealthCheck(&check.HealthCheck)
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -9,12 +9,12 @@
 	"havencart/scheduler"
 )
 
-// These tests are about new work while the endpoint list is not confirmed.
+// The tests in this file check how new work is sent while the endpoint list is not confirmed.
 
-// leaseRules are those of the platform, with a grace of 500 ms.
+// leaseRules are the platform's rules, with a grace of 500 ms.
 var leaseRules = endpointlease.Rules{Silence: 4 * time.Second, Break: 2 * time.Second, Grace: 500 * ms}
 
-// newLeaseHarness returns a harness whose list of so many workers was confirmed last at its start.
+// newLeaseHarness returns a harness whose endpoint list was last confirmed at its start.
 func newLeaseHarness(t *testing.T, workers int, change func(*Settings)) *testHarness {
 	harness := newHarness(t, workers, func(set *Settings) {
 		set.EndpointRules = leaseRules
@@ -28,17 +28,17 @@
 	return harness
 }
 
-// confirmList confirms the list as of now.
+// confirmList confirms the endpoint list as of now.
 func (harness *testHarness) confirmList() {
 	lease := harness.lease
 	lease.Confirm(harness.clock)
 	harness.EndpointLeaseChanged(harness.clock, lease, true)
 }
 
-// endLease lets the lease on the list end.
+// endLease advances the clock past the end of the lease on the endpoint list.
 func (harness *testHarness) endLease() { harness.advance(5 * time.Second) }
 
-// checkedWorkers are the workers that were asked for their health and have not responded.
+// checkedWorkers returns the workers with a health check in flight.
 func (harness *testHarness) checkedWorkers() (checked []*fakeWorkerClient) {
 	for _, worker := range harness.clients {
 		if len(worker.healthChecks) > 0 {
@@ -48,7 +48,7 @@
 	return checked
 }
 
-// respondToHealthCheck has a worker respond to its only health check.
+// respondToHealthCheck makes a worker respond to its only health check in flight.
 func (harness *testHarness) respondToHealthCheck(worker *fakeWorkerClient, status scheduler.Status) {
 	harness.Helper()
 	if len(worker.healthChecks) != 1 {
@@ -59,17 +59,17 @@
 	harness.HealthChecked(harness.clock, check, status, nil)
 }
 
-// onlyChecked is the only worker that was asked for its health.
+// onlyChecked returns the only worker with a health check in flight.
 func (harness *testHarness) onlyChecked() *fakeWorkerClient {
 	harness.Helper()
 	checked := harness.checkedWorkers()
 	if len(checked) != 1 {
-		harness.Fatalf("%d workers were asked for their health, want one", len(checked))
+		harness.Fatalf("%d workers have a health check in flight, want one", len(checked))
 	}
 	return checked[0]
 }
 
-// sentAnywhere counts the attempts that clients of workers have.
+// sentAnywhere returns the number of attempts that worker clients have.
 func (harness *testHarness) sentAnywhere() (count int) {
 	for _, worker := range harness.clients {
 		count += len(worker.sent) + len(worker.queued)
@@ -82,12 +82,12 @@
 	harness.advance(4 * time.Second)
 	request := harness.submit(idempotentClass)
 	if _, attempt := harness.sentAttempt(request); attempt.ConfirmedUntil > harness.clock {
-		t.Errorf("confirmed until %v by a worker that was not asked", attempt.ConfirmedUntil)
+		t.Errorf("confirmed until %v by a worker without a health check", attempt.ConfirmedUntil)
 	}
 	harness.endWith(request, scheduler.OK)
 	harness.wantResponse(request, Served)
 	if len(harness.checkedWorkers()) > 0 {
-		t.Error("a worker was asked for its health")
+		t.Error("a health check was sent")
 	}
 }
 
@@ -96,14 +96,14 @@
 	harness.endLease()
 	request, another := harness.submit(idempotentClass), harness.submit(idempotentClass)
 	if harness.sentAnywhere() > 0 {
-		t.Fatal("sent before a worker confirmed that it accepts new work")
+		t.Fatal("an attempt was sent before a worker confirmed that it accepts new work")
 	}
 	askedAt := harness.clock
 	harness.advance(10 * ms)
 	harness.respondToHealthCheck(harness.onlyChecked(), scheduler.OK)
 	_, attempt := harness.sentAttempt(request)
 	if want := askedAt + 275*ms; attempt.ConfirmedUntil != want {
-		t.Errorf("may be sent until %v, want %v: half of the grace after the worker was asked", attempt.ConfirmedUntil, want)
+		t.Errorf("may be sent until %v, want %v: half of the grace after the health check was sent", attempt.ConfirmedUntil, want)
 	}
 	harness.endWith(request, scheduler.OK)
 	harness.endWith(another, scheduler.OK)
@@ -111,7 +111,8 @@
 	harness.wantResponse(another, Served)
 }
 
-// A worker that answers a health check as draining gets nothing more until the list is confirmed, and the request goes elsewhere.
+// A worker that responds to a health check that it is draining is sent no new work until the endpoint list is confirmed.
+// The request is sent to another worker.
 func TestSend_WorkerSaysThatItDrains_IsAvoidedUntilListIsConfirmed(t *testing.T) {
 	harness := newLeaseHarness(t, 2, nil)
 	harness.endLease()
@@ -119,18 +120,18 @@
 	draining := harness.onlyChecked()
 	harness.respondToHealthCheck(draining, scheduler.Error)
 	if !draining.drained {
-		t.Error("the worker that drains may still be sent new work")
+		t.Error("the draining worker may still be sent new work")
 	}
 	other := harness.onlyChecked()
 	if other == draining {
-		t.Fatal("the worker that drains is asked again")
+		t.Fatal("the draining worker was sent another health check")
 	}
 	harness.respondToHealthCheck(other, scheduler.OK)
 	harness.endWith(request, scheduler.OK)
 	harness.wantResponse(request, Served)
 	harness.confirmList()
 	if draining.drained {
-		t.Error("a worker that the confirmed list has as ready is still avoided")
+		t.Error("a worker that is ready in the confirmed list is still drained")
 	}
 }
 
@@ -148,7 +149,7 @@
 			request := harness.submit(idempotentClass)
 			end(harness, harness.onlyChecked())
 			if harness.sentAnywhere() > 0 {
-				t.Error("sent to a worker that did not confirm that it accepts new work")
+				t.Error("an attempt was sent to a worker that did not confirm that it accepts new work")
 			}
 			harness.respondToHealthCheck(harness.onlyChecked(), scheduler.OK)
 			harness.endWith(request, scheduler.OK)
@@ -157,7 +158,7 @@
 	}
 }
 
-// A worker in use confirms by what it accepts: it need not be asked.
+// A worker that accepts work confirms thereby that it accepts new work, so no health check is needed.
 func TestSend_WorkerAcceptedLately_IsNotAsked(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endLease()
@@ -167,7 +168,7 @@
 	harness.advance(200 * ms)
 	second := harness.submit(idempotentClass)
 	if len(harness.checkedWorkers()) > 0 || !harness.hasAttempt(second) {
-		t.Error("asked again 200 ms after it was healthy")
+		t.Error("a health check was sent, or no attempt, 200 ms after the worker was healthy")
 	}
 	harness.endWith(second, scheduler.OK)
 	harness.advance(200 * ms)
@@ -175,18 +176,19 @@
 	harness.onlyChecked()
 }
 
-// Where workers may not be asked, what the list no longer confirms is not sent, and the client hears of it at once.
+// If health checks are not allowed and the endpoint list is not confirmed, nothing is sent and the request is rejected
+// immediately.
 func TestSend_HealthChecksNotAllowed_IsRejected(t *testing.T) {
 	harness := newLeaseHarness(t, 2, func(set *Settings) { set.Scheduler.HealthChecksAllowed = false })
 	harness.endLease()
 	request := harness.submit(idempotentClass)
 	harness.wantResponse(request, Rejected)
 	if harness.sentAnywhere() > 0 || len(harness.checkedWorkers()) > 0 {
-		t.Error("sent, or asked")
+		t.Error("an attempt or a health check was sent")
 	}
 }
 
-// A process that starts while discovery is out of reach does not know what changed since its configuration was written.
+// A process that starts while discovery is unreachable does not know what has changed since its configuration was written.
 func TestSend_ListNeverConfirmed_WorkerIsAsked(t *testing.T) {
 	harness := newHarness(t, 1, func(set *Settings) {
 		set.EndpointRules = leaseRules
@@ -211,13 +213,13 @@
 			end(harness, request)
 			harness.HealthChecked(harness.clock, check, scheduler.OK, nil)
 			if harness.sentAnywhere() > 0 || len(harness.attempts) > 0 {
-				t.Errorf("%d sent, %d attempts are left", harness.sentAnywhere(), len(harness.attempts))
+				t.Errorf("%d attempts sent and %d in flight, want none", harness.sentAnywhere(), len(harness.attempts))
 			}
 		})
 	}
 }
 
-// The list has the worker as draining while its response is waited for, or it moves to another address.
+// The endpoint list changes the worker's state to draining while the response to the health check is awaited.
 func TestAwaitingAttempt_ListChanges_IsNotSentThere(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endLease()
@@ -227,13 +229,13 @@
 	harness.listWorkers(1, map[string]scheduler.WorkerState{"w0": scheduler.Draining})
 	harness.HealthChecked(harness.clock, check, scheduler.OK, nil)
 	if harness.sentAnywhere() > 0 {
-		t.Error("sent to a worker that drains")
+		t.Error("an attempt was sent to a draining worker")
 	}
 	harness.advance(3 * time.Second)
 	harness.wantResponse(request, Rejected)
 }
 
-// An order to load is held like an attempt, a residency query is not: it begins nothing.
+// A load order is held like an attempt. A residency query is not, because it does not start any work.
 func TestLoad_ListNotConfirmed_OnlyQueriesAreSent(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endWith(harness.submit(idempotentClass), scheduler.OK)
@@ -251,7 +253,7 @@
 	}
 }
 
-// The worker clients hold the same lease: what waits for its connection when it ends is not sent.
+// Worker clients apply the same lease: an attempt that waits for a connection when the lease ends is not sent.
 func TestEndpointLeaseChanged_GuardHasIt(t *testing.T) {
 	guard := &workerconn.Guard{}
 	harness := newLeaseHarness(t, 1, func(set *Settings) { set.Guard = guard })
@@ -262,26 +264,26 @@
 	queue.PushAttempt(1, &workerconn.Attempt{})
 	queue.NextBatch(guard, until, &batch, encode)
 	if len(batch.Bytes) != 1 {
-		t.Error("not sent while the lease holds")
+		t.Error("the attempt was not sent while the lease was valid")
 	}
 	queue.PushAttempt(2, &workerconn.Attempt{})
 	queue.PushAttempt(3, &workerconn.Attempt{ConfirmedUntil: until + 1})
 	queue.NextBatch(guard, until+1, &batch, encode)
 	if len(batch.Bytes) != 1 || len(batch.Expired) != 1 {
-		t.Errorf("%d sent and %d not, want the one that its worker confirmed", len(batch.Bytes), len(batch.Expired))
+		t.Errorf("%d sent and %d expired, want only the attempt that its worker confirmed to be sent", len(batch.Bytes), len(batch.Expired))
 	}
 }
 
-// While discovery is out of reach a worker may restart without anybody saying so. One that can be reached only on a new
-// connection is sent no more than one that has just started.
+// While discovery is unreachable, a worker may restart without a report. A worker that is reachable only on a new connection
+// is sent no more requests than one that has just started.
 func TestSend_WorkerMayHaveRestarted_IsInSlowStart(t *testing.T) {
 	const submitted, sentWarm, sentCold = 30, 12, 4
 	for name, c := range map[string]struct {
-		connectedAfter time.Duration // after the list was confirmed
+		connectedAfter time.Duration // since the list was confirmed
 		want           int
 	}{
-		"on the connection of before": {-time.Second, sentWarm},
-		"on a new connection":         {4500 * ms, sentCold},
+		"on the existing connection": {-time.Second, sentWarm},
+		"on a new connection":        {4500 * ms, sentCold},
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness := newLeaseHarness(t, 1, func(set *Settings) {
@@ -313,7 +315,7 @@
 	}
 }
 
-// A worker that answered a health check as draining is asked again after a while, and sent nothing before it is healthy.
+// A worker that reported itself as draining is checked again after a delay, and is sent no work before it is healthy.
 func TestSend_WorkerSaidThatItDrains_IsAskedAgain(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endLease()
@@ -324,16 +326,16 @@
 		harness.advance(wait - 100*ms)
 		harness.submit(idempotentClass)
 		if len(harness.checkedWorkers()) > 0 {
-			t.Fatalf("asked again within %v", wait)
+			t.Fatalf("a health check was sent again within %v", wait)
 		}
-		harness.advance(1100 * ms) // the next look at it
+		harness.advance(1100 * ms) // until the next sweep
 		harness.submit(idempotentClass)
 	}
 	if harness.sentAnywhere() > 0 {
-		t.Error("sent before it was healthy")
+		t.Error("an attempt was sent before the worker was healthy")
 	}
 	harness.respondToHealthCheck(draining, scheduler.OK)
 	if harness.sentAnywhere() == 0 {
-		t.Error("nothing was sent once it was healthy")
+		t.Error("no attempt was sent after the worker was healthy")
 	}
 }
--- a/internal/gateway/reason.go
+++ b/internal/gateway/reason.go
@@ -2,41 +2,41 @@
 
 import "havencart/internal/decide/tenancy"
 
-// Reason is why the front end itself, and not a worker, ended a request or one of its attempts.
+// Reason is the reason why the front end, rather than a worker, ended a request or one of its attempts.
 type Reason int
 
-// The reasons. The zero value stands for none.
+// The reasons. The zero value means that there is none.
 const (
 	noReason Reason = iota
 
-	// Rejected before it was admitted.
-	ShuttingDown          // the front end admits nothing any longer
-	LoopOverloaded        // shed: requests wait too long for the event loop
+	// Reasons to reject a request before it is admitted.
+	ShuttingDown          // the front end no longer admits requests
+	LoopOverloaded        // shed because requests wait too long for the event loop
 	LoopStopped           // the event loop has ended
 	QueueFull             // the event loop's queue is full
 	TooManyInFlight       // Settings.MaxInFlight requests are in flight
 	DeadlineExceeded      // no time was left when the request was received
-	FunctionNameCollision // another function's name has the same identifier
-	OverTenantQuota       // its tenant's quota is used up
-	OverTenantShare       // its tenant is beyond its share while others lack theirs
-	TooManyBodyBytes      // the bodies of the requests in flight fill their part of the memory
+	FunctionNameCollision // the hash of the function's name collides with that of another function
+	OverTenantQuota       // the tenant's quota is used up
+	OverTenantShare       // the tenant exceeds its share while other tenants get less than theirs
+	TooManyBodyBytes      // the bodies of the requests in flight use up the memory reserved for them
 
-	// Ended after it was admitted.
-	NoWorkerInTime // the scheduler rejected it
-	NoResponse     // past its deadline without a decision of the scheduler's
-	Aborted        // the front end stops
+	// Reasons to end an admitted request.
+	NoWorkerInTime // the scheduler rejected the request
+	NoResponse     // the deadline passed without a decision by the scheduler
+	Aborted        // the front end is stopping
 
-	// Why an attempt ended.
+	// Reasons to end an attempt.
 	attemptDisconnected  // the client disconnected
-	attemptTimedOut      // no response within the response timeout
-	attemptCancelled     // the scheduler cancelled it
-	attemptDrained       // its worker drains, and it was not sent yet
-	attemptUnwanted      // its request has its final response already
-	attemptNotSentInTime // still unsent when its time was over
-	attemptUnconfirmed   // its worker did not confirm that it accepts new work
+	attemptTimedOut      // the worker did not respond within the response timeout
+	attemptCancelled     // the scheduler cancelled the attempt
+	attemptDrained       // the worker started to drain before the attempt was sent
+	attemptUnwanted      // the request already has its final response
+	attemptNotSentInTime // the attempt was still unsent when its permit or deadline ended
+	attemptUnconfirmed   // the worker did not confirm that it accepts new work
 )
 
-// reasonTexts are the texts that clients receive: they are part of the protocol and stay as they are.
+// reasonTexts are the texts that clients receive. They are part of the protocol and must not be changed.
 var reasonTexts = [...]string{
 	noReason:              "",
 	ShuttingDown:          "this front end is closing",
@@ -64,7 +64,7 @@
 // String returns the text that clients receive.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// tenantRejection is the reason for a verdict of the tenancy other than tenancy.Admit.
+// tenantRejection returns the reason for a tenancy verdict other than tenancy.Admit.
 func tenantRejection(verdict tenancy.Verdict) Reason {
 	if verdict == tenancy.OverQuota {
 		return OverTenantQuota
--- a/internal/gateway/reason_test.go
+++ b/internal/gateway/reason_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestReason_String_TextOnTheWire pins the texts that clients receive.
+// TestReason_String_TextOnTheWire checks the texts that clients receive, which must not change.
 func TestReason_String_TextOnTheWire(t *testing.T) {
 	for reason, want := range map[Reason]string{
 		noReason:              "",
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestCatalogErrors_Error_TextOnTheWire pins the texts of invalid requests.
+// TestCatalogErrors_Error_TextOnTheWire checks the error texts of invalid requests, which must not change.
 func TestCatalogErrors_Error_TextOnTheWire(t *testing.T) {
 	for want, err := range map[string]error{
 		`no function "f"`:                    &UnknownNameError{Kind: "function", Name: "f"},
--- a/internal/gateway/recent_ids.go
+++ b/internal/gateway/recent_ids.go
@@ -2,22 +2,23 @@
 
 import "sync"
 
-// idsPerGeneration is how many identifiers of admitted requests are remembered at least; twice as many at most, and
-// the oldest are forgotten first.
+// idsPerGeneration is the minimum number of identifiers of admitted requests that are remembered. At most twice as many
+// are remembered, and the oldest are discarded first.
 const idsPerGeneration = 4096
 
-// recentIDs knows the identifiers of the requests in flight, and of those admitted last. Clients make a new one for
-// each request. It guards against clients that send the same request again as soon as it is rejected, whose requests
-// would count as demand. A client whose request was received whole on a connection that was then closed, and that
-// sends it anew, would be harmed by it. Its methods may be called from any goroutine.
+// recentIDs remembers the identifiers of the requests in flight and of those admitted most recently. Clients generate a
+// new identifier for each request, so a known identifier means that a client has sent the same request again, for example
+// as soon as it was rejected. Such requests would inflate the apparent demand. The drawback is that a client whose
+// connection was closed after a complete request had been received cannot send that request again. The methods may be
+// called from any goroutine.
 type recentIDs struct {
 	mu       sync.Mutex
-	inFlight map[string]bool // bounded by Settings.MaxInFlight and the event loop's queue
-	current  map[string]bool // admitted last, bounded by idsPerGeneration
-	previous map[string]bool // admitted before those of current, bounded likewise
+	inFlight map[string]bool // bounded by Settings.MaxInFlight plus the event loop's queue
+	current  map[string]bool // most recently admitted, at most idsPerGeneration
+	previous map[string]bool // admitted before those in current, at most idsPerGeneration
 }
 
-// admit notes an identifier and reports whether it is new.
+// admit records an identifier and reports whether it is new.
 func (r *recentIDs) admit(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,7 +40,7 @@
 // known reports whether an identifier is remembered.
 func (r *recentIDs) known(id string) bool { return r.inFlight[id] || r.current[id] || r.previous[id] }
 
-// release notes that a request is no longer in flight.
+// release records that a request is no longer in flight.
 func (r *recentIDs) release(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/recent_ids_test.go
+++ b/internal/gateway/recent_ids_test.go
@@ -12,12 +12,12 @@
 	}
 	ids.release("a")
 	if ids.admit("a") {
-		t.Error("an identifier of a completed request is admitted again")
+		t.Error("an identifier of a completed request was admitted again")
 	}
 	for i := range 3 * idsPerGeneration {
 		id := fmt.Sprint(i)
 		if !ids.admit(id) {
-			t.Fatalf("identifier %s is new", id)
+			t.Fatalf("new identifier %s was not admitted", id)
 		}
 		ids.release(id)
 	}
@@ -25,6 +25,6 @@
 		t.Errorf("%d and %d identifiers are kept, %d in flight", len(ids.current), len(ids.previous), len(ids.inFlight))
 	}
 	if !ids.admit("a") {
-		t.Error("an identifier is never forgotten")
+		t.Error("an old identifier was not forgotten")
 	}
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -8,55 +8,55 @@
 	"havencart/scheduler"
 )
 
-// Request is one request of one client. The exported fields are set by the connection that received it and stay as
-// they are from Submit on; the others belong to the FrontEnd that received it.
+// Request is a client's request. The exported fields are set by the connection that received the request and, apart from
+// ID, IdempotencyKey and StartedAt, do not change after Submit. The other fields belong to the event loop and its FrontEnd.
 type Request struct {
-	ID             string // the client's name for it, for records; where empty, one is made
+	ID             string // chosen by the client and used in logs; generated if empty
 	Class          int    // index into Settings.Classes
 	Tenant         int    // index into Settings.Tenants
-	IdempotencyKey string // empty: none
+	IdempotencyKey string // generated if empty and the class requires a key
 	Replica        muxframe.ReplicaSpec
-	WorkEstimate   time.Duration // rough execution time, 0 if unknown
+	WorkEstimate   time.Duration // approximate execution time; 0 if unknown
 	Body           []byte
-	Timeout        time.Duration // until the client gives up, counted from StartedAt
-	StartedAt      time.Duration // when the client began, on the event loop's clock
-	ArrivedAfter   time.Duration // see looplag.StallTracker.EarliestArrival
+	Timeout        time.Duration // time from StartedAt until the client gives up
+	StartedAt      time.Duration // when the client sent the request, on the event loop's clock
+	ArrivedAfter   time.Duration // lower bound of the arrival time; see looplag.StallTracker.EarliestArrival
 
-	queuedAt    time.Duration // when it entered the event loop's queue; 0: it waited in none
+	queuedAt    time.Duration // when the request entered the event loop's queue; 0 if it was not queued
 	response    chan FinalResponse
 	deliver     func(FinalResponse)
 	delivery    delivery
-	expiry      *time.Timer // see EventLoop.expireAfter; nil: it does not expire
-	expired     bool        // the expiry gave its final response
+	expiry      *time.Timer // see EventLoop.expireAfter; nil if the request does not expire
+	expired     bool        // whether the expiry timer gave the final response
 	state       requestState
 	id          scheduler.RequestID
 	deadline    time.Duration    // when the final response is due
-	attempts    int              // sent so far
+	attempts    int              // number of attempts so far
 	current     *requestAttempt  // the attempt in flight, or nil
-	timer       timer            // for a final response past the deadline
-	record      execution.Record // what was done for it; set when it is admitted
+	timer       timer            // gives the final response past the deadline; see setRequestTimer
+	record      execution.Record // execution history of the attempts; set at admission
 	function    *function
-	runTime     time.Duration // execution time, where the worker reported it
+	runTime     time.Duration // execution time as reported by the worker; 0 if it was not
 	lastStatus  scheduler.Status
-	finishCause scheduler.FinishCause // why the scheduler answered it; 0: it did not
+	finishCause scheduler.FinishCause // why the scheduler ended the request; 0 if it did not
 	lastReason  string
 }
 
-// requestState is where a request stands in its life. See Request.enter for the transitions.
+// requestState is the state of a request. See Request.enter for the transitions.
 type requestState uint8
 
 const (
-	requestSubmitted    requestState = iota // with its client's connection, or in the event loop's queue
-	requestInFlight                         // admitted: one final response is owed
-	requestCompleted                        // final: the response was given
-	requestDisconnected                     // final: its client disconnected before the response
+	requestSubmitted    requestState = iota // owned by the client's connection, or in the event loop's queue
+	requestInFlight                         // admitted, without a final response
+	requestCompleted                        // final state: the final response was given
+	requestDisconnected                     // final state: the client disconnected before the final response
 )
 
-// isFinal reports whether nothing is owed to the client any longer.
+// isFinal reports whether s is a final state, in which the client gets no further response.
 func (s requestState) isFinal() bool { return s == requestCompleted || s == requestDisconnected }
 
-// enter moves the request to its next state and reports whether it did. The state only moves forward, and a final
-// state is entered once: whichever comes first of the response and the client's disconnect.
+// enter moves the request to the state next and reports whether the state changed. The state only moves forward. Only
+// one final state is entered: that of the final response or of the client's disconnect, whichever comes first.
 func (r *Request) enter(next requestState) bool {
 	if r.state.isFinal() || next <= r.state {
 		return false
@@ -69,29 +69,31 @@
 	return true
 }
 
-// stopExpiry ends the expiry of a request that needs none any longer. One that has begun ends by itself.
+// stopExpiry stops the request's expiry timer. It does not affect an expiry that is already running.
 func (r *Request) stopExpiry() {
 	if r.expiry != nil {
 		r.expiry.Stop()
 	}
 }
 
-// NewRequest returns a request whose final response is received from Response.
+// NewRequest returns a request whose final response is sent to the channel that Response returns.
 func NewRequest() *Request {
 	r := &Request{response: make(chan FinalResponse, 1)}
 	r.deliver = func(response FinalResponse) { r.response <- response }
 	return r
 }
 
-// NewRequestWithCallback returns a request whose final response is given to deliver, once: within the handling of an event,
-// or by the goroutine of its expiry. It must neither block nor call the FrontEnd.
+// NewRequestWithCallback returns a request whose final response is passed to deliver. deliver is called once, by Submit,
+// by the event loop while it handles an event, or by the goroutine of the expiry timer. It must not block and must not
+// call the FrontEnd.
 func NewRequestWithCallback(deliver func(FinalResponse)) *Request { return &Request{deliver: deliver} }
 
-// Response returns the channel that receives the final response, once; nil after NewRequestWithCallback.
+// Response returns the channel that receives the single final response. It is nil for a request that was created with
+// NewRequestWithCallback.
 func (r *Request) Response() <-chan FinalResponse { return r.response }
 
-// complete gives the final response, unless the request has expired, and reports whether it was still owed by the owner of
-// the request. All final responses but those of the expiry go through here.
+// complete enters the state requestCompleted and delivers the final response, unless the expiry timer has already done so.
+// It reports whether the state changed. All final responses except those of the expiry timer are given by this method.
 func (r *Request) complete(response FinalResponse) bool {
 	if !r.enter(requestCompleted) {
 		return false
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -9,7 +9,8 @@
 	"havencart/scheduler"
 )
 
-// Reject implements scheduler.Actions: it gives the final response that promises that a retry does no harm.
+// Reject implements scheduler.Actions. It gives the final response Rejected, which promises that a retry is safe. If the
+// execution rules do not permit that promise, it fails the request instead.
 func (f *FrontEnd) Reject(id scheduler.RequestID, retryAfter time.Duration, cause scheduler.FinishCause) {
 	request := f.requests[id]
 	if request == nil {
@@ -21,7 +22,7 @@
 	request.finishCause = cause
 	if violation := request.record.MayReject(f.now); violation != execution.NoViolation {
 		f.violated(violation, request)
-		f.Fail(id, cause) // promises nothing
+		f.Fail(id, cause) // makes no promise about retries
 		return
 	}
 	reason := NoWorkerInTime.String()
@@ -31,7 +32,7 @@
 	f.respond(request, FinalResponse{Kind: Rejected, Reason: reason, RetryAfter: retryAfter})
 }
 
-// Fail implements scheduler.Actions: it gives the final response that promises nothing.
+// Fail implements scheduler.Actions: it gives the final response Failed, which does not promise that a retry is safe.
 func (f *FrontEnd) Fail(id scheduler.RequestID, cause scheduler.FinishCause) {
 	if request := f.requests[id]; request != nil {
 		if request.state == requestCompleted {
@@ -43,18 +44,19 @@
 	}
 }
 
-// timedOut reports whether no response was received in time for an attempt that ended with status.
+// timedOut reports whether an attempt that ended with status received no response in time.
 func timedOut(status scheduler.Status) bool {
 	return status == scheduler.Timeout || status == scheduler.Cancelled
 }
 
-// respond gives an admitted request its final response, and counts and logs it. It does nothing where none is owed.
+// respond gives an admitted request its final response, counts it and logs it. It does nothing if the request is already
+// in a final state.
 func (f *FrontEnd) respond(request *Request, response FinalResponse) {
 	if !request.complete(response) {
 		return
 	}
 	if request.expired {
-		response.Kind = Failed // as its client was told
+		response.Kind = Failed // the response that the expiry timer gave to the client
 	}
 	f.recordTenantUse(request, response.Kind)
 	switch response.Kind {
@@ -69,7 +71,7 @@
 	f.forget(request)
 }
 
-// recordTenantUse reports to the tenancy how an admitted request ended.
+// recordTenantUse reports to the tenancy limiter how an admitted request ended.
 func (f *FrontEnd) recordTenantUse(request *Request, kind ResponseKind) {
 	end := tenancy.RequestEnd{Served: kind == Served, MissedObjective: true}
 	if request.attempts > 0 {
@@ -80,15 +82,16 @@
 		objective := f.settings.Scheduler.Classes[request.Class].LatencyObjective
 		end.MissedObjective = f.now-request.StartedAt > objective
 	case Failed:
-		// Other failures are the function's or the worker's, and no sign of a tenant that gets too little.
+		// Other failures are caused by the function or the worker and do not show that the tenant gets too little capacity.
 		end.MissedObjective = timedOut(request.lastStatus)
 	}
 	f.tenancy.RequestEnded(f.now, request.Tenant, end)
 }
 
-// ClientDisconnected ends what a request's client no longer waits for. It may come at any time: before the request
-// itself, as the event loop takes events before requests; and after the final response, where one that is still
-// streamed is given up. Where the scheduler may not cancel an attempt, one that was not sent is still taken back.
+// ClientDisconnected ends the work for a request whose client has disconnected. It may be called at any time: even before
+// RequestReceived, because the event loop handles events before requests, and after the final response, in which case a
+// response that is still being streamed is abandoned. An attempt that was not sent is cancelled even if the scheduler is
+// not allowed to cancel attempts.
 func (f *FrontEnd) ClientDisconnected(now time.Duration, request *Request) {
 	f.now = now
 	wasInFlight := request.state == requestInFlight
@@ -107,7 +110,7 @@
 	f.runDeferred()
 }
 
-// dropAttempt ends an attempt whose client disconnected, where it streams a response or was not sent yet.
+// dropAttempt ends an attempt after its client disconnected, if its response is being streamed or it was not sent.
 func (f *FrontEnd) dropAttempt(attempt *requestAttempt) {
 	if attempt.state == attemptStreaming {
 		f.abandonAttempt(attempt, scheduler.Cancelled, attemptDisconnected)
@@ -118,7 +121,7 @@
 	}
 }
 
-// forget drops a request once nothing of it is in flight.
+// forget removes a request that is in a final state and has no attempt in flight.
 func (f *FrontEnd) forget(request *Request) {
 	if request.state.isFinal() && request.current == nil {
 		delete(f.requests, request.id)
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -15,28 +15,28 @@
 	"havencart/internal/native/httpserver"
 )
 
-// Service is a gateway process: an HTTP listener for clients, and the event loops behind it. Its methods may be called
-// from any goroutine; Run and Kill once each.
+// Service is a gateway process: an HTTP listener for clients and the event loops behind it. Its methods may be called from
+// any goroutine. Run and Kill must each be called at most once.
 type Service struct {
 	settings *gatewayconfig.Settings
 	log      zerolog.Logger
 	loops    []*EventLoop
 	listener net.Listener
 	clients  *httpserver.Server
-	next     atomic.Uint64 // connections are spread over the loops in turn
+	next     atomic.Uint64 // round-robin counter for assigning connections to loops
 }
 
-// ErrShutdownTimeout is returned by Service.Run where requests were in flight when the time for a shutdown was over. Each got
-// its final response all the same.
+// ErrShutdownTimeout is returned by Service.Run if requests were still in flight when the shutdown timed out. Each of them
+// got a final response nevertheless.
 var ErrShutdownTimeout = errors.New("requests were in flight when the shutdown timed out")
 
-// The bounds of logs in a second, by level: a burst whole, then a sample.
+// The limits of log lines per second and level. Lines up to logBurst are all logged, further ones are sampled.
 const (
 	logBurst  = 100
-	logSample = 100 // one line of so many
+	logSample = 100 // one in this many lines is logged
 )
 
-// NewService prepares a gateway and opens its listener, which Run and Kill close. Run serves.
+// NewService creates a gateway and opens its listener, which Run and Kill close. Run starts serving clients.
 func NewService(set *gatewayconfig.Settings, log zerolog.Logger) (*Service, error) {
 	listener, err := net.Listen("tcp", set.ListenAddress)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return s, nil
 }
 
-// serverConfig bounds what clients may do.
+// serverConfig returns the limits for clients' connections and requests.
 func serverConfig(set *gatewayconfig.Settings) httpserver.Config {
 	return httpserver.Config{
 		IdleTimeout:    set.IdleTimeout,
@@ -73,7 +73,7 @@
 	}
 }
 
-// sampled bounds what is logged in a second, for each level below error.
+// sampled returns a logger that limits the lines per second, separately for each level below error.
 func sampled(log zerolog.Logger) zerolog.Logger {
 	sampler := func() zerolog.Sampler {
 		return &zerolog.BurstSampler{
@@ -85,17 +85,17 @@
 	return log.Sample(zerolog.LevelSampler{DebugSampler: sampler(), InfoSampler: sampler(), WarnSampler: sampler()})
 }
 
-// Address returns where clients connect.
+// Address returns the address on which the service accepts clients.
 func (s *Service) Address() string { return s.listener.Addr().String() }
 
-// Stall blocks all loops for d, as a pause of the process does; it is for laboratories.
+// Stall blocks all loops for d, to emulate a pause of the process in experiments.
 func (s *Service) Stall(d time.Duration) {
 	for _, loop := range s.loops {
 		loop.Stall(d)
 	}
 }
 
-// Counts returns the totals of all loops.
+// Counts returns the sum of the totals of all loops.
 func (s *Service) Counts() Counts {
 	var total Counts
 	for _, loop := range s.loops {
@@ -104,9 +104,9 @@
 	return total
 }
 
-// Run serves until ctx ends, then shuts down gracefully: it accepts no new connections; what is in flight gets its
-// final response, at the latest when the settings' ShutdownTimeout is over. It returns the totals, and ErrShutdownTimeout
-// where that time was needed in full. All goroutines of the service have ended when it returns.
+// Run serves clients until ctx ends, and then shuts down gracefully. It stops accepting connections and gives the requests
+// in flight their final response, at the latest after the ShutdownTimeout of the settings. It returns the totals, and
+// ErrShutdownTimeout if that time was not sufficient. When it returns, all goroutines of the service have ended.
 func (s *Service) Run(ctx context.Context) (Counts, error) {
 	loopsEnded := s.runLoops(ctx)
 	stopListening := context.AfterFunc(ctx, s.closeListener)
@@ -123,8 +123,8 @@
 	return total, err
 }
 
-// runLoops starts the event loops. The function that it returns waits for them; it returns their totals, and whether
-// all ended in time.
+// runLoops starts the event loops. It returns a function that waits for them to end and returns their totals, and whether
+// all of them ended in time.
 func (s *Service) runLoops(ctx context.Context) (wait func() (Counts, bool)) {
 	var mu sync.Mutex
 	var total Counts
@@ -145,11 +145,12 @@
 	}
 }
 
-// closeListener ends the accepting of connections. It may be called again: the error tells only that it is closed.
+// closeListener stops accepting connections. It may be called more than once: the ignored error only indicates that the
+// listener is already closed.
 func (s *Service) closeListener() { _ = s.listener.Close() }
 
-// Kill breaks all connections at once, those of clients and of workers, without final responses: what is left of a
-// process that was killed. Run then ends. It is for tests and emulations of that.
+// Kill closes all connections to clients and workers immediately, without final responses, and makes Run return. It
+// emulates a killed process in tests and experiments.
 func (s *Service) Kill() {
 	s.closeListener()
 	s.clients.Close()
--- a/internal/gateway/service_settings.go
+++ b/internal/gateway/service_settings.go
@@ -13,16 +13,16 @@
 	"havencart/scheduler"
 )
 
-// loadReportFields are the values of a load report that workers are asked for.
+// loadReportFields are the fields of the load reports that workers send.
 var loadReportFields = []string{"queue"}
 
-// eventQueue bounds the events that wait for a loop; beyond, worker clients stop reading.
+// eventQueue is the capacity of a loop's event queue. While the queue is full, worker clients stop reading.
 const eventQueue = 4096
 
-// workerQueue bounds what waits to be sent to one worker.
+// workerQueue is the capacity of the queue of work to be sent to one worker.
 const workerQueue = 4096
 
-// loopConfig is the configuration of the process's event loop i.
+// loopConfig returns the configuration of the process's event loop with index i.
 func loopConfig(set *gatewayconfig.Settings, i int, clockStart time.Time) EventLoopConfig {
 	cfg := EventLoopConfig{
 		Settings:        SettingsFromConfig(set, i, clockStart, rand.Uint64()),
@@ -39,8 +39,8 @@
 	return cfg
 }
 
-// SettingsFromConfig returns the settings of the process's front end i, whose clock starts at a wall time and whose
-// random numbers are drawn from seed.
+// SettingsFromConfig returns the settings of the process's front end with index i. Its clock is 0 at the wall time
+// clockStart, and seed is the seed of its random numbers.
 func SettingsFromConfig(set *gatewayconfig.Settings, i int, clockStart time.Time, seed uint64) Settings {
 	out := Settings{
 		Name:           fmt.Sprintf("%s-%d", set.Name, set.FirstFrontEndIndex+i),
@@ -63,7 +63,8 @@
 	return out
 }
 
-// tenancySettings are what the tenants were promised of one front end: of quotas its part, of shares all.
+// tenancySettings returns the tenants' limits on one front end. Quotas are divided by the number of front ends, shares are
+// not, because they are fractions.
 func tenancySettings(set *gatewayconfig.Settings) tenancy.Settings {
 	out := tenancy.Settings{Basis: set.ShareBasis}
 	for _, tenant := range set.Tenants {
@@ -73,7 +74,7 @@
 	return out
 }
 
-// schedulerSettings are the scheduler's own settings for the process's front end i.
+// schedulerSettings returns the settings of the scheduler for the process's front end with index i.
 func schedulerSettings(set *gatewayconfig.Settings, i int, seed uint64) scheduler.Settings {
 	out := scheduler.Settings{
 		Seed:                seed,
--- a/internal/gateway/service_settings_test.go
+++ b/internal/gateway/service_settings_test.go
@@ -10,7 +10,8 @@
 	"havencart/scheduler"
 )
 
-// TestTenancySettings_QuotaAndShares_DividedByFrontEnds gives each front end its part of a quota, and all of the shares.
+// TestTenancySettings_QuotaAndShares_DividedByFrontEnds checks that quotas are divided by the number of front ends and that
+// shares are not.
 func TestTenancySettings_QuotaAndShares_DividedByFrontEnds(t *testing.T) {
 	text := "directory file /nowhere\nfront-ends 4\nclass a\nend\ntenant t\n  share 0.7\n  quota 100\nend\ntenant u\n  share 0.3\nend\n"
 	for add, by := range map[string]tenancy.ShareBasis{"": tenancy.NotEnforced, "shares work\n": tenancy.ByWork, "shares calls\n": tenancy.ByRequestCount} {
@@ -25,7 +26,7 @@
 	}
 }
 
-// TestFrontEndSettings_Defaults_Unchanged pins the scheduler's settings where the settings file says nothing of them.
+// TestFrontEndSettings_Defaults_Unchanged checks the scheduler's settings if the settings file does not set them.
 func TestFrontEndSettings_Defaults_Unchanged(t *testing.T) {
 	set, err := gatewayconfig.Parse("f", "directory file /nowhere\nclass a\nend\n")
 	if err != nil {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// StopAdmitting rejects what is received from now on; what is in flight goes on.
+// StopAdmitting makes the FrontEnd reject all further requests. Requests in flight continue.
 func (f *FrontEnd) StopAdmitting(now time.Duration) {
 	f.now = now
 	f.shuttingDown = true
 }
 
-// Abort ends all that is in flight at once, each request with its final response, and stops the worker clients.
+// Abort ends all requests in flight immediately, each with a final response, and stops the worker clients.
 func (f *FrontEnd) Abort(now time.Duration) {
 	f.now = now
 	for _, id := range sortedKeys(f.requests) {
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// timerKind is what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
-	schedulerTimer   timerKind = iota + 1 // the scheduler's, with schedulerToken
-	sweepTimer                            // the next sweep
-	attemptTimer                          // the response timeout of attempt
+	schedulerTimer   timerKind = iota + 1 // set by the scheduler, which receives schedulerToken
+	sweepTimer                            // the next periodic sweep
+	attemptTimer                          // the response timeout of attempt, or the end of its permit to be sent
 	loadOrderTimer                        // the timeout of loadOrder
-	requestTimer                          // the final response of request is past its deadline
+	requestTimer                          // the request is past its deadline and has no final response
 	healthCheckTimer                      // the timeout of healthCheck
 )
 
-// timer is something that is due at a time. It is not copied while it is in a heap.
+// timer is an action that is due at a certain time. A timer must not be copied while it is in a heap.
 type timer struct {
 	kind           timerKind
 	due            time.Duration
-	seq            uint64 // in the order in which timers were added
-	position       int    // in the heap, from 1; 0: in none
+	seq            uint64 // sequence number in the order of addition to the heap
+	position       int    // position in the heap, from 1; 0 if the timer is not in a heap
 	attempt        *requestAttempt
 	loadOrder      *loadOrder
 	healthCheck    *healthCheck
@@ -30,30 +30,30 @@
 	schedulerToken uint64
 }
 
-// timerHeap is a heap by time; timers due at one time are in the order in which they were added.
+// timerHeap is a min-heap of timers ordered by due time. Timers with the same due time are in the order of addition.
 type timerHeap struct {
 	timers []*timer
 	seq    uint64
 }
 
-// add puts a timer into the heap.
+// add adds a timer to the heap.
 func (h *timerHeap) add(t *timer) {
 	h.seq++
 	t.seq = h.seq
 	heap.Push(h, t)
 }
 
-// remove takes a timer out of the heap, if it is in it.
+// remove removes a timer from the heap. It does nothing if the timer is not in the heap.
 func (h *timerHeap) remove(t *timer) {
 	if t.position > 0 {
 		heap.Remove(h, t.position-1)
 	}
 }
 
-// first returns the timer that is due first. The heap must not be empty.
+// first returns the timer with the earliest due time. The heap must not be empty.
 func (h *timerHeap) first() *timer { return h.timers[0] }
 
-// popDue takes out the first timer that is due at now; nil: none is.
+// popDue removes and returns the first timer if it is due at now, or returns nil if none is.
 func (h *timerHeap) popDue(now time.Duration) *timer {
 	if len(h.timers) == 0 || h.first().due > now {
 		return nil
@@ -64,7 +64,7 @@
 // Len implements heap.Interface.
 func (h *timerHeap) Len() int { return len(h.timers) }
 
-// Less implements heap.Interface: by time, then by when the timer was added.
+// Less implements heap.Interface. It orders timers by due time, then by the order of addition.
 func (h *timerHeap) Less(i, j int) bool {
 	a, b := h.timers[i], h.timers[j]
 	if a.due != b.due {
@@ -87,7 +87,7 @@
 	t.position = len(h.timers)
 }
 
-// Pop implements heap.Interface: it takes the last timer off.
+// Pop implements heap.Interface. It removes and returns the last element of the slice.
 func (h *timerHeap) Pop() any {
 	last := len(h.timers) - 1
 	t := h.timers[last]
--- a/internal/gateway/timers_test.go
+++ b/internal/gateway/timers_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestTimerHeap_AnyOperations_FiresInOrder compares the heap with a sorted list.
+// TestTimerHeap_AnyOperations_FiresInOrder compares the heap with a sorted slice.
 func TestTimerHeap_AnyOperations_FiresInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var timers timerHeap
@@ -24,7 +24,7 @@
 				if len(sorted) > 0 {
 					i := rapid.IntRange(0, len(sorted)-1).Draw(t, "stopped")
 					timers.remove(sorted[i])
-					timers.remove(sorted[i]) // a second time does nothing
+					timers.remove(sorted[i]) // removing a timer twice has no effect
 					sorted = slices.Delete(sorted, i, i+1)
 				}
 			case 2:
@@ -32,7 +32,7 @@
 				slices.SortStableFunc(sorted, func(a, b *timer) int { return int(a.due - b.due) })
 				for x := timers.popDue(now); x != nil; x = timers.popDue(now) {
 					if len(sorted) == 0 || sorted[0] != x {
-						t.Fatal("out of order")
+						t.Fatal("a timer fired out of order")
 					}
 					sorted = sorted[1:]
 				}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -11,9 +11,10 @@
 	"havencart/scheduler"
 )
 
-// trace logs what an incident is understood from: how each attempt ended that has no usable response, each retry, and each
-// final response that is not a worker's. Every line names the request, so that one can be followed by its identifier.
-// Attempts and final responses are sampled apart, so that a flood of rejections does not hide a retry.
+// trace logs the events that are needed to investigate an incident: each attempt that ended without a usable response,
+// each retry, each final response that is not a worker's response, and changes of the workers. Lines about a request
+// contain its ID, so that the request can be followed through the log. Attempts and final responses are sampled
+// separately, so that a flood of rejections does not suppress the lines about retries.
 type trace struct {
 	attempts  zerolog.Logger
 	responses zerolog.Logger
@@ -25,12 +26,12 @@
 	return &trace{attempts: sampled(log), responses: sampled(log), workers: log, classes: classes}
 }
 
-// named adds a request to a line of the log.
+// named adds the fields that identify a request to a log line.
 func (t *trace) named(line *zerolog.Event, request *Request) *zerolog.Event {
 	return line.Str("request", request.ID).Str("function", request.Replica.Function).Str("class", t.classes[request.Class])
 }
 
-// retried logs an attempt that is not the first of its request.
+// retried logs an attempt other than the first one of its request.
 func (t *trace) retried(now time.Duration, attempt *requestAttempt) {
 	line := t.attempts.Info()
 	if !line.Enabled() {
@@ -48,13 +49,13 @@
 	line.Msg("request retried")
 }
 
-// violated logs a rule that was about to be broken.
+// violated logs a rule violation that was prevented.
 func (t *trace) violated(now time.Duration, violation execution.Violation, request *Request) {
 	t.named(t.workers.Error(), request).Stringer("violation", violation).Int("attempts", request.attempts).
 		Dur("age", now-request.StartedAt).Msg("rule violation prevented")
 }
 
-// attemptEnded logs an attempt that ended otherwise than by the worker's response to the request.
+// attemptEnded logs an attempt that ended with a status other than scheduler.OK.
 func (t *trace) attemptEnded(now time.Duration, attempt *requestAttempt, result workerconn.Result) {
 	if result.Status == scheduler.OK {
 		return
@@ -74,7 +75,7 @@
 	line.Msg("attempt ended")
 }
 
-// loadOrderEnded logs an order to load, or a residency query, that was not carried out.
+// loadOrderEnded logs a load order or residency query that failed.
 func (t *trace) loadOrderEnded(now time.Duration, order *loadOrder, status scheduler.Status) {
 	if status == scheduler.OK {
 		return
@@ -85,7 +86,7 @@
 	}
 }
 
-// healthChecked logs a health check that does not say that the worker accepts new work.
+// healthChecked logs a health check that did not confirm that the worker accepts new work.
 func (t *trace) healthChecked(now time.Duration, check *healthCheck, status scheduler.Status) {
 	if status == scheduler.OK {
 		return
@@ -96,7 +97,7 @@
 	}
 }
 
-// responded logs a final response that is not a worker's.
+// responded logs a final response other than the response of a worker.
 func (t *trace) responded(now time.Duration, request *Request, response FinalResponse) {
 	if response.Kind == Served {
 		return
@@ -117,7 +118,7 @@
 		Dur("left", request.deadline-now).Msg(message)
 }
 
-// disconnected logs that a request was closed by its client.
+// disconnected logs that the client of a request disconnected.
 func (t *trace) disconnected(now time.Duration, request *Request) {
 	line := t.responses.Debug()
 	if line.Enabled() {
@@ -125,7 +126,7 @@
 	}
 }
 
-// listed logs a worker that is listed for the first time, or otherwise than before.
+// listed logs a worker that is new in the endpoint list or whose entry has changed in address, cell or start.
 func (t *trace) listed(now time.Duration, w *worker, entry discovery.Worker, started time.Duration) {
 	if w.client != nil && w.Address == entry.Address && w.Cell == entry.Cell && w.Started.Equal(entry.Started) {
 		return
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -13,33 +13,32 @@
 	"havencart/scheduler"
 )
 
-// worker is a worker of the endpoint list, or one removed from it with something in flight.
+// worker is a worker in the endpoint list, or one that was removed from the list and still has work in flight.
 type worker struct {
 	discovery.Worker
 	id              scheduler.WorkerID
 	client          WorkerClient
-	previousClients []WorkerClient // of its previous addresses, with something in flight
+	previousClients []WorkerClient // clients of the worker's previous addresses that still have work in flight
 	state           scheduler.WorkerState
-	disconnected    bool // reported since it was last connected
+	disconnected    bool // whether a disconnect was reported since the last connect
 	readiness       readiness
 }
 
-// location is where the worker stands, as the scope of an idempotency key has it.
+// location returns the worker's zone and cell, which the scope of an idempotency key refers to.
 func (w *worker) location() execution.Location { return execution.Location{Zone: w.Zone, Cell: w.Cell} }
 
-// named adds the worker to a line of the log, by its name and by the identifier that the scheduler's lines have.
+// named adds the worker's name to a log line, and its identifier, which the scheduler's log messages use.
 func (w *worker) named(line *zerolog.Event) *zerolog.Event {
 	return line.Str("worker", w.Name).Str("worker-id", strconv.FormatUint(uint64(w.id), 16))
 }
 
-// cancelUnsent takes an attempt back from the client that has it, if none of it was written, and reports whether it
-// did.
+// cancelUnsent cancels an attempt at the client that holds it, if no part of it was written, and reports whether it did.
 func (w *worker) cancelUnsent(attempt *requestAttempt) bool {
 	cancel := func(client WorkerClient) bool { return client.CancelUnsent(&attempt.Attempt) }
 	return cancel(w.client) || slices.ContainsFunc(w.previousClients, cancel)
 }
 
-// abandon gives an attempt up at the client that has it, and reports whether the worker may have received it.
+// abandon stops waiting for an attempt at the client that holds it, and reports whether the worker may have received it.
 func (w *worker) abandon(attempt *requestAttempt) bool {
 	mayBeReceived := w.client.Abandon(&attempt.Attempt)
 	for _, client := range w.previousClients {
@@ -50,7 +49,7 @@
 	return mayBeReceived
 }
 
-// WorkerConnected takes what a worker reported of itself on a new connection.
+// WorkerConnected handles the handshake in which a worker describes itself on a new connection.
 func (f *FrontEnd) WorkerConnected(now time.Duration, id scheduler.WorkerID, welcome muxframe.Welcome) {
 	f.now = now
 	w := f.workers[id]
@@ -68,7 +67,8 @@
 	f.runDeferred()
 }
 
-// WorkerDisconnected notes that there is no connection to a worker. The scheduler learns it from the attempts.
+// WorkerDisconnected records that there is no connection to a worker. It does not notify the scheduler, which learns of it
+// from the outcomes of attempts.
 func (f *FrontEnd) WorkerDisconnected(now time.Duration, id scheduler.WorkerID, cause error) {
 	f.now = now
 	w := f.workers[id]
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestActions_HealthCheckAndUnload_ReachWorker calls the actions itself, as the scheduler asks for neither today.
+// TestActions_HealthCheckAndUnload_ReachWorker calls the actions directly, because the scheduler requests neither at
+// present.
 func TestActions_HealthCheckAndUnload_ReachWorker(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	request := harness.submit(idempotentClass)
@@ -48,6 +49,6 @@
 		t.Fatalf("%d health checks, %d unloads", len(worker.healthChecks), worker.unloads)
 	}
 	harness.HealthChecked(harness.clock, worker.healthChecks[0], scheduler.OK, nil)
-	harness.HealthChecked(harness.clock, worker.healthChecks[0], scheduler.OK, nil) // a response without a health check
+	harness.HealthChecked(harness.clock, worker.healthChecks[0], scheduler.OK, nil) // a second response to the same health check is ignored
 	harness.endWith(request, scheduler.OK)
 }
