--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -30,7 +30,8 @@
 	harness.wantResponse(request, Rejected)
 }
 
-// TestAdmission_FunctionNameCollision_Rejected guards against mistaking the replicas of one function for those of another.
+// TestAdmission_FunctionNameCollision_Rejected guards against mistaking the replicas of one function for those of
+// another.
 func TestAdmission_FunctionNameCollision_Rejected(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	request := harness.submit(idempotentClass)
@@ -41,8 +42,8 @@
 	harness.endWith(request, scheduler.OK)
 }
 
-// TestAdmission_QueueDelayTooLong_Shed checks that requests are shed without the scheduler while the queue delay stays too
-// long, so that the queue empties.
+// TestAdmission_QueueDelayTooLong_Shed checks that requests are shed without the scheduler while the queue delay
+// stays too long, so that the queue empties.
 func TestAdmission_QueueDelayTooLong_Shed(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	submitQueued := func() *Request {
@@ -64,7 +65,8 @@
 	harness.wantResponse(harness.submit(idempotentClass), 0) // this request was not queued
 }
 
-// TestAdmission_OverTenantQuota_Rejected checks that the request is rejected without the scheduler and with a retry delay.
+// TestAdmission_OverTenantQuota_Rejected checks that the request is rejected without the scheduler and with a retry
+// delay.
 func TestAdmission_OverTenantQuota_Rejected(t *testing.T) {
 	harness := newHarness(t, 1, func(s *Settings) { s.Tenancy = tenancy.Settings{Shares: []float64{1}, Quotas: []float64{1}} })
 	harness.submit(idempotentClass)
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -72,7 +72,7 @@
 	f.attempts[&attempt.Attempt] = attempt
 	attempt.timer = timer{kind: attemptTimer, due: min(until, attempt.NotAfter), attempt: attempt}
 	f.timers.add(&attempt.timer)
-	f.begin(attempt)
+	f.sendWhenConfirmed(attempt)
 }
 
 // permit checks an attempt against the execution rules and reports whether it may be sent. An attempt that would break
@@ -80,22 +80,22 @@
 func (f *FrontEnd) permit(attempt *requestAttempt) bool {
 	request := attempt.request
 	if attempt.worker == nil || attempt.worker.state != scheduler.Ready {
-		f.violated(execution.StartAtDrainingWorker, request)
+		f.recordViolation(execution.StartAtDrainingWorker, request)
 		return false
 	}
 	permit, violation := request.record.Start(f.now, attempt.Deadline, attempt.worker.location())
 	if violation != execution.NoViolation {
-		f.violated(violation, request)
+		f.recordViolation(violation, request)
 		return false
 	}
 	attempt.NotAfter = permit.NotAfter
 	return true
 }
 
-// violated counts and logs a rule violation that was prevented.
-func (f *FrontEnd) violated(violation execution.Violation, request *Request) {
+// recordViolation counts and logs a rule violation that was prevented.
+func (f *FrontEnd) recordViolation(violation execution.Violation, request *Request) {
 	f.guard.Count(violation)
-	f.trace.violated(f.now, violation, request)
+	f.trace.violationPrevented(f.now, violation, request)
 }
 
 // newAttempt returns the request's next attempt, for the worker target, with until as its deadline.
@@ -177,7 +177,7 @@
 	f.now = now
 	if attempt := f.attempts[sent]; attempt != nil {
 		if result.Status == scheduler.OK {
-			attempt.worker.accepted(sent.WriteStartedAt())
+			attempt.worker.recordAccepted(sent.WriteStartedAt())
 		}
 		f.endAttempt(attempt, result)
 	}
@@ -225,7 +225,7 @@
 	request.lastStatus = result.Status
 	request.lastReason = result.Reason
 	request.record.End(result.Status)
-	f.learnCost(attempt, result)
+	f.observeCost(attempt, result)
 	if result.Status == scheduler.OK && request.state == requestInFlight {
 		f.respond(request, FinalResponse{Kind: Served, Response: result.Response, Worker: attempt.worker.Name})
 	}
@@ -244,7 +244,7 @@
 		outcome.Worker = attempt.worker.id
 	}
 	f.scheduler.AttemptEnded(f.now, outcome)
-	f.forget(request)
+	f.removeIfDone(request)
 }
 
 // countAttempt counts an attempt that ended without a response from the worker.
@@ -267,8 +267,8 @@
 	return f.now - attempt.sentAt
 }
 
-// learnCost updates the estimate of the function's execution time from an attempt, leaving out cold starts.
-func (f *FrontEnd) learnCost(attempt *requestAttempt, result workerconn.Result) {
+// observeCost updates the estimate of the function's execution time from an attempt, leaving out cold starts.
+func (f *FrontEnd) observeCost(attempt *requestAttempt, result workerconn.Result) {
 	cost := &attempt.request.function.cost
 	coldStart := result.ColdStart == scheduler.ColdStartTriggered || result.ColdStart == scheduler.ColdStartAwaited
 	switch {
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestRetry_NonIdempotent_OnlyIfNeverExecuted checks, for every status that a worker client reports, that a non-idempotent
-// request fails if the attempt may have executed and is retried if it never executed.
+// TestRetry_NonIdempotent_OnlyIfNeverExecuted checks, for every status that a worker client reports, that a
+// non-idempotent request fails if the attempt may have executed and is retried if it never executed.
 func TestRetry_NonIdempotent_OnlyIfNeverExecuted(t *testing.T) {
 	for _, s := range []scheduler.Status{scheduler.Reset, scheduler.Error, scheduler.Timeout, scheduler.Cancelled} {
 		harness := newHarness(t, 3, nil)
@@ -116,9 +116,9 @@
 	})
 }
 
-// TestLearnCost_WorkerReportsRunTime_IsUsed checks that a reported execution time takes precedence over the elapsed time,
-// because the time spent queueing at the worker is not the tenant's work.
-func TestLearnCost_WorkerReportsRunTime_IsUsed(t *testing.T) {
+// TestObserveCost_WorkerReportsRunTime_IsUsed checks that a reported execution time takes precedence over the elapsed
+// time, because the time spent queueing at the worker is not the tenant's work.
+func TestObserveCost_WorkerReportsRunTime_IsUsed(t *testing.T) {
 	for _, runTime := range []time.Duration{30 * ms, 0} {
 		harness := newHarness(t, 1, nil)
 		worker, attempt := harness.sentAttempt(harness.submit(idempotentClass))
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkFrontEnd(b *testing.B) {
 	t := &testing.T{}
 	harness := newHarness(t, 8, nil)
-	answer := &workerconn.Response{}
+	response := &workerconn.Response{}
 	b.ReportAllocs()
 	for b.Loop() {
 		request := NewRequest()
@@ -31,14 +31,14 @@
 			if len(worker.sent) > 0 {
 				attempt := worker.sent[0]
 				worker.sent = worker.sent[:0]
-				harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+				harness.AttemptEnded(harness.clock, attempt, workerconn.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: response})
 			}
 		}
 	}
 }
 
-// BenchmarkEndpointsUpdated measures the largest possible step for changes of the endpoint list with 3,000 workers: every
-// worker in the step changes its cell.
+// BenchmarkEndpointsUpdated measures the largest possible step for changes of the endpoint list with 3,000 workers:
+// every worker in the step changes its cell.
 func BenchmarkEndpointsUpdated(b *testing.B) {
 	harness := newHarness(&testing.T{}, 3000, nil)
 	changed := make([]discovery.Worker, maxEndpointChanges)
--- a/internal/gateway/catalog.go
+++ b/internal/gateway/catalog.go
@@ -33,8 +33,8 @@
 	Replica muxframe.ReplicaSpec
 }
 
-// UnknownNameError is returned for a request with the name of a function, class or tenant that the settings do not list.
-// Its text is sent to clients.
+// UnknownNameError is returned for a request with the name of a function, class or tenant that the settings do not
+// list. Its text is sent to clients.
 type UnknownNameError struct {
 	Kind string // "function", "class" or "tenant"
 	Name string
@@ -43,8 +43,8 @@
 // Error implements error.
 func (e *UnknownNameError) Error() string { return fmt.Sprintf("no %s %q", e.Kind, e.Name) }
 
-// ClassMismatchError is returned for a request that gives a listed function a class other than its own. Its text is sent
-// to clients.
+// ClassMismatchError is returned for a request that gives a listed function a class other than its own. Its text is
+// sent to clients.
 type ClassMismatchError struct{ Function, Class string }
 
 // Error implements error.
@@ -53,20 +53,20 @@
 }
 
 // NewCatalog returns the catalog of the classes, tenants and functions in the settings.
-func NewCatalog(set *gatewayconfig.Settings) *Catalog {
-	catalog := &Catalog{Functions: map[string]CatalogFunction{}, ListedOnly: set.ListedFunctionsOnly}
-	for _, class := range set.Classes {
+func NewCatalog(settings *gatewayconfig.Settings) *Catalog {
+	catalog := &Catalog{Functions: map[string]CatalogFunction{}, ListedOnly: settings.ListedFunctionsOnly}
+	for _, class := range settings.Classes {
 		catalog.Classes = append(catalog.Classes, CatalogClass{
 			Name: class.Name, MaxTimeout: class.Timeout,
 			Replica: replicaSpec(class.ReplicaMemoryMB, class.ReplicaConcurrency, class.LoadTimeEstimate),
 		})
 	}
-	for _, tenant := range set.Tenants {
+	for _, tenant := range settings.Tenants {
 		catalog.Tenants = append(catalog.Tenants, tenant.Name)
 	}
-	for _, function := range set.Functions {
+	for _, function := range settings.Functions {
 		catalog.Functions[function.Name] = CatalogFunction{
-			Class:   max(0, set.ClassIndex(function.Class)),
+			Class:   max(0, settings.ClassIndex(function.Class)),
 			Replica: replicaSpec(function.ReplicaMemoryMB, function.ReplicaConcurrency, function.LoadTimeEstimate),
 		}
 	}
@@ -75,14 +75,14 @@
 
 // Resolve sets the class, tenant, timeout and replica specification of request from the request that was received. An
 // error means that the request is invalid; it is an *UnknownNameError or a *ClassMismatchError.
-func (k *Catalog) Resolve(received *httpserver.Request, request *Request) error {
-	function, listed := k.Functions[received.Function]
-	if !listed && k.ListedOnly {
+func (catalog *Catalog) Resolve(received *httpserver.Request, request *Request) error {
+	function, listed := catalog.Functions[received.Function]
+	if !listed && catalog.ListedOnly {
 		return &UnknownNameError{Kind: "function", Name: received.Function}
 	}
 	request.Class = function.Class
 	if received.Class != "" {
-		class := slices.IndexFunc(k.Classes, func(c CatalogClass) bool { return c.Name == received.Class })
+		class := slices.IndexFunc(catalog.Classes, func(c CatalogClass) bool { return c.Name == received.Class })
 		if class < 0 {
 			return &UnknownNameError{Kind: "class", Name: received.Class}
 		}
@@ -92,13 +92,13 @@
 		request.Class = class
 	}
 	if received.Tenant != "" {
-		tenant := slices.Index(k.Tenants, received.Tenant)
+		tenant := slices.Index(catalog.Tenants, received.Tenant)
 		if tenant < 0 {
 			return &UnknownNameError{Kind: "tenant", Name: received.Tenant}
 		}
 		request.Tenant = tenant
 	}
-	class := k.Classes[request.Class]
+	class := catalog.Classes[request.Class]
 	request.Timeout = class.MaxTimeout
 	if received.Timeout > 0 {
 		request.Timeout = min(request.Timeout, received.Timeout)
--- a/internal/gateway/counts.go
+++ b/internal/gateway/counts.go
@@ -33,8 +33,8 @@
 	ShadowDifferences shadow.Counts
 }
 
-// ViolationCounts is the number of violations of each rule, prevented or not, indexed by execution.Violation. All counts
-// are 0 unless the program has a fault.
+// ViolationCounts is the number of violations of each rule, prevented or not, indexed by execution.Violation. All
+// counts are 0 unless the program has a fault.
 type ViolationCounts [execution.Violations]uint64
 
 // Total returns the number of violations of all rules.
--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -64,7 +64,7 @@
 		f.sweep()
 		f.timers.add(&timer{kind: sweepTimer, due: f.now + sweepInterval})
 	case attemptTimer:
-		f.attemptDue(t.attempt)
+		f.attemptTimerFired(t.attempt)
 	case loadOrderTimer:
 		if !t.loadOrder.ended {
 			t.loadOrder.worker.client.AbandonLoad(&t.loadOrder.LoadOrder)
@@ -74,14 +74,14 @@
 		f.expireHealthCheck(t.healthCheck)
 	case requestTimer:
 		if t.request.state == requestInFlight {
-			f.answerPastDeadline(t.request)
+			f.respondPastDeadline(t.request)
 		}
 	}
 }
 
-// attemptDue handles an attempt's timer. It ends an attempt whose deadline has passed, and one that is still unsent when
-// its permit to be sent ends.
-func (f *FrontEnd) attemptDue(attempt *requestAttempt) {
+// attemptTimerFired handles an attempt's timer. It ends an attempt whose deadline has passed, and one that is still
+// unsent when its permit to be sent ends.
+func (f *FrontEnd) attemptTimerFired(attempt *requestAttempt) {
 	switch {
 	case attempt.state > attemptPending: // the response has started, or the attempt has ended
 	case f.now >= attempt.Deadline:
@@ -94,18 +94,18 @@
 	}
 }
 
-// answerPastDeadline gives the final response in place of the scheduler, which assumes more remaining time than a lagging
-// event loop has. An event loop that does not lag never needs it.
-func (f *FrontEnd) answerPastDeadline(request *Request) {
+// respondPastDeadline gives the final response in place of the scheduler, which assumes more remaining time than a
+// lagging event loop has. An event loop that does not lag never needs it.
+func (f *FrontEnd) respondPastDeadline(request *Request) {
 	f.counts.PastDeadline++
 	f.log.Warn().Str("request", request.ID).Str("function", request.Replica.Function).Int("attempts", request.attempts).
 		Msg("request past its deadline answered by the gateway")
 	f.abort(request, NoResponse)
 }
 
-// abort ends a request without a decision by the scheduler. The request is rejected if no attempt can have executed, and
-// failed otherwise. It enters its final state before the scheduler is notified of its attempt, so that the scheduler
-// does not retry it.
+// abort ends a request without a decision by the scheduler. The request is rejected if no attempt can have executed,
+// and failed otherwise. It enters its final state before the scheduler is notified of its attempt, so that the
+// scheduler does not retry it.
 func (f *FrontEnd) abort(request *Request, reason Reason) {
 	if request.state != requestInFlight {
 		return
@@ -130,5 +130,5 @@
 	if attempt != nil {
 		f.endAttempt(attempt, abandonedResult(status, reason))
 	}
-	f.forget(request)
+	f.removeIfDone(request)
 }
--- a/internal/gateway/deadlines_test.go
+++ b/internal/gateway/deadlines_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestDeadline_AttemptNeverSent_IsRejected checks a request whose attempt is still in the write buffer at the deadline. The
-// request cannot have executed.
+// TestDeadline_AttemptNeverSent_IsRejected checks a request whose attempt is still in the write buffer at the
+// deadline. The request cannot have executed.
 func TestDeadline_AttemptNeverSent_IsRejected(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	harness.clients["w0"].holdsWrites = true
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// TestClientDisconnected_BeforeOrAfterReceipt_NothingInFlight checks both orders of receipt and disconnect. The event loop
-// handles events before requests, so a disconnect may be handled before the request that it refers to.
+// TestClientDisconnected_BeforeOrAfterReceipt_NothingInFlight checks both orders of receipt and disconnect. The event
+// loop handles events before requests, so a disconnect may be handled before the request that it refers to.
 func TestClientDisconnected_BeforeOrAfterReceipt_NothingInFlight(t *testing.T) {
 	for _, disconnectFirst := range []bool{true, false} {
 		harness := newHarness(t, 1, nil)
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestClientDisconnected_UnsentAttempt_IsCancelled checks that an unsent attempt is cancelled even if sent attempts may not
-// be cancelled.
+// TestClientDisconnected_UnsentAttempt_IsCancelled checks that an unsent attempt is cancelled even if sent attempts
+// may not be cancelled.
 func TestClientDisconnected_UnsentAttempt_IsCancelled(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		for _, sent := range []bool{true, false} {
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestClientDisconnected_AwaitingLoadOrder_NothingSent checks that no attempt is made after the load order ends. The load
-// order itself is not cancelled, because other requests may use the replica.
+// TestClientDisconnected_AwaitingLoadOrder_NothingSent checks that no attempt is made after the load order ends. The
+// load order itself is not cancelled, because other requests may use the replica.
 func TestClientDisconnected_AwaitingLoadOrder_NothingSent(t *testing.T) {
 	inBothOrders(t, "disconnected", "loaded", func(t *testing.T, disconnectFirst bool) {
 		harness := newHarness(t, 1, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
--- a/internal/gateway/endpoint_changes.go
+++ b/internal/gateway/endpoint_changes.go
@@ -18,10 +18,10 @@
 	maxPendingChanges = 1 << 13
 )
 
-// endpointChanges holds the changes of the endpoint list that the event loop has not handled yet. Discovery adds changes
-// as they arrive, and the loop takes a bounded number in each pass, so that a deployment of many workers does not become
-// one long step of the loop. If a worker with a pending change changes again, only its latest state is kept. Changes of
-// workers that must not be sent new work are taken first.
+// endpointChanges matches the changes of the endpoint list that the event loop has not handled yet. Discovery adds
+// changes as they arrive, and the loop takes a bounded number in each pass, so that a deployment of many workers does
+// not become one long step of the loop. If a worker with a pending change changes again, only its latest state is
+// kept. Changes of workers that must not be sent new work are taken first.
 type endpointChanges struct {
 	added workerconn.Signal // notifies the event loop that there is something to take
 
@@ -36,10 +36,10 @@
 
 // endpointStep is the part of the reported changes that one step of the event loop handles.
 type endpointStep struct {
-	changed  []discovery.Worker
-	reported bool // whether the list was reported, possibly unchanged
-	lease    endpointlease.Lease
-	isWhole  bool // whether no changes remain pending, so that the lease applies to the list after this step
+	changed    []discovery.Worker
+	reported   bool // whether the list was reported, possibly unchanged
+	lease      endpointlease.Lease
+	isComplete bool // whether no changes remain pending, so that the lease applies to the list after this step
 }
 
 func newEndpointChanges(lease endpointlease.Lease) *endpointChanges {
@@ -72,9 +72,9 @@
 	c.added.Notify()
 }
 
-// take removes and returns the changes that one step of the loop handles. It returns false if there is nothing to handle:
-// no pending changes, and neither a report nor a change of the lease since the last call.
-func (c *endpointChanges) take() (step endpointStep, isNews bool) {
+// take removes and returns the changes that one step of the loop handles. It returns false if there is nothing to
+// handle: no pending changes, and neither a report nor a change of the lease since the last call.
+func (c *endpointChanges) take() (step endpointStep, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.reported && !c.leaseChanged {
@@ -82,10 +82,10 @@
 	}
 	step.reported = c.reported
 	isReady := func(worker *discovery.Worker) bool { return worker.State == scheduler.Ready }
-	step.changed = c.takeWhere(step.changed, func(worker *discovery.Worker) bool { return !isReady(worker) })
-	step.changed = c.takeWhere(step.changed, isReady)
+	step.changed = c.takeMatching(step.changed, func(worker *discovery.Worker) bool { return !isReady(worker) })
+	step.changed = c.takeMatching(step.changed, isReady)
 	c.reported = len(c.byName) > 0
-	step.lease, step.isWhole = c.lease, !c.reported
+	step.lease, step.isComplete = c.lease, !c.reported
 	c.leaseChanged = false
 	if c.reported {
 		c.added.Notify()
@@ -93,10 +93,10 @@
 	return step, true
 }
 
-// takeWhere removes the pending workers that satisfy holds and appends them to taken, up to the maximum of a step.
-func (c *endpointChanges) takeWhere(taken []discovery.Worker, holds func(*discovery.Worker) bool) []discovery.Worker {
+// takeMatching removes the pending workers that satisfy matches and appends them to taken, up to the maximum of a step.
+func (c *endpointChanges) takeMatching(taken []discovery.Worker, matches func(*discovery.Worker) bool) []discovery.Worker {
 	c.inOrder = slices.DeleteFunc(c.inOrder, func(worker *discovery.Worker) bool {
-		if len(taken) == maxEndpointChanges || !holds(worker) {
+		if len(taken) == maxEndpointChanges || !matches(worker) {
 			return false
 		}
 		delete(c.byName, worker.Name)
@@ -106,17 +106,17 @@
 	return taken
 }
 
-// takeEndpointChanges passes pending changes of the endpoint list to the FrontEnd, at most one step's worth.
-func (l *EventLoop) takeEndpointChanges() {
-	step, isNews := l.endpointChanges.take()
-	if !isNews {
+// applyEndpointChanges passes pending changes of the endpoint list to the FrontEnd, at most one step's worth.
+func (l *EventLoop) applyEndpointChanges() {
+	step, ok := l.endpointChanges.take()
+	if !ok {
 		return
 	}
 	now := l.Now()
 	if step.reported {
 		l.frontEnd.EndpointsUpdated(now, step.changed)
 	}
-	l.frontEnd.EndpointLeaseChanged(now, step.lease, step.isWhole)
+	l.frontEnd.EndpointLeaseChanged(now, step.lease, step.isComplete)
 	l.endStep(stepEndpoints, now)
 }
 
--- a/internal/gateway/endpoint_lease.go
+++ b/internal/gateway/endpoint_lease.go
@@ -6,11 +6,12 @@
 	"havencart/internal/decide/endpointlease"
 )
 
-// EndpointLeaseChanged handles a change of the lease on the endpoint list. isWhole reports whether the FrontEnd has handled
-// all changes of the list that were reported. The lease may be extended only if it has; it may be shortened at any time.
-func (f *FrontEnd) EndpointLeaseChanged(now time.Duration, lease endpointlease.Lease, isWhole bool) {
+// EndpointLeaseChanged handles a change of the lease on the endpoint list. isComplete reports whether the FrontEnd
+// has handled all changes of the list that were reported. The lease may be extended only if it has; it may be
+// shortened at any time.
+func (f *FrontEnd) EndpointLeaseChanged(now time.Duration, lease endpointlease.Lease, isComplete bool) {
 	f.now = now
-	if isWhole || lease.Until() < f.lease.Until() {
+	if isComplete || lease.Until() < f.lease.Until() {
 		f.lease = lease
 		f.guard.SetEndpointLease(lease.Until())
 	}
@@ -21,8 +22,8 @@
 	}
 }
 
-// listIsConfirmed reports whether the endpoint lease is valid. While it is, workers that are listed as ready may be sent
-// new work without a confirmation of their own.
+// listIsConfirmed reports whether the endpoint lease is valid. While it is, workers that are listed as ready may be
+// sent new work without a confirmation of their own.
 func (f *FrontEnd) listIsConfirmed() bool { return f.now <= f.lease.Until() }
 
 // logLeaseChange logs when the lease on the endpoint list ends and when it is valid again.
--- a/internal/gateway/endpoint_steps_test.go
+++ b/internal/gateway/endpoint_steps_test.go
@@ -31,8 +31,8 @@
 
 func (c changedEndpoints) Refresh() {}
 
-// runWithChange runs an event loop until it has handled a change of the endpoint list, and returns the loop's state. The
-// loop calls observe whenever it opens a worker client, with the number of endpoint steps completed so far.
+// runWithChange runs an event loop until it has handled a change of the endpoint list, and returns the loop's state.
+// The loop calls observe whenever it opens a worker client, with the number of endpoint steps completed so far.
 func runWithChange(t *testing.T, changed []discovery.Worker, observe func(step uint64)) LoopSnapshot {
 	t.Helper()
 	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, ClockStart: time.Now()}
@@ -58,8 +58,8 @@
 	return snapshot
 }
 
-// A deployment that changes thousands of workers must be handled in several steps, so that requests, responses and timers
-// are handled in between.
+// A deployment that changes thousands of workers must be handled in several steps, so that requests, responses and
+// timers are handled in between.
 func TestEndpointsUpdated_ThousandsOfChanges_StepsAreBounded(t *testing.T) {
 	const workers = 3000
 	var changed []discovery.Worker
@@ -109,11 +109,11 @@
 		changes := newEndpointChanges(endpointlease.Lease{})
 		reported, applied := map[string]discovery.Worker{}, map[string]discovery.Worker{}
 		take := func() bool {
-			step, isReported := changes.take()
+			step, ok := changes.take()
 			for _, worker := range step.changed {
 				applied[worker.Name] = worker
 			}
-			return isReported
+			return ok
 		}
 		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			var changed []discovery.Worker
@@ -142,7 +142,7 @@
 }
 
 // The lease is extended only by the step that handles the last of the changes that were reported before the lease.
-func TestEndpointChanges_ManyWait_LeaseIsOnTheWholeList(t *testing.T) {
+func TestEndpointChanges_MoreThanOneStep_LeaseIsExtendedByLastStep(t *testing.T) {
 	rules := endpointlease.Rules{Silence: time.Second}
 	changes := newEndpointChanges(endpointlease.New(rules, 0))
 	var many []discovery.Worker
@@ -151,13 +151,13 @@
 	}
 	changes.add(many)
 	changes.observe(func(lease *endpointlease.Lease) { lease.Confirm(time.Minute) })
-	for _, wantWhole := range []bool{false, true} {
-		step, isNews := changes.take()
-		if !isNews || step.isWhole != wantWhole || step.lease.ConfirmedAt() != time.Minute {
-			t.Errorf("news %t, whole %t, want %t", isNews, step.isWhole, wantWhole)
+	for _, wantComplete := range []bool{false, true} {
+		step, ok := changes.take()
+		if !ok || step.isComplete != wantComplete || step.lease.ConfirmedAt() != time.Minute {
+			t.Errorf("ok %t, complete %t, want complete %t", ok, step.isComplete, wantComplete)
 		}
 	}
-	if _, isNews := changes.take(); isNews {
+	if _, ok := changes.take(); ok {
 		t.Error("the unchanged lease was taken twice")
 	}
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -30,7 +30,8 @@
 	f.runDeferred()
 }
 
-// EndpointsUpdated handles the workers that changed. Unlike EndpointsChanged, it does not process the unchanged workers.
+// EndpointsUpdated handles the workers that changed. Unlike EndpointsChanged, it does not process the unchanged
+// workers.
 func (f *FrontEnd) EndpointsUpdated(now time.Duration, changed []discovery.Worker) {
 	f.now = now
 	infos, _ := f.applyEntries(changed)
@@ -38,8 +39,8 @@
 	f.runDeferred()
 }
 
-// applyEntries applies entries of the endpoint list. It returns them in the form that the scheduler receives, and the set
-// of the identifiers in the list.
+// applyEntries applies entries of the endpoint list. It returns them in the form that the scheduler receives, and the
+// set of the identifiers in the list.
 func (f *FrontEnd) applyEntries(entries []discovery.Worker) (infos []scheduler.WorkerInfo, listed map[scheduler.WorkerID]bool) {
 	infos = make([]scheduler.WorkerInfo, 0, len(entries))
 	listed = make(map[scheduler.WorkerID]bool, len(entries))
@@ -99,7 +100,7 @@
 	if w.client == nil || w.Address != entry.Address {
 		if w.client != nil {
 			f.drainClient(w)
-			f.forgetReadiness(w)
+			f.resetReadiness(w)
 			w.previousClients = append(w.previousClients, w.client)
 			f.retiring[id] = w
 		}
@@ -115,7 +116,7 @@
 	if w.state == state {
 		return
 	}
-	w.named(f.log.Info()).Str("state", workerStateName(state)).Msg("worker state changed")
+	w.addLogFields(f.log.Info()).Str("state", workerStateName(state)).Msg("worker state changed")
 	previous := w.state
 	w.state = state
 	if state == scheduler.Removed {
@@ -158,8 +159,8 @@
 	}
 }
 
-// sweep runs the periodic maintenance: it stops the clients that are no longer needed, discards functions without recent
-// requests, rechecks draining workers and logs changes of the endpoint lease.
+// sweep runs the periodic maintenance: it stops the clients that are no longer needed, discards functions without
+// recent requests, rechecks draining workers and logs changes of the endpoint lease.
 func (f *FrontEnd) sweep() {
 	f.logLeaseChange()
 	f.recheckDraining()
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -10,7 +10,8 @@
 	"havencart/scheduler"
 )
 
-// TestDrain_UnsentAttempt_IsRetriedElsewhere uses a non-idempotent request, which may be retried because it was not sent.
+// TestDrain_UnsentAttempt_IsRetriedElsewhere uses a non-idempotent request, which may be retried because it was not
+// sent.
 func TestDrain_UnsentAttempt_IsRetriedElsewhere(t *testing.T) {
 	harness := newHarness(t, 2, nil)
 	for _, worker := range harness.clients {
@@ -75,8 +76,8 @@
 	}
 }
 
-// TestEndpoints_ResponseOfRemovedWorker_Counts checks both orders of the removal and the response. It also checks that a
-// worker that is listed again is used again.
+// TestEndpoints_ResponseOfRemovedWorker_Counts checks both orders of the removal and the response. It also checks
+// that a worker that is listed again is used again.
 func TestEndpoints_ResponseOfRemovedWorker_Counts(t *testing.T) {
 	inBothOrders(t, "removed", "responded", func(t *testing.T, removedFirst bool) {
 		harness := newHarness(t, 1, nil)
@@ -98,8 +99,8 @@
 	})
 }
 
-// TestEndpoints_WorkerDroppedAndRelisted_KeepsClient checks that the client of a worker that is listed again is kept with
-// its work in flight, and that no new work is sent to it in between.
+// TestEndpoints_WorkerDroppedAndRelisted_KeepsClient checks that the client of a worker that is listed again is kept
+// with its work in flight, and that no new work is sent to it in between.
 func TestEndpoints_WorkerDroppedAndRelisted_KeepsClient(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	inFlight := harness.submit(idempotentClass)
--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -25,8 +25,8 @@
 	ShutdownTimeout time.Duration // how long a shutdown waits for requests in flight
 }
 
-// EventLoop owns a FrontEnd: the goroutine that calls Run passes events to it one at a time. Exported methods other than
-// Run and OpenWorker may be called from any goroutine.
+// EventLoop owns a FrontEnd: the goroutine that calls Run passes events to it one at a time. Exported methods other
+// than Run and OpenWorker may be called from any goroutine.
 type EventLoop struct {
 	cfg           EventLoopConfig
 	log           zerolog.Logger
@@ -74,8 +74,8 @@
 func (l *EventLoop) Now() time.Duration { return time.Since(l.cfg.ClockStart) }
 
 // Submit transfers the request to the event loop. The final response is delivered in the way that the request's
-// constructor documents, at the latest when the request expires. If the loop is overloaded or has ended, or its queue is
-// full, Submit rejects the request immediately without involving the loop's goroutine.
+// constructor documents, at the latest when the request expires. If the loop is overloaded or has ended, or its queue
+// is full, Submit rejects the request immediately without involving the loop's goroutine.
 func (l *EventLoop) Submit(request *Request) {
 	request.queuedAt = l.Now()
 	reason := l.enqueue(request)
@@ -113,7 +113,8 @@
 	l.post(stepDisconnect, func(now time.Duration) { l.frontEnd.ClientDisconnected(now, request) })
 }
 
-// Counts returns the loop's totals, or the zero value if the loop has ended. It waits for the loop to process the query.
+// Counts returns the loop's totals, or the zero value if the loop has ended. It waits for the loop to process the
+// query.
 func (l *EventLoop) Counts() Counts { return l.Snapshot().Counts }
 
 // LoopSnapshot is the state of an EventLoop at one point in time.
@@ -125,7 +126,8 @@
 	InFlight  int // requests that await their final response or have an attempt in flight
 }
 
-// Snapshot returns the loop's state, or the zero value if the loop has ended. It waits for the loop to process the query.
+// Snapshot returns the loop's state, or the zero value if the loop has ended. It waits for the loop to process the
+// query.
 func (l *EventLoop) Snapshot() LoopSnapshot {
 	reply := make(chan LoopSnapshot, 1)
 	l.post(stepOther, func(time.Duration) { reply <- l.snapshot() })
@@ -147,7 +149,8 @@
 	}
 }
 
-// counts returns the FrontEnd's totals together with the requests that were rejected or expired outside of the FrontEnd.
+// counts returns the FrontEnd's totals together with the requests that were rejected or expired outside of the
+// FrontEnd.
 func (l *EventLoop) counts() Counts {
 	counts := l.frontEnd.Counts()
 	counts.Shed += l.gate.rejected.Load()
@@ -206,8 +209,8 @@
 	return l.counts(), clean
 }
 
-// serve runs the loop until it is idle after a shutdown, the shutdown times out, or the loop is killed. It reports whether
-// nothing was left in flight.
+// serve runs the loop until it is idle after a shutdown, the shutdown times out, or the loop is killed. It reports
+// whether nothing was left in flight.
 func (l *EventLoop) serve(ctx context.Context) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -238,11 +241,11 @@
 	}
 }
 
-// beginPass handles the received events and endpoint changes before the timers that are due, because a timer may send new
-// work, which draining workers must not get. It returns the time of the pass.
+// beginPass handles the received events and endpoint changes before the timers that are due, because a timer may send
+// new work, which draining workers must not get. It returns the time of the pass.
 func (l *EventLoop) beginPass() time.Duration {
 	l.drainEvents()
-	l.takeEndpointChanges()
+	l.applyEndpointChanges()
 	now := l.Now()
 	l.renewLease(now)
 	l.prepare(now)
@@ -257,8 +260,8 @@
 	}
 }
 
-// nextPass returns the time of the next pass if no event arrives: that of the next timer or, if it is earlier, the time at
-// which the lease may be renewed after a stall.
+// nextPass returns the time of the next pass if no event arrives: that of the next timer or, if it is earlier, the
+// time at which the lease may be renewed after a stall.
 func (l *EventLoop) nextPass(now time.Duration) time.Duration {
 	next := l.frontEnd.NextTimer()
 	if renewal := l.stalls.NextRenewal(); renewal > now {
@@ -267,9 +270,9 @@
 	return next
 }
 
-// receive passes a request to the FrontEnd. The request's timeout counts from the earliest time at which the request may
-// have arrived; after a stall of the process, that can be before the time at which the request was read. The lease is
-// renewed first, because a request can be the first thing that the loop handles after a stall.
+// receive passes a request to the FrontEnd. The request's timeout counts from the earliest time at which the request
+// may have arrived; after a stall of the process, that can be before the time at which the request was read. The
+// lease is renewed first, because a request can be the first thing that the loop handles after a stall.
 func (l *EventLoop) receive(request *Request) {
 	l.renewLease(l.Now())
 	request.StartedAt = l.stalls.EarliestArrival(request.StartedAt, request.ArrivedAfter)
@@ -295,11 +298,11 @@
 // idle reports whether no requests are in flight or queued.
 func (l *EventLoop) idle() bool { return l.frontEnd.Idle() && len(l.requests) == 0 }
 
-// drainEvents handles the queued events, including those that are posted meanwhile, before timers and requests. Otherwise,
-// if the loop lags or the process stalls while an event is handled, a response received meanwhile would find its attempt
-// timed out and its request failed. Under overload, requests that are admitted before the responses that make room for
-// them would only lengthen the scheduler's backlog. To bound the delay of timers, it handles at most one full queue of
-// events.
+// drainEvents handles the queued events, including those that are posted meanwhile, before timers and requests.
+// Otherwise, if the loop lags or the process stalls while an event is handled, a response received meanwhile would
+// find its attempt timed out and its request failed. Under overload, requests that are admitted before the responses
+// that make room for them would only lengthen the scheduler's backlog. To bound the delay of timers, it handles at
+// most one full queue of events.
 func (l *EventLoop) drainEvents() {
 	for range cap(l.events) {
 		select {
@@ -318,7 +321,8 @@
 	l.endStep(event.step, now)
 }
 
-// rejectQueued rejects the requests that the FrontEnd has not received, and unblocks goroutines that are posting events.
+// rejectQueued rejects the requests that the FrontEnd has not received, and unblocks goroutines that are posting
+// events.
 func (l *EventLoop) rejectQueued() {
 	close(l.done)
 	for {
--- a/internal/gateway/event_loop_test.go
+++ b/internal/gateway/event_loop_test.go
@@ -57,7 +57,7 @@
 }
 
 // The loop stalls while a request waits to be read, and the request is the first thing that it handles afterwards.
-func TestReceive_FirstAfterStall_CountsFromItsBegin(t *testing.T) {
+func TestReceive_FirstAfterStall_CountsFromStallStart(t *testing.T) {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now().Add(-time.Hour)}}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1}, loop, zerolog.Nop())
 	loop.renewLease(loop.Now() - time.Second)
@@ -69,8 +69,9 @@
 	}
 }
 
-// A request is read some time after a stall, because there was much to read, on a connection that had not been read since.
-func TestReceive_ReadWhileAfterStall_CountsFromItsBegin(t *testing.T) {
+// A request is read some time after a stall, because there was much to read, on a connection that had not been read
+// since.
+func TestReceive_ReadSomeTimeAfterStall_CountsFromStallStart(t *testing.T) {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now().Add(-time.Hour)}}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1}, loop, zerolog.Nop())
 	now := loop.Now()
@@ -108,7 +109,7 @@
 }
 
 // An endless sequence of events must not keep timers from firing.
-func TestDrainEvents_EventsWithoutEnd_Returns(t *testing.T) {
+func TestDrainEvents_EndlessEvents_Returns(t *testing.T) {
 	loop := newIdleLoop(4)
 	handled := 0
 	var again func(time.Duration)
--- a/internal/gateway/expiry.go
+++ b/internal/gateway/expiry.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// expiryMarginDivisor determines when a request expires: the deadline margin, divided by it, before the client's timeout.
-// The remaining time is for sending the response to the client. The scheduler's decision is due earlier, by the whole
-// margin before the timeout, so a request expires only if the event loop did not get to it.
+// expiryMarginDivisor determines when a request expires: the deadline margin, divided by it, before the client's
+// timeout. The remaining time is for sending the response to the client. The scheduler's decision is due earlier, by
+// the whole margin before the timeout, so a request expires only if the event loop did not get to it.
 const expiryMarginDivisor = 2
 
-// delivery decides which goroutine gives a request its final response. Normally the FrontEnd does, as the owner of the
-// request. If the event loop does not get to it in time, for example because it is stalled, the expiry timer does, which
-// runs in a goroutine of its own. The state deliveryDone is entered only once, so that there is only one final response.
+// delivery decides which goroutine gives a request its final response. Normally the FrontEnd does, as the owner of
+// the request. If the event loop does not get to it in time, for example because it is stalled, the expiry timer
+// does, which runs in a goroutine of its own. The state deliveryDone is entered only once, so that there is only one
+// final response.
 type delivery struct{ state atomic.Uint32 }
 
 const (
@@ -27,8 +28,8 @@
 // finish marks the final response as given, and reports whether the caller must deliver it.
 func (d *delivery) finish() bool { return d.state.Swap(deliveryDone) != deliveryDone }
 
-// expire marks the final response as given. It reports whether the caller must deliver it, and whether the FrontEnd owns
-// the request.
+// expire marks the final response as given. It reports whether the caller must deliver it, and whether the FrontEnd
+// owns the request.
 func (d *delivery) expire() (owed, owned bool) {
 	if d.state.CompareAndSwap(deliveryQueued, deliveryDone) {
 		return true, false
@@ -46,8 +47,8 @@
 }
 
 // expire gives a request its final response if the event loop has not done so in time. The request is rejected if the
-// loop never received it. Otherwise it is failed, because it may have executed, and the loop is notified so that it ends
-// the work for the request.
+// loop never received it. Otherwise it is failed, because it may have executed, and the loop is notified so that it
+// ends the work for the request.
 func (l *EventLoop) expire(request *Request) {
 	owed, owned := request.delivery.expire()
 	if !owed {
@@ -66,7 +67,7 @@
 func (f *FrontEnd) RequestExpired(now time.Duration, request *Request) {
 	f.now = now
 	if request.state == requestInFlight {
-		f.answerPastDeadline(request)
+		f.respondPastDeadline(request)
 	}
 	f.runDeferred()
 }
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -12,8 +12,8 @@
 
 const expiryTimeout = time.Second
 
-// newStuckLoop returns an event loop without a goroutine, which handles only what the test passes to it.
-func newStuckLoop() *EventLoop {
+// newStalledLoop returns an event loop without a goroutine, which handles only what the test passes to it.
+func newStalledLoop() *EventLoop {
 	settings := Settings{
 		Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 8, ClockStart: time.Now(),
 		DeadlineMargin: 8 * time.Millisecond,
@@ -23,14 +23,15 @@
 	return loop
 }
 
-func submitToStuckLoop(loop *EventLoop) *Request {
+func submitToStalledLoop(loop *EventLoop) *Request {
 	request := NewRequest()
 	request.StartedAt, request.Timeout, request.Replica.Function = loop.Now(), expiryTimeout, "f"
 	loop.Submit(request)
 	return request
 }
 
-// expectResponse waits for the final response and checks that it is of the given kind and precedes the client's timeout.
+// expectResponse waits for the final response and checks that it is of the given kind and precedes the client's
+// timeout.
 func expectResponse(t *testing.T, loop *EventLoop, request *Request, kind ResponseKind) {
 	t.Helper()
 	response := <-request.Response()
@@ -39,10 +40,10 @@
 	}
 }
 
-func TestExpiry_LoopNeverSeesRequest_IsRejectedInTime(t *testing.T) {
+func TestExpiry_LoopNeverReceivesRequest_IsRejectedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := newStuckLoop()
-		request := submitToStuckLoop(loop)
+		loop := newStalledLoop()
+		request := submitToStalledLoop(loop)
 		expectResponse(t, loop, request, Rejected)
 		loop.receive(<-loop.requests)
 		if counts := loop.counts(); counts.Admitted != 0 || counts.Expired != 1 || request.state != requestCompleted {
@@ -51,10 +52,10 @@
 	})
 }
 
-func TestExpiry_LoopStandsStillWithRequest_FailsInTimeAndEndsWork(t *testing.T) {
+func TestExpiry_LoopStallsWithRequest_FailsInTimeAndEndsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := newStuckLoop()
-		request := submitToStuckLoop(loop)
+		loop := newStalledLoop()
+		request := submitToStalledLoop(loop)
 		loop.receive(<-loop.requests)
 		if loop.frontEnd.InFlight() != 1 {
 			t.Fatal("the request was not admitted")
@@ -71,8 +72,8 @@
 // A final response that the FrontEnd gives before it is notified of the expiry must not be delivered.
 func TestExpiry_ResponseAfterwards_IsNotDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := newStuckLoop()
-		request := submitToStuckLoop(loop)
+		loop := newStalledLoop()
+		request := submitToStalledLoop(loop)
 		loop.receive(<-loop.requests)
 		expectResponse(t, loop, request, Failed)
 		loop.frontEnd.respond(request, FinalResponse{Kind: Served})
@@ -89,8 +90,8 @@
 
 func TestExpiry_ResponseInTime_NothingExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := newStuckLoop()
-		request := submitToStuckLoop(loop)
+		loop := newStalledLoop()
+		request := submitToStalledLoop(loop)
 		loop.receive(<-loop.requests)
 		loop.frontEnd.respond(request, FinalResponse{Kind: Served})
 		expectResponse(t, loop, request, Served)
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -17,7 +17,8 @@
 // requests on two workers, with the real FrontEnd and the real scheduler. At each step and at the end it checks the
 // invariants on what worker clients and clients observe.
 
-// simulation runs one order of events. It consists of a FrontEnd and a record of what worker clients and clients observed.
+// simulation runs one order of events. It consists of a FrontEnd and a record of what worker clients and clients
+// observed.
 type simulation struct {
 	*testHarness
 	classes       [2]int
@@ -54,13 +55,13 @@
 }
 
 func (s recordingClient) Abandon(attempt *workerconn.Attempt) bool {
-	left := s.fakeWorkerClient.Abandon(attempt)
-	if left {
+	mayBeReceived := s.fakeWorkerClient.Abandon(attempt)
+	if mayBeReceived {
 		s.simulation.abandoned = append(s.simulation.abandoned, attempt)
 	} else {
 		s.simulation.record(attempt).neverExecuted = true
 	}
-	return left
+	return mayBeReceived
 }
 
 func (s recordingClient) Drain(d time.Duration) ([]*workerconn.Attempt, []*workerconn.LoadOrder) {
@@ -87,7 +88,7 @@
 	panic("attempt was never passed to a worker client")
 }
 
-func (sim *simulation) violated(format string, args ...any) {
+func (sim *simulation) reportViolation(format string, args ...any) {
 	if sim.violation == "" {
 		sim.violation = fmt.Sprintf(format, args...)
 	}
@@ -100,10 +101,10 @@
 	index := int(id[0] - '0')
 	cell := int(worker.name[1]-'0') % 2
 	if sim.responses[index] > 0 || sim.disconnected[index] {
-		sim.violated("request %d was sent after its final state", index)
+		sim.reportViolation("request %d was sent after its final state", index)
 	}
 	if worker.drained {
-		sim.violated("request %d was sent to a draining worker", index)
+		sim.reportViolation("request %d was sent to a draining worker", index)
 	}
 	for _, earlier := range sim.sentByRequest[id] {
 		if earlier.neverExecuted {
@@ -111,10 +112,10 @@
 		}
 		switch sim.classes[index] {
 		case nonIdempotentClass:
-			sim.violated("non-idempotent request %d was retried although it may have executed", index)
+			sim.reportViolation("non-idempotent request %d was retried although it may have executed", index)
 		case keyedClass:
 			if earlier.cell != cell || sim.clock-earlier.sentAt > time.Second {
-				sim.violated("keyed request %d was retried outside its key's scope or retention", index)
+				sim.reportViolation("keyed request %d was retried outside its key's scope or retention", index)
 			}
 		}
 	}
@@ -127,20 +128,20 @@
 	sim.responses[i]++
 	sim.kinds[i] = response.Kind
 	if sim.responses[i] > 1 {
-		sim.violated("request %d has %d final responses", i, sim.responses[i])
+		sim.reportViolation("request %d has %d final responses", i, sim.responses[i])
 	}
 	if sim.disconnected[i] {
-		sim.violated("request %d has a response after its client disconnected", i)
+		sim.reportViolation("request %d has a response after its client disconnected", i)
 	}
 	if sim.clock >= sim.submitted[i].StartedAt+sim.submitted[i].Timeout {
-		sim.violated("request %d has a response after its client's timeout", i)
+		sim.reportViolation("request %d has a response after its client's timeout", i)
 	}
 	if response.Kind != Rejected || sim.classes[i] == idempotentClass {
 		return
 	}
 	for _, s := range sim.sentByRequest[sim.submitted[i].ID] {
 		if !s.neverExecuted {
-			sim.violated("request %d was rejected although it may have executed", i)
+			sim.reportViolation("request %d was rejected although it may have executed", i)
 		}
 	}
 }
@@ -178,7 +179,7 @@
 			add(func() { sim.endAttemptWith(worker, attempt, scheduler.ConnectFailed) }, "%s finds no connection to %s", attempt.Request.ID, name)
 		}
 		for _, attempt := range worker.sent {
-			if mine := sim.attempts[attempt]; mine != nil && mine.state == attemptStreaming {
+			if known := sim.attempts[attempt]; known != nil && known.state == attemptStreaming {
 				add(func() { sim.endAttemptWith(worker, attempt, scheduler.OK) }, "%s ends", attempt.Request.ID)
 				add(func() { sim.endAttemptWith(worker, attempt, scheduler.Reset) }, "%s breaks off", attempt.Request.ID)
 				continue
@@ -230,7 +231,7 @@
 
 func (sim *simulation) writeOut(worker *fakeWorkerClient, attempt *workerconn.Attempt) {
 	if sim.draining && worker.name == "w0" {
-		sim.violated("request %s was written to a draining worker", attempt.Request.ID)
+		sim.reportViolation("request %s was written to a draining worker", attempt.Request.ID)
 	}
 	worker.remove(attempt)
 	worker.sent = append(worker.sent, attempt)
@@ -243,16 +244,17 @@
 	sim.AttemptEnded(sim.clock, attempt, workerconn.Result{Status: s, QueueDepth: -1, Response: &workerconn.Response{}})
 }
 
-// checkEnd advances past all deadlines and checks that each request whose client stayed connected has its final response.
+// checkEnd advances past all deadlines and checks that each request whose client stayed connected has its final
+// response.
 func (sim *simulation) checkEnd() {
 	sim.advance(2100 * ms)
 	for i := range sim.received {
 		if sim.responses[i] == 0 && !sim.disconnected[i] {
-			sim.violated("request %d has no response", i)
+			sim.reportViolation("request %d has no response", i)
 		}
 	}
 	if sim.Counts().PastDeadline > 0 {
-		sim.violated("the scheduler did not end a request before its deadline")
+		sim.reportViolation("the scheduler did not end a request before its deadline")
 	}
 }
 
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -34,14 +34,15 @@
 	Guard *workerconn.Guard
 
 	// NewScheduler creates the scheduler. If nil, scheduler.New is used.
-	NewScheduler func(now time.Duration, set scheduler.Settings, a scheduler.Actions) Scheduler
-	// Shadow holds settings that are evaluated without effect, or nil. Decisions that would differ with them are counted.
+	NewScheduler func(now time.Duration, settings scheduler.Settings, a scheduler.Actions) Scheduler
+	// Shadow holds settings that are evaluated without effect, or nil. Decisions that would differ with them are
+	// counted.
 	Shadow *shadow.Settings
 }
 
-// Scheduler decides what happens to requests. It is a scheduler.Scheduler or, in experiments, a baseline that is compared
-// with it. The FrontEnd calls it from the goroutine that owns the FrontEnd. The outcome of an action is reported only
-// after the call in which the scheduler requested the action has returned.
+// Scheduler decides what happens to requests. It is a scheduler.Scheduler or, in experiments, a baseline that is
+// compared with it. The FrontEnd calls it from the goroutine that owns the FrontEnd. The outcome of an action is
+// reported only after the call in which the scheduler requested the action has returned.
 type Scheduler interface {
 	// WorkersChanged reports the complete list of workers if whole is set, and otherwise only the workers that changed.
 	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool)
@@ -94,14 +95,15 @@
 
 // Dependencies provides a FrontEnd with worker clients and with access to endpoint discovery.
 type Dependencies interface {
-	// OpenWorker starts a client of a worker. The client's events are reported to the FrontEnd with the worker's identifier.
+	// OpenWorker starts a client of a worker. The client's events are reported to the FrontEnd with the worker's
+	// identifier.
 	OpenWorker(id scheduler.WorkerID, w discovery.Worker) WorkerClient
 	// WatchEndpoints requests the endpoint list again.
 	WatchEndpoints()
 }
 
-// FrontEnd is the state machine of one front end. It is not safe for concurrent use: one goroutine owns it and calls all
-// its methods, with times that never decrease. It also implements scheduler.Actions for its scheduler.
+// FrontEnd is the state machine of one front end. It is not safe for concurrent use: one goroutine owns it and calls
+// all its methods, with times that never decrease. It also implements scheduler.Actions for its scheduler.
 type FrontEnd struct {
 	settings     Settings
 	dependencies Dependencies
@@ -129,7 +131,7 @@
 	healthChecks  map[*workerconn.HealthCheck]*healthCheck
 	workers       map[scheduler.WorkerID]*worker
 	retiring      map[scheduler.WorkerID]*worker // workers with clients that sweep has to stop
-	overridden    map[scheduler.WorkerID]*worker // workers whose state or start overrides the list until it is confirmed
+	overridden    map[scheduler.WorkerID]*worker // workers whose state or start differs from the list
 	functions     map[scheduler.FunctionID]*function
 
 	// Numbers that stand for names in the scheduler, assigned in the order in which the names are first seen.
@@ -199,8 +201,9 @@
 	return longest
 }
 
-// runDeferred makes the deferred calls. They report the immediate outcomes of actions to the scheduler, and wait until the
-// scheduler has returned from the call in which it requested the actions. Deferred calls may defer further calls.
+// runDeferred makes the deferred calls. They report the immediate outcomes of actions to the scheduler, and wait
+// until the scheduler has returned from the call in which it requested the actions. Deferred calls may defer further
+// calls.
 func (f *FrontEnd) runDeferred() {
 	for len(f.deferred) > 0 {
 		next := f.deferred[0]
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -47,38 +47,38 @@
 	}
 }
 
-// recklessScheduler is a scheduler whose actions are chosen by a test, regardless of the state of the request.
-type recklessScheduler struct {
+// scriptedScheduler is a scheduler whose actions are chosen by a test, regardless of the state of the request.
+type scriptedScheduler struct {
 	Scheduler
 	actions scheduler.Actions
 	request scheduler.Request
 }
 
-func (s *recklessScheduler) RequestReceived(_ time.Duration, r scheduler.Request) { s.request = r }
+func (s *scriptedScheduler) RequestReceived(_ time.Duration, r scheduler.Request) { s.request = r }
 
-func (s *recklessScheduler) AttemptEnded(time.Duration, scheduler.Outcome) {}
+func (s *scriptedScheduler) AttemptEnded(time.Duration, scheduler.Outcome) {}
 
-func (s *recklessScheduler) LoadEnded(time.Duration, scheduler.LoadResult) {}
+func (s *scriptedScheduler) LoadEnded(time.Duration, scheduler.LoadResult) {}
 
-func newRecklessHarness(t *testing.T) (*testHarness, *recklessScheduler) {
-	reckless := &recklessScheduler{}
+func newScriptedHarness(t *testing.T) (*testHarness, *scriptedScheduler) {
+	scripted := &scriptedScheduler{}
 	harness := newHarness(t, 4, func(set *Settings) {
 		set.NewScheduler = func(now time.Duration, settings scheduler.Settings, actions scheduler.Actions) Scheduler {
-			reckless.Scheduler = scheduler.New(now, settings, actions)
-			reckless.actions = actions
-			return reckless
+			scripted.Scheduler = scheduler.New(now, settings, actions)
+			scripted.actions = actions
+			return scripted
 		}
 	})
-	return harness, reckless
+	return harness, scripted
 }
 
 // do calls an action of the scheduler as if it were part of an event.
-func (s *recklessScheduler) do(harness *testHarness, action func()) {
+func (s *scriptedScheduler) do(harness *testHarness, action func()) {
 	action()
 	harness.runDeferred()
 }
 
-func (s *recklessScheduler) send(harness *testHarness, worker string) {
+func (s *scriptedScheduler) send(harness *testHarness, worker string) {
 	s.do(harness, func() { s.actions.Send(s.request.ID, WorkerID(worker), 0) })
 }
 
@@ -102,58 +102,58 @@
 func TestGuard_ForbiddenSend_IsCountedAndNotSent(t *testing.T) {
 	cases := map[string]struct {
 		class   int
-		prepare func(harness *testHarness, reckless *recklessScheduler, request *Request)
+		prepare func(harness *testHarness, scripted *scriptedScheduler, request *Request)
 		worker  string
 		want    execution.Violation
 		sent    int
 	}{
-		"retry of a non-idempotent request": {nonIdempotentClass, func(harness *testHarness, reckless *recklessScheduler, request *Request) {
-			reckless.send(harness, "w0")
+		"retry of a non-idempotent request": {nonIdempotentClass, func(harness *testHarness, scripted *scriptedScheduler, request *Request) {
+			scripted.send(harness, "w0")
 			harness.endWith(request, scheduler.Reset)
 		}, "w2", execution.RetryOfNonIdempotent, 0},
-		"retry in another cell": {keyedClass, func(harness *testHarness, reckless *recklessScheduler, request *Request) {
-			reckless.send(harness, "w0")
+		"retry in another cell": {keyedClass, func(harness *testHarness, scripted *scriptedScheduler, request *Request) {
+			scripted.send(harness, "w0")
 			harness.endWith(request, scheduler.Error)
 		}, "w1", execution.RetryOutsideKeyScope, 0},
-		"retry after the key expired": {keyedClass, func(harness *testHarness, reckless *recklessScheduler, request *Request) {
-			reckless.send(harness, "w0")
+		"retry after the key expired": {keyedClass, func(harness *testHarness, scripted *scriptedScheduler, request *Request) {
+			scripted.send(harness, "w0")
 			harness.endWith(request, scheduler.Error)
 			harness.clock += time.Second
 			harness.FireTimers(harness.clock)
 		}, "w2", execution.RetryAfterKeyExpired, 0},
-		"second attempt in flight": {idempotentClass, func(harness *testHarness, reckless *recklessScheduler, _ *Request) {
-			reckless.send(harness, "w0")
+		"second attempt in flight": {idempotentClass, func(harness *testHarness, scripted *scriptedScheduler, _ *Request) {
+			scripted.send(harness, "w0")
 		}, "w1", execution.SecondAttemptInFlight, 1},
-		"draining worker": {idempotentClass, func(harness *testHarness, _ *recklessScheduler, _ *Request) {
+		"draining worker": {idempotentClass, func(harness *testHarness, _ *scriptedScheduler, _ *Request) {
 			harness.listWorkers(4, map[string]scheduler.WorkerState{"w0": scheduler.Draining})
 		}, "w0", execution.StartAtDrainingWorker, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			harness, reckless := newRecklessHarness(t)
+			harness, scripted := newScriptedHarness(t)
 			request := harness.submit(c.class)
-			c.prepare(harness, reckless, request)
-			reckless.send(harness, c.worker)
+			c.prepare(harness, scripted, request)
+			scripted.send(harness, c.worker)
 			wantViolation(t, harness, c.want, c.sent)
 		})
 	}
 }
 
 func TestGuard_RejectionAfterExecution_BecomesFailure(t *testing.T) {
-	harness, reckless := newRecklessHarness(t)
+	harness, scripted := newScriptedHarness(t)
 	request := harness.submit(nonIdempotentClass)
-	reckless.send(harness, "w0")
+	scripted.send(harness, "w0")
 	harness.endWith(request, scheduler.Reset)
-	reckless.do(harness, func() { reckless.actions.Reject(reckless.request.ID, 0, scheduler.DeadlineTooClose) })
+	scripted.do(harness, func() { scripted.actions.Reject(scripted.request.ID, 0, scheduler.DeadlineTooClose) })
 	harness.wantResponse(request, Failed)
 	wantViolation(t, harness, execution.RejectionAfterExecution, 0)
 }
 
 func TestGuard_OrderToLoadAtDrainingWorker_IsCountedAndNotSent(t *testing.T) {
-	harness, reckless := newRecklessHarness(t)
+	harness, scripted := newScriptedHarness(t)
 	harness.submit(idempotentClass)
 	harness.listWorkers(4, map[string]scheduler.WorkerState{"w0": scheduler.Draining})
-	reckless.do(harness, func() { reckless.actions.Load(WorkerID("w0"), FunctionID("f"), 1) })
+	scripted.do(harness, func() { scripted.actions.Load(WorkerID("w0"), FunctionID("f"), 1) })
 	if orders := len(harness.clients["w0"].orders); orders != 0 {
 		t.Errorf("%d load orders were sent", orders)
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -46,20 +46,20 @@
 }
 
 func (worker *fakeWorkerClient) Abandon(attempt *workerconn.Attempt) bool {
-	was := slices.Contains(worker.sent, attempt)
-	if was {
+	found := slices.Contains(worker.sent, attempt)
+	if found {
 		worker.canceled = append(worker.canceled, attempt)
 	}
 	worker.remove(attempt)
-	return was
+	return found
 }
 
 func (worker *fakeWorkerClient) CancelUnsent(attempt *workerconn.Attempt) bool {
-	was := slices.Contains(worker.queued, attempt)
-	if was {
+	found := slices.Contains(worker.queued, attempt)
+	if found {
 		worker.remove(attempt)
 	}
-	return was
+	return found
 }
 
 func (worker *fakeWorkerClient) remove(attempt *workerconn.Attempt) {
@@ -226,7 +226,7 @@
 }
 
 // inBothOrders runs a test for both orders of two events.
-func inBothOrders(t *testing.T, first, second string, play func(t *testing.T, firstFirst bool)) {
-	t.Run(first+", then "+second, func(t *testing.T) { play(t, true) })
-	t.Run(second+", then "+first, func(t *testing.T) { play(t, false) })
+func inBothOrders(t *testing.T, first, second string, run func(t *testing.T, inOrder bool)) {
+	t.Run(first+", then "+second, func(t *testing.T) { run(t, true) })
+	t.Run(second+", then "+first, func(t *testing.T) { run(t, false) })
 }
--- a/internal/gateway/load_orders.go
+++ b/internal/gateway/load_orders.go
@@ -31,7 +31,7 @@
 	}
 	if replicas > 0 && worker.state != scheduler.Ready {
 		f.guard.Count(execution.StartAtDrainingWorker)
-		worker.named(f.log.Error()).Stringer("violation", execution.StartAtDrainingWorker).Msg("rule violation prevented")
+		worker.addLogFields(f.log.Error()).Stringer("violation", execution.StartAtDrainingWorker).Msg("rule violation prevented")
 		f.deferred = append(f.deferred, func() {
 			f.scheduler.LoadEnded(f.now, scheduler.LoadResult{Worker: to, Function: id, Status: scheduler.Overloaded})
 		})
@@ -48,7 +48,7 @@
 	order.timer = timer{kind: loadOrderTimer, due: f.now + f.settings.Scheduler.LoadOrderTimeout, loadOrder: order}
 	f.timers.add(&order.timer)
 	if replicas > 0 {
-		f.beginLoad(order)
+		f.loadWhenConfirmed(order)
 	} else {
 		f.sendLoadOrder(order)
 	}
@@ -68,7 +68,7 @@
 	f.now = now
 	if order := f.loadOrders[sent]; order != nil {
 		if status == scheduler.OK && order.Load.Replicas > 0 {
-			order.worker.accepted(sent.WriteStartedAt())
+			order.worker.recordAccepted(sent.WriteStartedAt())
 		}
 		f.endLoadOrder(order, status, replicas)
 	}
--- a/internal/gateway/loop_times.go
+++ b/internal/gateway/loop_times.go
@@ -7,9 +7,9 @@
 	"github.com/rs/zerolog"
 )
 
-// slowStep is the duration from which a step of the event loop is logged. A request waits for several steps, so that the
-// delays add up.
-const slowStep = 25 * time.Millisecond
+// slowStepThreshold is the duration from which a step of the event loop is logged. A request waits for several steps,
+// so that the delays add up.
+const slowStepThreshold = 25 * time.Millisecond
 
 // loopStep is the kind of a step of an event loop.
 type loopStep uint8
@@ -53,9 +53,9 @@
 	}{t.Steps, millis(t.Total), millis(t.Longest)})
 }
 
-// LoopTimes records the time that an event loop has spent on each kind of step since its start, and the longest time that
-// a request has waited for it. Times are elapsed times: on a shared core they include the time during which the process
-// did not run.
+// LoopTimes records the time that an event loop has spent on each kind of step since its start, and the longest time
+// that a request has waited for it. Times are elapsed times: on a shared core they include the time during which the
+// process did not run.
 type LoopTimes struct {
 	byStep      [loopStepCount]stepTotals
 	LongestWait time.Duration // longest time that a request waited in the loop's queue
@@ -84,13 +84,13 @@
 func (l *EventLoop) endStep(step loopStep, began time.Duration) {
 	took := l.Now() - began
 	l.times.add(step, took)
-	if took >= slowStep {
-		l.describe(l.log.Warn().Stringer("step", step).Dur("took", took)).Msg("slow step of the event loop")
+	if took >= slowStepThreshold {
+		l.addLoopFields(l.log.Warn().Stringer("step", step).Dur("took", took)).Msg("slow step of the event loop")
 	}
 }
 
-// describe adds the sizes that the cost of a step may depend on to a log line.
-func (l *EventLoop) describe(line *zerolog.Event) *zerolog.Event {
+// addLoopFields adds the sizes that the cost of a step may depend on to a log line.
+func (l *EventLoop) addLoopFields(line *zerolog.Event) *zerolog.Event {
 	return line.Int("requests-queued", len(l.requests)).Int("events-queued", len(l.events)).
 		Int("workers", len(l.frontEnd.workers)).Int("functions", len(l.frontEnd.functions)).
 		Int("in-flight", len(l.frontEnd.requests))
--- a/internal/gateway/open_worker.go
+++ b/internal/gateway/open_worker.go
@@ -45,8 +45,8 @@
 	return client
 }
 
-// pruneWorkerClients removes the ended clients from the list. It runs again when the list has doubled in length, so that
-// the amortized cost per opened client is constant.
+// pruneWorkerClients removes the ended clients from the list. It runs again when the list has doubled in length, so
+// that the amortized cost per opened client is constant.
 func (l *EventLoop) pruneWorkerClients() {
 	l.workerClients = slices.DeleteFunc(l.workerClients, func(client ClosableWorkerClient) bool {
 		select {
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -23,19 +23,19 @@
 	sent chan *workerconn.Attempt
 }
 
-func (l *instantWorker) Send(attempt *workerconn.Attempt) *workerconn.Result {
-	l.sent <- attempt
+func (w *instantWorker) Send(attempt *workerconn.Attempt) *workerconn.Result {
+	w.sent <- attempt
 	return nil
 }
 
-func (l *instantWorker) Abandon(*workerconn.Attempt) bool { return true }
+func (w *instantWorker) Abandon(*workerconn.Attempt) bool { return true }
 
 // respondToAll responds to each attempt until the channel of attempts is closed.
-func (l *instantWorker) respondToAll(loop *EventLoop) {
-	answer := &workerconn.Response{}
-	for attempt := range l.sent {
+func (w *instantWorker) respondToAll(loop *EventLoop) {
+	response := &workerconn.Response{}
+	for attempt := range w.sent {
 		loop.post(stepOther, func(now time.Duration) {
-			loop.frontEnd.AttemptEnded(now, attempt, workerconn.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: answer})
+			loop.frontEnd.AttemptEnded(now, attempt, workerconn.Result{Status: scheduler.OK, ColdStart: scheduler.WarmStart, QueueDepth: -1, Response: response})
 		})
 	}
 }
@@ -61,12 +61,12 @@
 	var clients []*instantWorker
 	var tasks sync.WaitGroup
 	loop.newTestClient = func(loop *EventLoop) WorkerClient {
-		link := &instantWorker{sent: make(chan *workerconn.Attempt, 1<<20)}
+		client := &instantWorker{sent: make(chan *workerconn.Attempt, 1<<20)}
 		mu.Lock()
 		defer mu.Unlock()
-		clients = append(clients, link)
-		tasks.Go(func() { link.respondToAll(loop) })
-		return link
+		clients = append(clients, client)
+		tasks.Go(func() { client.respondToAll(loop) })
+		return client
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	tasks.Go(func() { loop.Run(ctx) })
@@ -75,21 +75,21 @@
 		<-loop.done
 		mu.Lock()
 		defer mu.Unlock()
-		for _, link := range clients {
-			close(link.sent)
+		for _, client := range clients {
+			close(client.sent)
 		}
 		tasks.Wait()
 	}
 }
 
-// tally counts the final responses of requests.
-type tally struct {
+// responseCounts counts the final responses of requests.
+type responseCounts struct {
 	served, rejected atomic.Int64
 	mu               sync.Mutex
 	latencies        []time.Duration // latencies of a sample of the served requests
 }
 
-func (results *tally) newRequest(loop *EventLoop) *Request {
+func (results *responseCounts) newRequest(loop *EventLoop) *Request {
 	var request *Request
 	request = NewRequestWithCallback(func(f FinalResponse) {
 		if f.Kind != Served {
@@ -108,22 +108,23 @@
 	return request
 }
 
-// measureCapacity returns the number of requests per second that the event loop serves with a hundred requests in flight.
+// measureCapacity returns the number of requests per second that the event loop serves with a hundred requests in
+// flight.
 func measureCapacity(loop *EventLoop) float64 {
-	var o tally
+	var results responseCounts
 	start, sent := time.Now(), int64(0)
 	for time.Since(start) < time.Second {
-		for sent-o.served.Load()-o.rejected.Load() < 100 {
-			loop.Submit(o.newRequest(loop))
+		for sent-results.served.Load()-results.rejected.Load() < 100 {
+			loop.Submit(results.newRequest(loop))
 			sent++
 		}
 	}
-	return float64(o.served.Load()) / time.Since(start).Seconds()
+	return float64(results.served.Load()) / time.Since(start).Seconds()
 }
 
 // offerLoad submits requests at a constant rate, regardless of their responses.
-func offerLoad(loop *EventLoop, rate float64, duration time.Duration, submit func(*Request)) *tally {
-	results := &tally{}
+func offerLoad(loop *EventLoop, rate float64, duration time.Duration, submit func(*Request)) *responseCounts {
+	results := &responseCounts{}
 	start := time.Now()
 	request := results.newRequest(loop)
 	for sent := 0; ; {
@@ -134,7 +135,7 @@
 		for ; float64(sent) < rate*at.Seconds(); sent++ {
 			before := loop.gate.rejected.Load()
 			submit(request)
-			if loop.gate.rejected.Load() > before { // rejected by the gate: no other goroutine has the request, so reuse it
+			if loop.gate.rejected.Load() > before { // rejected by the gate, so the request can be reused
 				request.state = requestSubmitted
 				request.delivery.state.Store(deliveryQueued)
 				request.StartedAt = loop.Now()
@@ -157,8 +158,8 @@
 	}
 }
 
-// BenchmarkOverload offers an event loop multiples of its capacity, with and without the queue gate. It reports the served
-// requests as a fraction of the capacity measured in the same run.
+// BenchmarkOverload offers an event loop multiples of its capacity, with and without the queue gate. It reports the
+// served requests as a fraction of the capacity measured in the same run.
 func BenchmarkOverload(b *testing.B) {
 	for _, gated := range []bool{true, false} {
 		for _, factor := range []float64{1, 1.5, 2, 4} {
@@ -176,14 +177,14 @@
 				for ready := false; !ready; {
 					ready = servesRequest()
 				}
-				top := measureCapacity(loop)
+				capacity := measureCapacity(loop)
 				submit := loop.Submit
 				if !gated {
 					submit = bypassGate(loop)
 				}
 				for b.Loop() {
-					results := offerLoad(loop, factor*top, 2*time.Second, submit)
-					b.ReportMetric(float64(results.served.Load())/2/top, "served/most")
+					results := offerLoad(loop, factor*capacity, 2*time.Second, submit)
+					b.ReportMetric(float64(results.served.Load())/2/capacity, "served/most")
 					results.mu.Lock()
 					slices.Sort(results.latencies)
 					if n := len(results.latencies); n > 0 {
@@ -192,7 +193,7 @@
 					}
 					results.mu.Unlock()
 				}
-				b.ReportMetric(top, "most/s")
+				b.ReportMetric(capacity, "most/s")
 			})
 		}
 	}
--- a/internal/gateway/platform_config.go
+++ b/internal/gateway/platform_config.go
@@ -14,11 +14,11 @@
 // This file derives the configurations of the parts of a PlatformServer from the server's configuration.
 
 // clientRules returns the names that clients' requests may use and the limits that apply to the requests.
-func clientRules(site platformconfig.Settings) rpcserver.Rules {
-	rules := rpcserver.Rules{Tenants: site.TenantNames, MaxMemoryMB: site.MaxWorkerMemoryMB}
-	for i, class := range site.Scheduler.Classes {
+func clientRules(settings platformconfig.Settings) rpcserver.Rules {
+	rules := rpcserver.Rules{Tenants: settings.TenantNames, MaxMemoryMB: settings.MaxWorkerMemoryMB}
+	for i, class := range settings.Scheduler.Classes {
 		rules.Classes = append(rules.Classes, rpcserver.Class{
-			Name:        site.ClassNames[i],
+			Name:        settings.ClassNames[i],
 			MaxTimeout:  class.Timeout,
 			RequiresKey: class.Idempotency == scheduler.IdempotentByKey,
 		})
@@ -27,22 +27,22 @@
 }
 
 func (p *PlatformServer) loopConfig() EventLoopConfig {
-	site := p.config.Settings
+	settings := p.config.Settings
 	return EventLoopConfig{
 		Source:          p.endpoints,
 		RequestQueue:    platformRequestQueue,
 		EventQueue:      platformEventQueue,
 		Dial:            p.newWorkerClient,
-		ShutdownTimeout: max(platformAcceptRest, min(site.MaxTimeout(), platformMaxShutdown)-platformAcceptRest),
+		ShutdownTimeout: max(platformBacklogGrace, min(settings.MaxTimeout(), platformMaxShutdown)-platformBacklogGrace),
 		Settings: Settings{
 			Name:           p.config.Name,
-			Classes:        site.ClassNames,
-			Tenants:        site.TenantNames,
-			Zones:          site.ZoneNames,
-			Scheduler:      site.Scheduler,
+			Classes:        settings.ClassNames,
+			Tenants:        settings.TenantNames,
+			Zones:          settings.ZoneNames,
+			Scheduler:      settings.Scheduler,
 			EndpointRules:  p.endpointRules(),
 			DeadlineMargin: platformDeadlineMargin,
-			MaxInFlight:    min(platformMaxInFlight, site.MaxInFlight),
+			MaxInFlight:    min(platformMaxInFlight, settings.MaxInFlight),
 			ClockStart:     time.Now(),
 		},
 	}
@@ -60,18 +60,18 @@
 
 // newWorkerClient implements Dial for the platform's worker protocol.
 func (p *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) ClosableWorkerClient {
-	site := p.config.Settings
+	settings := p.config.Settings
 	return workerclient.New(workerclient.Config{
 		Worker:               w.Name,
 		Address:              w.Address,
-		ConnectTimeout:       site.Scheduler.ConnectTimeout,
-		StreamsPerConnection: site.StreamsPerConnection,
-		IdleTimeout:          site.WorkerIdleTimeout,
+		ConnectTimeout:       settings.Scheduler.ConnectTimeout,
+		StreamsPerConnection: settings.StreamsPerConnection,
+		IdleTimeout:          settings.WorkerIdleTimeout,
 		MaxQueue:             workerQueue,
 		MaxResponse:          platformMaxResponse,
-		LoadReportFields:     site.Scheduler.LoadReportFields,
+		LoadReportFields:     settings.Scheduler.LoadReportFields,
 		Budget:               p.budget,
-		Seed:                 site.Scheduler.Seed ^ uint64(id),
+		Seed:                 settings.Scheduler.Seed ^ uint64(id),
 		Now:                  runtime.Now,
 		Guard:                runtime.Guard,
 	}, runtime.Events)
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -28,14 +28,14 @@
 	platformRequestQueue       = 1024                   // requests waiting for the event loop; the rest are rejected
 	platformEventQueue         = 1024                   // events waiting for the event loop; worker clients then block
 	platformMaxInFlight        = 4096                   // requests in flight; the rest are rejected
-	platformDeadlineMargin     = 15 * time.Millisecond  // how long before the client's timeout the final response is due
+	platformDeadlineMargin     = 15 * time.Millisecond  // time between the final response and the client's timeout
 	platformMaxResponse        = 64 << 10               // maximum size of a worker's response in bytes
-	platformMaxUnsent          = 256 << 10              // bytes of responses queued for a client that does not read them
+	platformMaxQueuedBytes     = 256 << 10              // bytes of responses that a client has not read
 	platformWriteTimeout       = 2 * time.Second        // how long a client may stall while a response is written to it
-	platformMaxOpen            = 32                     // requests in flight per connection, by the platform's rules
-	platformAcceptGrace        = 700 * time.Millisecond // how long clients are still accepted after a shutdown has begun
+	platformMaxPerConnection   = 32                     // requests in flight per connection, by the platform's rules
+	platformAcceptGrace        = 700 * time.Millisecond // clients are accepted this long after a shutdown has begun
 	platformMaxShutdown        = 3 * time.Second        // limit of the shutdown time after the last accept
-	platformAcceptRest         = 100 * time.Millisecond // further time for clients in the listener's backlog
+	platformBacklogGrace       = 100 * time.Millisecond // further time for clients in the listener's backlog
 	platformNoticeAfterSilence = 4 * time.Second        // see endpointlease.Rules.Silence
 	platformNoticeAfterBreak   = 2 * time.Second        // see endpointlease.Rules.Break
 	platformLogInterval        = 5 * time.Second        // time between two log lines with the totals
@@ -55,27 +55,27 @@
 	endpoints *discovery.EndpointStream
 	budget    *workerclient.ConnectionBudget
 	draining  atomic.Bool                 // whether the shutdown has begun
-	after     func(time.Duration, func()) // calls a function after a delay; replaced in tests
+	afterFunc func(time.Duration, func()) // calls a function after a delay; replaced in tests
 	recentIDs recentIDs
 	bodyBytes atomic.Int64 // total size of the bodies of requests in flight
 }
 
-// NewPlatformServer creates a front end and opens its listener, which Run closes. It sets two limits of the whole process:
-// GOMAXPROCS and the memory limit of the Go runtime.
+// NewPlatformServer creates a front end and opens its listener, which Run closes. It sets two limits of the whole
+// process: GOMAXPROCS and the memory limit of the Go runtime.
 func NewPlatformServer(config *platformconfig.Config, log zerolog.Logger) (*PlatformServer, error) {
 	runtime.GOMAXPROCS(max(1, int(config.Cores+0.5)))
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(config.MemoryMB) * bytesPerMB))
 	log = sampled(log)
 	clientConns, workerConns := connadmission.SplitDescriptors(config.MaxDescriptors)
 	server := &PlatformServer{
-		config: config,
-		log:    log,
-		budget: workerclient.NewConnectionBudget(workerConns),
-		after:  func(d time.Duration, f func()) { time.AfterFunc(d, f) },
+		config:    config,
+		log:       log,
+		budget:    workerclient.NewConnectionBudget(workerConns),
+		afterFunc: func(d time.Duration, f func()) { time.AfterFunc(d, f) },
 	}
-	site := config.Settings
+	settings := config.Settings
 	var err error
-	server.endpoints, err = discovery.NewEndpointStream(config.EndpointStreamAddress, config.InitialEvents, site.ZoneNames, site.WorkerKinds, config.Seed)
+	server.endpoints, err = discovery.NewEndpointStream(config.EndpointStreamAddress, config.InitialEvents, settings.ZoneNames, settings.WorkerKinds, config.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -86,10 +86,10 @@
 	server.clients = rpcserver.New(rpcserver.Config{
 		Rules:             clientRules(config.Settings),
 		MaxConnections:    clientConns,
-		MaxInFlight:       platformMaxOpen,
-		MaxQueuedBytes:    platformMaxUnsent,
+		MaxInFlight:       platformMaxPerConnection,
+		MaxQueuedBytes:    platformMaxQueuedBytes,
 		WriteTimeout:      platformWriteTimeout,
-		AcceptGracePeriod: platformAcceptRest,
+		AcceptGracePeriod: platformBacklogGrace,
 		ObserveWriteDelay: func(took time.Duration) { server.loop.ObserveLag(took) },
 	}, server, log)
 	server.loop = NewEventLoop(server.loopConfig(), log)
@@ -116,7 +116,7 @@
 		release()
 		respond(response.rpcResponse())
 	})
-	p.fill(request, received)
+	p.fillRequest(request, received)
 	if p.bodyBytes.Add(size) > p.maxBodyBytes() {
 		request.complete(FinalResponse{
 			Kind:       Rejected,
@@ -132,8 +132,8 @@
 	}, nil
 }
 
-// fill sets the fields of a request from the request that was received.
-func (p *PlatformServer) fill(request *Request, received *rpcserver.Request) {
+// fillRequest sets the fields of a request from the request that was received.
+func (p *PlatformServer) fillRequest(request *Request, received *rpcserver.Request) {
 	request.ID = received.ID
 	request.Class = received.Class
 	request.Tenant = received.Tenant
@@ -154,8 +154,8 @@
 	}
 }
 
-// maxBodyBytes returns the limit of the total size of the bodies of requests in flight. Requests that would exceed it are
-// rejected immediately.
+// maxBodyBytes returns the limit of the total size of the bodies of requests in flight. Requests that would exceed it
+// are rejected immediately.
 func (p *PlatformServer) maxBodyBytes() int64 {
 	return int64(bodyMemoryFraction * float64(p.config.MemoryMB) * bytesPerMB)
 }
@@ -176,8 +176,8 @@
 	return out
 }
 
-// Reload applies a configuration that was read again. Only the address of endpoint discovery can change while the server
-// runs. If any other field differs, the configuration belongs to another front end and is ignored.
+// Reload applies a configuration that was read again. Only the address of endpoint discovery can change while the
+// server runs. If any other field differs, the configuration belongs to another front end and is ignored.
 func (p *PlatformServer) Reload(config *platformconfig.Config) {
 	if field := p.config.FirstDifference(config); field != "" {
 		p.log.Error().Str("field", field).Msg("new configuration ignored: it belongs to another front end")
@@ -187,9 +187,9 @@
 	p.endpoints.SetAddress(config.EndpointStreamAddress)
 }
 
-// Run serves clients until ctx ends, and then shuts down gracefully. It accepts clients for another platformAcceptGrace,
-// then admits no new requests, waits until all requests in flight have their final response, and returns the totals. When
-// it returns, all goroutines of the server have ended.
+// Run serves clients until ctx ends, and then shuts down gracefully. It accepts clients for another
+// platformAcceptGrace, then admits no new requests, waits until all requests in flight have their final response, and
+// returns the totals. When it returns, all goroutines of the server have ended.
 func (p *PlatformServer) Run(ctx context.Context) (Counts, error) {
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
@@ -203,16 +203,16 @@
 	p.logSettings()
 	var logging sync.WaitGroup
 	logging.Go(func() { p.logTotals(serveCtx) })
-	accepted := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
 		err := p.clients.Serve(serveCtx, p.listener)
 		if err != nil {
 			stopLoop() // no client can connect any longer, so stop instead of running without clients
 		}
-		accepted <- err
+		serveErr <- err
 	}()
 	counts, clean := p.loop.Run(loopCtx)
-	err := <-accepted
+	err := <-serveErr
 	stopServing()
 	p.clients.Shutdown()
 	logging.Wait()
@@ -222,12 +222,12 @@
 	return counts, err
 }
 
-// beginShutdown makes heartbeats fail immediately. After platformAcceptGrace it stops accepting clients and ends the event
-// loop.
+// beginShutdown makes heartbeats fail immediately. After platformAcceptGrace it stops accepting clients and ends the
+// event loop.
 func (p *PlatformServer) beginShutdown(stopLoop func()) {
 	p.draining.Store(true)
 	p.log.Info().Msg("stopping")
-	p.after(platformAcceptGrace, func() {
+	p.afterFunc(platformAcceptGrace, func() {
 		stopLoop()
 		p.clients.BeginShutdown()
 	})
@@ -235,13 +235,13 @@
 
 // logSettings logs the settings that determine when a request may be sent, retried or given up.
 func (p *PlatformServer) logSettings() {
-	site := p.config.Settings
-	for i, class := range site.Scheduler.Classes {
-		p.log.Info().Str("class", site.ClassNames[i]).Dur("timeout", class.Timeout).Dur("objective", class.LatencyObjective).
+	settings := p.config.Settings
+	for i, class := range settings.Scheduler.Classes {
+		p.log.Info().Str("class", settings.ClassNames[i]).Dur("timeout", class.Timeout).Dur("objective", class.LatencyObjective).
 			Stringer("idempotency", class.Idempotency).Stringer("key-scope", class.KeyScope).
 			Dur("key-retention", class.KeyRetention).Msg("class settings")
 	}
-	rules := site.Scheduler
+	rules := settings.Scheduler
 	p.log.Info().Int("front-ends", rules.FrontEndCount).Int("max-attempts", rules.MaxAttempts).
 		Dur("connect-timeout", rules.ConnectTimeout).Dur("drain-grace", rules.DrainGrace).
 		Dur("slow-start", rules.SlowStartDuration).Float64("slow-start-fraction", rules.SlowStartFraction).
--- a/internal/gateway/platform_server_test.go
+++ b/internal/gateway/platform_server_test.go
@@ -21,8 +21,9 @@
 	"havencart/lab/platformworker"
 )
 
-// relayConfig is the format string of a configuration, with verbs for the addresses of endpoint discovery and of a worker.
-const relayConfig = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
+// platformConfigFormat is the format string of a configuration, with verbs for the addresses of endpoint discovery
+// and of a worker.
+const platformConfigFormat = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1,"memory_mb":256,"sockets":256},"bulletin":"%s",
 	"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[
 	{"host":"s-00000001","dial":"%s","site":"room","class":"std","block":0,"health":"up","share":1,"born_ms":0}]}}]},
@@ -52,12 +53,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	e, err := platformworker.Start(script)
+	worker, err := platformworker.Start(script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.Close)
-	server, run := newPlatformHarness(t, discovery.Address(), e.Address())
+	t.Cleanup(worker.Close)
+	server, run := newPlatformHarness(t, discovery.Address(), worker.Address())
 	server.discovery = discovery
 	run()
 	t.Cleanup(server.stop)
@@ -68,18 +69,18 @@
 // newPlatformHarness creates a PlatformServer that listens. The returned function runs it in a goroutine.
 func newPlatformHarness(t *testing.T, discovery, worker string) (server *platformHarness, run func()) {
 	t.Helper()
-	set, err := platformconfig.ParseConfig(fmt.Appendf(nil, relayConfig, discovery, worker))
+	config, err := platformconfig.ParseConfig(fmt.Appendf(nil, platformConfigFormat, discovery, worker))
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay, err := NewPlatformServer(set, zerolog.Nop())
+	platform, err := NewPlatformServer(config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	server = &platformHarness{PlatformServer: relay, t: t, stop: cancel, delayed: make(chan func(), 1), ended: make(chan error, 1)}
-	relay.after = func(_ time.Duration, f func()) { server.delayed <- f }
-	return server, func() { go func() { _, err := relay.Run(ctx); server.ended <- err }() }
+	server = &platformHarness{PlatformServer: platform, t: t, stop: cancel, delayed: make(chan func(), 1), ended: make(chan error, 1)}
+	platform.afterFunc = func(_ time.Duration, f func()) { server.delayed <- f }
+	return server, func() { go func() { _, err := platform.Run(ctx); server.ended <- err }() }
 }
 
 func (server *platformHarness) connect() net.Conn {
@@ -120,7 +121,7 @@
 }
 
 // checkHeartbeat sends a heartbeat and checks the response.
-func (server *platformHarness) checkHeartbeat(c net.Conn, number int, well bool) {
+func (server *platformHarness) checkHeartbeat(c net.Conn, number int, ready bool) {
 	server.t.Helper()
 	raw, err := msgpack.Marshal([]any{0, number, "heartbeat", []any{map[string]string{}}})
 	if err != nil {
@@ -129,23 +130,23 @@
 	if _, err := c.Write(raw); err != nil {
 		server.t.Fatal(err)
 	}
-	server.expect(c, rpcframe.AppendHeartbeat(nil, uint32(number), well))
+	server.expect(c, rpcframe.AppendHeartbeat(nil, uint32(number), ready))
 }
 
 // TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints checks that the server is ready immediately if discovery is
 // down, using the endpoints in its configuration.
 func TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	e, err := platformworker.Start(respondServed)
+	worker, err := platformworker.Start(respondServed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.Close)
-	server, run := newPlatformHarness(t, "127.0.0.1:1", e.Address())
+	t.Cleanup(worker.Close)
+	server, run := newPlatformHarness(t, "127.0.0.1:1", worker.Address())
 	c := server.connect() // the kernel accepts the connection before the server runs
 	run()
 	server.checkHeartbeat(c, 1, true)
-	if n := e.ConnectionCount(); n != 0 {
+	if n := worker.ConnectionCount(); n != 0 {
 		t.Errorf("%d connections to workers before any request; hundreds of front ends that start together would all dial", n)
 	}
 	server.sendRequest(c, 2, "quote", 1)
@@ -186,8 +187,8 @@
 	server.shutDown()
 }
 
-// TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried checks over real sockets that a non-idempotent request
-// with an unreadable response is not retried, because it may have executed.
+// TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried checks over real sockets that a non-idempotent
+// request with an unreadable response is not retried, because it may have executed.
 func TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried(t *testing.T) {
 	executions := map[uint64]int{}
 	seen := make(chan uint64, 16)
@@ -267,8 +268,8 @@
 	server.shutDown()
 }
 
-// TestPlatformServer_BodiesBeyondMemory_Rejected checks that requests are rejected immediately when the bodies in flight
-// reach their limit, and that a final response or a disconnect releases the memory of its request.
+// TestPlatformServer_BodiesBeyondMemory_Rejected checks that requests are rejected immediately when the bodies in
+// flight reach their limit, and that a final response or a disconnect releases the memory of its request.
 func TestPlatformServer_BodiesBeyondMemory_Rejected(t *testing.T) {
 	received, respond := make(chan bool, 64), make(chan bool)
 	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
--- a/internal/gateway/queue_gate.go
+++ b/internal/gateway/queue_gate.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/cpu"
 )
 
-// queueGate holds the values that the goroutines of connections share with that of the event loop. Each value has its own
-// cache line to avoid false sharing: under overload, the goroutines access the counters for every request.
+// queueGate holds the values that the goroutines of connections share with that of the event loop. Each value has its
+// own cache line to avoid false sharing: under overload, the goroutines access the counters for every request.
 type queueGate struct {
 	_        cpu.CacheLinePad
 	limit    atomic.Int64 // number of requests that may wait for the loop, set by the FrontEnd
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -46,8 +46,10 @@
 	}
 }
 
-// accepted records that the worker accepted new work that was sent at the time at.
-func (w *worker) accepted(at time.Duration) { w.readiness.acceptedAt = max(w.readiness.acceptedAt, at) }
+// recordAccepted records that the worker accepted new work that was sent at the time at.
+func (w *worker) recordAccepted(at time.Duration) {
+	w.readiness.acceptedAt = max(w.readiness.acceptedAt, at)
+}
 
 // healthCheck is a health check that awaits its response.
 type healthCheck struct {
@@ -56,21 +58,22 @@
 	timer  timer // timeout of the response
 }
 
-// mayBeginAt reports whether a worker may be sent new work now, and until when the worker itself has confirmed that it
-// accepts new work. Without this check, a worker that starts to drain while discovery is unreachable would be sent new
-// work, although the platform regards this front end as notified of the drain.
-func (f *FrontEnd) mayBeginAt(w *worker) (confirmedUntil time.Duration, may bool) {
+// acceptsNewWork reports whether a worker may be sent new work now, and until when the worker itself has confirmed
+// that it accepts new work. Without this check, a worker that starts to drain while discovery is unreachable would be
+// sent new work, although the platform regards this front end as notified of the drain.
+func (f *FrontEnd) acceptsNewWork(w *worker) (confirmedUntil time.Duration, allowed bool) {
 	confirmedUntil = f.settings.EndpointRules.AcceptedUntil(w.readiness.acceptedAt)
 	return confirmedUntil, f.listIsConfirmed() || f.now <= confirmedUntil
 }
 
-// begin passes an attempt to the worker's client, or holds it until the worker confirms that it accepts new work.
-func (f *FrontEnd) begin(attempt *requestAttempt) {
+// sendWhenConfirmed passes an attempt to the worker's client, or holds it until the worker confirms that it accepts
+// new work.
+func (f *FrontEnd) sendWhenConfirmed(attempt *requestAttempt) {
 	w := attempt.worker
-	confirmedUntil, may := f.mayBeginAt(w)
-	if !may {
+	confirmedUntil, allowed := f.acceptsNewWork(w)
+	if !allowed {
 		w.readiness.waiting.attempts = append(w.readiness.waiting.attempts, attempt)
-		f.confirm(w)
+		f.requestConfirmation(w)
 		return
 	}
 	attempt.enter(attemptPending)
@@ -80,13 +83,13 @@
 	}
 }
 
-// beginLoad sends a load order, or holds it until the worker confirms that it accepts new work.
-func (f *FrontEnd) beginLoad(order *loadOrder) {
+// loadWhenConfirmed sends a load order, or holds it until the worker confirms that it accepts new work.
+func (f *FrontEnd) loadWhenConfirmed(order *loadOrder) {
 	w := order.worker
-	confirmedUntil, may := f.mayBeginAt(w)
-	if !may {
+	confirmedUntil, allowed := f.acceptsNewWork(w)
+	if !allowed {
 		w.readiness.waiting.orders = append(w.readiness.waiting.orders, order)
-		f.confirm(w)
+		f.requestConfirmation(w)
 		return
 	}
 	order.ConfirmedUntil = confirmedUntil
@@ -100,9 +103,9 @@
 	}
 }
 
-// confirm asks a worker whether it accepts new work. If health checks are not allowed, it ends the work that waits for the
-// worker instead.
-func (f *FrontEnd) confirm(w *worker) {
+// requestConfirmation asks a worker whether it accepts new work. If health checks are not allowed, it ends the work
+// that waits for the worker instead.
+func (f *FrontEnd) requestConfirmation(w *worker) {
 	if f.settings.Scheduler.HealthChecksAllowed {
 		f.checkHealth(w)
 		return
@@ -165,10 +168,10 @@
 	f.trace.healthChecked(f.now, check, status)
 	switch status {
 	case scheduler.OK:
-		w.accepted(check.SentAfter())
+		w.recordAccepted(check.SentAfter())
 		w.readiness.drainReports = 0
 		f.treatAsRestarted(w, check.ConnectedAt)
-		f.release(w)
+		f.sendWaiting(w)
 	case scheduler.Error:
 		f.treatAsDraining(w)
 	case scheduler.NotSent:
@@ -189,29 +192,29 @@
 	return true
 }
 
-// release sends the work that waited for a worker's confirmation. Work for which the confirmation is no longer valid is
-// held again until the next one.
-func (f *FrontEnd) release(w *worker) {
+// sendWaiting sends the work that waited for a worker's confirmation. Work for which the confirmation is no longer
+// valid is held again until the next one.
+func (f *FrontEnd) sendWaiting(w *worker) {
 	waiting := w.readiness.removeWaiting()
 	for _, attempt := range waiting.attempts {
 		if attempt.state == attemptAwaitingWorker {
-			f.begin(attempt)
+			f.sendWhenConfirmed(attempt)
 		}
 	}
 	for _, order := range waiting.orders {
 		if !order.ended {
-			f.beginLoad(order)
+			f.loadWhenConfirmed(order)
 		}
 	}
 }
 
-// treatAsDraining handles a worker that responded to a health check that it is draining. The worker is not used until the
-// endpoint list is confirmed or the worker passes a health check. If the list is confirmed already, the list takes
-// precedence, because the platform's drain rule refers to the list, and the waiting work is sent.
+// treatAsDraining handles a worker that responded to a health check that it is draining. The worker is not used until
+// the endpoint list is confirmed or the worker passes a health check. If the list is confirmed already, the list
+// takes precedence, because the platform's drain rule refers to the list, and the waiting work is sent.
 func (f *FrontEnd) treatAsDraining(w *worker) {
 	switch {
 	case f.listIsConfirmed():
-		f.release(w)
+		f.sendWaiting(w)
 	case w.state == scheduler.Ready:
 		w.readiness.drainReports++
 		w.readiness.recheckAt = f.now + endpointlease.RecheckDelay(w.readiness.drainReports)
@@ -231,8 +234,8 @@
 	}
 }
 
-// treatAsRestarted reports a worker to the scheduler as just started if the worker may have restarted while discovery could
-// not report it. This prevents the worker from being overloaded during its slow start.
+// treatAsRestarted reports a worker to the scheduler as just started if the worker may have restarted while discovery
+// could not report it. This prevents the worker from being overloaded during its slow start.
 func (f *FrontEnd) treatAsRestarted(w *worker, connectedAt time.Duration) {
 	isKnownProcess := connectedAt <= w.readiness.connectedAt
 	if isKnownProcess || !f.lease.MayHaveRestarted(f.now, connectedAt) {
@@ -272,8 +275,8 @@
 	return f.incarnations.ObserveChanges(f.now, listed, len(f.workers))[0]
 }
 
-// forgetReadiness discards what a worker has reported at its previous address.
-func (f *FrontEnd) forgetReadiness(w *worker) {
+// resetReadiness discards what a worker has reported at its previous address.
+func (f *FrontEnd) resetReadiness(w *worker) {
 	if check := w.readiness.check; check != nil {
 		w.client.AbandonHealthCheck(&check.HealthCheck)
 		f.removeHealthCheck(check)
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -77,7 +77,7 @@
 	return count
 }
 
-func TestSend_ListConfirmed_NobodyIsAsked(t *testing.T) {
+func TestSend_ListConfirmed_NoHealthCheck(t *testing.T) {
 	harness := newLeaseHarness(t, 3, nil)
 	harness.advance(4 * time.Second)
 	request := harness.submit(idempotentClass)
@@ -111,9 +111,9 @@
 	harness.wantResponse(another, Served)
 }
 
-// A worker that responds to a health check that it is draining is sent no new work until the endpoint list is confirmed.
-// The request is sent to another worker.
-func TestSend_WorkerSaysThatItDrains_IsAvoidedUntilListIsConfirmed(t *testing.T) {
+// A worker that responds to a health check that it is draining is sent no new work until the endpoint list is
+// confirmed. The request is sent to another worker.
+func TestSend_WorkerReportsDraining_IsAvoidedUntilListIsConfirmed(t *testing.T) {
 	harness := newLeaseHarness(t, 2, nil)
 	harness.endLease()
 	request := harness.submit(idempotentClass)
@@ -159,7 +159,7 @@
 }
 
 // A worker that accepts work confirms thereby that it accepts new work, so no health check is needed.
-func TestSend_WorkerAcceptedLately_IsNotAsked(t *testing.T) {
+func TestSend_WorkerAcceptedRecently_NoHealthCheck(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endLease()
 	request := harness.submit(idempotentClass)
@@ -188,8 +188,9 @@
 	}
 }
 
-// A process that starts while discovery is unreachable does not know what has changed since its configuration was written.
-func TestSend_ListNeverConfirmed_WorkerIsAsked(t *testing.T) {
+// A process that starts while discovery is unreachable does not know what has changed since its configuration was
+// written.
+func TestSend_ListNeverConfirmed_HealthCheckIsSent(t *testing.T) {
 	harness := newHarness(t, 1, func(set *Settings) {
 		set.EndpointRules = leaseRules
 		set.Scheduler.HealthChecksAllowed = true
@@ -199,10 +200,10 @@
 	harness.onlyChecked()
 }
 
-func TestAwaitingAttempt_ClientLeavesOrTimeEnds_NothingIsSent(t *testing.T) {
+func TestAwaitingAttempt_ClientDisconnectsOrDeadlinePasses_NothingIsSent(t *testing.T) {
 	for name, end := range map[string]func(*testHarness, *Request){
-		"client leaves": func(harness *testHarness, request *Request) { harness.ClientDisconnected(harness.clock, request) },
-		"time ends":     func(harness *testHarness, _ *Request) { harness.advance(3 * time.Second) },
+		"client disconnects": func(harness *testHarness, request *Request) { harness.ClientDisconnected(harness.clock, request) },
+		"deadline passes":    func(harness *testHarness, _ *Request) { harness.advance(3 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness := newLeaseHarness(t, 1, nil)
@@ -254,7 +255,7 @@
 }
 
 // Worker clients apply the same lease: an attempt that waits for a connection when the lease ends is not sent.
-func TestEndpointLeaseChanged_GuardHasIt(t *testing.T) {
+func TestEndpointLeaseChanged_GuardIsUpdated(t *testing.T) {
 	guard := &workerconn.Guard{}
 	harness := newLeaseHarness(t, 1, func(set *Settings) { set.Guard = guard })
 	queue, batch := workerconn.NewSendQueue[string](), workerconn.WriteBatch[string]{}
@@ -274,8 +275,8 @@
 	}
 }
 
-// While discovery is unreachable, a worker may restart without a report. A worker that is reachable only on a new connection
-// is sent no more requests than one that has just started.
+// While discovery is unreachable, a worker may restart without a report. A worker that is reachable only on a new
+// connection is sent no more requests than one that has just started.
 func TestSend_WorkerMayHaveRestarted_IsInSlowStart(t *testing.T) {
 	const submitted, sentWarm, sentCold = 30, 12, 4
 	for name, c := range map[string]struct {
@@ -316,7 +317,7 @@
 }
 
 // A worker that reported itself as draining is checked again after a delay, and is sent no work before it is healthy.
-func TestSend_WorkerSaidThatItDrains_IsAskedAgain(t *testing.T) {
+func TestSend_WorkerReportedDraining_IsCheckedAgain(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endLease()
 	harness.submit(idempotentClass)
--- a/internal/gateway/recent_ids.go
+++ b/internal/gateway/recent_ids.go
@@ -6,11 +6,11 @@
 // are remembered, and the oldest are discarded first.
 const idsPerGeneration = 4096
 
-// recentIDs remembers the identifiers of the requests in flight and of those admitted most recently. Clients generate a
-// new identifier for each request, so a known identifier means that a client has sent the same request again, for example
-// as soon as it was rejected. Such requests would inflate the apparent demand. The drawback is that a client whose
-// connection was closed after a complete request had been received cannot send that request again. The methods may be
-// called from any goroutine.
+// recentIDs remembers the identifiers of the requests in flight and of those admitted most recently. Clients generate
+// a new identifier for each request, so a known identifier means that a client has sent the same request again, for
+// example as soon as it was rejected. Such requests would inflate the apparent demand. The drawback is that a client
+// whose connection was closed after a complete request had been received cannot send that request again. The methods
+// may be called from any goroutine.
 type recentIDs struct {
 	mu       sync.Mutex
 	inFlight map[string]bool // bounded by Settings.MaxInFlight plus the event loop's queue
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -8,8 +8,9 @@
 	"havencart/scheduler"
 )
 
-// Request is a client's request. The exported fields are set by the connection that received the request and, apart from
-// ID, IdempotencyKey and StartedAt, do not change after Submit. The other fields belong to the event loop and its FrontEnd.
+// Request is a client's request. The exported fields are set by the connection that received the request and, apart
+// from ID, IdempotencyKey and StartedAt, do not change after Submit. The other fields belong to the event loop and
+// its FrontEnd.
 type Request struct {
 	ID             string // chosen by the client and used in logs; generated if empty
 	Class          int    // index into Settings.Classes
@@ -83,17 +84,18 @@
 	return r
 }
 
-// NewRequestWithCallback returns a request whose final response is passed to deliver. deliver is called once, by Submit,
-// by the event loop while it handles an event, or by the goroutine of the expiry timer. It must not block and must not
-// call the FrontEnd.
+// NewRequestWithCallback returns a request whose final response is passed to deliver. deliver is called once, by
+// Submit, by the event loop while it handles an event, or by the goroutine of the expiry timer. It must not block and
+// must not call the FrontEnd.
 func NewRequestWithCallback(deliver func(FinalResponse)) *Request { return &Request{deliver: deliver} }
 
 // Response returns the channel that receives the single final response. It is nil for a request that was created with
 // NewRequestWithCallback.
 func (r *Request) Response() <-chan FinalResponse { return r.response }
 
-// complete enters the state requestCompleted and delivers the final response, unless the expiry timer has already done so.
-// It reports whether the state changed. All final responses except those of the expiry timer are given by this method.
+// complete enters the state requestCompleted and delivers the final response, unless the expiry timer has already
+// done so. It reports whether the state changed. All final responses except those of the expiry timer are given by
+// this method.
 func (r *Request) complete(response FinalResponse) bool {
 	if !r.enter(requestCompleted) {
 		return false
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -9,8 +9,8 @@
 	"havencart/scheduler"
 )
 
-// Reject implements scheduler.Actions. It gives the final response Rejected, which promises that a retry is safe. If the
-// execution rules do not permit that promise, it fails the request instead.
+// Reject implements scheduler.Actions. It gives the final response Rejected, which promises that a retry is safe. If
+// the execution rules do not permit that promise, it fails the request instead.
 func (f *FrontEnd) Reject(id scheduler.RequestID, retryAfter time.Duration, cause scheduler.FinishCause) {
 	request := f.requests[id]
 	if request == nil {
@@ -21,7 +21,7 @@
 	}
 	request.finishCause = cause
 	if violation := request.record.MayReject(f.now); violation != execution.NoViolation {
-		f.violated(violation, request)
+		f.recordViolation(violation, request)
 		f.Fail(id, cause) // makes no promise about retries
 		return
 	}
@@ -36,7 +36,7 @@
 func (f *FrontEnd) Fail(id scheduler.RequestID, cause scheduler.FinishCause) {
 	if request := f.requests[id]; request != nil {
 		if request.state == requestCompleted {
-			f.violated(execution.SecondFinalResponse, request)
+			f.recordViolation(execution.SecondFinalResponse, request)
 			return
 		}
 		request.finishCause = cause
@@ -49,8 +49,8 @@
 	return status == scheduler.Timeout || status == scheduler.Cancelled
 }
 
-// respond gives an admitted request its final response, counts it and logs it. It does nothing if the request is already
-// in a final state.
+// respond gives an admitted request its final response, counts it and logs it. It does nothing if the request is
+// already in a final state.
 func (f *FrontEnd) respond(request *Request, response FinalResponse) {
 	if !request.complete(response) {
 		return
@@ -68,7 +68,7 @@
 		f.counts.Failed++
 	}
 	f.trace.responded(f.now, request, response)
-	f.forget(request)
+	f.removeIfDone(request)
 }
 
 // recordTenantUse reports to the tenancy limiter how an admitted request ended.
@@ -82,16 +82,17 @@
 		objective := f.settings.Scheduler.Classes[request.Class].LatencyObjective
 		end.MissedObjective = f.now-request.StartedAt > objective
 	case Failed:
-		// Other failures are caused by the function or the worker and do not show that the tenant gets too little capacity.
+		// Other failures are caused by the function or the worker and do not show that the tenant gets too little
+		// capacity.
 		end.MissedObjective = timedOut(request.lastStatus)
 	}
 	f.tenancy.RequestEnded(f.now, request.Tenant, end)
 }
 
-// ClientDisconnected ends the work for a request whose client has disconnected. It may be called at any time: even before
-// RequestReceived, because the event loop handles events before requests, and after the final response, in which case a
-// response that is still being streamed is abandoned. An attempt that was not sent is cancelled even if the scheduler is
-// not allowed to cancel attempts.
+// ClientDisconnected ends the work for a request whose client has disconnected. It may be called at any time: even
+// before RequestReceived, because the event loop handles events before requests, and after the final response, in
+// which case a response that is still being streamed is abandoned. An attempt that was not sent is cancelled even if
+// the scheduler is not allowed to cancel attempts.
 func (f *FrontEnd) ClientDisconnected(now time.Duration, request *Request) {
 	f.now = now
 	wasInFlight := request.state == requestInFlight
@@ -106,7 +107,7 @@
 	if request.current != nil {
 		f.dropAttempt(request.current)
 	}
-	f.forget(request)
+	f.removeIfDone(request)
 	f.runDeferred()
 }
 
@@ -121,8 +122,8 @@
 	}
 }
 
-// forget removes a request that is in a final state and has no attempt in flight.
-func (f *FrontEnd) forget(request *Request) {
+// removeIfDone removes a request that is in a final state and has no attempt in flight.
+func (f *FrontEnd) removeIfDone(request *Request) {
 	if request.state.isFinal() && request.current == nil {
 		delete(f.requests, request.id)
 		f.requestTimers.remove(&request.timer)
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -15,8 +15,8 @@
 	"havencart/internal/native/httpserver"
 )
 
-// Service is a gateway process: an HTTP listener for clients and the event loops behind it. Its methods may be called from
-// any goroutine. Run and Kill must each be called at most once.
+// Service is a gateway process: an HTTP listener for clients and the event loops behind it. Its methods may be called
+// from any goroutine. Run and Kill must each be called at most once.
 type Service struct {
 	settings *gatewayconfig.Settings
 	log      zerolog.Logger
@@ -26,8 +26,8 @@
 	next     atomic.Uint64 // round-robin counter for assigning connections to loops
 }
 
-// ErrShutdownTimeout is returned by Service.Run if requests were still in flight when the shutdown timed out. Each of them
-// got a final response nevertheless.
+// ErrShutdownTimeout is returned by Service.Run if requests were still in flight when the shutdown timed out. Each of
+// them got a final response nevertheless.
 var ErrShutdownTimeout = errors.New("requests were in flight when the shutdown timed out")
 
 // The limits of log lines per second and level. Lines up to logBurst are all logged, further ones are sampled.
@@ -37,39 +37,39 @@
 )
 
 // NewService creates a gateway and opens its listener, which Run and Kill close. Run starts serving clients.
-func NewService(set *gatewayconfig.Settings, log zerolog.Logger) (*Service, error) {
-	listener, err := net.Listen("tcp", set.ListenAddress)
+func NewService(settings *gatewayconfig.Settings, log zerolog.Logger) (*Service, error) {
+	listener, err := net.Listen("tcp", settings.ListenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("clients' listener: %w", err)
 	}
 	log = sampled(log)
-	s := &Service{settings: set, log: log, listener: listener}
-	catalog := NewCatalog(set)
+	s := &Service{settings: settings, log: log, listener: listener}
+	catalog := NewCatalog(settings)
 	clockStart := time.Now()
-	for i := range set.EventLoops {
-		loopLog := log.With().Int("front-end", set.FirstFrontEndIndex+i).Logger()
-		s.loops = append(s.loops, NewEventLoop(loopConfig(set, i, clockStart), loopLog))
+	for i := range settings.EventLoops {
+		loopLog := log.With().Int("front-end", settings.FirstFrontEndIndex+i).Logger()
+		s.loops = append(s.loops, NewEventLoop(loopConfig(settings, i, clockStart), loopLog))
 	}
 	newHandler := func() httpserver.Handler {
 		return httpHandler{s.loops[s.next.Add(1)%uint64(len(s.loops))], catalog}
 	}
-	s.clients = httpserver.New(serverConfig(set), newHandler, log)
+	s.clients = httpserver.New(serverConfig(settings), newHandler, log)
 	return s, nil
 }
 
 // serverConfig returns the limits for clients' connections and requests.
-func serverConfig(set *gatewayconfig.Settings) httpserver.Config {
+func serverConfig(settings *gatewayconfig.Settings) httpserver.Config {
 	return httpserver.Config{
-		IdleTimeout:    set.IdleTimeout,
-		HeaderTimeout:  set.HeaderTimeout,
-		BodyTimeout:    set.BodyTimeout,
-		WriteTimeout:   set.WriteTimeout,
-		StallTimeout:   set.StallTimeout,
-		MaxHeaderBytes: set.MaxHeader,
-		MaxBodyBytes:   set.MaxBody,
-		MaxPipelined:   set.MaxPipelined,
-		MaxConnections: set.MaxConnections,
-		KeepHalfClosed: set.AllowHalfClosed,
+		IdleTimeout:    settings.IdleTimeout,
+		HeaderTimeout:  settings.HeaderTimeout,
+		BodyTimeout:    settings.BodyTimeout,
+		WriteTimeout:   settings.WriteTimeout,
+		StallTimeout:   settings.StallTimeout,
+		MaxHeaderBytes: settings.MaxHeader,
+		MaxBodyBytes:   settings.MaxBody,
+		MaxPipelined:   settings.MaxPipelined,
+		MaxConnections: settings.MaxConnections,
+		KeepHalfClosed: settings.AllowHalfClosed,
 	}
 }
 
@@ -104,9 +104,10 @@
 	return total
 }
 
-// Run serves clients until ctx ends, and then shuts down gracefully. It stops accepting connections and gives the requests
-// in flight their final response, at the latest after the ShutdownTimeout of the settings. It returns the totals, and
-// ErrShutdownTimeout if that time was not sufficient. When it returns, all goroutines of the service have ended.
+// Run serves clients until ctx ends, and then shuts down gracefully. It stops accepting connections and gives the
+// requests in flight their final response, at the latest after the ShutdownTimeout of the settings. It returns the
+// totals, and ErrShutdownTimeout if that time was not sufficient. When it returns, all goroutines of the service have
+// ended.
 func (s *Service) Run(ctx context.Context) (Counts, error) {
 	loopsEnded := s.runLoops(ctx)
 	stopListening := context.AfterFunc(ctx, s.closeListener)
@@ -123,8 +124,8 @@
 	return total, err
 }
 
-// runLoops starts the event loops. It returns a function that waits for them to end and returns their totals, and whether
-// all of them ended in time.
+// runLoops starts the event loops. It returns a function that waits for them to end and returns their totals, and
+// whether all of them ended in time.
 func (s *Service) runLoops(ctx context.Context) (wait func() (Counts, bool)) {
 	var mu sync.Mutex
 	var total Counts
--- a/internal/gateway/service_settings_test.go
+++ b/internal/gateway/service_settings_test.go
@@ -10,8 +10,8 @@
 	"havencart/scheduler"
 )
 
-// TestTenancySettings_QuotaAndShares_DividedByFrontEnds checks that quotas are divided by the number of front ends and that
-// shares are not.
+// TestTenancySettings_QuotaAndShares_DividedByFrontEnds checks that quotas are divided by the number of front ends
+// and that shares are not.
 func TestTenancySettings_QuotaAndShares_DividedByFrontEnds(t *testing.T) {
 	text := "directory file /nowhere\nfront-ends 4\nclass a\nend\ntenant t\n  share 0.7\n  quota 100\nend\ntenant u\n  share 0.3\nend\n"
 	for add, by := range map[string]tenancy.ShareBasis{"": tenancy.NotEnforced, "shares work\n": tenancy.ByWork, "shares calls\n": tenancy.ByRequestCount} {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestAbort_RequestsInFlight_EachGetsFinalResponse checks that Abort rejects requests that never executed, fails those that
-// may have executed, and retries none.
+// TestAbort_RequestsInFlight_EachGetsFinalResponse checks that Abort rejects requests that never executed, fails
+// those that may have executed, and retries none.
 func TestAbort_RequestsInFlight_EachGetsFinalResponse(t *testing.T) {
 	harness := newHarness(t, 2, nil)
 	sent := harness.submit(nonIdempotentClass)
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -26,8 +26,8 @@
 	return &trace{attempts: sampled(log), responses: sampled(log), workers: log, classes: classes}
 }
 
-// named adds the fields that identify a request to a log line.
-func (t *trace) named(line *zerolog.Event, request *Request) *zerolog.Event {
+// addRequestFields adds the fields that identify a request to a log line.
+func (t *trace) addRequestFields(line *zerolog.Event, request *Request) *zerolog.Event {
 	return line.Str("request", request.ID).Str("function", request.Replica.Function).Str("class", t.classes[request.Class])
 }
 
@@ -38,7 +38,7 @@
 		return
 	}
 	request := attempt.request
-	t.named(line, request).Int("attempt", attempt.number).Bool("may-have-executed", request.record.MayHaveExecuted()).
+	t.addRequestFields(line, request).Int("attempt", attempt.number).Bool("may-have-executed", request.record.MayHaveExecuted()).
 		Stringer("after", request.lastStatus).Dur("age", now-request.StartedAt)
 	if request.record.MayHaveExecuted() {
 		line.Dur("first-execution-age", request.record.ExecutionAge(now)).Dur("permitted-for", attempt.NotAfter-now)
@@ -49,9 +49,9 @@
 	line.Msg("request retried")
 }
 
-// violated logs a rule violation that was prevented.
-func (t *trace) violated(now time.Duration, violation execution.Violation, request *Request) {
-	t.named(t.workers.Error(), request).Stringer("violation", violation).Int("attempts", request.attempts).
+// violationPrevented logs a rule violation that was prevented.
+func (t *trace) violationPrevented(now time.Duration, violation execution.Violation, request *Request) {
+	t.addRequestFields(t.workers.Error(), request).Stringer("violation", violation).Int("attempts", request.attempts).
 		Dur("age", now-request.StartedAt).Msg("rule violation prevented")
 }
 
@@ -64,7 +64,7 @@
 	if !line.Enabled() {
 		return
 	}
-	t.named(line, attempt.request).Int("attempt", attempt.number).Stringer("status", result.Status).
+	t.addRequestFields(line, attempt.request).Int("attempt", attempt.number).Stringer("status", result.Status).
 		Str("reason", result.Reason).Dur("duration", now-attempt.sentAt)
 	if attempt.worker != nil {
 		line.Str("worker", attempt.worker.Name).Str("cell", attempt.worker.Cell)
@@ -113,7 +113,7 @@
 	if request.finishCause != 0 {
 		line.Stringer("cause", request.finishCause)
 	}
-	t.named(line, request).Int("attempts", request.attempts).Str("reason", response.Reason).
+	t.addRequestFields(line, request).Int("attempts", request.attempts).Str("reason", response.Reason).
 		Bool("may-have-executed", request.record.MayHaveExecuted()).Dur("age", now-request.StartedAt).
 		Dur("left", request.deadline-now).Msg(message)
 }
@@ -122,7 +122,7 @@
 func (t *trace) disconnected(now time.Duration, request *Request) {
 	line := t.responses.Debug()
 	if line.Enabled() {
-		t.named(line, request).Int("attempts", request.attempts).Dur("age", now-request.StartedAt).Msg("client disconnected")
+		t.addRequestFields(line, request).Int("attempts", request.attempts).Dur("age", now-request.StartedAt).Msg("client disconnected")
 	}
 }
 
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -27,18 +27,20 @@
 // location returns the worker's zone and cell, which the scope of an idempotency key refers to.
 func (w *worker) location() execution.Location { return execution.Location{Zone: w.Zone, Cell: w.Cell} }
 
-// named adds the worker's name to a log line, and its identifier, which the scheduler's log messages use.
-func (w *worker) named(line *zerolog.Event) *zerolog.Event {
+// addLogFields adds the worker's name to a log line, and its identifier, which the scheduler's log messages use.
+func (w *worker) addLogFields(line *zerolog.Event) *zerolog.Event {
 	return line.Str("worker", w.Name).Str("worker-id", strconv.FormatUint(uint64(w.id), 16))
 }
 
-// cancelUnsent cancels an attempt at the client that holds it, if no part of it was written, and reports whether it did.
+// cancelUnsent cancels an attempt at the client that holds it, if no part of it was written, and reports whether it
+// did.
 func (w *worker) cancelUnsent(attempt *requestAttempt) bool {
 	cancel := func(client WorkerClient) bool { return client.CancelUnsent(&attempt.Attempt) }
 	return cancel(w.client) || slices.ContainsFunc(w.previousClients, cancel)
 }
 
-// abandon stops waiting for an attempt at the client that holds it, and reports whether the worker may have received it.
+// abandon stops waiting for an attempt at the client that holds it, and reports whether the worker may have received
+// it.
 func (w *worker) abandon(attempt *requestAttempt) bool {
 	mayBeReceived := w.client.Abandon(&attempt.Attempt)
 	for _, client := range w.previousClients {
@@ -58,17 +60,17 @@
 	}
 	w.disconnected = false
 	uptime := time.Duration(welcome.UptimeMillis) * time.Millisecond
-	w.named(f.log.Debug()).Dur("uptime", uptime).Msg("worker connected")
+	w.addLogFields(f.log.Debug()).Dur("uptime", uptime).Msg("worker connected")
 	info, restarted := f.incarnations.ObserveConnection(now, id, welcome.Incarnation, uptime)
 	if restarted && w.state == scheduler.Ready {
-		w.named(f.log.Info()).Dur("uptime", uptime).Msg("worker restarted, as its handshake reports")
+		w.addLogFields(f.log.Info()).Dur("uptime", uptime).Msg("worker restarted, as its handshake reports")
 		f.scheduler.WorkersChanged(now, []scheduler.WorkerInfo{info}, false)
 	}
 	f.runDeferred()
 }
 
-// WorkerDisconnected records that there is no connection to a worker. It does not notify the scheduler, which learns of it
-// from the outcomes of attempts.
+// WorkerDisconnected records that there is no connection to a worker. It does not notify the scheduler, which learns
+// of it from the outcomes of attempts.
 func (f *FrontEnd) WorkerDisconnected(now time.Duration, id scheduler.WorkerID, cause error) {
 	f.now = now
 	w := f.workers[id]
@@ -76,5 +78,5 @@
 		return
 	}
 	w.disconnected = true
-	w.named(f.log.Warn()).Err(cause).Msg("worker disconnected")
+	w.addLogFields(f.log.Warn()).Err(cause).Msg("worker disconnected")
 }
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -49,6 +49,7 @@
 		t.Fatalf("%d health checks, %d unloads", len(worker.healthChecks), worker.unloads)
 	}
 	harness.HealthChecked(harness.clock, worker.healthChecks[0], scheduler.OK, nil)
-	harness.HealthChecked(harness.clock, worker.healthChecks[0], scheduler.OK, nil) // a second response to the same health check is ignored
+	// A second response to the same health check must be ignored.
+	harness.HealthChecked(harness.clock, worker.healthChecks[0], scheduler.OK, nil)
 	harness.endWith(request, scheduler.OK)
 }
