--- a/internal/gateway/endpoint_changes.go
+++ b/internal/gateway/endpoint_changes.go
@@ -18,7 +18,7 @@
 	maxPendingChanges = 1 << 13
 )
 
-// endpointChanges matches the changes of the endpoint list that the event loop has not handled yet. Discovery adds
+// endpointChanges holds the changes of the endpoint list that the event loop has not handled yet. Discovery adds
 // changes as they arrive, and the loop takes a bounded number in each pass, so that a deployment of many workers does
 // not become one long step of the loop. If a worker with a pending change changes again, only its latest state is
 // kept. Changes of workers that must not be sent new work are taken first.
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -25,22 +25,24 @@
 
 // The limits of a platform server other than those of its configuration.
 const (
-	platformRequestQueue       = 1024                   // requests waiting for the event loop; the rest are rejected
-	platformEventQueue         = 1024                   // events waiting for the event loop; worker clients then block
-	platformMaxInFlight        = 4096                   // requests in flight; the rest are rejected
-	platformDeadlineMargin     = 15 * time.Millisecond  // time between the final response and the client's timeout
-	platformMaxResponse        = 64 << 10               // maximum size of a worker's response in bytes
-	platformMaxQueuedBytes     = 256 << 10              // bytes of responses that a client has not read
-	platformWriteTimeout       = 2 * time.Second        // how long a client may stall while a response is written to it
-	platformMaxPerConnection   = 32                     // requests in flight per connection, by the platform's rules
-	platformAcceptGrace        = 700 * time.Millisecond // clients are accepted this long after a shutdown has begun
-	platformMaxShutdown        = 3 * time.Second        // limit of the shutdown time after the last accept
-	platformBacklogGrace       = 100 * time.Millisecond // further time for clients in the listener's backlog
-	platformNoticeAfterSilence = 4 * time.Second        // see endpointlease.Rules.Silence
-	platformNoticeAfterBreak   = 2 * time.Second        // see endpointlease.Rules.Break
-	platformLogInterval        = 5 * time.Second        // time between two log lines with the totals
-	memoryLimitFraction        = 0.7                    // fraction of the memory that the Go runtime may use
-	bodyMemoryFraction         = 0.25                   // fraction of the memory for the bodies of requests in flight
+	platformRequestQueue     = 1024                   // queued requests above which requests are rejected
+	platformEventQueue       = 1024                   // queued events above which worker clients stop reading
+	platformMaxInFlight      = 4096                   // requests in flight above which requests are rejected
+	platformDeadlineMargin   = 15 * time.Millisecond  // time between the final response and the client's timeout
+	platformMaxResponse      = 64 << 10               // maximum size of a worker's response in bytes
+	platformMaxQueuedBytes   = 256 << 10              // bytes of responses that a client has not read
+	platformWriteTimeout     = 2 * time.Second        // how long a client may stall while a response is written to it
+	platformMaxPerConnection = 32                     // requests in flight per connection, by the platform's rules
+	platformAcceptGrace      = 700 * time.Millisecond // clients are accepted this long after a shutdown has begun
+	platformMaxShutdown      = 3 * time.Second        // limit of the shutdown time after the last accept
+	platformBacklogGrace     = 100 * time.Millisecond // further time for clients in the listener's backlog
+	// The platform regards a front end as notified of a change of the endpoint list this long after the endpoint stream
+	// fell silent or broke off, even if the front end has not received the change.
+	platformNoticeAfterSilence = 4 * time.Second // time after the stream fell silent
+	platformNoticeAfterBreak   = 2 * time.Second // time after the stream broke off
+	platformLogInterval        = 5 * time.Second // time between two log lines with the totals
+	memoryLimitFraction        = 0.7             // fraction of the memory above which the GC works harder
+	bodyMemoryFraction         = 0.25            // fraction of the memory for the bodies of requests in flight
 	bytesPerMB                 = 1 << 20
 )
 
