--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -74,12 +74,12 @@
 	select {
 	case f := <-second.Response():
 		if f.Kind != Rejected || f.RetryAfter != 500*ms || f.Reason != tenancy.OverQuota.String() {
-			t.Errorf("%+v", f)
+			t.Errorf("response %+v, want a rejection over quota with a retry delay of 500 ms", f)
 		}
 	default:
 		t.Error("the second request in a second has no final response")
 	}
 	if c := harness.Counts(); c.Admitted != 1 || c.Shed != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want one request admitted and one shed", c)
 	}
 }
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -15,7 +15,7 @@
 	harness.endWith(request, scheduler.OK)
 	harness.wantResponse(request, Served)
 	if !harness.Idle() || harness.Counts().Served != 1 {
-		t.Errorf("%+v", harness.Counts())
+		t.Errorf("counts %+v, want one served request and nothing in flight", harness.Counts())
 	}
 }
 
@@ -28,7 +28,7 @@
 		harness.endWith(request, s)
 		harness.wantResponse(request, Failed)
 		if request.attempts != 1 {
-			t.Errorf("status %d: %d attempts", s, request.attempts)
+			t.Errorf("status %d: %d attempts, want 1", s, request.attempts)
 		}
 	}
 	for _, s := range []scheduler.Status{scheduler.ConnectFailed, scheduler.Overloaded, scheduler.NotLoaded, scheduler.NotSent} {
@@ -73,7 +73,7 @@
 	harness.endWith(first, scheduler.ConnectFailed)
 	harness.advance(100 * ms)
 	if next, _ := harness.sentAttempt(first); next == worker {
-		t.Error("sent to the same worker")
+		t.Error("the retry was sent to the same worker")
 	}
 }
 
@@ -111,7 +111,7 @@
 			harness.wantResponse(request, Failed) // the attempt may have executed
 		}
 		if n := harness.Counts().Attempts; n != 1 || !harness.Idle() {
-			t.Errorf("%d attempts, idle %v", n, harness.Idle())
+			t.Errorf("%d attempts, want 1; idle %v, want true", n, harness.Idle())
 		}
 	})
 }
--- a/internal/gateway/endpoint_steps_test.go
+++ b/internal/gateway/endpoint_steps_test.go
@@ -35,9 +35,9 @@
 // The loop calls observe whenever it opens a worker client, with the number of endpoint steps completed so far.
 func runWithChange(t *testing.T, changed []discovery.Worker, observe func(step uint64)) LoopSnapshot {
 	t.Helper()
-	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, ClockStart: time.Now()}
+	settings := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, ClockStart: time.Now()}
 	source := changedEndpoints{changed, make(chan struct{})}
-	loop := NewEventLoop(EventLoopConfig{Settings: set, Source: source, RequestQueue: 1, EventQueue: 64, ShutdownTimeout: time.Second}, zerolog.Nop())
+	loop := NewEventLoop(EventLoopConfig{Settings: settings, Source: source, RequestQueue: 1, EventQueue: 64, ShutdownTimeout: time.Second}, zerolog.Nop())
 	loop.newTestClient = func(loop *EventLoop) WorkerClient {
 		observe(loop.times.byStep[stepEndpoints].Steps)
 		return &fakeWorkerClient{}
@@ -58,8 +58,8 @@
 	return snapshot
 }
 
-// A deployment that changes thousands of workers must be handled in several steps, so that requests, responses and
-// timers are handled in between.
+// TestEndpointsUpdated_ThousandsOfChanges_StepsAreBounded checks that a deployment that changes thousands of workers is
+// handled in several steps, so that requests, responses and timers are handled in between.
 func TestEndpointsUpdated_ThousandsOfChanges_StepsAreBounded(t *testing.T) {
 	const workers = 3000
 	var changed []discovery.Worker
@@ -78,7 +78,8 @@
 	}
 }
 
-// Changes of workers that must not be sent new work are taken first, however many other changes are pending.
+// TestEndpointChanges_NotReadyComeFirst checks that the changes of workers that must not be sent new work are taken
+// first, however many other changes are pending.
 func TestEndpointChanges_NotReadyComeFirst(t *testing.T) {
 	changes := newEndpointChanges(endpointlease.Lease{})
 	var many []discovery.Worker
@@ -102,8 +103,8 @@
 	}
 }
 
-// Applying the taken changes in order yields the latest state of each worker, even if workers change while others are
-// pending.
+// TestEndpointChanges_AnyChanges_LastStateCounts checks that applying the taken changes in order yields the latest
+// state of each worker, even if workers change while others are pending.
 func TestEndpointChanges_AnyChanges_LastStateCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		changes := newEndpointChanges(endpointlease.Lease{})
@@ -141,7 +142,8 @@
 	})
 }
 
-// The lease is extended only by the step that handles the last of the changes that were reported before the lease.
+// TestEndpointChanges_MoreThanOneStep_LeaseIsExtendedByLastStep checks that the lease is extended only by the step that
+// handles the last of the changes that were reported before the lease.
 func TestEndpointChanges_MoreThanOneStep_LeaseIsExtendedByLastStep(t *testing.T) {
 	rules := endpointlease.Rules{Silence: time.Second}
 	changes := newEndpointChanges(endpointlease.New(rules, 0))
@@ -178,7 +180,8 @@
 	s.Scheduler.TimerFired(now, token)
 }
 
-// A pending drain must be handled before a timer that is due, because the timer may send new work.
+// TestBeginPass_DrainAndTimerDue_DrainFirst checks that a pending drain is handled before a timer that is due,
+// because the timer may send new work.
 func TestBeginPass_DrainAndTimerDue_DrainFirst(t *testing.T) {
 	loop := newIdleLoop(4)
 	var calls []string
--- a/internal/gateway/event_loop_test.go
+++ b/internal/gateway/event_loop_test.go
@@ -20,7 +20,7 @@
 	select {
 	case response := <-request.Response():
 		if response.Kind != Rejected {
-			t.Errorf("%+v", response)
+			t.Errorf("response %+v, want a rejection", response)
 		}
 	default:
 		t.Error("no response: the request is neither queued nor rejected")
@@ -44,19 +44,20 @@
 	select {
 	case response := <-rejected.Response():
 		if response.Kind != Rejected || response.RetryAfter == 0 {
-			t.Errorf("%+v", response)
+			t.Errorf("response %+v, want a rejection with a retry delay", response)
 		}
 	default:
-		t.Error("no response at once")
+		t.Error("the request was not rejected immediately")
 	}
 	close(unblock)
 	<-admitted.Response()
 	if c := loop.Counts(); c.Shed != 1 || c.Admitted != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want one request shed and one admitted", c)
 	}
 }
 
-// The loop stalls while a request waits to be read, and the request is the first thing that it handles afterwards.
+// TestReceive_FirstAfterStall_CountsFromStallStart checks a request that waited to be read while the loop stalled,
+// and that is the first thing that the loop handles afterwards.
 func TestReceive_FirstAfterStall_CountsFromStallStart(t *testing.T) {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now().Add(-time.Hour)}}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1}, loop, zerolog.Nop())
@@ -69,8 +70,8 @@
 	}
 }
 
-// A request is read some time after a stall, because there was much to read, on a connection that had not been read
-// since.
+// TestReceive_ReadSomeTimeAfterStall_CountsFromStallStart checks a request that is read some time after a stall,
+// because there was much to read, on a connection that had not been read since before the stall.
 func TestReceive_ReadSomeTimeAfterStall_CountsFromStallStart(t *testing.T) {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now().Add(-time.Hour)}}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1}, loop, zerolog.Nop())
@@ -95,7 +96,8 @@
 	return loop
 }
 
-// A response that is received while the loop handles a slow event must be handled before timers.
+// TestDrainEvents_EventReceivedMeanwhile_IsHandled checks that a response that is received while the loop handles a
+// slow event is handled before timers.
 func TestDrainEvents_EventReceivedMeanwhile_IsHandled(t *testing.T) {
 	loop := newIdleLoop(4)
 	handled := false
@@ -108,7 +110,7 @@
 	}
 }
 
-// An endless sequence of events must not keep timers from firing.
+// TestDrainEvents_EndlessEvents_Returns checks that an endless sequence of events does not keep timers from firing.
 func TestDrainEvents_EndlessEvents_Returns(t *testing.T) {
 	loop := newIdleLoop(4)
 	handled := 0
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -69,7 +69,8 @@
 	})
 }
 
-// A final response that the FrontEnd gives before it is notified of the expiry must not be delivered.
+// TestExpiry_ResponseAfterwards_IsNotDelivered checks that a final response that the FrontEnd gives after the expiry,
+// but before it is notified of it, is not delivered.
 func TestExpiry_ResponseAfterwards_IsNotDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		loop := newStalledLoop()
@@ -83,7 +84,7 @@
 			t.Error("a second final response was delivered")
 		}
 		if counts := loop.counts(); counts.Served != 0 || counts.Failed != 1 || !loop.frontEnd.Idle() {
-			t.Errorf("%+v, idle %v", counts, loop.frontEnd.Idle())
+			t.Errorf("counts %+v, want one failed and no served request; idle %v, want true", counts, loop.frontEnd.Idle())
 		}
 	})
 }
@@ -120,7 +121,7 @@
 		})
 		ends.Wait()
 		if n := delivered.Load(); n != 1 {
-			t.Fatalf("%d final responses", n)
+			t.Fatalf("%d final responses were delivered, want 1", n)
 		}
 	}
 }
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -149,11 +149,11 @@
 func newSimulation(t *testing.T, of [2]int) *simulation {
 	sim := &simulation{classes: of, sentByRequest: map[string][]sentRecord{}}
 	sim.testHarness = &testHarness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
-	set := Settings{
+	settings := Settings{
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0),
 	}
-	sim.FrontEnd = NewFrontEnd(sim.clock, set, sim, zerolog.Nop())
+	sim.FrontEnd = NewFrontEnd(sim.clock, settings, sim, zerolog.Nop())
 	sim.listWorkers(2, nil)
 	return sim
 }
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -8,8 +8,8 @@
 	"havencart/scheduler"
 )
 
-// The second attempt of a request that may have executed waits for a connection. Workers retain the idempotency key for
-// one second, after which the attempt must not be sent.
+// TestRetry_UnsentWhenKeyExpires_FailsAtOnce checks a request that may have executed and whose second attempt waits
+// for a connection. Workers retain the idempotency key for one second, after which the attempt must not be sent.
 func TestRetry_UnsentWhenKeyExpires_FailsAtOnce(t *testing.T) {
 	harness := newHarness(t, 4, nil)
 	request := harness.submit(keyedClass)
@@ -33,7 +33,8 @@
 	harness.wantResponse(request, Failed)
 }
 
-// An attempt that was written before the key expires does not end with the key: its response counts until the deadline.
+// TestRetry_SentBeforeKeyExpires_ResponseCountsAfterwards checks that an attempt that was written before the key
+// expires does not end with the key: its response counts until the deadline.
 func TestRetry_SentBeforeKeyExpires_ResponseCountsAfterwards(t *testing.T) {
 	harness := newHarness(t, 4, nil)
 	request := harness.submit(keyedClass)
@@ -43,7 +44,7 @@
 	harness.endWith(request, scheduler.OK)
 	harness.wantResponse(request, Served)
 	if total := harness.Counts().Violations.Total(); total != 0 {
-		t.Errorf("%d violations", total)
+		t.Errorf("%d violations, want none", total)
 	}
 }
 
@@ -98,7 +99,8 @@
 	}
 }
 
-// Workers w0 and w2 are in one cell, w1 and w3 in another.
+// TestGuard_ForbiddenSend_IsCountedAndNotSent checks sends that the execution rules forbid. Workers w0 and w2 are in
+// one cell, w1 and w3 in another.
 func TestGuard_ForbiddenSend_IsCountedAndNotSent(t *testing.T) {
 	cases := map[string]struct {
 		class   int
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -137,14 +137,14 @@
 
 func newHarness(t *testing.T, workers int, change func(*Settings)) *testHarness {
 	harness := &testHarness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
-	set := Settings{
+	settings := Settings{
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0),
 	}
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	harness.FrontEnd = NewFrontEnd(harness.clock, set, harness, zerolog.Nop())
+	harness.FrontEnd = NewFrontEnd(harness.clock, settings, harness, zerolog.Nop())
 	harness.listWorkers(workers, nil)
 	return harness
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -51,12 +51,12 @@
 
 // startLoop runs an event loop with workers that respond immediately. It returns the loop and a function that ends it.
 func startLoop(workers int) (*EventLoop, func()) {
-	set := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1 << 20, ClockStart: time.Now()}
+	settings := Settings{Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1 << 20, ClockStart: time.Now()}
 	var list fixedEndpoints
 	for i := range workers {
 		list = append(list, discovery.Worker{Name: fmt.Sprint("w", i), Address: fmt.Sprint("h:", i+1), Scale: 1, State: scheduler.Ready})
 	}
-	loop := NewEventLoop(EventLoopConfig{Settings: set, Source: list, RequestQueue: 1 << 20, EventQueue: 1 << 14, ShutdownTimeout: time.Second}, zerolog.Nop())
+	loop := NewEventLoop(EventLoopConfig{Settings: settings, Source: list, RequestQueue: 1 << 20, EventQueue: 1 << 14, ShutdownTimeout: time.Second}, zerolog.Nop())
 	var mu sync.Mutex
 	var clients []*instantWorker
 	var tasks sync.WaitGroup
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -16,12 +16,12 @@
 
 // newLeaseHarness returns a harness whose endpoint list was last confirmed at its start.
 func newLeaseHarness(t *testing.T, workers int, change func(*Settings)) *testHarness {
-	harness := newHarness(t, workers, func(set *Settings) {
-		set.EndpointRules = leaseRules
-		set.Scheduler.HealthChecksAllowed = true
-		set.Scheduler.ConnectTimeout = 250 * ms
+	harness := newHarness(t, workers, func(settings *Settings) {
+		settings.EndpointRules = leaseRules
+		settings.Scheduler.HealthChecksAllowed = true
+		settings.Scheduler.ConnectTimeout = 250 * ms
 		if change != nil {
-			change(set)
+			change(settings)
 		}
 	})
 	harness.confirmList()
@@ -111,8 +111,9 @@
 	harness.wantResponse(another, Served)
 }
 
-// A worker that responds to a health check that it is draining is sent no new work until the endpoint list is
-// confirmed. The request is sent to another worker.
+// TestSend_WorkerReportsDraining_IsAvoidedUntilListIsConfirmed checks that a worker that responds to a health check
+// that it is draining is sent no new work until the endpoint list is confirmed. The request is sent to another
+// worker.
 func TestSend_WorkerReportsDraining_IsAvoidedUntilListIsConfirmed(t *testing.T) {
 	harness := newLeaseHarness(t, 2, nil)
 	harness.endLease()
@@ -158,7 +159,8 @@
 	}
 }
 
-// A worker that accepts work confirms thereby that it accepts new work, so no health check is needed.
+// TestSend_WorkerAcceptedRecently_NoHealthCheck checks that a worker that has recently accepted new work needs no
+// health check.
 func TestSend_WorkerAcceptedRecently_NoHealthCheck(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endLease()
@@ -176,10 +178,10 @@
 	harness.onlyChecked()
 }
 
-// If health checks are not allowed and the endpoint list is not confirmed, nothing is sent and the request is rejected
-// immediately.
+// TestSend_HealthChecksNotAllowed_IsRejected checks that, if health checks are not allowed and the endpoint list is not
+// confirmed, nothing is sent and the request is rejected immediately.
 func TestSend_HealthChecksNotAllowed_IsRejected(t *testing.T) {
-	harness := newLeaseHarness(t, 2, func(set *Settings) { set.Scheduler.HealthChecksAllowed = false })
+	harness := newLeaseHarness(t, 2, func(settings *Settings) { settings.Scheduler.HealthChecksAllowed = false })
 	harness.endLease()
 	request := harness.submit(idempotentClass)
 	harness.wantResponse(request, Rejected)
@@ -188,12 +190,12 @@
 	}
 }
 
-// A process that starts while discovery is unreachable does not know what has changed since its configuration was
-// written.
+// TestSend_ListNeverConfirmed_HealthCheckIsSent checks a process that starts while discovery is unreachable. It does
+// not know what has changed since its configuration was written.
 func TestSend_ListNeverConfirmed_HealthCheckIsSent(t *testing.T) {
-	harness := newHarness(t, 1, func(set *Settings) {
-		set.EndpointRules = leaseRules
-		set.Scheduler.HealthChecksAllowed = true
+	harness := newHarness(t, 1, func(settings *Settings) {
+		settings.EndpointRules = leaseRules
+		settings.Scheduler.HealthChecksAllowed = true
 	})
 	harness.advance(300 * ms)
 	harness.submit(idempotentClass)
@@ -220,7 +222,8 @@
 	}
 }
 
-// The endpoint list changes the worker's state to draining while the response to the health check is awaited.
+// TestAwaitingAttempt_ListChanges_IsNotSentThere checks an endpoint list that changes the worker's state to draining
+// while the response to the health check is awaited.
 func TestAwaitingAttempt_ListChanges_IsNotSentThere(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endLease()
@@ -236,7 +239,8 @@
 	harness.wantResponse(request, Rejected)
 }
 
-// A load order is held like an attempt. A residency query is not, because it does not start any work.
+// TestLoad_ListNotConfirmed_OnlyQueriesAreSent checks that a load order is held like an attempt. A residency query is
+// not held, because it does not start any work.
 func TestLoad_ListNotConfirmed_OnlyQueriesAreSent(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endWith(harness.submit(idempotentClass), scheduler.OK)
@@ -246,18 +250,19 @@
 	harness.Load(id, FunctionID("f"), 0)
 	harness.Load(id, FunctionID("f"), 1)
 	if len(worker.orders) != 1 || worker.orders[0].Load.Replicas != 0 {
-		t.Fatalf("%d orders were sent, want the query", len(worker.orders))
+		t.Fatalf("%d orders were sent, want only the residency query", len(worker.orders))
 	}
 	harness.respondToHealthCheck(worker, scheduler.OK)
 	if len(worker.orders) != 2 || worker.orders[1].ConfirmedUntil <= harness.clock {
-		t.Errorf("%d orders were sent after the worker was healthy", len(worker.orders))
+		t.Errorf("%d orders were sent after the worker was healthy, want 2, the second one confirmed by the worker", len(worker.orders))
 	}
 }
 
-// Worker clients apply the same lease: an attempt that waits for a connection when the lease ends is not sent.
+// TestEndpointLeaseChanged_GuardIsUpdated checks that worker clients apply the same lease: an attempt that waits for a
+// connection when the lease ends is not sent.
 func TestEndpointLeaseChanged_GuardIsUpdated(t *testing.T) {
 	guard := &workerconn.Guard{}
-	harness := newLeaseHarness(t, 1, func(set *Settings) { set.Guard = guard })
+	harness := newLeaseHarness(t, 1, func(settings *Settings) { settings.Guard = guard })
 	queue, batch := workerconn.NewSendQueue[string](), workerconn.WriteBatch[string]{}
 	encode := func(buffer []byte, _ workerconn.QueueItem[string]) ([]byte, error) { return append(buffer, 'x'), nil }
 	until := harness.lease.Until()
@@ -275,8 +280,9 @@
 	}
 }
 
-// While discovery is unreachable, a worker may restart without a report. A worker that is reachable only on a new
-// connection is sent no more requests than one that has just started.
+// TestSend_WorkerMayHaveRestarted_IsInSlowStart guards against overloading a worker that restarted without a report
+// while discovery was unreachable. A worker that is reachable only on a new connection is sent no more requests than
+// one that has just started.
 func TestSend_WorkerMayHaveRestarted_IsInSlowStart(t *testing.T) {
 	const submitted, sentWarm, sentCold = 30, 12, 4
 	for name, c := range map[string]struct {
@@ -287,9 +293,9 @@
 		"on a new connection":        {4500 * ms, sentCold},
 	} {
 		t.Run(name, func(t *testing.T) {
-			harness := newLeaseHarness(t, 1, func(set *Settings) {
-				set.Scheduler.SlowStartFraction, set.Scheduler.SlowStartDuration = 0.2, 20*time.Second
-				set.Scheduler.OverloadFactor, set.Scheduler.OverloadWindow = 2, 2*time.Second
+			harness := newLeaseHarness(t, 1, func(settings *Settings) {
+				settings.Scheduler.SlowStartFraction, settings.Scheduler.SlowStartDuration = 0.2, 20*time.Second
+				settings.Scheduler.OverloadFactor, settings.Scheduler.OverloadWindow = 2, 2*time.Second
 			})
 			confirmedAt := harness.clock
 			harness.endLease()
@@ -316,7 +322,8 @@
 	}
 }
 
-// A worker that reported itself as draining is checked again after a delay, and is sent no work before it is healthy.
+// TestSend_WorkerReportedDraining_IsCheckedAgain checks that a worker that reported itself as draining is checked again
+// after a delay, and is sent no work before it is healthy.
 func TestSend_WorkerReportedDraining_IsCheckedAgain(t *testing.T) {
 	harness := newLeaseHarness(t, 1, nil)
 	harness.endLease()
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -84,8 +84,8 @@
 	return r
 }
 
-// NewRequestWithCallback returns a request whose final response is passed to deliver. deliver is called at most once: by
-// the goroutine that submits the request, by the event loop while it handles an event, or by the goroutine of the
+// NewRequestWithCallback returns a request whose final response is passed to deliver. deliver is called at most once:
+// by the goroutine that submits the request, by the event loop while it handles an event, or by the goroutine of the
 // expiry timer. It must not block and must not call the FrontEnd.
 func NewRequestWithCallback(deliver func(FinalResponse)) *Request { return &Request{deliver: deliver} }
 
--- a/internal/gateway/service_settings_test.go
+++ b/internal/gateway/service_settings_test.go
@@ -15,12 +15,12 @@
 func TestTenancySettings_QuotaAndShares_DividedByFrontEnds(t *testing.T) {
 	text := "directory file /nowhere\nfront-ends 4\nclass a\nend\ntenant t\n  share 0.7\n  quota 100\nend\ntenant u\n  share 0.3\nend\n"
 	for add, by := range map[string]tenancy.ShareBasis{"": tenancy.NotEnforced, "shares work\n": tenancy.ByWork, "shares calls\n": tenancy.ByRequestCount} {
-		set, err := gatewayconfig.Parse("f", add+text)
+		settings, err := gatewayconfig.Parse("f", add+text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := tenancy.Settings{Shares: []float64{0.7, 0.3}, Quotas: []float64{25, 0}, Basis: by}
-		if got := SettingsFromConfig(set, 0, time.Time{}, 3).Tenancy; !reflect.DeepEqual(got, want) {
+		if got := SettingsFromConfig(settings, 0, time.Time{}, 3).Tenancy; !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %+v, want %+v", add, got, want)
 		}
 	}
@@ -28,11 +28,11 @@
 
 // TestFrontEndSettings_Defaults_Unchanged checks the scheduler's settings if the settings file does not set them.
 func TestFrontEndSettings_Defaults_Unchanged(t *testing.T) {
-	set, err := gatewayconfig.Parse("f", "directory file /nowhere\nclass a\nend\n")
+	settings, err := gatewayconfig.Parse("f", "directory file /nowhere\nclass a\nend\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := SettingsFromConfig(set, 0, time.Time{}, 3)
+	got := SettingsFromConfig(settings, 0, time.Time{}, 3)
 	want := scheduler.Settings{
 		Seed: 3, FrontEndCount: 1, LoadOrdersAllowed: true, ReportsColdStart: true, ReportsQueueDepth: true, ReplicaIdleTimeout: 10 * time.Second,
 		LoadOrderTimeout: 10 * time.Second, LoadRateBurst: 4, LoadRatePerRequest: 0.1, HealthChecksAllowed: true, CancelAllowed: true, MaxAttempts: 5,
@@ -49,11 +49,11 @@
 }
 
 func TestFrontEndSettings_ShadowBlock_ReachesScheduler(t *testing.T) {
-	set, err := gatewayconfig.Parse("f", "directory file /nowhere\nprobes off\nretry-after off\nweights nominal\nclass a\nend\nwatch w\n  probes on\n  weights live\nend\n")
+	settings, err := gatewayconfig.Parse("f", "directory file /nowhere\nprobes off\nretry-after off\nweights nominal\nclass a\nend\nwatch w\n  probes on\n  weights live\nend\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := SettingsFromConfig(set, 0, time.Time{}, 3)
+	got := SettingsFromConfig(settings, 0, time.Time{}, 3)
 	if got.Scheduler.HealthChecksAllowed || !got.Scheduler.ScaleIsCapacity || got.Scheduler.MaxRetryAfter != 0 || got.Shadow == nil || got.Shadow.Scheduler.ScaleIsCapacity ||
 		!got.Shadow.Scheduler.HealthChecksAllowed ||
 		got.Shadow.Scheduler.MaxRetryAfter != 0 || got.Shadow.SampleInterval != 1 {
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -16,7 +16,7 @@
 	harness.endWith(request, scheduler.OK)
 	harness.WorkerConnected(harness.clock, id, muxframe.Welcome{Worker: "w0", Incarnation: 2, UptimeMillis: 5})
 	if info, restarted := harness.incarnations.ObserveConnection(harness.clock, id, 2, 5*ms); restarted || info.Started < harness.clock-10*ms {
-		t.Errorf("started %v, restarted %t", info.Started, restarted)
+		t.Errorf("started at %v, restarted %t; want a recent start and no further restart", info.Started, restarted)
 	}
 }
 
@@ -46,7 +46,7 @@
 	harness.CheckHealth(id)
 	harness.Unload(id, FunctionID("f"))
 	if len(worker.healthChecks) != 1 || worker.unloads != 1 || harness.Counts().HealthChecks != 1 {
-		t.Fatalf("%d health checks, %d unloads", len(worker.healthChecks), worker.unloads)
+		t.Fatalf("%d health checks and %d unloads were sent, want one each", len(worker.healthChecks), worker.unloads)
 	}
 	harness.HealthChecked(harness.clock, worker.healthChecks[0], scheduler.OK, nil)
 	// A second response to the same health check must be ignored.
