--- a/internal/gateway/event_loop_test.go
+++ b/internal/gateway/event_loop_test.go
@@ -20,19 +20,20 @@
 	select {
 	case response := <-request.Response():
 		if response.Kind != Rejected {
-			t.Errorf("%+v", response)
+			t.Errorf("response %+v, want a rejection", response)
 		}
 	default:
 		t.Error("no response: the request is neither queued nor rejected")
 	}
 }
 
-// TestSubmit_OverQueueLimit_RejectedAndCounted holds without the event loop's goroutine.
+// TestSubmit_OverQueueLimit_RejectedAndCounted checks that requests are rejected while the event loop's goroutine is
+// blocked.
 func TestSubmit_OverQueueLimit_RejectedAndCounted(t *testing.T) {
 	loop, stop := startLoop(1)
 	defer stop()
 	blocked, unblock := make(chan struct{}), make(chan struct{})
-	loop.post(stepOther, func(time.Duration) { close(blocked); <-unblock }) // the loop handles nothing meanwhile
+	loop.post(stepOther, func(time.Duration) { close(blocked); <-unblock }) // blocks the loop
 	<-blocked
 	loop.gate.setLimit(1)
 	admitted := NewRequest()
@@ -43,20 +44,21 @@
 	select {
 	case response := <-rejected.Response():
 		if response.Kind != Rejected || response.RetryAfter == 0 {
-			t.Errorf("%+v", response)
+			t.Errorf("response %+v, want a rejection with a retry delay", response)
 		}
 	default:
-		t.Error("no response at once")
+		t.Error("the request was not rejected immediately")
 	}
 	close(unblock)
 	<-admitted.Response()
 	if c := loop.Counts(); c.Shed != 1 || c.Admitted != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want one request shed and one admitted", c)
 	}
 }
 
-// The loop stalls while a request waits to be read, and the request is the first that it sees afterwards.
-func TestReceive_FirstAfterStall_CountsFromItsBegin(t *testing.T) {
+// TestReceive_FirstAfterStall_CountsFromStallStart checks a request that waited to be read while the loop stalled,
+// and that is the first thing that the loop handles afterwards.
+func TestReceive_FirstAfterStall_CountsFromStallStart(t *testing.T) {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now().Add(-time.Hour)}}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1}, loop, zerolog.Nop())
 	loop.renewLease(loop.Now() - time.Second)
@@ -68,13 +70,14 @@
 	}
 }
 
-// A request that is read a while after a stall, as there was much to read, on a connection that was not read since.
-func TestReceive_ReadWhileAfterStall_CountsFromItsBegin(t *testing.T) {
+// TestReceive_ReadSomeTimeAfterStall_CountsFromStallStart checks a request that is read some time after a stall,
+// because there was much to read, on a connection that had not been read since before the stall.
+func TestReceive_ReadSomeTimeAfterStall_CountsFromStallStart(t *testing.T) {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now().Add(-time.Hour)}}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 1}, loop, zerolog.Nop())
 	now := loop.Now()
 	for pass := now - 1500*time.Millisecond; pass < now; pass += 20 * time.Millisecond {
-		if pass < now-1400*time.Millisecond || pass > now-400*time.Millisecond { // it stands still in between
+		if pass < now-1400*time.Millisecond || pass > now-400*time.Millisecond { // the loop stalls in between
 			loop.renewLease(pass)
 		}
 	}
@@ -86,14 +89,15 @@
 	}
 }
 
-// newIdleLoop returns an event loop that the test runs by hand.
+// newIdleLoop returns an event loop without a goroutine: the test calls its methods.
 func newIdleLoop(events int) *EventLoop {
 	loop := NewEventLoop(EventLoopConfig{Settings: Settings{ClockStart: time.Now()}, EventQueue: events}, zerolog.Nop())
 	loop.frontEnd = NewFrontEnd(loop.Now(), Settings{Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}}, loop, zerolog.Nop())
 	return loop
 }
 
-// A response that is received while the loop handles an event, as one that stalls, comes before timers.
+// TestDrainEvents_EventReceivedMeanwhile_IsHandled checks that a response that is received while the loop handles a
+// slow event is handled before timers.
 func TestDrainEvents_EventReceivedMeanwhile_IsHandled(t *testing.T) {
 	loop := newIdleLoop(4)
 	handled := false
@@ -102,12 +106,12 @@
 	})
 	loop.drainEvents()
 	if !handled {
-		t.Error("an event that was received while another one was handled waits for the timers")
+		t.Error("an event that was received while another was handled was not handled before the timers")
 	}
 }
 
-// Events without end do not keep timers from firing.
-func TestDrainEvents_EventsWithoutEnd_Returns(t *testing.T) {
+// TestDrainEvents_EndlessEvents_Returns checks that an endless sequence of events does not keep timers from firing.
+func TestDrainEvents_EndlessEvents_Returns(t *testing.T) {
 	loop := newIdleLoop(4)
 	handled := 0
 	var again func(time.Duration)
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -12,8 +12,8 @@
 
 const expiryTimeout = time.Second
 
-// newStuckLoop returns an event loop that handles nothing but what the test calls.
-func newStuckLoop() *EventLoop {
+// newStalledLoop returns an event loop without a goroutine, which handles only what the test passes to it.
+func newStalledLoop() *EventLoop {
 	settings := Settings{
 		Scheduler: testScheduler(), Classes: []string{"safe", "keyed", "unsafe"}, MaxInFlight: 8, ClockStart: time.Now(),
 		DeadlineMargin: 8 * time.Millisecond,
@@ -23,14 +23,15 @@
 	return loop
 }
 
-func submitToStuckLoop(loop *EventLoop) *Request {
+func submitToStalledLoop(loop *EventLoop) *Request {
 	request := NewRequest()
 	request.StartedAt, request.Timeout, request.Replica.Function = loop.Now(), expiryTimeout, "f"
 	loop.Submit(request)
 	return request
 }
 
-// expectResponse waits for the final response and reports one of another kind, or one after the client's timeout.
+// expectResponse waits for the final response and checks that it is of the given kind and precedes the client's
+// timeout.
 func expectResponse(t *testing.T, loop *EventLoop, request *Request, kind ResponseKind) {
 	t.Helper()
 	response := <-request.Response()
@@ -39,25 +40,25 @@
 	}
 }
 
-func TestExpiry_LoopNeverSeesRequest_IsRejectedInTime(t *testing.T) {
+func TestExpiry_LoopNeverReceivesRequest_IsRejectedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := newStuckLoop()
-		request := submitToStuckLoop(loop)
+		loop := newStalledLoop()
+		request := submitToStalledLoop(loop)
 		expectResponse(t, loop, request, Rejected)
 		loop.receive(<-loop.requests)
 		if counts := loop.counts(); counts.Admitted != 0 || counts.Expired != 1 || request.state != requestCompleted {
-			t.Errorf("after it expired it was received: state %d, %+v", request.state, counts)
+			t.Errorf("the request was received after it expired: state %d, %+v", request.state, counts)
 		}
 	})
 }
 
-func TestExpiry_LoopStandsStillWithRequest_FailsInTimeAndEndsWork(t *testing.T) {
+func TestExpiry_LoopStallsWithRequest_FailsInTimeAndEndsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := newStuckLoop()
-		request := submitToStuckLoop(loop)
+		loop := newStalledLoop()
+		request := submitToStalledLoop(loop)
 		loop.receive(<-loop.requests)
 		if loop.frontEnd.InFlight() != 1 {
-			t.Fatal("not admitted")
+			t.Fatal("the request was not admitted")
 		}
 		expectResponse(t, loop, request, Failed)
 		synctest.Wait()
@@ -68,11 +69,12 @@
 	})
 }
 
-// What the FrontEnd decides for a request that has expired, and before it knows, reaches nobody.
+// TestExpiry_ResponseAfterwards_IsNotDelivered checks that a final response that the FrontEnd gives after the expiry,
+// but before it is notified of it, is not delivered.
 func TestExpiry_ResponseAfterwards_IsNotDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := newStuckLoop()
-		request := submitToStuckLoop(loop)
+		loop := newStalledLoop()
+		request := submitToStalledLoop(loop)
 		loop.receive(<-loop.requests)
 		expectResponse(t, loop, request, Failed)
 		loop.frontEnd.respond(request, FinalResponse{Kind: Served})
@@ -82,26 +84,26 @@
 			t.Error("a second final response was delivered")
 		}
 		if counts := loop.counts(); counts.Served != 0 || counts.Failed != 1 || !loop.frontEnd.Idle() {
-			t.Errorf("%+v, idle %v", counts, loop.frontEnd.Idle())
+			t.Errorf("counts %+v, want one failed and no served request; idle %v, want true", counts, loop.frontEnd.Idle())
 		}
 	})
 }
 
 func TestExpiry_ResponseInTime_NothingExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := newStuckLoop()
-		request := submitToStuckLoop(loop)
+		loop := newStalledLoop()
+		request := submitToStalledLoop(loop)
 		loop.receive(<-loop.requests)
 		loop.frontEnd.respond(request, FinalResponse{Kind: Served})
 		expectResponse(t, loop, request, Served)
 		time.Sleep(2 * expiryTimeout)
 		if len(request.Response()) > 0 || loop.counts().Expired != 0 {
-			t.Errorf("a request that was answered expired: %+v", loop.counts())
+			t.Errorf("a request expired after its final response: %+v", loop.counts())
 		}
 	})
 }
 
-// TestDelivery_OwnerAndExpiryAtOnce_OneDelivers is for the race detector.
+// TestDelivery_OwnerAndExpiryAtOnce_OneDelivers is meant to be run with the race detector.
 func TestDelivery_OwnerAndExpiryAtOnce_OneDelivers(t *testing.T) {
 	for range 2000 {
 		var state delivery
@@ -119,7 +121,7 @@
 		})
 		ends.Wait()
 		if n := delivered.Load(); n != 1 {
-			t.Fatalf("%d final responses", n)
+			t.Fatalf("%d final responses were delivered, want 1", n)
 		}
 	}
 }
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -13,11 +13,12 @@
 	"havencart/scheduler"
 )
 
-// This file explores the life of requests exhaustively in a small scope: every order of the events of two requests
-// on two workers, with the real FrontEnd and the real scheduler, up to a depth. What worker clients and clients see is
-// checked against the invariants at each step and at the end.
+// This file is an exhaustive model check in a small scope: it runs every order, up to a depth, of the events of two
+// requests on two workers, with the real FrontEnd and the real scheduler. At each step and at the end it checks the
+// invariants on what worker clients and clients observe.
 
-// simulation is one order of events: a FrontEnd, and what worker clients and clients saw.
+// simulation runs one order of events. It consists of a FrontEnd and a record of what worker clients and clients
+// observed.
 type simulation struct {
 	*testHarness
 	classes       [2]int
@@ -26,23 +27,23 @@
 	kinds         [2]ResponseKind
 	received      int
 	disconnected  [2]bool
-	abandoned     []*workerconn.Attempt // given up here after they were sent
+	abandoned     []*workerconn.Attempt // attempts that the FrontEnd abandoned after they were sent
 	draining      bool
 	sentByRequest map[string][]sentRecord
 	path          []string
 	violation     string
 }
 
-// sentRecord is one attempt as a worker could know of it.
+// sentRecord records an attempt that was passed to a worker client.
 type sentRecord struct {
 	attempt       *workerconn.Attempt
 	cell          int
 	sentAt        time.Duration
-	neverExecuted bool // it is known not to have executed
+	neverExecuted bool // whether the FrontEnd knows that the attempt did not execute
 	written       bool
 }
 
-// recordingClient is a worker client that notes each attempt and keeps it in the write buffer until a step writes it.
+// recordingClient is a worker client that records each attempt and keeps it in the write buffer until a step writes it.
 type recordingClient struct {
 	*fakeWorkerClient
 	simulation *simulation
@@ -54,13 +55,13 @@
 }
 
 func (s recordingClient) Abandon(attempt *workerconn.Attempt) bool {
-	left := s.fakeWorkerClient.Abandon(attempt)
-	if left {
+	mayBeReceived := s.fakeWorkerClient.Abandon(attempt)
+	if mayBeReceived {
 		s.simulation.abandoned = append(s.simulation.abandoned, attempt)
 	} else {
 		s.simulation.record(attempt).neverExecuted = true
 	}
-	return left
+	return mayBeReceived
 }
 
 func (s recordingClient) Drain(d time.Duration) ([]*workerconn.Attempt, []*workerconn.LoadOrder) {
@@ -84,25 +85,26 @@
 			return &list[i]
 		}
 	}
-	panic("an attempt that was never handed over")
+	panic("attempt was never passed to a worker client")
 }
 
-func (sim *simulation) violated(format string, args ...any) {
+func (sim *simulation) reportViolation(format string, args ...any) {
 	if sim.violation == "" {
 		sim.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// checkSend checks invariants 2 and 3 when an attempt is handed to a worker client.
+// checkSend checks, when an attempt is passed to a worker client, that the request may still be sent to that worker and
+// that a retry is permitted for its class (invariants 2 and 3).
 func (sim *simulation) checkSend(worker *fakeWorkerClient, attempt *workerconn.Attempt) {
 	id := attempt.Request.ID
 	index := int(id[0] - '0')
 	cell := int(worker.name[1]-'0') % 2
 	if sim.responses[index] > 0 || sim.disconnected[index] {
-		sim.violated("request %d is sent after its final state", index)
+		sim.reportViolation("request %d was sent after its final state", index)
 	}
 	if worker.drained {
-		sim.violated("request %d is sent to a worker that drains", index)
+		sim.reportViolation("request %d was sent to a draining worker", index)
 	}
 	for _, earlier := range sim.sentByRequest[id] {
 		if earlier.neverExecuted {
@@ -110,35 +112,36 @@
 		}
 		switch sim.classes[index] {
 		case nonIdempotentClass:
-			sim.violated("non-idempotent request %d is retried, and may have executed", index)
+			sim.reportViolation("non-idempotent request %d was retried although it may have executed", index)
 		case keyedClass:
 			if earlier.cell != cell || sim.clock-earlier.sentAt > time.Second {
-				sim.violated("keyed request %d is retried outside its scope or retention", index)
+				sim.reportViolation("keyed request %d was retried outside its key's scope or retention", index)
 			}
 		}
 	}
 	sim.sentByRequest[id] = append(sim.sentByRequest[id], sentRecord{attempt: attempt, cell: cell, sentAt: sim.clock})
 }
 
-// checkResponse checks invariant 1, and that nothing that may have executed is rejected.
+// checkResponse checks that a request gets only one final response, in time (invariant 1), and that no request that may
+// have executed is rejected.
 func (sim *simulation) checkResponse(i int, response FinalResponse) {
 	sim.responses[i]++
 	sim.kinds[i] = response.Kind
 	if sim.responses[i] > 1 {
-		sim.violated("request %d has %d final responses", i, sim.responses[i])
+		sim.reportViolation("request %d has %d final responses", i, sim.responses[i])
 	}
 	if sim.disconnected[i] {
-		sim.violated("request %d has a response after its client disconnected", i)
+		sim.reportViolation("request %d has a response after its client disconnected", i)
 	}
 	if sim.clock >= sim.submitted[i].StartedAt+sim.submitted[i].Timeout {
-		sim.violated("request %d has a response after its client's timeout", i)
+		sim.reportViolation("request %d has a response after its client's timeout", i)
 	}
 	if response.Kind != Rejected || sim.classes[i] == idempotentClass {
 		return
 	}
 	for _, s := range sim.sentByRequest[sim.submitted[i].ID] {
 		if !s.neverExecuted {
-			sim.violated("request %d is rejected, and may have executed", i)
+			sim.reportViolation("request %d was rejected although it may have executed", i)
 		}
 	}
 }
@@ -146,22 +149,22 @@
 func newSimulation(t *testing.T, of [2]int) *simulation {
 	sim := &simulation{classes: of, sentByRequest: map[string][]sentRecord{}}
 	sim.testHarness = &testHarness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
-	set := Settings{
+	settings := Settings{
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0),
 	}
-	sim.FrontEnd = NewFrontEnd(sim.clock, set, sim, zerolog.Nop())
+	sim.FrontEnd = NewFrontEnd(sim.clock, settings, sim, zerolog.Nop())
 	sim.listWorkers(2, nil)
 	return sim
 }
 
-// step is an event that can happen now.
+// step is a possible next event.
 type step struct {
 	name string
 	run  func()
 }
 
-// possibleSteps lists all events that can happen now, in an order that is always the same.
+// possibleSteps lists all possible next events in a deterministic order.
 func (sim *simulation) possibleSteps() (list []step) {
 	add := func(do func(), format string, args ...any) {
 		list = append(list, step{fmt.Sprintf(format, args...), do})
@@ -176,7 +179,7 @@
 			add(func() { sim.endAttemptWith(worker, attempt, scheduler.ConnectFailed) }, "%s finds no connection to %s", attempt.Request.ID, name)
 		}
 		for _, attempt := range worker.sent {
-			if mine := sim.attempts[attempt]; mine != nil && mine.state == attemptStreaming {
+			if known := sim.attempts[attempt]; known != nil && known.state == attemptStreaming {
 				add(func() { sim.endAttemptWith(worker, attempt, scheduler.OK) }, "%s ends", attempt.Request.ID)
 				add(func() { sim.endAttemptWith(worker, attempt, scheduler.Reset) }, "%s breaks off", attempt.Request.ID)
 				continue
@@ -228,7 +231,7 @@
 
 func (sim *simulation) writeOut(worker *fakeWorkerClient, attempt *workerconn.Attempt) {
 	if sim.draining && worker.name == "w0" {
-		sim.violated("request %s is written to a worker that drains", attempt.Request.ID)
+		sim.reportViolation("request %s was written to a draining worker", attempt.Request.ID)
 	}
 	worker.remove(attempt)
 	worker.sent = append(worker.sent, attempt)
@@ -241,20 +244,21 @@
 	sim.AttemptEnded(sim.clock, attempt, workerconn.Result{Status: s, QueueDepth: -1, Response: &workerconn.Response{}})
 }
 
-// checkEnd lets all time pass: each request whose client stayed connected must have its final response.
+// checkEnd advances past all deadlines and checks that each request whose client stayed connected has its final
+// response.
 func (sim *simulation) checkEnd() {
 	sim.advance(2100 * ms)
 	for i := range sim.received {
 		if sim.responses[i] == 0 && !sim.disconnected[i] {
-			sim.violated("request %d has no response", i)
+			sim.reportViolation("request %d has no response", i)
 		}
 	}
 	if sim.Counts().PastDeadline > 0 {
-		sim.violated("the scheduler left a request past its deadline")
+		sim.reportViolation("the scheduler did not end a request before its deadline")
 	}
 }
 
-// explorer walks all orders of a depth by running each from its beginning.
+// explorer runs all orders of events up to a depth. It restarts each order from its beginning.
 type explorer struct {
 	t       *testing.T
 	classes [2]int
@@ -294,11 +298,11 @@
 	total := 0
 	for _, classes := range [][2]int{{nonIdempotentClass, keyedClass}, {keyedClass, keyedClass}, {nonIdempotentClass, nonIdempotentClass}, {idempotentClass, nonIdempotentClass}} {
 		x := &explorer{t: t, classes: classes, depth: depth}
-		x.walk([]int{0}) // a request is received first
+		x.walk([]int{0}) // the first event is always the receipt of a request
 		total += x.paths
 	}
 	t.Logf("%d orders of %d events each", total, depth+1)
 	if total < 5000 {
-		t.Errorf("only %d paths: the scope has shrunk", total)
+		t.Errorf("only %d orders were run, want at least 5000", total)
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -16,18 +16,18 @@
 
 const ms = time.Millisecond
 
-// fakeWorkerClient stands in for a worker client: it keeps what the FrontEnd gave it until a test says what became of it.
+// fakeWorkerClient is a WorkerClient that keeps the work from the FrontEnd until a test decides its outcome.
 type fakeWorkerClient struct {
 	name         string
-	queued       []*workerconn.Attempt // not written
+	queued       []*workerconn.Attempt // not written yet
 	sent         []*workerconn.Attempt
 	orders       []*workerconn.LoadOrder
 	canceled     []*workerconn.Attempt
 	drained      bool
 	stopped      bool
-	healthChecks []*workerconn.HealthCheck // without a response
+	healthChecks []*workerconn.HealthCheck // health checks without a response
 	unloads      int
-	holdsWrites  bool // attempts stay in the write buffer
+	holdsWrites  bool // whether attempts stay in the write buffer
 	rejection    *workerconn.Result
 }
 
@@ -46,20 +46,20 @@
 }
 
 func (worker *fakeWorkerClient) Abandon(attempt *workerconn.Attempt) bool {
-	was := slices.Contains(worker.sent, attempt)
-	if was {
+	found := slices.Contains(worker.sent, attempt)
+	if found {
 		worker.canceled = append(worker.canceled, attempt)
 	}
 	worker.remove(attempt)
-	return was
+	return found
 }
 
 func (worker *fakeWorkerClient) CancelUnsent(attempt *workerconn.Attempt) bool {
-	was := slices.Contains(worker.queued, attempt)
-	if was {
+	found := slices.Contains(worker.queued, attempt)
+	if found {
 		worker.remove(attempt)
 	}
-	return was
+	return found
 }
 
 func (worker *fakeWorkerClient) remove(attempt *workerconn.Attempt) {
@@ -99,7 +99,7 @@
 	return taken, nil
 }
 
-// testHarness hands events to a FrontEnd, at its own clock.
+// testHarness passes events to a FrontEnd, with a clock that the test controls.
 type testHarness struct {
 	*testing.T
 	*FrontEnd
@@ -137,19 +137,19 @@
 
 func newHarness(t *testing.T, workers int, change func(*Settings)) *testHarness {
 	harness := &testHarness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
-	set := Settings{
+	settings := Settings{
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
 		ClockStart: time.Unix(0, 0),
 	}
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	harness.FrontEnd = NewFrontEnd(harness.clock, set, harness, zerolog.Nop())
+	harness.FrontEnd = NewFrontEnd(harness.clock, settings, harness, zerolog.Nop())
 	harness.listWorkers(workers, nil)
 	return harness
 }
 
-// listWorkers reports a list of n workers, all ready but those in states.
+// listWorkers reports an endpoint list of n workers. They are ready unless states gives them another state.
 func (harness *testHarness) listWorkers(n int, states map[string]scheduler.WorkerState) {
 	var list []discovery.Worker
 	for i := range n {
@@ -164,7 +164,7 @@
 
 func (harness *testHarness) submit(class int) *Request { return harness.submitTo(class, 2) }
 
-// submitTo submits a request of a function whose replicas execute so many at a time.
+// submitTo submits a request for a function whose replicas have the given concurrency.
 func (harness *testHarness) submitTo(class, concurrency int) *Request {
 	request := NewRequest()
 	request.Class = class
@@ -182,7 +182,7 @@
 	}
 }
 
-// sentAttempt is the attempt that a worker client has for a request.
+// sentAttempt returns the worker client that has an attempt of a request, and the attempt.
 func (harness *testHarness) sentAttempt(request *Request) (*fakeWorkerClient, *workerconn.Attempt) {
 	harness.Helper()
 	for _, worker := range harness.clients {
@@ -226,7 +226,7 @@
 }
 
 // inBothOrders runs a test for both orders of two events.
-func inBothOrders(t *testing.T, first, second string, play func(t *testing.T, firstFirst bool)) {
-	t.Run(first+", then "+second, func(t *testing.T) { play(t, true) })
-	t.Run(second+", then "+first, func(t *testing.T) { play(t, false) })
+func inBothOrders(t *testing.T, first, second string, run func(t *testing.T, inOrder bool)) {
+	t.Run(first+", then "+second, func(t *testing.T) { run(t, true) })
+	t.Run(second+", then "+first, func(t *testing.T) { run(t, false) })
 }
--- a/internal/gateway/load_orders.go
+++ b/internal/gateway/load_orders.go
@@ -9,17 +9,18 @@
 	"havencart/scheduler"
 )
 
-// loadOrder is an order to load replicas, or a residency query, that awaits its response.
+// loadOrder is a load order, or a residency query, that awaits its response.
 type loadOrder struct {
 	workerconn.LoadOrder
 	worker   *worker
 	function scheduler.FunctionID
 	sentAt   time.Duration
-	timer    timer // its timeout
-	ended    bool  // its result was reported to the scheduler
+	timer    timer // timeout of the response
+	ended    bool  // whether the result was reported to the scheduler
 }
 
-// Load implements scheduler.Actions: it orders replicas of a function loaded, or with 0 asks how many are resident.
+// Load implements scheduler.Actions. It sends an order to load replicas of a function or, if replicas is 0, a residency
+// query, which asks how many replicas are resident.
 func (f *FrontEnd) Load(to scheduler.WorkerID, id scheduler.FunctionID, replicas int) {
 	worker, function := f.workers[to], f.functions[id]
 	if worker == nil || function == nil {
@@ -30,7 +31,7 @@
 	}
 	if replicas > 0 && worker.state != scheduler.Ready {
 		f.guard.Count(execution.StartAtDrainingWorker)
-		worker.named(f.log.Error()).Stringer("violation", execution.StartAtDrainingWorker).Msg("rule violation prevented")
+		worker.addLogFields(f.log.Error()).Stringer("violation", execution.StartAtDrainingWorker).Msg("rule violation prevented")
 		f.deferred = append(f.deferred, func() {
 			f.scheduler.LoadEnded(f.now, scheduler.LoadResult{Worker: to, Function: id, Status: scheduler.Overloaded})
 		})
@@ -47,13 +48,13 @@
 	order.timer = timer{kind: loadOrderTimer, due: f.now + f.settings.Scheduler.LoadOrderTimeout, loadOrder: order}
 	f.timers.add(&order.timer)
 	if replicas > 0 {
-		f.beginLoad(order)
+		f.loadWhenConfirmed(order)
 	} else {
 		f.sendLoadOrder(order)
 	}
 }
 
-// Unload implements scheduler.Actions: it has the idle replicas of a function unloaded.
+// Unload implements scheduler.Actions: it asks a worker to unload the idle replicas of a function.
 func (f *FrontEnd) Unload(from scheduler.WorkerID, id scheduler.FunctionID) {
 	worker, function := f.workers[from], f.functions[id]
 	if worker != nil && function != nil {
@@ -61,20 +62,20 @@
 	}
 }
 
-// LoadEnded takes the response to a load order from its worker client, with the replicas that are resident. An order
-// that has ended already is ignored.
+// LoadEnded handles the result of a load order or residency query, as reported by its worker client. replicas is the
+// number of resident replicas. It ignores an order that has already ended.
 func (f *FrontEnd) LoadEnded(now time.Duration, sent *workerconn.LoadOrder, status scheduler.Status, replicas int) {
 	f.now = now
 	if order := f.loadOrders[sent]; order != nil {
 		if status == scheduler.OK && order.Load.Replicas > 0 {
-			order.worker.accepted(sent.WriteStartedAt())
+			order.worker.recordAccepted(sent.WriteStartedAt())
 		}
 		f.endLoadOrder(order, status, replicas)
 	}
 	f.runDeferred()
 }
 
-// endLoadOrder reports the result of a load order to the scheduler, once.
+// endLoadOrder ends a load order or residency query and reports its result to the scheduler, at most once.
 func (f *FrontEnd) endLoadOrder(order *loadOrder, status scheduler.Status, replicas int) {
 	if order.ended {
 		return
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -23,29 +23,31 @@
 	"havencart/internal/platform/workerclient"
 )
 
-// The bounds of a platform server, beside those of its configuration.
+// The limits of a platform server other than those of its configuration.
 const (
-	platformRequestQueue       = 1024                   // requests that wait for the event loop; more are rejected at once
-	platformEventQueue         = 1024                   // events that wait for it; beyond, worker clients stop reading
-	platformMaxInFlight        = 4096                   // requests; more are rejected at once
-	platformDeadlineMargin     = 15 * time.Millisecond  // the final response is due this long before the client gives up
-	platformMaxResponse        = 64 << 10               // bytes of a worker's response
-	platformMaxUnsent          = 256 << 10              // bytes of responses that a client has not read
-	platformWriteTimeout       = 2 * time.Second        // that a client may stall while a response is written to it
-	platformMaxOpen            = 32                     // requests of one connection in flight, by the platform's rules
-	platformAcceptGrace        = 700 * time.Millisecond // after a shutdown has begun, clients are still accepted for this long
-	platformMaxShutdown        = 3 * time.Second        // bounds the longest deadline at a shutdown, counted from the last accept
-	platformAcceptRest         = 100 * time.Millisecond // by which the last clients within platformAcceptGrace may be late
-	platformNoticeAfterSilence = 4 * time.Second        // of changes of the endpoint list, after its stream fell silent
-	platformNoticeAfterBreak   = 2 * time.Second        // the same after it broke off
-	platformLogInterval        = 5 * time.Second        // between two log lines of the totals
-	memoryLimitFraction        = 0.7                    // of the memory, from which the runtime collects harder
-	bodyMemoryFraction         = 0.25                   // of the memory, for bodies of requests in flight
+	platformRequestQueue     = 1024                   // queued requests above which requests are rejected
+	platformEventQueue       = 1024                   // queued events above which worker clients stop reading
+	platformMaxInFlight      = 4096                   // requests in flight above which requests are rejected
+	platformDeadlineMargin   = 15 * time.Millisecond  // time between the final response and the client's timeout
+	platformMaxResponse      = 64 << 10               // maximum size of a worker's response in bytes
+	platformMaxQueuedBytes   = 256 << 10              // bytes of responses that a client has not read
+	platformWriteTimeout     = 2 * time.Second        // how long a client may stall while a response is written to it
+	platformMaxPerConnection = 32                     // requests in flight per connection, by the platform's rules
+	platformAcceptGrace      = 700 * time.Millisecond // clients are accepted this long after a shutdown has begun
+	platformMaxShutdown      = 3 * time.Second        // limit of the shutdown time after the last accept
+	platformBacklogGrace     = 100 * time.Millisecond // further time for clients in the listener's backlog
+	// The platform regards a front end as notified of a change of the endpoint list this long after the endpoint stream
+	// fell silent or broke off, even if the front end has not received the change.
+	platformNoticeAfterSilence = 4 * time.Second // time after the stream fell silent
+	platformNoticeAfterBreak   = 2 * time.Second // time after the stream broke off
+	platformLogInterval        = 5 * time.Second // time between two log lines with the totals
+	memoryLimitFraction        = 0.7             // fraction of the memory above which the GC works harder
+	bodyMemoryFraction         = 0.25            // fraction of the memory for the bodies of requests in flight
 	bytesPerMB                 = 1 << 20
 )
 
-// PlatformServer is a front end on the users' platform: one event loop, with the platform's protocols towards clients,
-// workers and endpoint discovery. Its methods may be called from any goroutine; Run once.
+// PlatformServer is a front end on the platform: one event loop that uses the platform's protocols for clients, workers
+// and endpoint discovery. Its methods may be called from any goroutine. Run must be called at most once.
 type PlatformServer struct {
 	config    *platformconfig.Config
 	log       zerolog.Logger
@@ -54,28 +56,28 @@
 	clients   *rpcserver.Server
 	endpoints *discovery.EndpointStream
 	budget    *workerclient.ConnectionBudget
-	draining  atomic.Bool                 // the shutdown has begun
-	after     func(time.Duration, func()) // calls a function later; tests do so by hand
+	draining  atomic.Bool                 // whether the shutdown has begun
+	afterFunc func(time.Duration, func()) // calls a function after a delay; replaced in tests
 	recentIDs recentIDs
-	bodyBytes atomic.Int64 // of the requests in flight
+	bodyBytes atomic.Int64 // total size of the bodies of requests in flight
 }
 
-// NewPlatformServer prepares a front end and opens its listener, which Run closes. It sets limits of the whole
-// process: the processors and the memory that the runtime uses.
+// NewPlatformServer creates a front end and opens its listener, which Run closes. It sets two limits of the whole
+// process: GOMAXPROCS and the memory limit of the Go runtime.
 func NewPlatformServer(config *platformconfig.Config, log zerolog.Logger) (*PlatformServer, error) {
 	runtime.GOMAXPROCS(max(1, int(config.Cores+0.5)))
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(config.MemoryMB) * bytesPerMB))
 	log = sampled(log)
 	clientConns, workerConns := connadmission.SplitDescriptors(config.MaxDescriptors)
 	server := &PlatformServer{
-		config: config,
-		log:    log,
-		budget: workerclient.NewConnectionBudget(workerConns),
-		after:  func(d time.Duration, f func()) { time.AfterFunc(d, f) },
+		config:    config,
+		log:       log,
+		budget:    workerclient.NewConnectionBudget(workerConns),
+		afterFunc: func(d time.Duration, f func()) { time.AfterFunc(d, f) },
 	}
-	site := config.Settings
+	settings := config.Settings
 	var err error
-	server.endpoints, err = discovery.NewEndpointStream(config.EndpointStreamAddress, config.InitialEvents, site.ZoneNames, site.WorkerKinds, config.Seed)
+	server.endpoints, err = discovery.NewEndpointStream(config.EndpointStreamAddress, config.InitialEvents, settings.ZoneNames, settings.WorkerKinds, config.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -86,29 +88,29 @@
 	server.clients = rpcserver.New(rpcserver.Config{
 		Rules:             clientRules(config.Settings),
 		MaxConnections:    clientConns,
-		MaxInFlight:       platformMaxOpen,
-		MaxQueuedBytes:    platformMaxUnsent,
+		MaxInFlight:       platformMaxPerConnection,
+		MaxQueuedBytes:    platformMaxQueuedBytes,
 		WriteTimeout:      platformWriteTimeout,
-		AcceptGracePeriod: platformAcceptRest,
+		AcceptGracePeriod: platformBacklogGrace,
 		ObserveWriteDelay: func(took time.Duration) { server.loop.ObserveLag(took) },
 	}, server, log)
 	server.loop = NewEventLoop(server.loopConfig(), log)
 	return server, nil
 }
 
-// Address returns where clients connect.
+// Address returns the address on which the server accepts clients.
 func (p *PlatformServer) Address() string { return p.listener.Addr().String() }
 
-// Ready implements rpcserver.Handler: it is true until the shutdown begins.
+// Ready implements rpcserver.Handler: it returns true until the shutdown begins.
 func (p *PlatformServer) Ready() bool { return !p.draining.Load() }
 
-// Handle implements rpcserver.Handler. An error wraps rpcserver.ErrProtocol.
+// Handle implements rpcserver.Handler. An error that it returns wraps rpcserver.ErrProtocol.
 func (p *PlatformServer) Handle(received *rpcserver.Request, respond func(rpcserver.Response)) (disconnect func(), err error) {
 	if !p.recentIDs.admit(received.ID) {
 		return nil, fmt.Errorf("%w: id %s was used before", rpcserver.ErrProtocol, received.ID)
 	}
 	size := int64(len(received.Body))
-	release := sync.OnceFunc(func() { // by the final response or the client's disconnect, whichever comes first
+	release := sync.OnceFunc(func() { // called at the final response or the client's disconnect, whichever comes first
 		p.recentIDs.release(received.ID)
 		p.bodyBytes.Add(-size)
 	})
@@ -116,7 +118,7 @@
 		release()
 		respond(response.rpcResponse())
 	})
-	p.fill(request, received)
+	p.fillRequest(request, received)
 	if p.bodyBytes.Add(size) > p.maxBodyBytes() {
 		request.complete(FinalResponse{
 			Kind:       Rejected,
@@ -132,8 +134,8 @@
 	}, nil
 }
 
-// fill copies what a client sent to a request.
-func (p *PlatformServer) fill(request *Request, received *rpcserver.Request) {
+// fillRequest sets the fields of a request from the request that was received.
+func (p *PlatformServer) fillRequest(request *Request, received *rpcserver.Request) {
 	request.ID = received.ID
 	request.Class = received.Class
 	request.Tenant = received.Tenant
@@ -154,19 +156,20 @@
 	}
 }
 
-// maxBodyBytes bounds the bodies of the requests in flight; beyond, requests are rejected at once.
+// maxBodyBytes returns the limit of the total size of the bodies of requests in flight. Requests that would exceed it
+// are rejected immediately.
 func (p *PlatformServer) maxBodyBytes() int64 {
 	return int64(bodyMemoryFraction * float64(p.config.MemoryMB) * bytesPerMB)
 }
 
-// rpcKinds are the kinds of final responses as the platform's clients receive them.
+// rpcKinds maps the kinds of final responses to those that the platform's clients receive.
 var rpcKinds = map[ResponseKind]rpcserver.ResponseKind{
 	Served:   rpcserver.Served,
 	Rejected: rpcserver.Rejected,
 	Failed:   rpcserver.Failed,
 }
 
-// rpcResponse is a final response as the platform's clients receive it.
+// rpcResponse converts a final response to the form that the platform's clients receive.
 func (f FinalResponse) rpcResponse() rpcserver.Response {
 	out := rpcserver.Response{Kind: rpcKinds[f.Kind], RetryAfter: f.RetryAfter}
 	if f.Response != nil {
@@ -175,25 +178,25 @@
 	return out
 }
 
-// Reload takes a configuration that was read again. Only the address of endpoint discovery can change while the server
-// runs; a configuration of another deployment changes nothing.
+// Reload applies a configuration that was read again. Only the address of endpoint discovery can change while the
+// server runs. If any other field differs, the configuration belongs to another front end and is ignored.
 func (p *PlatformServer) Reload(config *platformconfig.Config) {
 	if field := p.config.FirstDifference(config); field != "" {
-		p.log.Error().Str("field", field).Msg("the configuration stays as it was: the new one is of another front end")
+		p.log.Error().Str("field", field).Msg("new configuration ignored: it belongs to another front end")
 		return
 	}
 	p.log.Info().Str("discovery-address", config.EndpointStreamAddress).Msg("configuration reloaded")
 	p.endpoints.SetAddress(config.EndpointStreamAddress)
 }
 
-// Run serves until ctx ends, then shuts down gracefully: clients are accepted for platformAcceptGrace more, and after
-// that nothing new is; what is in flight gets its final response, and Run returns the totals. All goroutines of the
-// server have ended then.
+// Run serves clients until ctx ends, and then shuts down gracefully. It accepts clients for another
+// platformAcceptGrace, then admits no new requests, waits until all requests in flight have their final response, and
+// returns the totals. When it returns, all goroutines of the server have ended.
 func (p *PlatformServer) Run(ctx context.Context) (Counts, error) {
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
 	if ctx.Err() != nil {
-		p.draining.Store(true) // AfterFunc's goroutine may come later than the first heartbeat
+		p.draining.Store(true) // the goroutine of AfterFunc may run only after the first heartbeat
 	}
 	stopShutdown := context.AfterFunc(ctx, func() { p.beginShutdown(stopLoop) })
 	defer stopShutdown()
@@ -202,16 +205,16 @@
 	p.logSettings()
 	var logging sync.WaitGroup
 	logging.Go(func() { p.logTotals(serveCtx) })
-	accepted := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
 		err := p.clients.Serve(serveCtx, p.listener)
 		if err != nil {
-			stopLoop() // no client can connect any longer: better no front end than one that serves nobody
+			stopLoop() // no client can connect any longer, so stop instead of running without clients
 		}
-		accepted <- err
+		serveErr <- err
 	}()
 	counts, clean := p.loop.Run(loopCtx)
-	err := <-accepted
+	err := <-serveErr
 	stopServing()
 	p.clients.Shutdown()
 	logging.Wait()
@@ -221,25 +224,26 @@
 	return counts, err
 }
 
-// beginShutdown fails heartbeats at once, and after platformAcceptGrace ends the accepting and the event loop.
+// beginShutdown makes heartbeats fail immediately. After platformAcceptGrace it stops accepting clients and ends the
+// event loop.
 func (p *PlatformServer) beginShutdown(stopLoop func()) {
 	p.draining.Store(true)
 	p.log.Info().Msg("stopping")
-	p.after(platformAcceptGrace, func() {
+	p.afterFunc(platformAcceptGrace, func() {
 		stopLoop()
 		p.clients.BeginShutdown()
 	})
 }
 
-// logSettings logs the settings on which it depends when a request may be sent, repeated or given up.
+// logSettings logs the settings that determine when a request may be sent, retried or given up.
 func (p *PlatformServer) logSettings() {
-	site := p.config.Settings
-	for i, class := range site.Scheduler.Classes {
-		p.log.Info().Str("class", site.ClassNames[i]).Dur("timeout", class.Timeout).Dur("objective", class.LatencyObjective).
+	settings := p.config.Settings
+	for i, class := range settings.Scheduler.Classes {
+		p.log.Info().Str("class", settings.ClassNames[i]).Dur("timeout", class.Timeout).Dur("objective", class.LatencyObjective).
 			Stringer("idempotency", class.Idempotency).Stringer("key-scope", class.KeyScope).
 			Dur("key-retention", class.KeyRetention).Msg("class settings")
 	}
-	rules := site.Scheduler
+	rules := settings.Scheduler
 	p.log.Info().Int("front-ends", rules.FrontEndCount).Int("max-attempts", rules.MaxAttempts).
 		Dur("connect-timeout", rules.ConnectTimeout).Dur("drain-grace", rules.DrainGrace).
 		Dur("slow-start", rules.SlowStartDuration).Float64("slow-start-fraction", rules.SlowStartFraction).
@@ -253,7 +257,7 @@
 	periodic.Run(ctx, platformLogInterval, p.logTotalsOnce)
 }
 
-// logTotalsOnce logs the totals and what the process uses.
+// logTotalsOnce logs the totals and the resource usage of the process.
 func (p *PlatformServer) logTotalsOnce() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -266,7 +270,7 @@
 		Msg("totals")
 }
 
-// processorTime is what the process has used since its start, 0 if the system does not tell.
+// processorTime returns the CPU time that the process has used since its start, or 0 if it is not available.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/gateway/platform_server_test.go
+++ b/internal/gateway/platform_server_test.go
@@ -21,8 +21,9 @@
 	"havencart/lab/platformworker"
 )
 
-// relayConfig is a configuration, with verbs for the addresses of endpoint discovery and of a worker.
-const relayConfig = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
+// platformConfigFormat is the format string of a configuration, with verbs for the addresses of endpoint discovery
+// and of a worker.
+const platformConfigFormat = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1,"memory_mb":256,"sockets":256},"bulletin":"%s",
 	"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[
 	{"host":"s-00000001","dial":"%s","site":"room","class":"std","block":0,"health":"up","share":1,"born_ms":0}]}}]},
@@ -34,13 +35,13 @@
 	"classes":[{"name":"quote","deadline":20000.0,"onTime":10000.0,"repeat":"retryable","worth":2.0},
 	{"name":"unlock","deadline":20000.0,"onTime":10000.0,"repeat":"fragile","worth":6.0}]}}`
 
-// platformHarness is a PlatformServer between stand-ins of discovery and of a worker.
+// platformHarness is a PlatformServer with a fake discovery service and a fake worker.
 type platformHarness struct {
 	*PlatformServer
 	t         *testing.T
 	discovery *platformdiscovery.Server
 	stop      context.CancelFunc
-	delayed   chan func() // functions called later; here the end of platformAcceptGrace
+	delayed   chan func() // receives delayed calls, such as the one at the end of platformAcceptGrace
 	ended     chan error
 }
 
@@ -52,12 +53,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	e, err := platformworker.Start(script)
+	worker, err := platformworker.Start(script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.Close)
-	server, run := newPlatformHarness(t, discovery.Address(), e.Address())
+	t.Cleanup(worker.Close)
+	server, run := newPlatformHarness(t, discovery.Address(), worker.Address())
 	server.discovery = discovery
 	run()
 	t.Cleanup(server.stop)
@@ -65,21 +66,21 @@
 	return server
 }
 
-// newPlatformHarness prepares a PlatformServer, which listens; run starts its Run.
+// newPlatformHarness creates a PlatformServer that listens. The returned function runs it in a goroutine.
 func newPlatformHarness(t *testing.T, discovery, worker string) (server *platformHarness, run func()) {
 	t.Helper()
-	set, err := platformconfig.ParseConfig(fmt.Appendf(nil, relayConfig, discovery, worker))
+	config, err := platformconfig.ParseConfig(fmt.Appendf(nil, platformConfigFormat, discovery, worker))
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay, err := NewPlatformServer(set, zerolog.Nop())
+	platform, err := NewPlatformServer(config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	server = &platformHarness{PlatformServer: relay, t: t, stop: cancel, delayed: make(chan func(), 1), ended: make(chan error, 1)}
-	relay.after = func(_ time.Duration, f func()) { server.delayed <- f }
-	return server, func() { go func() { _, err := relay.Run(ctx); server.ended <- err }() }
+	server = &platformHarness{PlatformServer: platform, t: t, stop: cancel, delayed: make(chan func(), 1), ended: make(chan error, 1)}
+	platform.afterFunc = func(_ time.Duration, f func()) { server.delayed <- f }
+	return server, func() { go func() { _, err := platform.Run(ctx); server.ended <- err }() }
 }
 
 func (server *platformHarness) connect() net.Conn {
@@ -119,8 +120,8 @@
 	}
 }
 
-// checkHeartbeat sends a heartbeat and expects its response.
-func (server *platformHarness) checkHeartbeat(c net.Conn, number int, well bool) {
+// checkHeartbeat sends a heartbeat and checks the response.
+func (server *platformHarness) checkHeartbeat(c net.Conn, number int, ready bool) {
 	server.t.Helper()
 	raw, err := msgpack.Marshal([]any{0, number, "heartbeat", []any{map[string]string{}}})
 	if err != nil {
@@ -129,34 +130,36 @@
 	if _, err := c.Write(raw); err != nil {
 		server.t.Fatal(err)
 	}
-	server.expect(c, rpcframe.AppendHeartbeat(nil, uint32(number), well))
+	server.expect(c, rpcframe.AppendHeartbeat(nil, uint32(number), ready))
 }
 
-// TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints expects it to be ready at once.
+// TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints checks that the server is ready immediately if discovery is
+// down, using the endpoints in its configuration.
 func TestPlatformServer_DiscoveryDown_ServesFromKnownEndpoints(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	e, err := platformworker.Start(respondServed)
+	worker, err := platformworker.Start(respondServed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.Close)
-	server, run := newPlatformHarness(t, "127.0.0.1:1", e.Address())
-	c := server.connect() // before it runs: the kernel accepts it
+	t.Cleanup(worker.Close)
+	server, run := newPlatformHarness(t, "127.0.0.1:1", worker.Address())
+	c := server.connect() // the kernel accepts the connection before the server runs
 	run()
 	server.checkHeartbeat(c, 1, true)
-	if n := e.ConnectionCount(); n != 0 {
-		t.Errorf("%d connections to workers before any request: hundreds of front ends that start together would all dial", n)
+	if n := worker.ConnectionCount(); n != 0 {
+		t.Errorf("%d connections to workers before any request; hundreds of front ends that start together would all dial", n)
 	}
 	server.sendRequest(c, 2, "quote", 1)
 	server.expect(c, rpcframe.AppendServed(nil, 2, []byte("did body")))
 	server.shutDown()
 }
 
-// TestPlatformServer_ShutdownBeforeStart_Ends expects it to end by itself, and to answer the connection that the kernel accepted meanwhile.
+// TestPlatformServer_ShutdownBeforeStart_Ends checks that a server that is stopped before it starts ends by itself, and
+// responds on a connection that the kernel accepted in the meantime.
 func TestPlatformServer_ShutdownBeforeStart_Ends(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	server, run := newPlatformHarness(t, "127.0.0.1:1", "127.0.0.1:1")
-	server.stop() // SIGTERM, before the endpoint list and before anything is served
+	server.stop() // as SIGTERM does, before the server has an endpoint list or serves a request
 	c := server.connect()
 	run()
 	server.checkHeartbeat(c, 1, false)
@@ -184,8 +187,8 @@
 	server.shutDown()
 }
 
-// TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried runs on sockets: a request whose response cannot be read may have
-// executed.
+// TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried checks over real sockets that a non-idempotent
+// request with an unreadable response is not retried, because it may have executed.
 func TestPlatformServer_MalformedWorkerResponse_NonIdempotentNotRetried(t *testing.T) {
 	executions := map[uint64]int{}
 	seen := make(chan uint64, 16)
@@ -198,7 +201,7 @@
 	c := server.connect()
 	server.sendRequest(c, 1, "unlock", 1)
 	server.expect(c, rpcframe.AppendError(nil, 1, "Lost", "", ""))
-	server.sendRequest(c, 2, "quote", 2) // may be retried, and is
+	server.sendRequest(c, 2, "quote", 2) // idempotent, so it is retried
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +228,8 @@
 	server.shutDown()
 }
 
-// TestPlatformServer_Shutdown_CompletesRequestsInFlight covers both those that were sent and those that clients send while it accepts.
+// TestPlatformServer_Shutdown_CompletesRequestsInFlight checks requests that were sent before the shutdown began, and
+// requests that arrive while clients are still accepted.
 func TestPlatformServer_Shutdown_CompletesRequestsInFlight(t *testing.T) {
 	received, respond := make(chan bool, 4), make(chan bool)
 	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) { received <- true; <-respond; respondServed(c, f) })
@@ -233,7 +237,7 @@
 	server.sendRequest(c, 1, "quote", 1)
 	<-received
 	server.stop()
-	endAccepting := <-server.delayed // no client is accepted once this is called
+	endAccepting := <-server.delayed // no client is accepted after this is called
 	server.checkHeartbeat(c, 2, false)
 	lateClient := server.connect()
 	server.checkHeartbeat(lateClient, 1, false)
@@ -259,12 +263,13 @@
 	moved.EndpointStreamAddress = other.Address()
 	server.Reload(&moved)
 	if last := <-other.Resumed(); last != 1 {
-		t.Errorf("requested from event %d", last)
+		t.Errorf("the new stream was requested from event %d, want 1", last)
 	}
 	server.shutDown()
 }
 
-// TestPlatformServer_BodiesBeyondMemory_Rejected expects rejections at once; a final response or a disconnect makes room.
+// TestPlatformServer_BodiesBeyondMemory_Rejected checks that requests are rejected immediately when the bodies in
+// flight reach their limit, and that a final response or a disconnect releases the memory of its request.
 func TestPlatformServer_BodiesBeyondMemory_Rejected(t *testing.T) {
 	received, respond := make(chan bool, 64), make(chan bool)
 	server := startPlatform(t, func(c *platformworker.Conn, f workerframe.Frame) {
@@ -274,7 +279,7 @@
 			respondServed(c, workerframe.Frame{ID: f.ID})
 		}
 	})
-	server.config.MemoryMB = 1 // of which a quarter is for bodies
+	server.config.MemoryMB = 1 // a quarter of it is for bodies
 	large := make([]byte, rpcframe.MaxBody)
 	c := server.connect()
 	for i := range 16 {
