--- a/internal/platform/endpointstream/initial.go
+++ b/internal/platform/endpointstream/initial.go
@@ -85,8 +85,8 @@
 		ID:               id,
 		Address:          address,
 		State:            state,
-		Zone:             indexOrEnd(zones, w.Zone),
-		WorkerKind:       indexOrEnd(kinds, w.Kind),
+		Zone:             indexOrLen(zones, w.Zone),
+		WorkerKind:       indexOrLen(kinds, w.Kind),
 		Cell:             w.Cell,
 		Weight:           w.Weight,
 		StartedUnixMilli: int64(w.StartedMillis),
@@ -109,8 +109,8 @@
 
 func (w initialEntry) outOfRange() bool { return w.Cell < 0 || !(w.StartedMillis >= 0) }
 
-// indexOrEnd returns the index of name in names, or len(names), which Entry.validate refuses, if it is not there.
-func indexOrEnd(names []string, name string) int {
+// indexOrLen returns the index of name in names, or len(names), which Entry.validate refuses, if it is not there.
+func indexOrLen(names []string, name string) int {
 	if index := slices.Index(names, name); index >= 0 {
 		return index
 	}
--- a/internal/platform/rpcframe/message.go
+++ b/internal/platform/rpcframe/message.go
@@ -15,8 +15,8 @@
 const (
 	MaxBody      = 16 << 10 // bytes of a request's body
 	maxFields    = 16       // named fields of a request
-	maxName      = 64       // bytes of a method's or field's name
-	maxValue     = 512      // bytes of a field's value
+	maxNameSize  = 64       // bytes of a method's or field's name
+	maxValueSize = 512      // bytes of a field's value
 	maxCancelled = 32       // requests that one message cancels
 )
 
--- a/internal/platform/rpcframe/reader.go
+++ b/internal/platform/rpcframe/reader.go
@@ -29,14 +29,14 @@
 	if err != nil {
 		return Message{}, readError("a message", err)
 	}
-	messageType, err := r.number()
+	messageType, err := r.readNumber()
 	switch {
 	case err != nil:
 		return Message{}, err
 	case messageType == typeRequest && length == 4:
-		return r.request()
+		return r.readRequest()
 	case messageType == typeNotification && length == 3:
-		return r.cancellation()
+		return r.readCancellation()
 	}
 	return Message{}, malformed("type %d in an array of %d", messageType, length)
 }
@@ -59,7 +59,7 @@
 	return errors.As(err, &network) || errors.Is(err, io.ErrClosedPipe)
 }
 
-func (r *Reader) number() (uint32, error) {
+func (r *Reader) readNumber() (uint32, error) {
 	number, err := r.decoder.DecodeInt64()
 	if err != nil {
 		return 0, readError("a number", err)
@@ -71,11 +71,11 @@
 }
 
 // request reads what follows the type of a request: number, method and an array of fields and, in most, a body.
-func (r *Reader) request() (message Message, err error) {
-	if message.Number, err = r.number(); err != nil {
+func (r *Reader) readRequest() (message Message, err error) {
+	if message.Number, err = r.readNumber(); err != nil {
 		return message, err
 	}
-	if message.Method, err = r.text("method", maxName); err != nil {
+	if message.Method, err = r.readString("method", maxNameSize); err != nil {
 		return message, err
 	}
 	length, err := r.decoder.DecodeArrayLen()
@@ -85,18 +85,18 @@
 	if length != 1 && length != 2 {
 		return message, malformed("%d parameters", length)
 	}
-	if message.Params, err = r.params(); err != nil {
+	if message.Params, err = r.readParams(); err != nil {
 		return message, err
 	}
 	if length == 2 {
-		message.Body, err = r.bytes("body", MaxBody)
+		message.Body, err = r.readBinary("body", MaxBody)
 	}
 	return message, err
 }
 
 // cancellation reads what follows the type of a notification. The only one there is cancels requests.
-func (r *Reader) cancellation() (message Message, err error) {
-	if message.Method, err = r.text("method", maxName); err != nil {
+func (r *Reader) readCancellation() (message Message, err error) {
+	if message.Method, err = r.readString("method", maxNameSize); err != nil {
 		return message, err
 	}
 	if message.Method != MethodCancel {
@@ -110,7 +110,7 @@
 		return message, malformed("%d requests cancelled", count)
 	}
 	for range count {
-		number, err := r.number()
+		number, err := r.readNumber()
 		if err != nil {
 			return message, err
 		}
@@ -120,7 +120,7 @@
 }
 
 // params reads the named fields of a request.
-func (r *Reader) params() (Params, error) {
+func (r *Reader) readParams() (Params, error) {
 	count, err := r.decoder.DecodeMapLen()
 	if err != nil {
 		return Params{}, readError("fields", err)
@@ -131,7 +131,7 @@
 	var params Params
 	seen := make(map[string]bool, count)
 	for range count {
-		name, err := r.text("field", maxName)
+		name, err := r.readString("field", maxNameSize)
 		if err != nil {
 			return Params{}, err
 		}
@@ -139,7 +139,7 @@
 			return Params{}, malformed("field %q twice", name)
 		}
 		seen[name] = true
-		value, err := r.text("value", maxValue)
+		value, err := r.readString("value", maxValueSize)
 		if err != nil {
 			return Params{}, err
 		}
@@ -149,7 +149,7 @@
 }
 
 // text reads a string of at most limit bytes. MessagePack's binary type is none.
-func (r *Reader) text(what string, limit int) (string, error) {
+func (r *Reader) readString(what string, limit int) (string, error) {
 	code, err := r.decoder.PeekCode()
 	if err != nil {
 		return "", readError(what, err)
@@ -157,12 +157,12 @@
 	if !msgpcode.IsString(code) {
 		return "", malformed("%s of kind %x", what, code)
 	}
-	raw, err := r.sized(what, limit)
+	raw, err := r.readLengthPrefixed(what, limit)
 	return string(raw), err
 }
 
 // bytes reads at most limit bytes of MessagePack's binary type. A string is none.
-func (r *Reader) bytes(what string, limit int) ([]byte, error) {
+func (r *Reader) readBinary(what string, limit int) ([]byte, error) {
 	code, err := r.decoder.PeekCode()
 	if err != nil {
 		return nil, readError(what, err)
@@ -170,11 +170,11 @@
 	if !msgpcode.IsBin(code) {
 		return nil, malformed("%s of kind %x", what, code)
 	}
-	return r.sized(what, limit)
+	return r.readLengthPrefixed(what, limit)
 }
 
 // sized reads a value that has its length before it, and allocates only for a length within limit.
-func (r *Reader) sized(what string, limit int) ([]byte, error) {
+func (r *Reader) readLengthPrefixed(what string, limit int) ([]byte, error) {
 	length, err := r.decoder.DecodeBytesLen()
 	if err != nil {
 		return nil, readError(what, err)
--- a/internal/platform/rpcframe/reader_test.go
+++ b/internal/platform/rpcframe/reader_test.go
@@ -19,29 +19,29 @@
 	return raw
 }
 
-func request(t testing.TB) []byte {
+func encodedRequest(t testing.TB) []byte {
 	return encode(t, []any{0, 7, "call", []any{map[string]string{"id": "9b1f03aa5c7e2d41", "wait": "1500"}, []byte{1, 2}}})
 }
 
-func next(raw []byte) (Message, error) {
+func readMessage(raw []byte) (Message, error) {
 	return NewReader(bufio.NewReader(bytes.NewReader(raw))).Next()
 }
 
 func TestNext_ValidMessages_Read(t *testing.T) {
-	message, err := next(request(t))
+	message, err := readMessage(encodedRequest(t))
 	if err != nil || message.Number != 7 || message.Method != "call" || message.Params.Timeout != "1500" ||
 		!bytes.Equal(message.Body, []byte{1, 2}) {
 		t.Errorf("read %+v, %v", message, err)
 	}
-	message, err = next(encode(t, []any{2, "revoke", []any{7, 9}}))
+	message, err = readMessage(encode(t, []any{2, "revoke", []any{7, 9}}))
 	if err != nil || len(message.Cancelled) != 2 || message.Cancelled[1] != 9 {
 		t.Errorf("read %+v, %v", message, err)
 	}
-	message, err = next(encode(t, []any{0, 8, "heartbeat", []any{map[string]string{}}}))
+	message, err = readMessage(encode(t, []any{0, 8, "heartbeat", []any{map[string]string{}}}))
 	if err != nil || message.Method != "heartbeat" || message.Body != nil {
 		t.Errorf("read %+v, %v", message, err)
 	}
-	message, err = next(encode(t, []any{0, 8, "call", []any{map[string]string{}, []byte{}}}))
+	message, err = readMessage(encode(t, []any{0, 8, "call", []any{map[string]string{}, []byte{}}}))
 	if err != nil || message.Body == nil || len(message.Body) != 0 {
 		t.Errorf("an empty body: read %+v, %v", message, err)
 	}
@@ -73,13 +73,13 @@
 		if name == "60 MB claimed" {
 			raw[0] = 0x94
 		}
-		if message, err := next(raw); !errors.Is(err, ErrMalformed) {
+		if message, err := readMessage(raw); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: read %+v, error %v", name, message, err)
 		}
 	}
-	good := request(t)
+	good := encodedRequest(t)
 	for n := range len(good) {
-		if _, err := next(good[:n]); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := readMessage(good[:n]); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("cut off after %d bytes: error %v", n, err)
 		}
 	}
@@ -101,9 +101,9 @@
 // FuzzNext holds that no bytes make the reader panic, that what it accepts is within the bounds, and that its errors say
 // whether the message is malformed or the input ended.
 func FuzzNext(f *testing.F) {
-	f.Add(request(f))
+	f.Add(encodedRequest(f))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		message, err := next(raw)
+		message, err := readMessage(raw)
 		if err == nil && (len(message.Body) > MaxBody || fieldCount(t, raw) > maxFields || len(message.Cancelled) > maxCancelled) {
 			t.Fatalf("read %+v", message)
 		}
--- a/internal/platform/rpcserver/accept.go
+++ b/internal/platform/rpcserver/accept.go
@@ -9,8 +9,8 @@
 	"havencart/internal/clientconn"
 )
 
-// acceptPause is the time between tries to accept while the system lacks descriptors or memory.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the time between tries to accept while the system lacks descriptors or memory.
+const acceptRetryDelay = 5 * time.Millisecond
 
 // transientAcceptErrors are errors of accept(2) after which the next call may succeed: descriptors or memory ran out,
 // the client disconnected meanwhile, or, as Linux has it, a network error of the connection that was to be accepted.
@@ -36,7 +36,7 @@
 		return false
 	}
 	s.evict()
-	time.Sleep(acceptPause)
+	time.Sleep(acceptRetryDelay)
 	return true
 }
 
--- a/internal/platform/rpcserver/accept_test.go
+++ b/internal/platform/rpcserver/accept_test.go
@@ -56,12 +56,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		server := New(Config{Rules: rules, MaxConnections: 2}, stubHandler{}, zerolog.Nop())
 		listener := &exhaustedListener{until: time.Now().Add(time.Second), closed: make(chan bool)}
-		ours, theirs := net.Pipe()
-		server.admit(ours) // its client sends nothing
+		local, remote := net.Pipe()
+		server.admit(local) // its client sends nothing
 		ctx, cancel := context.WithCancel(context.Background())
 		served := make(chan error, 1)
 		go func() { served <- server.Serve(ctx, listener) }()
-		if _, err := theirs.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := remote.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("the silent connection was not closed to make room: %v", err)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/platform/rpcserver/close_test.go
+++ b/internal/platform/rpcserver/close_test.go
@@ -32,15 +32,15 @@
 // whole: the client would send it again on another connection, under the same id, which is in use by then.
 func TestCloseIf_RequestReceivedWhole_StaysOpen(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	ours, theirs := net.Pipe()
+	local, remote := net.Pipe()
 	handler := pausingHandler{stubHandler{make(chan *stubRequest, 1), make(chan string, 1)}, make(chan bool), make(chan bool)}
 	server := New(Config{Rules: rules, MaxConnections: 4, MaxInFlight: 4, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Minute}, handler, zerolog.Nop())
-	server.admit(ours)
+	server.admit(local)
 	always := func(connadmission.Connection) bool { return true }
 	connection := server.conns.All()[0]
 	raw := requestMessage(t, 1, "quote", validFields(1))
-	write(t, theirs, raw[:len(raw)-1])
-	write(t, theirs, raw[len(raw)-1:])
+	write(t, remote, raw[:len(raw)-1])
+	write(t, remote, raw[len(raw)-1:])
 	<-handler.received
 	if connection.closeIf(always) || server.evict() {
 		t.Error("closed while a request that was received whole was handled")
@@ -51,20 +51,20 @@
 		t.Error("closed while a request was in flight")
 	}
 	request.respond(Response{Kind: Served, Body: []byte("one")})
-	expect(t, theirs, rpcframe.AppendServed(nil, 1, []byte("one")))
+	expect(t, remote, rpcframe.AppendServed(nil, 1, []byte("one")))
 	connection.drain()
-	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	if _, err := remote.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("read %v", err)
 	}
-	_ = theirs.Close()
+	_ = remote.Close()
 	server.Shutdown()
 }
 
 // TestCloseIf_MessageStartedSinceSnapshot_StaysOpen holds that the decision is made again under the lock.
 func TestCloseIf_MessageStartedSinceSnapshot_StaysOpen(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
-	connection := newConn(New(Config{}, stubHandler{}, zerolog.Nop()), ours)
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
+	connection := newConn(New(Config{}, stubHandler{}, zerolog.Nop()), local)
 	connection.hasSentRequest, connection.stateSince = true, time.Now().Add(-time.Hour)
 	if state := connection.snapshot(time.Now()); !connadmission.ShouldClose(state) {
 		t.Fatalf("not idle: %+v", state)
--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -23,10 +23,10 @@
 // conn is one client's connection. Its reading goroutine starts when it is admitted and ends with the input; a writing
 // goroutine lives while there are responses to write.
 type conn struct {
-	server   *Server
-	net      net.Conn
-	received *socket.ArrivalConn // owned by the reading goroutine, as in
-	in       *bufio.Reader       // of received
+	server    *Server
+	netConn   net.Conn
+	arrivals  *socket.ArrivalConn // owned by the reading goroutine, as in
+	bufReader *bufio.Reader       // of received
 	// consecutiveRejections are requests in a row that the Handler rejected. The reading goroutine owns it.
 	consecutiveRejections int
 
@@ -64,10 +64,10 @@
 	cancel func() // nil until the Handler returned
 }
 
-func newConn(s *Server, nc net.Conn) *conn {
-	received := &socket.ArrivalConn{Conn: nc}
+func newConn(s *Server, netConn net.Conn) *conn {
+	arrivals := &socket.ArrivalConn{Conn: netConn}
 	return &conn{
-		server: s, net: nc, received: received, in: bufio.NewReaderSize(received, readBufferSize), inFlight: map[uint32]*pendingRequest{},
+		server: s, netConn: netConn, arrivals: arrivals, bufReader: bufio.NewReaderSize(arrivals, readBufferSize), inFlight: map[uint32]*pendingRequest{},
 		stateSince: time.Now(),
 	}
 }
@@ -104,7 +104,7 @@
 		return false
 	}
 	state := c.snapshotLocked(time.Now())
-	if state.InFlight > 0 || !permits(state) || socket.HasUnread(c.net) {
+	if state.InFlight > 0 || !permits(state) || socket.HasUnread(c.netConn) {
 		return false
 	}
 	c.closeLocked()
@@ -136,12 +136,12 @@
 // closeLocked closes the connection at once. The reading goroutine ends by that.
 func (c *conn) closeLocked() {
 	c.lifecycle = lifecycleClosed
-	_ = c.net.Close() // nothing is done with the connection after this
+	_ = c.netConn.Close() // nothing is done with the connection after this
 }
 
 // read handles messages until the input ends, and then cancels what is in flight.
 func (c *conn) read() {
-	reader := rpcframe.NewReader(c.in)
+	reader := rpcframe.NewReader(c.bufReader)
 	for c.readMessage(reader) {
 	}
 	for _, pending := range c.endInput() {
@@ -165,7 +165,7 @@
 
 // readMessage reads and handles the next message. It reports whether more may follow.
 func (c *conn) readMessage(reader *rpcframe.Reader) bool {
-	if _, err := c.in.Peek(1); err != nil {
+	if _, err := c.bufReader.Peek(1); err != nil {
 		return false
 	}
 	c.setInput(inputPartial)
@@ -218,7 +218,7 @@
 		return err
 	}
 	request.ReceivedAt = time.Now()
-	request.ArrivedAfter = c.received.ArrivedAfter()
+	request.ArrivedAfter = c.arrivals.ArrivedAfter()
 	pending, err := c.addInFlight(message.Number)
 	if err != nil {
 		return err
--- a/internal/platform/rpcserver/output.go
+++ b/internal/platform/rpcserver/output.go
@@ -61,8 +61,8 @@
 		if batch = c.nextBatch(batch); batch == nil {
 			return
 		}
-		clientconn.SetWriteTimeout(c.net, c.server.cfg.WriteTimeout)
-		if _, err := c.net.Write(batch); err != nil {
+		clientconn.SetWriteTimeout(c.netConn, c.server.cfg.WriteTimeout)
+		if _, err := c.netConn.Write(batch); err != nil {
 			c.mu.Lock()
 			c.closeLocked()
 			c.mu.Unlock()
--- a/internal/platform/rpcserver/output_test.go
+++ b/internal/platform/rpcserver/output_test.go
@@ -15,23 +15,23 @@
 // reported as the process's.
 func TestWriteDelay_ClientReadsNothing_NotReported(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	ours, theirs := net.Pipe()
+	local, remote := net.Pipe()
 	handler := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
 	delays := make(chan time.Duration, 4)
 	server := New(Config{
 		Rules: rules, MaxConnections: 4, MaxInFlight: 4, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Minute,
 		ObserveWriteDelay: func(delay time.Duration) { delays <- delay },
 	}, handler, zerolog.Nop())
-	server.admit(ours)
-	write(t, theirs, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(2))...))
+	server.admit(local)
+	write(t, remote, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(2))...))
 	first, second := <-handler.requests, <-handler.requests
 	first.respond(Response{Kind: Served, Body: []byte("one")})
 	<-delays // the write of the first one begins, and nobody reads
 	second.respond(Response{Kind: Served, Body: []byte("two")})
-	expect(t, theirs, rpcframe.AppendServed(rpcframe.AppendServed(nil, 1, []byte("one")), 2, []byte("two")))
+	expect(t, remote, rpcframe.AppendServed(rpcframe.AppendServed(nil, 1, []byte("one")), 2, []byte("two")))
 	if len(delays) != 0 {
-		t.Errorf("the second response's wait of %v for its client is reported as ours", <-delays)
+		t.Errorf("the second response's wait of %v for its client is reported as local", <-delays)
 	}
-	_ = theirs.Close()
+	_ = remote.Close()
 	server.Shutdown()
 }
--- a/internal/platform/rpcserver/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -23,11 +23,11 @@
 // sweepInterval is the time between searches for connections to close.
 const sweepInterval = 250 * time.Millisecond
 
-// At the end of a shutdown connections on which something is under way are closed no later than lastReadTime after the
+// At the end of a shutdown connections on which something is under way are closed no later than finalReadPeriod after the
 // others.
 const (
-	lastReadTime     = 50 * time.Millisecond
-	lastReadInterval = 5 * time.Millisecond
+	finalReadPeriod   = 50 * time.Millisecond
+	finalReadInterval = 5 * time.Millisecond
 )
 
 // Config bounds what clients may do.
@@ -103,12 +103,12 @@
 }
 
 // admit starts to serve a connection, in the place of an idle one if there is no other.
-func (s *Server) admit(nc net.Conn) {
+func (s *Server) admit(netConn net.Conn) {
 	s.accepted.Add(1)
-	c := newConn(s, nc)
+	c := newConn(s, netConn)
 	if !s.conns.Add(c) && !s.replaceIdle(c) {
 		s.rejected.Add(1)
-		_ = nc.Close()
+		_ = netConn.Close()
 		return
 	}
 	s.tasks.Go(c.read)
@@ -142,23 +142,23 @@
 	return conns, states
 }
 
-// closeQuietConnections closes the connections on which nothing is under way, for lastReadTime or until all are closed.
-func (s *Server) closeQuietConnections() {
-	end := time.NewTimer(lastReadTime)
-	defer end.Stop()
-	again := time.NewTicker(lastReadInterval)
-	defer again.Stop()
-	for s.closeQuiet() > 0 {
+// closeInactiveConnections closes the connections on which nothing is under way, for finalReadPeriod or until all are closed.
+func (s *Server) closeInactiveConnections() {
+	deadline := time.NewTimer(finalReadPeriod)
+	defer deadline.Stop()
+	ticker := time.NewTicker(finalReadInterval)
+	defer ticker.Stop()
+	for s.closeInactive() > 0 {
 		select {
-		case <-again.C:
-		case <-end.C:
+		case <-ticker.C:
+		case <-deadline.C:
 			return
 		}
 	}
 }
 
-// closeQuiet is one try of closeQuietConnections. It returns how many connections stay open.
-func (s *Server) closeQuiet() (open int) {
+// closeInactive is one try of closeInactiveConnections. It returns how many connections stay open.
+func (s *Server) closeInactive() (open int) {
 	for _, c := range s.conns.All() {
 		if !c.closeIf(func(connadmission.Connection) bool { return true }) && !c.isClosed() {
 			open++
@@ -213,9 +213,9 @@
 
 // Shutdown closes each connection behind the responses that are queued on it, and returns when all goroutines of the
 // server have ended. Serve must have returned and its context ended before. Clients may go on sending meanwhile: for
-// lastReadTime requests are still read, and a connection is closed when none is on its way.
+// finalReadPeriod requests are still read, and a connection is closed when none is on its way.
 func (s *Server) Shutdown() {
-	s.closeQuietConnections()
+	s.closeInactiveConnections()
 	for _, c := range s.conns.All() {
 		c.drain()
 	}
--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -72,7 +72,7 @@
 }
 
 // start makes what the connections need. The lock is held.
-func (c *Client) start() {
+func (c *Client) ensureInitialized() {
 	if c.cancel != nil {
 		return
 	}
--- a/internal/platform/workerclient/client_test.go
+++ b/internal/platform/workerclient/client_test.go
@@ -75,7 +75,7 @@
 	defer func() { _ = silent.Close() }()
 	client, _ := newTestClient(t, silent.Addr().String(), 8)
 	client.mu.Lock() // nothing is sent meanwhile
-	client.start()
+	client.ensureInitialized()
 	conn := newConnection(client)
 	client.connections = append(client.connections, conn)
 	a := newAttempt(5)
@@ -133,8 +133,8 @@
 			return len(attempts) == 1 && attempts[0] == a
 		},
 	} {
-		ours, theirs := net.Pipe()
-		defer func() { _ = theirs.Close() }()
+		local, remote := net.Pipe()
+		defer func() { _ = remote.Close() }()
 		client, conn := newUnservedConnection(t, nil) // the dial is under way
 		a := newAttempt(5)
 		send(t, client, a)
@@ -144,9 +144,9 @@
 		if client.CancelUnsent(a) {
 			t.Errorf("%s: cancelled twice", name)
 		}
-		conn.netConn = ours // it is made late
+		conn.netConn = local // it is made late
 		var batch writeBatch
-		if conn.nextBatch(ours, &batch); len(batch.Bytes) > 0 {
+		if conn.nextBatch(local, &batch); len(batch.Bytes) > 0 {
 			t.Errorf("%s: %d bytes are written", name, len(batch.Bytes))
 		}
 	}
--- a/internal/platform/workerclient/connection.go
+++ b/internal/platform/workerclient/connection.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// localExhaustion are the errors of a connect that say that this process or its machine is out of something. They say
+// localResourceErrors are the errors of a connect that say that this process or its machine is out of something. They say
 // nothing of the worker.
-var localExhaustion = []error{
+var localResourceErrors = []error{
 	errNoSlot,
 	syscall.EMFILE, syscall.ENFILE, // descriptors
 	syscall.ENOBUFS, syscall.ENOMEM, // memory
@@ -200,7 +200,7 @@
 // the worker.
 func unsentStatus(reason error) scheduler.Status {
 	isLocal := func(local error) bool { return errors.Is(reason, local) }
-	if slices.ContainsFunc(localExhaustion, isLocal) {
+	if slices.ContainsFunc(localResourceErrors, isLocal) {
 		return scheduler.NotSent
 	}
 	return scheduler.ConnectFailed
--- a/internal/platform/workerclient/connection_budget_test.go
+++ b/internal/platform/workerclient/connection_budget_test.go
@@ -17,24 +17,24 @@
 	"havencart/scheduler"
 )
 
-// fleetOfClients are the clients of several workers, which share one budget.
-type fleetOfClients struct {
+// clientSet are the clients of several workers, which share one budget.
+type clientSet struct {
 	budget    *ConnectionBudget
 	clients   []*Client
 	recorders []eventRecorder
 	held      chan func() // responses, where the workers hold them back
 }
 
-// startFleet starts so many workers and their clients. The workers respond at once, or pass their responses to held.
-func startFleet(t *testing.T, workers, connections int, holds bool) *fleetOfClients {
+// startClients starts so many workers and their clients. The workers respond at once, or pass their responses to held.
+func startClients(t *testing.T, workers, connections int, holds bool) *clientSet {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	fleet := &fleetOfClients{budget: NewConnectionBudget(connections), held: make(chan func(), 64)}
+	set := &clientSet{budget: NewConnectionBudget(connections), held: make(chan func(), 64)}
 	for range workers {
 		server, err := platformworker.StartScripted(func(c *platformworker.Conn, f workerframe.Frame) {
 			respond := func() { c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID}) }
 			if holds {
-				fleet.held <- respond
+				set.held <- respond
 				return
 			}
 			respond()
@@ -44,14 +44,14 @@
 		}
 		t.Cleanup(server.Close)
 		client, recorder := newTestClient(t, server.Address(), connections)
-		client.cfg.Budget = fleet.budget
-		fleet.clients, fleet.recorders = append(fleet.clients, client), append(fleet.recorders, recorder)
+		client.cfg.Budget = set.budget
+		set.clients, set.recorders = append(set.clients, client), append(set.recorders, recorder)
 	}
-	return fleet
+	return set
 }
 
 // call sends an attempt to a worker and waits until it has ended well.
-func (f *fleetOfClients) call(t *testing.T, worker, number int) {
+func (f *clientSet) call(t *testing.T, worker, number int) {
 	t.Helper()
 	send(t, f.clients[worker], newAttempt(number))
 	if result := <-f.recorders[worker].attemptEnds; result.Status != scheduler.OK {
@@ -60,7 +60,7 @@
 }
 
 // awaitIdle waits until so many connections are idle: the goroutines that notice it are the connections' own.
-func (f *fleetOfClients) awaitIdle(t *testing.T, count int) {
+func (f *clientSet) awaitIdle(t *testing.T, count int) {
 	t.Helper()
 	for t.Context().Err() == nil {
 		f.budget.mu.Lock()
@@ -76,68 +76,68 @@
 // With more workers than connections, each worker is reached: the connection that was idle for longest makes room.
 func TestConnectionBudget_MoreWorkersThanConnections_AllAreReached(t *testing.T) {
 	const workers, connections = 12, 3
-	fleet := startFleet(t, workers, connections, false)
+	set := startClients(t, workers, connections, false)
 	for number := range 4 * workers {
-		fleet.call(t, number%workers, 100+number)
-		if used := fleet.budget.Used(); used > connections {
+		set.call(t, number%workers, 100+number)
+		if used := set.budget.Used(); used > connections {
 			t.Fatalf("%d connections with a budget of %d", used, connections)
 		}
-		fleet.awaitIdle(t, min(number+1, connections))
+		set.awaitIdle(t, min(number+1, connections))
 	}
 }
 
 // A connection with a request in flight keeps its slot.
 func TestConnectionBudget_NoConnectionIdle_AttemptIsNotSent(t *testing.T) {
-	fleet := startFleet(t, 3, 2, true)
-	send(t, fleet.clients[0], newAttempt(1))
-	send(t, fleet.clients[1], newAttempt(2))
-	responses := []func(){<-fleet.held, <-fleet.held}
-	if result := fleet.clients[2].Send(newAttempt(3)); result == nil || result.Status != scheduler.NotSent {
+	set := startClients(t, 3, 2, true)
+	send(t, set.clients[0], newAttempt(1))
+	send(t, set.clients[1], newAttempt(2))
+	responses := []func(){<-set.held, <-set.held}
+	if result := set.clients[2].Send(newAttempt(3)); result == nil || result.Status != scheduler.NotSent {
 		t.Errorf("sent while no connection was free: %+v", result)
 	}
 	for _, respond := range responses {
 		respond()
 	}
-	for _, recorder := range fleet.recorders[:2] {
+	for _, recorder := range set.recorders[:2] {
 		if result := <-recorder.attemptEnds; result.Status != scheduler.OK {
 			t.Errorf("ended as %+v", result)
 		}
 	}
-	fleet.awaitIdle(t, 2)
-	send(t, fleet.clients[2], newAttempt(4))
-	(<-fleet.held)()
-	if result := <-fleet.recorders[2].attemptEnds; result.Status != scheduler.OK {
+	set.awaitIdle(t, 2)
+	send(t, set.clients[2], newAttempt(4))
+	(<-set.held)()
+	if result := <-set.recorders[2].attemptEnds; result.Status != scheduler.OK {
 		t.Errorf("ended as %+v", result)
 	}
 }
 
 // A connection that was told to close takes no attempt, and its client makes another one.
 func TestConnectionBudget_EvictedConnection_IsNotUsedAgain(t *testing.T) {
-	fleet := startFleet(t, 2, 2, false)
-	fleet.call(t, 0, 1)
-	fleet.awaitIdle(t, 1)
-	fleet.budget.mu.Lock()
-	fleet.budget.evictIdle()
-	fleet.budget.mu.Unlock()
-	fleet.call(t, 0, 2)
-	fleet.awaitIdle(t, 1)
-	if used := fleet.budget.Used(); used != 1 {
+	set := startClients(t, 2, 2, false)
+	set.call(t, 0, 1)
+	set.awaitIdle(t, 1)
+	set.budget.mu.Lock()
+	set.budget.evictIdle()
+	set.budget.mu.Unlock()
+	set.call(t, 0, 2)
+	set.awaitIdle(t, 1)
+	if used := set.budget.Used(); used != 1 {
 		t.Errorf("%d slots are in use, one connection is open", used)
 	}
 }
 
 // A client that is stopped while its connection waits for a slot gives up waiting.
 func TestConnectionBudget_StoppedWhileWaiting_LeavesNoTrace(t *testing.T) {
-	fleet := startFleet(t, 1, 1, true)
-	addIdleConnection(fleet.budget)
-	waiting := fleet.clients[0]
+	set := startClients(t, 1, 1, true)
+	addIdleConnection(set.budget)
+	waiting := set.clients[0]
 	send(t, waiting, newAttempt(1))
 	waiting.Stop()
 	<-waiting.Done()
-	if used := fleet.budget.Used(); used != 1 {
+	if used := set.budget.Used(); used != 1 {
 		t.Errorf("%d slots are in use, one connection is open", used)
 	}
-	if waits := fleet.budget.waiting.Len(); waits != 0 {
+	if waits := set.budget.waiting.Len(); waits != 0 {
 		t.Errorf("%d connections wait", waits)
 	}
 }
@@ -164,15 +164,15 @@
 // Workers that are all wanted at once with few connections are sent to, or not sent to; nothing is held against them.
 func TestConnectionBudget_ManyWorkersAtOnce_NoneIsTakenForLost(t *testing.T) {
 	const workers, connections, rounds = 16, 2, 12
-	fleet := startFleet(t, workers, connections, false)
+	set := startClients(t, workers, connections, false)
 	var senders sync.WaitGroup
-	for worker, client := range fleet.clients {
+	for worker, client := range set.clients {
 		senders.Go(func() {
 			for round := range rounds {
 				if result := client.Send(newAttempt(worker*rounds + round)); result != nil {
-					fleet.recorders[worker].attemptEnds <- *result
+					set.recorders[worker].attemptEnds <- *result
 				}
-				result := <-fleet.recorders[worker].attemptEnds
+				result := <-set.recorders[worker].attemptEnds
 				if result.Status != scheduler.OK && result.Status != scheduler.NotSent {
 					t.Errorf("worker %d: attempt ended as %+v", worker, result)
 				}
@@ -184,15 +184,15 @@
 
 // A connection that got no slot in time says nothing of its worker.
 func TestConnectionBudget_NoSlotInTime_AttemptIsNotSent(t *testing.T) {
-	fleet := startFleet(t, 1, 1, true)
-	fleet.clients[0].cfg.ConnectTimeout = time.Millisecond
-	addIdleConnection(fleet.budget)
-	send(t, fleet.clients[0], newAttempt(1))
-	if result := <-fleet.recorders[0].attemptEnds; result.Status != scheduler.NotSent {
+	set := startClients(t, 1, 1, true)
+	set.clients[0].cfg.ConnectTimeout = time.Millisecond
+	addIdleConnection(set.budget)
+	send(t, set.clients[0], newAttempt(1))
+	if result := <-set.recorders[0].attemptEnds; result.Status != scheduler.NotSent {
 		t.Errorf("ended as %+v", result)
 	}
 	select {
-	case err := <-fleet.recorders[0].disconnects:
+	case err := <-set.recorders[0].disconnects:
 		t.Errorf("the worker counts as disconnected: %v", err)
 	default:
 	}
--- a/internal/platform/workerclient/connection_read.go
+++ b/internal/platform/workerclient/connection_read.go
@@ -16,8 +16,8 @@
 // readBufferSize is small, in bytes: there are many connections, and memory is short.
 const readBufferSize = 4 << 10
 
-// statuses has the status of an attempt or load order for each code that ends one.
-var statuses = map[workerframe.Code]scheduler.Status{
+// statusOfCode has the status of an attempt or load order for each code that ends one.
+var statusOfCode = map[workerframe.Code]scheduler.Status{
 	workerframe.OK:           scheduler.OK,
 	workerframe.NotLoaded:    scheduler.NotLoaded,
 	workerframe.Overloaded:   scheduler.Overloaded,
@@ -53,8 +53,8 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// awaited is what waited for a response: at most one field is set.
-type awaited struct {
+// finishedItem is what waited for a response: at most one field is set.
+type finishedItem struct {
 	attempt     *workerconn.Attempt
 	load        *workerconn.LoadOrder
 	healthCheck *workerconn.HealthCheck
@@ -66,23 +66,23 @@
 	if err != nil {
 		return err
 	}
-	waiting := c.finish(frame)
+	finished := c.finish(frame)
 	events := c.client.events
 	switch {
-	case waiting.attempt != nil:
-		events.AttemptEnded(waiting.attempt, workerconn.Result{
-			Status:     statuses[frame.Code],
+	case finished.attempt != nil:
+		events.AttemptEnded(finished.attempt, workerconn.Result{
+			Status:     statusOfCode[frame.Code],
 			QueueDepth: fields.QueueDepth,
 			LoadReport: fields.LoadReport,
 			ReceivedAt: c.client.cfg.Now(),
 			Response:   &workerconn.Response{Body: frame.Body, Length: int64(len(frame.Body))},
 		})
-	case waiting.load != nil:
-		events.LoadEnded(waiting.load, statuses[frame.Code], fields.Replicas)
-	case waiting.healthCheck != nil && frame.Code == workerframe.Healthy:
-		events.HealthChecked(waiting.healthCheck, scheduler.OK, fields.LoadReport)
-	case waiting.healthCheck != nil:
-		events.HealthChecked(waiting.healthCheck, scheduler.Error, fields.LoadReport)
+	case finished.load != nil:
+		events.LoadEnded(finished.load, statusOfCode[frame.Code], fields.Replicas)
+	case finished.healthCheck != nil && frame.Code == workerframe.Healthy:
+		events.HealthChecked(finished.healthCheck, scheduler.OK, fields.LoadReport)
+	case finished.healthCheck != nil:
+		events.HealthChecked(finished.healthCheck, scheduler.Error, fields.LoadReport)
 	default:
 		events.LateResponse(0)
 	}
@@ -90,7 +90,7 @@
 }
 
 // finish removes and returns what waited for a response.
-func (c *connection) finish(frame workerframe.Frame) awaited {
+func (c *connection) finish(frame workerframe.Frame) finishedItem {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
 	c.received = true
@@ -101,20 +101,20 @@
 		if check != nil {
 			check.ConnectedAt = c.connectedAt
 		}
-		return awaited{healthCheck: check}
+		return finishedItem{healthCheck: check}
 	}
 	if attempt := c.queue.FinishAttempt(frame.ID); attempt != nil {
 		delete(c.client.attempts, attempt)
 		if frame.Code != workerframe.OK { // else no attempt with this number follows
 			c.recent.add(frame.ID)
 		}
-		return awaited{attempt: attempt}
+		return finishedItem{attempt: attempt}
 	}
 	load := c.queue.FinishLoad(frame.ID)
 	if load != nil {
 		delete(c.client.loads, load)
 	}
-	return awaited{load: load}
+	return finishedItem{load: load}
 }
 
 // isHealthCode tells whether a code responds to a health check.
--- a/internal/platform/workerclient/connection_read_test.go
+++ b/internal/platform/workerclient/connection_read_test.go
@@ -64,7 +64,7 @@
 			send(t, client, newAttempt(5))
 			first := <-received
 			first.c.Respond(workerframe.Frame{Code: code, ID: first.f.ID})
-			if r := <-recorder.attemptEnds; r.Status != statuses[code] {
+			if r := <-recorder.attemptEnds; r.Status != statusOfCode[code] {
 				t.Fatalf("ended as %+v", r)
 			}
 			send(t, client, newAttempt(5))
--- a/internal/platform/workerclient/connection_select.go
+++ b/internal/platform/workerclient/connection_select.go
@@ -46,7 +46,7 @@
 // openConnection adds a connection and starts its goroutine, which dials once the connection has its slot of the budget.
 // It returns nil if the budget has none. The lock is held.
 func (c *Client) openConnection() *connection {
-	c.start()
+	c.ensureInitialized()
 	conn := newConnection(c)
 	if !c.cfg.Budget.reserve(conn, len(c.connections)) {
 		return nil
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -98,13 +98,13 @@
 // works again. The worker sees a reset.
 func TestClose_RequestWasCancelled_ResetsConnection(t *testing.T) {
 	for _, cancelled := range []bool{true, false} {
-		ours, theirs := connectedPair(t)
-		client, conn := newUnservedConnection(t, ours)
+		local, remote := connectedPair(t)
+		client, conn := newUnservedConnection(t, local)
 		a := newAttempt(5)
 		send(t, client, a)
 		served := make(chan error, 1)
-		client.tasks.Go(func() { served <- conn.serve(ours) })
-		r := workerframe.NewReader(theirs, workerframe.FromFrontEnd, workerframe.MaxBody)
+		client.tasks.Go(func() { served <- conn.serve(local) })
+		r := workerframe.NewReader(remote, workerframe.FromFrontEnd, workerframe.MaxBody)
 		if f, err := r.Next(); err != nil || f.ID != 5 {
 			t.Fatalf("read %+v, %v", f, err)
 		}
@@ -112,7 +112,7 @@
 			client.Abandon(a)
 		} else {
 			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: 5})
-			if _, err := theirs.Write(raw); err != nil {
+			if _, err := remote.Write(raw); err != nil {
 				t.Fatal(err)
 			}
 			client.mu.Lock()
@@ -123,7 +123,7 @@
 		if err := <-served; !errors.Is(err, workerconn.ErrUnneeded) {
 			t.Errorf("served: %v", err)
 		}
-		if _, err := io.Copy(io.Discard, theirs); errors.Is(err, syscall.ECONNRESET) != cancelled {
+		if _, err := io.Copy(io.Discard, remote); errors.Is(err, syscall.ECONNRESET) != cancelled {
 			t.Errorf("cancelled %v: the worker saw %v", cancelled, err)
 		}
 	}
@@ -131,12 +131,12 @@
 
 // A client that is stopped sends no more of what was in flight, however late the network path works again.
 func TestStop_AttemptInFlight_ResetsConnection(t *testing.T) {
-	ours, theirs := connectedPair(t)
-	client, conn := newUnservedConnection(t, ours)
+	local, remote := connectedPair(t)
+	client, conn := newUnservedConnection(t, local)
 	send(t, client, newAttempt(5))
 	served := make(chan error, 1)
-	client.tasks.Go(func() { served <- conn.serve(ours) })
-	r := workerframe.NewReader(theirs, workerframe.FromFrontEnd, workerframe.MaxBody)
+	client.tasks.Go(func() { served <- conn.serve(local) })
+	r := workerframe.NewReader(remote, workerframe.FromFrontEnd, workerframe.MaxBody)
 	if f, err := r.Next(); err != nil || f.ID != 5 {
 		t.Fatalf("read %+v, %v", f, err)
 	}
@@ -144,7 +144,7 @@
 	if err := <-served; err == nil {
 		t.Error("served without an error")
 	}
-	if _, err := io.Copy(io.Discard, theirs); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := io.Copy(io.Discard, remote); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the worker saw %v, want a reset", err)
 	}
 }
--- a/internal/platform/workerclient/connection_write_test.go
+++ b/internal/platform/workerclient/connection_write_test.go
@@ -17,15 +17,15 @@
 		"closed": func(c *net.TCPConn) { _ = c.Close() },
 		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
 	} {
-		ours, theirs := connectedPair(t)
-		client, conn := newUnservedConnection(t, ours)
-		end(theirs)
-		for socket.PeerClosed(ours) == nil {
+		local, remote := connectedPair(t)
+		client, conn := newUnservedConnection(t, local)
+		end(remote)
+		for socket.PeerClosed(local) == nil {
 			continue // until the end is in the buffer
 		}
 		a := newAttempt(5)
 		send(t, client, a)
-		if err := conn.write(ours, make(chan struct{})); err == nil || conn.queue.Queued() != 1 || a.MayHaveBeenSent() {
+		if err := conn.write(local, make(chan struct{})); err == nil || conn.queue.Queued() != 1 || a.MayHaveBeenSent() {
 			t.Errorf("%s: %v, %d queued, may have been sent %v", name, err, conn.queue.Queued(), a.MayHaveBeenSent())
 		}
 	}
@@ -33,25 +33,25 @@
 
 // The frames are in a batch, and their first byte is not written yet.
 func TestDrain_BatchNotYetWritten_ShortensItsWriteTimeout(t *testing.T) {
-	ours, theirs := net.Pipe() // nobody reads
-	defer func() { _ = theirs.Close() }()
-	client, conn := newUnservedConnection(t, ours)
+	local, remote := net.Pipe() // nobody reads
+	defer func() { _ = remote.Close() }()
+	client, conn := newUnservedConnection(t, local)
 	send(t, client, newAttempt(5))
 	var batch writeBatch
-	conn.nextBatch(ours, &batch)
+	conn.nextBatch(local, &batch)
 	if attempts, _ := client.Drain(time.Millisecond); len(attempts) != 0 {
 		t.Error("an attempt that is being sent was removed")
 	}
-	if _, err := ours.Write(batch.Bytes); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := local.Write(batch.Bytes); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("written: %v", err)
 	}
 }
 
 // The worker reads nothing, and the client that sent the request disconnects while the attempt is being written.
 func TestAbandon_AttemptBeingWritten_ShortensWriteTimeout(t *testing.T) {
-	ours, theirs := net.Pipe() // nobody reads
-	defer func() { _ = theirs.Close() }()
-	recorder := &deadlineRecorder{Conn: ours}
+	local, remote := net.Pipe() // nobody reads
+	defer func() { _ = remote.Close() }()
+	recorder := &deadlineRecorder{Conn: local}
 	client, conn := newUnservedConnection(t, recorder)
 	a, other := newAttempt(5), newAttempt(6)
 	send(t, client, a)
@@ -78,13 +78,13 @@
 
 // The worker reads nothing, and the operating system's buffers are full.
 func TestStop_BlockedWrite_EndsAtOnce(t *testing.T) {
-	ours, theirs := net.Pipe() // nobody reads, nothing is buffered
-	defer func() { _ = theirs.Close() }()
-	client, conn := newUnservedConnection(t, ours)
+	local, remote := net.Pipe() // nobody reads, nothing is buffered
+	defer func() { _ = remote.Close() }()
+	client, conn := newUnservedConnection(t, local)
 	send(t, client, newAttempt(5))
 	served := make(chan error, 1)
-	client.tasks.Go(func() { served <- conn.serve(ours) })
-	if _, err := theirs.Read(make([]byte, 1)); err != nil { // the write has begun
+	client.tasks.Go(func() { served <- conn.serve(local) })
+	if _, err := remote.Read(make([]byte, 1)); err != nil { // the write has begun
 		t.Fatal(err)
 	}
 	client.Stop()
--- a/internal/platform/workerclient/helpers_test.go
+++ b/internal/platform/workerclient/helpers_test.go
@@ -91,7 +91,7 @@
 }
 
 // connectedPair returns both ends of a connection.
-func connectedPair(t *testing.T) (ours, theirs *net.TCPConn) {
+func connectedPair(t *testing.T) (local, remote *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -115,7 +115,7 @@
 	client, _ := newTestClient(t, "127.0.0.1:1", 1)
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	client.start()
+	client.ensureInitialized()
 	conn := newConnection(client)
 	conn.netConn, conn.received = netConn, true
 	client.connections = append(client.connections, conn)
--- a/internal/platform/workerframe/fields.go
+++ b/internal/platform/workerframe/fields.go
@@ -87,10 +87,10 @@
 }
 
 // Count returns the number that a field holds, or absent if there is no such field.
-func Count(fields, name string, absent int) (int, error) {
+func Count(fields, name string, defaultValue int) (int, error) {
 	text, found := Field(fields, name)
 	if !found {
-		return absent, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.ParseUint(text, 10, 31)
 	if err != nil {
--- a/internal/platform/workerframe/frame.go
+++ b/internal/platform/workerframe/frame.go
@@ -59,9 +59,9 @@
 )
 
 const (
-	headSize     = 16 // bytes before the fields
-	checksumSize = 4  // bytes behind the body
-	maxFields    = 4 << 10
+	headerSize    = 16 // bytes before the fields
+	checksumSize  = 4  // bytes behind the body
+	maxFieldsSize = 4 << 10
 	// MaxBody bounds the body of a frame, in bytes.
 	MaxBody = 1 << 20
 )
@@ -79,11 +79,11 @@
 
 // Append appends a frame with the mark of the side that writes it. It fails, and returns buffer as it was, if the fields
 // or the body are too long.
-func Append(buffer []byte, mark byte, frame Frame) ([]byte, error) {
-	if len(frame.Fields) > maxFields || len(frame.Body) > MaxBody {
+func Append(buffer []byte, magic byte, frame Frame) ([]byte, error) {
+	if len(frame.Fields) > maxFieldsSize || len(frame.Body) > MaxBody {
 		return buffer, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, len(frame.Fields), len(frame.Body))
 	}
-	buffer = append(buffer, mark, byte(frame.Code))
+	buffer = append(buffer, magic, byte(frame.Code))
 	buffer = binary.BigEndian.AppendUint16(buffer, uint16(len(frame.Fields)))
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(frame.Body)))
 	buffer = binary.BigEndian.AppendUint64(buffer, frame.ID)
@@ -97,7 +97,7 @@
 // Reader reads the frames that one side writes.
 type Reader struct {
 	source  io.Reader
-	mark    byte
+	magic   byte
 	maxBody int // bytes
 	// OnFrameStart, if set, is called once the head of a frame was read and before the rest is.
 	OnFrameStart func()
@@ -105,26 +105,26 @@
 
 // NewReader returns a Reader of the frames with a mark, whose bodies have at most maxBody bytes, and never more than
 // MaxBody.
-func NewReader(source io.Reader, mark byte, maxBody int) *Reader {
-	return &Reader{source: source, mark: mark, maxBody: min(maxBody, MaxBody)}
+func NewReader(source io.Reader, magic byte, maxBody int) *Reader {
+	return &Reader{source: source, magic: magic, maxBody: min(maxBody, MaxBody)}
 }
 
 // Next reads the next frame. It returns io.EOF if the input ends between frames, an error that wraps io.ErrUnexpectedEOF
 // if it ends within one, and an error that wraps ErrMalformed for bytes that are no frame.
 func (r *Reader) Next() (Frame, error) {
-	var head [headSize]byte
-	if _, err := io.ReadFull(r.source, head[:]); err != nil {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(r.source, header[:]); err != nil {
 		return Frame{}, err
 	}
-	frame := Frame{Code: Code(head[1]), ID: binary.BigEndian.Uint64(head[8:])}
-	fieldsLength := int(binary.BigEndian.Uint16(head[2:]))
-	bodyLength := binary.BigEndian.Uint32(head[4:])
+	frame := Frame{Code: Code(header[1]), ID: binary.BigEndian.Uint64(header[8:])}
+	fieldsLength := int(binary.BigEndian.Uint16(header[2:]))
+	bodyLength := binary.BigEndian.Uint32(header[4:])
 	switch {
-	case head[0] != r.mark:
-		return frame, fmt.Errorf("%w: mark %d", ErrMalformed, head[0])
-	case !r.isKnown(frame.Code):
+	case header[0] != r.magic:
+		return frame, fmt.Errorf("%w: mark %d", ErrMalformed, header[0])
+	case !r.isKnownCode(frame.Code):
 		return frame, fmt.Errorf("%w: code %d", ErrMalformed, frame.Code)
-	case fieldsLength > maxFields || uint64(bodyLength) > uint64(r.maxBody):
+	case fieldsLength > maxFieldsSize || uint64(bodyLength) > uint64(r.maxBody):
 		return frame, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, fieldsLength, bodyLength)
 	}
 	if r.OnFrameStart != nil {
@@ -155,9 +155,9 @@
 	return content, nil
 }
 
-// isKnown tells whether the side that is read uses a code.
-func (r *Reader) isKnown(c Code) bool {
-	if r.mark == FromFrontEnd {
+// isKnownCode tells whether the side that is read uses a code.
+func (r *Reader) isKnownCode(c Code) bool {
+	if r.magic == FromFrontEnd {
 		return c >= Request && c <= Load || c == Unload
 	}
 	return c == OK || c >= NotLoaded && c <= Unhealthy
--- a/internal/platform/workerframe/frame_test.go
+++ b/internal/platform/workerframe/frame_test.go
@@ -51,7 +51,7 @@
 		"code":        damage(func(b []byte) { b[1] = 65 }),
 		"3 GB":        damage(func(b []byte) { binary.BigEndian.PutUint32(b[4:], 3<<30) }),
 		"many fields": damage(func(b []byte) { binary.BigEndian.PutUint16(b[2:], 60000) }),
-		"body":        damage(func(b []byte) { b[headSize+12] ^= 1 }),
+		"body":        damage(func(b []byte) { b[headerSize+12] ^= 1 }),
 		"check":       damage(func(b []byte) { b[len(b)-1] ^= 1 }),
 	} {
 		if _, err := NewReader(bytes.NewReader(raw), FromWorker, MaxBody).Next(); !errors.Is(err, ErrMalformed) {
