--- a/internal/platform/endpointstream/event.go
+++ b/internal/platform/endpointstream/event.go
@@ -1,12 +1,12 @@
 // Package endpointstream is the codec of the platform's endpoint list: the numbered events by which the platform
-// announces its workers. An event travels as a binary frame on a TCP connection, and the events known at start-up stand
-// as JSON in a front end's configuration; both forms decode to the same Event.
+// announces its workers. Events are sent as binary frames over a TCP connection. The events that are known at start-up
+// are part of a front end's configuration, in JSON. Both encodings are decoded to the same Event type.
 //
-// The platform's own words end here: its executor is a worker, its bulletin the endpoint stream, its host, block and
-// share are a worker's name, cell and weight.
+// The package translates the platform's terms to those used in the rest of this code base: an executor is a worker, the
+// bulletin is the endpoint stream, and a host, block and share are a worker's name, cell and weight.
 //
-// Decoding is strict and bounded: the length of a frame is checked before anything is read for it. The package does no
-// I/O but through the reader that it is given, and keeps no state; its functions are safe for concurrent use.
+// Decoding is strict and bounded: the length of a frame is checked before its entries are read. The package does no I/O
+// except on the readers that are passed to it. It has no state, so its functions are safe for concurrent use.
 package endpointstream
 
 import (
@@ -19,53 +19,54 @@
 // not wrap it.
 var ErrMalformed = errors.New("malformed endpoint stream")
 
-// State is the state of a worker as announced by the platform. Its values are those on the wire.
+// State is the state of a worker as announced by the platform. The values are used on the wire.
 type State byte
 
 // The states of a worker.
 const (
 	Ready    State = iota // accepts requests
-	Draining              // finishes what it has; nothing new may be sent
-	Removed               // no longer part of the list
+	Draining              // finishes the work it has; no new work may be sent to it
+	Removed               // no longer part of the endpoint list
 )
 
-// EventKind is the kind of an event. Its values are those on the wire.
+// EventKind is the kind of an event. The values are used on the wire.
 type EventKind byte
 
-// The kinds of event.
+// The kinds of events.
 const (
-	NoChange EventKind = iota // a sign of life without entries
-	Snapshot                  // the whole list
-	Delta                     // only the workers that changed
+	NoChange EventKind = iota // keepalive without entries
+	Snapshot                  // contains all workers of the endpoint list
+	Delta                     // contains only the workers that changed
 )
 
-// Entry describes one worker in an event.
+// Entry describes one worker in an event. Its field names appear in an error text.
 type Entry struct {
 	ID               uint32
-	Address          netip.AddrPort // IPv4
+	Address          netip.AddrPort // IPv4 address and port
 	State            State
-	Zone             int     // index into the platform's list of zones
-	WorkerKind       int     // index into the platform's list of worker kinds
+	Zone             int     // index in the platform's list of zones
+	WorkerKind       int     // index in the platform's list of worker kinds
 	Cell             int     // number of the worker's cell
 	Weight           float64 // relative capacity; above 0 unless the worker is Removed
-	StartedUnixMilli int64   // time of the worker's start in Unix milliseconds, 0 if it is not announced
+	StartedUnixMilli int64   // start time of the worker in Unix milliseconds, 0 if unknown
 }
 
-// Name returns the worker's name in the form that configuration and logs use, such as s-00c41f7a.
+// Name returns the worker's name as used in configuration and logs, such as s-00c41f7a.
 func (e Entry) Name() string { return fmt.Sprintf("%s%08x", namePrefix, e.ID) }
 
-// namePrefix precedes the hexadecimal identifier in a worker's name.
+// namePrefix is the part of a worker's name that precedes the hexadecimal ID.
 const namePrefix = "s-"
 
-// Event is one change of the endpoint list. Numbers grow from event to event; a NoChange event repeats the number of
-// the one before it.
+// Event is an update of the endpoint list. Numbers increase from event to event, except that a NoChange event repeats
+// the number of the previous event.
 type Event struct {
 	Number  uint64
 	Kind    EventKind
 	Entries []Entry
 }
 
-// validate returns an error that wraps ErrMalformed unless the entry can be used with that many zones and worker kinds.
+// validate returns an error that wraps ErrMalformed if a field of the entry is out of range. The arguments are the
+// number of zones and the number of worker kinds of the platform.
 func (e Entry) validate(zones, kinds int) error {
 	switch {
 	case e.State > Removed,
@@ -79,6 +80,6 @@
 	return nil
 }
 
-// lacksWeight reports whether a worker that remains in the list has no positive weight. A weight that is not a number
-// counts as none.
+// lacksWeight reports whether the worker remains in the endpoint list but has no positive weight. NaN is not a positive
+// weight.
 func (e Entry) lacksWeight() bool { return e.State != Removed && !(e.Weight > 0) }
--- a/internal/platform/endpointstream/frame.go
+++ b/internal/platform/endpointstream/frame.go
@@ -8,31 +8,34 @@
 	"net/netip"
 )
 
-// A frame is a header and as many entries as its length allows, all integers big-endian:
+// A frame consists of a header and zero or more entries; the header's length field determines the number of entries.
+// All integers are big-endian. The layout is listed as the offset of each field with its size in bytes:
 //
-//	header  0 length of what follows the length field (4 bytes), 4 event number (8), 12 kind (1)
+//	header  0 length of the frame after this field (4), 4 event number (8), 12 kind (1)
 //	entry   0 worker ID (4), 4 IPv4 address (4), 8 port (2), 10 state (1), 11 zone (1), 12 worker kind (1),
-//	        13 cell (2), 15 weight in thousandths (4), 19 start in Unix milliseconds (8)
+//	        13 cell (2), 15 weight in thousandths (4), 19 start time in Unix milliseconds (8)
 const (
 	headerSize     = 13
-	lengthOverhead = 9 // bytes of the header that its length field counts
+	lengthOverhead = 9 // bytes of the header that are included in its length field
 	entrySize      = 27
 	maxEntries     = 1 << 14
-	weightUnit     = 1000 // a weight of 1 on the wire
+	weightUnit     = 1000 // value on the wire that represents a weight of 1
 )
 
-// AppendHello appends the greeting that a front end writes once, before it reads: the number of the last event that it
-// has, 0 if it has none. The platform answers with the events after it.
+// AppendHello appends the hello message, which a front end writes once at the start of a connection. It contains the
+// number of the last event that the front end has received, or 0 if there is none. The platform responds with the later
+// events.
 func AppendHello(buf []byte, last uint64) []byte { return binary.BigEndian.AppendUint64(buf, last) }
 
-// ReadHello reads a front end's greeting. Its errors are those of the reader.
+// ReadHello reads the hello message of a front end. It returns errors of the reader unchanged.
 func ReadHello(r io.Reader) (last uint64, err error) {
 	var greeting [8]byte
 	_, err = io.ReadFull(r, greeting[:])
 	return binary.BigEndian.Uint64(greeting[:]), err
 }
 
-// AppendEvent appends the event's frame to buf. The event must be one that ReadEvent accepts.
+// AppendEvent appends the event's frame to buf. It does not validate the event: the caller must pass only events that
+// ReadEvent accepts.
 func AppendEvent(buf []byte, event Event) []byte {
 	buf = binary.BigEndian.AppendUint32(buf, uint32(lengthOverhead+entrySize*len(event.Entries)))
 	buf = binary.BigEndian.AppendUint64(buf, event.Number)
@@ -54,9 +57,9 @@
 	return binary.BigEndian.AppendUint64(buf, uint64(entry.StartedUnixMilli))
 }
 
-// ReadEvent reads the next event of a platform with that many zones and worker kinds. An error that wraps ErrMalformed is
-// about the content; any other, such as io.EOF between two events, is the reader's. After an error the position in the
-// stream is unknown and the connection must be given up.
+// ReadEvent reads the next event. The zones and kinds arguments are the number of zones and the number of worker kinds
+// of the platform. Errors about the content wrap ErrMalformed; all other errors, such as io.EOF between two events,
+// come from the reader. After an error the position in the stream is unknown, so the caller must close the connection.
 func ReadEvent(r io.Reader, zones, kinds int) (Event, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -84,7 +87,8 @@
 	return event, nil
 }
 
-// validSize reports whether a frame's length field stands for a whole number of entries within the bound.
+// validSize reports whether the value of a frame's length field corresponds to a whole number of entries and to at most
+// maxEntries.
 func validSize(size uint32) bool {
 	if size < lengthOverhead {
 		return false
@@ -93,7 +97,7 @@
 	return entries%entrySize == 0 && entries/entrySize <= maxEntries
 }
 
-// allowsSize reports whether the kind is known and an event of it may have a frame of that length.
+// allowsSize reports whether the kind is known and its events may have a frame whose length field has the value size.
 func (k EventKind) allowsSize(size uint32) bool {
 	if k > Delta {
 		return false
--- a/internal/platform/endpointstream/initial.go
+++ b/internal/platform/endpointstream/initial.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// initialEvents mirrors the JSON object that holds the events known at start-up; keys that it lacks are ignored.
+// initialEvents is the JSON object with the events known at start-up. Keys of the object that have no field here are
+// ignored.
 type initialEvents struct {
 	LastNumber uint64         `json:"no"`
 	Events     []initialEvent `json:"items"`
@@ -40,9 +41,9 @@
 	"removed":  Removed,
 }
 
-// ParseInitialEvents reads the events known at start-up from a front end's configuration. zones and kinds are the
-// platform's names of its zones and worker kinds, in the order in which frames number them. It returns the events and
-// the number from which the stream is to be followed. Every error wraps ErrMalformed.
+// ParseInitialEvents parses the events known at start-up from a front end's configuration. The zones and kinds
+// arguments are the names of the platform's zones and worker kinds, in the order of their indexes in frames. It returns
+// the events and the event number to send in the hello message. Every error wraps ErrMalformed.
 func ParseInitialEvents(text []byte, zones, kinds []string) (last uint64, events []Event, err error) {
 	var in initialEvents
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -94,14 +95,14 @@
 	return entry, entry.validate(len(zones), len(kinds))
 }
 
-// id returns the number in the worker's name, false if the name has another form.
+// id returns the ID that is part of the worker's name. It returns false if the name is malformed.
 func (w initialEntry) id() (id uint32, ok bool) {
 	digits, hasPrefix := strings.CutPrefix(w.Name, namePrefix)
 	number, err := strconv.ParseUint(digits, 16, 32)
 	return uint32(number), hasPrefix && err == nil
 }
 
-// address returns the worker's address, false if it is no IPv4 address with a port.
+// address returns the worker's address. It returns false if the address is not an IPv4 address with a port.
 func (w initialEntry) address() (address netip.AddrPort, ok bool) {
 	address, err := netip.ParseAddrPort(w.Address)
 	return address, err == nil && address.Addr().Is4()
@@ -109,7 +110,8 @@
 
 func (w initialEntry) outOfRange() bool { return w.Cell < 0 || !(w.StartedMillis >= 0) }
 
-// indexOrLen returns the index of name in names, or len(names), which Entry.validate refuses, if it is not there.
+// indexOrLen returns the index of name in names. If name is unknown it returns len(names), which Entry.validate
+// rejects.
 func indexOrLen(names []string, name string) int {
 	if index := slices.Index(names, name); index >= 0 {
 		return index
--- a/internal/platform/workerframe/fields.go
+++ b/internal/platform/workerframe/fields.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// The platform's names of fields.
+// Field names that the platform defines.
 const (
 	fieldClass          = "lane"
 	fieldFunction       = "name"
@@ -17,15 +17,15 @@
 	fieldLoadReport     = "rep"
 )
 
-// RequestFields are the fields of a Request.
+// RequestFields are the fields of a Request frame.
 type RequestFields struct {
 	Class          string
 	Function       string
-	TimeoutMillis  int64  // milliseconds from now after which nobody waits for the response
-	IdempotencyKey string // left out if empty
+	TimeoutMillis  int64  // remaining time, in milliseconds, for which the client waits for the response
+	IdempotencyKey string // omitted from the frame if empty
 }
 
-// String returns the fields as a frame has them.
+// String returns the fields in the format of Frame.Fields.
 func (f RequestFields) String() string {
 	text := fieldClass + "=" + f.Class +
 		"," + fieldFunction + "=" + f.Function +
@@ -36,26 +36,26 @@
 	return text
 }
 
-// LoadFields are the fields of a Load.
+// LoadFields are the fields of a Load frame.
 type LoadFields struct {
 	Function string
-	Replicas int // to hold at least; 0 makes it a residency query
+	Replicas int // minimum number of replicas to keep loaded; 0 makes the frame a residency query
 }
 
-// String returns the fields as a frame has them.
+// String returns the fields in the format of Frame.Fields.
 func (f LoadFields) String() string {
 	return fieldFunction + "=" + f.Function + "," + fieldReplicas + "=" + strconv.Itoa(f.Replicas)
 }
 
-// ResponseFields are the fields of a worker's responses.
+// ResponseFields are the fields of a worker's response.
 type ResponseFields struct {
-	QueueDepth int       // requests of the function that the worker held on arrival
-	Replicas   int       // of the function that are loaded
-	LoadReport []float64 // nil if there is none
+	QueueDepth int       // requests for the function that the worker held when this request arrived
+	Replicas   int       // loaded replicas of the function
+	LoadReport []float64 // nil if the response has none or it was not parsed
 }
 
-// ParseResponseFields reads the fields of a worker's response. Numbers that are missing are 0. The load report has its
-// values in the order of loadReportNames and is not read if there are no names.
+// ParseResponseFields parses the fields of a worker's response. Missing numbers are 0. The values of the load report
+// are returned in the order of loadReportNames; if loadReportNames is empty, the load report is not parsed.
 func ParseResponseFields(fields string, loadReportNames []string) (ResponseFields, error) {
 	queueDepth, err := Count(fields, fieldQueueDepth, 0)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return parsed, nil
 }
 
-// Field returns the value of the first field with a name, and whether there is one.
+// Field returns the value of the first field with the given name and reports whether such a field exists.
 func Field(fields, name string) (value string, found bool) {
 	for pair := range strings.SplitSeq(fields, ",") {
 		if n, value, found := strings.Cut(pair, "="); found && n == name {
@@ -86,7 +86,7 @@
 	return "", false
 }
 
-// Count returns the number that a field holds, or absent if there is no such field.
+// Count returns the value of a field that holds a non-negative integer, or defaultValue if there is no such field.
 func Count(fields, name string, defaultValue int) (int, error) {
 	text, found := Field(fields, name)
 	if !found {
@@ -99,11 +99,11 @@
 	return int(n), nil
 }
 
-// maxLoadReportValue is what each value of a load report must be below.
+// maxLoadReportValue is the exclusive upper bound of the values in a load report.
 const maxLoadReportValue = 1e12
 
-// ParseLoadReport reads a load report such as inflight:7;util:0.61. It returns the values in the order of names; one that
-// the report lacks is 0.
+// ParseLoadReport parses a load report such as inflight:7;util:0.61. It returns the values in the order of names; the
+// value of a name that is missing from the report is 0.
 func ParseLoadReport(report string, names []string) ([]float64, error) {
 	values := make([]float64, len(names))
 	for pair := range strings.SplitSeq(report, ";") {
@@ -122,5 +122,5 @@
 	return values, nil
 }
 
-// isLoadReportValue tells whether a value is in range; NaN is not.
+// isLoadReportValue reports whether the value is within the bounds of a load report. NaN is not.
 func isLoadReportValue(value float64) bool { return value >= 0 && value < maxLoadReportValue }
--- a/internal/platform/workerframe/fields_test.go
+++ b/internal/platform/workerframe/fields_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFields_String_HasThePlatformsNames(t *testing.T) {
+func TestFields_String_UsesPlatformFieldNames(t *testing.T) {
 	for name, test := range map[string]struct{ got, want string }{
 		"request with idempotency key": {
 			RequestFields{Class: "fare", Function: "f1", TimeoutMillis: 1500, IdempotencyKey: "k1"}.String(),
@@ -16,7 +16,7 @@
 		"residency query": {LoadFields{Function: "f1"}.String(), "name=f1,replicas=0"},
 	} {
 		if test.got != test.want {
-			t.Errorf("%s: %q in place of %q", name, test.got, test.want)
+			t.Errorf("%s: got %q, want %q", name, test.got, test.want)
 		}
 	}
 }
@@ -25,17 +25,17 @@
 	names := []string{"queue"}
 	got, err := ParseResponseFields("peers_in=3,replicas=2,rep=queue:7", names)
 	if err != nil || got.QueueDepth != 3 || got.Replicas != 2 || len(got.LoadReport) != 1 || got.LoadReport[0] != 7 {
-		t.Errorf("all fields: %+v, %v", got, err)
+		t.Errorf("all fields: got %+v, error %v", got, err)
 	}
 	if got, err = ParseResponseFields("", names); err != nil || got.QueueDepth != 0 || got.Replicas != 0 || got.LoadReport != nil {
-		t.Errorf("no fields: %+v, %v", got, err)
+		t.Errorf("no fields: got %+v, error %v", got, err)
 	}
 	if got, err = ParseResponseFields("rep=queue:x", nil); err != nil || got.LoadReport != nil {
-		t.Errorf("a report that is not read: %+v, %v", got, err)
+		t.Errorf("load report without expected names: got %+v, error %v; want no load report and no error", got, err)
 	}
 	for _, malformed := range []string{"peers_in=x", "replicas=-1", "rep=queue:x", "rep=queue:NaN"} {
 		if _, err := ParseResponseFields(malformed, names); err == nil {
-			t.Errorf("%q is accepted", malformed)
+			t.Errorf("malformed fields %q were accepted", malformed)
 		}
 	}
 }
--- a/internal/platform/workerframe/frame.go
+++ b/internal/platform/workerframe/frame.go
@@ -1,23 +1,24 @@
-// Package workerframe is the codec of the binary frames that the users' platform defines between front ends and its
-// workers, which it calls executors. It is strict: every length is checked before memory is allocated for it, and a
-// frame with a wrong mark, code or checksum is an error. It does no I/O except on the reader that it is given.
+// Package workerframe is the codec of the binary frames that the users' platform defines between front ends and
+// workers. The platform calls its workers executors. Decoding is strict: every length is checked before memory is
+// allocated for it, and a frame with a wrong magic byte, code or checksum is an error. The package does no I/O except
+// on the reader that is passed to NewReader.
 //
-// A frame is, with all numbers big-endian,
+// A frame has the following layout. All numbers are big-endian.
 //
-//	1 byte   mark of the side that wrote it
+//	1 byte   magic byte, which identifies the side that wrote the frame
 //	1 byte   code
 //	2 bytes  length of the fields
 //	4 bytes  length of the body
 //	8 bytes  ID
-//	         fields, as name=value,name=value
+//	         fields, formatted as name=value,name=value
 //	         body
-//	4 bytes  checksum of fields and body: CRC-32 with the IEEE polynomial
+//	4 bytes  checksum of the fields and the body: CRC-32 with the IEEE polynomial
 //
-// The platform's names of fields are mapped to the standard terms here and nowhere else: see RequestFields, LoadFields
-// and ResponseFields.
+// RequestFields, LoadFields and ResponseFields map the platform's field names to the terms used in the rest of this
+// code base. The platform's field names appear in no other package.
 //
-// The texts of this package's errors can reach a client as the reason of a failed request, so they are not changed
-// lightly.
+// A client can receive the error texts of this package as the reason for a failed request, so treat them as part of the
+// interface.
 package workerframe
 
 import (
@@ -28,57 +29,58 @@
 	"io"
 )
 
-// Code tells what a frame is for.
+// Code is the type of a frame.
 type Code byte
 
-// The commands of a front end.
+// Codes of the frames that a front end sends.
 const (
 	Request     Code = 16 // one attempt of a request
-	Cancel      Code = 17 // nobody waits for the response to a request any longer
-	HealthCheck Code = 18 // asks whether the worker is healthy
-	LoadReport  Code = 19 // asks for a load report
-	Load        Code = 20 // a load order
-	Unload      Code = 22 // asks to unload idle replicas
+	Cancel      Code = 17 // cancels a request whose response is no longer needed
+	HealthCheck Code = 18 // requests the worker's health state
+	LoadReport  Code = 19 // requests a load report together with the health state
+	Load        Code = 20 // orders the worker to load replicas, or queries its residency
+	Unload      Code = 22 // requests that the idle replicas of a function are unloaded
 )
 
-// The responses of a worker.
+// Codes of the responses that a worker sends.
 const (
 	OK           Code = 64
 	NotLoaded    Code = 66 // the request was not executed
-	Overloaded   Code = 67 // the request was not executed; of a load order: no memory is left, or the worker drains
-	Error        Code = 68 // the request may have been executed; of a load order: a load failed
-	AlreadyEnded Code = 69 // the request had ended before: it was not executed
+	Overloaded   Code = 67 // the request was not executed; for a load order: the worker is out of memory or draining
+	Error        Code = 68 // the request may have been executed; for a load order: a load failed
+	AlreadyEnded Code = 69 // the request had already ended, so this attempt was not executed
 	Healthy      Code = 70
 	Unhealthy    Code = 71
 )
 
-// The marks of the two sides.
+// Magic bytes of the two sides.
 const (
 	FromFrontEnd = 165
 	FromWorker   = 90
 )
 
 const (
-	headerSize    = 16 // bytes before the fields
-	checksumSize  = 4  // bytes behind the body
-	maxFieldsSize = 4 << 10
-	// MaxBody bounds the body of a frame, in bytes.
+	headerSize    = 16      // bytes that precede the fields
+	checksumSize  = 4       // bytes that follow the body
+	maxFieldsSize = 4 << 10 // bytes
+	// MaxBody is the maximum size of a frame's body in bytes.
 	MaxBody = 1 << 20
 )
 
-// ErrMalformed is wrapped by every error about the content of a frame. Nothing behind such a frame can be read.
+// ErrMalformed is wrapped by every error about the content of a frame. After such an error the position of the next
+// frame is unknown, so nothing more can be read from the stream.
 var ErrMalformed = errors.New("malformed frame")
 
-// Frame is one frame.
+// Frame is a decoded frame, without its magic byte, lengths and checksum.
 type Frame struct {
 	Code   Code
 	ID     uint64
-	Fields string // name=value,name=value
+	Fields string // formatted as name=value,name=value
 	Body   []byte
 }
 
-// Append appends a frame with the mark of the side that writes it. It fails, and returns buffer as it was, if the fields
-// or the body are too long.
+// Append appends the encoded frame to buffer, with the magic byte of the side that writes it. If the fields or the body
+// are too long, it returns buffer unchanged and an error that wraps ErrMalformed.
 func Append(buffer []byte, magic byte, frame Frame) ([]byte, error) {
 	if len(frame.Fields) > maxFieldsSize || len(frame.Body) > MaxBody {
 		return buffer, fmt.Errorf("%w: fields of %d bytes, body of %d", ErrMalformed, len(frame.Fields), len(frame.Body))
@@ -94,23 +96,25 @@
 	return binary.BigEndian.AppendUint32(buffer, checksum), nil
 }
 
-// Reader reads the frames that one side writes.
+// Reader reads the frames that one side writes to a connection.
 type Reader struct {
 	source  io.Reader
 	magic   byte
 	maxBody int // bytes
-	// OnFrameStart, if set, is called once the head of a frame was read and before the rest is.
+	// OnFrameStart, if set, is called after the header of a frame has been read and before its fields and body are
+	// read.
 	OnFrameStart func()
 }
 
-// NewReader returns a Reader of the frames with a mark, whose bodies have at most maxBody bytes, and never more than
-// MaxBody.
+// NewReader returns a Reader that accepts frames with the given magic byte and with bodies of at most maxBody bytes. A
+// maxBody above MaxBody is reduced to MaxBody.
 func NewReader(source io.Reader, magic byte, maxBody int) *Reader {
 	return &Reader{source: source, magic: magic, maxBody: min(maxBody, MaxBody)}
 }
 
-// Next reads the next frame. It returns io.EOF if the input ends between frames, an error that wraps io.ErrUnexpectedEOF
-// if it ends within one, and an error that wraps ErrMalformed for bytes that are no frame.
+// Next reads the next frame. It returns io.EOF if the input ends between two frames, an error that wraps
+// io.ErrUnexpectedEOF if the input ends within a frame, and an error that wraps ErrMalformed if the input is not a
+// valid frame.
 func (r *Reader) Next() (Frame, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r.source, header[:]); err != nil {
@@ -139,7 +143,7 @@
 	return frame, nil
 }
 
-// readContent reads the fields and the body of a frame, of so many bytes together, and verifies their checksum.
+// readContent reads the fields and the body of a frame, size bytes in total, and verifies their checksum.
 func (r *Reader) readContent(code Code, size int) ([]byte, error) {
 	rest := make([]byte, size+checksumSize)
 	if _, err := io.ReadFull(r.source, rest); err != nil {
@@ -155,7 +159,7 @@
 	return content, nil
 }
 
-// isKnownCode tells whether the side that is read uses a code.
+// isKnownCode reports whether the sending side uses the code.
 func (r *Reader) isKnownCode(c Code) bool {
 	if r.magic == FromFrontEnd {
 		return c >= Request && c <= Load || c == Unload
