--- a/internal/platform/rpcframe/message.go
+++ b/internal/platform/rpcframe/message.go
@@ -1,9 +1,9 @@
-// Package rpcframe reads the messages of the MessagePack-RPC protocol that clients of the users' platform speak, and
-// writes the responses to them. It is strict: every length is checked before anything is allocated for it, and what is
-// not a message as the platform documents it is an error.
+// Package rpcframe is the codec of the MessagePack-RPC protocol that clients of the users' platform use: it reads their
+// messages and encodes the responses. Decoding is strict: every length is checked before memory is allocated for it,
+// and a message that does not conform to the platform's documentation is an error.
 //
-// The platform's own words stand here only. The values it hands out carry the terms that the rest of the code uses:
-// the method "revoke" cancels requests, the field "wait" is a timeout, "once" an idempotency key.
+// The package translates the platform's terms to those used in the rest of this code base. For example, the method
+// "revoke" cancels requests, the field "wait" is a timeout and the field "once" is an idempotency key.
 package rpcframe
 
 import (
@@ -11,22 +11,22 @@
 	"fmt"
 )
 
-// The bounds of a message. One beyond them is malformed.
+// Bounds of a message. A message that exceeds any of them is malformed.
 const (
-	MaxBody      = 16 << 10 // bytes of a request's body
-	maxFields    = 16       // named fields of a request
-	maxNameSize  = 64       // bytes of a method's or field's name
-	maxValueSize = 512      // bytes of a field's value
-	maxCancelled = 32       // requests that one message cancels
+	MaxBody      = 16 << 10 // maximum size of a request's body in bytes
+	maxFields    = 16       // maximum number of named fields of a request
+	maxNameSize  = 64       // maximum size of the name of a method or field in bytes
+	maxValueSize = 512      // maximum size of a field's value in bytes
+	maxCancelled = 32       // maximum number of requests that one message cancels
 )
 
-// Methods that are not the name of a request class.
+// Methods other than the names of request classes.
 const (
 	MethodHeartbeat = "heartbeat" // asks whether the server is ready
 	MethodCancel    = "revoke"    // cancels requests
 )
 
-// Types of a message: the first element of its array.
+// Message types. The type is the first element of a message's array.
 const (
 	typeRequest      = 0
 	typeResponse     = 1
@@ -40,34 +40,34 @@
 	return fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, args...)...)
 }
 
-// Message is a request or, where Cancelled is not nil, a notification that cancels some.
+// Message is a request or, if Cancelled is not nil, a notification that cancels requests.
 type Message struct {
-	Number    uint32 // the client's number of the request, which its response repeats
+	Number    uint32 // number that the client assigned to the request; the response repeats it
 	Method    string // MethodHeartbeat, MethodCancel or the name of a request class
 	Params    Params
-	Body      []byte   // nil where the request has no body, as heartbeats
+	Body      []byte   // nil if the request has no body, as for a heartbeat
 	Cancelled []uint32 // numbers of the requests to cancel
 }
 
-// Params are the named fields of a request, as the client sent them: Message.Request checks them. Fields of other names
-// are accepted and ignored.
+// Params are the named fields of a request as sent by the client. Message.Request validates them. Fields with unknown
+// names are accepted and ignored.
 type Params struct {
-	ID             string       // of the request, unique among all clients
-	Function       string       // id of the function
-	IdempotencyKey string       // empty without one
-	Tenant         OptionalText // the tenant's name
-	Retry          OptionalText // a flag, whose only value is 1
-	Timeout        string       // milliseconds, in decimal
-	Attributes     string       // name:value pairs separated by semicolons
+	ID             string       // ID of the request, unique among all clients
+	Function       string       // ID of the function
+	IdempotencyKey string       // empty if the request has none
+	Tenant         OptionalText // name of the tenant
+	Retry          OptionalText // set if the request is a retry; the only valid value is 1
+	Timeout        string       // timeout as a decimal number of milliseconds
+	Attributes     string       // name:value pairs, separated by semicolons
 }
 
-// OptionalText is a field's value where an absent field differs from an empty one.
+// OptionalText is the value of a field for which being absent differs from being empty.
 type OptionalText struct {
 	Value   string
 	Present bool
 }
 
-// set stores the value of the field that has a name on the wire.
+// set stores the value of the field with the given name on the wire. It ignores unknown names.
 func (p *Params) set(name, value string) {
 	switch name {
 	case "id":
--- a/internal/platform/rpcframe/reader.go
+++ b/internal/platform/rpcframe/reader.go
@@ -10,20 +10,22 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Source is what messages are read from, byte by byte where need be: bufio.Reader is one.
+// Source is the input of a Reader. The decoder reads single bytes from it, so it should be buffered. A bufio.Reader
+// implements Source.
 type Source interface {
 	io.Reader
 	io.ByteScanner
 }
 
-// Reader reads messages from one client's connection. It must be used by one goroutine only.
+// Reader reads messages from one client's connection. It is not safe for concurrent use.
 type Reader struct{ decoder *msgpack.Decoder }
 
-// NewReader returns a Reader of source.
+// NewReader returns a Reader that reads from source.
 func NewReader(source Source) *Reader { return &Reader{msgpack.NewDecoder(source)} }
 
-// Next reads the next message. A malformed one returns an error that wraps ErrMalformed, together with the Number that
-// it has where that could be read: nothing can be read behind it. Other errors are those of the source.
+// Next reads the next message. If the message is malformed, the error wraps ErrMalformed, and the returned message has
+// its Number set if that could be read. Nothing more can be read after a malformed message. Other errors come from the
+// source.
 func (r *Reader) Next() (Message, error) {
 	length, err := r.decoder.DecodeArrayLen()
 	if err != nil {
@@ -41,7 +43,7 @@
 	return Message{}, malformed("type %d in an array of %d", messageType, length)
 }
 
-// readError tells input that ended or failed from input that cannot be decoded.
+// readError wraps an error of the decoder. The result wraps ErrMalformed unless the input ended or could not be read.
 func readError(what string, err error) error {
 	if isEndOfInput(err) || isNetworkError(err) {
 		return fmt.Errorf("read %s: %w", what, err)
@@ -53,7 +55,8 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// isNetworkError recognizes an error of the connection by its method that says whether it is a time-out.
+// isNetworkError reports whether err is an error of the connection. Such errors are net.Error values, which are
+// recognized by their Timeout method, or the error of a closed pipe.
 func isNetworkError(err error) bool {
 	var network interface{ Timeout() bool }
 	return errors.As(err, &network) || errors.Is(err, io.ErrClosedPipe)
@@ -70,7 +73,8 @@
 	return uint32(number), nil
 }
 
-// request reads what follows the type of a request: number, method and an array of fields and, in most, a body.
+// readRequest reads the elements that follow the type of a request: its number, its method and an array of its fields
+// and, for most methods, its body.
 func (r *Reader) readRequest() (message Message, err error) {
 	if message.Number, err = r.readNumber(); err != nil {
 		return message, err
@@ -94,7 +98,8 @@
 	return message, err
 }
 
-// cancellation reads what follows the type of a notification. The only one there is cancels requests.
+// readCancellation reads the elements that follow the type of a notification. The only valid notification cancels
+// requests.
 func (r *Reader) readCancellation() (message Message, err error) {
 	if message.Method, err = r.readString("method", maxNameSize); err != nil {
 		return message, err
@@ -119,7 +124,7 @@
 	return message, nil
 }
 
-// params reads the named fields of a request.
+// readParams reads the named fields of a request.
 func (r *Reader) readParams() (Params, error) {
 	count, err := r.decoder.DecodeMapLen()
 	if err != nil {
@@ -148,7 +153,7 @@
 	return params, nil
 }
 
-// text reads a string of at most limit bytes. MessagePack's binary type is none.
+// readString reads a MessagePack string of at most limit bytes. A value of the binary type is malformed.
 func (r *Reader) readString(what string, limit int) (string, error) {
 	code, err := r.decoder.PeekCode()
 	if err != nil {
@@ -161,7 +166,7 @@
 	return string(raw), err
 }
 
-// bytes reads at most limit bytes of MessagePack's binary type. A string is none.
+// readBinary reads a value of MessagePack's binary type of at most limit bytes. A string is malformed.
 func (r *Reader) readBinary(what string, limit int) ([]byte, error) {
 	code, err := r.decoder.PeekCode()
 	if err != nil {
@@ -173,7 +178,8 @@
 	return r.readLengthPrefixed(what, limit)
 }
 
-// sized reads a value that has its length before it, and allocates only for a length within limit.
+// readLengthPrefixed reads a value that is preceded by its length. It checks that the length is at most limit before it
+// allocates memory.
 func (r *Reader) readLengthPrefixed(what string, limit int) ([]byte, error) {
 	length, err := r.decoder.DecodeBytesLen()
 	if err != nil {
--- a/internal/platform/rpcframe/reader_test.go
+++ b/internal/platform/rpcframe/reader_test.go
@@ -19,6 +19,7 @@
 	return raw
 }
 
+// encodedRequest returns an encoded valid request.
 func encodedRequest(t testing.TB) []byte {
 	return encode(t, []any{0, 7, "call", []any{map[string]string{"id": "9b1f03aa5c7e2d41", "wait": "1500"}, []byte{1, 2}}})
 }
@@ -31,19 +32,19 @@
 	message, err := readMessage(encodedRequest(t))
 	if err != nil || message.Number != 7 || message.Method != "call" || message.Params.Timeout != "1500" ||
 		!bytes.Equal(message.Body, []byte{1, 2}) {
-		t.Errorf("read %+v, %v", message, err)
+		t.Errorf("read %+v, error %v", message, err)
 	}
 	message, err = readMessage(encode(t, []any{2, "revoke", []any{7, 9}}))
 	if err != nil || len(message.Cancelled) != 2 || message.Cancelled[1] != 9 {
-		t.Errorf("read %+v, %v", message, err)
+		t.Errorf("read %+v, error %v", message, err)
 	}
 	message, err = readMessage(encode(t, []any{0, 8, "heartbeat", []any{map[string]string{}}}))
 	if err != nil || message.Method != "heartbeat" || message.Body != nil {
-		t.Errorf("read %+v, %v", message, err)
+		t.Errorf("read %+v, error %v", message, err)
 	}
 	message, err = readMessage(encode(t, []any{0, 8, "call", []any{map[string]string{}, []byte{}}}))
 	if err != nil || message.Body == nil || len(message.Body) != 0 {
-		t.Errorf("an empty body: read %+v, %v", message, err)
+		t.Errorf("request with an empty body: read %+v, error %v", message, err)
 	}
 }
 
@@ -54,43 +55,44 @@
 		many[string(rune('a'+i))] = ""
 	}
 	for name, raw := range map[string][]byte{
-		"no array":         encode(t, map[string]int{"a": 1}),
-		"a response":       encode(t, []any{1, 7, nil, nil}),
-		"too short":        encode(t, []any{0, 7, "call"}),
-		"too long":         encode(t, []any{0, 7, "call", []any{fields, []byte{}}, 1}),
-		"negative number":  encode(t, []any{0, -7, "call", []any{fields, []byte{}}}),
-		"number of 2^40":   encode(t, []any{0, 1 << 40, "call", []any{fields, []byte{}}}),
-		"text as number":   encode(t, []any{0, "7", "call", []any{fields, []byte{}}}),
-		"body as text":     encode(t, []any{0, 7, "call", []any{fields, "body"}}),
-		"number as value":  encode(t, []any{0, 7, "call", []any{map[string]int{"wait": 5}, []byte{}}}),
-		"many fields":      encode(t, []any{0, 7, "call", []any{many, []byte{}}}),
-		"body beyond":      encode(t, []any{0, 7, "call", []any{fields, make([]byte, MaxBody+1)}}),
-		"60 MB claimed":    append(encode(t, []any{0, 7, "call"})[:8], 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0),
-		"field twice":      append([]byte{0x94, 0, 7, 0xa1, 'c', 0x92, 0x82}, []byte{0xa1, 'a', 0xa1, 'b', 0xa1, 'a', 0xa1, 'b'}...),
-		"another method":   encode(t, []any{2, "cancel", []any{7}}),
-		"hundreds revoked": encode(t, []any{2, "revoke", make([]int, 300)}),
+		"map instead of array":      encode(t, map[string]int{"a": 1}),
+		"response":                  encode(t, []any{1, 7, nil, nil}),
+		"too few elements":          encode(t, []any{0, 7, "call"}),
+		"too many elements":         encode(t, []any{0, 7, "call", []any{fields, []byte{}}, 1}),
+		"negative number":           encode(t, []any{0, -7, "call", []any{fields, []byte{}}}),
+		"number of 2^40":            encode(t, []any{0, 1 << 40, "call", []any{fields, []byte{}}}),
+		"string as number":          encode(t, []any{0, "7", "call", []any{fields, []byte{}}}),
+		"string as body":            encode(t, []any{0, 7, "call", []any{fields, "body"}}),
+		"number as field value":     encode(t, []any{0, 7, "call", []any{map[string]int{"wait": 5}, []byte{}}}),
+		"too many fields":           encode(t, []any{0, 7, "call", []any{many, []byte{}}}),
+		"body too large":            encode(t, []any{0, 7, "call", []any{fields, make([]byte, MaxBody+1)}}),
+		"body length of 60 MB":      append(encode(t, []any{0, 7, "call"})[:8], 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0),
+		"repeated field":            append([]byte{0x94, 0, 7, 0xa1, 'c', 0x92, 0x82}, []byte{0xa1, 'a', 0xa1, 'b', 0xa1, 'a', 0xa1, 'b'}...),
+		"unknown notification":      encode(t, []any{2, "cancel", []any{7}}),
+		"too many requests revoked": encode(t, []any{2, "revoke", make([]int, 300)}),
 	} {
-		if name == "60 MB claimed" {
+		if name == "body length of 60 MB" {
 			raw[0] = 0x94
 		}
 		if message, err := readMessage(raw); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: read %+v, error %v", name, message, err)
+			t.Errorf("%s: read %+v, error %v, want ErrMalformed", name, message, err)
 		}
 	}
 	good := encodedRequest(t)
 	for n := range len(good) {
 		if _, err := readMessage(good[:n]); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("cut off after %d bytes: error %v", n, err)
+			t.Errorf("truncated after %d bytes: error %v, want the end of the input", n, err)
 		}
 	}
 }
 
-// fieldCount counts the named fields of a request, by a decoder of its own. A cancellation has none.
+// fieldCount counts the named fields of a request with a decoder that is independent of Reader. It returns 0 for a
+// cancellation.
 func fieldCount(t *testing.T, raw []byte) int {
 	t.Helper()
 	message, err := msgpack.NewDecoder(bytes.NewReader(raw)).DecodeSlice()
 	if err != nil {
-		t.Fatalf("accepted %x, which cannot be decoded: %v", raw, err)
+		t.Fatalf("the reader accepted %x, which cannot be decoded: %v", raw, err)
 	}
 	if len(message) != 4 {
 		return 0
@@ -98,14 +100,14 @@
 	return len(message[3].([]any)[0].(map[string]any))
 }
 
-// FuzzNext holds that no bytes make the reader panic, that what it accepts is within the bounds, and that its errors say
-// whether the message is malformed or the input ended.
+// FuzzNext checks that arbitrary input causes no panic, that accepted messages are within the bounds, and that errors
+// either wrap ErrMalformed or report the end of the input.
 func FuzzNext(f *testing.F) {
 	f.Add(encodedRequest(f))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		message, err := readMessage(raw)
 		if err == nil && (len(message.Body) > MaxBody || fieldCount(t, raw) > maxFields || len(message.Cancelled) > maxCancelled) {
-			t.Fatalf("read %+v", message)
+			t.Fatalf("accepted a message that exceeds the bounds: %+v", message)
 		}
 		if err != nil && !errors.Is(err, ErrMalformed) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatal(err)
--- a/internal/platform/rpcframe/request.go
+++ b/internal/platform/rpcframe/request.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// Digits of the hexadecimal identifiers in a request.
+// Lengths of the identifiers in a request, in hexadecimal digits.
 const (
 	idDigits             = 16
 	idempotencyKeyDigits = 32
 )
 
-// retryFlag is the only value that the field of a retry may have.
+// retryFlag is the only valid value of the field that marks a retry.
 const retryFlag = "1"
 
-// timeoutBits bounds a timeout in milliseconds, which is below 2 to this power.
+// timeoutBits is the number of bits of a timeout in milliseconds: a timeout must be below 2^31 ms.
 const timeoutBits = 31
 
-// Request is a request whose fields are well-formed. Whether its class and tenant exist and its values are within the
-// deployment's bounds is for the server to check.
+// Request is a request with well-formed fields. The server must check that the class and the tenant exist and that the
+// values are within the bounds of the deployment.
 type Request struct {
 	ID             string // 16 lower-case hexadecimal digits
 	Class          string
 	Function       string        // 16 lower-case hexadecimal digits
-	IdempotencyKey string        // 32 lower-case hexadecimal digits, empty without one
-	Tenant         OptionalText  // the tenant's name
-	Timeout        time.Duration // how long the client waits for the response, above 0
-	Attributes     []Attribute   // in the client's order; a later one of the same kind takes precedence
-	Body           []byte        // never nil
+	IdempotencyKey string        // 32 lower-case hexadecimal digits, or empty if the request has none
+	Tenant         OptionalText  // name of the tenant
+	Timeout        time.Duration // time for which the client waits for the response; above 0
+	Attributes     []Attribute   // in the order sent; among attributes of the same kind the last takes precedence
+	Body           []byte        // not nil, may be empty
 }
 
-// Attribute is one property of a request's function.
+// Attribute is a property of a request or of its function.
 type Attribute struct {
 	Kind  AttributeKind
-	Value float64 // finite, 0 or more, in the unit of its kind
-	text  string
+	Value float64 // finite and non-negative, in the unit of the kind
+	text  string  // as sent by the client
 }
 
-// String returns the attribute as the client wrote it.
+// String returns the attribute in the form that the client sent.
 func (a Attribute) String() string { return a.text }
 
-// AttributeKind says what an Attribute measures.
+// AttributeKind is the property that an Attribute describes.
 type AttributeKind int
 
-// The kinds of attributes. Those of other names are ignored.
+// The kinds of attributes. Attributes with unknown names are ignored.
 const (
-	AttributeMemory       AttributeKind = iota + 1 // memory of one replica, in megabytes
-	AttributeConcurrency                           // requests that one replica executes at a time
-	AttributeLoadTime                              // duration of a load, in milliseconds
-	AttributeWorkEstimate                          // expected duration of this request's execution, in milliseconds
+	AttributeMemory       AttributeKind = iota + 1 // memory of a replica, in megabytes
+	AttributeConcurrency                           // number of requests that a replica executes at a time
+	AttributeLoadTime                              // duration of loading a replica, in milliseconds
+	AttributeWorkEstimate                          // expected execution time of this request, in milliseconds
 )
 
-// attributeKinds are the kinds by their names on the wire.
+// attributeKinds maps the names on the wire to the kinds of attributes.
 var attributeKinds = map[string]AttributeKind{
 	"memory_mb": AttributeMemory,
 	"lanes":     AttributeConcurrency,
@@ -62,7 +62,7 @@
 	"hint":      AttributeWorkEstimate,
 }
 
-// Request checks the fields of a message that is a request of a class. Its errors wrap ErrMalformed.
+// Request validates the fields of a message whose method is the name of a class. Its errors wrap ErrMalformed.
 func (m *Message) Request() (Request, error) {
 	params := m.Params
 	request := Request{
@@ -90,7 +90,8 @@
 	return request, err
 }
 
-// parseAttributes reads name:value;name:value. Values of unknown names must be numbers as well.
+// parseAttributes parses attributes in the format name:value;name:value. The values of attributes with unknown names
+// must be valid numbers too.
 func parseAttributes(text string) ([]Attribute, error) {
 	if text == "" {
 		return nil, nil
@@ -109,10 +110,10 @@
 	return attributes, nil
 }
 
-// isFiniteNonNegative is false for NaN too.
+// isFiniteNonNegative reports whether x is finite and not negative. NaN is not finite.
 func isFiniteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
-// isHex reports whether text has just so many lower-case hexadecimal digits.
+// isHex reports whether text consists of exactly the given number of lower-case hexadecimal digits.
 func isHex(text string, digits int) bool {
 	if len(text) != digits {
 		return false
--- a/internal/platform/rpcframe/response.go
+++ b/internal/platform/rpcframe/response.go
@@ -9,15 +9,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Names of errors on the wire, and of the only field that one has.
+// Names on the wire of the errors, and of the only field of an error.
 const (
 	errorRejected   = "Backoff"
 	errorFailed     = "Lost"
 	errorMalformed  = "Malformed"
-	fieldRetryAfter = "after" // milliseconds
+	fieldRetryAfter = "after" // advised delay before a retry, in milliseconds
 )
 
-// AppendServed appends the response of a request that was executed. A nil body is sent as an empty one.
+// AppendServed appends the response to a request that was executed. A nil body is sent as an empty body.
 func AppendServed(buf []byte, number uint32, body []byte) []byte {
 	if body == nil {
 		body = []byte{}
@@ -27,15 +27,15 @@
 	})
 }
 
-// AppendHeartbeat appends the response of a heartbeat, which says whether the server is ready.
+// AppendHeartbeat appends the response to a heartbeat, which contains whether the server is ready.
 func AppendHeartbeat(buf []byte, number uint32, ready bool) []byte {
 	return appendResponse(buf, number, func(e *msgpack.Encoder) error {
 		return errors.Join(e.EncodeNil(), e.EncodeArrayLen(2), e.EncodeBool(ready), e.EncodeMapLen(0))
 	})
 }
 
-// AppendRejected appends the response of a request that was not executed and may be sent again: after retryAfter, or
-// without such advice if that is 0.
+// AppendRejected appends the response to a request that was not executed and may therefore be sent again. It advises
+// the client to wait for retryAfter before it retries, unless retryAfter is 0.
 func AppendRejected(buf []byte, number uint32, retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return AppendError(buf, number, errorRejected, "", "")
@@ -43,17 +43,17 @@
 	return AppendError(buf, number, errorRejected, fieldRetryAfter, strconv.FormatInt(retryAfter.Milliseconds(), 10))
 }
 
-// AppendFailed appends the response of a request that may have been executed.
+// AppendFailed appends the response to a request that failed and may have been executed.
 func AppendFailed(buf []byte, number uint32) []byte {
 	return AppendError(buf, number, errorFailed, "", "")
 }
 
-// AppendMalformed appends the response of a request that breaks the protocol.
+// AppendMalformed appends the response to a request that violates the protocol.
 func AppendMalformed(buf []byte, number uint32) []byte {
 	return AppendError(buf, number, errorMalformed, "", "")
 }
 
-// AppendError appends the response that is the error of a name. It carries one field, or none if field is empty.
+// AppendError appends an error response with the given error name. The error has one field, or none if field is empty.
 func AppendError(buf []byte, number uint32, name, field, value string) []byte {
 	return appendResponse(buf, number, func(e *msgpack.Encoder) error {
 		err := errors.Join(e.EncodeArrayLen(2), e.EncodeString(name))
@@ -64,8 +64,8 @@
 	})
 }
 
-// appendResponse appends a response whose last two elements, error and result, encodeOutcome writes. Writing to memory
-// does not fail.
+// appendResponse appends a response. The function encodeOutcome must encode the last two elements of the response: the
+// error and the result. Errors are not expected, because the encoder writes to memory.
 func appendResponse(buf []byte, number uint32, encodeOutcome func(*msgpack.Encoder) error) []byte {
 	w := bytes.NewBuffer(buf)
 	e := msgpack.NewEncoder(w)
