--- a/internal/platform/rpcserver/accept_test.go
+++ b/internal/platform/rpcserver/accept_test.go
@@ -16,8 +16,9 @@
 	"havencart/internal/platform/rpcframe"
 )
 
-// TestEviction_TableFull_SilentConnectionCloses holds that connections without a request do not keep out one that has one.
-func TestEviction_TableFull_SilentConnectionCloses(t *testing.T) {
+// TestEviction_TableFull_IdleConnectionCloses checks that a connection that has sent no request is evicted when the
+// connection table is full, so that a new client is served.
+func TestEviction_TableFull_IdleConnectionCloses(t *testing.T) {
 	handler, address := startServer(t, 2)
 	silent, busy := connect(t, address), connect(t, address)
 	write(t, busy, requestMessage(t, 1, "quote", validFields(1)))
@@ -33,7 +34,8 @@
 	expect(t, busy, rpcframe.AppendServed(nil, 1, nil))
 }
 
-// exhaustedListener is a listener of a process that has no descriptor left until a time.
+// exhaustedListener is a listener whose Accept fails with EMFILE until a given time, as if the process had no file
+// descriptors left.
 type exhaustedListener struct {
 	net.Listener
 	until  time.Time
@@ -51,8 +53,9 @@
 
 func (listener *exhaustedListener) Close() error { return nil }
 
-// TestAccept_NoDescriptorsLeft_EvictsAndRetriesWithPause runs on the clock of a synctest bubble.
-func TestAccept_NoDescriptorsLeft_EvictsAndRetriesWithPause(t *testing.T) {
+// TestAccept_NoDescriptorsLeft_EvictsAndRetriesAfterDelay checks that a shortage of file descriptors leads neither to a
+// busy loop nor to the end of Serve. The test runs on the fake clock of a synctest bubble.
+func TestAccept_NoDescriptorsLeft_EvictsAndRetriesAfterDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := New(Config{Rules: rules, MaxConnections: 2}, stubHandler{}, zerolog.Nop())
 		listener := &exhaustedListener{until: time.Now().Add(time.Second), closed: make(chan bool)}
@@ -62,7 +65,7 @@
 		served := make(chan error, 1)
 		go func() { served <- server.Serve(ctx, listener) }()
 		if _, err := remote.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("the silent connection was not closed to make room: %v", err)
+			t.Errorf("the idle connection was not evicted: %v", err)
 		}
 		time.Sleep(2 * time.Second)
 		close(listener.closed)
@@ -70,14 +73,14 @@
 			t.Error(err)
 		}
 		if listener.tries < 50 || listener.tries > 400 {
-			t.Errorf("%d tries in a second without descriptors", listener.tries)
+			t.Errorf("Accept was called %d times in a second without descriptors, want 50 to 400", listener.tries)
 		}
 		cancel()
 		server.Shutdown()
 	})
 }
 
-func TestEviction_ManySilentClients_KeepsConnectionWithRequestInFlight(t *testing.T) {
+func TestEviction_ManyIdleClients_KeepsConnectionWithRequestInFlight(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	handler, address := startServer(t, 4)
 	busy := connect(t, address)
--- a/internal/platform/rpcserver/close_test.go
+++ b/internal/platform/rpcserver/close_test.go
@@ -16,7 +16,8 @@
 	"havencart/internal/socket"
 )
 
-// pausingHandler lets the test act between a request's last byte and its handling.
+// pausingHandler blocks in Handle until the test lets it proceed, so that the test can act while a request is being
+// handled.
 type pausingHandler struct {
 	stubHandler
 	received, proceed chan bool
@@ -28,9 +29,10 @@
 	return h.stubHandler.Handle(request, respond)
 }
 
-// TestCloseIf_RequestReceivedWhole_StaysOpen holds that no connection is closed under a request that was received
-// whole: the client would send it again on another connection, under the same id, which is in use by then.
-func TestCloseIf_RequestReceivedWhole_StaysOpen(t *testing.T) {
+// TestCloseIf_RequestCompletelyReceived_StaysOpen guards against closing a connection while a completely received
+// request is being handled. The client would send the request again on another connection with the same ID, which would
+// be in use.
+func TestCloseIf_RequestCompletelyReceived_StaysOpen(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	local, remote := net.Pipe()
 	handler := pausingHandler{stubHandler{make(chan *stubRequest, 1), make(chan string, 1)}, make(chan bool), make(chan bool)}
@@ -43,7 +45,7 @@
 	write(t, remote, raw[len(raw)-1:])
 	<-handler.received
 	if connection.closeIf(always) || server.evict() {
-		t.Error("closed while a request that was received whole was handled")
+		t.Error("closed while a completely received request was being handled")
 	}
 	handler.proceed <- true
 	request := <-handler.requests
@@ -54,20 +56,21 @@
 	expect(t, remote, rpcframe.AppendServed(nil, 1, []byte("one")))
 	connection.drain()
 	if _, err := remote.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("read %v", err)
+		t.Errorf("read error %v, want io.EOF", err)
 	}
 	_ = remote.Close()
 	server.Shutdown()
 }
 
-// TestCloseIf_MessageStartedSinceSnapshot_StaysOpen holds that the decision is made again under the lock.
+// TestCloseIf_MessageStartedSinceSnapshot_StaysOpen checks that closeIf evaluates the state again under the lock: after
+// the snapshot that selected a connection for closing, a message may have started to arrive.
 func TestCloseIf_MessageStartedSinceSnapshot_StaysOpen(t *testing.T) {
 	local, remote := net.Pipe()
 	defer func() { _ = remote.Close() }()
 	connection := newConn(New(Config{}, stubHandler{}, zerolog.Nop()), local)
 	connection.hasSentRequest, connection.stateSince = true, time.Now().Add(-time.Hour)
 	if state := connection.snapshot(time.Now()); !connadmission.ShouldClose(state) {
-		t.Fatalf("not idle: %+v", state)
+		t.Fatalf("the connection is not idle: %+v", state)
 	}
 	connection.setInput(inputPartial)
 	if connection.closeIf(connadmission.ShouldClose) {
@@ -78,16 +81,16 @@
 	}
 	connection.setInput(inputComplete)
 	if connection.closeIf(func(connadmission.Connection) bool { return true }) {
-		t.Error("closed between a request's last byte and its handling")
+		t.Error("closed between the receipt of a request's last byte and its handling")
 	}
 	connection.setInput(inputIdle)
 	if !connection.closeIf(connadmission.ShouldCloseInShutdown) {
-		t.Error("an idle one stays open during a shutdown")
+		t.Error("an idle connection stays open during a shutdown")
 	}
 }
 
-// TestCloseIf_RequestNotReadYet_StaysOpen holds that a request that the system has received is not lost by a close, however
-// late the process reads it.
+// TestCloseIf_RequestNotReadYet_StaysOpen guards against the loss of a request that is in the operating system's
+// receive buffer when the server closes the connection. This occurs if the process lags and reads the request late.
 func TestCloseIf_RequestNotReadYet_StaysOpen(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,19 +106,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	connection := newConn(New(Config{}, stubHandler{}, zerolog.Nop()), accepted) // nothing reads it
+	connection := newConn(New(Config{}, stubHandler{}, zerolog.Nop()), accepted) // no goroutine reads from it
 	write(t, client, requestMessage(t, 1, "quote", validFields(1)))
 	for !socket.HasUnread(accepted) && t.Context().Err() == nil {
 		runtime.Gosched()
 	}
 	always := func(connadmission.Connection) bool { return true }
 	if connection.closeIf(always) {
-		t.Error("closed with a request unread")
+		t.Error("closed with an unread request")
 	}
 	if _, err := io.ReadAtLeast(accepted, make([]byte, 4096), 1); err != nil {
 		t.Fatal(err)
 	}
 	if !connection.closeIf(always) {
-		t.Error("stays open once all is read")
+		t.Error("stays open after all input was read")
 	}
 }
--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -12,56 +12,58 @@
 	"havencart/internal/socket"
 )
 
-// readBufferSize, in bytes, is small: there are many connections, and memory is scarce.
+// readBufferSize is the size of a connection's read buffer in bytes. It is small because a server has many connections
+// and little memory.
 const readBufferSize = 2 << 10
 
-// maxConsecutiveRejections is how many requests in a row the Handler may reject as breaking the protocol, as for an id
-// that is in use, until the connection is closed. One may be a well-behaved client's, whose id another client used
-// first: the other requests on its connection must not be lost.
+// maxConsecutiveRejections is the number of consecutive requests that the Handler must reject as protocol violations
+// before the connection is closed. The limit is above 1 because a conforming client can have a request rejected, if
+// another client already uses the same request ID; the other requests on its connection must not be lost.
 const maxConsecutiveRejections = 8
 
-// conn is one client's connection. Its reading goroutine starts when it is admitted and ends with the input; a writing
-// goroutine lives while there are responses to write.
+// conn is the connection of one client. A reading goroutine runs from the admission of the connection to the end of its
+// input. A writing goroutine runs while responses are queued.
 type conn struct {
 	server    *Server
 	netConn   net.Conn
-	arrivals  *socket.ArrivalConn // owned by the reading goroutine, as in
-	bufReader *bufio.Reader       // of received
-	// consecutiveRejections are requests in a row that the Handler rejected. The reading goroutine owns it.
+	arrivals  *socket.ArrivalConn // used by the reading goroutine only
+	bufReader *bufio.Reader       // reads from arrivals; used by the reading goroutine only
+	// consecutiveRejections is the number of requests that the Handler rejected since it last accepted one. It is used
+	// by the reading goroutine only.
 	consecutiveRejections int
 
-	mu             sync.Mutex
-	inFlight       map[uint32]*pendingRequest // requests owed a response, by number; at most MaxInFlight
-	lastNumber     uint32                     // of the last request
+	mu             sync.Mutex                 // guards the fields below
+	inFlight       map[uint32]*pendingRequest // requests without a response, by number; at most MaxInFlight
+	lastNumber     uint32                     // number of the last request
 	hasSentRequest bool
 	input          inputState
-	stateSince     time.Time // when input changed or a response was queued
-	output         []byte    // responses not yet passed to the system; beyond MaxQueuedBytes the connection is closed
-	writing        bool      // the writing goroutine lives
+	stateSince     time.Time // when input last changed or a response was last queued
+	output         []byte    // responses that are not written yet; the connection is closed if they exceed MaxQueuedBytes
+	writing        bool      // the writing goroutine is running
 	lifecycle      lifecycle
 }
 
-// inputState is what the reading goroutine does.
+// inputState is the state of the reading goroutine.
 type inputState int
 
 const (
-	inputIdle     inputState = iota // waits for a message
-	inputPartial                    // has read a part of a message
-	inputComplete                   // handles a whole message, which may become a request in flight
+	inputIdle     inputState = iota // waiting for a message
+	inputPartial                    // part of a message has been read
+	inputComplete                   // handling a complete message, which may become a request in flight
 )
 
-// lifecycle is the state of a connection. It only goes forward.
+// lifecycle is the state of a connection. It only changes to a later state.
 type lifecycle int
 
 const (
 	lifecycleOpen     lifecycle = iota
-	lifecycleDraining           // closes behind the queued responses
+	lifecycleDraining           // closes once the queued responses are written
 	lifecycleClosed
 )
 
-// pendingRequest is a request that is owed a response.
+// pendingRequest is a request without a response.
 type pendingRequest struct {
-	cancel func() // nil until the Handler returned
+	cancel func() // nil until Handler.Handle has returned
 }
 
 func newConn(s *Server, netConn net.Conn) *conn {
@@ -72,14 +74,14 @@
 	}
 }
 
-// snapshot returns the state by which it is decided whether to close the connection.
+// snapshot returns the state that determines whether the connection may be closed.
 func (c *conn) snapshot(now time.Time) connadmission.Connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.snapshotLocked(now)
 }
 
-// snapshotLocked is snapshot for a caller that holds the lock.
+// snapshotLocked is like snapshot but requires that c.mu is held.
 func (c *conn) snapshotLocked(now time.Time) connadmission.Connection {
 	inFlight := len(c.inFlight)
 	if c.input == inputComplete || c.writing {
@@ -91,12 +93,14 @@
 	}
 }
 
-// closeIf closes a connection that has nothing in flight and nothing to write, if permits approves its state now: a
-// message may have begun to arrive since the caller looked at it. It reports whether it closed the connection.
+// closeIf closes the connection if it has no request in flight, no response to write and no unread input, and if
+// permits returns true for its current state. The state is checked again under the lock because a message may have
+// started to arrive since the caller took its snapshot. closeIf reports whether it closed the connection.
 //
-// A message that was received whole counts as in flight until it is handled or rejected. Otherwise a request could be
-// read from a connection that is closed meanwhile: its client would send it again under the same id, which is in use. And
-// one that the system has received, and that was not read yet, keeps the connection open: its close would lose it.
+// A complete message counts as in flight until it is handled or rejected. Otherwise the connection could be closed
+// while one of its requests is being handled: the client would send the request again with the same ID, which would be
+// in use. A message that is in the operating system's receive buffer also keeps the connection open, because closing
+// the connection would lose the message.
 func (c *conn) closeIf(permits func(connadmission.Connection) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,13 +121,14 @@
 	return c.lifecycle == lifecycleClosed
 }
 
-// drain closes the connection once what is queued is written.
+// drain closes the connection once the queued responses are written.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drainLocked()
 }
 
+// drainLocked is like drain but requires that c.mu is held.
 func (c *conn) drainLocked() {
 	if c.lifecycle == lifecycleOpen {
 		c.lifecycle = lifecycleDraining
@@ -133,13 +138,13 @@
 	}
 }
 
-// closeLocked closes the connection at once. The reading goroutine ends by that.
+// closeLocked closes the connection at once, which also ends the reading goroutine. It requires that c.mu is held.
 func (c *conn) closeLocked() {
 	c.lifecycle = lifecycleClosed
-	_ = c.netConn.Close() // nothing is done with the connection after this
+	_ = c.netConn.Close() // the connection is not used any more, so an error does not matter
 }
 
-// read handles messages until the input ends, and then cancels what is in flight.
+// read handles messages until the input ends and then cancels the requests in flight. It is the reading goroutine.
 func (c *conn) read() {
 	reader := rpcframe.NewReader(c.bufReader)
 	for c.readMessage(reader) {
@@ -150,7 +155,7 @@
 	c.server.conns.Remove(c)
 }
 
-// endInput drains the connection and returns the requests that were in flight: their responses are no longer wanted.
+// endInput drains the connection. It removes and returns the requests in flight, whose responses are no longer needed.
 func (c *conn) endInput() []*pendingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,7 +168,7 @@
 	return abandoned
 }
 
-// readMessage reads and handles the next message. It reports whether more may follow.
+// readMessage reads and handles the next message. It reports whether another message may follow.
 func (c *conn) readMessage(reader *rpcframe.Reader) bool {
 	if _, err := c.bufReader.Peek(1); err != nil {
 		return false
@@ -190,7 +195,7 @@
 	c.input, c.stateSince = state, time.Now()
 }
 
-// handleMessage handles one message. It returns an error if the message breaks the protocol.
+// handleMessage handles one message. It returns an error if the message violates the protocol.
 func (c *conn) handleMessage(message rpcframe.Message) error {
 	switch {
 	case message.Cancelled != nil:
@@ -203,7 +208,8 @@
 	return c.handleRequest(message)
 }
 
-// reportViolation responds with an error to a request that breaks the protocol, where it has a number.
+// reportViolation logs and counts a protocol violation. If the number of the request is known, that is above 0, it
+// sends an error response.
 func (c *conn) reportViolation(number uint32, reason error) {
 	c.server.protocolErrors.Add(1)
 	c.server.log.Info().Err(reason).Msg("protocol violation by a client")
@@ -240,7 +246,8 @@
 	return nil
 }
 
-// addInFlight records a request as owed a response.
+// addInFlight adds a request to the requests in flight. It returns an error if the request violates the protocol: if
+// too many requests are in flight or its number is not above all earlier numbers.
 func (c *conn) addInFlight(number uint32) (*pendingRequest, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -256,7 +263,7 @@
 	return pending, nil
 }
 
-// takeInFlight removes a request from those owed a response and returns it, nil if it is none of them.
+// removeInFlight removes a request from the requests in flight and returns it, or nil if it is not in flight.
 func (c *conn) removeInFlight(number uint32) *pendingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -273,7 +280,7 @@
 	c.enqueue(func(output []byte) []byte { return rpcframe.AppendHeartbeat(output, number, c.server.handler.Ready()) })
 }
 
-// cancelRequests cancels those requests that are still in flight.
+// cancelRequests cancels the requests with the given numbers that are still in flight.
 func (c *conn) cancelRequests(numbers []uint32) {
 	for _, number := range numbers {
 		if pending := c.removeInFlight(number); pending != nil {
--- a/internal/platform/rpcserver/disconnect_test.go
+++ b/internal/platform/rpcserver/disconnect_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestDisconnect_EachKind_CancelsRequestsAndFreesPlace(t *testing.T) {
+func TestDisconnect_EachKind_CancelsRequestsAndFreesSlot(t *testing.T) {
 	for name, disconnect := range map[string]func(client *net.TCPConn) error{
 		"half-close":             func(client *net.TCPConn) error { return client.CloseWrite() },
 		"close":                  func(client *net.TCPConn) error { return client.Close() },
@@ -51,9 +51,9 @@
 				if !cancelled[request.ID] {
 					t.Errorf("%s was not cancelled: %v", request.ID, cancelled)
 				}
-				request.respond(Response{Kind: Served}) // nobody waits for it
+				request.respond(Response{Kind: Served}) // is discarded, as the client has disconnected
 			}
-			next := connect(t, address) // the table has one place
+			next := connect(t, address) // the connection table has one slot
 			write(t, next, requestMessage(t, 1, "quote", validFields(3)))
 			(<-handler.requests).respond(Response{Kind: Served})
 			expect(t, next, rpcframe.AppendServed(nil, 1, nil))
@@ -61,14 +61,15 @@
 	}
 }
 
-// TestCancel_BeforeOrAfterResponse_FreesPlace holds that what is written stays whole, too.
-func TestCancel_BeforeOrAfterResponse_FreesPlace(t *testing.T) {
+// TestCancel_BeforeOrAfterResponse_FreesSlot checks that a request no longer counts towards MaxInFlight after its
+// response or its cancellation, and that cancellations do not corrupt the responses that are written.
+func TestCancel_BeforeOrAfterResponse_FreesSlot(t *testing.T) {
 	handler, address := startServer(t, 1)
 	client := connect(t, address)
 	for round := range 3 {
 		var numbers []int
 		var requests []*stubRequest
-		for i := range 4 { // as many as may be in flight
+		for i := range 4 { // MaxInFlight of the test server
 			number := 1 + 4*round + i
 			numbers = append(numbers, number)
 			write(t, client, requestMessage(t, number, "quote", validFields(number)))
--- a/internal/platform/rpcserver/handler.go
+++ b/internal/platform/rpcserver/handler.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// ErrProtocol is wrapped by errors about requests that break the protocol or are outside the Rules.
+// ErrProtocol is wrapped by errors about requests that violate the protocol or do not conform to the Rules.
 var ErrProtocol = errors.New("request breaks the protocol")
 
-// Request is one request of a client, checked against the Rules.
+// Request is a client's request that conforms to the Rules.
 type Request struct {
 	ID             string // 16 hexadecimal digits
 	Class          int    // index in Rules.Classes
 	Tenant         int    // index in Rules.Tenants
 	Function       string // 16 hexadecimal digits
-	IdempotencyKey string // empty without one
+	IdempotencyKey string // empty if the request has none
 	Timeout        time.Duration
-	MemoryMB       float64       // megabytes of one replica, 0 if unknown
-	Concurrency    int           // requests that one replica executes at a time, 0 if unknown
-	LoadTime       time.Duration // of a replica, 0 if unknown
-	WorkEstimate   time.Duration // expected execution time, 0 if unknown
+	MemoryMB       float64       // memory of a replica in megabytes, 0 if unknown
+	Concurrency    int           // number of requests that a replica executes at a time, 0 if unknown
+	LoadTime       time.Duration // time to load a replica, 0 if unknown
+	WorkEstimate   time.Duration // expected execution time of this request, 0 if unknown
 	Body           []byte
-	ReceivedAt     time.Time // when its last byte was read
-	ArrivedAfter   time.Time // its last byte arrived after that; the zero time if it may have arrived at any time
+	ReceivedAt     time.Time // when the last byte of the request was read
+	ArrivedAfter   time.Time // lower bound of the time at which the last byte arrived; zero if unknown
 }
 
-// ResponseKind is the kind of a final response.
+// ResponseKind is the outcome that a final response reports.
 type ResponseKind int
 
-// The kinds of a final response.
+// The kinds of final responses.
 const (
-	Served   ResponseKind = iota + 1 // it was executed
-	Rejected                         // it was not executed, so sending it again is harmless
-	Failed                           // it may have been executed
+	Served   ResponseKind = iota + 1 // the request was executed
+	Rejected                         // the request was not executed, so it is safe to send it again
+	Failed                           // the request may have been executed
 )
 
 // Response is the final response to a request.
 type Response struct {
 	Kind       ResponseKind
-	Body       []byte        // of a served request
-	RetryAfter time.Duration // of a rejected one: advice when to send it again, 0 for none
+	Body       []byte        // result of a served request
+	RetryAfter time.Duration // advised delay before a rejected request is sent again, 0 for no advice
 }
 
-// Handler serves the requests of all connections. Its methods are called from many goroutines.
+// Handler handles the requests of all connections. Its methods must be safe for concurrent use.
 type Handler interface {
-	// Handle starts a request. It must not block: the connection reads nothing meanwhile. The final response is passed
-	// to respond, once, perhaps before Handle returns and from any goroutine. A request that breaks the protocol is
-	// returned as an error, and respond is not called then.
+	// Handle starts a request. It must not block, because the connection reads no other message until Handle returns.
+	// The Handler must pass the final response to respond exactly once. It may call respond from any goroutine, also
+	// before Handle returns. If the request violates the protocol, Handle returns an error and respond must not be
+	// called.
 	//
-	// The connection calls cancel at most once, when the client cancelled the request or disconnected before the
-	// response. A response that comes later is discarded.
+	// The connection calls cancel at most once, if the client cancels the request or disconnects before the response. A
+	// response that is passed to respond after that is discarded.
 	Handle(request *Request, respond func(Response)) (cancel func(), err error)
-	// Ready reports what heartbeats are answered.
+	// Ready reports whether the server is ready to accept requests. The server calls it to respond to heartbeats.
 	Ready() bool
 }
--- a/internal/platform/rpcserver/helpers_test.go
+++ b/internal/platform/rpcserver/helpers_test.go
@@ -14,12 +14,13 @@
 	"go.uber.org/goleak"
 )
 
-// stubHandler is a Handler that passes requests to the test.
+// stubHandler is a Handler that passes requests, and the IDs of cancelled requests, to the test.
 type stubHandler struct {
 	requests  chan *stubRequest
 	cancelled chan string
 }
 
+// stubRequest is a request with the function that sends its final response.
 type stubRequest struct {
 	*Request
 	respond func(Response)
@@ -33,7 +34,7 @@
 	return func() { h.cancelled <- request.ID }, nil
 }
 
-// rejectedID is an id that the Handler rejects.
+// rejectedID is a request ID that stubHandler rejects as a protocol violation.
 const rejectedID = "00000000000000ff"
 
 func (h stubHandler) Ready() bool { return true }
@@ -44,7 +45,7 @@
 	MaxMemoryMB: 1000,
 }
 
-// startServer returns a server's handler and address. It is shut down when the test ends.
+// startServer starts a server and returns its handler and address. The server is shut down when the test ends.
 func startServer(t *testing.T, maxConns int) (stubHandler, string) {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
@@ -79,7 +80,7 @@
 	return client
 }
 
-// validFields are the fields of a request that keeps the rules.
+// validFields returns the fields of a request that conforms to the rules.
 func validFields(id int) map[string]string {
 	return map[string]string{
 		"id": fmt.Sprintf("%016x", id), "wait": "900", "tenant": "other", "key": "7f3a9c21e0b4d655",
@@ -112,6 +113,6 @@
 	t.Helper()
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(client, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("read %q, %v; wanted %q", got, err, want)
+		t.Errorf("read %q, error %v; want %q", got, err, want)
 	}
 }
--- a/internal/platform/rpcserver/output.go
+++ b/internal/platform/rpcserver/output.go
@@ -7,10 +7,10 @@
 	"havencart/internal/platform/rpcframe"
 )
 
-// respond queues the final response of a request, unless that is no longer in flight.
+// respond queues the final response to a request. It discards the response if the request is no longer in flight.
 func (c *conn) respond(number uint32, pending *pendingRequest, response Response) {
 	c.enqueue(func(output []byte) []byte {
-		if c.inFlight[number] != pending { // responded to, cancelled or disconnected
+		if c.inFlight[number] != pending { // already responded to, cancelled, or abandoned by a disconnect
 			return output
 		}
 		delete(c.inFlight, number)
@@ -29,8 +29,8 @@
 	return rpcframe.AppendFailed(output, number)
 }
 
-// enqueue adds to the output what encode appends, and starts the writing goroutine if need be. It never waits for the
-// client. A client that lets more than MaxQueuedBytes pile up is disconnected. Encode is called with the lock held.
+// enqueue calls encode with c.mu held to append a response to the output, and starts the writing goroutine if it is not
+// running. It never waits for the client. If more than MaxQueuedBytes are queued, it closes the connection.
 func (c *conn) enqueue(encode func([]byte) []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,10 +48,10 @@
 	}
 }
 
-// writeQueued is the writing goroutine. It ends when nothing is queued or the connection is closed.
+// writeQueued is the writing goroutine. It ends when no output is queued or the connection is closed.
 //
-// The time since queuedAt says how late the process runs, so it is reported for the first write only: later output also
-// waits for the client to read what is before it.
+// The time from queuedAt to the start of the first write measures the lag of this process. It is reported for the first
+// write only, because later output also waits until the client has read the output before it.
 func (c *conn) writeQueued(queuedAt time.Time) {
 	if c.server.cfg.ObserveWriteDelay != nil {
 		c.server.cfg.ObserveWriteDelay(time.Since(queuedAt))
@@ -70,8 +70,8 @@
 	}
 }
 
-// nextBatch takes the queued output and gives the queue the written batch's memory to use again. It returns nil if the
-// writing goroutine is to end.
+// nextBatch returns the queued output and reuses the buffer of the batch that was written before for the queue. It
+// returns nil if the writing goroutine must end.
 func (c *conn) nextBatch(written []byte) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/rpcserver/output_test.go
+++ b/internal/platform/rpcserver/output_test.go
@@ -11,8 +11,8 @@
 	"havencart/internal/platform/rpcframe"
 )
 
-// TestWriteDelay_ClientReadsNothing_NotReported holds that the time for which responses wait for their client is not
-// reported as the process's.
+// TestWriteDelay_ClientReadsNothing_NotReported checks that the time for which a response waits for a slow client is
+// not reported as write delay, which measures the lag of the server process.
 func TestWriteDelay_ClientReadsNothing_NotReported(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	local, remote := net.Pipe()
@@ -26,11 +26,11 @@
 	write(t, remote, append(requestMessage(t, 1, "quote", validFields(1)), requestMessage(t, 2, "quote", validFields(2))...))
 	first, second := <-handler.requests, <-handler.requests
 	first.respond(Response{Kind: Served, Body: []byte("one")})
-	<-delays // the write of the first one begins, and nobody reads
+	<-delays // the write of the first response has started, and the client does not read it yet
 	second.respond(Response{Kind: Served, Body: []byte("two")})
 	expect(t, remote, rpcframe.AppendServed(rpcframe.AppendServed(nil, 1, []byte("one")), 2, []byte("two")))
 	if len(delays) != 0 {
-		t.Errorf("the second response's wait of %v for its client is reported as local", <-delays)
+		t.Errorf("the second response's wait of %v for its client is reported as write delay", <-delays)
 	}
 	_ = remote.Close()
 	server.Shutdown()
--- a/internal/platform/rpcserver/rules.go
+++ b/internal/platform/rpcserver/rules.go
@@ -7,33 +7,37 @@
 	"havencart/internal/platform/rpcframe"
 )
 
-// Class is a request class that clients may name.
+// Class is a request class that clients may use.
 type Class struct {
 	Name        string
-	MaxTimeout  time.Duration // the longest that a client of this class waits for a response
-	RequiresKey bool          // its requests must have an idempotency key
+	MaxTimeout  time.Duration // longest time for which clients wait for a response to a request of this class
+	RequiresKey bool          // requests of this class must have an idempotency key
 }
 
-// Rules are the names and bounds of what clients may request.
+// Rules are the classes and tenants that requests may name, and the bounds of their values.
 type Rules struct {
 	Classes     []Class
-	Tenants     []string // empty where requests name no tenant
-	MaxMemoryMB float64  // the most megabytes that a replica can need, 0 if unknown
+	Tenants     []string // empty if requests name no tenant
+	MaxMemoryMB float64  // maximum memory of a replica in megabytes, 0 if unknown
 }
 
-// Bounds of what a request may say.
+// Bounds of the values in a request.
 const (
-	maxTimeoutRatio = 2 // to the class's, as clients round theirs up and start it before they send
-	maxConcurrency  = 1024
-	maxMillis       = 1e6
-	maxMemoryMB     = 1e6 // where the Rules know no bound
+	// maxTimeoutRatio is the maximum ratio of a request's timeout to the MaxTimeout of its class. It is above 1 because
+	// clients round their timeout up and start it before they send the request.
+	maxTimeoutRatio = 2
+
+	maxConcurrency = 1024 // requests that a replica executes at a time
+	maxMillis      = 1e6  // load time and work estimate, in milliseconds
+	maxMemoryMB    = 1e6  // memory of a replica in megabytes if Rules.MaxMemoryMB is unknown
 )
 
 func protocolError(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrProtocol}, args...)...)
 }
 
-// parse checks a message that is a request of a class. Its errors wrap ErrProtocol or rpcframe.ErrMalformed.
+// parse converts a message whose method is the name of a class to a request and checks it against the rules. Its errors
+// wrap ErrProtocol or rpcframe.ErrMalformed.
 func (r *Rules) parse(message rpcframe.Message) (*Request, error) {
 	wire, err := message.Request()
 	if err != nil {
@@ -64,7 +68,7 @@
 	return request, nil
 }
 
-// classIndex returns the last class of a name, -1 if there is none.
+// classIndex returns the index of the last class with the given name, or -1 if there is none.
 func (r *Rules) classIndex(name string) int {
 	for i := len(r.Classes) - 1; i >= 0; i-- {
 		if r.Classes[i].Name == name {
@@ -74,8 +78,8 @@
 	return -1
 }
 
-// tenantIndex returns the index of the tenant that a request names, -1 if that is unknown. Where there are no tenants, a
-// request that names none is the first one's.
+// tenantIndex returns the index of the tenant that a request names, or -1 if the tenant is unknown. If the rules have
+// no tenants, the index of a request without a tenant is 0.
 func (r *Rules) tenantIndex(tenant rpcframe.OptionalText) int {
 	if !tenant.Present && len(r.Tenants) == 0 {
 		return 0
@@ -88,7 +92,7 @@
 	return -1
 }
 
-// apply stores an attribute in a request. It reports false if its value is out of bounds.
+// apply stores the value of an attribute in the request. It reports whether the value is within its bounds.
 func (r *Rules) apply(attribute rpcframe.Attribute, request *Request) bool {
 	value := attribute.Value
 	switch attribute.Kind {
@@ -106,6 +110,7 @@
 	return value <= maxMillis
 }
 
+// maxMemoryMB returns the upper bound of a replica's memory in megabytes.
 func (r *Rules) maxMemoryMB() float64 {
 	if r.MaxMemoryMB > 0 {
 		return r.MaxMemoryMB
@@ -113,7 +118,8 @@
 	return maxMemoryMB
 }
 
-// millis converts milliseconds. Those out of bounds, which apply rejects, must not overflow.
+// millis converts milliseconds to a Duration. It caps values above maxMillis, which apply rejects, to prevent an
+// overflow.
 func millis(x float64) time.Duration {
 	return time.Duration(min(x, maxMillis) * float64(time.Millisecond))
 }
--- a/internal/platform/rpcserver/rules_test.go
+++ b/internal/platform/rpcserver/rules_test.go
@@ -13,18 +13,18 @@
 		attributes string
 		accepted   bool
 	}{
-		"none":                           {"", true},
-		"memory at the bound":            {"memory_mb:1000", true},
-		"memory above the bound":         {"memory_mb:1000.5", false},
-		"memory of 0":                    {"memory_mb:0", false},
-		"concurrency at the bound":       {"lanes:1024", true},
-		"concurrency above the bound":    {"lanes:1024.5", false},
-		"concurrency of 0":               {"lanes:0", false},
-		"load time of 0":                 {"load_ms:0", true},
-		"load time above the bound":      {"load_ms:1000001", false},
-		"estimate above the bound":       {"hint:1000001", false},
-		"out of bounds, then within":     {"memory_mb:1e9;memory_mb:5", false},
-		"unknown name, beyond all bound": {"unknown:1e300", true},
+		"none":                          {"", true},
+		"memory at the bound":           {"memory_mb:1000", true},
+		"memory above the bound":        {"memory_mb:1000.5", false},
+		"memory of 0":                   {"memory_mb:0", false},
+		"concurrency at the bound":      {"lanes:1024", true},
+		"concurrency above the bound":   {"lanes:1024.5", false},
+		"concurrency of 0":              {"lanes:0", false},
+		"load time of 0":                {"load_ms:0", true},
+		"load time above the bound":     {"load_ms:1000001", false},
+		"estimate above the bound":      {"hint:1000001", false},
+		"repeated, first out of bounds": {"memory_mb:1e9;memory_mb:5", false},
+		"unknown name, huge value":      {"unknown:1e300", true},
 	} {
 		message := rpcframe.Message{Method: "quote", Body: []byte{}, Params: rpcframe.Params{
 			ID:       "9b1f03aa5c7e2d41",
@@ -47,7 +47,7 @@
 	}
 	message.Params.Timeout = "2001"
 	if _, err := rules.parse(message); !errors.Is(err, ErrProtocol) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrProtocol", err)
 	}
 }
 
@@ -57,16 +57,16 @@
 		tenant  rpcframe.OptionalText
 		want    int
 	}{
-		"known":                     {[]string{"acme", "other"}, rpcframe.OptionalText{Value: "other", Present: true}, 1},
-		"unknown":                   {[]string{"acme", "other"}, rpcframe.OptionalText{Value: "nobody", Present: true}, -1},
-		"absent":                    {[]string{"acme", "other"}, rpcframe.OptionalText{}, -1},
-		"absent without tenants":    {nil, rpcframe.OptionalText{}, 0},
-		"present without tenants":   {nil, rpcframe.OptionalText{Present: true}, -1},
-		"absent, tenant of no name": {[]string{"acme", ""}, rpcframe.OptionalText{}, 1},
+		"known":                             {[]string{"acme", "other"}, rpcframe.OptionalText{Value: "other", Present: true}, 1},
+		"unknown":                           {[]string{"acme", "other"}, rpcframe.OptionalText{Value: "nobody", Present: true}, -1},
+		"absent":                            {[]string{"acme", "other"}, rpcframe.OptionalText{}, -1},
+		"absent without tenants":            {nil, rpcframe.OptionalText{}, 0},
+		"present without tenants":           {nil, rpcframe.OptionalText{Present: true}, -1},
+		"absent, tenant with an empty name": {[]string{"acme", ""}, rpcframe.OptionalText{}, 1},
 	} {
 		r := Rules{Tenants: test.tenants}
 		if got := r.tenantIndex(test.tenant); got != test.want {
-			t.Errorf("%s: tenant %d, wanted %d", name, got, test.want)
+			t.Errorf("%s: got tenant index %d, want %d", name, got, test.want)
 		}
 	}
 }
--- a/internal/platform/rpcserver/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -1,9 +1,10 @@
-// Package rpcserver serves the users' platform's clients: MessagePack-RPC over TCP, with many requests in flight on a
-// connection and responses in any order. Requests are checked against the Rules before a Handler sees them. The package
-// knows nothing of workers: the Handler gives each request its final response.
+// Package rpcserver is the server for clients of the users' platform. It implements MessagePack-RPC over TCP, with many
+// requests in flight on a connection and responses in any order. Requests are checked against the Rules before they are
+// passed to a Handler. The package is independent of workers: the Handler provides the final response to each request.
 //
-// A client that breaks the protocol gets an error, where its request has a number, and its connection is closed, which
-// cancels whatever else is in flight on it. No well-behaved client does that.
+// If a client violates the protocol, the server sends an error response, provided that the number of the request is
+// known, and closes the connection, which cancels all other requests in flight on it. Conforming clients do not violate
+// the protocol. A single request that the Handler rejects does not close the connection: see maxConsecutiveRejections.
 package rpcserver
 
 import (
@@ -20,48 +21,51 @@
 	"havencart/internal/periodic"
 )
 
-// sweepInterval is the time between searches for connections to close.
+// sweepInterval is the interval at which the server looks for idle connections to close.
 const sweepInterval = 250 * time.Millisecond
 
-// At the end of a shutdown connections on which something is under way are closed no later than finalReadPeriod after the
-// others.
+// During Shutdown the server continues to read requests for at most finalReadPeriod. It checks at intervals of
+// finalReadInterval which connections have become inactive and can be closed.
 const (
 	finalReadPeriod   = 50 * time.Millisecond
 	finalReadInterval = 5 * time.Millisecond
 )
 
-// Config bounds what clients may do.
+// Config is the configuration of a Server.
 type Config struct {
-	Rules          Rules
-	MaxConnections int           // beyond, an idle connection is evicted, or else the new one rejected
-	MaxInFlight    int           // requests in flight on one connection; one more breaks the protocol
-	MaxQueuedBytes int           // bytes of responses that a client has not read; beyond, its connection is closed
-	WriteTimeout   time.Duration // for one write of queued responses
-	// ObserveWriteDelay, unless nil, is called from the writing goroutines with the time between the queuing of a response
-	// and the start of its write. That time does not depend on the client.
+	Rules Rules
+	// MaxConnections is the maximum number of connections. When it is reached, an idle connection is evicted to make
+	// room for a new one. If none is idle, the new connection is rejected.
+	MaxConnections int
+	MaxInFlight    int           // maximum requests in flight on a connection; exceeding it violates the protocol
+	MaxQueuedBytes int           // maximum bytes of unwritten responses; a connection that exceeds it is closed
+	WriteTimeout   time.Duration // timeout of one write of queued responses
+	// ObserveWriteDelay, if not nil, is called by the writing goroutines with the time from the queuing of a response
+	// to the start of its write. That time does not depend on the client.
 	ObserveWriteDelay func(delay time.Duration)
-	AcceptGracePeriod time.Duration // for which connections in the listener's backlog are still accepted during a shutdown
+	// AcceptGracePeriod is the time for which a shutdown continues to accept connections from the listener's backlog.
+	AcceptGracePeriod time.Duration
 }
 
-// Counts are totals of a Server since its start, as its log line and docs/oncall.md name them.
+// Counts are totals of a Server since its start. The field names appear in the log and in docs/oncall.md.
 type Counts struct {
 	Accepted       uint64 // connections accepted
-	Rejected       uint64 // connections closed at once as there were too many
-	Evicted        uint64 // idle connections closed to make room
-	IdleClosed     uint64 // connections closed for sending no request in time
-	ProtocolErrors uint64 // requests that broke the protocol
+	Rejected       uint64 // connections closed at once because the limit was reached
+	Evicted        uint64 // idle connections closed to make room for new ones
+	IdleClosed     uint64 // connections closed because they sent no request in time
+	ProtocolErrors uint64 // requests that violated the protocol
 }
 
-// Server serves clients' connections. Its methods may be called from any goroutine.
+// Server serves the connections of clients. Its methods are safe for concurrent use.
 type Server struct {
 	cfg     Config
 	handler Handler
 	log     zerolog.Logger
 	conns   *clientconn.Table[*conn]
-	tasks   sync.WaitGroup // reading and writing goroutines, and the sweep
+	tasks   sync.WaitGroup // reading, writing and sweeping goroutines
 
 	mu           sync.Mutex
-	listener     net.Listener // from the start of Serve
+	listener     net.Listener // set when Serve starts
 	shuttingDown bool
 
 	accepted, rejected, evicted, idleClosed, protocolErrors atomic.Uint64
@@ -86,10 +90,11 @@
 // ConnectionCount returns the number of open connections.
 func (s *Server) ConnectionCount() int { return s.conns.Len() }
 
-// Serve accepts connections of l until l is closed or a shutdown began, and then closes l. Until ctx ends, a goroutine
-// that it starts goes on to close idle connections. It must be called once, before Shutdown.
+// Serve accepts connections from listener until listener is closed or a shutdown ends accepting. It closes listener
+// before it returns. It also starts a goroutine that closes idle connections until ctx is done. Serve must be called
+// once, before Shutdown.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
-	defer func() { _ = listener.Close() }() // it may be closed already
+	defer func() { _ = listener.Close() }() // may already be closed
 	s.tasks.Go(func() { s.sweepUntilDone(ctx) })
 	s.mu.Lock()
 	s.listener = listener
@@ -102,7 +107,8 @@
 	return err
 }
 
-// admit starts to serve a connection, in the place of an idle one if there is no other.
+// admit starts to serve a new connection. If the limit of connections is reached, it evicts an idle connection, or
+// rejects the new one if none is idle.
 func (s *Server) admit(netConn net.Conn) {
 	s.accepted.Add(1)
 	c := newConn(s, netConn)
@@ -114,12 +120,12 @@
 	s.tasks.Go(c.read)
 }
 
-// replaceIdle adds a connection to the full table if another can be evicted.
+// replaceIdle evicts an idle connection and adds c in its place. It reports whether it added c.
 func (s *Server) replaceIdle(c *conn) bool {
 	return s.evict() && s.conns.Add(c)
 }
 
-// evict closes the connection that is the first choice to make room. It reports whether there was one.
+// evict closes the connection that connadmission selects for eviction. It reports whether it closed a connection.
 func (s *Server) evict() bool {
 	conns, states := s.snapshots()
 	i := connadmission.SelectEviction(states)
@@ -131,7 +137,7 @@
 	return true
 }
 
-// snapshots returns the connections and the state of each.
+// snapshots returns the connections and their states, in the same order.
 func (s *Server) snapshots() ([]*conn, []connadmission.Connection) {
 	now := time.Now()
 	conns := s.conns.All()
@@ -142,7 +148,8 @@
 	return conns, states
 }
 
-// closeInactiveConnections closes the connections on which nothing is under way, for finalReadPeriod or until all are closed.
+// closeInactiveConnections repeatedly closes the connections that have no request in flight and no unread input, until
+// all connections are closed or finalReadPeriod has passed.
 func (s *Server) closeInactiveConnections() {
 	deadline := time.NewTimer(finalReadPeriod)
 	defer deadline.Stop()
@@ -157,7 +164,8 @@
 	}
 }
 
-// closeInactive is one try of closeInactiveConnections. It returns how many connections stay open.
+// closeInactive closes the connections that have no request in flight and no unread input. It returns the number of
+// connections that remain open.
 func (s *Server) closeInactive() (open int) {
 	for _, c := range s.conns.All() {
 		if !c.closeIf(func(connadmission.Connection) bool { return true }) && !c.isClosed() {
@@ -171,7 +179,7 @@
 	periodic.Run(ctx, sweepInterval, s.sweep)
 }
 
-// sweep closes the connections that send no request in time.
+// sweep closes the connections that have sent no request in time.
 func (s *Server) sweep() {
 	conns, states := s.snapshots()
 	shouldClose := connadmission.ShouldClose
@@ -191,7 +199,8 @@
 	return s.shuttingDown
 }
 
-// BeginShutdown begins a shutdown: accepting ends, and each connection is closed once nothing is in flight on it.
+// BeginShutdown starts a shutdown: the server stops accepting connections and closes each connection once no request is
+// in flight on it.
 func (s *Server) BeginShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,8 +208,9 @@
 	s.endAccepting()
 }
 
-// endAccepting ends accepting if a shutdown began; the lock is held. Connections in the listener's backlog are still
-// accepted for the time of AcceptGracePeriod: closing a listener resets them, and the requests on them would be lost.
+// endAccepting stops accepting connections if a shutdown has started. It requires that s.mu is held. Connections in the
+// listener's backlog are still accepted for AcceptGracePeriod, because closing the listener resets them and their
+// requests would be lost.
 func (s *Server) endAccepting() {
 	if !s.shuttingDown || s.listener == nil {
 		return
@@ -211,9 +221,10 @@
 	}
 }
 
-// Shutdown closes each connection behind the responses that are queued on it, and returns when all goroutines of the
-// server have ended. Serve must have returned and its context ended before. Clients may go on sending meanwhile: for
-// finalReadPeriod requests are still read, and a connection is closed when none is on its way.
+// Shutdown closes each connection once its queued responses are written, and returns when all goroutines of the server
+// have ended. Before the call, Serve must have returned and its context must be done. As clients may still be sending,
+// requests are read for up to finalReadPeriod, and a connection is closed earlier only if no request is in flight or
+// unread on it.
 func (s *Server) Shutdown() {
 	s.closeInactiveConnections()
 	for _, c := range s.conns.All() {
--- a/internal/platform/rpcserver/server_test.go
+++ b/internal/platform/rpcserver/server_test.go
@@ -15,18 +15,19 @@
 	first, second := <-handler.requests, <-handler.requests
 	if first.Class != 0 || first.Tenant != 1 || first.Timeout != 900*time.Millisecond || first.MemoryMB != 512 ||
 		first.Concurrency != 2 || first.LoadTime != 300*time.Millisecond || string(first.Body) != "body" {
-		t.Errorf("handled %+v", first.Request)
+		t.Errorf("handled an unexpected request %+v", first.Request)
 	}
 	second.respond(Response{Kind: Served, Body: []byte("two")})
 	expect(t, client, rpcframe.AppendServed(nil, 2, []byte("two")))
 	first.respond(Response{Kind: Rejected, RetryAfter: 250 * time.Millisecond})
 	expect(t, client, rpcframe.AppendError(nil, 1, "Backoff", "after", "250"))
-	first.respond(Response{Kind: Served}) // there is only one final response
+	first.respond(Response{Kind: Served}) // discarded: a request has only one final response
 	write(t, client, message(t, 0, 3, "heartbeat", []any{map[string]string{}}))
 	expect(t, client, rpcframe.AppendHeartbeat(nil, 3, true))
 }
 
-// TestRead_SplitOrBatchedSegments_AllServed cuts a request at every byte, and sends many in one segment.
+// TestRead_SplitOrBatchedSegments_AllServed checks that requests are read whether they arrive in two segments split at
+// any byte, in segments of one byte, or several in one segment.
 func TestRead_SplitOrBatchedSegments_AllServed(t *testing.T) {
 	handler, address := startServer(t, 1)
 	client := connect(t, address)
@@ -43,7 +44,7 @@
 		for i := range n {
 			request := <-handler.requests
 			if string(request.Body) != "body" {
-				t.Fatalf("body %q", request.Body)
+				t.Fatalf("got body %q", request.Body)
 			}
 			request.respond(Response{Kind: Served})
 			want = rpcframe.AppendServed(want, uint32(number-n+1+i), nil)
@@ -64,13 +65,13 @@
 	served(4)
 }
 
-// TestCounts_InLogs_HaveTheNamesOfTheOnCallPage holds the names that docs/oncall.md lists.
-func TestCounts_InLogs_HaveTheNamesOfTheOnCallPage(t *testing.T) {
+// TestCounts_JSON_UsesDocumentedNames checks that the counts are logged under the names that docs/oncall.md lists.
+func TestCounts_JSON_UsesDocumentedNames(t *testing.T) {
 	logged, err := json.Marshal(Counts{Accepted: 1, Rejected: 2, Evicted: 3, IdleClosed: 4, ProtocolErrors: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := `{"Accepted":1,"Rejected":2,"Evicted":3,"IdleClosed":4,"ProtocolErrors":5}`; string(logged) != want {
-		t.Errorf("logged %s, wanted %s", logged, want)
+		t.Errorf("logged %s, want %s", logged, want)
 	}
 }
--- a/internal/platform/rpcserver/shutdown_test.go
+++ b/internal/platform/rpcserver/shutdown_test.go
@@ -13,7 +13,7 @@
 	"havencart/internal/platform/rpcframe"
 )
 
-// gatedListener is a listener whose Accept waits until the test lets it proceed.
+// gatedListener is a listener whose Accept blocks until the test closes pass.
 type gatedListener struct {
 	*net.TCPListener
 	pass chan bool
@@ -24,8 +24,8 @@
 	return g.TCPListener.Accept()
 }
 
-// TestShutdown_ConnectionInBacklog_Served holds that a connection in the listener's backlog at the shutdown is still
-// accepted: closing the listener would reset it.
+// TestShutdown_ConnectionInBacklog_Served checks that a connection that is in the listener's backlog when a shutdown
+// starts is still accepted and served. Closing the listener at once would reset the connection.
 func TestShutdown_ConnectionInBacklog_Served(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	for _, shutdownFirst := range []bool{true, false} {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestShutdown_GracePeriodOver_AcceptingEnds holds that accepting ends by itself, whether the shutdown began before
-// Serve or after.
+// TestShutdown_GracePeriodOver_AcceptingEnds checks that Serve returns and closes the listener after the grace period,
+// whether the shutdown started before or after Serve.
 func TestShutdown_GracePeriodOver_AcceptingEnds(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	for _, shutdownFirst := range []bool{true, false} {
