--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -1,14 +1,16 @@
-// Package workerclient is the client of one worker of the users' platform, which calls its workers executors. It keeps as
-// many connections as are needed, each with many requests, in the platform's binary frames (internal/platform/workerframe).
+// Package workerclient is the client of one worker of the users' platform, which calls its workers executors. A client
+// opens connections on demand and sends many requests over each of them, encoded in the platform's binary frames (see
+// internal/platform/workerframe).
 //
-// How attempts end is decided as in internal/native/muxclient, whose package comment has the table. In addition:
+// The status with which an attempt ends is determined as in internal/native/muxclient; see the table in the comment of
+// that package. In addition:
 //
-//	event                                                          status   why
-//	a connection breaks, and another one can be made at once       Error    only the connection is lost; it may have executed
-//	a connection breaks, and the worker refuses the next one       Reset    the worker's process is gone; it may have executed
-//	a response cannot be read                                      Error    it may have executed
-//	the worker responds that the request had ended already         NotSent  it was not executed
-//	this process is out of what a connection needs                 NotSent  it says nothing of the worker
+//	event                                                    status   reason
+//	a connection breaks, and the client can reconnect        Error    the worker is alive; the attempt may have executed
+//	a connection breaks, and the client cannot reconnect     Reset    the worker is lost; the attempt may have executed
+//	a response is malformed                                  Error    the attempt may have executed
+//	the worker responds that the request had already ended   NotSent  the attempt was not executed
+//	this process lacks a resource for a new connection       NotSent  the worker is not the cause
 package workerclient
 
 import (
@@ -23,55 +25,55 @@
 	"havencart/scheduler"
 )
 
-// randomStream is the second word of the seed of a client's random numbers.
+// randomStream is the second seed word of a client's random number generator. The first one is Config.Seed.
 const randomStream = 0x65786563
 
-// Config is the configuration of a Client. All fields but Guard are required.
+// Config is the configuration of a Client. All fields except Guard are required.
 type Config struct {
-	Worker               string // name in the list of workers
+	Worker               string // worker's name in the endpoint list
 	Address              string // host:port
 	ConnectTimeout       time.Duration
-	StreamsPerConnection int                  // attempts and load orders that a connection carries at a time
-	IdleTimeout          time.Duration        // after which the worker closes an idle connection
-	MaxQueue             int                  // attempts and load orders that may be unfinished; more are not sent
-	MaxResponse          int                  // bytes of a response's body; a longer one breaks its connection
-	LoadReportFields     []string             // names of the values of a load report
+	StreamsPerConnection int                  // maximum unfinished attempts and load orders on a connection
+	IdleTimeout          time.Duration        // time after which the worker closes an idle connection
+	MaxQueue             int                  // maximum unfinished attempts and load orders of the client
+	MaxResponse          int                  // maximum bytes of a response's body; exceeding it breaks the connection
+	LoadReportFields     []string             // names of the values to read from load reports
 	Budget               *ConnectionBudget    // shared by the clients of all workers
-	Guard                *workerconn.Guard    // shared with the event loop; nil: nothing is held back
-	Seed                 uint64               // of the numbers of load orders and health checks
+	Guard                *workerconn.Guard    // shared with the event loop; if nil, no new work is held back
+	Seed                 uint64               // seed of the random numbers of load orders and health checks
 	Now                  func() time.Duration // monotonic clock
 }
 
-// Client sends attempts and load orders to one worker. Its methods may be called from any goroutine and never block on
-// the network; how attempts and orders end is reported by Events. Each connection has a goroutine that runs until the
-// connection is no longer needed or Stop is called.
+// Client sends attempts and load orders to one worker. Its methods are safe for concurrent use and do not block on the
+// network. The results of attempts and load orders are reported through workerconn.Events. Each connection has a
+// goroutine that runs until the connection is no longer needed or Stop is called.
 type Client struct {
 	cfg    Config
 	events workerconn.Events
-	tasks  sync.WaitGroup // the goroutines of the connections
-	done   chan struct{}
+	tasks  sync.WaitGroup // goroutines of the connections
+	done   chan struct{}  // closed after Stop once the goroutines have ended
 
-	mu sync.Mutex // guards what follows and the connections' fields
+	mu sync.Mutex // guards the fields below, and fields of the connections as noted there
 
 	connections []*connection
 
-	// Made when they are first needed: of many workers most are never sent anything.
-	ctx      context.Context // done once the client is stopped
+	// The following fields are initialized on first use, because most of many workers are never sent anything.
+	ctx      context.Context // done once Stop is called
 	cancel   context.CancelFunc
 	rng      *rand.Rand
-	attempts map[*workerconn.Attempt]*connection // unfinished; together with loads bounded by MaxQueue
-	loads    map[*workerconn.LoadOrder]*connection
+	attempts map[*workerconn.Attempt]*connection   // unfinished attempts; at most MaxQueue together with loads
+	loads    map[*workerconn.LoadOrder]*connection // unfinished load orders
 
-	draining bool // the worker drains: no new work is sent
-	closed   bool // the client was stopped
+	draining bool // the worker is draining, so no new work is sent
+	closed   bool // Stop was called
 }
 
-// New returns a Client without connections, which are made on demand. The caller ends it by Stop.
+// New returns a Client that opens connections on demand. The caller must call Stop when the client is no longer needed.
 func New(cfg Config, events workerconn.Events) *Client {
 	return &Client{cfg: cfg, events: events, done: make(chan struct{})}
 }
 
-// start makes what the connections need. The lock is held.
+// ensureInitialized initializes the fields that connections need. It requires that c.mu is held.
 func (c *Client) ensureInitialized() {
 	if c.cancel != nil {
 		return
@@ -81,7 +83,7 @@
 	c.loads = map[*workerconn.LoadOrder]*connection{}
 }
 
-// randomNumber returns the number of a load order or a health check. The lock is held.
+// randomNumber returns a number for a load order or a health check. It requires that c.mu is held.
 func (c *Client) randomNumber() uint64 {
 	if c.rng == nil {
 		c.rng = rand.New(rand.NewPCG(c.cfg.Seed, randomStream))
@@ -89,7 +91,8 @@
 	return c.rng.Uint64()
 }
 
-// Stop ends the client, which refuses new work from then on. What is unfinished ends as on a broken connection.
+// Stop stops the client, which then rejects new work. Unfinished attempts, load orders and health checks end as on a
+// broken connection.
 func (c *Client) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,12 +100,12 @@
 		return
 	}
 	c.closed = true
-	if c.cancel == nil { // no connection was ever made
+	if c.cancel == nil { // no connection was ever opened
 		close(c.done)
 		return
 	}
 	c.cancel()
-	go c.awaitConnections() // ends with the last connection, which the cancel ends
+	go c.awaitConnections() // ends soon, because the cancellation ends all connections
 }
 
 // awaitConnections closes done once all connections have ended.
@@ -111,11 +114,11 @@
 	close(c.done)
 }
 
-// Done returns a channel that is closed after Stop, when all goroutines have ended and all ends were reported.
+// Done returns a channel that is closed after Stop, once all goroutines have ended and all results have been reported.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Send queues an attempt and returns nil; Events reports how it ends. If the attempt cannot be queued, Send returns its
-// result at once.
+// Send queues an attempt and returns nil; its result is reported through Events. If the attempt cannot be queued, Send
+// returns its result at once, and Events reports nothing.
 func (c *Client) Send(attempt *workerconn.Attempt) *workerconn.Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,12 +139,12 @@
 	return nil
 }
 
-// notSent is the result of an attempt that was not queued.
+// notSent returns the result of an attempt that was not queued.
 func notSent(reason string) *workerconn.Result {
 	return &workerconn.Result{Status: scheduler.NotSent, Reason: reason, QueueDepth: -1}
 }
 
-// removeFinished removes attempts and load orders that have ended. The lock is held.
+// removeFinished removes finished attempts and load orders from the unfinished ones. It requires that c.mu is held.
 func (c *Client) removeFinished(items []queueItem) {
 	for _, item := range items {
 		delete(c.attempts, item.Attempt)
@@ -149,8 +152,8 @@
 	}
 }
 
-// CancelUnsent removes an attempt that is still queued; its end is then not reported. It returns false if the attempt is
-// not queued.
+// CancelUnsent removes an attempt from the queue and reports whether it did so. It returns false if the attempt is not
+// queued any more. The result of a removed attempt is not reported through Events.
 func (c *Client) CancelUnsent(attempt *workerconn.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,14 +166,15 @@
 	return true
 }
 
-// Abandon gives an attempt up: its end is not reported after this, unless it already was. It returns whether the worker
-// may have seen the attempt; if the attempt was unfinished, the worker is then told to cancel it.
+// Abandon abandons an attempt: after the call, its result is no longer reported through Events. The result may have
+// been reported before. Abandon returns whether the worker may have received the attempt. If the attempt is in flight,
+// a cancellation is queued for the worker.
 func (c *Client) Abandon(attempt *workerconn.Attempt) (mayHaveBeenSent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn := c.attempts[attempt]
 	if conn == nil {
-		return attempt.MayHaveBeenSent() // its end was reported
+		return attempt.MayHaveBeenSent() // the result has already been reported
 	}
 	delete(c.attempts, attempt)
 	if conn.queue.IsSending(attempt) {
@@ -186,8 +190,8 @@
 	return mayHaveBeenSent
 }
 
-// Load queues a load order and returns 0; Events reports the response. If the order cannot be queued, Load returns its
-// status at once.
+// Load queues a load order and returns 0; the result is reported through Events. If the order cannot be queued, Load
+// returns its status at once, and Events reports nothing.
 func (c *Client) Load(order *workerconn.LoadOrder) scheduler.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,7 +209,7 @@
 	return 0
 }
 
-// AbandonLoad gives a load order up: its response is not reported after this.
+// AbandonLoad abandons a load order: after the call, its result is no longer reported through Events.
 func (c *Client) AbandonLoad(order *workerconn.LoadOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,7 +223,7 @@
 	conn.wakeUp()
 }
 
-// Unload asks the worker to unload the idle replicas of a function. Whether it does is not reported.
+// Unload requests that the worker unloads the idle replicas of a function. The outcome is not reported.
 func (c *Client) Unload(function string) {
 	id, err := parseNumber(function)
 	if err != nil {
@@ -233,9 +237,10 @@
 	}
 }
 
-// Drain removes and returns the new work that was not sent, which was never executed, and refuses more until Resume. What
-// is being written has half of the grace period, which counts from when the worker announced that it drains, not from
-// this call. What was sent goes on.
+// Drain removes and returns the attempts and load orders that are still unsent, and rejects new work until Resume is
+// called. The worker has not executed any of the returned work. New work that is being written must be written within
+// half of the grace period; the grace period starts when the worker announces that it drains, not with this call, hence
+// the margin. Attempts and load orders that were already sent continue.
 func (c *Client) Drain(grace time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,14 +263,14 @@
 	return attempts, orders
 }
 
-// Resume accepts new work again after Drain.
+// Resume makes the client accept new work again after Drain.
 func (c *Client) Resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining = false
 }
 
-// Busy tells whether attempts or load orders are unfinished, queued ones included.
+// Busy reports whether any attempt or load order is unfinished, including queued ones.
 func (c *Client) Busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/workerclient/client_test.go
+++ b/internal/platform/workerclient/client_test.go
@@ -28,10 +28,10 @@
 	key, _ := workerframe.Field(f.Fields, "dedupe")
 	if f.Code != workerframe.Request || f.ID != 5 || class != "fare-quote" || name != "7f3a9c21e0b4d655" ||
 		key != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" || string(f.Body) != "body" {
-		t.Errorf("the worker got %+v", f)
+		t.Errorf("the worker received %+v", f)
 	}
 	if r.Status != scheduler.OK || string(r.Response.Body) != "answer" || r.QueueDepth != 3 || r.LoadReport[0] != 2 {
-		t.Errorf("ended as %+v", r)
+		t.Errorf("the attempt ended as %+v", r)
 	}
 }
 
@@ -51,7 +51,7 @@
 		t.Fatal(s)
 	}
 	if f := <-got; f.Code != workerframe.Load || f.Fields != "name=7f3a9c21e0b4d655,replicas=2" {
-		t.Errorf("the worker got %+v", f)
+		t.Errorf("the worker received %+v", f)
 	}
 	if end := <-recorder.loadEnds; end != fmt.Sprint(scheduler.OK, " ", 2) {
 		t.Errorf("the load order ended as %s", end)
@@ -62,19 +62,19 @@
 	}
 	client.Unload("7f3a9c21e0b4d655")
 	if f := <-got; f.Code != workerframe.Unload || f.ID != 0x7f3a9c21e0b4d655 {
-		t.Errorf("the worker got %+v", f)
+		t.Errorf("the worker received %+v", f)
 	}
 }
 
 func TestDrain_QueuedAttempt_IsRemovedUnsent(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // nobody reads
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // no connection is accepted
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = silent.Close() }()
 	client, _ := newTestClient(t, silent.Addr().String(), 8)
-	client.mu.Lock() // nothing is sent meanwhile
+	client.mu.Lock() // add a queued attempt without starting a goroutine that sends it
 	client.ensureInitialized()
 	conn := newConnection(client)
 	client.connections = append(client.connections, conn)
@@ -84,13 +84,13 @@
 	client.mu.Unlock()
 	attempts, _ := client.Drain(time.Second)
 	if len(attempts) != 1 || attempts[0] != a || client.Abandon(a) {
-		t.Errorf("%d attempts removed, may have been sent: %v", len(attempts), client.Abandon(a))
+		t.Errorf("%d attempts were removed, may have been sent: %v; want 1 unsent attempt", len(attempts), client.Abandon(a))
 	}
 	if r := client.Send(newAttempt(6)); r == nil || r.Status != scheduler.NotSent {
-		t.Errorf("an attempt for a draining worker: %+v", r)
+		t.Errorf("an attempt for a draining worker returned %+v, want NotSent", r)
 	}
 	if s := client.Load(&workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 1}}); s != scheduler.Overloaded {
-		t.Errorf("a load order for a draining worker: %v", s)
+		t.Errorf("a load order for a draining worker returned %v, want Overloaded", s)
 	}
 }
 
@@ -106,26 +106,27 @@
 	send(t, client, a)
 	<-got
 	if !client.Abandon(a) {
-		t.Error("an attempt that was written whole may have run")
+		t.Error("an attempt that was completely written is reported as never sent")
 	}
 	if f := <-got; f.Code != workerframe.Cancel || f.ID != 5 {
-		t.Errorf("the worker got %+v", f)
+		t.Errorf("the worker received %+v", f)
 	}
 	send(t, client, newAttempt(6))
 	if r := <-recorder.attemptEnds; r.Status != scheduler.OK {
-		t.Errorf("the next ended as %+v", r)
+		t.Errorf("the next attempt ended as %+v", r)
 	}
 	if server.ConnectionCount() != 2 {
-		t.Errorf("%d connections: no other attempt may use the connection of a cancelled one", server.ConnectionCount())
+		t.Errorf("%d connections, want 2: the connection of a cancelled attempt must not be reused", server.ConnectionCount())
 	}
 	if client.Busy() {
-		t.Error("the client claims to be busy")
+		t.Error("Busy is true although no work is unfinished")
 	}
 }
 
-// Nothing of an attempt that was cancelled, abandoned or drained during the dial is written once the connection is made.
-func TestQueuedAttempt_GivenUpDuringDial_IsNeverWritten(t *testing.T) {
-	for name, giveUp := range map[string]func(client *Client, a *workerconn.Attempt) bool{
+// TestQueuedAttempt_RemovedDuringDial_IsNeverWritten checks that an attempt that is cancelled, abandoned or drained
+// while its connection is being dialled is not written once the connection is established.
+func TestQueuedAttempt_RemovedDuringDial_IsNeverWritten(t *testing.T) {
+	for name, remove := range map[string]func(client *Client, a *workerconn.Attempt) bool{
 		"cancelled unsent": func(client *Client, a *workerconn.Attempt) bool { return client.CancelUnsent(a) },
 		"abandoned":        func(client *Client, a *workerconn.Attempt) bool { return !client.Abandon(a) },
 		"drained": func(client *Client, a *workerconn.Attempt) bool {
@@ -135,24 +136,24 @@
 	} {
 		local, remote := net.Pipe()
 		defer func() { _ = remote.Close() }()
-		client, conn := newUnservedConnection(t, nil) // the dial is under way
+		client, conn := newUnservedConnection(t, nil) // not connected, as during a dial
 		a := newAttempt(5)
 		send(t, client, a)
-		if !giveUp(client, a) || client.Busy() {
-			t.Errorf("%s: it is still there", name)
+		if !remove(client, a) || client.Busy() {
+			t.Errorf("%s: the attempt was not removed", name)
 		}
 		if client.CancelUnsent(a) {
-			t.Errorf("%s: cancelled twice", name)
+			t.Errorf("%s: CancelUnsent removed the attempt again", name)
 		}
-		conn.netConn = local // it is made late
+		conn.netConn = local // the dial succeeds after the removal
 		var batch writeBatch
 		if conn.nextBatch(local, &batch); len(batch.Bytes) > 0 {
-			t.Errorf("%s: %d bytes are written", name, len(batch.Bytes))
+			t.Errorf("%s: %d bytes would be written, want none", name, len(batch.Bytes))
 		}
 	}
 }
 
-func TestConnectionBudget_UsedUp_AttemptsShareConnections(t *testing.T) {
+func TestConnectionBudget_Exhausted_AttemptsShareConnections(t *testing.T) {
 	responses := make(chan func(), 16)
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	server, err := platformworker.StartScripted(func(c *platformworker.Conn, f workerframe.Frame) {
@@ -171,10 +172,10 @@
 	}
 	for range 6 {
 		if r := <-recorder.attemptEnds; r.Status != scheduler.OK {
-			t.Errorf("ended as %+v", r)
+			t.Errorf("an attempt ended as %+v", r)
 		}
 	}
 	if server.ConnectionCount() > 2 {
-		t.Errorf("%d connections with a budget of 2", server.ConnectionCount())
+		t.Errorf("%d connections were opened with a budget of 2", server.ConnectionCount())
 	}
 }
--- a/internal/platform/workerclient/connection.go
+++ b/internal/platform/workerclient/connection.go
@@ -17,29 +17,29 @@
 // queueItem is an item of a connection's send queue.
 type queueItem = workerconn.QueueItem[workerframe.Frame]
 
-// connection is one connection of a client, from before it is dialled until the client removes it. If it breaks while
-// something waits for it, it is dialled again. The client's lock guards the fields that say so.
+// connection is one connection of a client. It exists from before it is dialled until the client removes it. If the
+// network connection breaks while the connection still has work, it is dialled again.
 type connection struct {
 	client *Client
-	wake   workerconn.Signal // there is something to write, or the need for the connection may have ended
+	wake   workerconn.Signal // notified if there is something to write or if the connection may no longer be needed
 
-	slot slot // guarded by the budget's lock
+	slot slot // guarded by the budget's lock, except for slot.granted
 
-	silentConnections int // made in a row on which nothing was received; used by run's goroutine only
+	silentConnections int // consecutive network connections on which nothing was received; used by run's goroutine only
 
 	// Guarded by client.mu.
 	queue        workerconn.SendQueue[workerframe.Frame]
-	healthChecks map[uint64]*workerconn.HealthCheck // without a response, by number; as many as the caller has at a time
-	connectedAt  time.Duration                      // when netConn was made
-	netConn      net.Conn                           // nil while there is none
-	draining     bool                               // accepts nothing new; closed once nothing is unfinished on it
+	healthChecks map[uint64]*workerconn.HealthCheck // health checks without a response, by number; the caller limits them
+	connectedAt  time.Duration                      // time at which netConn was established
+	netConn      net.Conn                           // nil while not connected
+	draining     bool                               // accepts nothing new and closes once all its work is finished
 	writeLimit   workerconn.WriteLimit
-	received     bool // a frame was received on netConn
+	received     bool // a response was received on netConn
 	lastUsed     time.Duration
 	recent       recentNumbers
 }
 
-// newConnection returns a connection that is not dialled yet. The client's lock is held.
+// newConnection returns a connection that is not dialled yet. It requires that client.mu is held.
 func newConnection(client *Client) *connection {
 	return &connection{
 		client:       client,
@@ -50,45 +50,46 @@
 	}
 }
 
-// accepts tells whether something new with a number may be sent on the connection. The client's lock is held.
+// accepts reports whether a new frame with the given number may be sent on the connection. It requires that client.mu
+// is held.
 func (c *connection) accepts(number uint64) bool {
 	return !c.draining && !c.queue.HasNumber(number) && !c.recent.has(number)
 }
 
-// wakeUp notes that the connection is used, and has its writer look at the queue. The client's lock is held.
+// wakeUp records that the connection is used and makes its writer check the queue. It requires that client.mu is held.
 func (c *connection) wakeUp() {
 	c.lastUsed = c.client.cfg.Now()
 	c.wake.Notify()
 }
 
-// discardOnClose has the close of the connection, whoever closes it, drop what the operating system still holds of what
-// was given up. The client's lock is held.
+// discardOnClose makes the close of the network connection discard the data in the operating system's send buffer, so
+// that an abandoned request does not reach the worker later. It requires that client.mu is held.
 func (c *connection) discardOnClose() {
 	if c.netConn != nil {
 		workerconn.DiscardOnClose(c.netConn)
 	}
 }
 
-// drainAfterCancel has the connection accept nothing new after something was given up on it, if the policy is so. The
-// client's lock is held.
+// drainAfterCancel drains the connection after an attempt, a load order or a health check on it was abandoned, if the
+// policy in connpool requires it. It requires that client.mu is held.
 func (c *connection) drainAfterCancel() {
 	c.draining = c.draining || connpool.DrainOnCancel()
 }
 
-// errStopped is why a connection ended as its client was stopped.
+// errStopped is the reason for the end of a connection whose client was stopped.
 var errStopped = errors.New("client stopped")
 
-// run makes the connection, serves it, and makes it again while something waits for it. It is the connection's
-// goroutine and ends when the connection is not needed, cannot be made, or the client is stopped.
+// run is the connection's goroutine. It dials and serves the connection, and reconnects while the connection has work.
+// It ends when the connection is no longer needed, when dialling fails, or when the client is stopped.
 //
-// The end of what was sent on a connection that broke is reported once it is known whether the next one can be made:
-// that tells a lost connection from a lost worker.
+// If the network connection breaks, the results of the attempts and load orders in flight are reported only after the
+// next dial has succeeded or failed. This distinguishes the loss of a connection from the loss of the worker.
 func (c *connection) run() {
 	if err := c.awaitSlot(); err != nil {
 		c.close(err)
 		return
 	}
-	var lost []queueItem // sent on the connection before, and not reported yet
+	var lost []queueItem // in flight when the previous network connection broke; not reported yet
 	var breakReason error
 	for {
 		netConn, err := c.dial()
@@ -111,10 +112,10 @@
 	}
 }
 
-// errNoSlot is why a connection was not made whose slot another connection did not give up.
+// errNoSlot is the reason why a connection was not dialled: no other connection released its slot in time.
 var errNoSlot = errors.New("no connection became free in time")
 
-// awaitSlot waits until the connection has its slot of the budget, as long as it may take to connect.
+// awaitSlot waits until the budget grants a slot to the connection, for at most the connect timeout.
 func (c *connection) awaitSlot() error {
 	timeout := time.NewTimer(c.client.cfg.ConnectTimeout)
 	defer timeout.Stop()
@@ -128,13 +129,14 @@
 	}
 }
 
-// breakOutcome is what follows after a connection ended.
+// breakOutcome is the decision on how to continue after a network connection has ended.
 type breakOutcome struct {
-	reconnect   bool // make another connection
-	workerAlive bool // the worker's process is known to run, without another connection
+	reconnect   bool // dial again
+	workerAlive bool // the worker's process is known to be running, even without a new connection
 }
 
-// afterBreak removes what was in flight on a connection that ended, and decides what follows.
+// afterBreak removes and returns the items in flight on a network connection that has ended, and decides how to
+// continue.
 func (c *connection) afterBreak(reason error) (lost []queueItem, outcome breakOutcome) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
@@ -158,7 +160,7 @@
 	return lost, outcome
 }
 
-// notifyLost reports the end of what was sent on a connection that broke.
+// notifyLost reports the results of the items that were in flight when a network connection broke.
 func (c *connection) notifyLost(lost []queueItem, workerAlive bool, reason error) {
 	if len(lost) == 0 {
 		return
@@ -170,8 +172,8 @@
 	workerconn.NotifyEnded(c.client.events, lost, status, status, fmt.Sprint(reason))
 }
 
-// close removes the connection from its client, and reports what is still queued as never sent. What is reported of the
-// worker depends on the reason: see unsentStatus.
+// close removes the connection from its client and reports the results of the items that are still queued, which were
+// never sent, and of the health checks without a response. Their status depends on the reason: see unsentStatus.
 func (c *connection) close(reason error) {
 	c.client.mu.Lock()
 	c.client.removeConnection(c)
@@ -187,8 +189,8 @@
 	}
 }
 
-// localResourceErrors are the errors of a connect that say that this process or its machine is out of something. They say
-// nothing of the worker.
+// localResourceErrors are the connect errors that are caused by a lack of resources in this process or on its machine.
+// They do not count against the worker.
 var localResourceErrors = []error{
 	errNoSlot,
 	syscall.EMFILE, syscall.ENFILE, // descriptors
@@ -196,8 +198,8 @@
 	syscall.EADDRNOTAVAIL, // local ports
 }
 
-// unsentStatus is how something ends that waited for a connection which ended for a reason. ConnectFailed counts against
-// the worker.
+// unsentStatus returns the status of unsent items and unanswered health checks of a connection that ended for the given
+// reason. The status ConnectFailed counts against the worker, NotSent does not.
 func unsentStatus(reason error) scheduler.Status {
 	isLocal := func(local error) bool { return errors.Is(reason, local) }
 	if slices.ContainsFunc(localResourceErrors, isLocal) {
@@ -206,7 +208,7 @@
 	return scheduler.ConnectFailed
 }
 
-// dial connects to the worker. The caller closes the connection.
+// dial connects to the worker. The caller must close the returned connection.
 func (c *connection) dial() (net.Conn, error) {
 	dialer := net.Dialer{Timeout: c.client.cfg.ConnectTimeout, KeepAlive: -1}
 	netConn, err := dialer.DialContext(c.client.ctx, "tcp", c.client.cfg.Address)
@@ -216,8 +218,8 @@
 	return netConn, nil
 }
 
-// serve writes and reads until the connection breaks, is not needed, or the client is stopped. It closes the connection
-// and returns why it ended.
+// serve writes and reads until the network connection breaks or is no longer needed, or the client is stopped. It
+// closes the network connection and returns the reason for its end.
 func (c *connection) serve(netConn net.Conn) error {
 	c.client.mu.Lock()
 	c.netConn = netConn
--- a/internal/platform/workerclient/connection_budget.go
+++ b/internal/platform/workerclient/connection_budget.go
@@ -7,41 +7,42 @@
 	"havencart/internal/decide/connpool"
 )
 
-// ConnectionBudget bounds the connections of the clients of all workers together. When it is used up, attempts share
-// connections, and a worker that has none gets the slot of the connection that has been idle for longest. It may be used
-// from any goroutine.
+// ConnectionBudget limits the total number of connections of the clients of all workers. When it is exhausted, attempts
+// share connections, and a worker without a connection gets the slot of the connection that has been idle for the
+// longest time. It is safe for concurrent use.
 //
-// A client's lock may be held when its methods are called; none of them takes one.
+// The caller may hold the lock of a client while it calls a method: no method acquires the lock of a client.
 type ConnectionBudget struct {
 	limit int
 
 	mu      sync.Mutex
-	used    int       // slots that are held, those of connections that were told to close included
-	idle    list.List // of *connection, the one that has been idle for longest first
-	waiting list.List // of *connection without a slot, first come first served
+	used    int       // slots in use, including those of evicted connections that are not closed yet
+	idle    list.List // idle connections of type *connection, longest idle first
+	waiting list.List // connections of type *connection that wait for a slot, in FIFO order
 }
 
-// slot is a connection's share of the budget. The budget's lock guards it, but for granted.
+// slot is the state of a connection in the budget. The budget's lock guards all fields except granted.
 type slot struct {
-	granted chan struct{} // closed once the connection may be made
-	idle    *list.Element // in ConnectionBudget.idle; nil: it is not idle
-	waiting *list.Element // in ConnectionBudget.waiting; nil: it has its slot, or has given it up
-	evicted bool          // it must close, and takes nothing new
+	granted chan struct{} // closed once the connection has a slot and may be dialled
+	idle    *list.Element // element of ConnectionBudget.idle, nil if the connection is not idle
+	waiting *list.Element // element of ConnectionBudget.waiting, nil if the connection is not waiting
+	evicted bool          // the connection must close and accepts nothing new
 }
 
-// NewConnectionBudget returns a ConnectionBudget of at most limit connections.
+// NewConnectionBudget returns a ConnectionBudget for at most limit connections.
 func NewConnectionBudget(limit int) *ConnectionBudget { return &ConnectionBudget{limit: limit} }
 
-// Used is the number of connections that are open or being made.
+// Used returns the number of slots in use: by connections that are open, being dialled or being closed.
 func (b *ConnectionBudget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
 }
 
-// reserve takes a slot for a new connection of a worker that has a number of connections already, or returns false if it
-// may have none. Where no slot is free the connection gets that of an idle one, and waits until that has closed: as many
-// connections wait as were told to close.
+// reserve reserves a slot for a new connection of a client that already has the given number of connections. It returns
+// false if the client may not open another one. If no slot is free, it evicts an idle connection, and the new
+// connection waits until a slot is released. The number of waiting connections therefore equals the number of evicted
+// connections that are not closed yet.
 func (b *ConnectionBudget) reserve(conn *connection, connections int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +60,8 @@
 	return true
 }
 
-// evictIdle tells the connection that has been idle for longest to close; its slot is free once it has. The lock is held.
+// evictIdle notifies the connection that has been idle for the longest time that it must close. Its slot is released
+// once it has closed. evictIdle requires that b.mu is held.
 func (b *ConnectionBudget) evictIdle() {
 	first := b.idle.Front()
 	if first == nil {
@@ -70,8 +72,8 @@
 	victim.wake.Notify()
 }
 
-// release takes a connection out of the budget that has closed, or that waited in vain. Its slot goes to the first that
-// waits.
+// release removes a connection from the budget: one that has closed or one that stopped waiting for a slot. The slot of
+// a closed connection is passed on to the first waiting connection.
 func (b *ConnectionBudget) release(conn *connection) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,7 +96,7 @@
 	close(next.slot.granted)
 }
 
-// setIdle notes that nothing is in flight on a connection. It returns false if the connection must close.
+// setIdle marks a connection as idle. It returns false if the connection was evicted and must close.
 func (b *ConnectionBudget) setIdle(conn *connection) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,7 +109,8 @@
 	return true
 }
 
-// claim notes that a connection is about to be used. It returns false if the connection must close.
+// claim marks a connection as not idle because it is about to be used. It returns false if the connection was evicted
+// and must close.
 func (b *ConnectionBudget) claim(conn *connection) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/platform/workerclient/connection_budget_test.go
+++ b/internal/platform/workerclient/connection_budget_test.go
@@ -17,15 +17,16 @@
 	"havencart/scheduler"
 )
 
-// clientSet are the clients of several workers, which share one budget.
+// clientSet contains the clients of several workers, which share one budget.
 type clientSet struct {
 	budget    *ConnectionBudget
 	clients   []*Client
 	recorders []eventRecorder
-	held      chan func() // responses, where the workers hold them back
+	held      chan func() // functions that send the responses, if the workers hold them back
 }
 
-// startClients starts so many workers and their clients. The workers respond at once, or pass their responses to held.
+// startClients starts the given number of workers and a client for each of them. If holds is true, the workers pass
+// functions that send their responses to held; otherwise they respond at once.
 func startClients(t *testing.T, workers, connections int, holds bool) *clientSet {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
@@ -50,7 +51,7 @@
 	return set
 }
 
-// call sends an attempt to a worker and waits until it has ended well.
+// call sends an attempt to a worker and waits for its result, which must be OK.
 func (f *clientSet) call(t *testing.T, worker, number int) {
 	t.Helper()
 	send(t, f.clients[worker], newAttempt(number))
@@ -59,7 +60,8 @@
 	}
 }
 
-// awaitIdle waits until so many connections are idle: the goroutines that notice it are the connections' own.
+// awaitIdle waits until count connections are idle. The connections' own goroutines mark them as idle, some time after
+// their last response.
 func (f *clientSet) awaitIdle(t *testing.T, count int) {
 	t.Helper()
 	for t.Context().Err() == nil {
@@ -73,45 +75,48 @@
 	}
 }
 
-// With more workers than connections, each worker is reached: the connection that was idle for longest makes room.
+// TestConnectionBudget_MoreWorkersThanConnections_AllAreReached checks that every worker is reached if there are more
+// workers than connections, because the connection that has been idle for the longest time is evicted.
 func TestConnectionBudget_MoreWorkersThanConnections_AllAreReached(t *testing.T) {
 	const workers, connections = 12, 3
 	set := startClients(t, workers, connections, false)
 	for number := range 4 * workers {
 		set.call(t, number%workers, 100+number)
 		if used := set.budget.Used(); used > connections {
-			t.Fatalf("%d connections with a budget of %d", used, connections)
+			t.Fatalf("%d slots are in use with a budget of %d", used, connections)
 		}
 		set.awaitIdle(t, min(number+1, connections))
 	}
 }
 
-// A connection with a request in flight keeps its slot.
+// TestConnectionBudget_NoConnectionIdle_AttemptIsNotSent checks that a connection with a request in flight is not
+// evicted.
 func TestConnectionBudget_NoConnectionIdle_AttemptIsNotSent(t *testing.T) {
 	set := startClients(t, 3, 2, true)
 	send(t, set.clients[0], newAttempt(1))
 	send(t, set.clients[1], newAttempt(2))
 	responses := []func(){<-set.held, <-set.held}
 	if result := set.clients[2].Send(newAttempt(3)); result == nil || result.Status != scheduler.NotSent {
-		t.Errorf("sent while no connection was free: %+v", result)
+		t.Errorf("an attempt without a free connection returned %+v, want NotSent", result)
 	}
 	for _, respond := range responses {
 		respond()
 	}
 	for _, recorder := range set.recorders[:2] {
 		if result := <-recorder.attemptEnds; result.Status != scheduler.OK {
-			t.Errorf("ended as %+v", result)
+			t.Errorf("the attempt ended as %+v", result)
 		}
 	}
 	set.awaitIdle(t, 2)
 	send(t, set.clients[2], newAttempt(4))
 	(<-set.held)()
 	if result := <-set.recorders[2].attemptEnds; result.Status != scheduler.OK {
-		t.Errorf("ended as %+v", result)
+		t.Errorf("the attempt ended as %+v", result)
 	}
 }
 
-// A connection that was told to close takes no attempt, and its client makes another one.
+// TestConnectionBudget_EvictedConnection_IsNotUsedAgain checks that an evicted connection accepts no attempt and that
+// its client opens another connection instead.
 func TestConnectionBudget_EvictedConnection_IsNotUsedAgain(t *testing.T) {
 	set := startClients(t, 2, 2, false)
 	set.call(t, 0, 1)
@@ -126,8 +131,9 @@
 	}
 }
 
-// A client that is stopped while its connection waits for a slot gives up waiting.
-func TestConnectionBudget_StoppedWhileWaiting_LeavesNoTrace(t *testing.T) {
+// TestConnectionBudget_StoppedWhileWaiting_LeavesWaitingList checks that a connection that waits for a slot stops
+// waiting when its client is stopped.
+func TestConnectionBudget_StoppedWhileWaiting_LeavesWaitingList(t *testing.T) {
 	set := startClients(t, 1, 1, true)
 	addIdleConnection(set.budget)
 	waiting := set.clients[0]
@@ -138,31 +144,33 @@
 		t.Errorf("%d slots are in use, one connection is open", used)
 	}
 	if waits := set.budget.waiting.Len(); waits != 0 {
-		t.Errorf("%d connections wait", waits)
+		t.Errorf("%d connections still wait for a slot", waits)
 	}
 }
 
-// addIdleConnection adds an idle connection to a budget that does not close when it is told to.
+// addIdleConnection adds an idle connection that does not close when it is evicted.
 func addIdleConnection(budget *ConnectionBudget) {
 	conn := &connection{wake: workerconn.NewSignal()}
 	budget.reserve(conn, 0)
 	budget.setIdle(conn)
 }
 
-// As many connections wait as were told to close: of two workers that want the last idle connection's slot, one gets it.
-func TestConnectionBudget_TwoWantTheLastIdleConnection_OneIsRefused(t *testing.T) {
+// TestConnectionBudget_TwoReserveLastIdleConnection_OneIsRejected checks that no more connections wait for a slot than
+// were evicted: if two workers compete for the slot of the last idle connection, only one of them gets it.
+func TestConnectionBudget_TwoReserveLastIdleConnection_OneIsRejected(t *testing.T) {
 	budget := NewConnectionBudget(1)
 	addIdleConnection(budget)
 	if !budget.reserve(&connection{}, 0) {
-		t.Error("the first one was refused")
+		t.Error("the first reservation was rejected")
 	}
 	if budget.reserve(&connection{}, 0) {
-		t.Error("the second one waits for a slot that nobody gives up")
+		t.Error("the second reservation waits for a slot that no connection will release")
 	}
 }
 
-// Workers that are all wanted at once with few connections are sent to, or not sent to; nothing is held against them.
-func TestConnectionBudget_ManyWorkersAtOnce_NoneIsTakenForLost(t *testing.T) {
+// TestConnectionBudget_ManyWorkersAtOnce_NoneCountsAsFailed checks that attempts for many workers at once, with few
+// connections, end as OK or NotSent. A shortage of connections must not count against a worker.
+func TestConnectionBudget_ManyWorkersAtOnce_NoneCountsAsFailed(t *testing.T) {
 	const workers, connections, rounds = 16, 2, 12
 	set := startClients(t, workers, connections, false)
 	var senders sync.WaitGroup
@@ -174,7 +182,7 @@
 				}
 				result := <-set.recorders[worker].attemptEnds
 				if result.Status != scheduler.OK && result.Status != scheduler.NotSent {
-					t.Errorf("worker %d: attempt ended as %+v", worker, result)
+					t.Errorf("worker %d: an attempt ended as %+v", worker, result)
 				}
 			}
 		})
@@ -182,14 +190,15 @@
 	senders.Wait()
 }
 
-// A connection that got no slot in time says nothing of its worker.
+// TestConnectionBudget_NoSlotInTime_AttemptIsNotSent checks that a connection that gets no slot in time does not count
+// against its worker.
 func TestConnectionBudget_NoSlotInTime_AttemptIsNotSent(t *testing.T) {
 	set := startClients(t, 1, 1, true)
 	set.clients[0].cfg.ConnectTimeout = time.Millisecond
 	addIdleConnection(set.budget)
 	send(t, set.clients[0], newAttempt(1))
 	if result := <-set.recorders[0].attemptEnds; result.Status != scheduler.NotSent {
-		t.Errorf("ended as %+v", result)
+		t.Errorf("the attempt ended as %+v", result)
 	}
 	select {
 	case err := <-set.recorders[0].disconnects:
@@ -198,7 +207,7 @@
 	}
 }
 
-func TestUnsentStatus_LocalExhaustion_IsNotTheWorkers(t *testing.T) {
+func TestUnsentStatus_LocalResourceError_DoesNotCountAgainstWorker(t *testing.T) {
 	connect := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 	}
--- a/internal/platform/workerclient/connection_read.go
+++ b/internal/platform/workerclient/connection_read.go
@@ -13,10 +13,11 @@
 	"havencart/scheduler"
 )
 
-// readBufferSize is small, in bytes: there are many connections, and memory is short.
+// readBufferSize is the size of a connection's read buffer in bytes. It is small because there are many connections and
+// little memory.
 const readBufferSize = 4 << 10
 
-// statusOfCode has the status of an attempt or load order for each code that ends one.
+// statusOfCode maps the response codes that end an attempt or a load order to its status.
 var statusOfCode = map[workerframe.Code]scheduler.Status{
 	workerframe.OK:           scheduler.OK,
 	workerframe.NotLoaded:    scheduler.NotLoaded,
@@ -25,12 +26,12 @@
 	workerframe.AlreadyEnded: scheduler.NotSent,
 }
 
-// read handles frames until the connection breaks.
+// read reads and handles responses until the network connection breaks.
 func (c *connection) read(netConn net.Conn) error {
 	source := bufio.NewReaderSize(netConn, readBufferSize)
 	reader := workerframe.NewReader(source, workerframe.FromWorker, c.client.cfg.MaxResponse)
 	reader.OnFrameStart = func() {
-		_ = netConn.SetReadDeadline(time.Now().Add(connpool.FrameTimeout())) // fails on a closed connection only
+		_ = netConn.SetReadDeadline(time.Now().Add(connpool.FrameTimeout())) // fails only if the connection is closed
 	}
 	for {
 		frame, err := reader.Next()
@@ -47,20 +48,21 @@
 	}
 }
 
-// isTimeout tells whether an error is that of a deadline of a connection.
+// isTimeout reports whether err is a network timeout, such as an exceeded read deadline.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// finishedItem is what waited for a response: at most one field is set.
+// finishedItem is the item that a response finishes. At most one field is set; none is set for an unexpected response.
 type finishedItem struct {
 	attempt     *workerconn.Attempt
 	load        *workerconn.LoadOrder
 	healthCheck *workerconn.HealthCheck
 }
 
-// handle processes one response. One that nobody waits for is dropped.
+// handle reports the result that a response contains. A response that matches no unfinished item is dropped and counted
+// as late.
 func (c *connection) handle(frame workerframe.Frame) error {
 	fields, err := workerframe.ParseResponseFields(frame.Fields, c.client.cfg.LoadReportFields)
 	if err != nil {
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// finish removes and returns what waited for a response.
+// finish removes and returns the unfinished item that a response matches.
 func (c *connection) finish(frame workerframe.Frame) finishedItem {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
@@ -105,7 +107,7 @@
 	}
 	if attempt := c.queue.FinishAttempt(frame.ID); attempt != nil {
 		delete(c.client.attempts, attempt)
-		if frame.Code != workerframe.OK { // else no attempt with this number follows
+		if frame.Code != workerframe.OK { // a request with an OK response is not retried under its number
 			c.recent.add(frame.ID)
 		}
 		return finishedItem{attempt: attempt}
@@ -117,7 +119,7 @@
 	return finishedItem{load: load}
 }
 
-// isHealthCode tells whether a code responds to a health check.
+// isHealthCode reports whether code is that of a response to a health check.
 func isHealthCode(code workerframe.Code) bool {
 	return code == workerframe.Healthy || code == workerframe.Unhealthy
 }
--- a/internal/platform/workerclient/connection_read_test.go
+++ b/internal/platform/workerclient/connection_read_test.go
@@ -9,7 +9,8 @@
 	"havencart/scheduler"
 )
 
-// A response arrives in two segments, split at every byte.
+// TestRead_ResponseSplitAtEveryByte_IsReceived checks that a response that arrives in two segments is read, wherever it
+// is split.
 func TestRead_ResponseSplitAtEveryByte_IsReceived(t *testing.T) {
 	raw, err := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: 5, Fields: "peers_in=3", Body: []byte("answer")})
 	if err != nil {
@@ -25,12 +26,13 @@
 		cut <- i
 		send(t, client, newAttempt(5))
 		if r := <-recorder.attemptEnds; r.Status != scheduler.OK || string(r.Response.Body) != "answer" || r.QueueDepth != 3 {
-			t.Fatalf("cut at %d it ended as %+v", i, r)
+			t.Fatalf("the attempt whose response was split at byte %d ended as %+v", i, r)
 		}
 	}
 }
 
-// A repeated response, and one ahead of it with an unknown number, have no effect.
+// TestResponse_UnknownOrRepeatedNumber_IsDropped checks that a response with an unknown number and a repeated response
+// do not affect the attempt, and that both are reported as late.
 func TestResponse_UnknownOrRepeatedNumber_IsDropped(t *testing.T) {
 	client, recorder, server := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		c.Respond(workerframe.Frame{Code: workerframe.OK, ID: 999, Body: []byte("ahead")})
@@ -40,17 +42,18 @@
 	for n := range 3 {
 		send(t, client, newAttempt(5+n))
 		if r := <-recorder.attemptEnds; r.Status != scheduler.OK || string(r.Response.Body) != "right" {
-			t.Errorf("ended as %+v", r)
+			t.Errorf("the attempt ended as %+v", r)
 		}
 		<-recorder.lateResponses
 		<-recorder.lateResponses
 	}
 	if server.ConnectionCount() != 1 {
-		t.Errorf("%d connections", server.ConnectionCount())
+		t.Errorf("%d connections, want 1", server.ConnectionCount())
 	}
 }
 
-// A rejected request is sent to the same worker again under the same number, and only then the worker repeats the
+// TestResponse_SecondForRejectedAttempt_DoesNotEndNextAttempt guards against matching a repeated rejection to a retry.
+// The client sends a rejected request to the same worker again under the same number, and then the worker repeats the
 // rejection.
 func TestResponse_SecondForRejectedAttempt_DoesNotEndNextAttempt(t *testing.T) {
 	for _, code := range []workerframe.Code{workerframe.Overloaded, workerframe.NotLoaded, workerframe.AlreadyEnded, workerframe.Error} {
@@ -65,7 +68,7 @@
 			first := <-received
 			first.c.Respond(workerframe.Frame{Code: code, ID: first.f.ID})
 			if r := <-recorder.attemptEnds; r.Status != statusOfCode[code] {
-				t.Fatalf("ended as %+v", r)
+				t.Fatalf("the first attempt ended as %+v", r)
 			}
 			send(t, client, newAttempt(5))
 			second := <-received
@@ -80,7 +83,7 @@
 				t.Errorf("after a second response with code %d the next attempt ended as %+v", code, r)
 			}
 			if second.c.Number == first.c.Number {
-				t.Errorf("the next attempt went on the connection that had responded to its number with code %d", code)
+				t.Errorf("the next attempt was sent on the connection that had responded to its number with code %d", code)
 			}
 		})
 	}
--- a/internal/platform/workerclient/connection_select.go
+++ b/internal/platform/workerclient/connection_select.go
@@ -2,10 +2,12 @@
 
 import "havencart/internal/decide/connpool"
 
-// This file chooses the connection for something new, and opens and removes connections.
+// This file selects the connection for a new frame, and opens and removes connections.
 
-// selectConnection returns the connection for what has a number, possibly a new one, or nil if there is none. It takes no
-// connection on which the number was used before and a response to it may still arrive. The lock is held.
+// selectConnection returns the connection for a new frame with the given number, which may be a new connection. It
+// returns nil if the client is stopped, its queue is full or no connection is available. It does not select a
+// connection on which the number was used before, if a response to that earlier use may still arrive. It requires that
+// c.mu is held.
 func (c *Client) selectConnection(number uint64) *connection {
 	if c.closed || len(c.attempts)+len(c.loads) >= c.cfg.MaxQueue {
 		return nil
@@ -15,12 +17,12 @@
 		if !isOpen || c.cfg.Budget.claim(conn) {
 			return conn
 		}
-		conn.draining = true // it is about to close, as another worker needs its slot
+		conn.draining = true // the connection was evicted and is about to close
 	}
 }
 
-// chooseConnection is one try of selectConnection. isOpen tells whether the connection is one that was there before. The
-// lock is held.
+// chooseConnection chooses a connection for selectConnection, without claiming its slot. The result isOpen is true if
+// the connection already existed. It requires that c.mu is held.
 func (c *Client) chooseConnection(number uint64) (conn *connection, isOpen bool) {
 	candidates := make([]connpool.Connection, len(c.connections))
 	for i, conn := range c.connections {
@@ -43,8 +45,8 @@
 	return c.connections[choice], true
 }
 
-// openConnection adds a connection and starts its goroutine, which dials once the connection has its slot of the budget.
-// It returns nil if the budget has none. The lock is held.
+// openConnection adds a connection and starts its goroutine, which dials once the budget grants a slot. It returns nil
+// if the budget allows no further connection. It requires that c.mu is held.
 func (c *Client) openConnection() *connection {
 	c.ensureInitialized()
 	conn := newConnection(c)
@@ -56,7 +58,7 @@
 	return conn
 }
 
-// removeConnection removes a connection. The lock is held.
+// removeConnection removes a connection and releases its slot. It requires that c.mu is held.
 func (c *Client) removeConnection(conn *connection) {
 	for i := range c.connections {
 		if c.connections[i] == conn {
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -13,12 +13,13 @@
 	"havencart/scheduler"
 )
 
-// TestAttempt_EndAfterWholeWrite_ReportsWhetherItMayHaveExecuted covers the ends of an attempt that was written whole.
-func TestAttempt_EndAfterWholeWrite_ReportsWhetherItMayHaveExecuted(t *testing.T) {
+// TestAttempt_EndAfterCompleteWrite_ReportsWhetherItMayHaveExecuted covers the results of an attempt that was
+// completely written. A status must not rule out the execution of an attempt that the worker may have executed.
+func TestAttempt_EndAfterCompleteWrite_ReportsWhetherItMayHaveExecuted(t *testing.T) {
 	respond := func(code workerframe.Code) platformworker.Script {
 		return func(c *platformworker.Conn, f workerframe.Frame) { c.Respond(workerframe.Frame{Code: code, ID: f.ID}) }
 	}
-	damaged := func(change func(raw []byte) []byte) platformworker.Script {
+	corrupted := func(change func(raw []byte) []byte) platformworker.Script {
 		return func(c *platformworker.Conn, f workerframe.Frame) {
 			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("x")})
 			c.WriteRaw(change(raw))
@@ -28,22 +29,22 @@
 		script platformworker.Script
 		want   scheduler.Status
 	}{
-		"not loaded":    {respond(workerframe.NotLoaded), scheduler.NotLoaded},
-		"overloaded":    {respond(workerframe.Overloaded), scheduler.Overloaded},
-		"error":         {respond(workerframe.Error), scheduler.Error},
-		"already ended": {respond(workerframe.AlreadyEnded), scheduler.NotSent},
-		"bad checksum":  {damaged(func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw }), scheduler.Error},
-		"noise":         {damaged(func([]byte) []byte { return []byte("this is no frame at all") }), scheduler.Error},
-		"3 GB":          {damaged(func(raw []byte) []byte { raw[4] = 0xb0; return raw }), scheduler.Error},
-		"reset":         {func(c *platformworker.Conn, _ workerframe.Frame) { c.Reset() }, scheduler.Error},
-		"closed":        {func(c *platformworker.Conn, _ workerframe.Frame) { _ = c.Close() }, scheduler.Error},
-		"broken off":    {func(c *platformworker.Conn, _ workerframe.Frame) { c.WriteRaw([]byte{90, 64, 0}); _ = c.Close() }, scheduler.Error},
+		"not loaded":          {respond(workerframe.NotLoaded), scheduler.NotLoaded},
+		"overloaded":          {respond(workerframe.Overloaded), scheduler.Overloaded},
+		"error":               {respond(workerframe.Error), scheduler.Error},
+		"already ended":       {respond(workerframe.AlreadyEnded), scheduler.NotSent},
+		"wrong checksum":      {corrupted(func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw }), scheduler.Error},
+		"not a frame":         {corrupted(func([]byte) []byte { return []byte("this is no frame at all") }), scheduler.Error},
+		"body length of 3 GB": {corrupted(func(raw []byte) []byte { raw[4] = 0xb0; return raw }), scheduler.Error},
+		"reset":               {func(c *platformworker.Conn, _ workerframe.Frame) { c.Reset() }, scheduler.Error},
+		"closed":              {func(c *platformworker.Conn, _ workerframe.Frame) { _ = c.Close() }, scheduler.Error},
+		"truncated":           {func(c *platformworker.Conn, _ workerframe.Frame) { c.WriteRaw([]byte{90, 64, 0}); _ = c.Close() }, scheduler.Error},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, recorder, _ := startWorkerAndClient(t, test.script)
 			send(t, client, newAttempt(5))
 			if r := <-recorder.attemptEnds; r.Status != test.want {
-				t.Errorf("ended as %+v", r)
+				t.Errorf("the attempt ended as %+v", r)
 			}
 		})
 	}
@@ -51,22 +52,23 @@
 
 func TestConnection_WorkerProcessExited_EndsAttemptAsReset(t *testing.T) {
 	var server *platformworker.Server
-	came := make(chan bool, 1)
-	client, recorder, server := startWorkerAndClient(t, func(*platformworker.Conn, workerframe.Frame) { came <- true })
+	received := make(chan bool, 1)
+	client, recorder, server := startWorkerAndClient(t, func(*platformworker.Conn, workerframe.Frame) { received <- true })
 	send(t, client, newAttempt(5))
-	<-came
+	<-received
 	server.Close()
 	if r := <-recorder.attemptEnds; r.Status != scheduler.Reset {
-		t.Errorf("an attempt at a process that ended is reported as %+v", r)
+		t.Errorf("an attempt in flight at the exit of the worker process ended as %+v, want Reset", r)
 	}
 	send(t, client, newAttempt(6))
 	if r := <-recorder.attemptEnds; r.Status != scheduler.ConnectFailed {
-		t.Errorf("an attempt for a process that is gone ended as %+v", r)
+		t.Errorf("an attempt after the exit of the worker process ended as %+v, want ConnectFailed", r)
 	}
 }
 
-// Attempts have connections of their own while the budget lasts.
-func TestConnection_MalformedResponse_LeavesOtherAttemptsAlone(t *testing.T) {
+// TestConnection_MalformedResponse_DoesNotAffectOtherAttempts checks that a malformed response ends only its own
+// attempt: each attempt has its own connection until the budget is exhausted.
+func TestConnection_MalformedResponse_DoesNotAffectOtherAttempts(t *testing.T) {
 	others := make(chan func(), 8)
 	client, recorder, server := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		if f.ID == 5 {
@@ -90,12 +92,13 @@
 		}
 	}
 	if server.ConnectionCount() < 4 {
-		t.Errorf("%d connections for 4 attempts", server.ConnectionCount())
+		t.Errorf("%d connections for 4 attempts, want one each", server.ConnectionCount())
 	}
 }
 
-// The close of a connection on which a request was cancelled sends no more of the request once an interrupted network path
-// works again. The worker sees a reset.
+// TestClose_RequestWasCancelled_ResetsConnection guards against a cancelled request that reaches the worker late: after
+// the close, the operating system could still send buffered data once an interrupted network path works again. The
+// connection is therefore reset if a request was cancelled on it, and closed normally otherwise.
 func TestClose_RequestWasCancelled_ResetsConnection(t *testing.T) {
 	for _, cancelled := range []bool{true, false} {
 		local, remote := connectedPair(t)
@@ -121,15 +124,16 @@
 			client.mu.Unlock()
 		}
 		if err := <-served; !errors.Is(err, workerconn.ErrUnneeded) {
-			t.Errorf("served: %v", err)
+			t.Errorf("serve returned %v, want ErrUnneeded", err)
 		}
 		if _, err := io.Copy(io.Discard, remote); errors.Is(err, syscall.ECONNRESET) != cancelled {
-			t.Errorf("cancelled %v: the worker saw %v", cancelled, err)
+			t.Errorf("cancelled %v: the worker's read ended with %v", cancelled, err)
 		}
 	}
 }
 
-// A client that is stopped sends no more of what was in flight, however late the network path works again.
+// TestStop_AttemptInFlight_ResetsConnection checks that the connections of a stopped client are reset, so that the
+// operating system sends no buffered request later, when an interrupted network path works again.
 func TestStop_AttemptInFlight_ResetsConnection(t *testing.T) {
 	local, remote := connectedPair(t)
 	client, conn := newUnservedConnection(t, local)
@@ -142,15 +146,16 @@
 	}
 	client.Stop()
 	if err := <-served; err == nil {
-		t.Error("served without an error")
+		t.Error("serve returned no error")
 	}
 	if _, err := io.Copy(io.Discard, remote); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the worker saw %v, want a reset", err)
+		t.Errorf("the worker's read ended with %v, want a reset", err)
 	}
 }
 
-// The worker closes the connection on which a health check was written, as it does with one that was idle for long. The check
-// may be repeated, so it goes out again on the next connection; only a worker that accepts none leaves it unanswered.
+// TestHealthCheck_ConnectionEndsUnanswered_IsSentAgain checks that a health check is sent again on the next connection
+// if its connection ends before the response, for example because the worker closes a connection that was idle for a
+// long time. Only a worker that accepts no connection leaves the check without a response.
 func TestHealthCheck_ConnectionEndsUnanswered_IsSentAgain(t *testing.T) {
 	client, recorder, _ := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
 		if c.Number == 1 {
@@ -167,7 +172,7 @@
 		t.Errorf("the health check ended as %v", status)
 	}
 	if check.ConnectedAt <= check.AskedAt || check.SentAfter() != check.ConnectedAt {
-		t.Errorf("sent after %v, asked at %v on a connection made at %v", check.SentAfter(), check.AskedAt, check.ConnectedAt)
+		t.Errorf("check sent after %v, requested at %v on a connection established at %v", check.SentAfter(), check.AskedAt, check.ConnectedAt)
 	}
 }
 
@@ -182,7 +187,8 @@
 	}
 }
 
-// The worker reads a health check and does not answer. Once it is given up, its connection is used for nothing new.
+// TestAbandonHealthCheck_ConnectionIsNotUsedAgain checks that the connection of an abandoned health check is not used
+// for new work: the worker has read the check and does not respond.
 func TestAbandonHealthCheck_ConnectionIsNotUsedAgain(t *testing.T) {
 	received := make(chan int, 2)
 	client, recorder, _ := startWorkerAndClient(t, func(c *platformworker.Conn, f workerframe.Frame) {
@@ -197,7 +203,7 @@
 	client.AbandonHealthCheck(check)
 	client.CheckHealth(&workerconn.HealthCheck{})
 	if number := <-received; number != 2 {
-		t.Errorf("the next health check was sent on connection %d", number)
+		t.Errorf("the next health check was sent on connection %d, want 2", number)
 	}
 	if status := <-recorder.healthChecks; status != scheduler.OK {
 		t.Errorf("the next health check ended as %v", status)
--- a/internal/platform/workerclient/connection_write.go
+++ b/internal/platform/workerclient/connection_write.go
@@ -12,14 +12,15 @@
 	"havencart/scheduler"
 )
 
-// maxWriterSleep is how long the writer sleeps while something is unfinished; it is woken up before.
+// maxWriterSleep is the time for which the writer waits while the connection has unfinished work but nothing to write.
+// It is an upper bound only: the writer is notified earlier if anything changes.
 const maxWriterSleep = time.Hour
 
-// writeBatch is the batch of one write to a connection.
+// writeBatch is the batch of frames of one write to a connection.
 type writeBatch = workerconn.WriteBatch[workerframe.Frame]
 
-// write writes what is queued until the connection breaks, readDone is closed, nothing needs the connection, or the
-// client is stopped. The connection's serve runs it in a goroutine of its own.
+// write writes the queued frames until the network connection breaks or is no longer needed, readDone is closed, or the
+// client is stopped. It runs in a goroutine that serve starts.
 func (c *connection) write(netConn net.Conn, readDone <-chan struct{}) error {
 	var batch writeBatch
 	timer := time.NewTimer(0)
@@ -51,7 +52,8 @@
 	}
 }
 
-// sendBatch writes a batch. What was not written whole was never executed.
+// sendBatch writes a batch. If the write fails, it reports the items that were not completely written as ConnectFailed,
+// because the worker cannot have executed them.
 func (c *connection) sendBatch(netConn net.Conn, batch *writeBatch) error {
 	written, err := netConn.Write(batch.Bytes)
 	c.client.mu.Lock()
@@ -68,10 +70,10 @@
 	return nil
 }
 
-// checkPeerBeforeWrite returns an error if the worker has closed an idle connection on which something is about to be
-// written. It guards against a request that is written while the end of the connection lies unread in the operating
-// system's buffer: it would never be executed, and nobody could tell. It costs one system call for each use of an idle
-// connection.
+// checkPeerBeforeWrite returns an error if the worker has closed an idle connection that is about to be used. Without
+// this check, a request could be written after the worker has closed the connection but before the client has read the
+// end of the stream. Such a request would never be executed, but the client could not rule out its execution. The check
+// costs one system call for each use of an idle connection.
 func (c *connection) checkPeerBeforeWrite(netConn net.Conn) error {
 	if !c.isLeavingIdle() {
 		return nil
@@ -79,16 +81,17 @@
 	return socket.PeerClosed(netConn)
 }
 
-// isLeavingIdle tells whether something is queued on a connection that was used and has nothing in flight.
+// isLeavingIdle reports whether frames are queued on a connection that has received a response and has nothing in
+// flight.
 func (c *connection) isLeavingIdle() bool {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
 	return c.received && c.queue.Queued() > 0 && c.queue.InFlight() == 0
 }
 
-// nextBatch encodes the next batch. If that is empty, it returns whether the connection is not needed any longer, or else
-// for how long it may stay idle. The write timeout is set under the lock, so that a later call of Drain can shorten
-// it.
+// nextBatch encodes the next batch. If the batch is empty, it returns whether the connection is no longer needed and,
+// if it is still needed, the time for which the writer should wait. The write timeout is set while the client's lock is
+// held, so that a later call of Drain or Abandon can shorten it.
 func (c *connection) nextBatch(netConn net.Conn, batch *writeBatch) (idleTime time.Duration, unneeded bool) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
@@ -117,12 +120,12 @@
 	return idleTime, unneeded
 }
 
-// encode appends the frame of an item.
+// encode appends the encoded frame of an item to buffer.
 func (c *connection) encode(buffer []byte, item queueItem) ([]byte, error) {
 	return workerframe.Append(buffer, workerframe.FromFrontEnd, c.frameOf(item))
 }
 
-// frameOf returns the frame of an item. A request has at least one millisecond left.
+// frameOf returns the frame of an item. The timeout of a request is at least one millisecond.
 func (c *connection) frameOf(item queueItem) workerframe.Frame {
 	switch {
 	case item.Attempt != nil:
--- a/internal/platform/workerclient/connection_write_test.go
+++ b/internal/platform/workerclient/connection_write_test.go
@@ -11,7 +11,9 @@
 	"havencart/internal/socket"
 )
 
-// The end of the connection lies in the operating system's buffer and was not read yet.
+// TestWrite_IdleConnectionClosedByPeer_WritesNothing guards against writing a request to an idle connection that the
+// worker has closed, while the client has not read the end of the stream yet. The worker would never execute the
+// request, but the client could not rule it out.
 func TestWrite_IdleConnectionClosedByPeer_WritesNothing(t *testing.T) {
 	for name, end := range map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { _ = c.Close() },
@@ -21,35 +23,37 @@
 		client, conn := newUnservedConnection(t, local)
 		end(remote)
 		for socket.PeerClosed(local) == nil {
-			continue // until the end is in the buffer
+			continue // until the operating system has received the end of the stream
 		}
 		a := newAttempt(5)
 		send(t, client, a)
 		if err := conn.write(local, make(chan struct{})); err == nil || conn.queue.Queued() != 1 || a.MayHaveBeenSent() {
-			t.Errorf("%s: %v, %d queued, may have been sent %v", name, err, conn.queue.Queued(), a.MayHaveBeenSent())
+			t.Errorf("%s: write returned %v with %d queued, may have been sent: %v; want an error and the attempt still queued", name, err, conn.queue.Queued(), a.MayHaveBeenSent())
 		}
 	}
 }
 
-// The frames are in a batch, and their first byte is not written yet.
+// TestDrain_BatchNotYetWritten_ShortensItsWriteTimeout covers frames that are encoded in a batch of which no byte is
+// written yet.
 func TestDrain_BatchNotYetWritten_ShortensItsWriteTimeout(t *testing.T) {
-	local, remote := net.Pipe() // nobody reads
+	local, remote := net.Pipe() // the worker does not read
 	defer func() { _ = remote.Close() }()
 	client, conn := newUnservedConnection(t, local)
 	send(t, client, newAttempt(5))
 	var batch writeBatch
 	conn.nextBatch(local, &batch)
 	if attempts, _ := client.Drain(time.Millisecond); len(attempts) != 0 {
-		t.Error("an attempt that is being sent was removed")
+		t.Error("Drain removed an attempt that is being sent")
 	}
 	if _, err := local.Write(batch.Bytes); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("written: %v", err)
+		t.Errorf("write returned error %v, want a timeout", err)
 	}
 }
 
-// The worker reads nothing, and the client that sent the request disconnects while the attempt is being written.
+// TestAbandon_AttemptBeingWritten_ShortensWriteTimeout covers a worker that reads nothing, while the client that sent
+// the request disconnects during the write of the attempt.
 func TestAbandon_AttemptBeingWritten_ShortensWriteTimeout(t *testing.T) {
-	local, remote := net.Pipe() // nobody reads
+	local, remote := net.Pipe() // the worker does not read
 	defer func() { _ = remote.Close() }()
 	recorder := &deadlineRecorder{Conn: local}
 	client, conn := newUnservedConnection(t, recorder)
@@ -58,42 +62,43 @@
 	send(t, client, other)
 	var batch writeBatch
 	conn.nextBatch(recorder, &batch)
-	began := time.Now()
+	start := time.Now()
 	if !client.Abandon(a) {
 		t.Error("an attempt that is being sent is reported as never sent")
 	}
-	if n := len(recorder.deadlines); n != 2 || recorder.deadlines[1].Sub(began) > 100*time.Millisecond || !recorder.deadlines[1].Before(recorder.deadlines[0]) {
-		t.Errorf("deadlines of the write: %v from %v on", recorder.deadlines, began)
+	if n := len(recorder.deadlines); n != 2 || recorder.deadlines[1].Sub(start) > 100*time.Millisecond || !recorder.deadlines[1].Before(recorder.deadlines[0]) {
+		t.Errorf("the write deadlines are %v after the start at %v; want a second, earlier deadline", recorder.deadlines, start)
 	}
 	n, err := recorder.Write(batch.Bytes)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("written: %v", err)
+		t.Errorf("write returned error %v, want a timeout", err)
 	}
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if unsent := conn.queue.BatchWritten(nil, 0, &batch, n); len(unsent) != 1 || unsent[0].Attempt != other {
-		t.Errorf("%d of the others were not sent", len(unsent))
+		t.Errorf("%d items were not sent, want only the other attempt", len(unsent))
 	}
 }
 
-// The worker reads nothing, and the operating system's buffers are full.
+// TestStop_BlockedWrite_EndsAtOnce covers a write that blocks because the worker reads nothing and the operating
+// system's buffers are full.
 func TestStop_BlockedWrite_EndsAtOnce(t *testing.T) {
-	local, remote := net.Pipe() // nobody reads, nothing is buffered
+	local, remote := net.Pipe() // the worker does not read, and a pipe has no buffer
 	defer func() { _ = remote.Close() }()
 	client, conn := newUnservedConnection(t, local)
 	send(t, client, newAttempt(5))
 	served := make(chan error, 1)
 	client.tasks.Go(func() { served <- conn.serve(local) })
-	if _, err := remote.Read(make([]byte, 1)); err != nil { // the write has begun
+	if _, err := remote.Read(make([]byte, 1)); err != nil { // wait for the start of the write
 		t.Fatal(err)
 	}
 	client.Stop()
 	if err := <-served; !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("served: %v", err)
+		t.Errorf("serve returned %v, want io.ErrClosedPipe", err)
 	}
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if inFlight := conn.queue.RemoveInFlight(); len(inFlight) != 0 {
-		t.Error("an attempt that was not written whole counts as sent")
+		t.Error("an attempt that was not completely written counts as in flight")
 	}
 }
--- a/internal/platform/workerclient/health_checks.go
+++ b/internal/platform/workerclient/health_checks.go
@@ -9,10 +9,11 @@
 	"havencart/scheduler"
 )
 
-// This file sends health checks. They begin nothing at the worker, so they may be sent while it drains, and any number of times.
+// This file sends health checks. A health check starts no work at the worker, so it may be sent while the worker drains
+// and may be repeated.
 
-// CheckHealth asks the worker whether it accepts new work, and for a load report, and returns 0; Events reports the
-// response. If the check cannot be queued, CheckHealth returns its status at once.
+// CheckHealth queues a health check, which also requests a load report, and returns 0; the result is reported through
+// Events. If the check cannot be queued, CheckHealth returns its status at once, and Events reports nothing.
 func (c *Client) CheckHealth(check *workerconn.HealthCheck) scheduler.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,8 +28,8 @@
 	return 0
 }
 
-// AbandonHealthCheck gives a health check up: its response is not reported after this. Its connection is used for nothing
-// new, as the worker may not read it any longer.
+// AbandonHealthCheck abandons a health check: after the call, its result is no longer reported through Events. The
+// connection of the check is drained, because the worker may no longer read from it.
 func (c *Client) AbandonHealthCheck(check *workerconn.HealthCheck) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,27 +44,28 @@
 	}
 }
 
-// repeatHealthChecks queues the health checks without a response again, as their connection may have ended before the worker
-// read them. One that is still queued goes out twice, which does no harm. The client's lock is held.
+// repeatHealthChecks queues the health checks without a response again, because their network connection may have ended
+// before the worker read them. A check that is still queued is sent twice, which is harmless. It requires that
+// client.mu is held.
 func (c *connection) repeatHealthChecks() {
 	for number := range c.healthChecks {
 		c.queue.Push(healthCheckFrame(number))
 	}
 }
 
-// healthCheckFrame is the frame of a health check, which asks for a load report as well.
+// healthCheckFrame returns the frame of a health check, which also requests a load report.
 func healthCheckFrame(number uint64) workerframe.Frame {
 	return workerframe.Frame{Code: workerframe.LoadReport, ID: number}
 }
 
-// removeHealthChecks removes and returns the health checks without a response. The client's lock is held.
+// removeHealthChecks removes and returns the health checks without a response. It requires that client.mu is held.
 func (c *connection) removeHealthChecks() []*workerconn.HealthCheck {
 	unanswered := slices.Collect(maps.Values(c.healthChecks))
 	clear(c.healthChecks)
 	return unanswered
 }
 
-// notifyUnanswered reports that health checks get no response.
+// notifyUnanswered reports the given status for health checks that will get no response.
 func (c *connection) notifyUnanswered(checks []*workerconn.HealthCheck, status scheduler.Status) {
 	for _, check := range checks {
 		c.client.events.HealthChecked(check, status, nil)
--- a/internal/platform/workerclient/helpers_test.go
+++ b/internal/platform/workerclient/helpers_test.go
@@ -41,7 +41,7 @@
 	r.loadEnds <- fmt.Sprint(s, " ", n)
 }
 
-// startWorkerAndClient starts a worker that follows a script, and a client of it.
+// startWorkerAndClient starts a worker that runs the script for each frame, and a client of the worker.
 func startWorkerAndClient(t *testing.T, script platformworker.Script) (*Client, eventRecorder, *platformworker.Server) {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
@@ -54,7 +54,7 @@
 	return client, recorder, server
 }
 
-// newTestClient returns a client of the worker at an address with a budget of so many connections.
+// newTestClient returns a client of the worker at the given address, with a budget of the given number of connections.
 func newTestClient(t *testing.T, address string, connections int) (*Client, eventRecorder) {
 	t.Helper()
 	recorder := eventRecorder{
@@ -64,17 +64,17 @@
 		healthChecks:  make(chan scheduler.Status, 16),
 		disconnects:   make(chan error, 16),
 	}
-	began := time.Now()
+	start := time.Now()
 	client := New(Config{
 		Worker: "s-00000001", Address: address, ConnectTimeout: 5 * time.Second, StreamsPerConnection: 32, IdleTimeout: time.Minute,
 		MaxQueue: 64, MaxResponse: 1 << 16, LoadReportFields: []string{"queue"}, Budget: NewConnectionBudget(connections),
-		Now: func() time.Duration { return time.Since(began) },
+		Now: func() time.Duration { return time.Since(start) },
 	}, recorder)
 	t.Cleanup(func() { client.Stop(); <-client.Done() })
 	return client, recorder
 }
 
-// newAttempt returns an attempt of a request whose ID is the number n.
+// newAttempt returns an attempt of a request with the ID n.
 func newAttempt(n int) *workerconn.Attempt {
 	return &workerconn.Attempt{Body: []byte("body"), Deadline: time.Hour, Request: muxframe.Request{
 		ID:    fmt.Sprintf("%016x", n),
@@ -86,11 +86,11 @@
 func send(t *testing.T, client *Client, a *workerconn.Attempt) {
 	t.Helper()
 	if r := client.Send(a); r != nil {
-		t.Fatalf("not queued: %+v", r)
+		t.Fatalf("the attempt was not queued: %+v", r)
 	}
 }
 
-// connectedPair returns both ends of a connection.
+// connectedPair returns both ends of a TCP connection.
 func connectedPair(t *testing.T) (local, remote *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,7 +110,7 @@
 	return dialled.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// newUnservedConnection returns a connection without goroutines: the test does their work.
+// newUnservedConnection returns a connection without goroutines, whose work the test does instead.
 func newUnservedConnection(t *testing.T, netConn net.Conn) (*Client, *connection) {
 	client, _ := newTestClient(t, "127.0.0.1:1", 1)
 	client.mu.Lock()
@@ -123,7 +123,7 @@
 	return client, conn
 }
 
-// deadlineRecorder records the deadlines that are set for writes.
+// deadlineRecorder is a connection that records its write deadlines.
 type deadlineRecorder struct {
 	net.Conn
 	deadlines []time.Time
--- a/internal/platform/workerclient/recent_numbers.go
+++ b/internal/platform/workerclient/recent_numbers.go
@@ -7,32 +7,33 @@
 	"slices"
 )
 
-// recentCapacity is how many numbers recentNumbers holds.
+// recentCapacity is the capacity of recentNumbers.
 const recentCapacity = 32
 
-// recentNumbers is a ring of the numbers of the requests that were last rejected or failed on a connection. None of them
-// is used on the connection again: a worker may respond twice, and the second response would be taken for that to the
-// next attempt under the same number, so that a request that is being executed would count as rejected.
+// recentNumbers is a ring buffer with the numbers of the requests that were most recently rejected or failed on a
+// connection. These numbers are not used on the connection again, because a worker may respond twice: the second
+// response would be matched to the next attempt with the same number, so a request that is being executed would count
+// as rejected.
 //
-// The cost is that the next attempt needs another connection, which matters if a worker rejects much and connections are
-// few.
+// The cost is that the next attempt of such a request needs another connection. This matters if a worker rejects many
+// requests and few connections are available.
 type recentNumbers struct {
 	ring [recentCapacity]uint64
-	next int // index of the oldest, which is overwritten next
+	next int // index of the oldest number, which is overwritten next
 }
 
-// add adds a number in place of the oldest one.
+// add replaces the oldest number.
 func (n *recentNumbers) add(number uint64) {
 	n.ring[n.next] = number
 	n.next = (n.next + 1) % recentCapacity
 }
 
-// has tells whether a number is in the ring. Zero stands for an empty place and never is.
+// has reports whether the ring contains the number. Zero marks an unused element and is never contained.
 func (n *recentNumbers) has(number uint64) bool {
 	return number != 0 && slices.Contains(n.ring[:], number)
 }
 
-// parseNumber returns the number that a frame has for a request ID or function name of 16 hexadecimal digits.
+// parseNumber converts a request ID or a function name, which has 16 hexadecimal digits, to the ID of a frame.
 func parseNumber(name string) (uint64, error) {
 	var number [8]byte
 	if len(name) != hex.EncodedLen(len(number)) {
