--- a/internal/platform/rpcframe/message.go
+++ b/internal/platform/rpcframe/message.go
@@ -22,7 +22,7 @@
 
 // Methods other than the names of request classes.
 const (
-	MethodHeartbeat = "heartbeat" // asks whether the server is ready
+	MethodHeartbeat = "heartbeat" // queries whether the server is ready
 	MethodCancel    = "revoke"    // cancels requests
 )
 
--- a/internal/platform/rpcserver/disconnect_test.go
+++ b/internal/platform/rpcserver/disconnect_test.go
@@ -13,7 +13,7 @@
 	write(t, client, append(requestMessage(t, 1, "quote", validFields(1)), message(t, 2, "revoke", []int{1, 9})...))
 	request := <-handler.requests
 	if id := <-handler.cancelled; id != request.ID {
-		t.Errorf("%s was cancelled", id)
+		t.Errorf("the wrong request %s was cancelled", id)
 	}
 	request.respond(Response{Kind: Served})
 	write(t, client, message(t, 0, 2, "heartbeat", []any{map[string]string{}}))
@@ -27,7 +27,7 @@
 	request := <-handler.requests
 	_ = client.Close()
 	if id := <-handler.cancelled; id != request.ID {
-		t.Errorf("%s was cancelled", id)
+		t.Errorf("the wrong request %s was cancelled", id)
 	}
 }
 
--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -35,7 +35,7 @@
 	ConnectTimeout       time.Duration
 	StreamsPerConnection int                  // maximum unfinished attempts and load orders on a connection
 	IdleTimeout          time.Duration        // time after which the worker closes an idle connection
-	MaxQueue             int                  // maximum unfinished attempts and load orders of the client
+	MaxQueue             int                  // maximum unfinished attempts and load orders; more are not sent
 	MaxResponse          int                  // maximum bytes of a response's body; exceeding it breaks the connection
 	LoadReportFields     []string             // names of the values to read from load reports
 	Budget               *ConnectionBudget    // shared by the clients of all workers
@@ -57,7 +57,7 @@
 
 	connections []*connection
 
-	// The following fields are initialized on first use, because most of many workers are never sent anything.
+	// The following fields are initialized on first use, because a front end sends nothing to most of its many workers.
 	ctx      context.Context // done once Stop is called
 	cancel   context.CancelFunc
 	rng      *rand.Rand
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -109,7 +109,7 @@
 		client.tasks.Go(func() { served <- conn.serve(local) })
 		r := workerframe.NewReader(remote, workerframe.FromFrontEnd, workerframe.MaxBody)
 		if f, err := r.Next(); err != nil || f.ID != 5 {
-			t.Fatalf("read %+v, %v", f, err)
+			t.Fatalf("read frame %+v, error %v; want request 5", f, err)
 		}
 		if cancelled {
 			client.Abandon(a)
@@ -142,7 +142,7 @@
 	client.tasks.Go(func() { served <- conn.serve(local) })
 	r := workerframe.NewReader(remote, workerframe.FromFrontEnd, workerframe.MaxBody)
 	if f, err := r.Next(); err != nil || f.ID != 5 {
-		t.Fatalf("read %+v, %v", f, err)
+		t.Fatalf("read frame %+v, error %v; want request 5", f, err)
 	}
 	client.Stop()
 	if err := <-served; err == nil {
