--- a/internal/platform/rpcserver/handler.go
+++ b/internal/platform/rpcserver/handler.go
@@ -45,7 +45,7 @@
 // Handler handles the requests of all connections. Its methods must be safe for concurrent use.
 type Handler interface {
 	// Handle starts a request. It must not block, because the connection reads no other message until Handle returns.
-	// The Handler must pass the final response to respond exactly once. It may call respond from any goroutine, also
+	// The Handler passes the final response to respond, once. It may call respond from any goroutine, also
 	// before Handle returns. If the request violates the protocol, Handle returns an error and respond must not be
 	// called.
 	//
--- a/internal/platform/workerclient/connection_budget.go
+++ b/internal/platform/workerclient/connection_budget.go
@@ -41,8 +41,8 @@
 
 // reserve reserves a slot for a new connection of a client that already has the given number of connections. It returns
 // false if the client may not open another one. If no slot is free, it evicts an idle connection, and the new
-// connection waits until a slot is released. The number of waiting connections therefore equals the number of evicted
-// connections that are not closed yet.
+// connection waits until a slot is released. Therefore no more connections wait than evicted connections are still
+// to be closed.
 func (b *ConnectionBudget) reserve(conn *connection, connections int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
