--- a/internal/platform/rpcframe/reader.go
+++ b/internal/platform/rpcframe/reader.go
@@ -10,38 +10,40 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Source is what messages are read from, byte by byte where need be: bufio.Reader is one.
+// Source is the input of a Reader. The decoder reads single bytes from it, so it should be buffered. A bufio.Reader
+// implements Source.
 type Source interface {
 	io.Reader
 	io.ByteScanner
 }
 
-// Reader reads messages from one client's connection. It must be used by one goroutine only.
+// Reader reads messages from one client's connection. It is not safe for concurrent use.
 type Reader struct{ decoder *msgpack.Decoder }
 
-// NewReader returns a Reader of source.
+// NewReader returns a Reader that reads from source.
 func NewReader(source Source) *Reader { return &Reader{msgpack.NewDecoder(source)} }
 
-// Next reads the next message. A malformed one returns an error that wraps ErrMalformed, together with the Number that
-// it has where that could be read: nothing can be read behind it. Other errors are those of the source.
+// Next reads the next message. If the message is malformed, the error wraps ErrMalformed, and the returned message has
+// its Number set if that could be read. Nothing more can be read after a malformed message. Other errors come from the
+// source.
 func (r *Reader) Next() (Message, error) {
 	length, err := r.decoder.DecodeArrayLen()
 	if err != nil {
 		return Message{}, readError("a message", err)
 	}
-	messageType, err := r.number()
+	messageType, err := r.readNumber()
 	switch {
 	case err != nil:
 		return Message{}, err
 	case messageType == typeRequest && length == 4:
-		return r.request()
+		return r.readRequest()
 	case messageType == typeNotification && length == 3:
-		return r.cancellation()
+		return r.readCancellation()
 	}
 	return Message{}, malformed("type %d in an array of %d", messageType, length)
 }
 
-// readError tells input that ended or failed from input that cannot be decoded.
+// readError wraps an error of the decoder. The result wraps ErrMalformed unless the input ended or could not be read.
 func readError(what string, err error) error {
 	if isEndOfInput(err) || isNetworkError(err) {
 		return fmt.Errorf("read %s: %w", what, err)
@@ -53,13 +55,14 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// isNetworkError recognizes an error of the connection by its method that says whether it is a time-out.
+// isNetworkError reports whether err is an error of the connection. Such errors are net.Error values, which are
+// recognized by their Timeout method, or the error of a closed pipe.
 func isNetworkError(err error) bool {
 	var network interface{ Timeout() bool }
 	return errors.As(err, &network) || errors.Is(err, io.ErrClosedPipe)
 }
 
-func (r *Reader) number() (uint32, error) {
+func (r *Reader) readNumber() (uint32, error) {
 	number, err := r.decoder.DecodeInt64()
 	if err != nil {
 		return 0, readError("a number", err)
@@ -70,12 +73,13 @@
 	return uint32(number), nil
 }
 
-// request reads what follows the type of a request: number, method and an array of fields and, in most, a body.
-func (r *Reader) request() (message Message, err error) {
-	if message.Number, err = r.number(); err != nil {
+// readRequest reads the elements that follow the type of a request: its number, its method and an array of its fields
+// and, for most methods, its body.
+func (r *Reader) readRequest() (message Message, err error) {
+	if message.Number, err = r.readNumber(); err != nil {
 		return message, err
 	}
-	if message.Method, err = r.text("method", maxName); err != nil {
+	if message.Method, err = r.readString("method", maxNameSize); err != nil {
 		return message, err
 	}
 	length, err := r.decoder.DecodeArrayLen()
@@ -85,18 +89,19 @@
 	if length != 1 && length != 2 {
 		return message, malformed("%d parameters", length)
 	}
-	if message.Params, err = r.params(); err != nil {
+	if message.Params, err = r.readParams(); err != nil {
 		return message, err
 	}
 	if length == 2 {
-		message.Body, err = r.bytes("body", MaxBody)
+		message.Body, err = r.readBinary("body", MaxBody)
 	}
 	return message, err
 }
 
-// cancellation reads what follows the type of a notification. The only one there is cancels requests.
-func (r *Reader) cancellation() (message Message, err error) {
-	if message.Method, err = r.text("method", maxName); err != nil {
+// readCancellation reads the elements that follow the type of a notification. The only valid notification cancels
+// requests.
+func (r *Reader) readCancellation() (message Message, err error) {
+	if message.Method, err = r.readString("method", maxNameSize); err != nil {
 		return message, err
 	}
 	if message.Method != MethodCancel {
@@ -110,7 +115,7 @@
 		return message, malformed("%d requests cancelled", count)
 	}
 	for range count {
-		number, err := r.number()
+		number, err := r.readNumber()
 		if err != nil {
 			return message, err
 		}
@@ -119,8 +124,8 @@
 	return message, nil
 }
 
-// params reads the named fields of a request.
-func (r *Reader) params() (Params, error) {
+// readParams reads the named fields of a request.
+func (r *Reader) readParams() (Params, error) {
 	count, err := r.decoder.DecodeMapLen()
 	if err != nil {
 		return Params{}, readError("fields", err)
@@ -131,7 +136,7 @@
 	var params Params
 	seen := make(map[string]bool, count)
 	for range count {
-		name, err := r.text("field", maxName)
+		name, err := r.readString("field", maxNameSize)
 		if err != nil {
 			return Params{}, err
 		}
@@ -139,7 +144,7 @@
 			return Params{}, malformed("field %q twice", name)
 		}
 		seen[name] = true
-		value, err := r.text("value", maxValue)
+		value, err := r.readString("value", maxValueSize)
 		if err != nil {
 			return Params{}, err
 		}
@@ -148,8 +153,8 @@
 	return params, nil
 }
 
-// text reads a string of at most limit bytes. MessagePack's binary type is none.
-func (r *Reader) text(what string, limit int) (string, error) {
+// readString reads a MessagePack string of at most limit bytes. A value of the binary type is malformed.
+func (r *Reader) readString(what string, limit int) (string, error) {
 	code, err := r.decoder.PeekCode()
 	if err != nil {
 		return "", readError(what, err)
@@ -157,12 +162,12 @@
 	if !msgpcode.IsString(code) {
 		return "", malformed("%s of kind %x", what, code)
 	}
-	raw, err := r.sized(what, limit)
+	raw, err := r.readLengthPrefixed(what, limit)
 	return string(raw), err
 }
 
-// bytes reads at most limit bytes of MessagePack's binary type. A string is none.
-func (r *Reader) bytes(what string, limit int) ([]byte, error) {
+// readBinary reads a value of MessagePack's binary type of at most limit bytes. A string is malformed.
+func (r *Reader) readBinary(what string, limit int) ([]byte, error) {
 	code, err := r.decoder.PeekCode()
 	if err != nil {
 		return nil, readError(what, err)
@@ -170,11 +175,12 @@
 	if !msgpcode.IsBin(code) {
 		return nil, malformed("%s of kind %x", what, code)
 	}
-	return r.sized(what, limit)
+	return r.readLengthPrefixed(what, limit)
 }
 
-// sized reads a value that has its length before it, and allocates only for a length within limit.
-func (r *Reader) sized(what string, limit int) ([]byte, error) {
+// readLengthPrefixed reads a value that is preceded by its length. It checks that the length is at most limit before it
+// allocates memory.
+func (r *Reader) readLengthPrefixed(what string, limit int) ([]byte, error) {
 	length, err := r.decoder.DecodeBytesLen()
 	if err != nil {
 		return nil, readError(what, err)
