--- a/internal/native/httpserver/conn.go
+++ b/internal/native/httpserver/conn.go
@@ -14,10 +14,10 @@
 	"havencart/internal/clientconn"
 )
 
-// bufferSize, in bytes, is that of a connection's buffer for reading, and of one for writing.
+// bufferSize is the size in bytes of a connection's read buffer and of its write buffer.
 const bufferSize = 4 << 10
 
-// Reasons of invalid requests that are sent to the client.
+// Reasons for rejecting a request or connection, as sent to the client.
 const (
 	reasonTooSlow            = "too slow"
 	reasonNotHTTP            = "no HTTP request"
@@ -25,38 +25,38 @@
 	reasonTooManyConnections = "too many connections"
 )
 
-// errCloseAfterResponses ends the reading of a connection whose responses in flight are still sent.
+// errCloseAfterResponses stops the reading goroutine. The connection is closed after the responses in flight were sent.
 var errCloseAfterResponses = errors.New("connection closes behind its responses")
 
-// conn is one client's connection. Its reading goroutine starts when it is admitted and ends with the input. A writing
-// goroutine sends the responses in the order of the requests, and lives while there are some to send. Whichever ends
-// last closes the connection.
+// conn is a client connection. Its reading goroutine starts when the connection is admitted and ends at the end of the
+// input. Its writing goroutine sends the responses in the order of the requests; it runs only while requests are in
+// flight. The goroutine that ends last closes the connection.
 type conn struct {
 	server  *Server
 	net     net.Conn
 	handler Handler
-	header  *headerLimit // the reading goroutine's
-	in      *bufio.Reader
-	slots   chan struct{}   // one element for each request in flight; full while MaxPipelined requests have no response
-	ctx     context.Context // ends when the client disconnected or the connection failed
+	header  *headerLimit    // owned by the reading goroutine
+	reader  *bufio.Reader   // owned by the reading goroutine; reads from header
+	slots   chan struct{}   // semaphore of MaxPipelined slots: one for each request in flight, one for the next request
+	ctx     context.Context // done when the client has disconnected or the connection has failed
 	cancel  context.CancelFunc
 
-	mu       sync.Mutex
-	queue    []*pipelinedRequest // requests without a response, oldest first; at most MaxPipelined
-	drained  chan struct{}       // closed when queue becomes empty; nil unless the reading goroutine waits for that
-	reading  bool                // the reading goroutine lives
-	writing  bool                // the writing goroutine lives
-	draining bool                // closes behind the responses in flight
+	mu         sync.Mutex
+	queue      []*pipelinedRequest // requests in flight, oldest first; at most MaxPipelined
+	queueEmpty chan struct{}       // closed when queue becomes empty; nil unless the reading goroutine waits for that
+	reading    bool                // the reading goroutine is running
+	writing    bool                // the writing goroutine is running
+	draining   bool                // no further requests are read; closed after the responses in flight
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	header := &headerLimit{in: nc, remaining: unlimited}
+	header := &headerLimit{source: nc, remaining: unlimited}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &conn{
 		server:  s,
 		net:     nc,
 		header:  header,
-		in:      bufio.NewReaderSize(header, bufferSize),
+		reader:  bufio.NewReaderSize(header, bufferSize),
 		slots:   make(chan struct{}, s.cfg.MaxPipelined),
 		ctx:     ctx,
 		cancel:  cancel,
@@ -64,18 +64,18 @@
 	}
 }
 
-// abort closes the connection at once. The requests in flight on it are cancelled.
+// abort closes the connection at once and cancels its requests in flight.
 func (c *conn) abort() {
 	c.cancel()
-	_ = c.net.Close() // it may be closed already
+	_ = c.net.Close() // fails if the connection is already closed
 }
 
-// drain closes the connection once the responses in flight are sent.
+// drain stops reading requests and has the connection closed after the responses in flight were sent.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining = true
-	_ = c.net.SetReadDeadline(time.Now()) // wakes the reading goroutine, which then ends
+	_ = c.net.SetReadDeadline(time.Now()) // unblocks the reading goroutine, which then ends
 }
 
 func (c *conn) isDraining() bool {
@@ -84,30 +84,31 @@
 	return c.draining
 }
 
-// reject responds to a connection that is one too many, and closes it.
+// reject sends a 503 response and closes the connection. It is used when the server has too many connections or is
+// shutting down.
 func (c *conn) reject() {
 	defer func() { _ = c.net.Close() }()
 	clientconn.SetWriteTimeout(c.net, c.server.cfg.WriteTimeout)
 	out := bufio.NewWriter(c.net)
 	response := Response{Outcome: Rejected, Reason: reasonTooManyConnections}
 	if writeProblem(out, http.StatusServiceUnavailable, response, true) == nil {
-		_ = out.Flush() // the client is rejected, whether it learns why or not
+		_ = out.Flush() // the connection is closed even if the response cannot be sent
 	}
 }
 
-// read is the reading goroutine.
+// read runs the reading goroutine.
 func (c *conn) read() {
-	wanted := c.readRequests()
-	isLast := c.endReading()
-	if !wanted {
+	clientWaits := c.readRequests()
+	bothEnded := c.endReading()
+	if !clientWaits {
 		c.abort()
 	}
-	if isLast {
+	if bothEnded {
 		c.close()
 	}
 }
 
-// endReading notes the end of the reading goroutine. It reports whether the writing goroutine has ended, too.
+// endReading records that the reading goroutine has ended. It reports whether the writing goroutine has also ended.
 func (c *conn) endReading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +116,7 @@
 	return !c.writing
 }
 
-// close closes a connection whose goroutines have ended.
+// close closes the connection and removes it from the server. It is called when both goroutines have ended.
 func (c *conn) close() {
 	c.abort()
 	c.server.conns.Remove(c)
@@ -131,11 +132,11 @@
 		}
 		receivedAt, err := c.awaitRequest()
 		if err != nil {
-			return c.waitsAfter(err)
+			return c.clientWaitsAfter(err)
 		}
 		last, err := c.readRequest(receivedAt)
 		if err != nil {
-			return c.waitsAfter(err)
+			return c.clientWaitsAfter(err)
 		}
 		if last {
 			return true
@@ -143,63 +144,65 @@
 	}
 }
 
-// waitsAfter reports whether the client still waits for responses after reading ended with err. One that closed its side
-// for writing may or may not.
-func (c *conn) waitsAfter(err error) bool {
+// clientWaitsAfter reports whether the client still waits for responses after reading ended with err. A client that
+// closed its side for writing counts as waiting only if KeepHalfClosed is set.
+func (c *conn) clientWaitsAfter(err error) bool {
 	if c.isDraining() || errors.Is(err, errCloseAfterResponses) {
 		return true
 	}
 	return errors.Is(err, io.EOF) && c.server.cfg.KeepHalfClosed
 }
 
-// awaitRequest waits for the first byte of the next request and returns the time of its receipt. The idle timeout does
-// not end a connection that has responses in flight.
+// awaitRequest waits for the first byte of the next request and returns the time when it was received. The idle timeout
+// does not apply while requests are in flight.
 func (c *conn) awaitRequest() (time.Time, error) {
 	for {
 		c.setReadTimeout(c.server.cfg.IdleTimeout)
-		_, err := c.in.Peek(1)
+		_, err := c.reader.Peek(1)
 		if err == nil {
 			return time.Now(), nil
 		}
-		if !clientconn.IsTimeout(err) || !c.outlivesIdleTimeout() {
+		if !clientconn.IsTimeout(err) || !c.ignoresIdleTimeout() {
 			return time.Time{}, err
 		}
 	}
 }
 
-func (c *conn) outlivesIdleTimeout() bool {
+// ignoresIdleTimeout reports whether the connection stays open after an idle timeout: it has requests in flight and is
+// not draining.
+func (c *conn) ignoresIdleTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue) > 0 && !c.draining
 }
 
-// setReadTimeout sets the time within which reading must succeed, unless the connection is draining: that has ended it.
+// setReadTimeout sets the read deadline, unless the connection is draining: drain has set a deadline that must stay.
 func (c *conn) setReadTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.draining {
-		_ = c.net.SetReadDeadline(time.Now().Add(timeout)) // fails on a closed connection, as reading will
+		_ = c.net.SetReadDeadline(time.Now().Add(timeout)) // fails on a closed connection; the next read then fails too
 	}
 }
 
-// readRequest reads one request and passes it to the Handler. It reports whether it is the connection's last.
+// readRequest reads one request and passes it to the Handler. It reports whether the request is the connection's last.
 func (c *conn) readRequest(receivedAt time.Time) (last bool, err error) {
 	c.header.remaining = c.server.cfg.MaxHeaderBytes
 	c.setReadTimeout(c.server.cfg.HeaderTimeout)
-	r, err := http.ReadRequest(c.in)
+	r, err := http.ReadRequest(c.reader)
 	c.header.remaining = unlimited
 	if err != nil {
 		return true, c.respondUnreadable(err)
 	}
 	isHTTP10 := !r.ProtoAtLeast(1, 1)
-	pipelined := &pipelinedRequest{close: r.Close || isHTTP10, http10: isHTTP10}
+	pipelined := &pipelinedRequest{closeAfter: r.Close || isHTTP10, http10: isHTTP10}
 	request, err := parse(r, receivedAt)
 	switch {
 	case err == nil:
 		request.Body, err = c.readBody(r)
-		pipelined.close = pipelined.close || err != nil // the rest of the body cannot be told from the next request
+		pipelined.closeAfter = pipelined.closeAfter || err != nil // what follows may be unread body, not a new request
 	case hasBody(r):
-		pipelined.close = true // the body is left unread
+		pipelined.closeAfter = true // the body is left unread
 	}
 	if err == nil {
 		pipelined.handle(c.handler, request)
@@ -207,20 +210,21 @@
 		return true, err
 	}
 	c.enqueue(pipelined)
-	return pipelined.close, nil
+	return pipelined.closeAfter, nil
 }
 
-// hasBody reports whether a body follows the header, or may follow once the client was told to continue.
+// hasBody reports whether a body follows the header, or may follow once the client receives 100 Continue.
 func hasBody(r *http.Request) bool {
 	return r.ContentLength != 0 || r.Header.Get(headerExpect) != ""
 }
 
-// respondUnreadable responds to bytes that are no request. It returns the error that ends the reading.
+// respondUnreadable queues the error response to input that could not be read as a request. It returns the error that
+// stops the reading goroutine.
 func (c *conn) respondUnreadable(err error) error {
 	if c.header.err != nil {
 		err = c.header.err
 	}
-	pipelined := &pipelinedRequest{close: true}
+	pipelined := &pipelinedRequest{closeAfter: true}
 	switch {
 	case errors.Is(err, errHeaderTooLong):
 		pipelined.setInvalid(http.StatusRequestHeaderFieldsTooLarge, reasonHeaderTooLong)
@@ -239,7 +243,7 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed)
 }
 
-// readBody reads a request's body, after telling a client to continue that waits for that (RFC 9110, section 10.1.1).
+// readBody reads a request's body. If the client expects 100 Continue (RFC 9110, section 10.1.1), it is sent first.
 func (c *conn) readBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength > int64(c.server.cfg.MaxBodyBytes) {
 		return nil, bodyTooLarge(c.server.cfg.MaxBodyBytes)
@@ -258,10 +262,10 @@
 	return readBody(r, c.server.cfg.MaxBodyBytes)
 }
 
-// sendContinue sends 100 Continue once the responses to earlier requests are sent. The reading goroutine may write then:
-// nothing is queued until it queues it.
+// sendContinue sends 100 Continue after the responses to all earlier requests. The reading goroutine may then write to
+// the connection itself, because the queue stays empty until the reading goroutine adds a request.
 func (c *conn) sendContinue() error {
-	if err := c.awaitDrained(); err != nil {
+	if err := c.awaitEmptyQueue(); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -271,28 +275,28 @@
 	return err
 }
 
-// awaitDrained waits until no response is in flight, or fails if the connection does. Only the reading goroutine queues
-// requests, so none is added meanwhile.
-func (c *conn) awaitDrained() error {
-	drained := c.notifyDrained()
-	if drained == nil {
+// awaitEmptyQueue waits until no request is in flight. It returns an error if the connection fails first. Only the
+// reading goroutine adds requests, so the queue is still empty when awaitEmptyQueue returns.
+func (c *conn) awaitEmptyQueue() error {
+	queueEmpty := c.notifyQueueEmpty()
+	if queueEmpty == nil {
 		return nil
 	}
 	select {
-	case <-drained:
+	case <-queueEmpty:
 		return nil
 	case <-c.ctx.Done():
 		return net.ErrClosed
 	}
 }
 
-// notifyDrained returns a channel that is closed when the queue becomes empty, nil if it is.
-func (c *conn) notifyDrained() <-chan struct{} {
+// notifyQueueEmpty returns a channel that is closed when the queue becomes empty, or nil if the queue is already empty.
+func (c *conn) notifyQueueEmpty() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) == 0 {
 		return nil
 	}
-	c.drained = make(chan struct{})
-	return c.drained
+	c.queueEmpty = make(chan struct{})
+	return c.queueEmpty
 }
--- a/internal/native/httpserver/disconnect_test.go
+++ b/internal/native/httpserver/disconnect_test.go
@@ -20,31 +20,31 @@
 	}
 	_ = client.Close()
 	for _, request := range requests[3:] {
-		receive(t, "the request to be cancelled", request.cancelled)
+		receive(t, "the cancellation of the request", request.cancelled)
 	}
 	for _, request := range requests[:3] {
 		select {
 		case <-request.cancelled:
-			t.Error("a request with a response was cancelled")
+			t.Error("a request whose response was sent has been cancelled")
 		default:
 		}
 	}
 }
 
 func TestDisconnect_HalfClosed_CancelledOrServed(t *testing.T) {
-	for _, waits := range []bool{false, true} {
-		setup := startServer(t, func(c *Config) { c.KeepHalfClosed = waits })
+	for _, keepHalfClosed := range []bool{false, true} {
+		setup := startServer(t, func(c *Config) { c.KeepHalfClosed = keepHalfClosed })
 		client := setup.dial()
 		client.send(postRequest("f", "", ""))
 		request := receive(t, "the request", setup.handler.requests)
 		_ = client.Conn.(*net.TCPConn).CloseWrite()
-		if !waits {
-			receive(t, "the request to be cancelled", request.cancelled)
+		if !keepHalfClosed {
+			receive(t, "the cancellation of the request", request.cancelled)
 			continue
 		}
 		request.response <- Response{Outcome: Served, Body: []byte("x")}
 		if _, body := client.read(); body != "x" {
-			t.Errorf("response %q", body)
+			t.Errorf("response body %q, want \"x\"", body)
 		}
 		client.expectClosed()
 	}
--- a/internal/native/httpserver/handler.go
+++ b/internal/native/httpserver/handler.go
@@ -5,67 +5,69 @@
 	"time"
 )
 
-// Request is one request of a client, read whole.
+// Request is a client's request with its complete body.
 type Request struct {
-	Function       string        // its name, unescaped
-	Class          string        // empty: the function's own
-	Tenant         string        // empty: none
-	IdempotencyKey string        // empty: none
-	ID             string        // the client's own name for the request, for records
-	Timeout        time.Duration // how long the client waits for the response, 0: the class's
-	WorkEstimate   time.Duration // expected execution time, 0 if unknown
-	MemoryMB       float64       // megabytes of one replica, 0 if unknown
-	Concurrency    int           // requests that one replica executes at a time, 0 if unknown
-	LoadTime       time.Duration // of a replica, 0 if unknown
+	Function       string        // function name, unescaped
+	Class          string        // class name; empty selects the class of the function
+	Tenant         string        // tenant name; empty if the request has no tenant
+	IdempotencyKey string        // idempotency key; empty if the request has none
+	ID             string        // request ID chosen by the client, for log records
+	Timeout        time.Duration // how long the client waits for the response; 0 selects the timeout of the class
+	WorkEstimate   time.Duration // expected execution time; 0 if unknown
+	MemoryMB       float64       // memory of one replica in megabytes; 0 if unknown
+	Concurrency    int           // requests that one replica executes at a time; 0 if unknown
+	LoadTime       time.Duration // expected time to load a replica; 0 if unknown
 	Body           []byte
-	ReceivedAt     time.Time // when its first byte was received
+	ReceivedAt     time.Time // time when the first byte of the request was received
 }
 
 // Outcome is the kind of a final response.
 type Outcome string
 
-// The outcomes, as the header Call-Outcome and problem details name them.
+// The outcomes, with the values used in the Call-Outcome header and in problem details.
 const (
-	Served   Outcome = "served"
-	Rejected Outcome = "refused" // it was not executed, so sending it again is harmless
-	Failed   Outcome = "failed"  // it may have been executed
-	Invalid  Outcome = "invalid" // it was not executed and never will be, so sending it again is useless
+	Served   Outcome = "served"  // a worker executed the request
+	Rejected Outcome = "refused" // the request was not executed and can safely be retried
+	Failed   Outcome = "failed"  // the request may have been executed
+	Invalid  Outcome = "invalid" // the request was not executed; a retry of the same request cannot succeed
 )
 
 // Response is the final response to a request.
 type Response struct {
 	Outcome     Outcome
-	Reason      string        // for people, unless it was served
-	RetryAfter  time.Duration // of a rejected request: advice when to send it again, 0 for none
-	TimedOut    bool          // a failed request had no response in time
-	ContentType string        // of a served one, may be empty
-	Body        []byte        // of a served one, unless Stream is set
-	Stream      Stream        // of a served one, in place of Body
-	Length      int64         // bytes of Stream, -1 if unknown
-	Worker      string        // name of the worker that served it
-	Attempts    int           // how often it was sent to a worker
-	ID          string        // the Request's, empty if that had none
+	Reason      string        // human-readable reason; not used if Outcome is Served
+	RetryAfter  time.Duration // delay advised before a retry if Outcome is Rejected; 0 for no advice
+	TimedOut    bool          // whether the request timed out, if Outcome is Failed
+	ContentType string        // content type of a served response; may be empty
+	Body        []byte        // body of a served response, unless Stream is set
+	Stream      Stream        // body of a served response that is received in parts; replaces Body
+	Length      int64         // length of Stream in bytes; -1 if unknown
+	Worker      string        // name of the worker that served the request
+	Attempts    int           // number of attempts that were sent to workers
+	ID          string        // ID of the Request; may be empty
 }
 
 // Stream is a response body that is received in parts.
 type Stream interface {
-	// Next returns the next part, and nil without an error at the end. It waits at most stall, and no longer than ctx.
-	// The connection's writing goroutine calls it.
+	// Next returns the next part, or nil without an error at the end of the body. It waits at most stall for the part,
+	// and stops waiting when ctx is done. It is called from the connection's writing goroutine.
 	Next(ctx context.Context, stall time.Duration) ([]byte, error)
 }
 
 // Pending is a request that a Handler accepted. Its methods are called from the connection's writing goroutine.
 type Pending interface {
-	// Wait returns the final response, or false if gone, which says that the client disconnected, is closed before.
-	Wait(gone <-chan struct{}) (Response, bool)
-	// Cancel says that the client disconnected, or that the response could not be sent to its end. It may be called
-	// after Wait returned a response.
+	// Wait returns the final response and true. It returns false if disconnected is closed first, which means that the
+	// client has disconnected.
+	Wait(disconnected <-chan struct{}) (Response, bool)
+	// Cancel cancels the request because the client disconnected or the response could not be sent completely. It may
+	// be called after Wait has returned a response.
 	Cancel()
 }
 
 // Handler accepts the requests of a connection.
 type Handler interface {
-	// Handle starts a request. An error says that it is invalid, as one of an unknown class, and why: its text is sent
-	// to the client. The connection's reading goroutine calls it and reads nothing meanwhile.
+	// Handle starts processing a request. It returns an error if the request is invalid, for example because its class
+	// is unknown; the text of the error is sent to the client. Handle is called from the connection's reading
+	// goroutine, so no further request is read until it returns.
 	Handle(request *Request) (Pending, error)
 }
--- a/internal/native/httpserver/headerlimit.go
+++ b/internal/native/httpserver/headerlimit.go
@@ -5,17 +5,18 @@
 	"io"
 )
 
-// unlimited is the limit of a headerLimit outside a request's header.
+// unlimited is the value of headerLimit.remaining while no request header is being read.
 const unlimited = -1
 
 var errHeaderTooLong = errors.New("header too long")
 
-// headerLimit bounds how many bytes of a connection one request's header may take. It remembers why reading ended, as
-// the parser takes a line that is cut off for a whole one. The reading goroutine owns it.
+// headerLimit is a reader that limits the size of a request header. It keeps the error of the last read, because the
+// parser accepts a truncated line as a complete one and so may not report the read error. It is owned by the
+// connection's reading goroutine.
 type headerLimit struct {
-	in        io.Reader
-	remaining int   // bytes, or unlimited
-	err       error // of the last Read
+	source    io.Reader
+	remaining int   // bytes that may still be read, or unlimited
+	err       error // error of the last Read
 }
 
 // Read implements io.Reader.
@@ -27,7 +28,7 @@
 	if l.remaining > 0 && len(p) > l.remaining {
 		p = p[:l.remaining]
 	}
-	n, err := l.in.Read(p)
+	n, err := l.source.Read(p)
 	if l.remaining > 0 {
 		l.remaining -= n
 	}
--- a/internal/native/httpserver/helpers_test.go
+++ b/internal/native/httpserver/helpers_test.go
@@ -19,10 +19,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds what is expected to happen, far above what it takes.
+// testTimeout is the longest wait for an expected event. It is far longer than any event takes.
 const testTimeout = 20 * time.Second
 
-// stubHandler passes requests to the test, which responds to them.
+// stubHandler is a Handler that passes requests to the test, which responds to them.
 type stubHandler struct {
 	requests chan *stubRequest
 }
@@ -44,30 +44,30 @@
 	return r, nil
 }
 
-func (r *stubRequest) Wait(gone <-chan struct{}) (Response, bool) {
+func (r *stubRequest) Wait(disconnected <-chan struct{}) (Response, bool) {
 	select {
 	case response := <-r.response:
 		return response, true
-	case <-gone:
+	case <-disconnected:
 		return Response{}, false
 	}
 }
 
 func (r *stubRequest) Cancel() { r.once.Do(func() { close(r.cancelled) }) }
 
-// receive returns what is sent on c, and fails the test if nothing is.
-func receive[T any](t *testing.T, what string, c <-chan T) T {
+// receive returns the next value from c. It fails the test if none arrives within testTimeout.
+func receive[T any](t *testing.T, event string, c <-chan T) T {
 	t.Helper()
 	select {
-	case x := <-c:
-		return x
+	case value := <-c:
+		return value
 	case <-time.After(testTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", event)
 		panic("unreachable")
 	}
 }
 
-// fixture is a running server and its Handler.
+// fixture is a running server with its Handler.
 type fixture struct {
 	*testing.T
 	handler *stubHandler
@@ -76,15 +76,16 @@
 	stop    func()
 }
 
-// startServer starts a server whose Config change may adapt. It is stopped when the test ends.
-func startServer(t *testing.T, change func(*Config)) *fixture {
+// startServer starts a server with a default Config, which configure, if not nil, may change. The server is stopped
+// when the test ends.
+func startServer(t *testing.T, configure func(*Config)) *fixture {
 	t.Helper()
 	cfg := Config{
 		IdleTimeout: testTimeout, HeaderTimeout: testTimeout, BodyTimeout: testTimeout, WriteTimeout: testTimeout, StallTimeout: testTimeout,
 		MaxHeaderBytes: 4096, MaxBodyBytes: 1000, MaxPipelined: 16, MaxConnections: 100,
 	}
-	if change != nil {
-		change(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,11 +111,11 @@
 	return setup
 }
 
-// client is one raw connection.
+// client is a raw TCP connection to the server.
 type client struct {
 	*testing.T
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 func (f *fixture) dial() *client {
@@ -137,22 +138,22 @@
 
 func (c *client) read() (*http.Response, string) {
 	c.Helper()
-	r, err := http.ReadResponse(c.in, nil)
+	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		c.Fatalf("the client reads: %v", err)
+		c.Fatalf("read the head of a response: %v", err)
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		c.Fatalf("the client reads a body: %v", err)
+		c.Fatalf("read the body of a response: %v", err)
 	}
 	return r, string(body)
 }
 
-// expectClosed waits for the connection's end, with nothing before it.
+// expectClosed waits until the server closes the connection, and fails the test if the server sends anything before.
 func (c *client) expectClosed() {
 	c.Helper()
-	if n, err := io.Copy(io.Discard, c.in); n != 0 || err != nil && !strings.Contains(err.Error(), "reset") {
-		c.Errorf("%d bytes and %v in place of the end", n, err)
+	if n, err := io.Copy(io.Discard, c.reader); n != 0 || err != nil && !strings.Contains(err.Error(), "reset") {
+		c.Errorf("received %d bytes and error %v, want a closed connection", n, err)
 	}
 }
 
--- a/internal/native/httpserver/pipelined.go
+++ b/internal/native/httpserver/pipelined.go
@@ -7,17 +7,17 @@
 	"havencart/internal/clientconn"
 )
 
-// pipelinedRequest is one request of a connection and its response. The reading goroutine makes it, the writing one
-// completes it.
+// pipelinedRequest is a request on a connection together with its response. The reading goroutine creates it; the
+// writing goroutine waits for the response and sends it.
 type pipelinedRequest struct {
-	pending  Pending // nil where the response is known at once
-	response Response
-	status   int  // of a response that is known at once
-	close    bool // the connection is closed behind the response
-	http10   bool // the client speaks HTTP/1.0, which has no chunked transfer coding
+	pending    Pending // nil if the response was set when the request was read
+	response   Response
+	status     int  // status code of response
+	closeAfter bool // the connection is closed after the response
+	http10     bool // the client uses HTTP/1.0, which has no chunked transfer coding
 }
 
-// handle passes the request to handler. A request that handler finds invalid has its response at once.
+// handle passes the request to handler. If handler reports that the request is invalid, handle sets the response.
 func (p *pipelinedRequest) handle(handler Handler, request *Request) {
 	var err error
 	if p.pending, err = handler.Handle(request); err != nil {
@@ -25,8 +25,8 @@
 	}
 }
 
-// rejectInvalid sets the response to a request that could not be read or is invalid. It returns err itself if there is
-// nobody to respond to.
+// rejectInvalid sets the response to a request that is invalid or could not be read in time. For any other error, such
+// as a disconnect, no response can be sent, and rejectInvalid returns err.
 func (p *pipelinedRequest) rejectInvalid(err error) error {
 	var invalid *requestError
 	switch {
@@ -45,7 +45,7 @@
 	p.response = Response{Outcome: Invalid, Reason: reason}
 }
 
-// framing returns how the end of a served response's body is marked.
+// framing returns how the end of the body of a served response is marked.
 func (p *pipelinedRequest) framing() framing {
 	switch {
 	case p.response.Length >= 0:
--- a/internal/native/httpserver/request.go
+++ b/internal/native/httpserver/request.go
@@ -12,10 +12,11 @@
 	"time"
 )
 
-// pathPrefix is what the path of every request begins with; the function's name follows.
+// pathPrefix is the path of every request up to the function name.
 const pathPrefix = "/call/"
 
-// Headers of a request. Their names are the service's interface to its clients; Request has the terms used elsewhere.
+// Names of the request headers. They are part of the interface to clients and must not change; the fields of Request
+// have the terms that the rest of the code uses.
 const (
 	headerClass          = "Call-Class"
 	headerTenant         = "Call-Tenant"
@@ -29,14 +30,14 @@
 	headerExpect         = "Expect"
 )
 
-// Bounds of what a request may say.
+// Upper bounds of the values in request headers.
 const (
-	maxNameBytes   = 256 // of names and keys
+	maxNameBytes   = 256 // bytes of a function name or of a header that holds a name, an ID or a key
 	maxDuration    = 24 * time.Hour
 	maxConcurrency = 1000
 )
 
-// requestError says why a request is invalid, and the status of the response. Its text is sent to the client.
+// requestError is the error of an invalid request. Its status code and reason are sent to the client.
 type requestError struct {
 	status int
 	reason string
@@ -49,7 +50,8 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// parse checks what a request's header says. Its errors are of type *requestError.
+// parse returns the request described by the path and headers of r, without the body. Its errors are of type
+// *requestError.
 func parse(r *http.Request, receivedAt time.Time) (*Request, error) {
 	name, hasPrefix := strings.CutPrefix(r.URL.EscapedPath(), pathPrefix)
 	if !hasPrefix {
@@ -73,7 +75,7 @@
 	return name != "" && len(name) <= maxNameBytes && !strings.ContainsAny(name, "/\x00")
 }
 
-// parseHeaders stores the headers' values. The first error in this order is the one that the client gets.
+// parseHeaders sets the fields that come from headers. It returns the first error, which is sent to the client.
 func (r *Request) parseHeaders(h http.Header) error {
 	if err := r.parseNames(h); err != nil {
 		return err
@@ -143,7 +145,7 @@
 	return nil
 }
 
-// isFinitePositive is false for NaN too.
+// isFinitePositive reports whether x is finite and greater than 0. It returns false for NaN.
 func isFinitePositive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
 
 func (r *Request) parseConcurrency(h http.Header) error {
@@ -159,7 +161,8 @@
 	return nil
 }
 
-// singleValue returns the value of a header that may be given once, empty if it is not given.
+// singleValue returns the value of a header, or "" if the header is absent. It returns an error if the header is
+// repeated.
 func singleValue(h http.Header, name string) (string, error) {
 	switch values := h.Values(name); len(values) {
 	case 0:
@@ -170,8 +173,8 @@
 	return "", badRequest("%s is given more than once", name)
 }
 
-// unquote removes the quotes that the draft of Idempotency-Key asks for: its value is a string of structured fields (RFC
-// 9651, section 3.3.3). A value without them is taken as it is.
+// unquote removes the quotes around an idempotency key. The draft of the Idempotency-Key header defines its value as a
+// string of structured fields (RFC 9651, section 3.3.3). A value without quotes is returned unchanged.
 func unquote(key string) string {
 	if !isQuoted(key) {
 		return key
@@ -183,7 +186,8 @@
 	return len(text) >= 2 && text[0] == '"' && text[len(text)-1] == '"'
 }
 
-// parseDuration reads 1500, which are milliseconds, or 1.5s.
+// parseDuration parses a duration such as 1.5s; a number without a unit, such as 1500, is in milliseconds. It returns 0
+// for an empty text.
 func parseDuration(name, text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -218,10 +222,10 @@
 	return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body may have %d bytes", limit)}
 }
 
-// ParseRequest reads one request with its body from in, within bounds in bytes. It is for tests of arbitrary input; a
-// connection reads with deadlines besides.
-func ParseRequest(in io.Reader, maxHeader, maxBody int) (*Request, error) {
-	r, err := http.ReadRequest(bufio.NewReader(&headerLimit{in: in, remaining: maxHeader}))
+// ParseRequest reads one request with its body from source. The header may have maxHeader bytes and the body maxBody
+// bytes. ParseRequest exists for fuzz tests; connections also apply read deadlines.
+func ParseRequest(source io.Reader, maxHeader, maxBody int) (*Request, error) {
+	r, err := http.ReadRequest(bufio.NewReader(&headerLimit{source: source, remaining: maxHeader}))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/native/httpserver/response.go
+++ b/internal/native/httpserver/response.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Texts of the status line and of the headers in a response.
+// Fixed parts of the status line, headers and body of a response.
 const (
 	protocolVersion     = "HTTP/1.1 "
 	prefixDate          = "Date: "
@@ -27,7 +27,7 @@
 	lastChunk           = "0\r\n\r\n"
 )
 
-// framing is how a client finds the end of a served response's body (RFC 9112, section 6.3).
+// framing is how a client determines the end of a served response's body (RFC 9112, section 6.3).
 type framing int
 
 const (
@@ -51,7 +51,7 @@
 	return http.StatusBadRequest
 }
 
-// Details is the body of each response that is not a worker's: problem details (RFC 9457).
+// Details is the body of a response that does not come from a worker: problem details (RFC 9457).
 type Details struct {
 	Type         string  `json:"type"`
 	Title        string  `json:"title"`
@@ -62,8 +62,8 @@
 	Attempts     int     `json:"attempts"`
 }
 
-// writeProblem writes a whole response of problem details; last says that the connection is closed behind it.
-func writeProblem(out *bufio.Writer, status int, response Response, last bool) error {
+// writeProblem writes a complete response with problem details. closeAfter tells that the connection is then closed.
+func writeProblem(out *bufio.Writer, status int, response Response, closeAfter bool) error {
 	body, err := json.Marshal(Details{
 		Type:         "about:blank",
 		Title:        http.StatusText(status),
@@ -76,7 +76,7 @@
 	if err != nil {
 		return fmt.Errorf("encode problem details: %w", err)
 	}
-	writeSharedHead(out, status, response, last)
+	writeCommonHead(out, status, response, closeAfter)
 	head := out.AvailableBuffer()
 	if response.Outcome == Rejected && response.RetryAfter > 0 {
 		head = appendRetryAfter(head, response.RetryAfter)
@@ -84,13 +84,13 @@
 	head = append(head, prefixContentType+"application/problem+json"+lineEnd...)
 	head = appendContentLength(head, int64(len(body)))
 	head = append(head, lineEnd...)
-	_, _ = out.Write(head) // out keeps its error for the next call
+	_, _ = out.Write(head) // a bufio.Writer returns the error again on the next call
 	_, err = out.Write(body)
 	return err
 }
 
-// appendRetryAfter appends the standard header, in whole seconds rounded up (RFC 9110, section 10.2.3), and ours in
-// milliseconds.
+// appendRetryAfter appends the standard Retry-After header, in whole seconds rounded up (RFC 9110, section 10.2.3), and
+// the Retry-After-Ms header of this service, in milliseconds.
 func appendRetryAfter(head []byte, delay time.Duration) []byte {
 	seconds := (delay + time.Second - 1) / time.Second
 	return fmt.Appendf(head, "Retry-After: %d\r\nRetry-After-Ms: %d\r\n", seconds, delay.Milliseconds())
@@ -102,8 +102,9 @@
 	return append(head, lineEnd...)
 }
 
-// writeCommonHead writes the status line and the headers that all responses have. Out keeps its error for the next call.
-func writeSharedHead(out *bufio.Writer, status int, response Response, last bool) {
+// writeCommonHead writes the status line and the headers that all responses have. It drops a write error, which
+// bufio.Writer returns again on the next call.
+func writeCommonHead(out *bufio.Writer, status int, response Response, closeAfter bool) {
 	head := out.AvailableBuffer()
 	head = append(head, protocolVersion...)
 	head = strconv.AppendInt(head, int64(status), 10)
@@ -119,21 +120,21 @@
 	if response.ID != "" {
 		head = appendHeader(head, prefixID, response.ID)
 	}
-	if last {
+	if closeAfter {
 		head = append(head, lineConnectionClose...)
 	}
 	_, _ = out.Write(head)
 }
 
-// appendHeader appends a header whose value may be any text.
+// appendHeader appends a header line. Control characters are removed from the value, which may be any text.
 func appendHeader(head []byte, prefix, value string) []byte {
 	head = append(head, prefix...)
-	head = append(head, withoutControls(value)...)
+	head = append(head, removeControlCharacters(value)...)
 	return append(head, lineEnd...)
 }
 
-// withoutControls removes the characters that would end a header's value.
-func withoutControls(text string) string {
+// removeControlCharacters removes control characters, which could end the value of a header early.
+func removeControlCharacters(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return -1
@@ -142,14 +143,14 @@
 	}, text)
 }
 
-// writeHead writes the head of a served response; last says that the connection is closed behind it.
-func writeHead(out *bufio.Writer, response Response, body framing, last bool) error {
-	writeSharedHead(out, http.StatusOK, response, last)
+// writeHead writes the head of a served response. closeAfter tells that the connection is closed after the response.
+func writeHead(out *bufio.Writer, response Response, bodyFraming framing, closeAfter bool) error {
+	writeCommonHead(out, http.StatusOK, response, closeAfter)
 	head := appendHeader(out.AvailableBuffer(), prefixWorker, response.Worker)
 	if response.ContentType != "" {
 		head = appendHeader(head, prefixContentType, response.ContentType)
 	}
-	switch body {
+	switch bodyFraming {
 	case framingLength:
 		head = appendContentLength(head, response.Length)
 	case framingChunked:
@@ -161,15 +162,15 @@
 	return err
 }
 
-// writePart sends one part of a response's body at once.
-func writePart(out *bufio.Writer, part []byte, body framing) error {
-	if body != framingChunked {
+// writePart writes one part of a response's body and flushes it.
+func writePart(out *bufio.Writer, part []byte, bodyFraming framing) error {
+	if bodyFraming != framingChunked {
 		if _, err := out.Write(part); err != nil {
 			return err
 		}
 		return out.Flush()
 	}
-	_, _ = fmt.Fprintf(out, "%x\r\n", len(part)) // out keeps its error for the next call
+	_, _ = fmt.Fprintf(out, "%x\r\n", len(part)) // a bufio.Writer returns the error again on the next call
 	_, _ = out.Write(part)
 	_, _ = out.WriteString(lineEnd)
 	return out.Flush()
--- a/internal/native/httpserver/response_test.go
+++ b/internal/native/httpserver/response_test.go
@@ -29,7 +29,7 @@
 		if response.StatusCode != testCase.status || response.Header.Get("Call-Outcome") != string(testCase.response.Outcome) ||
 			d.Outcome != testCase.response.Outcome || d.Status != testCase.status || d.Detail != testCase.response.Reason ||
 			response.Header.Get("Retry-After") != testCase.seconds || response.Header.Get("Retry-After-Ms") != testCase.ms {
-			t.Errorf("%+v: %v %s", testCase.response, response, body)
+			t.Errorf("%+v: response %v with body %s", testCase.response, response, body)
 		}
 	}
 }
--- a/internal/native/httpserver/server.go
+++ b/internal/native/httpserver/server.go
@@ -1,6 +1,7 @@
-// Package httpserver serves clients over HTTP/1.1 (RFC 9112), with keep-alive and pipelining: POST /call/FUNCTION.
-// Requests are parsed by the standard library; responses that are not a worker's are problem details (RFC 9457). The
-// package knows nothing of workers: a Handler gives each request its final response. docs/running.md lists the headers.
+// Package httpserver implements the HTTP/1.1 server (RFC 9112) to which clients send requests, as POST /call/FUNCTION.
+// It supports keep-alive and pipelining. Requests are parsed by the standard library. Responses that do not come from a
+// worker carry problem details (RFC 9457). The package does not depend on workers: a Handler provides the final
+// response to each request. docs/running.md lists the headers.
 package httpserver
 
 import (
@@ -14,43 +15,45 @@
 	"havencart/internal/clientconn"
 )
 
-// Config bounds what clients may do. All times and sizes are above 0.
+// Config holds the limits and timeouts of a Server. All durations and sizes must be greater than 0.
 type Config struct {
-	IdleTimeout    time.Duration // for which a connection without a request stays open
-	HeaderTimeout  time.Duration // from the first byte of a request to the end of its header
-	BodyTimeout    time.Duration // to the end of its body
-	WriteTimeout   time.Duration // for each part of a response
-	StallTimeout   time.Duration // that a streamed response may pause
-	MaxHeaderBytes int           // bytes of a request's header
-	MaxBodyBytes   int           // bytes of a request's body
-	MaxPipelined   int           // requests of one connection without a response; further ones are not read
-	MaxConnections int           // connections; further ones get a 503 response and are closed
-	KeepHalfClosed bool          // a client that closed its side for writing still waits for its responses
+	IdleTimeout    time.Duration // a connection without a request is closed after this time
+	HeaderTimeout  time.Duration // limit from the first byte of a request to the end of its header
+	BodyTimeout    time.Duration // limit for reading a request's body, after its header and any 100 Continue
+	WriteTimeout   time.Duration // limit for writing each part of a response
+	StallTimeout   time.Duration // longest wait for the next part of a streamed response
+	MaxHeaderBytes int           // largest request header in bytes
+	MaxBodyBytes   int           // largest request body in bytes
+	MaxPipelined   int           // requests in flight per connection; further requests are not read
+	MaxConnections int           // open connections; further connections get a 503 response and are closed
+	KeepHalfClosed bool          // whether a client that closed its side for writing still gets its responses
 }
 
-// Server serves clients' connections. Its methods may be called from any goroutine.
+// Server serves client connections. Its methods are safe for concurrent use.
 type Server struct {
 	cfg        Config
-	newHandler func() Handler // of one connection
+	newHandler func() Handler // returns the Handler of a new connection
 	log        zerolog.Logger
 	conns      *clientconn.Table[*conn]
-	tasks      sync.WaitGroup // reading and writing goroutines, and those that reject connections
+	tasks      sync.WaitGroup // goroutines that read from, write to or reject connections
 
 	mu           sync.Mutex
 	shuttingDown bool
 }
 
-// New returns a Server that passes the requests of each connection to a Handler that newHandler returns for it.
+// New returns a Server. It calls newHandler once for each connection and passes the connection's requests to the
+// returned Handler.
 func New(cfg Config, newHandler func() Handler, log zerolog.Logger) *Server {
 	return &Server{cfg: cfg, newHandler: newHandler, log: log, conns: clientconn.NewTable[*conn](cfg.MaxConnections)}
 }
 
-// Serve accepts connections until l is closed, which is the caller's to do.
+// Serve accepts connections until l is closed. The caller closes l.
 func (s *Server) Serve(l net.Listener) error {
 	return clientconn.AcceptLoop(l, s.admit, clientconn.IsTimeout)
 }
 
-// admit starts to serve a connection, or rejects it. The lock keeps Shutdown from missing its goroutine.
+// admit starts serving a connection, or rejects it. It holds the lock so that Shutdown, which waits for all
+// goroutines, cannot miss the goroutine started here.
 func (s *Server) admit(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,15 +66,16 @@
 	s.tasks.Go(c.read)
 }
 
-// Shutdown lets the responses in flight be sent and closes each connection behind its last one. It closes all that are
-// open when ctx ends, and returns when all goroutines of the server have ended. The listener must be closed before.
+// Shutdown shuts the server down gracefully: each connection is closed after the response to its last request in
+// flight. When ctx is done, the connections that are still open are closed at once. Shutdown returns when all
+// goroutines of the server have ended. The listener must be closed before Shutdown is called.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.beginShutdown()
 	for _, c := range s.conns.All() {
 		c.drain()
 	}
 	done := make(chan struct{})
-	go func() { // ends with the last task, which this function waits for
+	go func() { // ends before Shutdown returns, because Shutdown waits for done
 		defer close(done)
 		s.tasks.Wait()
 	}()
@@ -84,7 +88,7 @@
 	<-done
 }
 
-// Close closes all connections at once. It does not wait for their goroutines.
+// Close closes all connections at once. It does not wait for the server's goroutines to end.
 func (s *Server) Close() {
 	s.beginShutdown()
 	s.abortAll()
--- a/internal/native/httpserver/shutdown_test.go
+++ b/internal/native/httpserver/shutdown_test.go
@@ -20,7 +20,7 @@
 
 func TestShutdown_RequestsInFlight_ServedBeforeClose(t *testing.T) {
 	setup := startServer(t, nil)
-	idle := setup.dial() // accepted before the next one, and so before its requests
+	idle := setup.dial() // accepted before busy, and so before the requests on busy are received
 	busy := setup.dial()
 	busy.send(postRequest("a", "", "") + postRequest("b", "", ""))
 	a, b := receive(t, "a request", setup.handler.requests), receive(t, "a request", setup.handler.requests)
--- a/internal/native/httpserver/stream_test.go
+++ b/internal/native/httpserver/stream_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// stubStream is a Stream that a test feeds.
+// stubStream is a Stream whose parts come from the test. Closing it makes Next return an error.
 type stubStream chan []byte
 
 func (s stubStream) Next(ctx context.Context, _ time.Duration) ([]byte, error) {
 	select {
 	case part, ok := <-s:
 		if !ok {
-			return nil, errors.New("broke off")
+			return nil, errors.New("stream failed")
 		}
 		return part, nil
 	case <-ctx.Done():
@@ -24,14 +24,14 @@
 	}
 }
 
-func TestStream_UnknownLength_PartsSentAtOnce(t *testing.T) {
+func TestStream_UnknownLength_PartsSentImmediately(t *testing.T) {
 	setup := startServer(t, nil)
 	client := setup.dial()
 	client.send(postRequest("f", "", ""))
 	stream := make(stubStream, 10)
 	receive(t, "the request", setup.handler.requests).response <- Response{Outcome: Served, Stream: stream, Length: -1}
 	stream <- []byte("first")
-	response, err := http.ReadResponse(client.in, nil)
+	response, err := http.ReadResponse(client.reader, nil)
 	if err != nil || response.TransferEncoding[0] != "chunked" {
 		t.Fatal(response, err)
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestStream_Fails_ClientSeesIncompleteResponse holds that a client can tell that a response is incomplete.
+// TestStream_Fails_ClientSeesIncompleteResponse verifies that a client can tell that a response is incomplete.
 func TestStream_Fails_ClientSeesIncompleteResponse(t *testing.T) {
 	for _, length := range []int64{-1, 100} {
 		setup := startServer(t, nil)
@@ -57,13 +57,13 @@
 		request.response <- Response{Outcome: Served, Stream: stream, Length: length}
 		stream <- []byte("first")
 		close(stream)
-		response, err := http.ReadResponse(client.in, nil)
+		response, err := http.ReadResponse(client.reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.ReadAll(response.Body); err == nil {
-			t.Error("the response looks complete")
+			t.Error("the client read the incomplete response without an error")
 		}
-		receive(t, "the request to be cancelled", request.cancelled)
+		receive(t, "the cancellation of the request", request.cancelled)
 	}
 }
--- a/internal/native/httpserver/timeout_test.go
+++ b/internal/native/httpserver/timeout_test.go
@@ -34,7 +34,7 @@
 		client := setup.dial()
 		client.send(postRequest("f", "", ""))
 		request := receive(t, "the request", setup.handler.requests)
-		time.Sleep(3 * short) // the idle timeout must pass; later is as good
+		time.Sleep(3 * short) // let the idle timeout expire; a longer sleep would do as well
 		request.response <- Response{Outcome: Served, Body: []byte("x")}
 		if _, body := client.read(); body != "x" {
 			t.Error(body)
--- a/internal/native/httpserver/writer.go
+++ b/internal/native/httpserver/writer.go
@@ -8,16 +8,16 @@
 	"havencart/internal/clientconn"
 )
 
-// Errors of a worker's stream that is not as long as its response said.
+// Errors of a worker's response whose length differs from the one it declared.
 var (
 	errStreamTooLong  = errors.New("worker's response is longer than its declared length")
 	errStreamTooShort = errors.New("worker's response is shorter than its declared length")
 )
 
-// writers keeps buffers for writing: a connection has one only while it sends responses.
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
+// writerPool holds write buffers. A connection takes one only while its writing goroutine is running.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 
-// enqueue adds a request to those in flight, and starts the writing goroutine if need be.
+// enqueue adds a request to the queue, and starts the writing goroutine if it is not running.
 func (c *conn) enqueue(pipelined *pipelinedRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,17 +28,17 @@
 	}
 }
 
-// write is the writing goroutine. Once the client disconnected it cancels what is in flight.
+// write runs the writing goroutine. After the client has disconnected, it cancels the requests in flight.
 func (c *conn) write() {
-	out := writers.Get().(*bufio.Writer)
+	out := writerPool.Get().(*bufio.Writer)
 	out.Reset(c.net)
 	defer func() {
 		out.Reset(nil)
-		writers.Put(out)
+		writerPool.Put(out)
 	}()
 	for {
-		pipelined, isLast := c.nextRequest()
-		if isLast {
+		pipelined, bothEnded := c.nextRequest()
+		if bothEnded {
 			c.close()
 		}
 		if pipelined == nil {
@@ -49,9 +49,9 @@
 	}
 }
 
-// nextRequest returns the request whose response is next. It returns nil if the writing goroutine is to end, and
-// reports then whether the reading one has ended, too.
-func (c *conn) nextRequest() (pipelined *pipelinedRequest, isLast bool) {
+// nextRequest returns the oldest request in flight. If there is none, it returns nil and the writing goroutine must
+// end; bothEnded then reports whether the reading goroutine has also ended.
+func (c *conn) nextRequest() (pipelined *pipelinedRequest, bothEnded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) > 0 {
@@ -61,25 +61,25 @@
 	return nil, !c.reading
 }
 
-// dequeue removes the oldest request, which lets the reading goroutine read another request.
+// dequeue removes the oldest request and frees its slot, so that the reading goroutine may read another request.
 func (c *conn) dequeue() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue[0] = nil
 	c.queue = c.queue[1:]
-	if len(c.queue) == 0 && c.drained != nil {
-		close(c.drained)
-		c.drained = nil
+	if len(c.queue) == 0 && c.queueEmpty != nil {
+		close(c.queueEmpty)
+		c.queueEmpty = nil
 	}
 	<-c.slots
 }
 
-// complete waits for one response and sends it. If the client disconnects before, or the sending fails, it cancels the
-// request.
+// complete waits for the response to a request and sends it. It cancels the request if the client disconnects first or
+// the response cannot be sent.
 func (c *conn) complete(pipelined *pipelinedRequest, out *bufio.Writer) {
 	if pipelined.pending != nil {
-		response, received := pipelined.pending.Wait(c.ctx.Done())
-		if !received {
+		response, ok := pipelined.pending.Wait(c.ctx.Done())
+		if !ok {
 			pipelined.pending.Cancel()
 			return
 		}
@@ -94,26 +94,27 @@
 	}
 }
 
-// isLastResponse reports whether the connection is closed behind the response to the oldest request in flight.
+// isLastResponse reports whether the connection is closed after the response to pipelined, which must be the oldest
+// request in flight.
 func (c *conn) isLastResponse(pipelined *pipelinedRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return pipelined.close || c.draining && len(c.queue) == 1
+	return pipelined.closeAfter || c.draining && len(c.queue) == 1
 }
 
-// send sends one response whole.
-func (c *conn) send(pipelined *pipelinedRequest, out *bufio.Writer, last bool) error {
+// send sends the complete response to a request.
+func (c *conn) send(pipelined *pipelinedRequest, out *bufio.Writer, closeAfter bool) error {
 	switch {
 	case pipelined.response.Outcome != Served:
-		if err := writeProblem(out, pipelined.status, pipelined.response, last); err != nil {
+		if err := writeProblem(out, pipelined.status, pipelined.response, closeAfter); err != nil {
 			return err
 		}
 		return out.Flush()
 	case pipelined.response.Stream != nil:
-		return c.sendStream(pipelined, out, last)
+		return c.sendStream(pipelined, out, closeAfter)
 	}
 	pipelined.response.Length = int64(len(pipelined.response.Body))
-	if err := writeHead(out, pipelined.response, framingLength, last); err != nil {
+	if err := writeHead(out, pipelined.response, framingLength, closeAfter); err != nil {
 		return err
 	}
 	if _, err := out.Write(pipelined.response.Body); err != nil {
@@ -122,21 +123,21 @@
 	return out.Flush()
 }
 
-// sendStream sends a response part by part, each as soon as it is received. An error leaves the response visibly
-// incomplete, as the connection is closed then.
-func (c *conn) sendStream(pipelined *pipelinedRequest, out *bufio.Writer, last bool) error {
-	body := pipelined.framing()
-	if err := writeHead(out, pipelined.response, body, last || body == framingUntilClose); err != nil {
+// sendStream sends a response in parts, each as soon as it is received. After an error the connection is closed, so
+// that the client can tell that the response is incomplete.
+func (c *conn) sendStream(pipelined *pipelinedRequest, out *bufio.Writer, closeAfter bool) error {
+	bodyFraming := pipelined.framing()
+	if err := writeHead(out, pipelined.response, bodyFraming, closeAfter || bodyFraming == framingUntilClose); err != nil {
 		return err
 	}
-	sent, err := c.sendParts(pipelined, out, body)
+	sent, err := c.sendParts(pipelined, out, bodyFraming)
 	if err != nil {
 		return err
 	}
-	if body == framingLength && sent != pipelined.response.Length {
+	if bodyFraming == framingLength && sent != pipelined.response.Length {
 		return errStreamTooShort
 	}
-	if body == framingChunked {
+	if bodyFraming == framingChunked {
 		if _, err := out.WriteString(lastChunk); err != nil {
 			return err
 		}
@@ -144,19 +145,20 @@
 	return out.Flush()
 }
 
-// sendParts sends the parts of a stream, each within the time for writing, and returns how many bytes they had.
-func (c *conn) sendParts(pipelined *pipelinedRequest, out *bufio.Writer, body framing) (sent int64, err error) {
+// sendParts sends the parts of a response's stream, each within the write timeout. It returns the number of bytes in
+// the parts.
+func (c *conn) sendParts(pipelined *pipelinedRequest, out *bufio.Writer, bodyFraming framing) (sent int64, err error) {
 	for {
 		part, err := pipelined.response.Stream.Next(c.ctx, c.server.cfg.StallTimeout)
 		if err != nil || part == nil {
 			return sent, err
 		}
 		sent += int64(len(part))
-		if body == framingLength && sent > pipelined.response.Length {
+		if bodyFraming == framingLength && sent > pipelined.response.Length {
 			return sent, errStreamTooLong
 		}
 		clientconn.SetWriteTimeout(c.net, c.server.cfg.WriteTimeout)
-		if err := writePart(out, part, body); err != nil {
+		if err := writePart(out, part, bodyFraming); err != nil {
 			return sent, err
 		}
 	}
