--- a/internal/native/muxframe/frame.go
+++ b/internal/native/muxframe/frame.go
@@ -1,19 +1,20 @@
-// Package muxframe is the codec of our own protocol between a front end and a worker: length-prefixed frames with a CBOR
-// header (RFC 8949) and a raw body. It does no I/O except on the reader that it is given.
+// Package muxframe encodes and decodes the frames of the native protocol between front ends and workers. A frame is
+// length-prefixed and has a CBOR header (RFC 8949) and a raw body. The package does no I/O except on the io.Reader
+// given to NewReader.
 //
-// A frame is, with all numbers big-endian,
+// A frame consists of these parts, with all integers in big-endian order:
 //
-//	4 bytes  length of what follows
+//	4 bytes  length of the rest of the frame
 //	1 byte   type
-//	4 bytes  stream ID; 0 if the frame belongs to no request or load order
+//	4 bytes  stream ID of the attempt or load order; 0 if the frame belongs to neither
 //	2 bytes  length of the header
 //	         header: one CBOR map with small integers as keys
-//	         body: raw bytes, to the end of the frame
+//	         body: raw bytes up to the end of the frame
 //
-// docs/protocol.md specifies what each frame means and which may follow which.
+// docs/protocol.md specifies the meaning of each frame type and the allowed sequences of frames.
 //
-// The texts of this package's errors, with the names of frame types in them, can reach a client as the reason of a
-// failed request, so they are not changed lightly.
+// The error texts of this package, including the frame type names in them, can reach clients as the reason of a failed
+// request. Avoid changing them.
 package muxframe
 
 import (
@@ -26,22 +27,23 @@
 )
 
 const (
-	prefixSize = 4         // bytes of a frame's length
-	fixedSize  = 1 + 4 + 2 // bytes of type, stream ID and length of the header
-	maxHeader  = 1<<16 - 1 // bytes
+	prefixSize = 4         // size of the frame length in bytes
+	fixedSize  = 1 + 4 + 2 // size of type, stream ID and header length in bytes
+	maxHeader  = 1<<16 - 1 // largest header in bytes; its length is encoded in 2 bytes
 )
 
-// MaxFrame is the largest length that a frame may have, in bytes, without the length itself.
+// MaxFrame is the largest frame in bytes, not counting the length prefix.
 const MaxFrame = 16 << 20
 
-// ErrMalformed is wrapped by every error about bytes that are no frame of this protocol. Nothing behind them can be read.
+// ErrMalformed is wrapped by every error about input that is not a valid frame. After such an error nothing more can be
+// read from the connection.
 var ErrMalformed = errors.New("malformed frame")
 
-// Frame is one frame as read. Header and Body are valid until the next call of Reader.Next.
+// Frame is a frame returned by Reader.Next. Header and Body are valid until the next call of Reader.Next.
 type Frame struct {
 	Type     Type
 	StreamID uint32
-	Header   []byte // CBOR; see Decode
+	Header   []byte // encoded as CBOR; see Decode
 	Body     []byte
 }
 
@@ -50,7 +52,7 @@
 	decoder = mustDecoder()
 )
 
-// mustEncoder returns the encoder of headers. Its encoding is deterministic (RFC 8949, section 4.2.1).
+// mustEncoder returns the encoder of headers, which uses deterministic encoding (RFC 8949, section 4.2.1).
 func mustEncoder() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -59,8 +61,8 @@
 	return mode
 }
 
-// mustDecoder returns the decoder of headers. It rejects what two implementations could understand differently: duplicate
-// keys and indefinite lengths. Unknown keys are ignored, so that a later version may add some.
+// mustDecoder returns the decoder of headers. It rejects encodings that implementations could interpret differently,
+// such as duplicate keys and indefinite lengths. It ignores unknown keys, so that a later version may add keys.
 func mustDecoder() cbor.DecMode {
 	options := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -77,9 +79,9 @@
 	return mode
 }
 
-// Append appends an encoded frame to buffer. The header is one of this package's messages, or nil for none. Append fails,
-// and returns buffer as it was, if the header cannot be encoded, is longer than 65535 bytes, or the frame is longer than
-// MaxFrame.
+// Append appends an encoded frame to buffer. The header is one of the message types of this package, or nil for an
+// empty header. Append returns an error and the unchanged buffer if the header cannot be encoded or is longer than
+// 65535 bytes, or if the frame is longer than MaxFrame.
 func Append(buffer []byte, frameType Type, streamID uint32, header any, body []byte) ([]byte, error) {
 	var encodedHeader []byte
 	if header != nil {
@@ -100,14 +102,15 @@
 	return append(buffer, body...), nil
 }
 
-// Reader reads frames one after another. One goroutine may use it at a time.
+// Reader reads a sequence of frames. It is not safe for concurrent use.
 type Reader struct {
 	source    io.Reader
-	maxLength int    // bytes of a frame, without its length
-	buffer    []byte // the frame read last, without its length
+	maxLength int    // largest frame in bytes, not counting the length prefix
+	buffer    []byte // the most recently read frame, without the length prefix
 }
 
-// NewReader returns a Reader that rejects frames longer than maxLength bytes; 0 stands for MaxFrame.
+// NewReader returns a Reader that rejects frames longer than maxLength bytes. The limit is MaxFrame if maxLength is not
+// between 1 and MaxFrame.
 func NewReader(source io.Reader, maxLength int) *Reader {
 	if maxLength <= 0 || maxLength > MaxFrame {
 		maxLength = MaxFrame
@@ -115,8 +118,8 @@
 	return &Reader{source: source, maxLength: maxLength}
 }
 
-// Next reads one frame. It returns io.EOF if the input ends between frames, io.ErrUnexpectedEOF if it ends within one, and
-// an error that wraps ErrMalformed for bytes that are no frame.
+// Next reads the next frame. It returns io.EOF if the input ends between frames, io.ErrUnexpectedEOF if the input ends
+// within a frame, and an error that wraps ErrMalformed if the input is not a valid frame.
 func (r *Reader) Next() (Frame, error) {
 	var prefix [prefixSize]byte
 	if _, err := io.ReadFull(r.source, prefix[:]); err != nil {
@@ -132,8 +135,8 @@
 	return parse(r.buffer)
 }
 
-// fill reads size bytes into the buffer. It allocates memory in steps as bytes arrive, so that a peer that only sends a
-// large length causes no large allocation.
+// fill reads size bytes into the buffer. It grows the buffer in steps as bytes arrive, so that a peer that announces a
+// large frame without sending it does not cause a large allocation.
 func (r *Reader) fill(size int) error {
 	const step = 64 << 10
 	r.buffer = r.buffer[:0]
@@ -154,7 +157,7 @@
 	return nil
 }
 
-// parse splits a frame without its length, which has at least fixedSize bytes.
+// parse splits a frame into its parts. raw is the frame without the length prefix and has at least fixedSize bytes.
 func parse(raw []byte) (Frame, error) {
 	frame := Frame{Type: Type(raw[0]), StreamID: binary.BigEndian.Uint32(raw[1:])}
 	headerLength := int(binary.BigEndian.Uint16(raw[5:]))
@@ -170,7 +173,7 @@
 	return frame, nil
 }
 
-// Decode decodes the header into message, a pointer to one of this package's messages.
+// Decode decodes the header into message, which points to one of the message types of this package.
 func (f Frame) Decode(message any) error {
 	if err := decoder.Unmarshal(f.Header, message); err != nil {
 		return fmt.Errorf("%w: %v: %w", ErrMalformed, f.Type, err)
--- a/internal/native/muxframe/frame_test.go
+++ b/internal/native/muxframe/frame_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// mustAppend returns an encoded frame.
+// mustAppend returns an encoded frame. It fails the test if the frame cannot be encoded.
 func mustAppend(t testing.TB, frameType Type, streamID uint32, header any, body string) []byte {
 	t.Helper()
 	raw, err := Append(nil, frameType, streamID, header, []byte(body))
@@ -19,7 +19,7 @@
 	return raw
 }
 
-// testRequest returns a request with the fields that most tests need.
+// testRequest returns a header of REQUEST with valid values.
 func testRequest() Request {
 	return Request{
 		Replica: ReplicaSpec{Function: "fare-quote", MemoryMB: 300, Concurrency: 2}, ID: "a-1", Class: "fare",
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestReader_FramesOfAppend_AreReadBack(t *testing.T) {
+func TestReader_FramesEncodedByAppend_AreDecoded(t *testing.T) {
 	queueDepth := 0
 	response := Response{Status: StatusOK, ColdStart: ColdStartTriggered, QueueDepth: &queueDepth, LoadReport: []float64{1, 2.5}}
 	raw := mustAppend(t, TypeRequest, 7, testRequest(), "body")
@@ -54,7 +54,7 @@
 		t.Errorf("frame %+v, error %v", frame, err)
 	}
 	if _, err = r.Next(); err != io.EOF {
-		t.Errorf("error %v at the end", err)
+		t.Errorf("error %v at the end of the input, want io.EOF", err)
 	}
 }
 
@@ -66,7 +66,7 @@
 	badHeader := bytes.Clone(valid)
 	badHeader[9], badHeader[10] = 0xff, 0xff
 	for name, raw := range map[string][]byte{
-		"length over the limit": longLength, "length under a frame": {0, 0, 0, 1, 1},
+		"length above the maximum": longLength, "length below the minimum": {0, 0, 0, 1, 1},
 		"unknown type": badType, "header longer than the frame": badHeader,
 	} {
 		if _, err := NewReader(bytes.NewReader(raw), 1<<20).Next(); !errors.Is(err, ErrMalformed) {
@@ -74,7 +74,7 @@
 		}
 	}
 	if _, err := NewReader(bytes.NewReader(valid[:len(valid)-1]), 0).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("cut short: error %v", err)
+		t.Errorf("truncated frame: error %v", err)
 	}
 }
 
@@ -82,7 +82,7 @@
 	for name, header := range map[string][]byte{
 		"duplicate key":       {0xa2, 0x01, 0x01, 0x01, 0x02},
 		"indefinite length":   {0xbf, 0x01, 0x01, 0xff},
-		"no map":              {0x01},
+		"not a map":           {0x01},
 		"trailing bytes":      {0xa1, 0x01, 0x01, 0x00},
 		"empty":               {},
 		"wrong type of value": {0xa1, 0x01, 0x61, 0x61},
@@ -91,22 +91,23 @@
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	laterVersion := []byte{0xa2, 0x01, 0x01, 0x18, 0x63, 0x01} // key 99 of a later version
+	laterVersion := []byte{0xa2, 0x01, 0x01, 0x18, 0x63, 0x01} // has key 99, which only a later version could define
 	if err := (Frame{Type: TypeLoadResult, Header: laterVersion}).Decode(new(LoadResult)); err != nil {
-		t.Errorf("an unknown key: %v", err)
+		t.Errorf("a header with an unknown key was rejected: %v", err)
 	}
 }
 
 func TestAppend_TooLong_Fails(t *testing.T) {
 	if _, err := Append(nil, TypeRequest, 1, nil, make([]byte, MaxFrame)); err == nil {
-		t.Error("a frame over the limit was encoded")
+		t.Error("a frame longer than MaxFrame was encoded")
 	}
 	if _, err := Append(nil, TypeRequest, 1, Request{ID: strings.Repeat("x", maxHeader)}, nil); err == nil {
-		t.Error("a header over the limit was encoded")
+		t.Error("a header longer than 65535 bytes was encoded")
 	}
 }
 
-// A peer that announces a large frame and sends nothing of it must not cause a large allocation.
+// TestReader_LengthWithoutFrame_AllocatesLittle guards against memory exhaustion by a peer that announces a large frame
+// and does not send it.
 func TestReader_LengthWithoutFrame_AllocatesLittle(t *testing.T) {
 	r := NewReader(bytes.NewReader([]byte{0, 0xf0, 0, 0, 1}), 0)
 	if _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) || cap(r.buffer) > 1<<20 {
@@ -114,7 +115,7 @@
 	}
 }
 
-// FuzzFrames verifies that no input makes the reader panic, and that a message that was decoded can be encoded and decoded
+// FuzzFrames verifies that no input makes Reader panic, and that every decoded message can be encoded and decoded
 // again.
 func FuzzFrames(f *testing.F) {
 	f.Add(mustAppend(f, TypeRequest, 7, testRequest(), "body"))
@@ -143,7 +144,7 @@
 			decoded, err := NewReader(bytes.NewReader(encoded), 0).Next()
 			copied := reflect.New(reflect.TypeOf(message).Elem()).Interface()
 			if err != nil || decoded.Decode(copied) != nil {
-				t.Fatalf("what was decoded does not encode: %+v, %v", message, err)
+				t.Fatalf("re-encoded message %+v cannot be decoded: %v", message, err)
 			}
 		}
 	})
--- a/internal/native/muxframe/type.go
+++ b/internal/native/muxframe/type.go
@@ -1,35 +1,35 @@
 package muxframe
 
-// Version is the protocol version that this code implements. A worker rejects a front end of another version.
+// Version is the protocol version that this package implements. A worker rejects a front end with another version.
 const Version = 1
 
-// Type tells what a frame carries.
+// Type is the type of a frame.
 type Type uint8
 
-// The types of frames. A front end sends HELLO, REQUEST, CREDIT, CANCEL, LOAD_ORDER, UNLOAD and HEALTH_CHECK, a worker
-// WELCOME, RESPONSE, DATA, END, LOAD_RESULT and HEALTH_REPORT, and both PING and PONG.
+// The frame types. Front ends send HELLO, REQUEST, CREDIT, CANCEL, LOAD_ORDER, UNLOAD and HEALTH_CHECK. Workers send
+// WELCOME, RESPONSE, DATA, END, LOAD_RESULT and HEALTH_REPORT. Both send PING and PONG.
 const (
-	TypeHello        Type = iota + 1 // opens a connection
-	TypeWelcome                      // responds to HELLO
-	TypeRequest                      // one attempt of a request; the body is the request's
-	TypeResponse                     // ends an attempt, or starts its response; the body is all or the first part of the response's
-	TypeData                         // the next part of a response that has started
-	TypeEnd                          // ends a response that has started, complete or not
-	TypeCredit                       // allows so many more bytes of a response
-	TypeCancel                       // nobody waits for an attempt any longer
-	TypeLoadOrder                    // load so many replicas of a function, or none: a residency query
-	TypeLoadResult                   // responds to LOAD_ORDER
-	TypeUnload                       // unload idle replicas
-	TypeHealthCheck                  // asks for a load report
-	TypeHealthReport                 // responds to HEALTH_CHECK
-	TypePing                         // asks for a PONG
-	TypePong                         // responds to PING
+	TypeHello        Type = iota + 1 // HELLO opens a connection.
+	TypeWelcome                      // WELCOME is the response to HELLO.
+	TypeRequest                      // REQUEST carries one attempt; its body is the body of the request.
+	TypeResponse                     // RESPONSE carries a response, or starts one with the first part of its body.
+	TypeData                         // DATA carries the next part of a response that has started.
+	TypeEnd                          // END ends a response that has started, whether complete or not.
+	TypeCredit                       // CREDIT allows the worker to send further bytes of a response.
+	TypeCancel                       // CANCEL tells the worker that the front end no longer waits for an attempt.
+	TypeLoadOrder                    // LOAD_ORDER is a load order or, with 0 replicas, a residency query.
+	TypeLoadResult                   // LOAD_RESULT is the response to LOAD_ORDER.
+	TypeUnload                       // UNLOAD asks the worker to unload the idle replicas of a function.
+	TypeHealthCheck                  // HEALTH_CHECK asks for a load report.
+	TypeHealthReport                 // HEALTH_REPORT is the response to HEALTH_CHECK.
+	TypePing                         // PING asks for a PONG.
+	TypePong                         // PONG is the response to PING.
 
-	typeLimit // one more than the last
+	typeLimit // one more than the largest type
 )
 
-// typeNames are the names of types in error texts. Clients may have seen them in the details of failed requests, so they
-// are not changed; docs/protocol.md has both these and the names that the constants follow.
+// typeNames holds the names of the frame types in error texts. They differ from the names of the constants and must not
+// change, because clients may have seen them in the details of failed requests. docs/protocol.md lists both names.
 var typeNames = [...]string{
 	TypeHello:        "hello",
 	TypeWelcome:      "welcome",
@@ -48,7 +48,7 @@
 	TypePong:         "pong",
 }
 
-// String returns the name of a type in error texts.
+// String returns the name of the type in error texts.
 func (t Type) String() string {
 	if t.isKnown() {
 		return typeNames[t]
@@ -56,5 +56,5 @@
 	return "unknown"
 }
 
-// isKnown tells whether this version of the protocol has a type.
+// isKnown reports whether this version of the protocol defines the type.
 func (t Type) isKnown() bool { return t > 0 && t < typeLimit }
