--- a/internal/native/muxclient/client.go
+++ b/internal/native/muxclient/client.go
@@ -13,11 +13,11 @@
 	"havencart/scheduler"
 )
 
-// controlFrame is a frame that belongs neither to an attempt that waits nor to a load order.
+// controlFrame is a queued frame that carries neither an attempt nor a load order, such as a cancellation or a ping.
 type controlFrame struct {
-	kind     muxframe.Type
-	streamID uint32
-	header   any // a message of muxframe, nil for none
+	frameType muxframe.Type
+	streamID  uint32
+	header    any // a message type of muxframe, or nil for an empty header
 }
 
 type (
@@ -25,54 +25,55 @@
 	writeBatch = workerconn.WriteBatch[controlFrame]
 )
 
-// Client sends attempts and load orders to one worker. Its methods may be called from any goroutine and never block on
-// the network; how attempts and orders end is reported by Events. A goroutine keeps the connection until Stop is
-// called.
+// Client sends attempts and load orders to one worker. Its methods are safe for concurrent use and never block on the
+// network. The results of attempts and load orders are reported through Events. A goroutine of the Client connects to
+// the worker, and reconnects after a failure, until Stop is called.
 type Client struct {
-	cfg             Config
-	events          Events
-	cancel          context.CancelFunc
-	done            chan struct{}
-	writeWake       workerconn.Signal // something waits to be written to the connection
-	connectionWaits workerconn.Signal // something waits for a connection
-
-	mu           sync.Mutex // guards what follows
+	cfg           Config
+	events        Events
+	cancel        context.CancelFunc
+	done          chan struct{}
+	writeSignal   workerconn.Signal // notified when there is something to write to the connection
+	connectSignal workerconn.Signal // notified when there is something to send and no connection
+
+	mu           sync.Mutex // guards the fields below
 	queue        workerconn.SendQueue[controlFrame]
-	started      map[*workerconn.Attempt]*workerconn.Result // responses that have started and not ended, as they started
-	healthChecks []*workerconn.HealthCheck                  // that were sent or queued and have no response, oldest first
-	lastStreamID uint32                                     // given last
-	conn         net.Conn                                   // nil while there is none
-	keepalive    *reconnect.Keepalive                       // of conn
-	draining     bool                                       // the worker drains: no new work is sent
-	closed       bool                                       // the client was stopped
+	started      map[*workerconn.Attempt]*workerconn.Result // results of responses that have started and not ended
+	healthChecks []*workerconn.HealthCheck                  // checks without a response, sent or queued, oldest first
+	lastStreamID uint32                                     // most recently issued stream ID
+	conn         net.Conn                                   // nil while there is no connection
+	keepalive    *reconnect.Keepalive                       // keepalive state of conn
+	draining     bool                                       // Drain was called: no new work is sent
+	closed       bool                                       // the client was stopped: nothing more is queued
 	writeLimit   workerconn.WriteLimit
 }
 
-// New returns a Client and starts the goroutine that keeps its connection. The caller ends it by Stop.
+// New returns a Client and starts the goroutine that maintains its connection. The caller must call Stop to end it.
 func New(cfg Config, events Events) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{
-		cfg:             cfg,
-		events:          events,
-		cancel:          cancel,
-		done:            make(chan struct{}),
-		writeWake:       workerconn.NewSignal(),
-		connectionWaits: workerconn.NewSignal(),
-		queue:           workerconn.NewSendQueue[controlFrame](),
-		started:         map[*workerconn.Attempt]*workerconn.Result{},
+		cfg:           cfg,
+		events:        events,
+		cancel:        cancel,
+		done:          make(chan struct{}),
+		writeSignal:   workerconn.NewSignal(),
+		connectSignal: workerconn.NewSignal(),
+		queue:         workerconn.NewSendQueue[controlFrame](),
+		started:       map[*workerconn.Attempt]*workerconn.Result{},
 	}
 	go c.run(ctx)
 	return c
 }
 
-// Stop ends the client. What is unfinished ends as on a broken connection.
+// Stop stops the client. Attempts, load orders and health checks without a result end as if the connection had broken.
 func (c *Client) Stop() { c.cancel() }
 
-// Done returns a channel that is closed after Stop, when all goroutines have ended and all ends were reported.
+// Done returns a channel that is closed after Stop, when all goroutines of the client have ended and all results have
+// been reported.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Send queues an attempt and returns nil; Events reports how it ends. If the attempt cannot be queued, Send returns its
-// result at once.
+// Send queues an attempt and returns nil; its result is reported through Events. If the attempt cannot be queued, Send
+// returns its result instead.
 func (c *Client) Send(attempt *workerconn.Attempt) *workerconn.Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,28 +81,28 @@
 	case c.draining:
 		attempt.Reject()
 		return &workerconn.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
-	case c.isFull():
+	case c.isClosedOrFull():
 		attempt.Reject()
 		return &workerconn.Result{Status: scheduler.ConnectFailed, Reason: "the link's queue is full or closed", QueueDepth: -1}
 	}
-	c.queue.PushAttempt(c.nextNumber(), attempt)
-	c.wakeUp()
+	c.queue.PushAttempt(c.nextStreamID(), attempt)
+	c.notifyWork()
 	return nil
 }
 
-// isFull tells whether nothing more may be queued. The lock is held.
-func (c *Client) isFull() bool { return c.closed || c.queue.Queued() >= c.cfg.MaxQueue }
+// isClosedOrFull reports whether no further attempts and load orders may be queued. The caller must hold the lock.
+func (c *Client) isClosedOrFull() bool { return c.closed || c.queue.Queued() >= c.cfg.MaxQueue }
 
-// CancelUnsent removes an attempt that is still queued; its end is then not reported. It returns false if the attempt is
-// not queued.
+// CancelUnsent removes an attempt that is still queued and returns true; its result is then not reported. It returns
+// false if the attempt is not queued.
 func (c *Client) CancelUnsent(attempt *workerconn.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queue.CancelUnsent(attempt)
 }
 
-// Abandon gives an attempt up: its end is not reported after this, unless it already was. It returns whether the worker
-// may have seen the attempt; if the attempt was unfinished, the worker is then told to cancel it.
+// Abandon ends an attempt without reporting its result, unless the result has already been reported. It returns whether
+// the worker may have seen the attempt. If the attempt was in flight, the worker is told to cancel it.
 func (c *Client) Abandon(attempt *workerconn.Attempt) (mayHaveBeenSent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,12 +114,12 @@
 		delete(c.started, attempt)
 		response.Response.Stream.End(fmt.Errorf("%w: abandoned by the front end", workerconn.ErrIncomplete))
 	}
-	c.push(controlFrame{kind: muxframe.TypeCancel, streamID: uint32(attempt.Number())})
+	c.push(controlFrame{frameType: muxframe.TypeCancel, streamID: uint32(attempt.Number())})
 	return mayHaveBeenSent
 }
 
-// Load queues a load order and returns 0; Events reports the response. If the order cannot be queued, Load returns its
-// status at once.
+// Load queues a load order and returns 0; its result is reported through Events. If the order cannot be queued, Load
+// returns its status instead.
 func (c *Client) Load(order *workerconn.LoadOrder) scheduler.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,43 +127,45 @@
 	case c.draining && order.Load.Replicas > 0:
 		order.Reject()
 		return scheduler.Overloaded
-	case c.isFull():
+	case c.isClosedOrFull():
 		order.Reject()
 		return scheduler.ConnectFailed
 	}
-	c.queue.PushLoad(c.nextNumber(), order)
-	c.wakeUp()
+	c.queue.PushLoad(c.nextStreamID(), order)
+	c.notifyWork()
 	return 0
 }
 
-// AbandonLoad gives a load order up: its response is not reported after this.
+// AbandonLoad ends a load order without reporting its result.
 func (c *Client) AbandonLoad(order *workerconn.LoadOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue.AbandonLoad(order)
 }
 
-// Unload asks the worker to unload the idle replicas of a function. Whether it does is not reported.
+// Unload asks the worker to unload the idle replicas of a function. The worker does not respond to it.
 func (c *Client) Unload(function string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.push(controlFrame{kind: muxframe.TypeUnload, header: muxframe.Unload{Function: function}})
+	c.push(controlFrame{frameType: muxframe.TypeUnload, header: muxframe.Unload{Function: function}})
 }
 
-// CheckHealth asks the worker for a load report and returns 0; Events reports the response.
+// CheckHealth queues a health check and returns 0; the response is reported through Events.
 func (c *Client) CheckHealth(check *workerconn.HealthCheck) scheduler.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.healthChecks = append(c.healthChecks, check)
-	c.push(controlFrame{kind: muxframe.TypeHealthCheck})
+	c.push(controlFrame{frameType: muxframe.TypeHealthCheck})
 	return 0
 }
 
-// AbandonHealthCheck does nothing: responses are in the order of the checks, and a late one is reported all the same.
+// AbandonHealthCheck does nothing. Health reports have no stream ID and are matched to the checks in their order, so a
+// late response must still be received and reported.
 func (c *Client) AbandonHealthCheck(*workerconn.HealthCheck) {}
 
-// Drain removes and returns the new work that was not sent, which was never executed, and refuses more until Resume. What
-// is being written has until the grace period is over. What was sent goes on.
+// Drain removes and returns the attempts and load orders that were not sent, which were therefore never executed, and
+// rejects new ones until Resume is called. A write in progress may take until the end of the grace period. Attempts and
+// load orders that were sent are not affected, and neither are residency queries.
 func (c *Client) Drain(grace time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,22 +176,22 @@
 	return c.queue.RemoveNewWork()
 }
 
-// Resume accepts new work again after Drain.
+// Resume makes the client accept new attempts and load orders again after Drain.
 func (c *Client) Resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining = false
 }
 
-// Busy tells whether attempts or load orders are unfinished, or anything is queued.
+// Busy reports whether any attempt or load order has no result yet, or any frame is queued.
 func (c *Client) Busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queue.Queued()+c.queue.Unfinished() > 0
 }
 
-// nextNumber returns the next stream ID, which is never 0. The lock is held.
-func (c *Client) nextNumber() uint64 {
+// nextStreamID returns a new stream ID, which is never 0. The caller must hold the lock.
+func (c *Client) nextStreamID() uint64 {
 	c.lastStreamID++
 	if c.lastStreamID == 0 {
 		c.lastStreamID++
@@ -196,17 +199,18 @@
 	return uint64(c.lastStreamID)
 }
 
-// push queues a control frame. The lock is held.
+// push queues a control frame. The caller must hold the lock.
 func (c *Client) push(frame controlFrame) {
 	c.queue.Push(frame)
-	c.wakeUp()
+	c.notifyWork()
 }
 
-// wakeUp wakes up the goroutine that writes or, without a connection, the one that connects. The lock is held.
-func (c *Client) wakeUp() {
+// notifyWork wakes up the goroutine that writes to the connection or, if there is no connection, the goroutine that
+// connects. The caller must hold the lock.
+func (c *Client) notifyWork() {
 	if c.conn == nil {
-		c.connectionWaits.Notify()
+		c.connectSignal.Notify()
 	} else {
-		c.writeWake.Notify()
+		c.writeSignal.Notify()
 	}
 }
--- a/internal/native/muxclient/client_test.go
+++ b/internal/native/muxclient/client_test.go
@@ -20,7 +20,7 @@
 	first, _ := worker.readRequest()
 	second, request := worker.readRequest()
 	if request.ID != "b" || request.TimeoutMillis < 1000 {
-		t.Errorf("request %+v", request)
+		t.Errorf("request %+v, want ID b and a timeout of at least 1000 ms", request)
 	}
 	queueDepth := 3
 	worker.write(muxframe.TypeResponse, second, muxframe.Response{Status: muxframe.StatusOK, QueueDepth: &queueDepth, RunMillis: 12.5}, "out")
@@ -39,11 +39,11 @@
 	client, _ := newTestClient(t, worker, func(c *Config) { c.MaxQueue = 2 })
 	for i := range 2 {
 		if r := client.Send(newAttempt(fmt.Sprint(i))); r != nil {
-			t.Fatalf("%+v", r)
+			t.Fatalf("an attempt was rejected although the queue is not full: %+v", r)
 		}
 	}
 	if r := client.Send(newAttempt("third")); r == nil || r.Status != scheduler.ConnectFailed {
-		t.Errorf("%+v", r)
+		t.Errorf("an attempt with a full queue: %+v, want ConnectFailed", r)
 	}
 }
 
@@ -54,21 +54,21 @@
 	client.Load(&workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 1}})
 	f := worker.readFrame()
 	worker.write(muxframe.TypeLoadResult, f.StreamID, muxframe.LoadResult{Status: muxframe.StatusOK, Replicas: 1}, "")
-	if s := await(t, "the load order's end", recorder.loadEnds); s != scheduler.OK {
-		t.Errorf("%v", s)
+	if s := await(t, "the result of the load order", recorder.loadEnds); s != scheduler.OK {
+		t.Errorf("load order: status %v, want OK", s)
 	}
 	client.CheckHealth(&workerconn.HealthCheck{})
 	for worker.readFrame().Type != muxframe.TypeHealthCheck {
-		continue // pings may come before it
+		continue // pings may be received before it
 	}
 	worker.write(muxframe.TypeHealthReport, 0, muxframe.HealthReport{Status: muxframe.StatusOK}, "")
-	if s := await(t, "the health check's end", recorder.healthChecks); s != scheduler.OK {
-		t.Errorf("%v", s)
+	if s := await(t, "the result of the health check", recorder.healthChecks); s != scheduler.OK {
+		t.Errorf("health check: status %v, want OK", s)
 	}
 	client.CheckHealth(&workerconn.HealthCheck{})
 	worker.reset()
-	if s := await(t, "the health check's end", recorder.healthChecks); s != scheduler.ConnectFailed {
-		t.Errorf("%v", s)
+	if s := await(t, "the result of the health check", recorder.healthChecks); s != scheduler.ConnectFailed {
+		t.Errorf("health check on a broken connection: status %v, want ConnectFailed", s)
 	}
 }
 
@@ -82,7 +82,7 @@
 	client.Load(&workerconn.LoadOrder{Load: muxframe.LoadOrder{Replicas: 0}})
 	attempts, orders := client.Drain(time.Second)
 	if len(attempts) != 2 || attempts[0] != a || len(orders) != 1 {
-		t.Fatalf("removed: %d attempts, %d load orders", len(attempts), len(orders))
+		t.Fatalf("Drain removed %d attempts and %d load orders, want 2 and 1", len(attempts), len(orders))
 	}
 	if r := client.Send(newAttempt("c")); r == nil || r.Status != scheduler.NotSent {
 		t.Errorf("an attempt while draining: %+v", r)
@@ -92,19 +92,20 @@
 	}
 	worker.acceptAndWelcome(1)
 	if f := worker.readFrame(); f.Type != muxframe.TypeLoadOrder {
-		t.Errorf("%v was sent, only the residency query may be", f.Type)
+		t.Errorf("the worker received %v, want the residency query", f.Type)
 	}
 	if len(recorder.attemptEnds) != 0 {
-		t.Error("the end of a removed attempt was reported")
+		t.Error("the result of a removed attempt was reported")
 	}
 	client.Resume()
 	client.Send(newAttempt("d"))
-	if _, c := worker.readRequest(); c.ID != "d" {
-		t.Errorf("request %q was sent", c.ID)
+	if _, request := worker.readRequest(); request.ID != "d" {
+		t.Errorf("the worker received request %q, want \"d\"", request.ID)
 	}
 }
 
-// A request that is half written while its worker drains is not completed after the grace period.
+// TestDrain_BlockedWrite_EndsWithGracePeriod verifies that a request that is partly written when its worker starts to
+// drain is not completed after the grace period.
 func TestDrain_BlockedWrite_EndsWithGracePeriod(t *testing.T) {
 	worker := startFakeWorker(t)
 	client, recorder := newTestClient(t, worker, nil)
@@ -115,12 +116,12 @@
 	client.Send(big)
 	_, _ = io.ReadFull(worker.conn, make([]byte, 100))
 	client.Drain(10 * time.Millisecond)
-	if r := await(t, "the end", recorder.attemptEnds); r.Status != scheduler.ConnectFailed {
-		t.Errorf("%+v", r)
+	if r := await(t, "the result of the attempt", recorder.attemptEnds); r.Status != scheduler.ConnectFailed {
+		t.Errorf("result %+v, want ConnectFailed", r)
 	}
 	got, _ := io.Copy(io.Discard, worker.conn)
 	if got > 15<<20 {
-		t.Errorf("%d bytes were received: the whole request", got)
+		t.Errorf("the worker received %d further bytes, which is the whole request", got)
 	}
 }
 
@@ -130,45 +131,46 @@
 	a := newAttempt("a")
 	client.Send(a)
 	if client.Abandon(a) {
-		t.Error("an attempt without a connection may have been sent")
+		t.Error("an attempt queued without a connection was reported as possibly sent")
 	}
 	worker.acceptAndWelcome(1)
 	await(t, "the connection", recorder.connects)
 	b := newAttempt("b")
 	client.Send(b)
-	n, c := worker.readRequest()
-	if c.ID != "b" {
-		t.Fatalf("request %q was sent", c.ID)
+	streamID, request := worker.readRequest()
+	if request.ID != "b" {
+		t.Fatalf("the worker received request %q, want \"b\"", request.ID)
 	}
 	if !client.Abandon(b) {
-		t.Error("an attempt that was received was not sent")
+		t.Error("an attempt that the worker received was reported as not sent")
 	}
-	if f := worker.readFrame(); f.Type != muxframe.TypeCancel || f.StreamID != n {
-		t.Errorf("the worker received %v %d", f.Type, f.StreamID)
+	if f := worker.readFrame(); f.Type != muxframe.TypeCancel || f.StreamID != streamID {
+		t.Errorf("the worker received %v for stream ID %d, want cancel for %d", f.Type, f.StreamID, streamID)
 	}
-	worker.write(muxframe.TypeResponse, n, muxframe.Response{Status: muxframe.StatusOK}, "late")
-	if got := await(t, "a late response", recorder.lateResponses); got != n {
-		t.Errorf("late response to %d", got)
+	worker.write(muxframe.TypeResponse, streamID, muxframe.Response{Status: muxframe.StatusOK}, "late")
+	if got := await(t, "a late response", recorder.lateResponses); got != streamID {
+		t.Errorf("late response to stream ID %d, want %d", got, streamID)
 	}
 	if len(recorder.attemptEnds) != 0 {
-		t.Error("the end of an abandoned attempt was reported")
+		t.Error("the result of an abandoned attempt was reported")
 	}
 }
 
-// The owner hears of the end of an attempt late, behind other events, and may abandon the attempt in between. A request that
-// was executed must not be taken for one that was never sent.
+// TestAbandon_EndedAttempt_ReportsWhetherItMayHaveBeenSent guards against taking an executed request for one that was
+// never sent. The event loop handles the result of an attempt after the events before it, and may abandon the attempt
+// before it handles the result.
 func TestAbandon_EndedAttempt_ReportsWhetherItMayHaveBeenSent(t *testing.T) {
 	worker := startFakeWorker(t)
 	client, recorder := newTestClient(t, worker, nil)
 	worker.acceptAndWelcome(1)
 	await(t, "the connection", recorder.connects)
-	answered := newAttempt("answered")
-	client.Send(answered)
-	n, _ := worker.readRequest()
-	worker.write(muxframe.TypeResponse, n, muxframe.Response{Status: muxframe.StatusOK}, "done")
+	completed := newAttempt("completed")
+	client.Send(completed)
+	streamID, _ := worker.readRequest()
+	worker.write(muxframe.TypeResponse, streamID, muxframe.Response{Status: muxframe.StatusOK}, "done")
 	await(t, "the response", recorder.attemptEnds)
-	if !client.Abandon(answered) {
-		t.Error("an attempt with a response was never sent")
+	if !client.Abandon(completed) {
+		t.Error("an attempt with a response was reported as not sent")
 	}
 	broken := newAttempt("broken")
 	client.Send(broken)
@@ -176,12 +178,12 @@
 	worker.reset()
 	await(t, "the disconnect", recorder.attemptEnds)
 	if !client.Abandon(broken) {
-		t.Error("an attempt whose connection broke was never sent")
+		t.Error("an attempt that was sent before the connection broke was reported as not sent")
 	}
 	client.Drain(time.Second)
 	drained := newAttempt("drained")
 	client.Send(drained)
 	if client.Abandon(drained) {
-		t.Error("a rejected attempt may have been sent")
+		t.Error("a rejected attempt was reported as possibly sent")
 	}
 }
--- a/internal/native/muxclient/config.go
+++ b/internal/native/muxclient/config.go
@@ -1,22 +1,25 @@
-// Package muxclient is the client of one worker that speaks our own protocol (internal/native/muxframe). It keeps one
-// multiplexed connection to the worker, makes it again when it breaks, writes what the front end sends, and reports how
-// each attempt and load order ended. It knows of every attempt whether the worker may have seen it; the guarantee that a
-// non-idempotent request takes effect at most once depends on that.
+// Package muxclient implements the client of one worker that uses the native protocol (internal/native/muxframe). It
+// maintains one multiplexed connection to the worker, reconnects when the connection breaks, sends the attempts and
+// load orders of the front end, and reports their results. For every attempt it tracks whether the worker may have seen
+// it; the guarantee that a non-idempotent request takes effect at most once depends on that.
 //
-// The status of an attempt that ended, and why:
+// Status of an attempt by the event that ended it:
 //
-//	event                                                              status              why
-//	the connection cannot be made, or not in time                      ConnectFailed       the frame was never sent
-//	the connection breaks before the frame was written whole           ConnectFailed       a worker acts on whole frames only
-//	removed from the send queue: the worker drains, request cancelled  NotSent             the frame was never sent
-//	the connection breaks after the frame was written whole            Reset               it may have executed
-//	request cancelled, or its timeout expired, after it was sent       Cancelled, Timeout  it may have executed, or still be executing
-//	the worker responds                                                as the worker says
+//	event                                                     status              reason
+//	connecting failed or timed out                            ConnectFailed       the frame was never sent
+//	connection broke before the frame was completely written  ConnectFailed       a worker ignores incomplete frames
+//	removed from the send queue because the worker drains     NotSent             the frame was never sent
+//	or the request was cancelled
+//	connection broke after the frame was completely written   Reset               the attempt may have executed
+//	request cancelled or timed out after the frame was sent   Cancelled, Timeout  the attempt may have executed or
+//	                                                                              may still be executing
+//	the worker responded                                      as reported by the worker
 //
-// Written means that the bytes were handed to the operating system: from then on they may reach the worker at any time.
+// A frame counts as written when all its bytes were handed to the operating system. From then on it may reach the
+// worker at any time.
 //
-// Reasons of results and the errors behind them can reach a client, as the detail of a failed request, so their texts are
-// not changed lightly.
+// Reasons of results and the errors that they are made from can reach clients as the detail of a failed request. Avoid
+// changing their texts.
 package muxclient
 
 import (
@@ -26,23 +29,23 @@
 	"havencart/internal/workerconn"
 )
 
-// Events receives what happens on the connection to one worker, as described at workerconn.Events.
+// Events receives the events of the connection to one worker. Its methods are called as described at workerconn.Events.
 type Events interface {
 	workerconn.Events
-	// Connected reports that there is a connection, with what the worker told of itself.
+	// Connected reports that a connection was established. w is the worker's message of the handshake.
 	Connected(w muxframe.Welcome)
 }
 
-// Config is the configuration of a Client. All fields are required unless they say otherwise.
+// Config is the configuration of a Client. All fields are required unless their comments say otherwise.
 type Config struct {
-	Worker         string // name in the list of workers; the worker must respond with it
-	Address        string // host:port
-	FrontEnd       string // name of this front end, for the worker's records
-	ConnectTimeout time.Duration
+	Worker         string               // name in the endpoint list; the worker must report the same name
+	Address        string               // host:port of the worker
+	FrontEnd       string               // name of this front end, for the worker's log records
+	ConnectTimeout time.Duration        // timeout for connecting, including the handshake
 	Window         int                  // flow control window of one response in bytes, at least 1
-	MaxFrame       int                  // longest frame that is accepted, in bytes; 0 for the protocol's bound
-	MaxQueue       int                  // frames that may wait to be written before attempts and load orders are rejected
-	Seed           uint64               // of the random spread of the reconnect backoff
+	MaxFrame       int                  // largest frame accepted from the worker, in bytes; 0 for muxframe.MaxFrame
+	MaxQueue       int                  // number of queued frames at which attempts and load orders are rejected
+	Seed           uint64               // random seed for the jitter of the reconnect backoff
 	Now            func() time.Duration // monotonic clock
-	Guard          *workerconn.Guard    // shared with the event loop; nil: nothing is held back
+	Guard          *workerconn.Guard    // shared with the event loop; nil to send without restrictions
 }
--- a/internal/native/muxclient/connection.go
+++ b/internal/native/muxclient/connection.go
@@ -14,13 +14,14 @@
 	"havencart/scheduler"
 )
 
-// readBufferSize is in bytes.
+// readBufferSize is the size in bytes of a connection's read buffer.
 const readBufferSize = 32 << 10
 
-// errStopped is why the connection of a client that was stopped ended.
+// errStopped is the reason of results that end because the client was stopped.
 var errStopped = errors.New("link closed")
 
-// run makes the connection and serves it, again and again until ctx is done. It is the client's goroutine.
+// run connects to the worker and serves the connection, and reconnects when the connection ends, until ctx is done. It
+// runs in the client's goroutine.
 func (c *Client) run(ctx context.Context) {
 	defer close(c.done)
 	backoff := reconnect.NewBackoff(c.cfg.Seed)
@@ -29,26 +30,26 @@
 		backoff.Failed(c.cfg.Now())
 		if ctx.Err() != nil {
 			err = errStopped
-			c.refuseNewWork()
+			c.rejectNewWork()
 		}
 		c.endUnfinished(err)
 		if ctx.Err() != nil || !c.awaitReconnect(ctx, backoff) {
-			c.refuseNewWork()
-			c.endUnfinished(errStopped) // what was queued meanwhile
+			c.rejectNewWork()
+			c.endUnfinished(errStopped) // ends what was queued since the previous call
 			return
 		}
 	}
 }
 
-// refuseNewWork has all further attempts and load orders rejected.
-func (c *Client) refuseNewWork() {
+// rejectNewWork makes the client reject all further attempts and load orders.
+func (c *Client) rejectNewWork() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 }
 
-// awaitReconnect waits until the next connection is due, which is sooner if something waits for it. It returns false once
-// ctx is done.
+// awaitReconnect waits until the next connection attempt is due. The wait is shortened when something is queued. It
+// returns false when ctx is done.
 func (c *Client) awaitReconnect(ctx context.Context, backoff *reconnect.Backoff) bool {
 	for {
 		wait := backoff.NextDial() - c.cfg.Now()
@@ -60,7 +61,7 @@
 		case <-ctx.Done():
 			timer.Stop()
 			return false
-		case <-c.connectionWaits:
+		case <-c.connectSignal:
 			backoff.Requested()
 		case <-timer.C:
 		}
@@ -68,7 +69,8 @@
 	}
 }
 
-// connectAndServe makes one connection and serves it until it breaks or ctx is done. It returns why it ended.
+// connectAndServe connects to the worker and serves the connection until it breaks or ctx is done. It returns the
+// reason why the connection ended or could not be established.
 func (c *Client) connectAndServe(ctx context.Context, backoff *reconnect.Backoff) error {
 	session, err := c.connect(ctx)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return err
 }
 
-// connected records that there is a connection.
+// connected records the connection and starts its keepalive.
 func (c *Client) connected(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,21 +94,22 @@
 	c.keepalive = reconnect.NewKeepalive(c.cfg.Now())
 }
 
-// disconnected records that there is none.
+// disconnected records that there is no connection.
 func (c *Client) disconnected() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn = nil
 }
 
-// session is a connection after the handshake.
+// session is a connection that has completed the handshake.
 type session struct {
 	conn    net.Conn
 	reader  *muxframe.Reader
 	welcome muxframe.Welcome
 }
 
-// connect dials and performs the handshake, all within ConnectTimeout. The caller closes the session's connection.
+// connect dials the worker and performs the handshake, both within ConnectTimeout. The caller must close the connection
+// of the session.
 func (c *Client) connect(ctx context.Context) (session, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, c.cfg.ConnectTimeout)
 	defer cancel()
@@ -126,7 +129,7 @@
 	return session{conn: conn, reader: reader, welcome: welcome}, nil
 }
 
-// handshake writes HELLO and reads the worker's WELCOME.
+// handshake sends HELLO and reads and checks the worker's WELCOME.
 func (c *Client) handshake(conn net.Conn) (*muxframe.Reader, muxframe.Welcome, error) {
 	var welcome muxframe.Welcome
 	hello := muxframe.Hello{Version: muxframe.Version, FrontEnd: c.cfg.FrontEnd}
@@ -151,7 +154,8 @@
 	return reader, welcome, c.checkWelcome(welcome)
 }
 
-// checkWelcome returns an error if the worker refused the connection, or is not the one that is expected.
+// checkWelcome returns an error if the worker rejected the connection, uses another protocol version or has another
+// name than expected.
 func (c *Client) checkWelcome(welcome muxframe.Welcome) error {
 	switch {
 	case welcome.Rejection != "":
@@ -164,12 +168,12 @@
 	return nil
 }
 
-// endUnfinished ends all that was in flight on a connection that broke, or waited for one that cannot be made, and
-// reports that there is no connection.
+// endUnfinished ends everything that is queued or in flight after the connection broke or could not be established. It
+// reports the results, and that there is no connection.
 func (c *Client) endUnfinished(reason error) {
 	c.mu.Lock()
 	unsent := c.queue.RemoveQueued()
-	lost := c.queue.RemoveInFlight()
+	inFlight := c.queue.RemoveInFlight()
 	started := c.started
 	c.started = map[*workerconn.Attempt]*workerconn.Result{}
 	healthChecks := c.healthChecks
@@ -179,7 +183,7 @@
 		response.Response.Stream.End(fmt.Errorf("%w: %w", workerconn.ErrIncomplete, reason))
 	}
 	workerconn.NotifyEnded(c.events, unsent, scheduler.ConnectFailed, scheduler.ConnectFailed, reason.Error())
-	workerconn.NotifyEnded(c.events, lost, scheduler.Reset, scheduler.Reset, reason.Error())
+	workerconn.NotifyEnded(c.events, inFlight, scheduler.Reset, scheduler.Reset, reason.Error())
 	for _, check := range healthChecks {
 		c.events.HealthChecked(check, scheduler.ConnectFailed, nil)
 	}
--- a/internal/native/muxclient/connection_read.go
+++ b/internal/native/muxclient/connection_read.go
@@ -7,12 +7,12 @@
 	"havencart/internal/workerconn"
 )
 
-// read handles frames until the connection breaks.
+// read reads and handles frames until the connection breaks or a frame is invalid. It returns the error.
 func (c *Client) read(reader *muxframe.Reader) error {
 	for {
 		frame, err := reader.Next()
 		if err == nil {
-			c.noteReceived()
+			c.recordReceived()
 			err = c.handle(frame)
 		}
 		if err != nil {
@@ -21,14 +21,14 @@
 	}
 }
 
-// noteReceived tells the keepalive that a frame was received.
-func (c *Client) noteReceived() {
+// recordReceived records in the keepalive that a frame was received.
+func (c *Client) recordReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keepalive.Received(c.cfg.Now())
 }
 
-// handle processes one frame. An error ends the connection.
+// handle processes one frame. If it returns an error, the connection is closed.
 func (c *Client) handle(frame muxframe.Frame) error {
 	switch frame.Type {
 	case muxframe.TypeResponse:
@@ -44,7 +44,7 @@
 	case muxframe.TypePing:
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.push(controlFrame{kind: muxframe.TypePong})
+		c.push(controlFrame{frameType: muxframe.TypePong})
 		return nil
 	case muxframe.TypePong:
 		return nil
@@ -52,7 +52,8 @@
 	return fmt.Errorf("%w: %v from a worker", muxframe.ErrMalformed, frame.Type)
 }
 
-// handleLoadResult processes the response to a load order. One that nobody waits for is dropped.
+// handleLoadResult processes the response to a load order. It drops the response if the load order is no longer in
+// flight.
 func (c *Client) handleLoadResult(frame muxframe.Frame) error {
 	var result muxframe.LoadResult
 	if err := frame.Decode(&result); err != nil {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// handleHealthReport processes the response to a health check. One that nobody waits for is dropped.
+// handleHealthReport processes the response to the oldest health check. It drops the response if no check is pending.
 func (c *Client) handleHealthReport(frame muxframe.Frame) error {
 	var report muxframe.HealthReport
 	if err := frame.Decode(&report); err != nil {
--- a/internal/native/muxclient/connection_write.go
+++ b/internal/native/muxclient/connection_write.go
@@ -12,11 +12,11 @@
 	"havencart/scheduler"
 )
 
-// errKeepaliveTimeout is why a connection is closed on which the worker does not respond to pings.
+// errKeepaliveTimeout is the reason for closing a connection on which the worker does not respond to pings.
 var errKeepaliveTimeout = errors.New("no sign of life")
 
-// write writes what is queued, and pings when the keepalive asks for it, until the connection breaks, the keepalive's
-// timeout expires or readDone is closed. workerconn.Serve runs it in a goroutine of its own.
+// write writes the queued frames, and pings when the keepalive requires one, until the connection breaks, the keepalive
+// times out or readDone is closed. workerconn.Serve runs it in a separate goroutine.
 func (c *Client) write(conn net.Conn, readDone <-chan struct{}) error {
 	var batch writeBatch
 	for {
@@ -44,26 +44,27 @@
 		case <-readDone:
 			timer.Stop()
 			return nil
-		case <-c.writeWake:
+		case <-c.writeSignal:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// checkKeepalive returns the keepalive's verdict and when to check again, and queues the ping that it asks for.
+// checkKeepalive returns the verdict of the keepalive and the time of the next check. It queues a ping if the keepalive
+// requires one.
 func (c *Client) checkKeepalive() (verdict reconnect.Verdict, nextCheck time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	verdict, nextCheck = c.keepalive.Check(c.cfg.Now())
 	if verdict == reconnect.Ping {
-		c.push(controlFrame{kind: muxframe.TypePing})
+		c.push(controlFrame{frameType: muxframe.TypePing})
 	}
 	return verdict, nextCheck
 }
 
-// nextBatch encodes the next batch. The write timeout is set under the lock, so that a later call of Drain can shorten
-// it.
+// nextBatch encodes the next batch of queued frames. It sets the write timeout while it holds the lock, so that a later
+// call of Drain can shorten the timeout.
 func (c *Client) nextBatch(batch *writeBatch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +75,8 @@
 	}
 }
 
-// sendBatch writes a batch. What was not written whole was never executed.
+// sendBatch writes a batch. Attempts and load orders whose frames were not completely written were never executed and
+// end as ConnectFailed.
 func (c *Client) sendBatch(conn net.Conn, batch *writeBatch) error {
 	written, err := conn.Write(batch.Bytes)
 	c.mu.Lock()
@@ -93,7 +95,8 @@
 	return nil
 }
 
-// encode appends the frame of an item. The timeout of a request is what is left of it now.
+// encode appends the frame of a queued item to buffer. The timeout in a REQUEST is the time left until the deadline of
+// the attempt.
 func (c *Client) encode(buffer []byte, item queueItem) ([]byte, error) {
 	switch {
 	case item.Attempt != nil:
@@ -105,5 +108,5 @@
 		return muxframe.Append(buffer, muxframe.TypeLoadOrder, uint32(item.Number()), item.Load.Load, nil)
 	}
 	frame := item.Frame
-	return muxframe.Append(buffer, frame.kind, frame.streamID, frame.header, nil)
+	return muxframe.Append(buffer, frame.frameType, frame.streamID, frame.header, nil)
 }
--- a/internal/native/muxclient/helpers_test.go
+++ b/internal/native/muxclient/helpers_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds each wait for something that must happen; a test that needs it has failed already.
+// testTimeout is the longest wait for an event that must happen. A test that waits this long has failed.
 const testTimeout = 20 * time.Second
 
 // eventRecorder records the events of a client.
@@ -51,9 +51,9 @@
 	}
 }
 
-func (e *eventRecorder) LateResponse(n uint32) { e.lateResponses <- n }
+func (e *eventRecorder) LateResponse(streamID uint32) { e.lateResponses <- streamID }
 
-// newEventRecorder returns a recorder whose channels hold more than a test causes.
+// newEventRecorder returns a recorder whose channels have more capacity than the events of any test.
 func newEventRecorder() *eventRecorder {
 	return &eventRecorder{
 		make(chan workerconn.Result, 1000), make(chan workerconn.Result, 1000), make(chan scheduler.Status, 1000),
@@ -62,19 +62,19 @@
 	}
 }
 
-// await returns the next value of c, and fails the test if there is none in time.
+// await returns the next value from c. It fails the test if none arrives within testTimeout.
 func await[T any](t *testing.T, event string, c <-chan T) T {
 	t.Helper()
 	select {
 	case received := <-c:
 		return received
 	case <-time.After(testTimeout):
-		t.Fatalf("waited in vain for %s", event)
+		t.Fatalf("timed out waiting for %s", event)
 		panic("unreachable")
 	}
 }
 
-// fakeWorker is a worker that does what a test says, frame by frame.
+// fakeWorker is a worker whose frames are read and written by the test.
 type fakeWorker struct {
 	t        *testing.T
 	listener net.Listener
@@ -82,7 +82,7 @@
 	reader   *muxframe.Reader
 }
 
-// accept accepts the next connection and writes nothing.
+// accept accepts the next connection without performing the handshake.
 func (w *fakeWorker) accept() {
 	w.t.Helper()
 	conn, err := w.listener.Accept()
@@ -98,23 +98,22 @@
 	w.t.Helper()
 	w.accept()
 	if f := w.readFrame(); f.Type != muxframe.TypeHello {
-		w.t.Fatalf("%v in place of hello", f.Type)
+		w.t.Fatalf("the worker received %v, want hello", f.Type)
 	}
 	w.write(muxframe.TypeWelcome, 0, muxframe.Welcome{Version: muxframe.Version, Worker: "w", Incarnation: incarnation}, "")
 }
 
-// readFrame reads the next frame.
 func (w *fakeWorker) readFrame() muxframe.Frame {
 	w.t.Helper()
 	_ = w.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	f, err := w.reader.Next()
 	if err != nil {
-		w.t.Fatalf("the worker reads: %v", err)
+		w.t.Fatalf("the worker cannot read a frame: %v", err)
 	}
 	return f
 }
 
-// readRequest reads frames up to the next REQUEST and returns its stream ID and header.
+// readRequest skips frames up to the next REQUEST and returns its stream ID and header.
 func (w *fakeWorker) readRequest() (uint32, muxframe.Request) {
 	w.t.Helper()
 	for {
@@ -130,10 +129,9 @@
 	}
 }
 
-// write writes a frame.
-func (w *fakeWorker) write(kind muxframe.Type, streamID uint32, header any, body string) {
+func (w *fakeWorker) write(frameType muxframe.Type, streamID uint32, header any, body string) {
 	w.t.Helper()
-	raw, err := muxframe.Append(nil, kind, streamID, header, []byte(body))
+	raw, err := muxframe.Append(nil, frameType, streamID, header, []byte(body))
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -145,7 +143,7 @@
 // reset closes the connection with a TCP reset.
 func (w *fakeWorker) reset() { _ = w.conn.(*net.TCPConn).SetLinger(0); _ = w.conn.Close() }
 
-// startFakeWorker returns a worker that listens and has accepted no connection.
+// startFakeWorker returns a worker that listens but has not accepted a connection.
 func startFakeWorker(t *testing.T) *fakeWorker {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -156,27 +154,28 @@
 	return &fakeWorker{t: t, listener: l}
 }
 
-// newTestClient returns a client of a worker; change, if not nil, changes its configuration.
-func newTestClient(t *testing.T, worker *fakeWorker, change func(*Config)) (*Client, *eventRecorder) {
+// newTestClient returns a client of a worker and the recorder of its events. configure, if not nil, may change the
+// client's configuration. The client is stopped when the test ends.
+func newTestClient(t *testing.T, worker *fakeWorker, configure func(*Config)) (*Client, *eventRecorder) {
 	t.Helper()
 	start := time.Now()
 	cfg := Config{
 		Worker: "w", Address: worker.listener.Addr().String(), FrontEnd: "fe", ConnectTimeout: testTimeout,
 		Window: 1000, MaxQueue: 100, Now: func() time.Duration { return time.Since(start) },
 	}
-	if change != nil {
-		change(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	recorder := newEventRecorder()
 	client := New(cfg, recorder)
 	t.Cleanup(func() {
 		client.Stop()
-		await(t, "the client's end", client.Done())
+		await(t, "the client to stop", client.Done())
 	})
 	return client, recorder
 }
 
-// newAttempt returns an attempt of the request with an ID.
+// newAttempt returns an attempt of a request with the given ID.
 func newAttempt(id string) *workerconn.Attempt {
 	return &workerconn.Attempt{
 		Request: muxframe.Request{Replica: muxframe.ReplicaSpec{Function: "f", Concurrency: 1}, ID: id}, Body: []byte("in"),
--- a/internal/native/muxclient/response.go
+++ b/internal/native/muxclient/response.go
@@ -10,7 +10,7 @@
 	"havencart/scheduler"
 )
 
-// statuses has the scheduler's status for each of the protocol.
+// statuses maps the statuses of the protocol to those of the scheduler.
 var statuses = map[muxframe.Status]scheduler.Status{
 	muxframe.StatusOK:         scheduler.OK,
 	muxframe.StatusError:      scheduler.Error,
@@ -18,7 +18,7 @@
 	muxframe.StatusNotLoaded:  scheduler.NotLoaded,
 }
 
-// coldStarts has the scheduler's term for each of the protocol.
+// coldStarts maps the cold start values of the protocol to those of the scheduler.
 var coldStarts = map[muxframe.ColdStart]scheduler.ColdStart{
 	muxframe.WarmStart:          scheduler.WarmStart,
 	muxframe.ColdStartTriggered: scheduler.ColdStartTriggered,
@@ -26,7 +26,8 @@
 	muxframe.ColdStartFailed:    scheduler.ColdStartFailed,
 }
 
-// resultOf returns the result that a response reports, without the body.
+// resultOf returns the result reported in the header of a response, without the body. It returns an error if the status
+// is unknown, or if a failure is announced as a response in several parts.
 func resultOf(response muxframe.Response) (workerconn.Result, error) {
 	status, known := statuses[response.Status]
 	isFailureWithParts := response.More && status != scheduler.OK
@@ -47,7 +48,8 @@
 	return result, nil
 }
 
-// runTime converts a worker's run time in milliseconds, 0 if it is not reported or out of range.
+// runTime converts the run time reported by a worker from milliseconds. It returns 0 if the value is not positive,
+// which means that it was not reported, or is too large.
 func runTime(millis float64) time.Duration {
 	const limit = float64(math.MaxInt64 / time.Millisecond)
 	if millis > 0 && millis < limit {
@@ -56,18 +58,18 @@
 	return 0
 }
 
-// responseOutcome is what a RESPONSE frame means for the attempt whose stream ID it has.
+// responseOutcome is the effect of a RESPONSE frame on the attempt with its stream ID.
 type responseOutcome int
 
 const (
-	responseComplete       responseOutcome = iota // it ends the attempt
-	responseStarted                               // DATA and END follow
-	responseLate                                  // nobody waits for it any longer
-	responseUnexpected                            // the stream ID was never given, or the response has started before
-	responseExceededWindow                        // its first part is longer than the flow control window
+	responseComplete       responseOutcome = iota // the frame ends the attempt
+	responseStarted                               // the frame starts the response; DATA and END follow
+	responseLate                                  // the attempt is no longer in flight
+	responseUnexpected                            // the stream ID was never issued, or its response has already started
+	responseExceededWindow                        // the first part of the response exceeds the flow control window
 )
 
-// handleResponse processes the whole response to an attempt, or the start of one that arrives in parts.
+// handleResponse processes a RESPONSE frame: a complete response to an attempt, or the first part of a response.
 func (c *Client) handleResponse(frame muxframe.Frame) error {
 	var response muxframe.Response
 	if err := frame.Decode(&response); err != nil {
@@ -91,13 +93,14 @@
 		c.events.ResponseStarted(attempt, result)
 		return nil
 	}
-	result.Response.Body = append([]byte(nil), frame.Body...) // the frame is valid until the next one is read
+	result.Response.Body = append([]byte(nil), frame.Body...) // frame.Body is only valid until the next frame is read
 	c.events.AttemptEnded(attempt, result)
 	return nil
 }
 
-// acceptResponse applies a RESPONSE frame to its attempt and returns what it means. It holds the lock throughout, so
-// that Abandon takes effect either before or after it. If the response has started, result gets its stream.
+// acceptResponse applies a RESPONSE frame to its attempt and returns the attempt and the outcome. It holds the lock
+// throughout, so that Abandon takes effect either before or after it. If the frame starts a response, acceptResponse
+// stores the stream and the declared length in result.
 func (c *Client) acceptResponse(frame muxframe.Frame, response muxframe.Response, result *workerconn.Result) (*workerconn.Attempt, responseOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +115,7 @@
 		c.queue.FinishAttempt(uint64(streamID))
 		return attempt, responseComplete
 	}
-	result.Response.Stream = workerconn.NewStream(c.cfg.Window, func(bytes int) { c.giveCredit(streamID, bytes) })
+	result.Response.Stream = workerconn.NewStream(c.cfg.Window, func(bytes int) { c.sendCredit(streamID, bytes) })
 	result.Response.Length = -1
 	if response.Length > 0 {
 		result.Response.Length = response.Length
@@ -124,27 +127,29 @@
 	return attempt, responseStarted
 }
 
-// wasIssued tells whether a stream ID was given to an attempt or load order. The lock is held.
+// wasIssued reports whether a stream ID has been issued to an attempt or load order. The caller must hold the lock.
 func (c *Client) wasIssued(streamID uint32) bool {
 	return streamID != 0 && streamID-1 < c.lastStreamID
 }
 
-// errWindowExceeded is the error of a worker that sent more of a response than its window and credit allow.
+// errWindowExceeded returns the error for a worker that sent more of a response than the flow control window and its
+// credit allow.
 func errWindowExceeded(streamID uint32) error {
 	return fmt.Errorf("%w: more of the answer to call %d than was allowed", muxframe.ErrMalformed, streamID)
 }
 
-// giveCredit allows the worker to send more bytes of a response that has not ended.
-func (c *Client) giveCredit(streamID uint32, bytes int) {
+// sendCredit queues a CREDIT frame that allows the worker to send more bytes of a response, unless the attempt is no
+// longer in flight.
+func (c *Client) sendCredit(streamID uint32, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.queue.InFlightAttempt(uint64(streamID)) == nil {
 		return
 	}
-	c.push(controlFrame{kind: muxframe.TypeCredit, streamID: streamID, header: muxframe.Credit{Bytes: uint32(bytes)}})
+	c.push(controlFrame{frameType: muxframe.TypeCredit, streamID: streamID, header: muxframe.Credit{Bytes: uint32(bytes)}})
 }
 
-// handleData processes the next part of a response. One that nobody waits for is dropped.
+// handleData processes the next part of a response. It drops the part if the attempt is no longer in flight.
 func (c *Client) handleData(frame muxframe.Frame) error {
 	c.mu.Lock()
 	attempt := c.queue.InFlightAttempt(uint64(frame.StreamID))
@@ -161,7 +166,8 @@
 	return nil
 }
 
-// handleEnd processes the end of a response that arrived in parts. One that nobody waits for is dropped.
+// handleEnd processes the end of a response that was received in parts. It drops the frame if the attempt is no longer
+// in flight.
 func (c *Client) handleEnd(frame muxframe.Frame) error {
 	var end muxframe.End
 	if err := frame.Decode(&end); err != nil {
@@ -186,8 +192,8 @@
 	return nil
 }
 
-// finishStarted ends the attempt with a stream ID if its response has started. It returns the attempt, nil if there is
-// none, and the response as it started, nil if it has not.
+// finishStarted ends the attempt with the given stream ID if its response has started. It returns the attempt, or nil
+// if none is in flight, and the result as passed to ResponseStarted, or nil if the response has not started.
 func (c *Client) finishStarted(streamID uint32) (*workerconn.Attempt, *workerconn.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/native/muxframe/messages.go
+++ b/internal/native/muxframe/messages.go
@@ -76,7 +76,7 @@
 	Status      Status    `cbor:"1,keyasint"`
 	More        bool      `cbor:"2,keyasint,omitempty"`
 	ColdStart   ColdStart `cbor:"3,keyasint,omitempty"`
-	QueueDepth  *int      `cbor:"4,keyasint,omitempty"` // requests of the function at the worker on arrival, or nil
+	QueueDepth  *int      `cbor:"4,keyasint,omitempty"` // queue depth of the function on arrival; nil if not reported
 	LoadReport  []float64 `cbor:"5,keyasint,omitempty"` // values in the order of Welcome.LoadReportFields
 	ContentType string    `cbor:"6,keyasint,omitempty"` // content type of the body
 	Length      int64     `cbor:"7,keyasint,omitempty"` // bytes of the complete body if More is set; 0 if unknown
