--- a/internal/config/platformconfig/config.go
+++ b/internal/config/platformconfig/config.go
@@ -8,31 +8,31 @@
 	"strconv"
 )
 
-// Config is the configuration with which the platform starts a front end.
+// Config is the configuration that the platform passes to a front end at its start.
 type Config struct {
 	Name                  string
 	ListenAddress         string // host:port that clients connect to
 	Seed                  uint64
-	Cores                 float64         // limit of the process
-	MemoryMB              int             // limit of the process
-	MaxDescriptors        int             // limit of the process's file descriptors
+	Cores                 float64         // CPU limit of the process in cores
+	MemoryMB              int             // memory limit of the process in megabytes
+	MaxDescriptors        int             // limit of open file descriptors of the process
 	EndpointStreamAddress string          // host:port of the endpoint stream
-	InitialEvents         json.RawMessage // the endpoint stream's events up to the start; may be empty
+	InitialEvents         json.RawMessage // events of the endpoint stream up to the start; may be empty
 	Settings              Settings
 }
 
-// maxConfigBytes bounds a configuration file.
+// maxConfigBytes is the largest accepted size of a configuration file.
 const maxConfigBytes = 16 << 20
 
-// Load reads the configuration file at path. An error about the content wraps ErrMalformed, any other is that of
-// the file.
+// Load reads the configuration file at path. An error about the content of the file wraps ErrMalformed; an error of
+// reading the file is returned with context.
 func Load(path string) (*Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	if info.Size() > maxConfigBytes {
-		return nil, fmt.Errorf("%w: configuration of %d bytes", ErrMalformed, info.Size())
+		return nil, fmt.Errorf("%w: configuration file of %d bytes is too large", ErrMalformed, info.Size())
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,8 +41,8 @@
 	return ParseConfig(text)
 }
 
-// ParseConfig reads a configuration, fills in the defaults of its settings and checks it. Every error wraps
-// ErrMalformed and names the first key that is wrong.
+// ParseConfig parses a configuration, sets the defaults of its settings and validates it. Every error wraps
+// ErrMalformed and, unless the JSON itself is malformed, names the first invalid key.
 func ParseConfig(text []byte) (*Config, error) {
 	var decoded configJSON
 	if err := json.Unmarshal(text, &decoded); err != nil {
@@ -50,7 +50,7 @@
 	}
 	seed, err := strconv.ParseUint(decoded.Seed, 16, 64)
 	if err != nil {
-		return nil, invalidField("seed", strconv.Quote(decoded.Seed), "16 hex digits")
+		return nil, invalidField("seed", strconv.Quote(decoded.Seed), "16 hexadecimal digits")
 	}
 	if err := decoded.validate(); err != nil {
 		return nil, err
@@ -76,19 +76,19 @@
 	}, nil
 }
 
-// FirstDifference returns the first key by which other is the configuration of another deployment, or "" if there is none. The
-// address of the endpoint stream may differ, as it may change while a front end runs, and so may all that is not
-// compared here.
-func (r *Config) FirstDifference(other *Config) string {
+// FirstDifference returns the first key whose value shows that other belongs to another deployment, or "" if there is
+// no such key. The address of the endpoint stream may differ, because it may change while a front end runs. Any other
+// value that is not compared here may differ as well.
+func (c *Config) FirstDifference(other *Config) string {
 	for _, comparison := range []struct {
 		key  string
 		same bool
 	}{
-		{"name", r.Name == other.Name},
-		{"settings.classes", slices.Equal(r.Settings.ClassNames, other.Settings.ClassNames)},
-		{"settings.customers", slices.Equal(r.Settings.TenantNames, other.Settings.TenantNames)},
-		{"settings.azs", slices.Equal(r.Settings.ZoneNames, other.Settings.ZoneNames)},
-		{"settings.skus", slices.Equal(r.Settings.WorkerKinds, other.Settings.WorkerKinds)},
+		{"name", c.Name == other.Name},
+		{"settings.classes", slices.Equal(c.Settings.ClassNames, other.Settings.ClassNames)},
+		{"settings.customers", slices.Equal(c.Settings.TenantNames, other.Settings.TenantNames)},
+		{"settings.azs", slices.Equal(c.Settings.ZoneNames, other.Settings.ZoneNames)},
+		{"settings.skus", slices.Equal(c.Settings.WorkerKinds, other.Settings.WorkerKinds)},
 	} {
 		if !comparison.same {
 			return comparison.key
--- a/internal/config/platformconfig/config_test.go
+++ b/internal/config/platformconfig/config_test.go
@@ -13,17 +13,19 @@
 	"classes":[{"name":"quote","deadline":800.0,"onTime":500.0,"repeat":"retryable","worth":2.0}]}}`
 
 func TestParseConfig_Valid_ReturnsAllParts(t *testing.T) {
-	r, err := ParseConfig([]byte(configText))
+	config, err := ParseConfig([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Name != "n3" || r.Seed != 0x8c1f30d27a5be964 || r.Settings.Scheduler.Seed != r.Seed || r.MemoryMB != 32 || r.MaxDescriptors != 256 ||
-		r.EndpointStreamAddress != "127.0.0.2:2379" || r.Settings.MaxTimeout() != 800*time.Millisecond {
-		t.Errorf("parsed %+v", r)
+	if config.Name != "n3" || config.Seed != 0x8c1f30d27a5be964 ||
+		config.Settings.Scheduler.Seed != config.Seed || config.MemoryMB != 32 || config.MaxDescriptors != 256 ||
+		config.EndpointStreamAddress != "127.0.0.2:2379" || config.Settings.MaxTimeout() != 800*time.Millisecond {
+		t.Errorf("configuration %+v", config)
 	}
 }
 
-// The error is reported before the front end listens, and names one key.
+// TestParseConfig_InvalidField_NamesKey verifies that an invalid value is found when the configuration is parsed,
+// before the front end listens, and that the error names the key.
 func TestParseConfig_InvalidField_NamesKey(t *testing.T) {
 	for _, test := range []struct{ old, new, field string }{
 		{`"seed":"8c1f30d27a5be964"`, `"seed":null`, "seed"},
@@ -49,42 +51,43 @@
 	} {
 		bad := strings.Replace(configText, test.old, test.new, 1)
 		if _, err := ParseConfig([]byte(bad)); !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), test.field) {
-			t.Errorf("with %s: %v; want an error that names %s", test.new, err, test.field)
+			t.Errorf("with %s: error %v, want ErrMalformed with the key %s", test.new, err, test.field)
 		}
 	}
-	for cut := range configText { // a file that is not yet written to its end
-		if _, err := ParseConfig([]byte(configText[:cut])); !errors.Is(err, ErrMalformed) {
-			t.Fatalf("cut at %d: %v", cut, err)
+	for length := range configText { // a file that has not been completely written
+		if _, err := ParseConfig([]byte(configText[:length])); !errors.Is(err, ErrMalformed) {
+			t.Fatalf("truncated to %d bytes: error %v, want ErrMalformed", length, err)
 		}
 	}
 }
 
-// The defaults are those of the platform's protocol, not the values of another deployment.
+// TestParseConfig_OptionalPartsMissing_SetsDefaults verifies that missing values get the defaults of the platform's
+// protocol rather than values chosen for a particular deployment.
 func TestParseConfig_OptionalPartsMissing_SetsDefaults(t *testing.T) {
-	bare := configText
-	for _, cut := range []string{`"azs":["a"],`, `"skus":["std"],`, `"onTime":500.0,`, `,"known":{"no":3,"items":[]}`} {
-		if bare = strings.Replace(bare, cut, "", 1); !strings.Contains(configText, cut) {
-			t.Fatal(cut)
+	required := configText
+	for _, optional := range []string{`"azs":["a"],`, `"skus":["std"],`, `"onTime":500.0,`, `,"known":{"no":3,"items":[]}`} {
+		if required = strings.Replace(required, optional, "", 1); !strings.Contains(configText, optional) {
+			t.Fatalf("configText does not contain %s", optional)
 		}
 	}
-	r, err := ParseConfig([]byte(bare))
+	config, err := ParseConfig([]byte(required))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := r.Settings
+	s := config.Settings
 	c := s.Scheduler
 	if len(s.ZoneNames) != 1 || s.ZoneNames[0] != "" || len(s.WorkerKinds) != 1 || s.WorkerKinds[0] != "" || len(s.TenantNames) != 0 {
 		t.Errorf("zones %q, kinds %q, tenants %q", s.ZoneNames, s.WorkerKinds, s.TenantNames)
 	}
 	if s.MaxInFlight < 1<<30 || s.WorkerIdleTimeout < time.Hour || c.LoadOrderTimeout != 800*time.Millisecond || c.MaxAttempts != 1 ||
 		c.OverloadWindow != 0 || c.MaxRetryAfter != 0 || c.LoadOrdersAllowed || c.AnswersNotLoaded || c.FrontEndCount != 1 ||
-		c.Classes[0].LatencyObjective != 800*time.Millisecond || len(r.InitialEvents) != 0 {
-		t.Errorf("parsed %+v", s)
+		c.Classes[0].LatencyObjective != 800*time.Millisecond || len(config.InitialEvents) != 0 {
+		t.Errorf("settings %+v", s)
 	}
 }
 
 func TestFirstDifference_OtherDeployment_ReturnsKey(t *testing.T) {
-	r, err := ParseConfig([]byte(configText))
+	config, err := ParseConfig([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,8 +104,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if field := r.FirstDifference(other); field != test.field {
-			t.Errorf("with %s: differs by %q, want %q", test.new, field, test.field)
+		if field := config.FirstDifference(other); field != test.field {
+			t.Errorf("with %s: first difference %q, want %q", test.new, field, test.field)
 		}
 	}
 }
--- a/internal/config/platformconfig/json.go
+++ b/internal/config/platformconfig/json.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// The types of this file mirror the platform's JSON, key by key; keys that they lack are ignored. The platform's words
-// end here: a balancer is a front end, a sku a kind of worker, a customer a tenant, a family the functions.
+// The types of this file mirror the platform's JSON objects. Keys without a field are ignored. The platform's terms
+// occur only in the keys: a balancer is a front end, a sku a kind of worker, a customer a tenant, and familyInfo
+// describes the functions.
 
-// milliseconds is a time as the platform writes it.
+// milliseconds is a duration as encoded in the platform's JSON.
 type milliseconds float64
 
 func (m milliseconds) duration() time.Duration {
@@ -49,10 +50,10 @@
 	WorkerRules   workerRulesJSON `json:"rules"`
 }
 
-// watchOnRequest is the WatchMode of a list that must be asked for.
+// watchOnRequest is the value of WatchMode if a front end receives the endpoint list only after it has requested it.
 const watchOnRequest = "ask"
 
-// The ScaleMeaning of a platform whose workers' scale is their capacity.
+// The values of ScaleMeaning with which the scale of a worker is its capacity, exactly or roughly.
 const (
 	scaleNominal = "nominal"
 	scaleRough   = "rough"
@@ -88,7 +89,8 @@
 	WorkerMemoryMB     []float64    `json:"memoryMbByKind"`
 }
 
-// answerNotLoaded is the WhenNotLoaded of workers that do not load a function by themselves.
+// answerNotLoaded is the value of WhenNotLoaded if a worker rejects a request for a function that is not loaded instead
+// of loading the function.
 const answerNotLoaded = "miss"
 
 type limitsJSON struct {
--- a/internal/config/platformconfig/settings.go
+++ b/internal/config/platformconfig/settings.go
@@ -1,6 +1,6 @@
-// Package platformconfig reads the platform's configuration: the JSON file with which it starts a front end, and the
-// settings object within it, which the simulator hands to a front end directly. It decides nothing; the only I/O is
-// the reading of the file that it is asked to load. Its functions are safe for concurrent use.
+// Package platformconfig parses the platform's configuration: the JSON file that a front end is started with, and the
+// settings object in that file, which the simulator passes to a front end directly. The package makes no scheduling
+// decisions, and its only I/O is reading the file passed to Load. Its functions are safe for concurrent use.
 package platformconfig
 
 import (
@@ -12,24 +12,25 @@
 	"havencart/scheduler"
 )
 
-// ErrMalformed is wrapped by every error about the content of a configuration or settings object.
+// ErrMalformed is wrapped by every error about the content of a configuration or a settings object.
 var ErrMalformed = errors.New("malformed settings")
 
-// Settings is what a settings object holds: the scheduler's settings, and what only a front end on the network needs.
+// Settings is a decoded settings object. It holds the scheduler's settings and those that only a front end on the
+// network needs.
 type Settings struct {
 	Scheduler            scheduler.Settings
-	ClassNames           []string      // names, in the order of the scheduler's classes
-	TenantNames          []string      // names, in the order of the scheduler's tenants
-	ZoneNames            []string      // names; the scheduler's zone is an index into them
+	ClassNames           []string      // class names, in the order of Scheduler.Classes
+	TenantNames          []string      // tenant names, in the order of Scheduler.Tenants
+	ZoneNames            []string      // zone names; Scheduler.Zone is an index into them
 	WorkerKinds          []string      // names of the kinds of worker
-	StreamsPerConnection int           // requests that one connection to a worker carries at a time
-	WorkerIdleTimeout    time.Duration // a worker closes a connection that was idle for this long
+	StreamsPerConnection int           // requests in flight on one connection to a worker
+	WorkerIdleTimeout    time.Duration // idle time after which a worker closes a connection
 	MaxInFlight          int           // requests in flight at one front end
-	MaxWorkerMemoryMB    float64       // memory of the largest kind of worker, 0 if it is not given
+	MaxWorkerMemoryMB    float64       // memory of the largest kind of worker in megabytes; 0 if unknown
 }
 
-// ParseSettings reads a settings object. seed becomes the scheduler's seed. Optional parts that are not given stay zero, and
-// values are not checked for their range. Every error wraps ErrMalformed.
+// ParseSettings parses a settings object and sets the scheduler's seed to seed. Optional values that are missing stay
+// zero, and ranges are not checked. Every error wraps ErrMalformed.
 func ParseSettings(text []byte, seed uint64) (Settings, error) {
 	var decoded settingsJSON
 	if err := json.Unmarshal(text, &decoded); err != nil {
@@ -61,42 +62,42 @@
 	return settings, nil
 }
 
-// scheduler returns the scheduler's settings, without classes and tenants.
-func (in *settingsJSON) scheduler(seed uint64) scheduler.Settings {
+// scheduler returns the settings as scheduler.Settings, without classes and tenants.
+func (s *settingsJSON) scheduler(seed uint64) scheduler.Settings {
 	settings := scheduler.Settings{
 		Seed:          seed,
-		FrontEndIndex: in.FrontEndIndex,
-		FrontEndCount: max(1, in.FrontEndCount),
-		Zone:          in.Zone,
+		FrontEndIndex: s.FrontEndIndex,
+		FrontEndCount: max(1, s.FrontEndCount),
+		Zone:          s.Zone,
 
-		AnswersNotLoaded:   in.Functions.WhenNotLoaded == answerNotLoaded,
-		LoadOrdersAllowed:  in.Functions.LoadOrdersAllowed,
-		ReportsColdStart:   in.Functions.ReportsColdStart,
-		ReportsQueueDepth:  in.Functions.ReportsQueueDepth,
-		ReplicaIdleTimeout: in.Functions.ReplicaIdleTimeout.duration(),
-		LoadOrderTimeout:   in.Functions.LoadOrderTimeout.duration(),
-		LoadRateWindow:     in.Functions.LoadRateWindow.duration(),
-		LoadRateBurst:      in.Functions.LoadRateBurst,
-		LoadRatePerRequest: in.Functions.LoadRatePerRequest,
+		AnswersNotLoaded:   s.Functions.WhenNotLoaded == answerNotLoaded,
+		LoadOrdersAllowed:  s.Functions.LoadOrdersAllowed,
+		ReportsColdStart:   s.Functions.ReportsColdStart,
+		ReportsQueueDepth:  s.Functions.ReportsQueueDepth,
+		ReplicaIdleTimeout: s.Functions.ReplicaIdleTimeout.duration(),
+		LoadOrderTimeout:   s.Functions.LoadOrderTimeout.duration(),
+		LoadRateWindow:     s.Functions.LoadRateWindow.duration(),
+		LoadRateBurst:      s.Functions.LoadRateBurst,
+		LoadRatePerRequest: s.Functions.LoadRatePerRequest,
 
-		HealthChecksAllowed: in.Limits.HealthChecksAllowed,
-		CancelAllowed:       in.Limits.CancelAllowed,
-		HedgingAllowed:      in.Limits.HedgingAllowed,
-		MaxAttempts:         in.Limits.MaxAttempts,
-		ConnectTimeout:      in.Limits.ConnectTimeout.duration(),
-		WatchOnStart:        in.WatchMode == watchOnRequest,
+		HealthChecksAllowed: s.Limits.HealthChecksAllowed,
+		CancelAllowed:       s.Limits.CancelAllowed,
+		HedgingAllowed:      s.Limits.HedgingAllowed,
+		MaxAttempts:         s.Limits.MaxAttempts,
+		ConnectTimeout:      s.Limits.ConnectTimeout.duration(),
+		WatchOnStart:        s.WatchMode == watchOnRequest,
 
-		DrainGrace:        in.WorkerRules.DrainGrace.duration(),
-		SlowStartFraction: in.WorkerRules.SlowStartFraction,
-		SlowStartDuration: in.WorkerRules.SlowStartDuration.duration(),
-		OverloadFactor:    in.WorkerRules.OverloadFactor,
-		OverloadWindow:    in.WorkerRules.OverloadWindow.duration(),
-		Resolution:        in.Resolution.duration(),
-		LoadReportFields:  in.LoadReport.Fields,
-		ScaleIsCapacity:   in.ScaleMeaning == scaleNominal || in.ScaleMeaning == scaleRough,
+		DrainGrace:        s.WorkerRules.DrainGrace.duration(),
+		SlowStartFraction: s.WorkerRules.SlowStartFraction,
+		SlowStartDuration: s.WorkerRules.SlowStartDuration.duration(),
+		OverloadFactor:    s.WorkerRules.OverloadFactor,
+		OverloadWindow:    s.WorkerRules.OverloadWindow.duration(),
+		Resolution:        s.Resolution.duration(),
+		LoadReportFields:  s.LoadReport.Fields,
+		ScaleIsCapacity:   s.ScaleMeaning == scaleNominal || s.ScaleMeaning == scaleRough,
 	}
-	if in.Limits.RetryAfter {
-		settings.MaxRetryAfter = in.Limits.MaxRetryAfter.duration()
+	if s.Limits.RetryAfter {
+		settings.MaxRetryAfter = s.Limits.MaxRetryAfter.duration()
 	}
 	return settings
 }
@@ -114,15 +115,15 @@
 	"cell": scheduler.ScopeCell,
 }
 
-// scheduler returns the class as the scheduler has it. The error begins with the key that is wrong.
+// scheduler returns the class as scheduler.Class. The text of an error begins with the invalid key.
 func (c classJSON) scheduler() (scheduler.Class, error) {
 	idempotency, known := idempotencyNames[c.Idempotency]
 	if !known {
-		return scheduler.Class{}, fmt.Errorf("repeat is %q", c.Idempotency)
+		return scheduler.Class{}, fmt.Errorf("repeat is %q; it must be retryable, dedup or fragile", c.Idempotency)
 	}
 	keyScope, known := keyScopeNames[c.KeyScope]
 	if !known {
-		return scheduler.Class{}, fmt.Errorf("keyScope is %q", c.KeyScope)
+		return scheduler.Class{}, fmt.Errorf("keyScope is %q; it must be all, zone or cell", c.KeyScope)
 	}
 	return scheduler.Class{
 		LatencyObjective: c.LatencyObjective.duration(),
@@ -135,7 +136,7 @@
 	}, nil
 }
 
-// MaxTimeout returns the longest timeout of any class, and so the longest that a client waits.
+// MaxTimeout returns the longest timeout of all classes, which is the longest time that a client waits for a response.
 func (s Settings) MaxTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.Scheduler.Classes {
--- a/internal/config/platformconfig/settings_test.go
+++ b/internal/config/platformconfig/settings_test.go
@@ -15,27 +15,27 @@
 		"familyInfo": {"keep": 8600.0, "whenAbsent": "miss", "mayLoad": true},
 		"limits": {"streamsPerConn": 32, "connIdle": 30000.0, "openCap": 20000, "maxAttempts": 5, "maxRetryAfter": 500.0, "retryAfter": true, "mayCancel": true},
 		"rules": {"cold": 17000.0, "coldFrom": 0.2, "fall": 2000.0, "stopSendingWithin": 500.0, "tipMultiple": 2.0}}`
-	site, err := ParseSettings([]byte(text), 9)
+	settings, err := ParseSettings([]byte(text), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := site.Scheduler
+	s := settings.Scheduler
 	c := s.Classes[0]
 	if s.Seed != 9 || s.FrontEndCount != 3 || !s.WatchOnStart || !s.AnswersNotLoaded || s.ReplicaIdleTimeout != 8600*time.Millisecond ||
 		s.MaxRetryAfter != 500*time.Millisecond || s.OverloadWindow != 2*time.Second || s.HedgingAllowed ||
 		c.Idempotency != scheduler.IdempotentByKey || c.KeyScope != scheduler.ScopeCell || c.KeyRetention != 6*time.Second || s.Tenants[0].Share != 0.82 {
-		t.Errorf("parsed %+v", s)
+		t.Errorf("scheduler settings %+v", s)
 	}
-	if site.StreamsPerConnection != 32 || site.WorkerIdleTimeout != 30*time.Second || site.MaxInFlight != 20000 || len(site.ZoneNames) != 2 ||
-		site.WorkerKinds[0] != "std" || site.ClassNames[0] != "log" || site.TenantNames[0] != "p" {
-		t.Errorf("parsed %+v", site)
+	if settings.StreamsPerConnection != 32 || settings.WorkerIdleTimeout != 30*time.Second || settings.MaxInFlight != 20000 || len(settings.ZoneNames) != 2 ||
+		settings.WorkerKinds[0] != "std" || settings.ClassNames[0] != "log" || settings.TenantNames[0] != "p" {
+		t.Errorf("settings %+v", settings)
 	}
 }
 
 func TestParseSettings_Malformed_WrapsErrMalformed(t *testing.T) {
 	for _, bad := range []string{"", "{", "[]", `{"classes": [{"repeat": "sometimes"}]}`, `{"balancers": "three"}`} {
 		if _, err := ParseSettings([]byte(bad), 0); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q: error %v", bad, err)
+			t.Errorf("%q: error %v, want ErrMalformed", bad, err)
 		}
 	}
 }
--- a/internal/config/platformconfig/validate.go
+++ b/internal/config/platformconfig/validate.go
@@ -8,12 +8,12 @@
 	"strconv"
 )
 
-// invalidField returns the error about a key whose value is not allowed.
+// invalidField returns the error for a key with an invalid value.
 func invalidField(key string, got any, allowed string) error {
 	return fmt.Errorf("%w: %s is %v; it must be %s", ErrMalformed, key, got, allowed)
 }
 
-// fieldCheck is the result of checking one key.
+// fieldCheck is the result of checking the value of one key.
 type fieldCheck struct {
 	key     string
 	valid   bool
@@ -21,7 +21,7 @@
 	allowed string
 }
 
-// firstInvalid returns the error about the first key that is not valid, nil if all are.
+// firstInvalid returns the error for the first invalid key, or nil if all keys are valid.
 func firstInvalid(checks []fieldCheck) error {
 	for _, check := range checks {
 		if !check.valid {
@@ -31,15 +31,15 @@
 	return nil
 }
 
-// The texts of what is allowed.
+// Descriptions of the allowed values, for errors.
 const (
-	aboveZero  = "above 0"
+	aboveZero  = "greater than 0"
 	zeroOrMore = "0 or more"
 	hostPort   = "host:port"
-	uniqueName = "a name of its own"
+	uniqueName = "a unique, non-empty name"
 )
 
-// validate checks what a configuration holds beside its seed and settings.
+// validate checks the values of a configuration other than its seed and settings.
 func (c *configJSON) validate() error {
 	return firstInvalid([]fieldCheck{
 		{"listen", isHostPort(c.ListenAddress), strconv.Quote(c.ListenAddress), hostPort},
@@ -50,7 +50,7 @@
 	})
 }
 
-// isHostPort reports whether address has a host and a port, neither empty.
+// isHostPort reports whether address has a non-empty host and a non-empty port.
 func isHostPort(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -59,26 +59,26 @@
 	return host != "" && port != ""
 }
 
-// setDefaults gives optional parts that are missing the meaning that the platform's protocol gives them.
+// setDefaults sets optional values that are missing to the defaults of the platform's protocol.
 func (s *Settings) setDefaults() {
 	if len(s.ZoneNames) == 0 {
-		s.ZoneNames = []string{""} // a single zone without a name
+		s.ZoneNames = []string{""} // one unnamed zone
 	}
 	if len(s.WorkerKinds) == 0 {
 		s.WorkerKinds = []string{""}
 	}
 	if s.MaxInFlight == 0 {
-		s.MaxInFlight = math.MaxInt // the front end's own bound applies
+		s.MaxInFlight = math.MaxInt // only the front end's own limit applies
 	}
 	if s.WorkerIdleTimeout == 0 {
-		s.WorkerIdleTimeout = math.MaxInt64 // workers keep idle connections
+		s.WorkerIdleTimeout = math.MaxInt64 // workers do not close idle connections
 	}
 	settings := &s.Scheduler
 	if settings.LoadOrderTimeout == 0 {
-		settings.LoadOrderTimeout = s.MaxTimeout() // every request that an order could serve is over by then
+		settings.LoadOrderTimeout = s.MaxTimeout() // every request that waits for the load has ended by then
 	}
 	if settings.OverloadFactor == 0 {
-		settings.OverloadWindow = 0 // workers in slow start are not overloaded
+		settings.OverloadWindow = 0 // workers in slow start do not fail from overload
 	}
 	settings.MaxAttempts = max(1, settings.MaxAttempts)
 	for i := range settings.Classes {
@@ -89,7 +89,7 @@
 	}
 }
 
-// validate returns the error about the first key whose value is not allowed.
+// validate returns the error for the first key with an invalid value, or nil if all values are valid.
 func (s *Settings) validate() error {
 	if err := s.validateClasses(); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	hasZone := settings.Zone >= 0 && settings.Zone < len(s.ZoneNames)
 	isFraction := settings.SlowStartFraction >= 0 && settings.SlowStartFraction <= 1
 	return firstInvalid([]fieldCheck{
-		{"settings.zone", hasZone, settings.Zone, "a place in settings.azs"},
+		{"settings.zone", hasZone, settings.Zone, "an index into settings.azs"},
 		{"settings.resolution", settings.Resolution >= 0, settings.Resolution, zeroOrMore},
 		{"settings.limits.streamsPerConn", s.StreamsPerConnection > 0, s.StreamsPerConnection, aboveZero},
 		{"settings.limits.connectTimeout", settings.ConnectTimeout > 0, settings.ConnectTimeout, aboveZero},
@@ -121,7 +121,7 @@
 
 func (s *Settings) validateClasses() error {
 	if len(s.ClassNames) == 0 {
-		return invalidField("settings.classes", "empty", "one class at least")
+		return invalidField("settings.classes", "empty", "a list of at least one class")
 	}
 	for i, class := range s.Scheduler.Classes {
 		prefix := fmt.Sprintf("settings.classes[%d].", i)
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// isUnique reports whether names[i] is not empty and differs from the names before it.
+// isUnique reports whether names[i] is not empty and differs from all names before it.
 func isUnique(names []string, i int) bool {
 	return names[i] != "" && slices.Index(names, names[i]) == i
 }
