--- a/internal/config/gatewayconfig/gatewayconfig_test.go
+++ b/internal/config/gatewayconfig/gatewayconfig_test.go
@@ -11,7 +11,7 @@
 	"havencart/scheduler"
 )
 
-const good = `
+const validText = `
 listen 127.0.0.1:0      # any port
 directory consul http://127.0.0.1:8500 "my workers"
 max-body 2m
@@ -34,21 +34,21 @@
 `
 
 func TestParse_ValidFile_SetsFieldsAndDefaults(t *testing.T) {
-	s, err := Parse("f", good)
+	s, err := Parse("f", validText)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Discovery != (DiscoverySource{DiscoveryConsul, "http://127.0.0.1:8500", "my workers"}) || s.MaxBody != 2<<20 ||
 		len(s.Classes) != 2 || s.Classes[0].LatencyObjective != 500*time.Millisecond || s.Classes[0].Idempotency != scheduler.NonIdempotent ||
 		s.Classes[1].KeyScope != scheduler.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].ReplicaConcurrency != 4 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings %+v", s)
 	}
 	if s.MaxInFlight != 20000 || s.Classes[1].Timeout != 2*time.Second || s.AnswersNotLoaded {
 		t.Errorf("defaults: %+v", s)
 	}
 }
 
-func TestParse_InvalidLines_ReportsAllErrorsWithPlace(t *testing.T) {
+func TestParse_InvalidLines_ReportsAllErrorsWithPosition(t *testing.T) {
 	_, err := Parse("f", strings.Join([]string{
 		"listen nowhere",       // 1
 		"colour red",           // 2
@@ -80,10 +80,10 @@
 		"f:2:1: found \"colour\"; allowed: name, listen", "f:3:7: loops: found \"0\"; allowed: a whole number, 1 to 256",
 		"f:4:12: max-body", "f:5:7: queue: found \"5 6\"", "f:6:1: loops is given twice", "f:8:10: repeat: found \"often\"; allowed: one of safe, keyed, unsafe",
 		"f:9:3: found \"listen\"", "f:11:7: class \"a\" is given twice", "f:17:11: a quote is not closed", "f:18:9:", "f:19:1:",
-		"f:21:9: on-miss", "f:22:1: block \"tenant\" has no end", "aim 5s is past give-up 2s", "no class \"b\"", "listen: ", "directory is not given",
+		"f:21:9: on-miss", "f:22:1: block \"tenant\" has no end", "aim 5s exceeds give-up 2s", "class \"b\" is not defined", "listen: ", "directory is not set",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in:\n%v", want, err)
+			t.Errorf("%q is missing in:\n%v", want, err)
 		}
 	}
 }
@@ -102,57 +102,58 @@
 		}
 	}
 	if s, err := Load(filepath.Join(dir, "main")); err != nil || s.RequestQueue != 7 || len(s.Classes) != 1 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("settings %+v, error %v", s, err)
 	}
 	if _, err := Load(filepath.Join(dir, "loop")); !errors.Is(err, ErrSettings) {
-		t.Errorf("a file that includes itself: %v", err)
+		t.Errorf("a file that includes itself: error %v, want ErrSettings", err)
 	}
 	if _, err := Load(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("a missing file: error %v, want os.ErrNotExist", err)
 	}
 }
 
-// docs/settings.md is generated: go run ./cmd/havencart reference > docs/settings.md.
+// TestReference_SettingsPage_IsUpToDate verifies that docs/settings.md was generated from the present tables. The
+// command that generates it is: go run ./cmd/havencart reference > docs/settings.md.
 func TestReference_SettingsPage_IsUpToDate(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/settings.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(page) != Reference() {
-		t.Error("docs/settings.md is not what `havencart reference` prints")
+		t.Error("docs/settings.md differs from the output of `havencart reference`")
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validText)
 	f.Fuzz(func(t *testing.T, text string) {
 		if strings.Contains(text, "include") {
-			return // reads files
+			return // an include directive reads files
 		}
 		s, err := Parse("f", text)
 		if err == nil && (len(s.Classes) == 0 || s.Discovery.Kind == "" || s.EventLoops < 1 || s.MaxBody < 1) {
-			t.Fatalf("accepted %+v", s)
+			t.Fatalf("accepted invalid settings: %+v", s)
 		}
 	})
 }
 
 func TestShadowSettings_Block_OverridesSettingsOutside(t *testing.T) {
-	s, err := Parse("f", good+"load-share 0.3\nwatch campus\n  retry-after off\n  load-window 5s\n  every 8\nend\nmax-attempts 3\n")
+	s, err := Parse("f", validText+"load-share 0.3\nwatch campus\n  retry-after off\n  load-window 5s\n  every 8\nend\nmax-attempts 3\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, every := s.ShadowSettings()
-	if other == nil || every != 8 || other.Name != "campus" || other.EffectiveMaxRetryAfter() != 0 || other.LoadRateWindow != 5*time.Second ||
-		other.LoadRatePerRequest != 0.3 || other.MaxAttempts != 3 {
-		t.Errorf("shadow settings, one event in %d: %+v", every, other)
+	shadow, sampleInterval := s.ShadowSettings()
+	if shadow == nil || sampleInterval != 8 || shadow.Name != "campus" || shadow.EffectiveMaxRetryAfter() != 0 || shadow.LoadRateWindow != 5*time.Second ||
+		shadow.LoadRatePerRequest != 0.3 || shadow.MaxAttempts != 3 {
+		t.Errorf("shadow settings for one event in %d: %+v", sampleInterval, shadow)
 	}
 	if s.EffectiveMaxRetryAfter() != time.Second || s.LoadRateWindow != 0 || s.Name != "havencart" {
-		t.Errorf("the block changed the settings outside: %+v", s)
+		t.Errorf("the block changed the settings outside it: %+v", s)
 	}
-	if plain, err := Parse("f", good); err != nil {
+	if withoutShadow, err := Parse("f", validText); err != nil {
 		t.Error(err)
-	} else if other, _ := plain.ShadowSettings(); other != nil {
-		t.Error("shadow settings without a block")
+	} else if shadow, _ := withoutShadow.ShadowSettings(); shadow != nil {
+		t.Error("a file without a shadow block has shadow settings")
 	}
 }
 
@@ -163,11 +164,11 @@
 		"watch w\n  listen a:1\nend":                          "f:2:3: found \"listen\"",
 		"watch w\n  every 0\nend":                             "f:2:9: every: found \"0\"",
 		"watch w\n  orders on\n  orders off\nend":             "f:3:3: orders is given twice",
-		"watch w\nend\nwatch v\nend":                          "2 watch blocks; one is allowed",
-		"front-ends 4\nloops 3\nwatch w\n  front-ends 2\nend": "watch \"w\": front ends 0 to 2 of this process, but front-ends says there are 2",
+		"watch w\nend\nwatch v\nend":                          "2 watch blocks; at most one is allowed",
+		"front-ends 4\nloops 3\nwatch w\n  front-ends 2\nend": "watch \"w\": this process has front ends 0 to 2, but front-ends is 2",
 	}
 	for text, want := range tests {
-		if _, err := Parse("f", text+"\n"+good); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), want) {
+		if _, err := Parse("f", text+"\n"+validText); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
--- a/internal/config/gatewayconfig/parse.go
+++ b/internal/config/gatewayconfig/parse.go
@@ -9,10 +9,11 @@
 	"havencart/internal/directive"
 )
 
-// ErrSettings is wrapped by every error about a settings file, also that it cannot be read.
+// ErrSettings is wrapped by every error about a settings file, including errors of reading it.
 var ErrSettings = errors.New("settings")
 
-// Load reads the settings file at path. The error joins all that is wrong with it, each a *directive.Error.
+// Load reads the settings file at path. If its content is invalid, the error joins all errors found, each of type
+// *directive.Error.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -21,8 +22,8 @@
 	return Parse(path, string(raw))
 }
 
-// Parse reads settings from text; name is the file's name in errors, and files that it includes are found from its
-// directory. Errors are those of Load.
+// Parse parses the text of a settings file. name is the file name in errors, and included files are located relative to
+// its directory. Errors are as in Load.
 func Parse(name, text string) (*Settings, error) {
 	settings, parser := &Settings{}, &directive.Parser{}
 	directive.Defaults(settings, settingsDirectives)
@@ -37,7 +38,7 @@
 	return settings, nil
 }
 
-// parseTopLevel handles a line outside blocks.
+// parseTopLevel parses a line outside blocks, which sets a value or opens a block.
 func (s *Settings) parseTopLevel(parser *directive.Parser, position directive.Position, words []directive.Word) {
 	switch words[0].Text {
 	case "class":
@@ -53,13 +54,14 @@
 	}
 }
 
-// validate checks what no single line shows. Its errors are about the file as a whole.
+// validate checks required settings, and values that depend on more than one directive. Its errors refer to the file as
+// a whole, not to a line.
 func (s *Settings) validate(parser *directive.Parser, position directive.Position) {
 	if len(s.Classes) == 0 {
-		parser.Fail(position, 0, "no class is given; at least one is needed")
+		parser.Fail(position, 0, "no class is defined; at least one is required")
 	}
 	if s.Discovery.Kind == "" {
-		parser.Fail(position, 0, "directory is not given")
+		parser.Fail(position, 0, "directory is not set; it is required")
 	}
 	if _, _, err := net.SplitHostPort(s.ListenAddress); err != nil {
 		parser.Fail(position, 0, "listen: %v", err)
@@ -70,11 +72,11 @@
 	s.validateFunctions(parser, position)
 }
 
-// validateFrontEnds checks that the front ends of this process are among those of the installation. prefix begins the
-// error.
+// validateFrontEnds checks that the front ends of this process are among those of the installation. The error begins
+// with prefix.
 func (s *Settings) validateFrontEnds(parser *directive.Parser, position directive.Position, prefix string) {
 	if s.FirstFrontEndIndex+s.EventLoops > s.FrontEndCount {
-		parser.Fail(position, 0, "%sfront ends %d to %d of this process, but front-ends says there are %d",
+		parser.Fail(position, 0, "%sthis process has front ends %d to %d, but front-ends is %d",
 			prefix, s.FirstFrontEndIndex, s.FirstFrontEndIndex+s.EventLoops-1, s.FrontEndCount)
 	}
 }
@@ -82,7 +84,7 @@
 func (s *Settings) validateClasses(parser *directive.Parser, position directive.Position) {
 	for _, class := range s.Classes {
 		if class.LatencyObjective > class.Timeout {
-			parser.Fail(position, 0, "class %q: aim %v is past give-up %v", class.Name, class.LatencyObjective, class.Timeout)
+			parser.Fail(position, 0, "class %q: aim %v exceeds give-up %v", class.Name, class.LatencyObjective, class.Timeout)
 		}
 	}
 }
@@ -90,7 +92,7 @@
 func (s *Settings) validateFunctions(parser *directive.Parser, position directive.Position) {
 	for _, function := range s.Functions {
 		if function.Class != "" && s.ClassIndex(function.Class) < 0 {
-			parser.Fail(position, 0, "function %q: no class %q", function.Name, function.Class)
+			parser.Fail(position, 0, "function %q: class %q is not defined", function.Name, function.Class)
 		}
 	}
 }
--- a/internal/config/gatewayconfig/reference.go
+++ b/internal/config/gatewayconfig/reference.go
@@ -6,16 +6,16 @@
 	"havencart/internal/directive"
 )
 
-// Reference returns the page of all directives as Markdown, which is docs/settings.md.
+// Reference returns the reference page of all directives in Markdown. docs/settings.md contains its output.
 func Reference() string {
 	var page strings.Builder
-	page.WriteString("# Settings\n\nGenerated from the program's own table (`havencart reference`). One directive a line; a comment runs\n" +
-		"from `#`; `include FILE` reads another file there; blocks end with `end`.\n")
+	page.WriteString("# Settings\n\nGenerated from the program's tables of directives (`havencart reference`). Each line has one directive. A comment\n" +
+		"starts with `#`. `include FILE` inserts another file. A block ends with `end`.\n")
 	directive.AppendReference(&page, "Outside blocks", settingsDirectives)
 	directive.AppendReference(&page, "`class NAME` ... `end`", classDirectives)
 	directive.AppendReference(&page, "`tenant NAME` ... `end`", tenantDirectives)
 	directive.AppendReference(&page, "`function NAME` ... `end`", functionDirectives)
-	directive.AppendReference(&page, "`watch NAME` ... `end`: settings of a shadow evaluation, which decide nothing; those not given are as outside",
+	directive.AppendReference(&page, "`watch NAME` ... `end`: settings of a shadow evaluation, which do not affect decisions; settings not given have the values from outside the block",
 		shadowDirectives)
 	return page.String()
 }
--- a/internal/config/gatewayconfig/settings.go
+++ b/internal/config/gatewayconfig/settings.go
@@ -1,9 +1,10 @@
-// Package gatewayconfig reads the settings file of a gateway: one directive a line, with blocks that a word opens and
-// "end" closes. All errors of a file are reported at once, each with file, line and column, what was found and what is
-// allowed. Every directive is declared once, in a table; docs/settings.md is generated from the tables.
+// Package gatewayconfig parses the settings file of a gateway. Each line has one directive; a keyword such as "class"
+// opens a block and "end" closes it. All errors in a file are reported together, each with file, line and column, the
+// invalid text and the allowed values. Each directive is declared once, in a table; docs/settings.md is generated from
+// the tables.
 //
-// The only I/O is the reading of the file and of those that it includes. Settings are not changed once they are read,
-// and may then be used from any goroutine.
+// The package does no I/O except reading the settings file and the files that it includes. Settings do not change after
+// they were read, and are then safe for concurrent use.
 package gatewayconfig
 
 import (
@@ -13,107 +14,107 @@
 	"havencart/scheduler"
 )
 
-// Settings are the settings of one gateway process. Those that the scheduler takes have its names; scheduler.Settings
-// describes them. Default values are those of the directives.
+// Settings are the settings of one gateway process. Fields for the scheduler have the same names as in
+// scheduler.Settings, which describes them. The defaults are those of the directives.
 type Settings struct {
-	// The process and its place in the installation.
+	// The process and its position in the installation.
 
-	Name               string // unique in the installation
+	Name               string // process name, unique within the installation
 	ListenAddress      string // host:port that clients connect to
-	EventLoops         int    // front ends in this process, each with an event loop of its own
-	FrontEndCount      int    // front ends in the whole installation
-	FirstFrontEndIndex int    // index of this process's first front end among them
+	EventLoops         int    // number of front ends in this process, each with its own event loop
+	FrontEndCount      int    // number of front ends in the whole installation
+	FirstFrontEndIndex int    // index of this process's first front end among those of the installation, starting at 0
 	Zone               string
-	Zones              []string // further zones; no directive sets them
+	Zones              []string // additional zones; not set by any directive
 	Discovery          DiscoverySource
 
-	// What is served.
+	// Requests that are served.
 
 	Classes             []Class
 	Tenants             []Tenant
-	ShareBasis          tenancy.ShareBasis // what tenants' shares are measured in
+	ShareBasis          tenancy.ShareBasis // measure of tenants' shares
 	Functions           []Function
-	ListedFunctionsOnly bool // requests for functions that are not listed are rejected
+	ListedFunctionsOnly bool // requests for functions that are not in Functions are rejected
 	Shadows             []Shadow
 
-	// What workers and their platform can do.
+	// Capabilities of workers and their platform.
 
-	AnswersNotLoaded    bool // a worker without the function answers so in place of loading it
+	AnswersNotLoaded    bool // a worker responds that a function is not loaded instead of loading it
 	LoadOrdersAllowed   bool // load and unload orders may be sent
 	ReportsColdStart    bool // responses report whether the replica was loaded
 	ReportsQueueDepth   bool // responses report the function's queue depth at the worker
 	HealthChecksAllowed bool // health checks may be sent
 	ScaleIsCapacity     bool // a worker's scale is its capacity
 	CancelAllowed       bool // requests may be cancelled
-	RetryAfterAllowed   bool // a rejection says when to retry
+	RetryAfterAllowed   bool // rejections advise clients when to retry
 
-	// What the scheduler goes by.
+	// Parameters of the scheduler.
 
-	ReplicaIdleTimeout time.Duration // an idle replica stays loaded for at least this long
+	ReplicaIdleTimeout time.Duration // minimum time for which an idle replica stays loaded
 	LoadOrderTimeout   time.Duration
-	LoadRateWindow     time.Duration // window of the load rate limit; 0: no limit
+	LoadRateWindow     time.Duration // window of the load rate limit; 0 for no limit
 	LoadRateBurst      float64       // load orders allowed in each window
-	LoadRatePerRequest float64       // further ones for each request admitted in the window
+	LoadRatePerRequest float64       // additional load orders allowed for each request admitted in the window
 	MaxAttempts        int
 	MaxRetryAfter      time.Duration
 	ConnectTimeout     time.Duration
-	DrainGrace         time.Duration // requests may still be sent to a draining worker for this long
-	SlowStartFraction  float64       // share of its capacity that a worker starts with
+	DrainGrace         time.Duration // time for which new requests may still be sent to a draining worker
+	SlowStartFraction  float64       // fraction of its full capacity that a worker has when it starts
 	SlowStartDuration  time.Duration
 	OverloadFactor     float64
 	OverloadWindow     time.Duration
 
-	// Bounds and timeouts of the front end.
+	// Limits and timeouts of the front end.
 
-	DeadlineMargin  time.Duration // the final response is sent this long before the request's deadline
+	DeadlineMargin  time.Duration // how long before the request's deadline the final response is sent
 	MaxInFlight     int           // requests in flight at one front end
-	RequestQueue    int           // requests that wait for one event loop
-	ResponseWindow  int           // bytes of one response that may be buffered
-	MaxBody         int           // bytes
-	MaxHeader       int           // bytes
-	MaxConnections  int           // connections of clients
-	MaxPipelined    int           // requests in flight on one connection
+	RequestQueue    int           // requests that wait for the event loop of one front end
+	ResponseWindow  int           // bytes of one response from a worker that may be buffered
+	MaxBody         int           // largest request body in bytes
+	MaxHeader       int           // largest request header in bytes
+	MaxConnections  int           // client connections
+	MaxPipelined    int           // requests in flight on one client connection
 	IdleTimeout     time.Duration
 	HeaderTimeout   time.Duration
 	BodyTimeout     time.Duration
 	WriteTimeout    time.Duration
-	StallTimeout    time.Duration // a worker's response that makes no progress for this long is given up
-	AllowHalfClosed bool          // a client that closed its side for writing still waits for responses
-	ShutdownTimeout time.Duration // a graceful shutdown waits this long for requests in flight
+	StallTimeout    time.Duration // a worker's response that makes no progress for this long is aborted
+	AllowHalfClosed bool          // a client that closed its side for writing still gets its responses
+	ShutdownTimeout time.Duration // maximum time for which a graceful shutdown waits for requests in flight
 }
 
-// DiscoveryKind is the kind of source that the endpoint list comes from.
+// DiscoveryKind is the kind of source of the endpoint list.
 type DiscoveryKind string
 
-// The kinds of source, as the directive writes them.
+// The kinds of source, with the values used in the directory directive.
 const (
 	DiscoveryConsul DiscoveryKind = "consul"
 	DiscoveryFile   DiscoveryKind = "file"
 )
 
-// DiscoverySource is where the endpoint list comes from: a service at Consul, or a file.
+// DiscoverySource is the source of the endpoint list: a service registered in Consul, or a file.
 type DiscoverySource struct {
 	Kind     DiscoveryKind
-	Location string // Consul's URL, or the file's path
-	Service  string // the service's name at Consul
+	Location string // URL of Consul, or path of the file
+	Service  string // name of the service in Consul; empty for a file
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name               string
-	LatencyObjective   time.Duration // latency objective
-	Timeout            time.Duration // timeout of a request that sets none that is shorter
-	PriorityWeight     float64       // priority weight of a response within the objective
-	LateWeight         float64       // share of the weight that a later response keeps, 0 to 1
+	LatencyObjective   time.Duration
+	Timeout            time.Duration // timeout of a request that does not set a shorter one
+	PriorityWeight     float64       // priority weight of a response within LatencyObjective
+	LateWeight         float64       // fraction of PriorityWeight that a later response has, 0 to 1
 	Idempotency        scheduler.Idempotency
 	KeyScope           scheduler.KeyScope
-	KeyRetention       time.Duration // idempotency keys are remembered for this long
-	ReplicaMemoryMB    int           // megabytes of a replica
-	ReplicaConcurrency int           // concurrency of a replica
-	LoadTimeEstimate   time.Duration // usual load time; 0: not known
+	KeyRetention       time.Duration // how long workers remember an idempotency key
+	ReplicaMemoryMB    int           // memory of a replica in megabytes
+	ReplicaConcurrency int           // requests that one replica executes at a time
+	LoadTimeEstimate   time.Duration // usual load time; 0 if not known
 }
 
-// SchedulerClass returns the class as the scheduler has it.
+// SchedulerClass returns the class as scheduler.Class.
 func (c Class) SchedulerClass() scheduler.Class {
 	return scheduler.Class{
 		LatencyObjective: c.LatencyObjective,
@@ -129,20 +130,20 @@
 // Tenant is a tenant of the installation.
 type Tenant struct {
 	Name  string
-	Share float64 // of the service, 0 to 1
-	Quota float64 // requests a second over all front ends; 0: no limit
+	Share float64 // fraction of the service that the tenant is entitled to, 0 to 1
+	Quota float64 // requests per second over all front ends; 0 for no limit
 }
 
-// Function is a listed function. Values that are zero are those of its class.
+// Function is a function that has a block in the settings file. Zero values stand for the values of its class.
 type Function struct {
 	Name               string
-	Class              string // empty: the first class
-	ReplicaMemoryMB    int    // megabytes of a replica
-	ReplicaConcurrency int    // concurrency of a replica
+	Class              string // class name; empty for the first class
+	ReplicaMemoryMB    int    // memory of a replica in megabytes
+	ReplicaConcurrency int    // requests that one replica executes at a time
 	LoadTimeEstimate   time.Duration
 }
 
-// ClassIndex returns the index of the class of that name, or -1 if there is none.
+// ClassIndex returns the index in Classes of the class with the given name, or -1 if there is none.
 func (s *Settings) ClassIndex(name string) int {
 	for i, class := range s.Classes {
 		if class.Name == name {
@@ -152,7 +153,7 @@
 	return -1
 }
 
-// EffectiveMaxRetryAfter returns the longest Retry-After that a rejection gives, 0 if it gives none.
+// EffectiveMaxRetryAfter returns the longest Retry-After of a rejection, or 0 if rejections have none.
 func (s *Settings) EffectiveMaxRetryAfter() time.Duration {
 	if !s.RetryAfterAllowed {
 		return 0
