--- a/internal/config/gatewayconfig/settings.go
+++ b/internal/config/gatewayconfig/settings.go
@@ -28,7 +28,7 @@
 	Zones              []string // additional zones; not set by any directive
 	Discovery          DiscoverySource
 
-	// Requests that are served.
+	// Classes, tenants and functions that are served.
 
 	Classes             []Class
 	Tenants             []Tenant
--- a/internal/native/muxframe/messages.go
+++ b/internal/native/muxframe/messages.go
@@ -38,10 +38,10 @@
 	Version          int      `cbor:"1,keyasint"`
 	Worker           string   `cbor:"2,keyasint"`           // name of the worker in the endpoint list
 	Incarnation      uint64   `cbor:"3,keyasint"`           // differs between any two starts of the worker
-	UptimeMillis     int64    `cbor:"4,keyasint"`           // age of the process by its own monotonic clock
+	UptimeMillis     int64    `cbor:"4,keyasint"`           // ms since the process started, by its monotonic clock
 	LoadReportFields []string `cbor:"5,keyasint,omitempty"` // names of the values in a load report
 	Features         []string `cbor:"6,keyasint,omitempty"`
-	Rejection        string   `cbor:"7,keyasint,omitempty"` // reason for rejecting the connection, or empty
+	Rejection        string   `cbor:"7,keyasint,omitempty"` // reason for rejecting the connection; else empty
 }
 
 // ReplicaSpec describes a replica of a function.
@@ -66,7 +66,7 @@
 	Class          string      `cbor:"4,keyasint"`
 	Tenant         string      `cbor:"5,keyasint,omitempty"`
 	IdempotencyKey string      `cbor:"6,keyasint,omitempty"`
-	TimeoutMillis  int64       `cbor:"7,keyasint"` // milliseconds from now until nobody waits for the response
+	TimeoutMillis  int64       `cbor:"7,keyasint"` // milliseconds that the front end still waits for the response
 	Window         uint32      `cbor:"8,keyasint"` // bytes of the response that may be sent before CREDIT is received
 }
 
@@ -81,7 +81,7 @@
 	ContentType string    `cbor:"6,keyasint,omitempty"` // content type of the body
 	Length      int64     `cbor:"7,keyasint,omitempty"` // bytes of the complete body if More is set; 0 if unknown
 	Problem     string    `cbor:"8,keyasint,omitempty"` // human-readable description of a failure
-	RunMillis   float64   `cbor:"9,keyasint,omitempty"` // execution time without queue delay; 0 if not reported
+	RunMillis   float64   `cbor:"9,keyasint,omitempty"` // execution time in ms, without queue delay; 0 if not reported
 }
 
 // End is the header of END.
