--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -15,43 +15,43 @@
 	"havencart/scheduler"
 )
 
-// The timing of a blocking query is the protocol's and not tuned: Consul lengthens the wait that was asked for by up
-// to a sixteenth at random.
+// The timing of a blocking query follows Consul's protocol: Consul extends the requested wait by a random amount of up
+// to a sixteenth of it.
 const (
-	queryWait      = 30 * time.Second // how long Consul may leave a query unanswered
-	queryJitter    = queryWait / 16
-	responseMargin = 5 * time.Second // for the response's way, beyond both
+	queryWait      = 30 * time.Second // time that Consul is asked to wait for a change
+	queryJitter    = queryWait / 16   // largest random extension of the wait by Consul
+	responseMargin = 5 * time.Second  // allowance for sending the response, in addition to queryWait and queryJitter
 
 	maxResponseBytes = 16 << 20
 )
 
-// Consul is a Source that follows a service of Consul's health endpoint (GET /v1/health/service/NAME) with blocking
+// Consul is a Source that follows one service on Consul's health endpoint (GET /v1/health/service/NAME) with blocking
 // queries. After a failure it waits for Refresh.
 //
-// A worker is Ready while all its checks pass or warn, Draining while it is in maintenance (a check whose ID begins
-// with _service_maintenance, or is _node_maintenance), Removed while another check is critical. The service's Meta may
-// hold zone, cell, kind, scale (a number) and started (Unix milliseconds).
+// A worker is Ready while all its checks pass or warn, Draining while it is in maintenance (it has a check whose ID
+// begins with _service_maintenance or is _node_maintenance), and Removed while another check is critical. The service's
+// Meta may contain zone, cell, kind, scale (a number) and started (Unix milliseconds).
 type Consul struct {
-	wakeUp
+	refreshSignal
 	baseURL   string
 	service   string
 	userAgent string
 	client    *http.Client
 }
 
-// NewConsul returns a source that asks Consul at baseURL, such as http://127.0.0.1:8500, for the instances of service.
-// userAgent is sent with each query.
+// NewConsul returns a source that queries Consul at baseURL, such as http://127.0.0.1:8500, for the instances of service.
+// Each query has userAgent as its User-Agent header.
 func NewConsul(baseURL, service, userAgent string) *Consul {
 	client := &http.Client{
 		Transport: &http.Transport{},
 		Timeout:   queryWait + queryJitter + responseMargin,
 	}
 	return &Consul{
-		wakeUp:    newWakeUp(),
-		baseURL:   strings.TrimSuffix(baseURL, "/"),
-		service:   service,
-		userAgent: userAgent,
-		client:    client,
+		refreshSignal: newRefreshSignal(),
+		baseURL:       strings.TrimSuffix(baseURL, "/"),
+		service:       service,
+		userAgent:     userAgent,
+		client:        client,
 	}
 }
 
@@ -67,12 +67,12 @@
 			return
 		case err != nil:
 			sink.WatchFailed(err)
-			index = 0 // ask for the whole list again: changes may have been missed
+			index = 0 // request the complete list again, as changes may have been missed
 			if !c.wait(ctx) {
 				return
 			}
 		case next < index:
-			index = 0 // Consul lost its state; ask for what it has now, without blocking
+			index = 0 // Consul lost its state: request its current list without blocking
 		case next > index:
 			index = next
 			sink.EndpointsChanged(list)
@@ -80,8 +80,8 @@
 	}
 }
 
-// query returns the list and its index once that differs from index, or when Consul's wait is over. With index 0 it
-// does not block.
+// query returns the list and its index as soon as that index differs from the given one, or when Consul's wait ends.
+// With index 0, Consul responds without waiting.
 func (c *Consul) query(ctx context.Context, index uint64) (list []Worker, next uint64, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.queryURL(index), nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("query the endpoint list: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read or is given up
+	defer func() { _ = response.Body.Close() }() // the body was read or is no longer needed
 	return parseResponse(response)
 }
 
@@ -106,45 +106,46 @@
 
 func parseResponse(response *http.Response) (list []Worker, index uint64, err error) {
 	if response.StatusCode != http.StatusOK {
-		return nil, 0, fmt.Errorf("query the endpoint list: Consul responds %s", response.Status)
+		return nil, 0, fmt.Errorf("query the endpoint list: Consul responded with status %s", response.Status)
 	}
 	header := response.Header.Get("X-Consul-Index")
 	index, err = strconv.ParseUint(header, 10, 64)
 	if err != nil || index == 0 {
-		return nil, 0, fmt.Errorf("%w: index %q", ErrMalformed, header)
+		return nil, 0, fmt.Errorf("%w: X-Consul-Index header is %q, want a number above 0", ErrMalformed, header)
 	}
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
 		return nil, 0, fmt.Errorf("read the endpoint list: %w", err)
 	}
 	if len(raw) > maxResponseBytes {
-		return nil, 0, fmt.Errorf("%w: longer than %d bytes", ErrMalformed, maxResponseBytes)
+		return nil, 0, fmt.Errorf("%w: response is longer than %d bytes", ErrMalformed, maxResponseBytes)
 	}
 	list, err = ParseConsul(raw)
 	return list, index, err
 }
 
-// ConsulInstance is one entry of the health endpoint's response, as far as it is read. Its keys are Consul's.
+// ConsulInstance is one entry of the health endpoint's response, reduced to the fields that are used. The JSON keys are
+// defined by Consul.
 type ConsulInstance struct {
 	Node struct {
 		Address string `json:"Address,omitempty"`
 	} `json:"Node"`
 	Service struct {
 		ID      string            `json:"ID"`
-		Address string            `json:"Address,omitempty"` // the node's address if empty
+		Address string            `json:"Address,omitempty"` // if empty, Node.Address is used
 		Port    int               `json:"Port,omitempty"`
 		Meta    map[string]string `json:"Meta,omitempty"`
 	} `json:"Service"`
 	Checks []ConsulCheck `json:"Checks"`
 }
 
-// ConsulCheck is one health check of an instance. Its keys are Consul's.
+// ConsulCheck is one health check of an instance. The JSON keys are defined by Consul.
 type ConsulCheck struct {
 	CheckID string `json:"CheckID"`
 	Status  string `json:"Status"` // passing, warning or critical
 }
 
-// The health checks that have a meaning here.
+// The check IDs and the status that affect a worker's state.
 const (
 	serviceMaintenancePrefix = "_service_maintenance"
 	nodeMaintenance          = "_node_maintenance"
@@ -155,7 +156,7 @@
 	return strings.HasPrefix(c.CheckID, serviceMaintenancePrefix) || c.CheckID == nodeMaintenance
 }
 
-// ParseConsul reads a response of the health endpoint. Every error wraps ErrMalformed.
+// ParseConsul parses a response of the health endpoint. Every error wraps ErrMalformed.
 func ParseConsul(raw []byte) ([]Worker, error) {
 	var instances []ConsulInstance
 	if err := json.Unmarshal(raw, &instances); err != nil {
@@ -190,21 +191,21 @@
 	if text := meta["scale"]; text != "" {
 		scale, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return worker, fmt.Errorf("%w: worker %s with scale %q", ErrMalformed, worker.Name, text)
+			return worker, fmt.Errorf("%w: worker %s has scale %q, want a number", ErrMalformed, worker.Name, text)
 		}
 		worker.Scale = scale
 	}
 	if text := meta["started"]; text != "" {
 		millis, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return worker, fmt.Errorf("%w: worker %s started at %q", ErrMalformed, worker.Name, text)
+			return worker, fmt.Errorf("%w: worker %s has start time %q, want Unix milliseconds", ErrMalformed, worker.Name, text)
 		}
 		worker.Started = time.UnixMilli(millis)
 	}
 	return worker, nil
 }
 
-// state derives the worker's state from its checks; maintenance goes before a critical check.
+// state derives the worker's state from its checks. Maintenance takes precedence over a critical check.
 func (i ConsulInstance) state() scheduler.WorkerState {
 	state := scheduler.Ready
 	for _, check := range i.Checks {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -25,12 +25,12 @@
 
 const waitLimit = 20 * time.Second
 
-// recordingSink records each report, and the list after it, in the order of the workers' names.
+// recordingSink records each report, and the list that results from it in the order of the workers' names.
 type recordingSink struct {
 	reports  chan []discovery.Worker
 	lists    chan []discovery.Worker
 	failures chan error
-	listed   map[string]discovery.Worker // of the source's goroutine
+	listed   map[string]discovery.Worker // current list by name; used only by the source's goroutine
 }
 
 func (sink recordingSink) EndpointsChanged(l []discovery.Worker) {
@@ -64,7 +64,7 @@
 	case l := <-sink.lists:
 		return l
 	case <-time.After(waitLimit):
-		t.Fatal("no list within the limit")
+		t.Fatalf("no list was reported within %v", waitLimit)
 		return nil
 	}
 }
@@ -75,7 +75,7 @@
 	case err := <-sink.failures:
 		return err
 	case <-time.After(waitLimit):
-		t.Fatal("no failure within the limit")
+		t.Fatalf("no failure was reported within %v", waitLimit)
 		return nil
 	}
 }
@@ -92,6 +92,7 @@
 	return sink
 }
 
+// summary gives the name and state of each worker as NAME:STATE, separated by blanks.
 func summary(list []discovery.Worker) string {
 	var all []string
 	for _, w := range list {
@@ -180,21 +181,21 @@
 	sink.list(t)
 	server.ResetIndex()
 	server.Set(entry(3, scheduler.Draining))
-	for range 3 { // the list before the loss may be reported once more
+	for range 3 { // the list from before the reset may be reported again
 		if got := summary(sink.list(t)); got == "w1:1 w2:1 w3:2" {
 			return
 		}
 	}
-	t.Error("the change after the loss was not reported")
+	t.Error("the change after the index was reset was not reported")
 }
 
 func TestParseConsul_MalformedResponse_WrapsErrMalformed(t *testing.T) {
 	for name, body := range map[string]string{
-		"no JSON":      "<html>",
-		"no address":   `[{"Service":{"ID":"w1"}}]`,
-		"a name twice": `[{"Service":{"ID":"w","Address":"h","Port":1}},{"Service":{"ID":"w","Address":"h","Port":2}}]`,
-		"bad scale":    `[{"Service":{"ID":"w","Address":"h","Port":1,"Meta":{"scale":"-1"}}}]`,
-		"bad start":    `[{"Service":{"ID":"w","Address":"h","Port":1,"Meta":{"started":"noon"}}}]`,
+		"not JSON":        "<html>",
+		"no address":      `[{"Service":{"ID":"w1"}}]`,
+		"same name twice": `[{"Service":{"ID":"w","Address":"h","Port":1}},{"Service":{"ID":"w","Address":"h","Port":2}}]`,
+		"bad scale":       `[{"Service":{"ID":"w","Address":"h","Port":1,"Meta":{"scale":"-1"}}}]`,
+		"bad start":       `[{"Service":{"ID":"w","Address":"h","Port":1,"Meta":{"started":"noon"}}}]`,
 	} {
 		if _, err := discovery.ParseConsul([]byte(body)); !errors.Is(err, discovery.ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
@@ -203,7 +204,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "[]") }))
 	defer server.Close()
 	if err := follow(t, discovery.NewConsul(server.URL, "workers", "test")).failure(t); !errors.Is(err, discovery.ErrMalformed) {
-		t.Errorf("an answer without an index: %v", err)
+		t.Errorf("a response without X-Consul-Index: %v", err)
 	}
 }
 
--- a/internal/discovery/endpointstream.go
+++ b/internal/discovery/endpointstream.go
@@ -18,19 +18,19 @@
 	"havencart/scheduler"
 )
 
-// jitterStream separates a stream's random waits from other generators that are made from the same seed.
+// jitterStream separates the random delays of an EndpointStream from other generators that use the same seed.
 const jitterStream = 0x6c697374
 
-// EndpointStream is a Source that follows the platform's endpoint list: numbered events over TCP, the first of which
-// come with the configuration. A connection that breaks or falls silent is replaced at once, and the platform continues
-// after the last event received. The list stays as it is meanwhile, for as long as its lease lasts (see ListConfirmed); events
-// that are repeated change nothing.
+// EndpointStream is a Source that follows the platform's endpoint list as numbered events over TCP. The first events
+// come with the configuration. A connection that breaks, or receives nothing for too long, is replaced after a random
+// delay, and the platform then continues after the last event received. Meanwhile the list stays unchanged and usable
+// for as long as its lease lasts (see Sink.ListConfirmed). Repeated events change nothing.
 //
-// Its fields belong to the goroutine of Run, but for those below mu.
+// The fields above mu belong to the goroutine that calls Run; mu guards the fields below it.
 type EndpointStream struct {
 	zones, kinds []string
 	lastEvent    uint64                          // number of the last event applied
-	workers      map[uint32]endpointstream.Entry // by ID, without removed ones; as many as the platform lists
+	workers      map[uint32]endpointstream.Entry // listed workers by ID, as many as the platform lists
 
 	rng  *rand.Rand
 	dial func(ctx context.Context, address string) (net.Conn, error)
@@ -41,8 +41,9 @@
 }
 
 // NewEndpointStream returns a source that follows the endpoint stream at address (host:port). initialEvents are the
-// events of the configuration as JSON, and may be empty; zones and kinds are the platform's names of its zones and
-// worker kinds; waits before reconnects are drawn from seed. The error wraps endpointstream.ErrMalformed.
+// events of the configuration as JSON and may be empty. zones and kinds are the platform's names of its zones and worker
+// kinds, to which events refer by index. seed determines the random delays before reconnects. The error wraps
+// endpointstream.ErrMalformed.
 func NewEndpointStream(address string, initialEvents []byte, zones, kinds []string, seed uint64) (*EndpointStream, error) {
 	stream := &EndpointStream{
 		zones:          zones,
@@ -58,7 +59,7 @@
 	}
 	last, events, err := endpointstream.ParseInitialEvents(initialEvents, zones, kinds)
 	if err != nil {
-		return nil, fmt.Errorf("known: %w", err) // the configuration's key
+		return nil, fmt.Errorf("known: %w", err) // known is the configuration key of the initial events
 	}
 	for _, event := range events {
 		if stream.isNew(event) {
@@ -74,8 +75,8 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// SetAddress makes the source follow the stream at another address (host:port), from the event after the last one
-// received. The connection to the address before is closed. It may be called from any goroutine, also before Run.
+// SetAddress makes the source follow the stream at another address (host:port), starting after the last event received.
+// The connection to the previous address is closed. SetAddress may be called from any goroutine, including before Run.
 func (s *EndpointStream) SetAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,18 +88,18 @@
 	s.addressChanged = make(chan struct{})
 }
 
-// currentAddress returns the address and a channel that is closed once it is no longer the current one.
+// currentAddress returns the address and a channel that is closed when the address changes.
 func (s *EndpointStream) currentAddress() (address string, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address, s.addressChanged
 }
 
-// Refresh implements Source. It does nothing, as a stream reconnects by itself.
+// Refresh implements Source. It does nothing, because an EndpointStream reconnects without it.
 func (s *EndpointStream) Refresh() {}
 
-// Run implements Source. The list of the initial events is reported at once, whether the platform can be reached or
-// not.
+// Run implements Source. It reports the list of the initial events immediately, whether or not the platform can be
+// reached.
 func (s *EndpointStream) Run(ctx context.Context, sink Sink) {
 	sink.EndpointsChanged(s.list())
 	failures := 0
@@ -116,8 +117,8 @@
 	}
 }
 
-// waitToReconnect waits before the next connection is made. If the address changes meanwhile, or has changed, the wait
-// is that of a first attempt.
+// waitToReconnect waits before the next connection is made. If the address has changed, or changes during the wait, the
+// wait starts again with the delay of a first attempt.
 func (s *EndpointStream) waitToReconnect(ctx context.Context, changed <-chan struct{}, failures int) {
 	for {
 		delay := reconnect.WatchRetryDelay(failures, s.rng.Float64())
@@ -126,24 +127,24 @@
 			return
 		case <-changed:
 			failures = 0
-			changed = nil // never ready again
+			changed = nil // a nil channel is never ready, so the change is handled once
 		case <-time.After(delay):
 			return
 		}
 	}
 }
 
-// follow receives events on one connection until it breaks, falls silent, the address changes or ctx ends. It reports
-// whether it received any event; the error is never nil.
+// follow receives events on one connection until the connection breaks or receives nothing for too long, the address
+// changes, or ctx ends. It reports whether it received any event. The error is never nil.
 func (s *EndpointStream) follow(ctx context.Context, address string, changed <-chan struct{}, sink Sink) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go cancelWhenClosed(ctx, cancel, changed) // ends with ctx, and so with this function
+	go cancelWhenClosed(ctx, cancel, changed) // returns when ctx is cancelled, and so when follow returns
 	conn, err := s.dial(ctx, address)
 	if err != nil {
 		return false, fmt.Errorf("connect to the endpoint stream: %w", err)
 	}
-	closeConn := func() { _ = conn.Close() } // an error would change nothing
+	closeConn := func() { _ = conn.Close() } // the result does not depend on a close error
 	defer closeConn()
 	stop := context.AfterFunc(ctx, closeConn) // interrupts a read or write in progress
 	defer stop()
@@ -155,7 +156,7 @@
 	return s.receive(conn, requestedAt, sink)
 }
 
-// cancelWhenClosed calls cancel once signal is closed. It returns then, or when ctx ends.
+// cancelWhenClosed waits until signal is closed and then calls cancel. It also returns when ctx ends.
 func cancelWhenClosed(ctx context.Context, cancel context.CancelFunc, signal <-chan struct{}) {
 	select {
 	case <-signal:
@@ -164,18 +165,19 @@
 	}
 }
 
-// receive applies the events of a connection until it fails; the error is never nil.
+// receive applies the events of a connection until reading fails. The error is never nil.
 //
-// What was missed comes first, and the first event without changes says that it was all. It and each later one confirm the list
-// as of when the connection was last seen empty: after a stall of this process an event may have waited to be read while the
-// service has long been out of reach.
+// The platform first sends the events that were missed, and then an event without changes, which marks their end. That
+// event and each later one confirm the list, but only as of the time at which the connection was last seen without
+// unread data: after a stall of this process, an event may have waited to be read while the service has long been
+// unreachable.
 func (s *EndpointStream) receive(conn net.Conn, requestedAt time.Time, sink Sink) (received bool, err error) {
 	source := &socket.ArrivalConn{Conn: conn}
 	reader := bufio.NewReader(source)
-	isWhole := false
+	isCaughtUp := false
 	silenceTimeout := reconnect.WatchSilenceTimeout(s.rng.Float64())
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(silenceTimeout)) // fails on a closed connection only
+		_ = conn.SetReadDeadline(time.Now().Add(silenceTimeout)) // fails only on a closed connection
 		event, err := endpointstream.ReadEvent(reader, len(s.zones), len(s.kinds))
 		if err != nil {
 			return received, fmt.Errorf("read the endpoint stream: %w", err)
@@ -184,14 +186,14 @@
 		if s.isNew(event) {
 			sink.EndpointsUpdated(s.apply(event))
 		}
-		isWhole = isWhole || event.Kind == endpointstream.NoChange
-		if isWhole {
+		isCaughtUp = isCaughtUp || event.Kind == endpointstream.NoChange
+		if isCaughtUp {
 			sink.ListConfirmed(later(requestedAt, source.ArrivedAfter()))
 		}
 	}
 }
 
-// later returns the later one of two times.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -199,14 +201,14 @@
 	return b
 }
 
-// isNew reports whether an event changes the list. Events up to the last one applied are repeated after a reconnect, and
-// now and then on one connection; they change nothing.
+// isNew reports whether an event changes the list. The platform repeats events up to the last one applied after a
+// reconnect, and occasionally within a connection; repeated events change nothing.
 func (s *EndpointStream) isNew(event endpointstream.Event) bool {
 	return event.Kind != endpointstream.NoChange && event.Number > s.lastEvent
 }
 
-// apply takes a new event over into the list, and returns the workers that it changed. A whole list is compared with the
-// one before: what is as it was costs its reader nothing.
+// apply applies a new event to the list and returns the workers that the event changed. A snapshot is compared with the
+// current list, so that unchanged workers cost the sink nothing.
 func (s *EndpointStream) apply(event endpointstream.Event) (changed []Worker) {
 	s.lastEvent = event.Number
 	entries := event.Entries
@@ -231,7 +233,7 @@
 	return changed
 }
 
-// missingFrom returns the workers of the list that a whole list lacks, as removed.
+// missingFrom returns an entry in state Removed for each listed worker that is missing from a snapshot.
 func (s *EndpointStream) missingFrom(entries []endpointstream.Entry) (missing []endpointstream.Entry) {
 	listed := make(map[uint32]bool, len(entries))
 	for _, entry := range entries {
@@ -251,7 +253,7 @@
 	endpointstream.Removed:  scheduler.Removed,
 }
 
-// list returns the workers in the order of their IDs.
+// list returns the listed workers in the order of their IDs.
 func (s *EndpointStream) list() []Worker {
 	list := make([]Worker, 0, len(s.workers))
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
--- a/internal/discovery/endpointstream_reconnect_test.go
+++ b/internal/discovery/endpointstream_reconnect_test.go
@@ -11,29 +11,30 @@
 	"havencart/internal/platform/endpointstream"
 )
 
-// connection is the server side of a connection that an EndpointStream made, after its greeting.
+// connection is the server side of a connection that an EndpointStream made, after the hello was read.
 type connection struct {
 	net.Conn
 	address    string
-	lastEvent  uint64        // of the greeting
-	acceptedAt time.Duration // since the start of the test's clock
+	lastEvent  uint64        // last event number in the hello
+	acceptedAt time.Duration // time since followScripted was called
 }
 
-// followScripted starts an EndpointStream whose connections the test serves. refuseDial, unless nil, may fail dials to an address.
+// followScripted starts an EndpointStream whose connections the test serves. If refuseDial is not nil, a dial fails with
+// the error that it returns for the address. A dial to the address "silent" never completes.
 func followScripted(t *testing.T, seed uint64, refuseDial func(address string) error) (*EndpointStream, listSink, <-chan connection) {
 	t.Helper()
 	stream, err := NewEndpointStream("one", []byte(initialEvents), []string{"room"}, []string{"std"}, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began, accepted := time.Now(), make(chan connection, 64)
+	start, accepted := time.Now(), make(chan connection, 64)
 	stream.dial = func(ctx context.Context, address string) (net.Conn, error) {
 		if refuseDial != nil {
 			if err := refuseDial(address); err != nil {
 				return nil, err
 			}
 		}
-		if address == "silent" { // it never comes up
+		if address == "silent" {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -41,7 +42,7 @@
 		go func() {
 			last, err := endpointstream.ReadHello(serverSide)
 			if err == nil {
-				accepted <- connection{serverSide, address, last, time.Since(began)}
+				accepted <- connection{serverSide, address, last, time.Since(start)}
 			}
 		}()
 		return clientSide, nil
@@ -50,7 +51,7 @@
 	received, done := newListSink(), make(chan struct{})
 	go func() { defer close(done); stream.Run(ctx, received) }()
 	t.Cleanup(func() { cancel(); <-done })
-	<-received.lists // the initial events are reported whether the server can be reached or not
+	<-received.lists // the initial events are reported whether or not the server can be reached
 	return stream, received, accepted
 }
 
@@ -63,8 +64,8 @@
 
 var secondEvent = event(4, endpointstream.Delta, entry(2, 9002, 0))
 
-// testReconnectSpread makes 8 front ends lose their connection in the same way. Each must reconnect within minDelay to maxDelay and
-// resume after its last event; together they must not reconnect at the same time.
+// testReconnectSpread makes 8 front ends lose their connections in the same way. Each must reconnect after minDelay to
+// maxDelay and resume after its last event. At least 6 of the delays, rounded to resolution, must differ.
 func testReconnectSpread(t *testing.T, minDelay, maxDelay, resolution time.Duration, loseConnection func(connection)) {
 	t.Helper()
 	delays := map[time.Duration]bool{}
@@ -77,7 +78,7 @@
 			loseConnection(first)
 			second := <-accepted
 			if delay := second.acceptedAt - first.acceptedAt; second.lastEvent != 4 || delay < minDelay || delay > maxDelay {
-				t.Errorf("resumed from %d after %v", second.lastEvent, delay)
+				t.Errorf("resumed after event %d with a delay of %v", second.lastEvent, delay)
 			} else {
 				delays[delay.Round(resolution)] = true
 			}
@@ -91,7 +92,7 @@
 	}
 }
 
-// The silent server sends nothing more and leaves the connection open.
+// The server sends nothing more and leaves the connection open.
 func TestEndpointStream_SilentServer_ReconnectsSpreadWithinTimeout(t *testing.T) {
 	testReconnectSpread(t, 2*time.Second, 4*time.Second, 10*time.Millisecond, func(connection) {})
 }
@@ -100,7 +101,8 @@
 	testReconnectSpread(t, 0, time.Second, time.Millisecond, func(conn connection) { _ = conn.Close() })
 }
 
-// Event numbers continue, no event is applied twice, and the old connection is no longer read.
+// After a change of address the stream resumes after the last event, applies no event twice and no longer reads the old
+// connection.
 func TestEndpointStream_AddressChangesAtAnyMoment_ResumesWithoutRepeats(t *testing.T) {
 	raw := endpointstream.AppendEvent(nil, secondEvent)
 	for name, change := range map[string]func(t *testing.T, stream *EndpointStream, first connection) (last uint64){
@@ -116,7 +118,7 @@
 		},
 		"while a connection is being made": func(_ *testing.T, stream *EndpointStream, _ connection) uint64 {
 			stream.SetAddress("silent")
-			time.Sleep(time.Second) // of the bubble's clock
+			time.Sleep(time.Second) // on the fake clock of synctest
 			return 3
 		},
 		"twice in a row": func(_ *testing.T, stream *EndpointStream, _ connection) uint64 {
@@ -140,16 +142,16 @@
 				first := <-accepted
 				last := change(t, stream, first)
 				synctest.Wait()
-				began := time.Now()
+				start := time.Now()
 				stream.SetAddress("two")
 				second := <-accepted
-				if delay := time.Since(began); second.address != "two" || second.lastEvent != last || delay > 500*time.Millisecond {
-					t.Errorf("resumed at %q from %d after %v", second.address, second.lastEvent, delay)
+				if delay := time.Since(start); second.address != "two" || second.lastEvent != last || delay > 500*time.Millisecond {
+					t.Errorf("resumed at %q after event %d with a delay of %v", second.address, second.lastEvent, delay)
 				}
 				if _, err := first.Write(raw); err == nil {
 					t.Error("the old connection is still read")
 				}
-				second.send(t, secondEvent) // repeated where it was received before
+				second.send(t, secondEvent) // a repeat if it was already received on the first connection
 				second.send(t, event(5, endpointstream.Delta, entry(3, 9003, 0)))
 				expectList(t, received, "1 2 ")
 				expectList(t, received, "1 2 3 ")
@@ -172,14 +174,14 @@
 		})
 		conn := <-accepted
 		if delay := time.Since(upAt); delay > 500*time.Millisecond || dials > 40 {
-			t.Errorf("reached %v after it was up, by %d dials", delay, dials)
+			t.Errorf("reconnected %v after the server was up, with %d dials", delay, dials)
 		}
 		conn.send(t, secondEvent)
 		expectList(t, received, "1 2 ")
 	})
 }
 
-// The events arrive in two parts, cut at every byte, and as a whole.
+// The events arrive in two parts, split at every byte position; at position 0 they arrive whole.
 func TestEndpointStream_EventsSplitAtAnyByte_AppliesEachOnce(t *testing.T) {
 	raw := endpointstream.AppendEvent(endpointstream.AppendEvent(endpointstream.AppendEvent(nil, secondEvent), endpointstream.Event{Number: 4}),
 		event(5, endpointstream.Snapshot, entry(3, 9003, 0), entry(1, 9001, 1)))
@@ -199,7 +201,7 @@
 	}
 }
 
-// confirmationSink is a Sink that records as of when the list was confirmed, since it was requested.
+// confirmationSink is a Sink that records the time as of which the list was confirmed, as a duration since the request.
 type confirmationSink struct {
 	listSink
 	requestedAt time.Time
@@ -208,8 +210,8 @@
 
 func (s confirmationSink) ListConfirmed(asOf time.Time) { s.confirmed <- asOf.Sub(s.requestedAt) }
 
-// What an event confirms is as old as the last moment at which the connection had nothing to read: after a stall of this
-// process it may have waited for as long.
+// An event confirms the list only as of the last time at which the connection had no unread data, because after a stall
+// of this process the event may have waited to be read since then.
 func TestEndpointStream_Events_ConfirmListAsOfEmptyConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stream, err := NewEndpointStream("one", nil, []string{"room"}, []string{"std"}, 1)
@@ -221,9 +223,9 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			_, _ = stream.receive(ours, sink.requestedAt, sink) // until the connection ends
+			_, _ = stream.receive(ours, sink.requestedAt, sink) // returns when the connection ends
 		}()
-		// What was missed comes first, in several events: none of them says that it is the last one.
+		// The missed changes come first, in several events, none of which says that it is the last one.
 		for number := range uint64(2) {
 			missed := event(number+1, endpointstream.Delta, entry(uint32(number+1), 9001, endpointstream.Ready))
 			if _, err := theirs.Write(endpointstream.AppendEvent(nil, missed)); err != nil {
@@ -233,7 +235,7 @@
 		}
 		synctest.Wait()
 		if len(sink.confirmed) > 0 {
-			t.Error("confirmed before all that was missed can have come")
+			t.Error("the list was confirmed before all missed events can have arrived")
 		}
 		heartbeat := endpointstream.AppendEvent(nil, event(2, endpointstream.NoChange))
 		for _, want := range []time.Duration{0, time.Second, 2 * time.Second} {
@@ -249,7 +251,7 @@
 			t.Fatal(err)
 		}
 		if got := <-sink.confirmed; got != 3*time.Second {
-			t.Errorf("confirmed by a change as of %v after the request, want 3 s", got)
+			t.Errorf("a change confirmed the list as of %v after the request, want 3 s", got)
 		}
 		_ = theirs.Close()
 		<-ended
--- a/internal/discovery/endpointstream_test.go
+++ b/internal/discovery/endpointstream_test.go
@@ -15,7 +15,8 @@
 	"havencart/scheduler"
 )
 
-// listSink is a Sink that passes whole lists to the test, also after updates, and drops failures, whose number is not fixed.
+// listSink is a Sink that passes the complete list to the test after each report. It ignores failures, whose number
+// varies.
 type listSink struct {
 	lists   chan []Worker
 	current map[string]Worker
@@ -85,7 +86,7 @@
 	return stream, received
 }
 
-// summary lists the last digit of each worker's name, with a d behind it if it is draining.
+// summary gives the last digit of each worker's name, followed by d if the worker is draining.
 func summary(list []Worker) (text string) {
 	for _, worker := range list {
 		text += worker.Name[9:]
@@ -114,15 +115,15 @@
 		t.Errorf("initial list is %+v", first)
 	}
 	if last := <-server.Resumed(); last != 3 {
-		t.Errorf("resumed from %d", last)
+		t.Errorf("resumed after event %d, want 3", last)
 	}
 	server.Publish(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	expectList(t, received, "1 2 ")
 	server.Publish(event(5, endpointstream.Delta, entry(1, 9001, endpointstream.Draining)))
 	expectList(t, received, "1d 2 ")
 	server.Publish(event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Removed), entry(3, 9001, endpointstream.Ready)))
-	expectList(t, received, "2 3 ")                                                                                        // another worker at the address of a removed one
-	server.WriteRaw(endpointstream.AppendEvent(nil, event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Ready)))) // repeated
+	expectList(t, received, "2 3 ")                                                                                        // a new worker at the address of a removed worker
+	server.WriteRaw(endpointstream.AppendEvent(nil, event(6, endpointstream.Delta, entry(1, 9001, endpointstream.Ready)))) // a repeated event number
 	server.Publish(event(7, endpointstream.Snapshot, entry(9, 9009, endpointstream.Ready)))
 	expectList(t, received, "9 ")
 }
@@ -133,16 +134,16 @@
 	_, received := follow(t, server.Address())
 	<-received.lists
 	<-server.Resumed()
-	server.WriteRaw(endpointstream.AppendEvent(nil, event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))[:20]) // half of it
+	server.WriteRaw(endpointstream.AppendEvent(nil, event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))[:20]) // an incomplete event
 	server.CloseConnections()
 	if last := <-server.Resumed(); last != 3 {
-		t.Errorf("after half an event resumed from %d", last)
+		t.Errorf("after an incomplete event: resumed after event %d, want 3", last)
 	}
 	server.Publish(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	expectList(t, received, "1 2 ")
-	server.WriteRaw([]byte("noise that is no event"))
+	server.WriteRaw([]byte("bytes that are no event"))
 	if last := <-server.Resumed(); last != 4 {
-		t.Errorf("after noise resumed from %d", last)
+		t.Errorf("after malformed bytes: resumed after event %d, want 4", last)
 	}
 }
 
@@ -156,13 +157,13 @@
 	expectList(t, received, "1 2 ")
 	stream.SetAddress(other.Address())
 	if last := <-other.Resumed(); last != 4 {
-		t.Errorf("at the other address resumed from %d", last)
+		t.Errorf("at the new address: resumed after event %d, want 4", last)
 	}
 	other.Publish(event(5, endpointstream.Delta, entry(3, 9003, endpointstream.Ready)))
 	expectList(t, received, "1 2 3 ")
 }
 
-// updateSink is a Sink that passes on updates as they come.
+// updateSink is a Sink that passes lists and updates to the test unchanged.
 type updateSink struct{ lists, updates chan []Worker }
 
 func (u updateSink) EndpointsChanged(list []Worker)    { u.lists <- list }
@@ -171,8 +172,8 @@
 func (updateSink) ListRequested(time.Time)             {}
 func (updateSink) ListConfirmed(time.Time)             {}
 
-// What a whole list does not change is not reported, and neither are the other workers of an event.
-func TestEndpointStream_WholeList_ReportsChangesOnly(t *testing.T) {
+// Workers that a snapshot leaves unchanged are not reported, and neither are workers that an event does not mention.
+func TestEndpointStream_Snapshot_ReportsChangesOnly(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	server := startServer(t)
 	stream, err := NewEndpointStream(server.Address(), []byte(initialEvents), []string{"room"}, []string{"std"}, 1)
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -14,18 +14,18 @@
 	"havencart/scheduler"
 )
 
-// File is a Source that follows a list in a file, one worker a line:
+// File is a Source that follows a list in a file with one worker per line:
 //
 //	worker NAME HOST:PORT [zone Z] [cell C] [kind K] [scale X] [started RFC3339] [state ready|draining|gone]
 //
 // A comment runs from # to the end of the line. The file is read again when it changes or is replaced, and on Refresh.
 type File struct {
-	wakeUp
+	refreshSignal
 	path string
 }
 
 // NewFile returns a source that follows the file at path.
-func NewFile(path string) *File { return &File{wakeUp: newWakeUp(), path: path} }
+func NewFile(path string) *File { return &File{refreshSignal: newRefreshSignal(), path: path} }
 
 // Run implements Source.
 func (f *File) Run(ctx context.Context, sink Sink) {
@@ -38,14 +38,14 @@
 	}
 }
 
-// watch reads the file at once and at each change of it, until ctx ends or the watch fails. It watches the directory,
-// as a file that replaces another is not seen by a watch on the old one.
+// watch reads the file immediately and after each change, until ctx ends or the watch fails. It watches the directory,
+// because a watch on the file itself does not notice that another file replaces it.
 func (f *File) watch(ctx context.Context, sink Sink) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return fmt.Errorf("watch %s: %w", f.path, err)
 	}
-	defer func() { _ = watcher.Close() }() // an error would change nothing
+	defer func() { _ = watcher.Close() }() // the result does not depend on a close error
 	if err := watcher.Add(filepath.Dir(f.path)); err != nil {
 		return fmt.Errorf("watch %s: %w", f.path, err)
 	}
@@ -54,11 +54,11 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.wakeUp:
+		case <-f.refreshSignal:
 			f.read(sink)
 		case event, open := <-watcher.Events:
 			if !open {
-				return fmt.Errorf("watch %s: the watch ended", f.path)
+				return fmt.Errorf("watch %s: the file watcher was closed", f.path)
 			}
 			if f.isWrittenBy(event) {
 				f.read(sink)
@@ -69,7 +69,7 @@
 	}
 }
 
-// isWrittenBy reports whether an event of the directory created or wrote this file.
+// isWrittenBy reports whether an event of the watched directory created or wrote the file.
 func (f *File) isWrittenBy(event fsnotify.Event) bool {
 	return filepath.Base(event.Name) == filepath.Base(f.path) && event.Has(fsnotify.Create|fsnotify.Write)
 }
@@ -88,8 +88,8 @@
 	sink.EndpointsChanged(list)
 }
 
-// ParseFile reads the text of a list; name is the file's name in errors, which also give the line. Every error wraps
-// ErrMalformed.
+// ParseFile parses the text of a list. Errors in a line give the line's number and name as the name of the file. Every
+// error wraps ErrMalformed.
 func ParseFile(name, text string) ([]Worker, error) {
 	var list []Worker
 	for i, line := range strings.Split(text, "\n") {
@@ -107,7 +107,7 @@
 	return list, validate(list)
 }
 
-// mandatoryWords are those that each line begins with: worker NAME HOST:PORT.
+// mandatoryWords is the number of words with which each line must begin: worker NAME HOST:PORT.
 const mandatoryWords = 3
 
 func parseLine(words []string) (Worker, error) {
@@ -124,7 +124,7 @@
 	return worker, nil
 }
 
-// isWorkerLine reports whether a line has the mandatory words and, after them, whole pairs.
+// isWorkerLine reports whether a line has the mandatory words, followed by pairs of a word and its value.
 func isWorkerLine(words []string) bool {
 	if words[0] != "worker" || len(words) < mandatoryWords {
 		return false
@@ -138,7 +138,7 @@
 	"gone":     scheduler.Removed,
 }
 
-// set assigns the value of one optional word.
+// set assigns the value that follows an optional word to the field that the word names.
 func (w *Worker) set(word, value string) (err error) {
 	switch word {
 	case "zone":
--- a/internal/discovery/list_comparer.go
+++ b/internal/discovery/list_comparer.go
@@ -7,11 +7,12 @@
 	"havencart/scheduler"
 )
 
-// listComparer is a Sink that passes the first whole list on, and of each later one the changes only: what is as it was
-// costs the reader nothing, however long the list. A source that is given whole lists puts it before its sink.
+// listComparer is a Sink that passes on the first list completely, and then only the changes from one list to the next,
+// so that unchanged workers cost the receiver nothing, however long the list is. A source that receives complete lists
+// wraps its sink in a listComparer.
 type listComparer struct {
 	Sink
-	known   map[string]Worker // by name, of the last list
+	known   map[string]Worker // workers of the last list, by name
 	hasList bool
 }
 
@@ -30,7 +31,8 @@
 	c.EndpointsUpdated(c.changes(before, list))
 }
 
-// changes returns the workers of a list that were not as they are, and those that it lacks as removed.
+// changes returns the workers of before that list lacks, in state Removed, and the workers of list that are new or
+// changed.
 func (c *listComparer) changes(before map[string]Worker, list []Worker) (changed []Worker) {
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		if _, isListed := c.known[name]; !isListed {
@@ -47,7 +49,7 @@
 	return changed
 }
 
-// equal reports whether two entries say the same.
+// equal reports whether two entries have equal fields; Started is compared as an instant, regardless of its time zone.
 func (w Worker) equal(other Worker) bool {
 	isSameStart := w.Started.Equal(other.Started)
 	w.Started = other.Started
--- a/internal/discovery/list_comparer_test.go
+++ b/internal/discovery/list_comparer_test.go
@@ -11,7 +11,7 @@
 	"havencart/scheduler"
 )
 
-// reportSink keeps what was reported last.
+// reportSink keeps the last list and the last changes reported, and counts the reports.
 type reportSink struct {
 	whole, changed []Worker
 	reports        int
@@ -26,17 +26,19 @@
 func TestListComparer_SecondList_ReportsChangesOnly(t *testing.T) {
 	sink := &reportSink{}
 	comparer := &listComparer{Sink: sink}
-	began := time.UnixMilli(1000)
-	worker := func(name string) Worker { return Worker{Name: name, Scale: 1, State: scheduler.Ready, Started: began} }
+	started := time.UnixMilli(1000)
+	worker := func(name string) Worker {
+		return Worker{Name: name, Scale: 1, State: scheduler.Ready, Started: started}
+	}
 	first := []Worker{worker("a"), worker("b"), worker("c")}
 	comparer.EndpointsChanged(first)
 	if sink.reports != 1 || len(sink.whole) != 3 {
 		t.Fatalf("first list: %d reports, the list has %d", sink.reports, len(sink.whole))
 	}
 	again := worker("a")
-	again.Started = began.UTC() // the same instant
+	again.Started = started.UTC() // the same instant
 	restarted := worker("b")
-	restarted.Started = began.Add(time.Second)
+	restarted.Started = started.Add(time.Second)
 	comparer.EndpointsChanged([]Worker{again, restarted, worker("d")})
 	var changes []string
 	for _, w := range sink.changed {
@@ -52,8 +54,8 @@
 	}
 }
 
-// Applied one after the other, the reports give each list.
-func TestListComparer_AnyLists_ReportsGiveTheList(t *testing.T) {
+// Applying the reports in order must reproduce each list.
+func TestListComparer_RandomLists_ReportsReproduceEachList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sink := &reportSink{}
 		comparer := &listComparer{Sink: sink}
