--- a/internal/workerconn/attempt.go
+++ b/internal/workerconn/attempt.go
@@ -7,21 +7,21 @@
 	"havencart/scheduler"
 )
 
-// Attempt is one attempt of a request at one worker. The caller sets the exported fields and leaves them unchanged from
-// the call of Send on; the rest belongs to the client that sends it.
+// Attempt is one attempt of a request at one worker. The caller sets the exported fields and must not change them once
+// it has called Send. The unexported fields belong to the client that sends the attempt.
 type Attempt struct {
 	Request  muxframe.Request
 	Body     []byte
-	Deadline time.Duration // nobody waits for the response after this; on the client's monotonic clock
-	NotAfter time.Duration // its write may neither begin nor go on after this; 0: Deadline alone bounds it
-	// ConfirmedUntil is until when its write may begin because its worker confirmed that it accepts new work, where the lease
-	// on the endpoint list ends before.
+	Deadline time.Duration // no response is awaited after this; on the client's monotonic clock
+	NotAfter time.Duration // the write may neither start nor continue after this; 0: only Deadline limits it
+	// ConfirmedUntil is the time until which the write may start because the worker itself has confirmed that it
+	// accepts new work. It matters if the lease on the endpoint list ends earlier.
 	ConfirmedUntil time.Duration
 
 	delivery delivery
 }
 
-// writeDeadline is the time after which the attempt may not be written, 0 if there is none.
+// writeDeadline returns the time from which the attempt may no longer be written, 0 if there is none.
 func (a *Attempt) writeDeadline() time.Duration {
 	if a.NotAfter > 0 && a.Deadline > 0 {
 		return min(a.NotAfter, a.Deadline)
@@ -29,8 +29,8 @@
 	return max(a.NotAfter, a.Deadline)
 }
 
-// permitEnd is when a permit that is shorter than the time for a response ends, 0 if there is none: after it, the attempt
-// could execute a request again.
+// permitEnd returns the end of the attempt's permit if that is before the deadline for the response, else 0. An attempt
+// that is written after the end of its permit could execute the request a second time.
 func (a *Attempt) permitEnd() time.Duration {
 	if a.NotAfter > 0 && (a.Deadline == 0 || a.NotAfter < a.Deadline) {
 		return a.NotAfter
@@ -38,62 +38,62 @@
 	return 0
 }
 
-// Number is the number under which the attempt was queued. It identifies the attempt on its connection.
+// Number returns the number under which the attempt was queued, which identifies the attempt on its connection.
 func (a *Attempt) Number() uint64 { return a.delivery.number }
 
-// MayHaveBeenSent tells of an attempt that has ended whether the worker may have seen it.
+// MayHaveBeenSent reports, for an attempt that has ended, whether the worker may have received it.
 func (a *Attempt) MayHaveBeenSent() bool { return a.delivery.state == ended }
 
-// WriteStartedAt tells of an attempt that has ended when its write started, on the client's clock; 0: it never did.
+// WriteStartedAt returns, for an attempt that has ended, when its write started on the client's clock; 0: it never did.
 func (a *Attempt) WriteStartedAt() time.Duration { return a.delivery.writeStartedAt }
 
-// Reject records that a client refused the attempt: it was never sent.
+// Reject records that a client refused the attempt, which was therefore never sent.
 func (a *Attempt) Reject() { a.delivery.cancel() }
 
-// LoadOrder tells a worker to hold so many replicas of a function. An order of zero replicas is a residency query: it
-// only asks how many are loaded.
+// LoadOrder tells a worker how many replicas of a function to keep loaded. A load order of zero replicas is a residency
+// query, which only asks how many replicas are loaded.
 type LoadOrder struct {
 	Load           muxframe.LoadOrder
-	ConfirmedUntil time.Duration // as Attempt has it; a residency query may always be written
+	ConfirmedUntil time.Duration // see Attempt.ConfirmedUntil; does not limit residency queries
 
 	delivery delivery
 }
 
-// Reject records that a client refused the order: it was never sent.
+// Reject records that a client refused the load order, which was therefore never sent.
 func (o *LoadOrder) Reject() { o.delivery.cancel() }
 
-// WriteStartedAt tells of an order that has ended when its write started, on the client's clock; 0: it never did.
+// WriteStartedAt returns, for an order that has ended, when its write started on the client's clock; 0: it never did.
 func (o *LoadOrder) WriteStartedAt() time.Duration { return o.delivery.writeStartedAt }
 
-// isNewWork tells whether the order makes the worker load something, unlike a residency query.
+// isNewWork reports whether the order may make the worker load replicas, unlike a residency query.
 func (o *LoadOrder) isNewWork() bool { return o.Load.Replicas > 0 }
 
-// HealthCheck asks a worker whether it accepts new work. The caller sets AskedAt, and the client the rest before it reports
-// the response. Both are on the client's monotonic clock.
+// HealthCheck asks a worker whether it accepts new work. The caller sets AskedAt; the client sets ConnectedAt before it
+// reports the response. Both times are on the client's monotonic clock.
 type HealthCheck struct {
 	AskedAt     time.Duration
-	ConnectedAt time.Duration // when the connection was made that it was sent on; 0: not known
+	ConnectedAt time.Duration // when the connection that carried the check was established; 0: not known
 }
 
-// SentAfter is a time before which the check was not sent.
+// SentAfter returns a time before which the check cannot have been sent.
 func (h *HealthCheck) SentAfter() time.Duration { return max(h.AskedAt, h.ConnectedAt) }
 
-// Result tells how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Status     scheduler.Status
-	Reason     string // for people; it may reach the client that sent the request
+	Reason     string // explanation for people; it may reach the client that sent the request
 	ColdStart  scheduler.ColdStart
-	QueueDepth int           // requests of the function that the worker held on arrival, -1 if not reported
+	QueueDepth int           // requests for the function that the worker held when the attempt arrived, -1 if not reported
 	LoadReport []float64     // values in the order of the worker's load report fields
-	RunTime    time.Duration // time that the execution took, without time spent queued; 0 if not reported
-	Response   *Response     // nil if the worker gave none
+	RunTime    time.Duration // execution time without time spent queued; 0 if not reported
+	Response   *Response     // nil if the worker sent none
 	ReceivedAt time.Duration // when the response was read, on the client's monotonic clock; 0 if not recorded
 }
 
-// Response is what a worker responded to an attempt.
+// Response is a worker's response to an attempt.
 type Response struct {
-	ContentType string  // content type
-	Body        []byte  // the whole body if Stream is nil
-	Length      int64   // of the whole body in bytes, -1 if not known
-	Stream      *Stream // the body of a response that arrives in parts, else nil
+	ContentType string  // media type of the body
+	Body        []byte  // the complete body if Stream is nil
+	Length      int64   // length of the complete body in bytes, -1 if not known
+	Stream      *Stream // the body if the response arrives in parts, else nil
 }
--- a/internal/workerconn/guard.go
+++ b/internal/workerconn/guard.go
@@ -8,54 +8,58 @@
 	"havencart/internal/decide/looplag"
 )
 
-// LeaseRetryInterval is after how long a client looks again for the lease while new work is held back.
+// LeaseRetryInterval is the interval at which a client checks the send lease again while new work is deferred.
 const LeaseRetryInterval = 5 * time.Millisecond
 
-// Guard is what an event loop and its worker clients share so that nothing is written that the loop would no longer allow:
-// the leases on writing new work, and the violations that were counted. New work is attempts and orders to load.
+// Guard is shared by an event loop and its worker clients. It keeps the clients from writing new work that the loop
+// would no longer allow, by means of two leases, and counts violations. New work means attempts and orders to load
+// replicas.
 //
-// The loop's lease guards against a process that stood still: its writers run again before the loop has received which
-// workers drain and which clients left meanwhile. The loop renews the lease when it has; without one, new work stays queued.
+// The send lease protects against a stall of the process: when the process resumes, its writers may run before the loop
+// has received which workers are draining and which clients have disconnected meanwhile. The loop renews the lease once
+// it has received that. Without a valid lease, new work stays queued.
 //
-// The lease on the endpoint list guards against work that waited for its connection while the list, by which it was decided,
-// ceased to hold. Without one, new work is not sent unless its worker has confirmed that it accepts some.
+// The endpoint lease protects against work that was decided by the endpoint list and waited for its connection until
+// the list was no longer valid. Without a valid lease, new work is sent only if its worker has confirmed that it
+// accepts new work.
 //
-// A nil Guard holds nothing back and counts nothing. Its methods may be called from any goroutine.
+// A nil Guard allows all writes and counts nothing. The methods may be called from any goroutine.
 type Guard struct {
-	renewedAt      atomic.Int64 // on the clock of the loop and its clients
-	endpointsUntil atomic.Int64 // end of the lease on the endpoint list, on the same clock; 0: it never ends
-	violations     [execution.Violations]atomic.Uint64
+	renewedAt        atomic.Int64 // last renewal of the send lease, on the clock of the loop and its clients
+	endpointLeaseEnd atomic.Int64 // end of the endpoint lease, on the same clock; 0: it never ends
+	violations       [execution.Violations]atomic.Uint64
 }
 
-// Renew extends the lease from now.
+// Renew renews the send lease as of now.
 func (g *Guard) Renew(now time.Duration) { g.renewedAt.Store(int64(now)) }
 
-// mayWriteNewWork reports whether the lease holds at now.
+// mayWriteNewWork reports whether the send lease is valid at now.
 func (g *Guard) mayWriteNewWork(now time.Duration) bool {
 	return g == nil || now-time.Duration(g.renewedAt.Load()) <= looplag.SendLease()
 }
 
-// SetEndpointLease sets until when new work may be sent to workers that the endpoint list has as ready.
-func (g *Guard) SetEndpointLease(until time.Duration) { g.endpointsUntil.Store(int64(until)) }
+// SetEndpointLease sets the end of the endpoint lease. Until then, new work may be sent to workers that are ready
+// on the endpoint list.
+func (g *Guard) SetEndpointLease(until time.Duration) { g.endpointLeaseEnd.Store(int64(until)) }
 
-// isConfirmed reports whether new work may begin at now at a worker that itself has confirmed until a time that it accepts
-// some: else the endpoint list must confirm it.
+// isConfirmed reports whether new work may be sent at now: either the worker itself has confirmed that it accepts new
+// work until confirmedUntil, or the endpoint lease is valid.
 func (g *Guard) isConfirmed(now, confirmedUntil time.Duration) bool {
 	if g == nil || now <= confirmedUntil {
 		return true
 	}
-	until := time.Duration(g.endpointsUntil.Load())
+	until := time.Duration(g.endpointLeaseEnd.Load())
 	return until == 0 || now <= until
 }
 
-// Count counts a violation.
+// Count counts one violation.
 func (g *Guard) Count(violation execution.Violation) {
 	if g != nil {
 		g.violations[violation].Add(1)
 	}
 }
 
-// Violations returns how often each violation was counted, by Violation.
+// Violations returns how often each violation was counted, indexed by execution.Violation.
 func (g *Guard) Violations() (counts [execution.Violations]uint64) {
 	for violation := range counts {
 		counts[violation] = g.violations[violation].Load()
--- a/internal/workerconn/guard_test.go
+++ b/internal/workerconn/guard_test.go
@@ -38,24 +38,24 @@
 	}
 }
 
-// A write ends when the first permit of its attempts does, and lasts no longer than a write may.
-func TestWriteBatch_Timeout_IsThatOfTheFirstPermit(t *testing.T) {
+// The timeout of a write ends with the shortest permit of its attempts, and never exceeds the longest allowed timeout.
+func TestWriteBatch_Timeout_EndsWithShortestPermit(t *testing.T) {
 	queue, batch := NewSendQueue[testFrame](), WriteBatch[testFrame]{}
 	if timeout := batch.Timeout(testNow, time.Second); timeout != time.Second {
-		t.Errorf("without attempts %v", timeout)
+		t.Errorf("timeout %v without attempts, want 1 s", timeout)
 	}
 	queue.PushAttempt(1, &Attempt{Deadline: testNow + time.Hour})
 	queue.PushAttempt(2, &Attempt{Deadline: testNow + time.Hour, NotAfter: testNow + 100*time.Millisecond})
-	queue.PushAttempt(3, &Attempt{Deadline: testNow + time.Millisecond, NotAfter: testNow + time.Millisecond}) // its response's time
+	queue.PushAttempt(3, &Attempt{Deadline: testNow + time.Millisecond, NotAfter: testNow + time.Millisecond}) // NotAfter is not before Deadline
 	queue.NextBatch(nil, testNow, &batch, encodeByNumber)
 	if timeout := batch.Timeout(testNow, time.Second); timeout != 100*time.Millisecond {
-		t.Errorf("timeout %v, want that of the shortest permit", timeout)
+		t.Errorf("timeout %v, want 100 ms, the rest of the shortest permit", timeout)
 	}
 	if timeout := batch.Timeout(testNow+99*time.Millisecond, time.Second); timeout != minWriteTimeout {
 		t.Errorf("timeout %v shortly before the permit ends, want %v", timeout, minWriteTimeout)
 	}
 	if timeout := batch.Timeout(testNow, time.Millisecond); timeout != time.Millisecond {
-		t.Errorf("timeout %v, want the longest of any write", timeout)
+		t.Errorf("timeout %v, want 1 ms, the longest allowed timeout", timeout)
 	}
 }
 
@@ -70,16 +70,16 @@
 	guard.Renew(testNow - looplag.SendLease() - 1)
 	queue.NextBatch(&guard, testNow, &batch, encodeByNumber)
 	if !batch.DeferredNewWork || len(batch.Bytes) != 20 || queue.Queued() != 2 {
-		t.Errorf("held back %t, %d bytes, %d queued; want the control frame and the query sent", batch.DeferredNewWork, len(batch.Bytes), queue.Queued())
+		t.Errorf("deferred %t, %d bytes, %d queued; want the control frame and the residency query sent", batch.DeferredNewWork, len(batch.Bytes), queue.Queued())
 	}
 	queue.BatchWritten(&guard, testNow, &batch, 20)
 	if !queue.CancelUnsent(attempt) {
-		t.Error("what is held back cannot be cancelled")
+		t.Error("the deferred attempt cannot be cancelled")
 	}
 	guard.Renew(testNow)
 	queue.NextBatch(&guard, testNow+looplag.SendLease(), &batch, encodeByNumber)
 	if batch.DeferredNewWork || len(batch.Bytes) != 10 || queue.Queued() != 0 {
-		t.Errorf("held back %t, %d bytes, %d queued; want the order sent", batch.DeferredNewWork, len(batch.Bytes), queue.Queued())
+		t.Errorf("deferred %t, %d bytes, %d queued; want the load order sent", batch.DeferredNewWork, len(batch.Bytes), queue.Queued())
 	}
 }
 
@@ -90,11 +90,11 @@
 		written int
 		want    uint64
 	}{
-		"in time":             {permitEnds, 10, 0},
-		"within tolerance":    {permitEnds + lateWriteTolerance, 10, 0},
-		"late":                {permitEnds + lateWriteTolerance + 1, 10, 1},
-		"late and in part":    {permitEnds + time.Minute, 9, 0},
-		"late and not at all": {permitEnds + time.Minute, 0, 0},
+		"in time":           {permitEnds, 10, 0},
+		"within tolerance":  {permitEnds + lateWriteTolerance, 10, 0},
+		"late":              {permitEnds + lateWriteTolerance + 1, 10, 1},
+		"late and partial":  {permitEnds + time.Minute, 9, 0},
+		"late and no bytes": {permitEnds + time.Minute, 0, 0},
 	} {
 		var guard Guard
 		guard.Renew(testNow)
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestNextBatch_EndpointLeaseEnded_SendsOnlyWhatItsWorkerConfirmed(t *testing.T) {
+func TestNextBatch_EndpointLeaseExpired_SendsOnlyConfirmedNewWork(t *testing.T) {
 	guard := &Guard{}
 	guard.Renew(testNow)
 	guard.SetEndpointLease(testNow - 1)
@@ -122,7 +122,7 @@
 	queue.Push("control")
 	queue.NextBatch(guard, testNow, &batch, encodeByNumber)
 	if len(batch.Expired) != 2 || batch.Expired[0].Attempt != attempt || batch.Expired[1].Load != order {
-		t.Errorf("not sent: %+v, want the attempt and the order that nobody confirmed", batch.Expired)
+		t.Errorf("expired: %+v, want the unconfirmed attempt and the unconfirmed load order", batch.Expired)
 	}
 	if len(batch.Bytes) != 30 || attempt.MayHaveBeenSent() || queue.Queued() != 0 {
 		t.Errorf("%d bytes, %d queued; want three frames sent", len(batch.Bytes), queue.Queued())
@@ -131,6 +131,6 @@
 	queue.PushAttempt(5, &Attempt{})
 	queue.NextBatch(guard, testNow, &batch, encodeByNumber)
 	if len(batch.Bytes) != 10 || len(batch.Expired) != 0 {
-		t.Error("not sent while the lease holds")
+		t.Error("the attempt was not sent although the endpoint lease is valid")
 	}
 }
--- a/internal/workerconn/send_queue.go
+++ b/internal/workerconn/send_queue.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// SendQueue holds what waits to be written to one connection, and the attempts and load orders that were written to it
-// and have no response yet. It knows of each whether the worker may have seen it. Frame is the type of the protocol's
-// other frames, such as cancellations and health checks.
+// SendQueue holds the frames that wait to be written to one connection, and the attempts and load orders that were
+// written to it and have no response yet. It tracks whether the worker may have received each of them. Frame is the
+// type of the protocol's other frames, such as cancellations and health checks.
 //
-// A SendQueue does no locking: whoever owns it holds the owner's lock at each call. The owner also bounds what it
+// A SendQueue does no locking: its owner must hold the same lock at each call. The owner must also limit how much it
 // pushes.
 type SendQueue[Frame any] struct {
 	queue            []QueueItem[Frame]
-	inFlightAttempts map[uint64]*Attempt // sending or sent, by number
-	inFlightLoads    map[uint64]*LoadOrder
-	writingNewWork   bool // the write under way holds attempts or orders to load
+	inFlightAttempts map[uint64]*Attempt   // attempts in state sending or sent, by number
+	inFlightLoads    map[uint64]*LoadOrder // load orders in state sending or sent, by number
+	writingNewWork   bool                  // the write in progress contains attempts or orders to load replicas
 }
 
-// QueueItem is one frame that waits to be written: that of an attempt, that of a load order, or another one of the
-// protocol.
+// QueueItem is one frame that waits to be written: an attempt, a load order, or another frame of the protocol.
 type QueueItem[Frame any] struct {
 	Attempt *Attempt
 	Load    *LoadOrder
 	Frame   Frame // valid if Attempt and Load are nil
 }
 
-// delivery is that of the item's attempt or load order, nil for other frames.
+// delivery returns the delivery of the item's attempt or load order, nil for other frames.
 func (i QueueItem[Frame]) delivery() *delivery {
 	switch {
 	case i.Attempt != nil:
@@ -34,7 +33,7 @@
 	return nil
 }
 
-// Number is the number under which the item's attempt or load order was pushed, 0 for other frames.
+// Number returns the number under which the item's attempt or load order was pushed, 0 for other frames.
 func (i QueueItem[Frame]) Number() uint64 {
 	if delivery := i.delivery(); delivery != nil {
 		return delivery.number
@@ -42,7 +41,7 @@
 	return 0
 }
 
-// writeDeadline is the time after which the item may not be written, 0 if there is none.
+// writeDeadline returns the time from which the item may no longer be written, 0 if there is none.
 func (i QueueItem[Frame]) writeDeadline() time.Duration {
 	if i.Attempt == nil {
 		return 0
@@ -50,13 +49,13 @@
 	return i.Attempt.writeDeadline()
 }
 
-// isExpired tells whether the item may not be written any longer at now.
+// isExpired reports whether the item may no longer be written at now.
 func (i QueueItem[Frame]) isExpired(now time.Duration) bool {
 	deadline := i.writeDeadline()
 	return deadline > 0 && now >= deadline
 }
 
-// permitEnd is when the item's permit ends, 0 if it has none that is shorter than the time for a response.
+// permitEnd returns the end of the item's permit, 0 if it has no permit that ends before the deadline for the response.
 func (i QueueItem[Frame]) permitEnd() time.Duration {
 	if i.Attempt == nil {
 		return 0
@@ -64,13 +63,14 @@
 	return i.Attempt.permitEnd()
 }
 
-// isOverdue tells whether a write of the item that has ended by now ended after its permit.
-func (i QueueItem[Frame]) isOverdue(now time.Duration) bool {
+// isLateWrite reports whether a write of the item that returned at now ended after the item's permit, allowing for
+// lateWriteTolerance.
+func (i QueueItem[Frame]) isLateWrite(now time.Duration) bool {
 	end := i.permitEnd()
 	return end > 0 && now > end+lateWriteTolerance
 }
 
-// confirmedUntil is until when the worker has confirmed that it accepts the item.
+// confirmedUntil returns the time until which the worker itself has confirmed that it accepts the item.
 func (i QueueItem[Frame]) confirmedUntil() time.Duration {
 	switch {
 	case i.Attempt != nil:
@@ -81,7 +81,7 @@
 	return 0
 }
 
-// isNewWork tells whether the item makes the worker execute or load something.
+// isNewWork reports whether the item may make the worker execute a request or load replicas.
 func (i QueueItem[Frame]) isNewWork() bool {
 	return i.Attempt != nil || i.Load != nil && i.Load.isNewWork()
 }
@@ -91,30 +91,30 @@
 	return SendQueue[Frame]{inFlightAttempts: map[uint64]*Attempt{}, inFlightLoads: map[uint64]*LoadOrder{}}
 }
 
-// Push queues a frame that belongs neither to an attempt that waits nor to a load order.
+// Push queues a frame that is neither an attempt nor a load order.
 func (q *SendQueue[Frame]) Push(frame Frame) {
 	q.queue = append(q.queue, QueueItem[Frame]{Frame: frame})
 }
 
-// PushAttempt queues an attempt under a number that nothing else on this connection has.
+// PushAttempt queues an attempt under a number that must be unique on this connection.
 func (q *SendQueue[Frame]) PushAttempt(number uint64, attempt *Attempt) {
 	attempt.delivery.enqueue(number)
 	q.queue = append(q.queue, QueueItem[Frame]{Attempt: attempt})
 }
 
-// PushLoad queues a load order under a number that nothing else on this connection has.
+// PushLoad queues a load order under a number that must be unique on this connection.
 func (q *SendQueue[Frame]) PushLoad(number uint64, order *LoadOrder) {
 	order.delivery.enqueue(number)
 	q.queue = append(q.queue, QueueItem[Frame]{Load: order})
 }
 
-// Queued is the number of items that wait to be written.
+// Queued returns the number of items that wait to be written.
 func (q *SendQueue[Frame]) Queued() int { return len(q.queue) }
 
-// InFlight is the number of attempts and load orders that were or are being written and have no response.
+// InFlight returns the number of attempts and load orders that were or are being written and have no response yet.
 func (q *SendQueue[Frame]) InFlight() int { return len(q.inFlightAttempts) + len(q.inFlightLoads) }
 
-// Unfinished is the number of attempts and load orders that are queued or in flight.
+// Unfinished returns the number of attempts and load orders that are queued or in flight.
 func (q *SendQueue[Frame]) Unfinished() int {
 	count := q.InFlight()
 	for _, item := range q.queue {
@@ -125,7 +125,7 @@
 	return count
 }
 
-// HasNumber tells whether an attempt or load order that is queued or in flight has a number.
+// HasNumber reports whether an attempt or load order with this number is queued or in flight.
 func (q *SendQueue[Frame]) HasNumber(number uint64) bool {
 	if q.inFlightAttempts[number] != nil || q.inFlightLoads[number] != nil {
 		return true
@@ -138,10 +138,10 @@
 	return false
 }
 
-// InFlightAttempt returns the attempt in flight that has a number, nil if there is none.
+// InFlightAttempt returns the attempt in flight with this number, nil if there is none.
 func (q *SendQueue[Frame]) InFlightAttempt(number uint64) *Attempt { return q.inFlightAttempts[number] }
 
-// FinishAttempt ends the attempt in flight that has a number and returns it, nil if there is none. The owner calls it
+// FinishAttempt ends the attempt in flight with this number and returns it, nil if there is none. The owner calls it
 // when the worker's response is complete.
 func (q *SendQueue[Frame]) FinishAttempt(number uint64) *Attempt {
 	attempt := q.inFlightAttempts[number]
@@ -152,7 +152,7 @@
 	return attempt
 }
 
-// FinishLoad ends the load order in flight that has a number and returns it, nil if there is none.
+// FinishLoad ends the load order in flight with this number and returns it, nil if there is none.
 func (q *SendQueue[Frame]) FinishLoad(number uint64) *LoadOrder {
 	order := q.inFlightLoads[number]
 	if order != nil {
@@ -162,7 +162,7 @@
 	return order
 }
 
-// CancelUnsent removes an attempt that is still queued. It returns false if the attempt is not.
+// CancelUnsent removes an attempt if it is still queued, and reports whether it was.
 func (q *SendQueue[Frame]) CancelUnsent(attempt *Attempt) bool {
 	if attempt.delivery.state != queued {
 		return false
@@ -171,13 +171,14 @@
 	return len(removed) > 0
 }
 
-// IsSending tells whether the write under way holds an attempt.
+// IsSending reports whether the write in progress contains the attempt.
 func (q *SendQueue[Frame]) IsSending(attempt *Attempt) bool { return attempt.delivery.state == sending }
 
-// Abandon gives an attempt up. It returns whether the attempt was in flight, and whether the worker may have seen it.
+// Abandon gives up an attempt. It returns whether the attempt was in flight, and whether the worker may have received
+// the attempt.
 //
-// An attempt that has ended already may be abandoned too, if its end still waits behind other events for whoever hears
-// of it. That the queue no longer has the attempt does not mean that it was never sent.
+// The caller may also abandon an attempt that has already ended, if it has not processed the event that reports the end
+// yet. The worker may have received such an attempt although the queue no longer holds it.
 func (q *SendQueue[Frame]) Abandon(attempt *Attempt) (wasInFlight, mayHaveBeenSent bool) {
 	wasInFlight = attempt.delivery.isInFlight()
 	if wasInFlight {
@@ -189,7 +190,7 @@
 	return wasInFlight, attempt.MayHaveBeenSent()
 }
 
-// AbandonLoad gives a load order up: its response will be ignored.
+// AbandonLoad gives up a load order. A response to it will be ignored.
 func (q *SendQueue[Frame]) AbandonLoad(order *LoadOrder) {
 	if order.delivery.state == queued {
 		q.removeIf(func(item QueueItem[Frame]) bool { return item.Load == order })
@@ -198,12 +199,13 @@
 	delete(q.inFlightLoads, order.delivery.number)
 }
 
-// RemoveQueued removes and returns all that is queued: it was never sent.
+// RemoveQueued removes and returns all queued items, none of which was sent.
 func (q *SendQueue[Frame]) RemoveQueued() []QueueItem[Frame] {
 	return q.removeIf(func(QueueItem[Frame]) bool { return true })
 }
 
-// RemoveNewWork removes and returns what is queued and would make a draining worker execute or load something.
+// RemoveNewWork removes and returns the queued attempts and orders to load replicas, which must not be sent to a
+// draining worker.
 func (q *SendQueue[Frame]) RemoveNewWork() (attempts []*Attempt, orders []*LoadOrder) {
 	for _, item := range q.removeIf(QueueItem[Frame].isNewWork) {
 		if item.Attempt != nil {
@@ -215,7 +217,7 @@
 	return attempts, orders
 }
 
-// removeIf removes and returns the queued items that match, in their order: they were never sent.
+// removeIf removes the queued items that match and returns them in queue order. None of them was sent.
 func (q *SendQueue[Frame]) removeIf(match func(QueueItem[Frame]) bool) (removed []QueueItem[Frame]) {
 	kept := q.queue[:0]
 	for _, item := range q.queue {
@@ -233,7 +235,8 @@
 	return removed
 }
 
-// RemoveInFlight removes and returns what is in flight on a connection that broke: the worker may have seen it.
+// RemoveInFlight removes and returns the attempts and load orders in flight on a connection that broke. The worker may
+// have received them.
 func (q *SendQueue[Frame]) RemoveInFlight() (removed []QueueItem[Frame]) {
 	for _, attempt := range q.inFlightAttempts {
 		attempt.delivery.end()
--- a/internal/workerconn/send_queue_test.go
+++ b/internal/workerconn/send_queue_test.go
@@ -23,12 +23,12 @@
 	return append(buffer, "0123456789"...), nil
 }
 
-// newLoadOrder returns an order of so many replicas.
+// newLoadOrder returns a load order of the given number of replicas.
 func newLoadOrder(replicas int) *LoadOrder {
 	return &LoadOrder{Load: muxframe.LoadOrder{Replicas: replicas}}
 }
 
-// abandonCases bring an attempt into each of its states, by name, and tell what Abandon reports of it there.
+// abandonCases bring an attempt into each of its states, and give the results that Abandon must return in that state.
 var abandonCases = map[string]struct {
 	prepare         func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], attempt *Attempt)
 	wasInFlight     bool
@@ -43,14 +43,14 @@
 		},
 		wasInFlight: true, mayHaveBeenSent: true,
 	},
-	"written whole": {
+	"written completely": {
 		prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
 			queue.NextBatch(nil, testNow, batch, encodeByNumber)
 			queue.BatchWritten(nil, testNow, batch, 10)
 		},
 		wasInFlight: true, mayHaveBeenSent: true,
 	},
-	"written in part": {
+	"written partially": {
 		prepare: func(queue *SendQueue[testFrame], batch *WriteBatch[testFrame], _ *Attempt) {
 			queue.NextBatch(nil, testNow, batch, encodeByNumber)
 			queue.BatchWritten(nil, testNow, batch, 9)
@@ -117,7 +117,7 @@
 		t.Errorf("unsent: %+v", unsent)
 	}
 	if queue.IsWritingNewWork() || queue.HasNumber(2) || queue.HasNumber(3) || queue.InFlightAttempt(1) != first {
-		t.Error("the first attempt alone must be in flight")
+		t.Error("only the first attempt must be in flight")
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestAbandonLoad_QueuedOrSent_IsFinishedByNoResponse(t *testing.T) {
+func TestAbandonLoad_QueuedOrSent_IgnoresResponse(t *testing.T) {
 	queue := NewSendQueue[testFrame]()
 	queuedOrder, sentOrder := newLoadOrder(1), newLoadOrder(1)
 	queue.PushLoad(1, sentOrder)
--- a/internal/workerconn/serve.go
+++ b/internal/workerconn/serve.go
@@ -6,16 +6,17 @@
 	"net"
 )
 
-// ErrUnneeded is returned by a write function of Serve that ends a connection on which nothing is under way.
+// ErrUnneeded is returned by the write function of Serve to close a connection on which nothing is in flight.
 var ErrUnneeded = errors.New("idle or retired")
 
-// Serve writes to a connection and reads from it until either function returns or ctx is done, and then closes the
-// connection. It runs write in a goroutine of its own and read in the caller's; both have returned when Serve does.
+// Serve runs write and read on a connection until one of them returns or ctx is done, and then closes the connection.
+// It runs write in a separate goroutine and read in the caller's; both have returned when Serve returns.
 //
-// Closing the connection is what ends a function that blocks on it, so that a write that makes no progress does not delay
-// the end. Unless write returns ErrUnneeded, what was written may be under way: what the operating system still holds of
-// it is dropped, as its end is reported now. In addition the channel given to write is closed once read has returned. Serve returns the error of
-// write, or that of read if write has none.
+// Closing the connection unblocks a function that is blocked on it, so that a write without progress does not delay
+// the return. Unless write returns ErrUnneeded, Serve discards the data that the operating system still holds for the
+// connection, because the requests in it are reported as ended now and must not reach the worker later. The channel
+// passed to write is closed once read has returned. Serve returns the error of write, or that of read if write
+// returned nil.
 func Serve(ctx context.Context, conn net.Conn, write func(readDone <-chan struct{}) error, read func() error) error {
 	stopClosing := context.AfterFunc(ctx, func() { discardAndClose(conn) })
 	defer stopClosing()
@@ -38,8 +39,8 @@
 	return readErr
 }
 
-// discardAndClose closes a connection and drops what the operating system still holds for it. It changes nothing on a
-// connection that is closed already.
+// discardAndClose closes a connection and discards the data that the operating system still holds for it. It has no
+// effect on a closed connection.
 func discardAndClose(conn net.Conn) {
 	DiscardOnClose(conn)
 	_ = conn.Close()
--- a/internal/workerconn/serve_test.go
+++ b/internal/workerconn/serve_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// readAll reads until the connection ends.
+// readAll returns a read function for Serve that reads until the connection ends.
 func readAll(conn net.Conn) func() error {
 	return func() error {
 		_, err := io.Copy(io.Discard, conn)
@@ -21,41 +21,41 @@
 }
 
 func TestServe_WriteFails_ClosesConnectionAndReturnsItsError(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
 	writeErr := errors.New("write failed")
-	err := Serve(context.Background(), ours, func(<-chan struct{}) error { return writeErr }, readAll(ours))
+	err := Serve(context.Background(), local, func(<-chan struct{}) error { return writeErr }, readAll(local))
 	if !errors.Is(err, writeErr) {
 		t.Errorf("error %v", err)
 	}
-	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection is open: %v", err)
+	if _, err := remote.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("read from the closed connection: error %v, want io.EOF", err)
 	}
 }
 
 func TestServe_ReadFails_EndsWriteAndReturnsItsError(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
 	readErr := errors.New("read failed")
 	write := func(readDone <-chan struct{}) error {
 		<-readDone
 		return nil
 	}
-	if err := Serve(context.Background(), ours, write, func() error { return readErr }); !errors.Is(err, readErr) {
+	if err := Serve(context.Background(), local, write, func() error { return readErr }); !errors.Is(err, readErr) {
 		t.Errorf("error %v", err)
 	}
 }
 
 func TestServe_ContextDone_EndsBlockedWriteAndRead(t *testing.T) {
-	ours, theirs := net.Pipe() // nobody reads
-	defer func() { _ = theirs.Close() }()
+	local, remote := net.Pipe() // nobody reads
+	defer func() { _ = remote.Close() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	write := func(<-chan struct{}) error {
 		cancel()
-		_, err := ours.Write([]byte("x"))
+		_, err := local.Write([]byte("x"))
 		return err
 	}
-	if err := Serve(ctx, ours, write, readAll(ours)); !errors.Is(err, io.ErrClosedPipe) {
+	if err := Serve(ctx, local, write, readAll(local)); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/workerconn/signal.go
+++ b/internal/workerconn/signal.go
@@ -1,7 +1,7 @@
 package workerconn
 
-// Signal wakes up one goroutine that waits on it. Notifications that arrive before the goroutine looks are merged into
-// one, so the goroutine checks its state after each wake-up.
+// Signal wakes up one goroutine that receives from it. Notifications that arrive before the goroutine receives are
+// merged into one, so the goroutine must check all of its state after each wake-up.
 type Signal chan struct{}
 
 // NewSignal returns a Signal without a pending notification.
--- a/internal/workerconn/stream.go
+++ b/internal/workerconn/stream.go
@@ -15,24 +15,24 @@
 	ErrIncomplete = errors.New("the worker's response is incomplete")
 )
 
-// Stream is the body of a response on its way from one worker to one client. The goroutine that reads the connection
-// appends to it and never waits. It is bounded by the flow control window that the worker was given: when that is used
-// up the worker waits for credit, and nobody else waits.
+// Stream passes the body of a response from a worker to a client while it arrives. The goroutine that reads the
+// worker's connection appends to the stream and never blocks. The flow control window of the worker bounds the
+// stream: once the window is used up, the worker waits for credit, and nothing else waits.
 type Stream struct {
-	credit  func(bytes int) // gives the worker credit for bytes that were read; may be nil
+	credit  func(bytes int) // grants the worker credit for bytes that were read; may be nil
 	changed Signal
 
 	mu         sync.Mutex
 	parts      [][]byte
 	buffered   int // bytes in parts
-	window     int // bytes
-	uncredited int // bytes that were read and not given back as credit yet
+	window     int // flow control window in bytes
+	uncredited int // bytes that were read and for which no credit was granted yet
 	ended      bool
-	err        error // set once ended, nil for a complete response
+	err        error // why the response is incomplete; nil for a complete one, and before the end
 }
 
-// NewStream returns a Stream with a flow control window in bytes. The stream calls credit, with no lock held, with the
-// number of bytes that the worker may send in addition.
+// NewStream returns a Stream with a flow control window of window bytes. The stream calls credit, with no lock held,
+// with the number of further bytes that the worker may send. credit may be nil.
 func NewStream(window int, credit func(bytes int)) *Stream {
 	return &Stream{window: window, changed: NewSignal(), credit: credit}
 }
@@ -64,16 +64,16 @@
 	s.changed.Notify()
 }
 
-// streamRead is the result of one look at a stream.
+// streamRead is the result of one call of pop.
 type streamRead struct {
-	part   []byte // nil if there was none
-	credit int    // bytes to give back as credit
+	part   []byte // nil if no part was buffered
+	credit int    // bytes for which to grant credit now
 	ended  bool   // no part follows
-	err    error  // why the stream ended early
+	err    error  // why the response is incomplete, if it is
 }
 
-// pop removes the next part, if there is one. Credit is given in steps of half a window, so that small parts do not
-// cause a frame each.
+// pop removes the next part, if there is one. Credit is granted in steps of at least half a window, so that small parts
+// do not each cause a credit frame.
 func (s *Stream) pop() streamRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,9 +91,9 @@
 	return read
 }
 
-// Next returns the next part of the response. It returns nil and no error at the end, an error that wraps ErrIncomplete if
-// the response broke off, ErrStalled if nothing arrived for stallTimeout, and the error of ctx if that is done first. One
-// goroutine may call it at a time.
+// Next returns the next part of the response. It returns nil and no error at the end of the response, an error that
+// wraps ErrIncomplete if the response broke off, ErrStalled if nothing arrived for stallTimeout, and the error of ctx
+// if ctx is done first. Only one goroutine may call Next at a time.
 func (s *Stream) Next(ctx context.Context, stallTimeout time.Duration) ([]byte, error) {
 	timer := time.NewTimer(stallTimeout)
 	defer timer.Stop()
--- a/internal/workerconn/stream_test.go
+++ b/internal/workerconn/stream_test.go
@@ -16,7 +16,7 @@
 	credited := 0
 	stream := NewStream(10, func(bytes int) { credited += bytes })
 	if !stream.Append([]byte("abcd")) || !stream.Append([]byte("efghij")) || stream.Append([]byte("k")) {
-		t.Fatal("ten bytes must be accepted and one more must not")
+		t.Fatal("the window must accept ten bytes and reject the eleventh")
 	}
 	for _, want := range []struct {
 		part     string
@@ -28,7 +28,7 @@
 		}
 	}
 	if !stream.Append([]byte("0123456789")) {
-		t.Error("the credit cannot be used")
+		t.Error("bytes within the granted credit were rejected")
 	}
 }
 
@@ -38,7 +38,7 @@
 		stream := NewStream(10, nil)
 		stream.Append([]byte("a"))
 		stream.End(end)
-		stream.End(errors.New("a second end"))
+		stream.End(errors.New("second call of End"))
 		if part, err := stream.Next(context.Background(), longTimeout); string(part) != "a" || err != nil {
 			t.Errorf("%s: part %q, error %v", name, part, err)
 		}
--- a/internal/workerconn/write_batch.go
+++ b/internal/workerconn/write_batch.go
@@ -7,24 +7,25 @@
 	"havencart/scheduler"
 )
 
-// minWriteTimeout is the least time for a write, so that one is not failed for having been scheduled late. It is within
-// the 50 ms by which the platform's rules extend every time.
+// minWriteTimeout is the shortest timeout of a write, so that a write does not fail because its goroutine was scheduled
+// late. It is within the 50 ms by which the platform's rules extend every time limit.
 const minWriteTimeout = 20 * time.Millisecond
 
-// lateWriteTolerance is by how much a write may end after it had to: the time is read once it has returned.
+// lateWriteTolerance is how long after its permit a write may end without counting as late, because the clock is read
+// only after the write has returned.
 const lateWriteTolerance = 50 * time.Millisecond
 
-// maxBatchBytes bounds what one write hands to the operating system, so that what is queued behind it can still be
-// cancelled.
+// maxBatchBytes limits how much one write passes to the operating system, so that the frames queued behind it can still
+// be cancelled.
 const maxBatchBytes = 64 << 10
 
-// WriteBatch is the frames of one write. Its owner uses the same one for all writes to a connection.
+// WriteBatch holds the frames of one write. Its owner reuses one WriteBatch for all writes to a connection.
 type WriteBatch[Frame any] struct {
 	Bytes           []byte             // the encoded frames
-	Unencodable     []QueueItem[Frame] // items whose frame cannot be encoded: they were never sent
-	Expired         []QueueItem[Frame] // new work that may not be written any longer: it was never sent
-	DeferredNewWork bool               // new work stayed in the queue, as the event loop's lease does not hold
-	NotAfter        time.Duration      // the write may not go on after this; 0: no permit limits it
+	Unencodable     []QueueItem[Frame] // items that were never sent, because their frames cannot be encoded
+	Expired         []QueueItem[Frame] // new work that was never sent, because it may no longer be written
+	DeferredNewWork bool               // new work stayed in the queue, because the send lease of the Guard is not valid
+	NotAfter        time.Duration      // the write may not continue after this; 0: no permit limits it
 
 	frames []batchFrame[Frame]
 }
@@ -32,10 +33,10 @@
 // batchFrame is one frame of a batch.
 type batchFrame[Frame any] struct {
 	item QueueItem[Frame]
-	end  int // index in WriteBatch.Bytes behind its last byte
+	end  int // offset in WriteBatch.Bytes just after the frame
 }
 
-// reset empties the batch, keeping its memory.
+// reset empties the batch but keeps its buffers.
 func (b *WriteBatch[Frame]) reset() {
 	b.Bytes = b.Bytes[:0]
 	b.Unencodable = nil
@@ -45,21 +46,22 @@
 	b.frames = b.frames[:0]
 }
 
-// Unsent reports the attempts and load orders that NextBatch took out of the queue without sending them.
+// Unsent reports as ended the attempts and load orders that NextBatch removed from the queue without sending them.
 func (b *WriteBatch[Frame]) Unsent(events Events) {
 	NotifyEnded(events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
 	NotifyEnded(events, b.Expired, scheduler.NotSent, scheduler.NotSent, "not written in time")
 }
 
-// limit shortens NotAfter to a deadline, 0 for none.
+// limit lowers NotAfter to deadline if that is earlier. A deadline of 0 means none.
 func (b *WriteBatch[Frame]) limit(deadline time.Duration) {
 	if deadline > 0 && (b.NotAfter == 0 || deadline < b.NotAfter) {
 		b.NotAfter = deadline
 	}
 }
 
-// Timeout is how long the write of the batch may take at now, at most longest. A permit that is about to end leaves
-// minWriteTimeout: a write that fails ends its connection, with all that other requests have on it.
+// Timeout returns how long the write of the batch may take from now, at most longest. If a permit is about to end,
+// the timeout is still minWriteTimeout, because a write that fails closes the connection and so ends all other
+// requests on it.
 func (b *WriteBatch[Frame]) Timeout(now, longest time.Duration) time.Duration {
 	if b.NotAfter == 0 {
 		return longest
@@ -67,10 +69,12 @@
 	return min(longest, max(minWriteTimeout, b.NotAfter-now))
 }
 
-// NextBatch moves items from the front of the queue into batch at now, replacing what that held. The function encode appends
-// an item's frame to a buffer. From now on the items can no longer be cancelled; BatchWritten follows once the bytes
-// were written. This is the one place where a frame goes from the queue to a connection: new work does only while the
-// guard's leases hold, and an attempt only until it may not be written any longer.
+// NextBatch moves items from the front of the queue into batch at now, replacing the batch's previous contents.
+// encode appends the frame of an item to a buffer. The items moved can no longer be cancelled; the owner must call
+// BatchWritten once the write has returned.
+//
+// NextBatch is the only place where frames leave the queue to be written. It therefore enforces that new work is
+// written only as the guard's leases allow, and an attempt only before its write deadline.
 func (q *SendQueue[Frame]) NextBatch(
 	guard *Guard, now time.Duration, batch *WriteBatch[Frame],
 	encode func(buffer []byte, item QueueItem[Frame]) ([]byte, error),
@@ -98,13 +102,13 @@
 	q.queue = q.queue[:len(kept)]
 }
 
-// moveToBatch adds the frame of an item to a batch, and notes that it is being sent.
+// moveToBatch adds the frame of an item to a batch and records that it is being sent.
 func (q *SendQueue[Frame]) moveToBatch(
 	now time.Duration, batch *WriteBatch[Frame], item QueueItem[Frame],
 	encode func(buffer []byte, item QueueItem[Frame]) ([]byte, error),
 ) {
 	encoded, err := encode(batch.Bytes, item)
-	if err != nil { // for example too long
+	if err != nil { // for example because the frame is too long
 		if delivery := item.delivery(); delivery != nil {
 			delivery.cancel()
 		}
@@ -131,12 +135,13 @@
 	q.writingNewWork = q.writingNewWork || item.isNewWork()
 }
 
-// IsWritingNewWork tells whether the write under way would make the worker execute or load something.
+// IsWritingNewWork reports whether the write in progress may make the worker execute a request or load replicas.
 func (q *SendQueue[Frame]) IsWritingNewWork() bool { return q.writingNewWork }
 
-// BatchWritten records that the first written bytes of batch were handed to the operating system by now. It removes and
-// returns the items whose frames were not written whole. They were never executed, provided that the owner now
-// closes the connection. A frame that was written whole too late is counted as a violation.
+// BatchWritten records that a write returned at now and has passed the first written bytes of batch to the operating
+// system. It removes and returns the items whose frames were not written completely. The worker cannot execute these
+// items, provided that the owner now closes the connection. A complete frame that was written too late is counted as a
+// violation.
 func (q *SendQueue[Frame]) BatchWritten(
 	guard *Guard, now time.Duration, batch *WriteBatch[Frame], written int,
 ) (unsent []QueueItem[Frame]) {
@@ -144,10 +149,10 @@
 	for _, frame := range batch.frames {
 		delivery := frame.item.delivery()
 		switch {
-		case delivery == nil || delivery.state != sending: // another frame, or finished or abandoned during the write
+		case delivery == nil || delivery.state != sending: // not an attempt or load order, or ended during the write
 		case frame.end <= written:
 			delivery.finishSending()
-			if frame.item.isOverdue(now) {
+			if frame.item.isLateWrite(now) {
 				guard.Count(execution.LateWrite)
 			}
 		default:
@@ -159,7 +164,7 @@
 	return unsent
 }
 
-// removeFromInFlight removes an item that is in flight.
+// removeFromInFlight removes an item from the attempts or load orders in flight.
 func (q *SendQueue[Frame]) removeFromInFlight(item QueueItem[Frame]) {
 	switch {
 	case item.Attempt != nil:
--- a/internal/workerconn/write_limit_test.go
+++ b/internal/workerconn/write_limit_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// deadlineConn notes its last write deadline.
+// deadlineConn records its last write deadline.
 type deadlineConn struct {
 	net.Conn
 	until time.Time
@@ -25,7 +25,7 @@
 	started := conn.until
 	limit.Shorten(time.Hour)
 	if conn.until != started {
-		t.Error("a longer limit took the place of the shorter one")
+		t.Error("a longer limit replaced the shorter one")
 	}
 	limit.Shorten(time.Second)
 	if !conn.until.Before(started) {
@@ -33,6 +33,6 @@
 	}
 	limit.Start(conn, time.Hour)
 	if !conn.until.After(started) {
-		t.Error("the next write has the limit of the one before")
+		t.Error("the next write kept the limit of the previous write")
 	}
 }
