--- a/internal/clientconn/accept.go
+++ b/internal/clientconn/accept.go
@@ -6,11 +6,12 @@
 	"net"
 )
 
-// AcceptLoop passes each connection of listener to admit until the listener is closed, and then returns nil. It runs in
-// the caller's goroutine, so admit must not block.
+// AcceptLoop passes each connection that listener accepts to admit until the listener is closed, and then returns
+// nil. It calls admit synchronously, so admit must not block.
 //
-// After another error of Accept it goes on if retry reports true, and otherwise returns that error wrapped. A retry that
-// expects the same error again at once, as when file descriptors run out, sleeps before it returns.
+// After any other error of Accept, AcceptLoop continues if retry returns true, and otherwise returns the error wrapped.
+// If the same error is likely to recur immediately, as when file descriptors run out, retry should sleep before it
+// returns.
 func AcceptLoop(listener net.Listener, admit func(net.Conn), retry func(error) bool) error {
 	for {
 		connection, err := listener.Accept()
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -26,7 +26,7 @@
 	table.Remove(1)
 	table.Remove(1)
 	if !table.Add(3) {
-		t.Error("a removed connection's place is not free")
+		t.Error("rejected although a connection was removed")
 	}
 	if all := table.All(); table.Len() != 2 || !slices.Contains(all, 2) || !slices.Contains(all, 3) {
 		t.Errorf("open: %v", all)
@@ -61,7 +61,7 @@
 	}
 }
 
-// scriptedListener returns one of results with each Accept. It is used by one goroutine.
+// scriptedListener returns the next of results from each Accept. It must be used by only one goroutine.
 type scriptedListener struct {
 	net.Listener
 	results []any // a net.Conn or an error
@@ -78,19 +78,19 @@
 
 func TestAcceptLoop_EachError_EndsOrRetries(t *testing.T) {
 	transient, fatal := errors.New("transient"), errors.New("fatal")
-	ours, theirs := net.Pipe()
-	defer func() { _ = ours.Close() }()
-	defer func() { _ = theirs.Close() }()
+	local, remote := net.Pipe()
+	defer func() { _ = local.Close() }()
+	defer func() { _ = remote.Close() }()
 	for name, test := range map[string]struct {
 		results  []any
 		admitted int
 		retried  int
 		want     error
 	}{
-		"closed at once":               {[]any{net.ErrClosed}, 0, 0, nil},
-		"closed after connections":     {[]any{ours, theirs, net.ErrClosed}, 2, 0, nil},
-		"connection after a transient": {[]any{transient, transient, ours, net.ErrClosed}, 1, 2, nil},
-		"fatal":                        {[]any{ours, fatal, theirs}, 1, 1, fatal},
+		"closed at once":                    {[]any{net.ErrClosed}, 0, 0, nil},
+		"closed after connections":          {[]any{local, remote, net.ErrClosed}, 2, 0, nil},
+		"connection after transient errors": {[]any{transient, transient, local, net.ErrClosed}, 1, 2, nil},
+		"fatal":                             {[]any{local, fatal, remote}, 1, 1, fatal},
 	} {
 		t.Run(name, func(t *testing.T) {
 			admitted, retried := 0, 0
@@ -99,18 +99,18 @@
 				return errors.Is(err, transient)
 			})
 			if !errors.Is(err, test.want) || admitted != test.admitted || retried != test.retried {
-				t.Errorf("%d admitted, %d errors judged, error %v", admitted, retried, err)
+				t.Errorf("%d admitted, %d calls of retry, error %v", admitted, retried, err)
 			}
 		})
 	}
 }
 
 func TestSetWriteTimeout_PeerReadsNothing_WriteFails(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _ = ours.Close() }()
-	defer func() { _ = theirs.Close() }()
-	SetWriteTimeout(ours, time.Millisecond)
-	if _, err := ours.Write([]byte("x")); !IsTimeout(err) {
+	local, remote := net.Pipe()
+	defer func() { _ = local.Close() }()
+	defer func() { _ = remote.Close() }()
+	SetWriteTimeout(local, time.Millisecond)
+	if _, err := local.Write([]byte("x")); !IsTimeout(err) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -1,12 +1,12 @@
-// Package clientconn holds what the servers of client connections have in common, whatever protocol they speak: the
-// accept loop, the bounded table of open connections, and deadlines for writing. Each server keeps its own rules of who
-// is admitted, what happens at the bound, and how its connections end.
+// Package clientconn contains the parts that the servers of client connections share, regardless of their protocol: the
+// accept loop, the bounded table of open connections, and write deadlines. Each server decides itself which connections
+// it admits, what it does when the table is full, and how its connections end.
 package clientconn
 
 import "sync"
 
-// Table is the bounded set of a server's open connections. It only records them: the server closes a connection and
-// removes it. All methods may be called from any goroutine. The zero Table admits nothing; NewTable makes one.
+// Table is the bounded set of a server's open connections. It only records connections: the server itself closes and
+// removes them. All methods may be called from any goroutine. The zero Table admits nothing; use NewTable.
 type Table[C comparable] struct {
 	limit int
 
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Remove forgets a connection. Removing one that is not in the table does nothing.
+// Remove removes a connection. It does nothing if the connection is not in the table.
 func (t *Table[C]) Remove(connection C) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,8 +44,8 @@
 	return len(t.open)
 }
 
-// All returns the open connections in no particular order. The slice is the caller's; connections may be added and
-// removed meanwhile.
+// All returns the open connections in no particular order. The caller owns the slice, which does not follow later
+// changes of the table.
 func (t *Table[C]) All() []C {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic repeats something at regular intervals.
+// Package periodic calls a function at regular intervals.
 package periodic
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Run calls do after each interval until ctx ends. It returns then.
+// Run calls do after each interval, and returns when ctx ends.
 func Run(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/socket/arrival.go
+++ b/internal/socket/arrival.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// ArrivalConn reads a connection and notes when it was last seen without anything to read: what is read later arrived
-// after that, however long it waited in the operating system's buffer. Its reading goroutine owns it.
+// ArrivalConn is a connection that records when it was last seen without unread data. Bytes that are read later arrived
+// after that time, however long they waited in the operating system's buffer. The goroutine that reads the connection
+// owns the ArrivalConn.
 type ArrivalConn struct {
 	net.Conn
-	arrivedAfter time.Time
-	emptyAt      time.Time // arrivedAfter of the next read
+	arrivedAfter time.Time // time after which the bytes of the last read arrived
+	emptyAt      time.Time // when the connection was last seen without unread data; arrivedAfter of the next read
 }
 
-// Read implements io.Reader. A read that does not fill the buffer leaves nothing behind, but when it did is not known: the
-// process may be stopped before it reads the clock. So the clock is read first, and then whether there is nothing to read.
+// Read implements io.Reader. A read that does not fill the buffer leaves no unread data, but the time of that is not
+// known, because the process may be stopped before it reads the clock. Read therefore first reads the clock and then
+// checks that there is still no unread data.
 func (c *ArrivalConn) Read(buffer []byte) (int, error) {
 	c.arrivedAfter = c.emptyAt
 	n, err := c.Conn.Read(buffer)
@@ -27,6 +29,6 @@
 	return n, err
 }
 
-// ArrivedAfter is when nothing was left to read before the last read: what that returned arrived later. The zero time
-// where that was never seen.
+// ArrivedAfter returns a time after which the bytes of the last read arrived: the last time before that read at which
+// the connection was seen without unread data. It returns the zero time if there is no such time.
 func (c *ArrivalConn) ArrivedAfter() time.Time { return c.arrivedAfter }
--- a/internal/socket/arrival_test.go
+++ b/internal/socket/arrival_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// scriptedConn returns so many bytes from each read.
+// scriptedConn returns the next of lengths from each read as the number of bytes, limited by the buffer.
 type scriptedConn struct {
 	net.Conn
 	lengths []int
@@ -18,8 +18,8 @@
 	return n, nil
 }
 
-// A read tells when its bytes cannot have been there yet: not before the last one that left nothing behind.
-func TestArrivalConn_ReadsThatFillTheBuffer_ArrivedAfterTheLastThatDidNot(t *testing.T) {
+// ArrivedAfter of a read is the time at which the last short read before it left no unread data.
+func TestArrivalConn_ReadsFillBuffer_ArrivedAfterLastShortRead(t *testing.T) {
 	in := &ArrivalConn{Conn: &scriptedConn{lengths: []int{8, 3, 8, 8, 5, 1}}}
 	var arrivedAfter []time.Time
 	for range 6 {
@@ -29,19 +29,19 @@
 		arrivedAfter = append(arrivedAfter, in.ArrivedAfter())
 	}
 	if !arrivedAfter[0].IsZero() || !arrivedAfter[1].IsZero() {
-		t.Errorf("%v, %v: nothing was seen empty yet", arrivedAfter[0], arrivedAfter[1])
+		t.Errorf("%v, %v: want zero times, as the connection was not seen empty yet", arrivedAfter[0], arrivedAfter[1])
 	}
-	second := arrivedAfter[2] // the second read left nothing behind, the third and the fourth may have
+	second := arrivedAfter[2] // the second read left no unread data, the third and the fourth may have
 	if second.IsZero() || arrivedAfter[3] != second || arrivedAfter[4] != second {
-		t.Errorf("%v, %v, %v: want the end of the second read", second, arrivedAfter[3], arrivedAfter[4])
+		t.Errorf("%v, %v, %v: want the time of the second read for all", second, arrivedAfter[3], arrivedAfter[4])
 	}
 	if !arrivedAfter[5].After(second) {
-		t.Errorf("%v after %v: the fifth read left nothing behind", arrivedAfter[5], second)
+		t.Errorf("%v: want a time after %v, as the fifth read left no unread data", arrivedAfter[5], second)
 	}
 }
 
-// stoppedConn is a connection on which more arrives after each read, before its reader does anything else: its process was
-// stopped in between.
+// stoppedConn is a connection on which more data arrives after each read, before the reader does anything else, as if
+// the process had been stopped in between.
 type stoppedConn struct {
 	*net.TCPConn
 	peer net.Conn
@@ -53,16 +53,17 @@
 		return n, err
 	}
 	for !HasUnread(c.TCPConn) {
-		continue // until it has arrived
+		continue // the data has not arrived yet
 	}
 	return n, err
 }
 
-// What arrived before the clock was read is not taken for later, however the read and the clock are apart.
-func TestArrivalConn_StoppedAfterRead_DoesNotCountFromResume(t *testing.T) {
-	ours, theirs := connectedPair(t)
-	in := &ArrivalConn{Conn: stoppedConn{ours.(*net.TCPConn), theirs}}
-	if _, err := theirs.Write([]byte("first")); err != nil {
+// The process may be stopped between a read and reading the clock. Bytes that arrived in between must not count as
+// arrived after the clock was read.
+func TestArrivalConn_ProcessStopsAfterRead_ArrivalStaysUnknown(t *testing.T) {
+	local, remote := connectedPair(t)
+	in := &ArrivalConn{Conn: stoppedConn{local.(*net.TCPConn), remote}}
+	if _, err := remote.Write([]byte("first")); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,5 +1,5 @@
-// Package socket looks into the operating system's receive buffer of a connection and takes nothing out of it. Its
-// functions may be called from any goroutine.
+// Package socket inspects the operating system's receive buffer of a connection without consuming data. Its functions
+// may be called from any goroutine.
 package socket
 
 import (
@@ -9,24 +9,25 @@
 	"syscall"
 )
 
-// HasUnread reports whether the buffer holds data that was not read yet. It returns false for connections without a file
-// descriptor, and for closed ones.
+// HasUnread reports whether the receive buffer of a connection holds unread data. It returns false for connections
+// without a file descriptor, and for closed connections.
 //
-// It guards against closing a connection on a request that arrived and waits for a process that lacks processor time: the
-// close would reset the connection, and the request be lost.
+// Callers use it before they close an idle connection: a request may have arrived that the process has not read yet for
+// lack of processor time. Closing would then reset the connection, and the request would be lost.
 func HasUnread(conn net.Conn) bool {
 	unread, _ := peek(conn)
 	return unread
 }
 
-// PeerClosed returns an error if the peer has closed or reset a connection, or we have closed it. It returns nil if the
-// buffer holds data, and for connections without a file descriptor.
+// PeerClosed returns an error if the peer has closed or reset a connection, or if this process has closed it. It
+// returns nil if the receive buffer holds unread data, and for connections without a file descriptor.
 func PeerClosed(conn net.Conn) error {
 	_, err := peek(conn)
 	return err
 }
 
-// peek returns whether the buffer holds data, and how the connection has ended, if it has and nothing is left to read.
+// peek reports whether the receive buffer holds unread data. If it holds none and the connection has ended, peek
+// returns how the connection ended.
 func peek(conn net.Conn) (unread bool, ended error) {
 	syscallConn, hasDescriptor := conn.(syscall.Conn)
 	if !hasDescriptor {
--- a/internal/socket/peer_close_test.go
+++ b/internal/socket/peer_close_test.go
@@ -8,25 +8,25 @@
 )
 
 func TestPeerClosed_UnreadData_IsNotConsumed(t *testing.T) {
-	ours, theirs := connectedPair(t)
-	if err := PeerClosed(ours); err != nil {
-		t.Errorf("an open connection: %v", err)
+	local, remote := connectedPair(t)
+	if err := PeerClosed(local); err != nil {
+		t.Errorf("open connection: %v", err)
 	}
-	if _, err := theirs.Write([]byte("ab")); err != nil {
+	if _, err := remote.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
-	_ = theirs.Close()
-	if err := PeerClosed(ours); err != nil {
-		t.Errorf("one with unread data: %v", err)
+	_ = remote.Close()
+	if err := PeerClosed(local); err != nil {
+		t.Errorf("connection closed by the peer, with unread data: %v", err)
 	}
-	if got, err := io.ReadAll(ours); err != nil || string(got) != "ab" {
+	if got, err := io.ReadAll(local); err != nil || string(got) != "ab" {
 		t.Errorf("read %q, %v", got, err)
 	}
-	if err := PeerClosed(ours); !errors.Is(err, io.EOF) {
-		t.Errorf("one that was read to its end: %v", err)
+	if err := PeerClosed(local); !errors.Is(err, io.EOF) {
+		t.Errorf("connection closed by the peer, read to its end: %v", err)
 	}
-	_ = ours.Close()
-	if err := PeerClosed(ours); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("our own close: %v", err)
+	_ = local.Close()
+	if err := PeerClosed(local); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("connection closed by this process: %v", err)
 	}
 }
--- a/internal/socket/unread_test.go
+++ b/internal/socket/unread_test.go
@@ -9,13 +9,13 @@
 func TestHasUnread_DataArrivesAndIsRead(t *testing.T) {
 	server, client := connectedPair(t)
 	if HasUnread(server) {
-		t.Error("unread data before any was sent")
+		t.Error("unread data before data was sent")
 	}
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	for !HasUnread(server) && t.Context().Err() == nil {
-		runtime.Gosched() // the system tells of no arrival without taking the data
+		runtime.Gosched() // no notification of an arrival is available without reading the data
 	}
 	if _, err := server.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		t.Error("read from a closed connection")
 	}
 	if HasUnread(server) {
-		t.Error("the end of a connection counts as unread data")
+		t.Error("the end of the connection counts as unread data")
 	}
 	_ = server.Close()
 	if HasUnread(server) {
