--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -39,8 +39,8 @@
 	client    *http.Client
 }
 
-// NewConsul returns a source that queries Consul at baseURL, such as http://127.0.0.1:8500, for the instances of service.
-// Each query has userAgent as its User-Agent header.
+// NewConsul returns a source that queries Consul at baseURL, such as http://127.0.0.1:8500, for the instances of
+// service. Each query has userAgent as its User-Agent header.
 func NewConsul(baseURL, service, userAgent string) *Consul {
 	client := &http.Client{
 		Transport: &http.Transport{},
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -57,8 +57,8 @@
 	Refresh()
 }
 
-// refreshSignal is a channel of capacity 1 that ends a source's wait after a failure. Calls of Refresh that arrive while the
-// source is not waiting are merged into one.
+// refreshSignal is a channel of capacity 1 that ends a source's wait after a failure. Calls of Refresh that arrive
+// while the source is not waiting are merged into one.
 type refreshSignal chan struct{}
 
 func newRefreshSignal() refreshSignal { return make(refreshSignal, 1) }
--- a/internal/discovery/endpointstream.go
+++ b/internal/discovery/endpointstream.go
@@ -41,8 +41,8 @@
 }
 
 // NewEndpointStream returns a source that follows the endpoint stream at address (host:port). initialEvents are the
-// events of the configuration as JSON and may be empty. zones and kinds are the platform's names of its zones and worker
-// kinds, to which events refer by index. seed determines the random delays before reconnects. The error wraps
+// events of the configuration as JSON and may be empty. zones and kinds are the platform's names of its zones and
+// worker kinds, to which events refer by index. seed determines the random delays before reconnects. The error wraps
 // endpointstream.ErrMalformed.
 func NewEndpointStream(address string, initialEvents []byte, zones, kinds []string, seed uint64) (*EndpointStream, error) {
 	stream := &EndpointStream{
--- a/internal/discovery/endpointstream_reconnect_test.go
+++ b/internal/discovery/endpointstream_reconnect_test.go
@@ -19,8 +19,8 @@
 	acceptedAt time.Duration // time since followScripted was called
 }
 
-// followScripted starts an EndpointStream whose connections the test serves. If refuseDial is not nil, a dial fails with
-// the error that it returns for the address. A dial to the address "silent" never completes.
+// followScripted starts an EndpointStream whose connections the test serves. If refuseDial is not nil, a dial fails
+// with the error that it returns for the address. A dial to the address "silent" never completes.
 func followScripted(t *testing.T, seed uint64, refuseDial func(address string) error) (*EndpointStream, listSink, <-chan connection) {
 	t.Helper()
 	stream, err := NewEndpointStream("one", []byte(initialEvents), []string{"room"}, []string{"std"}, seed)
@@ -218,17 +218,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ours, theirs := net.Pipe()
+		local, remote := net.Pipe()
 		sink := confirmationSink{newListSink(), time.Now(), make(chan time.Duration, 8)}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			_, _ = stream.receive(ours, sink.requestedAt, sink) // returns when the connection ends
+			_, _ = stream.receive(local, sink.requestedAt, sink) // returns when the connection ends
 		}()
 		// The missed changes come first, in several events, none of which says that it is the last one.
 		for number := range uint64(2) {
 			missed := event(number+1, endpointstream.Delta, entry(uint32(number+1), 9001, endpointstream.Ready))
-			if _, err := theirs.Write(endpointstream.AppendEvent(nil, missed)); err != nil {
+			if _, err := remote.Write(endpointstream.AppendEvent(nil, missed)); err != nil {
 				t.Fatal(err)
 			}
 			<-sink.lists
@@ -240,20 +240,20 @@
 		heartbeat := endpointstream.AppendEvent(nil, event(2, endpointstream.NoChange))
 		for _, want := range []time.Duration{0, time.Second, 2 * time.Second} {
 			time.Sleep(time.Second)
-			if _, err := theirs.Write(heartbeat); err != nil {
+			if _, err := remote.Write(heartbeat); err != nil {
 				t.Fatal(err)
 			}
 			if got := <-sink.confirmed; got != want {
 				t.Errorf("confirmed as of %v after the request, want %v", got, want)
 			}
 		}
-		if _, err := theirs.Write(endpointstream.AppendEvent(nil, event(3, endpointstream.Delta))); err != nil {
+		if _, err := remote.Write(endpointstream.AppendEvent(nil, event(3, endpointstream.Delta))); err != nil {
 			t.Fatal(err)
 		}
 		if got := <-sink.confirmed; got != 3*time.Second {
 			t.Errorf("a change confirmed the list as of %v after the request, want 3 s", got)
 		}
-		_ = theirs.Close()
+		_ = remote.Close()
 		<-ended
 	})
 }
--- a/internal/discovery/endpointstream_test.go
+++ b/internal/discovery/endpointstream_test.go
@@ -141,7 +141,7 @@
 	}
 	server.Publish(event(4, endpointstream.Delta, entry(2, 9002, endpointstream.Ready)))
 	expectList(t, received, "1 2 ")
-	server.WriteRaw([]byte("bytes that are no event"))
+	server.WriteRaw([]byte("noise that is no event"))
 	if last := <-server.Resumed(); last != 4 {
 		t.Errorf("after malformed bytes: resumed after event %d, want 4", last)
 	}
