--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -64,17 +64,17 @@
 func newRefreshSignal() refreshSignal { return make(refreshSignal, 1) }
 
 // Refresh implements Source.
-func (w refreshSignal) Refresh() {
+func (s refreshSignal) Refresh() {
 	select {
-	case w <- struct{}{}:
+	case s <- struct{}{}:
 	default: // a signal is already pending
 	}
 }
 
 // wait blocks until Refresh is called. It returns false if ctx ended first.
-func (w refreshSignal) wait(ctx context.Context) bool {
+func (s refreshSignal) wait(ctx context.Context) bool {
 	select {
-	case <-w:
+	case <-s:
 		return true
 	case <-ctx.Done():
 		return false
