--- a/internal/directive/directive_test.go
+++ b/internal/directive/directive_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// settings is what the test's directives set.
+// settings holds the values that the test's directives set.
 type settings struct {
 	size    int
 	timeout time.Duration
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestParser_WrongLines_AllReportedWithPlace(t *testing.T) {
+func TestParser_InvalidLines_AllReportedWithPosition(t *testing.T) {
 	_, err := parse(strings.Join([]string{
 		"size 1 2",         // 1
 		"size 1",           // 2
@@ -128,7 +128,7 @@
 		`f:5:10: enabled: found "maybe"; allowed: on or off`,
 		`f:6:2: found "timeout"; allowed: enabled, end`,
 		`f:8:9: open nowhere: no such file or directory`,
-		`f:9:1: include takes one file, 8 deep at most`,
+		`f:9:1: include takes exactly one file and may be nested at most 8 levels deep`,
 		`f:10:1: block "block" has no end`,
 	}
 	if err == nil || err.Error() != strings.Join(want, "\n") {
--- a/internal/directive/parser.go
+++ b/internal/directive/parser.go
@@ -8,63 +8,65 @@
 	"strings"
 )
 
-// maxIncludeDepth bounds files that include each other.
+// maxIncludeDepth is the maximum nesting depth of included files. It ends the recursion of files that include each
+// other.
 const maxIncludeDepth = 8
 
-// The words that every settings file has.
+// Keywords that every settings file supports, whatever its tables.
 const (
 	includeWord = "include"
 	endWord     = "end"
 )
 
-// Position is a line of a file.
+// Position identifies one line of a settings file.
 type Position struct {
 	File string
-	Line int    // from 1; 0 stands for the file as a whole
-	Text string // the line as it is written
+	Line int    // line number, starting at 1; 0 means the whole file
+	Text string // unprocessed text of the line
 }
 
-// Error is one error of a settings file.
+// Error is one error in a settings file, with its position.
 type Error struct {
 	File   string
-	Line   int // from 1; 0 stands for the file as a whole
-	Column int // in characters from 1; 0 stands for the line as a whole
+	Line   int // line number, starting at 1; 0 means the whole file
+	Column int // column in characters, starting at 1; 0 means the whole line
 	Err    error
 }
 
-// Error implements error, in the form that editors and compilers use: file:line:column: text.
+// Error implements error. It uses the format of compilers, which editors understand: file:line:column: text.
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d:%d: %v", e.File, e.Line, e.Column, e.Err) }
 
-// Unwrap returns the error without its place.
+// Unwrap returns the error without its position.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Parser reads a settings file and collects its errors. It is for one file; included files are read with it.
+// Parser parses one settings file, together with the files that it includes, and collects the errors.
 type Parser struct {
-	// TopLevel handles each line that is in no block, mostly by Block or Apply. It is set before Parse.
-	TopLevel func(at Position, words []Word)
+	// TopLevel handles each line outside blocks, usually by a call to Block or Apply. It must be set before Parse is
+	// called.
+	TopLevel func(position Position, words []Word)
 
 	errs  []error
-	given map[string]bool // directives given outside blocks
-	block *openBlock      // nil outside blocks
+	given map[string]bool // names of the directives given outside blocks
+	block *openBlock      // block being parsed; nil outside blocks
 }
 
-// openBlock is a block whose end has not been read.
+// openBlock is a block whose "end" line has not been parsed yet.
 type openBlock struct {
-	name   string
-	start  Position
-	column int
-	given  map[string]bool // directives given in the block
-	line   func(at Position, words []Word)
-	end    func()
+	name       string          // keyword that opened the block
+	start      Position        // line that opened the block
+	column     int             // column of the keyword
+	given      map[string]bool // names of the directives given in the block
+	handleLine func(position Position, words []Word)
+	close      func()
 }
 
-// Fail records an error at a place; column counts from 1.
+// Fail records an error at a position; columns start at 1, and column 0 means the whole line.
 func (p *Parser) Fail(position Position, column int, format string, args ...any) {
 	p.errs = append(p.errs, &Error{File: position.File, Line: position.Line, Column: column, Err: fmt.Errorf(format, args...)})
 }
 
-// Parse reads text; name is the file's name in errors, and files that it includes are found from its directory. Err
-// then tells what was wrong.
+// Parse parses text. name is the file name that errors report; relative paths of included files are resolved against
+// its directory. Afterwards, Err returns the errors found.
 func (p *Parser) Parse(name, text string) {
 	p.given = map[string]bool{}
 	p.parseFile(name, text, 0)
@@ -73,7 +75,7 @@
 	}
 }
 
-// Err returns all errors joined, each an *Error, or nil if there are none.
+// Err returns all recorded errors joined, each of type *Error, or nil if there are none.
 func (p *Parser) Err() error { return errors.Join(p.errs...) }
 
 func (p *Parser) parseFile(name, text string, depth int) {
@@ -98,16 +100,16 @@
 	case p.block == nil:
 		p.TopLevel(position, words)
 	case first == endWord:
-		p.block.end()
+		p.block.close()
 		p.block = nil
 	default:
-		p.block.line(position, words)
+		p.block.handleLine(position, words)
 	}
 }
 
 func (p *Parser) include(position Position, words []Word, depth int) {
 	if len(words) != 2 || depth >= maxIncludeDepth {
-		p.Fail(position, words[0].Column, "include takes one file, %d deep at most", maxIncludeDepth)
+		p.Fail(position, words[0].Column, "include takes exactly one file and may be nested at most %d levels deep", maxIncludeDepth)
 		return
 	}
 	path := words[1].Text
@@ -122,11 +124,11 @@
 	p.parseFile(path, string(raw), depth+1)
 }
 
-// Block opens a block that is named by the line's second word; its end appends the block's settings to list. name
-// returns where the settings hold the block's name. other, unless nil, is given each line of the block first; where it
-// returns true the line is not looked up in the table. Blocks do not nest.
+// Block opens a block whose name is the line's second word. When the block ends, its settings are appended to list.
+// name returns a pointer to the field that holds the block's name. If intercept is not nil, it is called first for each
+// line of the block; if it returns true, the line is not looked up in the table. Blocks do not nest.
 func Block[T any](parser *Parser, position Position, words []Word, table []Directive[T], name func(*T) *string, list *[]T,
-	other func(t *T, position Position, words []Word) bool,
+	intercept func(t *T, position Position, words []Word) bool,
 ) {
 	settings := new(T)
 	Defaults(settings, table)
@@ -137,23 +139,23 @@
 		*name(settings) = words[1].Text
 		failOnRepeatedName(parser, position, words, name, *list)
 	}
-	line := func(position Position, words []Word) {
-		if other != nil && other(settings, position, words) {
+	handleLine := func(position Position, words []Word) {
+		if intercept != nil && intercept(settings, position, words) {
 			return
 		}
 		Apply(parser, position, words, settings, table, endWord)
 	}
 	parser.block = &openBlock{
-		name:   keyword.Text,
-		start:  position,
-		column: keyword.Column,
-		given:  map[string]bool{},
-		line:   line,
-		end:    func() { *list = append(*list, *settings) },
+		name:       keyword.Text,
+		start:      position,
+		column:     keyword.Column,
+		given:      map[string]bool{},
+		handleLine: handleLine,
+		close:      func() { *list = append(*list, *settings) },
 	}
 }
 
-// failOnRepeatedName records an error for each block of the list that has the name of the block opened by words.
+// failOnRepeatedName records an error for each block in list that has the same name as the block that words opens.
 func failOnRepeatedName[T any](parser *Parser, position Position, words []Word, name func(*T) *string, list []T) {
 	for i := range list {
 		if *name(&list[i]) == words[1].Text {
@@ -162,8 +164,8 @@
 	}
 }
 
-// Apply sets in t what one line says. alternatives names what else may stand there, for the error about a directive
-// that the table does not have.
+// Apply applies the directive on one line to t. If the table has no such directive, it records an error that lists the
+// table's directives and alternatives, which names the other keywords allowed at this point.
 func Apply[T any](parser *Parser, position Position, words []Word, t *T, table []Directive[T], alternatives string) {
 	keyword := words[0]
 	for i := range table {
@@ -180,8 +182,8 @@
 	parser.Fail(position, keyword.Column, "found %q; allowed: %s, %s", keyword.Text, strings.Join(names, ", "), alternatives)
 }
 
-// checkRepeated notes that a directive is given in the present block, and records an error if it may not be given
-// again.
+// checkRepeated marks a directive as given in the current block, or outside blocks if there is none. It records an
+// error if the directive was already given there and is not repeatable.
 func (p *Parser) checkRepeated(position Position, keyword Word, repeatable bool) {
 	given := p.given
 	if p.block != nil {
--- a/internal/directive/reference.go
+++ b/internal/directive/reference.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// AppendReference appends a table of directives to a reference page, as a Markdown section.
+// AppendReference appends a table of directives to a reference page as a Markdown section.
 func AppendReference[T any](out *strings.Builder, title string, table []Directive[T]) {
 	fmt.Fprintf(out, "\n## %s\n\n| directive | takes | default | meaning |\n| --- | --- | --- | --- |\n", title)
 	for _, directive := range table {
--- a/internal/directive/tokenize.go
+++ b/internal/directive/tokenize.go
@@ -7,16 +7,17 @@
 
 // Word is one word of a line.
 type Word struct {
-	Text   string // without its quotes
-	Column int    // where it begins, in characters from 1
+	Text   string // text of the word without quotes and escapes
+	Column int    // column of the first character, in characters starting at 1
 }
 
-// errUnclosedQuote is the error of a line that ends within quotes.
+// errUnclosedQuote is returned for a line that ends inside a quoted string.
 var errUnclosedQuote = errors.New("a quote is not closed")
 
-// tokenize splits a line into words. Quotes hold a word with spaces together; within double quotes \" and \\ stand for
-// the character itself. A comment runs from # to the end of the line. An error comes with the column of its word. (The
-// usual library, shlex, gives no columns.)
+// tokenize splits a line into words. Single or double quotes enclose text that may contain spaces; within double quotes,
+// \" and \\ stand for the escaped character. A comment extends from an unquoted # to the end of the line. On an error,
+// errorColumn is the column of the word that caused it. The widely used shlex package is not an alternative, as it does
+// not report columns.
 func tokenize(line string) (words []Word, errorColumn int, err error) {
 	runes := []rune(line)
 	for i := 0; i < len(runes); {
@@ -41,10 +42,10 @@
 
 func isQuote(r rune) bool { return r == '"' || r == '\'' }
 
-// endsWord reports whether a character that is not quoted ends a word.
+// endsWord reports whether an unquoted character ends a word.
 func endsWord(r rune) bool { return isSpace(r) || r == '#' }
 
-// scanWord reads the word that begins at start and returns the index behind it.
+// scanWord reads the word that begins at start. next is the index of the first character after the word.
 func scanWord(runes []rune, start int) (text string, next int, err error) {
 	const unquoted = rune(0)
 	var word strings.Builder
@@ -71,7 +72,7 @@
 	return word.String(), len(runes), nil
 }
 
-// isEscape reports whether the character at i is a backslash that escapes the next one.
+// isEscape reports whether the character at i is a backslash that escapes the next character.
 func isEscape(runes []rune, i int, quote rune) bool {
 	inDoubleQuotes := quote == '"'
 	hasNext := i+1 < len(runes)
