--- a/internal/directive/values.go
+++ b/internal/directive/values.go
@@ -114,7 +114,9 @@
 }
 
 // inRange reports whether minimum <= value <= maximum. It returns false for NaN.
-func inRange[N cmp.Ordered](value, minimum, maximum N) bool { return value >= minimum && value <= maximum }
+func inRange[N cmp.Ordered](value, minimum, maximum N) bool {
+	return value >= minimum && value <= maximum
+}
 
 // errUnless returns nil if allowed is true and ErrValue otherwise.
 func errUnless(allowed bool) error {
--- a/internal/shadow/compare.go
+++ b/internal/shadow/compare.go
@@ -2,18 +2,18 @@
 
 import "havencart/scheduler"
 
-// Counts are the decisions that would have been different, by kind.
+// Counts counts the compared events and, by kind, the decisions in which the running scheduler and its copy differed.
 type Counts struct {
 	Compared       uint64 // events compared
-	OtherWorker    uint64 // requests sent to another worker
-	OtherQueueing  uint64 // requests queued and not sent, or the reverse
-	OtherResponse  uint64 // requests rejected or failed by one only, or rejected with another advice
-	LoadOrder      uint64 // load orders given by one only
-	ResidencyQuery uint64 // residency queries sent by one only
-	Cancellation   uint64 // attempts cancelled by one only
+	OtherWorker    uint64 // requests that the two schedulers sent to different workers
+	OtherQueueing  uint64 // requests that one scheduler sent and the other one queued
+	OtherResponse  uint64 // requests that only one scheduler rejected or failed, or with different retry advice
+	LoadOrder      uint64 // load orders that only one scheduler gave
+	ResidencyQuery uint64 // residency queries that only one scheduler sent
+	Cancellation   uint64 // attempts that only one scheduler cancelled
 }
 
-// Add adds other counts.
+// Add adds other to c.
 func (c *Counts) Add(other Counts) {
 	c.Compared += other.Compared
 	c.OtherWorker += other.OtherWorker
@@ -24,50 +24,50 @@
 	c.Cancellation += other.Cancellation
 }
 
-// Kinds of differences, in words for a log. They say what the other settings would have done.
+// Kinds of differences, as log texts. They describe what the scheduler would have done with the other settings.
 const (
 	differentWorker         = "sent to another worker"
 	queuedInstead           = "queued"
 	sentInstead             = "sent"
-	differentResponse       = "rejected or advised differently"
-	differentLoadOrder      = "load order given or omitted"
-	differentResidencyQuery = "residency query sent or omitted"
-	differentCancellation   = "attempt cancelled or not"
+	differentResponse       = "different rejection, failure or retry advice"
+	differentLoadOrder      = "different load order, or load order by one scheduler only"
+	differentResidencyQuery = "residency query by one scheduler only"
+	differentCancellation   = "attempt cancelled by one scheduler only"
 )
 
-// compare counts and reports the differences between the two schedulers' actions on the current event.
+// compare counts and reports the differences between the actions of the two schedulers for the current event.
 func (s *Scheduler) compare() {
 	s.compareSent()
-	for range differingKeys(s.decided.answers, s.alternative.answers) {
+	for range differingKeys(s.actual.responses, s.alternative.responses) {
 		s.count(&s.counts.OtherResponse, differentResponse)
 	}
-	for order := range differingKeys(s.decided.orders, s.alternative.orders) {
+	for order := range differingKeys(s.actual.orders, s.alternative.orders) {
 		if order.isResidencyQuery() {
 			s.count(&s.counts.ResidencyQuery, differentResidencyQuery)
 		} else {
 			s.count(&s.counts.LoadOrder, differentLoadOrder)
 		}
 	}
-	for range differingKeys(s.decided.canceled, s.alternative.canceled) {
+	for range differingKeys(s.actual.cancelled, s.alternative.cancelled) {
 		s.count(&s.counts.Cancellation, differentCancellation)
 	}
 }
 
-// compareSent compares which requests were sent, and to which workers. A request that one of the two answered is left
-// to the comparison of answers.
+// compareSent compares which requests the two schedulers sent, and to which workers. A request that one scheduler sent
+// and the other one rejected or failed is not counted here, because the comparison of final responses counts it.
 func (s *Scheduler) compareSent() {
-	for request, worker := range s.decided.sent {
+	for request, worker := range s.actual.sent {
 		otherWorker, sent := s.alternative.sent[request]
 		switch {
 		case sent && otherWorker != worker:
 			s.count(&s.counts.OtherWorker, differentWorker)
-		case !sent && !s.alternative.hasAnswered(request):
+		case !sent && !s.alternative.hasFinalResponse(request):
 			s.count(&s.counts.OtherQueueing, queuedInstead)
 		}
 	}
 	for request := range s.alternative.sent {
-		_, sent := s.decided.sent[request]
-		if !sent && !s.decided.hasAnswered(request) {
+		_, sent := s.actual.sent[request]
+		if !sent && !s.actual.hasFinalResponse(request) {
 			s.count(&s.counts.OtherQueueing, sentInstead)
 		}
 	}
@@ -78,7 +78,7 @@
 	s.report(difference)
 }
 
-// differingKeys returns the keys that only one of two maps has, or that have different values in them.
+// differingKeys returns the keys that are in only one of the two maps or have different values in them.
 func differingKeys[K, V comparable](a, b map[K]V) map[K]struct{} {
 	differing := map[K]struct{}{}
 	for key, valueA := range a {
@@ -94,8 +94,8 @@
 	return differing
 }
 
-// hasAnswered reports whether the current event led to a final answer to the request.
-func (r *recorder) hasAnswered(request scheduler.RequestID) bool {
-	_, answered := r.answers[request]
+// hasFinalResponse reports whether the scheduler rejected or failed the request while it handled the current event.
+func (r *recorder) hasFinalResponse(request scheduler.RequestID) bool {
+	_, answered := r.responses[request]
 	return answered
 }
--- a/internal/shadow/recorder.go
+++ b/internal/shadow/recorder.go
@@ -6,25 +6,25 @@
 	"havencart/scheduler"
 )
 
-// answerKind is the kind of a final answer that a scheduler gives itself.
-type answerKind int
+// responseKind is the kind of a final response that the scheduler gives without a response of a worker.
+type responseKind int
 
 const (
-	rejected answerKind = iota
+	rejected responseKind = iota
 	failed
 )
 
-// finalAnswer is a request's final answer.
-type finalAnswer struct {
-	kind       answerKind
-	retryAfter time.Duration // advice with a rejection
+// finalResponse is the final response to a request that the scheduler rejected or failed.
+type finalResponse struct {
+	kind       responseKind
+	retryAfter time.Duration // retry advice of a rejection
 }
 
-// loadOrder is an order to load replicas, or a residency query.
+// loadOrder is an order to load replicas of a function, or a residency query.
 type loadOrder struct {
 	worker   scheduler.WorkerID
 	function scheduler.FunctionID
-	replicas int // 0: a residency query
+	replicas int // 0 for a residency query
 }
 
 func (o loadOrder) isResidencyQuery() bool { return o.replicas <= 0 }
@@ -35,32 +35,32 @@
 	number  int
 }
 
-// recorder records the actions of one event that are compared, and passes all actions on. Timers, lines of the log,
-// health checks, watching endpoints and unloading are not compared.
+// recorder forwards all actions of a scheduler and records the compared ones until the next event. Timers, log lines,
+// health checks, watches of the endpoint list and unload orders are not compared.
 type recorder struct {
 	scheduler.Actions
-	sent     map[scheduler.RequestID]scheduler.WorkerID
-	answers  map[scheduler.RequestID]finalAnswer
-	orders   map[loadOrder]bool
-	canceled map[attempt]bool
+	sent      map[scheduler.RequestID]scheduler.WorkerID
+	responses map[scheduler.RequestID]finalResponse
+	orders    map[loadOrder]bool
+	cancelled map[attempt]bool
 }
 
 func newRecorder(actions scheduler.Actions) *recorder {
 	return &recorder{
-		Actions:  actions,
-		sent:     map[scheduler.RequestID]scheduler.WorkerID{},
-		answers:  map[scheduler.RequestID]finalAnswer{},
-		orders:   map[loadOrder]bool{},
-		canceled: map[attempt]bool{},
+		Actions:   actions,
+		sent:      map[scheduler.RequestID]scheduler.WorkerID{},
+		responses: map[scheduler.RequestID]finalResponse{},
+		orders:    map[loadOrder]bool{},
+		cancelled: map[attempt]bool{},
 	}
 }
 
-// reset drops the record; the maps are reused, as there are many events.
+// reset discards the recorded actions. The maps are reused, because reset is called for every event.
 func (r *recorder) reset() {
 	clear(r.sent)
-	clear(r.answers)
+	clear(r.responses)
 	clear(r.orders)
-	clear(r.canceled)
+	clear(r.cancelled)
 }
 
 func (r *recorder) Send(id scheduler.RequestID, w scheduler.WorkerID, deadline time.Duration) {
@@ -69,17 +69,17 @@
 }
 
 func (r *recorder) Reject(id scheduler.RequestID, retryAfter time.Duration, cause scheduler.FinishCause) {
-	r.answers[id] = finalAnswer{kind: rejected, retryAfter: retryAfter}
+	r.responses[id] = finalResponse{kind: rejected, retryAfter: retryAfter}
 	r.Actions.Reject(id, retryAfter, cause)
 }
 
 func (r *recorder) Fail(id scheduler.RequestID, cause scheduler.FinishCause) {
-	r.answers[id] = finalAnswer{kind: failed}
+	r.responses[id] = finalResponse{kind: failed}
 	r.Actions.Fail(id, cause)
 }
 
 func (r *recorder) Cancel(id scheduler.RequestID, number int) {
-	r.canceled[attempt{id, number}] = true
+	r.cancelled[attempt{id, number}] = true
 	r.Actions.Cancel(id, number)
 }
 
@@ -88,7 +88,7 @@
 	r.Actions.Load(w, f, replicas)
 }
 
-// discardActions carries out no action: those of the copy have no effect.
+// discardActions implements scheduler.Actions without effect, for the copies of the running scheduler.
 type discardActions struct{}
 
 func (discardActions) Send(scheduler.RequestID, scheduler.WorkerID, time.Duration)      {}
--- a/internal/shadow/shadow_test.go
+++ b/internal/shadow/shadow_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// actionLog records the actions of a scheduler, in their order.
+// actionLog records the actions of a scheduler in order.
 type actionLog struct {
 	discardActions
 	all      []string
@@ -64,7 +64,7 @@
 	}
 }
 
-// eventHandler handles the events of a simulation: a scheduler, or one with a shadow.
+// eventHandler handles the events of a simulation. scheduler.Scheduler and shadow.Scheduler both implement it.
 type eventHandler interface {
 	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool)
 	TimerFired(now time.Duration, token uint64)
@@ -84,7 +84,8 @@
 	return list
 }
 
-// simulate plays a few seconds full of faults, which follow from seed and from the actions of the scheduler.
+// simulate has target handle a few seconds of events, many of them faults. The events are determined by seed and by the
+// scheduler's actions.
 func simulate(target eventHandler, actions *actionLog, seed uint64) {
 	draw := rand.New(rand.NewPCG(seed, 1))
 	now := time.Minute
@@ -137,33 +138,33 @@
 	other := settings()
 	other.MaxRetryAfter, other.LoadRateBurst, other.LoadOrdersAllowed, other.FrontEndCount = 0, 1, false, 300
 	for seed := range uint64(3) {
-		plain, shadowed := newActionLog(), newActionLog()
-		simulate(scheduler.New(time.Minute, settings(), plain), plain, seed)
+		unshadowed, shadowed := newActionLog(), newActionLog()
+		simulate(scheduler.New(time.Minute, settings(), unshadowed), unshadowed, seed)
 		shadow := New(time.Minute, settings(), Settings{Scheduler: other, SampleInterval: 1}, shadowed, func(string) {})
 		simulate(shadow, shadowed, seed)
-		if !slices.Equal(plain.all, shadowed.all) {
+		if !slices.Equal(unshadowed.all, shadowed.all) {
 			at := 0
-			for at < min(len(plain.all), len(shadowed.all)) && plain.all[at] == shadowed.all[at] {
+			for at < min(len(unshadowed.all), len(shadowed.all)) && unshadowed.all[at] == shadowed.all[at] {
 				at++
 			}
-			t.Fatalf("seed %d: action %d of %d differs while other settings are evaluated", seed, at, len(plain.all))
+			t.Fatalf("seed %d: action %d of %d differs when alternative settings are evaluated", seed, at, len(unshadowed.all))
 		}
 		if c := shadow.Counts(); c.Compared == 0 || c.ResidencyQuery == 0 || c.OtherResponse == 0 {
-			t.Errorf("seed %d: no difference is seen of settings that differ: %+v", seed, c)
+			t.Errorf("seed %d: expected differences are missing, although the settings differ: %+v", seed, c)
 		}
 	}
 }
 
 func TestShadow_SameSettings_NeverDiffer(t *testing.T) {
 	actions := newActionLog()
-	shadow := New(time.Minute, settings(), Settings{Scheduler: settings(), SampleInterval: 1}, actions, func(kind string) { t.Errorf("differs: %s", kind) })
+	shadow := New(time.Minute, settings(), Settings{Scheduler: settings(), SampleInterval: 1}, actions, func(kind string) { t.Errorf("difference reported with the same settings: %s", kind) })
 	simulate(shadow, actions, 7)
 	if c := shadow.Counts(); c != (Counts{Compared: c.Compared}) {
 		t.Errorf("counts %+v with the same settings", c)
 	}
 }
 
-func TestCounts_OneDifference_IsCountedInItsKind(t *testing.T) {
+func TestCounts_OneDifference_IsCountedByKind(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*scheduler.Settings)
@@ -180,21 +181,21 @@
 			var kinds []string
 			shadow := New(time.Minute, settings(), Settings{Scheduler: other}, actions, func(kind string) { kinds = append(kinds, kind) })
 			shadow.WorkersChanged(time.Minute, workers(9), true)
-			budget := 2 * time.Second
+			timeout := 2 * time.Second
 			if test.want.OtherResponse > 0 {
-				budget = ms // cannot meet its deadline when received: rejected at once
+				timeout = ms // the request cannot meet its deadline and is rejected immediately
 			}
-			shadow.RequestReceived(time.Minute, scheduler.Request{ID: 1, Function: 7, ReplicaConcurrency: 2, Timeout: budget})
+			shadow.RequestReceived(time.Minute, scheduler.Request{ID: 1, Function: 7, ReplicaConcurrency: 2, Timeout: timeout})
 			test.want.Compared = 2
 			got := shadow.Counts()
 			if got != test.want || len(kinds) == 0 {
-				t.Errorf("counts %+v of %q, want %+v", got, kinds, test.want)
+				t.Errorf("counts %+v, reported differences %q; want %+v", got, kinds, test.want)
 			}
 		})
 	}
 }
 
-func TestSampleInterval_ManyEvents_ComparesOneInSoMany(t *testing.T) {
+func TestSampleInterval_ManyEvents_ComparesOnePerInterval(t *testing.T) {
 	actions := newActionLog()
 	shadow := New(time.Minute, settings(), Settings{Scheduler: settings(), SampleInterval: 10}, actions, func(string) {})
 	for i := range 95 {
@@ -205,7 +206,7 @@
 	}
 }
 
-// BenchmarkEvents runs a simulation with and without a shadow; their ratio is what the shadow costs.
+// BenchmarkEvents runs a simulation with and without a shadow. The ratio of the times is the overhead of the shadow.
 func BenchmarkEvents(b *testing.B) {
 	for _, every := range []int{0, 1, 10} {
 		b.Run(fmt.Sprint("one-in-", every), func(b *testing.B) {
