--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost runs the scheduler on the simulator. It speaks the simulator's wire protocol on standard input and
-// output, and plays all instances that it is given. It exits with status 1 on input that is not as the protocol
-// requires.
+// Command simhost runs the scheduler for the simulator. It speaks the simulator's wire protocol on standard input and
+// output and runs all instances that the simulator opens. It exits with status 1 if reading, processing or writing
+// fails, for example on input that violates the protocol.
 package main
 
 import (
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -14,12 +14,13 @@
 const (
 	modulePrefix = "havencart/"
 	thisPackage  = "internal/layering"
-	// minPackages and minDecisionPackages are how many packages a test must at least have seen to mean something.
+	// minPackages and minDecisionPackages are the numbers of packages that a test must have checked at least, so that a
+	// test that finds no packages fails.
 	minPackages         = 10
 	minDecisionPackages = 3
 )
 
-// impureImports are the first parts of import paths that no decision package may use.
+// impureImports are the first elements of import paths that decision packages must not import.
 var impureImports = map[string]bool{
 	"context": true,
 	"io":      true,
@@ -42,7 +43,7 @@
 	"Until":     true,
 }
 
-func TestImports_EveryPackage_PointDown(t *testing.T) {
+func TestImports_EveryPackage_PointToLowerLevels(t *testing.T) {
 	seen := 0
 	visitPackages(t, func(path string, p *build.Package) {
 		if path == thisPackage {
@@ -50,21 +51,22 @@
 		}
 		seen++
 		if levelOf(path) == unlisted {
-			t.Errorf("%s is in no layer", path)
+			t.Errorf("%s does not belong to any layer", path)
 		}
 		for _, imported := range p.Imports {
 			to, ours := strings.CutPrefix(imported, modulePrefix)
 			if ours && !mayImport(path, to) {
-				t.Errorf("%s imports %s: that is not down", path, to)
+				t.Errorf("%s imports %s, which is not at a lower level", path, to)
 			}
 		}
 	})
 	if seen < minPackages {
-		t.Errorf("only %d packages were looked at", seen)
+		t.Errorf("only %d packages were checked", seen)
 	}
 }
 
-// A decision package does no I/O, starts no goroutine and reads no wall clock.
+// TestDecisions_EveryPackage_IsPure checks that decision packages do no I/O, start no goroutines and do not use the wall
+// clock.
 func TestDecisions_EveryPackage_IsPure(t *testing.T) {
 	seen := 0
 	visitPackages(t, func(path string, p *build.Package) {
@@ -82,11 +84,11 @@
 		}
 	})
 	if seen < minDecisionPackages {
-		t.Errorf("only %d decision packages were looked at", seen)
+		t.Errorf("only %d decision packages were checked", seen)
 	}
 }
 
-// checkFileIsPure reports goroutines and uses of the clock in one file.
+// checkFileIsPure reports each go statement and each use of the wall clock in one file.
 func checkFileIsPure(t *testing.T, name, path string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -99,15 +101,15 @@
 			t.Errorf("%s starts a goroutine", name)
 		case *ast.SelectorExpr:
 			if x, is := n.X.(*ast.Ident); is && x.Name == "time" && clockFunctions[n.Sel.Name] {
-				t.Errorf("%s calls time.%s", name, n.Sel.Name)
+				t.Errorf("%s uses time.%s", name, n.Sel.Name)
 			}
 		}
 		return true
 	})
 }
 
-// visitPackages calls visit for each package of the repository, with its path in the module. Imports of tests are not
-// among p.Imports.
+// visitPackages calls visit for each package of the repository, with its path relative to the module root. p.Imports
+// does not include the imports of test files.
 func visitPackages(t *testing.T, visit func(path string, p *build.Package)) {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -120,7 +122,7 @@
 		}
 		p, err := build.ImportDir(dir, 0)
 		if err != nil {
-			return nil // no Go files here
+			return nil // the directory has no Go files
 		}
 		path, err := filepath.Rel(root, dir)
 		if err != nil {
@@ -134,7 +136,7 @@
 	}
 }
 
-// skippedDirectory reports whether a directory holds no packages of the module. The root is "..".
+// skippedDirectory reports whether a directory contains no packages of the module. The name ".." is the repository root.
 func skippedDirectory(name string) bool {
 	hidden := name != ".." && strings.HasPrefix(name, ".")
 	return hidden || name == "journal" || name == "bin"
--- a/internal/layering/layers_test.go
+++ b/internal/layering/layers_test.go
@@ -1,9 +1,9 @@
-// Package layering has no code of its own: its tests hold the import layers of docs/architecture.md.
+// Package layering contains only tests, which enforce the import layers described in docs/architecture.md.
 package layering
 
 import "strings"
 
-// The layers by name. A name may stand at several levels of the table.
+// Names of the layers. A layer may span several levels.
 const (
 	decisions  = "decisions"
 	state      = "state"
@@ -14,13 +14,13 @@
 	programs   = "programs"
 )
 
-// level is a set of packages that may import those of the levels below, and not each other.
+// level is a set of packages. They may import packages of lower levels, but not each other.
 type level struct {
 	layer    string
-	packages []string // paths in the module; one that ends in "/" stands for all packages below it
+	packages []string // paths relative to the module root; a path that ends in "/" covers all packages below it
 }
 
-// levels are all packages of the module, from the bottom up. A listed package need not exist.
+// levels lists all packages of the module, from the lowest level to the highest. A listed package need not exist.
 var levels = []level{
 	{decisions, []string{"internal/estimate"}},
 	{decisions, []string{"scheduler"}},
@@ -47,11 +47,11 @@
 	{programs, []string{"cmd/"}},
 }
 
-// unlisted is the level of a package that the table lacks. It is below all others, so that no package may import it
-// unnoticed: an unlisted package fails the test itself.
+// unlisted is the level of a package that is not in levels. It is below all levels, so an import of an unlisted package
+// is not reported, but the test reports the unlisted package itself.
 const unlisted = -1
 
-// levelOf returns the index in levels of a package, by its path in the module, or unlisted.
+// levelOf returns the index in levels of the package with the given path, or unlisted.
 func levelOf(path string) int {
 	for i, level := range levels {
 		for _, listed := range level.packages {
@@ -63,7 +63,7 @@
 	return unlisted
 }
 
-// covers reports whether an entry of the table stands for the package.
+// covers reports whether an entry of levels includes the package with the given path.
 func covers(listed, path string) bool {
 	if strings.HasSuffix(listed, "/") {
 		return strings.HasPrefix(path, listed)
@@ -71,7 +71,7 @@
 	return path == listed
 }
 
-// layerOf returns the name of a package's layer, "" if the table lacks it.
+// layerOf returns the name of the layer of the package with the given path, or "" if the package is unlisted.
 func layerOf(path string) string {
 	if i := levelOf(path); i != unlisted {
 		return levels[i].layer
@@ -79,8 +79,8 @@
 	return ""
 }
 
-// mayImport reports whether the first package may import the second one: it is at a lower level, or both belong to
-// the laboratory.
+// mayImport reports whether package from may import package to: to is at a lower level, or both packages belong to the
+// laboratory layer.
 func mayImport(from, to string) bool {
 	if layerOf(from) == laboratory && layerOf(to) == laboratory {
 		return true
--- a/internal/simhost/actions.go
+++ b/internal/simhost/actions.go
@@ -7,13 +7,13 @@
 	"havencart/scheduler"
 )
 
-// instanceActions implements scheduler.Actions for one instance: it adds each action to the process's reply.
+// instanceActions implements scheduler.Actions for one instance. It appends each action to the reply of the process.
 type instanceActions struct {
 	reply    *simwire.Reply
 	instance uint32
 }
 
-// selected returns the reply after it has selected the instance in it.
+// selected selects the instance in the reply and returns the reply.
 func (a instanceActions) selected() *simwire.Reply {
 	a.reply.SelectInstance(a.instance)
 	return a.reply
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,6 +1,6 @@
-// Package simhost runs schedulers on the simulator: it gives the events of each batch to the instances that they are
-// for, and returns the actions of all in one reply. An instance stands for one front end. Instances share nothing but
-// the process's numbered endpoint lists.
+// Package simhost runs schedulers for the simulator. It delivers the events of each batch to the instances that they
+// are addressed to and returns the actions of all instances in one reply. Each instance represents one front end.
+// Instances share no state except the numbered endpoint lists of the process.
 package simhost
 
 import (
@@ -15,7 +15,7 @@
 	"havencart/scheduler"
 )
 
-// bufferSize is the size in bytes of the input's and the output's buffer; most batches fit.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes. Most batches fit into it.
 const bufferSize = 1 << 20
 
 // Host holds the instances of one process. It is not safe for concurrent use.
@@ -25,12 +25,12 @@
 	reply         simwire.Reply
 }
 
-// New returns a Host without instances.
+// New returns a Host that has no instances yet.
 func New() *Host { return &Host{instances: map[uint32]*scheduler.Scheduler{}} }
 
-// Run reads batches from in and writes one reply to each to out, until the input ends. Its error wraps
-// simwire.ErrMalformed if the input is not as the protocol requires. A panic of a scheduler is no error: it is
-// reported in the reply, and the instance is gone.
+// Run reads batches from in and writes one reply per batch to out until the input ends. The returned error wraps
+// simwire.ErrMalformed if the input violates the protocol. A panic in a scheduler is not returned as an error: Run
+// reports it in the reply and removes the instance.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -54,7 +54,7 @@
 	}
 }
 
-// process delivers a batch's events and fills the reply.
+// process delivers the events of a batch and builds the reply.
 func (h *Host) process(batch *simwire.Batch) error {
 	h.reply.Reset()
 	instance, selected := uint32(0), false
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// deliver gives one event to its instance. A panic is reported as the protocol provides, and ends the instance.
+// deliver delivers one event to its instance. If the scheduler panics, deliver adds an internal error to the reply and
+// removes the instance.
 func (h *Host) deliver(instance uint32, now time.Duration, event *simwire.Event) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -97,10 +98,10 @@
 	if s, exists := h.instances[instance]; exists {
 		h.dispatch(s, now, event)
 	}
-	return nil // without an instance: the event crossed the instance's end on its way
+	return nil // an event for a missing instance was in transit when the instance ended
 }
 
-// open starts an instance, in place of one with the same number if there is any.
+// open starts an instance. It replaces an existing instance with the same number.
 func (h *Host) open(instance uint32, now time.Duration, event *simwire.Event) error {
 	site, err := platformconfig.ParseSettings(event.Settings, event.Seed)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// dispatch calls the method of the scheduler that an event stands for.
+// dispatch calls the scheduler method that corresponds to an event.
 func (h *Host) dispatch(target *scheduler.Scheduler, now time.Duration, event *simwire.Event) {
 	switch event.Code {
 	case simwire.EndpointsChanged:
--- a/internal/simhost/host_test.go
+++ b/internal/simhost/host_test.go
@@ -10,7 +10,7 @@
 	"havencart/internal/simwire"
 )
 
-// Codes that the tests look for in a reply.
+// Action codes that the tests look for in a reply.
 const (
 	codeSend           = 256
 	codeInternalError  = 265
@@ -18,7 +18,7 @@
 	codeSelectInstance = 270
 )
 
-// batchBuilder builds frames record by record.
+// batchBuilder builds the frame of a batch record by record.
 type batchBuilder struct {
 	records, tail []byte
 	count         uint32
@@ -46,7 +46,7 @@
 	return b.event(simwire.OpenInstance, uint64(1), at, uint32(len(settings)))
 }
 
-// list defines endpoint list 0 with one ready worker and gives it to the instance.
+// list defines endpoint list 0 with one ready worker and sends it to the selected instance.
 func (b *batchBuilder) list(addr byte) *batchBuilder {
 	at := uint32(len(b.tail))
 	entry := make([]byte, 24)
@@ -73,7 +73,7 @@
 	return out.Bytes()
 }
 
-// action is one record of a reply with the instance it is for.
+// action is one record of a reply, with the instance that requested the action.
 type action struct {
 	code     uint16
 	instance uint32
@@ -121,7 +121,7 @@
 	return found
 }
 
-func TestRun_EmptyBatch_IsAnswered(t *testing.T) {
+func TestRun_EmptyBatch_GetsEmptyReply(t *testing.T) {
 	got, err := runHost(t, new(batchBuilder).bytes(1, 0))
 	if err != nil || len(got) != 1 || len(got[0]) != 0 {
 		t.Errorf("replies %v, error %v", got, err)
@@ -140,7 +140,7 @@
 	}
 	s := sendActions(got[0])
 	if len(s) != 2 || s[0].instance != 3 || s[0].raw[17] != 1 || s[1].instance != 5 || s[1].raw[17] != 2 {
-		t.Errorf("sends %+v: a list number must mean the entries that it had when the event came", s)
+		t.Errorf("sends %+v: a list number must refer to the entries at the time of the event", s)
 	}
 }
 
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	if len(sendActions(got[1])) != 0 {
-		t.Error("a reopened instance knows the workers of the former one")
+		t.Error("a reopened instance knows the workers of the instance before it")
 	}
 	if len(got[1]) == 0 || got[1][0].code != codeSetTimer {
 		t.Errorf("a reopened instance sets no timer: %+v", got[1])
@@ -179,7 +179,7 @@
 
 func TestRun_MalformedInput_Fails(t *testing.T) {
 	tests := map[string][]byte{
-		"settings that are no JSON": new(batchBuilder).selectInstance(1).open("{nonsense").bytes(1, 0),
+		"settings not in JSON":      new(batchBuilder).selectInstance(1).open("{nonsense").bytes(1, 0),
 		"event without an instance": new(batchBuilder).request(1, 0).bytes(1, 0),
 		"unknown event":             new(batchBuilder).selectInstance(1).event(999).bytes(1, 0),
 		"truncated":                 new(batchBuilder).selectInstance(1).bytes(1, 0)[:30],
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Batch is a decoded batch: events in their order, all at one time.
+// Batch is a decoded batch. Its events are in order and all occur at the time Clock.
 type Batch struct {
 	Number uint32
-	Clock  time.Duration // since the simulation's start
+	Clock  time.Duration // simulated time since the start of the simulation
 	Events []Event
 }
 
-// batchHeader is the fixed part before a batch's records.
+// batchHeader is the fixed-size header that precedes the records of a batch.
 type batchHeader struct {
 	number      uint32
-	clock       float64 // milliseconds
-	length      uint32  // of what follows the length field, in bytes
+	clock       float64 // simulated time in milliseconds
+	length      uint32  // number of bytes after the length field, including the record count
 	recordCount uint32
 }
 
-// ReadBatch reads the next batch. It returns io.EOF where the input ends between two batches, and an error that wraps
-// ErrMalformed where it ends inside one or the batch is not as the protocol requires.
+// ReadBatch reads the next batch. It returns io.EOF if the input ends between two batches, and an error that wraps
+// ErrMalformed if the input ends inside a batch or the batch violates the protocol.
 func ReadBatch(r io.Reader) (*Batch, error) {
 	header, err := readHeader(r)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}, nil
 }
 
-// checkSizes checks that the records fit into the length, and the length into the bounds.
+// checkSizes checks that the length is within bounds and that the records fit into it.
 func (h batchHeader) checkSizes() error {
 	if h.length < countSize || h.length > maxFrame {
 		return malformed("impossible length %d", h.length)
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// readBody reads n bytes. Memory grows with what is received, so that a false length costs none.
+// readBody reads n bytes. It allocates memory in chunks as the bytes arrive, so that a header with a wrong length cannot
+// cause a large allocation.
 func readBody(r io.Reader, n int) ([]byte, error) {
 	var body []byte
 	for len(body) < n {
--- a/internal/simwire/batch_test.go
+++ b/internal/simwire/batch_test.go
@@ -14,7 +14,7 @@
 	"havencart/scheduler"
 )
 
-// unhex reads hex digits; "+n" stands for n zero bytes.
+// unhex decodes words of hex digits; the word "+n" stands for n zero bytes.
 func unhex(t *testing.T, text string) []byte {
 	t.Helper()
 	var out []byte
@@ -36,7 +36,7 @@
 	return out
 }
 
-// frame puts records and a tail behind the header of batch 12 at 60 s.
+// frame returns the frame of batch 12 at 60 s with the given records and tail.
 func frame(t *testing.T, tail []byte, records ...string) []byte {
 	t.Helper()
 	var body []byte
@@ -133,7 +133,7 @@
 		"list number":           frame(t, nil, "0101 00 00000000 1000"),
 		"unknown state":         frame(t, unhex(t, "0000803f 0a124a07 431f 00 +8 04 +4"), "0b01 0000 00000000 01000000"),
 		"not a number":          frame(t, nil, "0201 c4913a5d 0000 +12 000000000000f87f"),
-		"report of five":        frame(t, nil, "0701 0a124a07 431f 01 +8 05"),
+		"load report too long":  frame(t, nil, "0701 0a124a07 431f 01 +8 05"),
 	}
 	for name, raw := range tests {
 		if _, err := ReadBatch(bytes.NewReader(raw)); !errors.Is(err, ErrMalformed) {
--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -2,20 +2,20 @@
 
 import "havencart/scheduler"
 
-// MaxLists is how many endpoint lists a process has; they are numbered from 0.
+// MaxLists is the number of endpoint lists of a process. They are numbered from 0.
 const MaxLists = 16
 
-// ListKind is what an EndpointsChanged event says about its list.
+// ListKind is the kind of the list in an EndpointsChanged event.
 type ListKind uint8
 
 const (
-	// DeltaList has only the workers that changed.
+	// DeltaList contains only the workers that changed.
 	DeltaList ListKind = iota
-	// FullList has all workers.
+	// FullList contains all workers.
 	FullList
-	// CachedList has all workers as they were known earlier.
+	// CachedList contains all workers from an earlier, possibly outdated list.
 	CachedList
-	// WatchFailed means that the endpoint watch failed: there is no list.
+	// WatchFailed means that the watch of the endpoint list failed and the event has no list.
 	WatchFailed
 )
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// endpoints reads the workers of an EndpointList event.
+// endpoints reads the workers of an EndpointList event from the tail.
 func (f *fieldReader) endpoints() []scheduler.WorkerInfo {
 	raw := f.tailSlice(endpointSize)
 	workers := make([]scheduler.WorkerInfo, 0, len(raw)/endpointSize)
@@ -47,7 +47,7 @@
 	return workers
 }
 
-// endpoint reads one worker. A start of 0 is an unknown one.
+// endpoint reads one worker. A start time of 0 means that the start time is unknown.
 func (f *fieldReader) endpoint() scheduler.WorkerInfo {
 	var worker scheduler.WorkerInfo
 	worker.Scale = f.f32()
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -5,7 +5,7 @@
 // EventCode is the kind of an event.
 type EventCode uint16
 
-// The codes of events; each says the protocol's name, and which fields of Event are set.
+// Event codes. Each comment gives the name in the protocol and the fields of Event that are set.
 const (
 	OpenInstance       EventCode = 256 + iota // OPEN_INSTANCE: Seed, Settings
 	EndpointsChanged                          // MEMBERS: ListKind, ListNumber
@@ -15,14 +15,14 @@
 	ClientDisconnected                        // LAPSED: Request.ID
 	TimerFired                                // WAKE: TimerToken
 	HealthChecked                             // PONG: HealthCheck
-	Datagram                                  // DATAGRAM: nothing; read and ignored
-	CloseInstance                             // DETACH: nothing
+	Datagram                                  // DATAGRAM: no fields; the event is decoded and ignored
+	CloseInstance                             // DETACH: no fields
 	LoadEnded                                 // LOAD_DONE: Load
-	EndpointList                              // DIRECTORY: ListNumber, Workers; for the whole process
-	SelectInstance                            // FOR: Instance; the events that follow are for it
+	EndpointList                              // DIRECTORY: ListNumber, Workers; applies to the whole process
+	SelectInstance                            // FOR: Instance, to which the following events are addressed
 )
 
-// Event is one record of a batch. Which fields are set depends on Code.
+// Event is one decoded record of a batch. Code determines which of the other fields are set.
 type Event struct {
 	Code        EventCode
 	Instance    uint32
@@ -47,7 +47,7 @@
 		event.Settings = reader.tailSlice(1)
 	case EndpointsChanged:
 		event.ListKind = reader.listKind()
-		reader.skip(4) // version: lists arrive in order and without gaps
+		reader.skip(4) // list version, not needed because lists arrive in order and without gaps
 		event.ListNumber = reader.u16()
 	case EndpointList:
 		event.ListNumber = reader.u16()
@@ -65,7 +65,7 @@
 	case LoadEnded:
 		event.Load = reader.load()
 	case Datagram:
-		reader.skip(2) // sender
+		reader.skip(2) // sender of the datagram
 		reader.tailSlice(1)
 	case SelectInstance:
 		event.Instance = reader.u32()
--- a/internal/simwire/field_reader.go
+++ b/internal/simwire/field_reader.go
@@ -8,16 +8,16 @@
 	"havencart/scheduler"
 )
 
-// maxLoadReportValues is the largest number of values in a worker's load report.
+// maxLoadReportValues is the maximum number of values in a worker's load report.
 const maxLoadReportValues = 4
 
-// fieldReader reads a record field by field and keeps an error until the end. The caller must not read more fields than the
-// record holds.
+// fieldReader reads a record field by field and stores the first error, so that the caller can check it once after all
+// fields are read. The caller must not read more bytes than the record holds.
 type fieldReader struct {
 	record []byte
-	tail   []byte // the batch's data of variable length, to which records refer
-	offset int    // of the next field in record
-	err    error
+	tail   []byte // variable-length data of the batch, which records refer to by offset
+	offset int    // offset of the next field in record
+	err    error  // first error
 }
 
 func (f *fieldReader) fail(format string, args ...any) {
@@ -37,19 +37,19 @@
 func (f *fieldReader) u32() uint32 { return binary.LittleEndian.Uint32(f.next(4)) }
 func (f *fieldReader) u64() uint64 { return binary.LittleEndian.Uint64(f.next(8)) }
 
-// skip passes over a field that the scheduler does not need.
+// skip skips a field of n bytes that the scheduler does not need.
 func (f *fieldReader) skip(n int) { f.next(n) }
 
-// f32 reads a number of single precision.
-func (f *fieldReader) f32() float64 { return f.checked(float64(math.Float32frombits(f.u32()))) }
+// f32 reads a single-precision number.
+func (f *fieldReader) f32() float64 { return f.inBounds(float64(math.Float32frombits(f.u32()))) }
 
-// duration reads a time in milliseconds of double precision.
+// duration reads a time, which the protocol sends as a double-precision number of milliseconds.
 func (f *fieldReader) duration() time.Duration {
-	return millis(f.checked(math.Float64frombits(f.u64())))
+	return millis(f.inBounds(math.Float64frombits(f.u64())))
 }
 
-// checked fails on a number out of bounds and returns 0 instead.
-func (f *fieldReader) checked(x float64) float64 {
+// inBounds returns x if it is within the bounds of validMillis. Otherwise it records an error and returns 0.
+func (f *fieldReader) inBounds(x float64) float64 {
 	if !validMillis(x) {
 		f.fail("number %v", x)
 		return 0
@@ -57,7 +57,8 @@
 	return x
 }
 
-// tailSlice reads an offset and a count of units of unitSize bytes, and returns that part of the tail.
+// tailSlice reads an offset into the tail and a count of units of unitSize bytes, and returns that part of the tail. It
+// returns nil and records an error if the part is not within the tail.
 func (f *fieldReader) tailSlice(unitSize int) []byte {
 	offset, count := uint64(f.u32()), uint64(f.u32())
 	end := offset + count*uint64(unitSize)
@@ -68,7 +69,8 @@
 	return f.tail[offset:end]
 }
 
-// worker reads a worker's address: IPv4 in network order, then the port. Together they are its ID.
+// worker reads the address of a worker: an IPv4 address in network byte order, followed by the port in little-endian
+// order. The worker ID consists of both.
 func (f *fieldReader) worker() scheduler.WorkerID {
 	address := binary.BigEndian.Uint32(f.next(4))
 	port := f.u16()
@@ -77,7 +79,7 @@
 
 func (f *fieldReader) function() scheduler.FunctionID { return scheduler.FunctionID(f.u64()) }
 
-// status reads an attempt's status, which has the scheduler's numbers.
+// status reads the status of an attempt. The protocol uses the same numbers as scheduler.Status.
 func (f *fieldReader) status() scheduler.Status {
 	s := scheduler.Status(f.u8())
 	if s < scheduler.OK || s > scheduler.NotLoaded {
@@ -86,7 +88,7 @@
 	return s
 }
 
-// loadReport reads a worker's load report, nil if it sent none.
+// loadReport reads the load report of a worker. It returns nil if the worker sent none.
 func (f *fieldReader) loadReport() []float64 {
 	n := int(f.u8())
 	if n == 0 {
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -10,7 +10,7 @@
 	"havencart/scheduler"
 )
 
-// Codes of actions, with the protocol's names.
+// Action codes. Each comment gives the name in the protocol.
 const (
 	codeSend           = 256 // CALL_OUT
 	codeReject         = 257 // TURN_AWAY
@@ -26,19 +26,19 @@
 	codeSelectInstance = 270 // ON_BEHALF
 )
 
-// noInstance means that no instance was selected in this reply.
+// noInstance is the value of Reply.selected before an instance is selected.
 const noInstance = -1
 
-// Reply builds the reply to one batch. Reset makes it usable; it may be reset and reused. Actions are for the
-// instance last selected.
+// Reply builds the reply to one batch. Reset must be called before the first use and before each reuse. Each action
+// belongs to the instance that was selected last.
 type Reply struct {
 	records  []byte
-	tail     []byte // texts, to which records refer
-	count    uint32
-	selected int64 // instance, or noInstance
+	tail     []byte // texts, which records refer to by offset
+	count    uint32 // number of records
+	selected int64  // instance selected last, or noInstance
 }
 
-// Reset empties the reply.
+// Reset removes all actions from the reply.
 func (p *Reply) Reset() {
 	p.records = p.records[:0]
 	p.tail = p.tail[:0]
@@ -46,7 +46,7 @@
 	p.selected = noInstance
 }
 
-// SelectInstance makes the instance the one that the next actions are for.
+// SelectInstance selects the instance that the following actions belong to.
 func (p *Reply) SelectInstance(instance uint32) {
 	if p.selected == int64(instance) {
 		return
@@ -55,7 +55,8 @@
 	binary.LittleEndian.PutUint32(p.addRecord(codeSelectInstance), instance)
 }
 
-// Send adds the action that sends a request to a worker; deadline is the time until which its response may arrive.
+// Send adds the action that sends a request to a worker. deadline is the simulated time by which the response must
+// arrive.
 func (p *Reply) Send(r scheduler.RequestID, w scheduler.WorkerID, deadline time.Duration) {
 	fields := p.addRecord(codeSend)
 	binary.LittleEndian.PutUint32(fields, uint32(r))
@@ -63,14 +64,14 @@
 	putWorker(fields[12:], w)
 }
 
-// Reject adds the action that rejects a request with the advice to retry after a while.
+// Reject adds the action that rejects a request and advises the client to retry after the duration retryAfter.
 func (p *Reply) Reject(r scheduler.RequestID, retryAfter time.Duration) {
 	fields := p.addRecord(codeReject)
 	binary.LittleEndian.PutUint32(fields, uint32(r))
 	putMillis(fields[4:], retryAfter)
 }
 
-// Fail adds the action that answers a request with an error.
+// Fail adds the action that responds to a request with an error.
 func (p *Reply) Fail(r scheduler.RequestID) {
 	binary.LittleEndian.PutUint32(p.addRecord(codeFail), uint32(r))
 }
@@ -110,13 +111,13 @@
 	binary.LittleEndian.PutUint64(fields[6:], uint64(f))
 }
 
-// Log adds a line for the simulator's log.
+// Log adds the action that writes a line to the simulator's log.
 func (p *Reply) Log(text string) { p.addText(codeLog, text) }
 
-// InternalError reports that the selected instance has failed.
+// InternalError adds the action that reports an internal error of the selected instance.
 func (p *Reply) InternalError(text string) { p.addText(codeInternalError, text) }
 
-// WriteTo writes the reply to the batch of that number.
+// WriteTo writes the reply to w, as the reply to the batch with the given number.
 func (p *Reply) WriteTo(w io.Writer, batchNumber uint32) error {
 	var header [replyHeaderSize]byte
 	binary.LittleEndian.PutUint32(header[0:], batchNumber)
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// addRecord adds a record of zeros and returns its bytes after the code.
+// addRecord appends a record with the given code and zeros in all other fields. It returns the bytes after the code.
 func (p *Reply) addRecord(code uint16) []byte {
 	start := len(p.records)
 	p.records = append(p.records, make([]byte, actionSize)...)
@@ -140,7 +141,7 @@
 	return record[2:]
 }
 
-// addText adds a record whose text is in the tail.
+// addText appends a record that refers to a text, and appends the text to the tail.
 func (p *Reply) addText(code uint16, text string) {
 	fields := p.addRecord(code)
 	binary.LittleEndian.PutUint32(fields, uint32(len(p.tail)))
@@ -148,7 +149,7 @@
 	p.tail = append(p.tail, text...)
 }
 
-// putWorker writes an address as fieldReader.worker reads it.
+// putWorker writes a worker's address in the format that fieldReader.worker reads.
 func putWorker(b []byte, w scheduler.WorkerID) {
 	binary.BigEndian.PutUint32(b, uint32(w>>16))
 	binary.LittleEndian.PutUint16(b[4:], uint16(w))
--- a/internal/simwire/requests.go
+++ b/internal/simwire/requests.go
@@ -3,10 +3,10 @@
 import "havencart/scheduler"
 
 const (
-	// workEstimateFlag says that a request's work estimate is set.
+	// workEstimateFlag is the flag that marks a request's work estimate as valid.
 	workEstimateFlag = 1 << 0
-	// coldStartValues is the number of values that an outcome's note reserves for the cold start; the queue depth
-	// is in units of it.
+	// coldStartValues is the number of note values that are reserved for the cold start. The note byte of an outcome is
+	// the cold start plus coldStartValues times the queue depth.
 	coldStartValues = 8
 )
 
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,9 +1,9 @@
-// Package simwire reads and writes the frames of the simulator's wire protocol. A batch carries events to the
-// instances of one process; a reply carries their actions back. All integers are little-endian, except for the
-// addresses of workers; times are IEEE 754 numbers of milliseconds.
+// Package simwire reads and writes the frames of the simulator's wire protocol. A batch carries events to the instances
+// of one process; a reply carries the actions of the instances back to the simulator. Integers are little-endian, except
+// for the IPv4 addresses of workers; times are IEEE 754 numbers of milliseconds.
 //
-// The names of the protocol (CALL_OUT, TURN_AWAY and others) are mapped here to the scheduler's terms. Reading is
-// strict: a frame that the protocol does not allow is an error that wraps ErrMalformed.
+// The package maps the names of the protocol, such as CALL_OUT and TURN_AWAY, to the terms of the scheduler. Reading is
+// strict: a frame that violates the protocol results in an error that wraps ErrMalformed.
 package simwire
 
 import (
@@ -13,39 +13,40 @@
 	"time"
 )
 
-// Sizes of the protocol's parts, in bytes.
+// Sizes of the parts of a frame, in bytes.
 const (
 	batchHeaderSize = 20
 	replyHeaderSize = 12
-	countSize       = 4 // of the record count, which belongs to the header but is part of the length
+	countSize       = 4 // size of the record count, which is part of the header but is included in the length
 	eventSize       = 56
 	actionSize      = 24
 	endpointSize    = 24
-	// maxFrame bounds the length that a header may claim.
+	// maxFrame is the maximum length that a header may specify.
 	maxFrame = 1 << 30
-	// readChunk is how much memory is reserved ahead of the bytes received.
+	// readChunk is the maximum number of bytes that are allocated before they are received.
 	readChunk = 1 << 20
 )
 
 const (
-	// nanosPerMilli converts the protocol's times.
+	// nanosPerMilli is the number of nanoseconds in one millisecond, the unit of the protocol's times.
 	nanosPerMilli = 1e6
-	// maxMillis bounds times and other numbers: beyond it, a time.Duration would overflow.
+	// maxMillis is the exclusive upper bound of the absolute value of times and other numbers. Larger times would
+	// overflow a time.Duration.
 	maxMillis = 9e12
 )
 
-// ErrMalformed is wrapped by every error about the content of a frame.
+// ErrMalformed is wrapped by every error about the contents of a frame.
 var ErrMalformed = errors.New("malformed frame")
 
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// millis converts a time of the protocol, rounded to nanoseconds.
+// millis converts a time in milliseconds to a time.Duration, rounded to nanoseconds.
 func millis(ms float64) time.Duration { return time.Duration(math.Round(ms * nanosPerMilli)) }
 
-// toMillis converts a time to the protocol's.
+// toMillis converts a time.Duration to a time in milliseconds.
 func toMillis(d time.Duration) float64 { return float64(d) / nanosPerMilli }
 
-// validMillis reports whether ms is within bounds; NaN is not.
+// validMillis reports whether the absolute value of ms is below maxMillis. It returns false for NaN.
 func validMillis(ms float64) bool { return ms > -maxMillis && ms < maxMillis }
