--- a/cmd/havencart/call.go
+++ b/cmd/havencart/call.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// callOptions are the flags of a single request. Empty ones are not sent.
+// callOptions holds the flags of the call command. Options without a value are not sent with the request.
 type callOptions struct {
 	address string
 	class   string
@@ -20,7 +20,7 @@
 	timeout time.Duration
 }
 
-// callCommand sends one request to a front end.
+// callCommand returns the command that sends one request to a front end.
 func callCommand() *cobra.Command {
 	options := callOptions{}
 	cmd := &cobra.Command{
@@ -38,13 +38,13 @@
 	flags := cmd.Flags()
 	flags.StringVar(&options.address, "at", "127.0.0.1:8080", "HOST:PORT of the front end")
 	flags.StringVar(&options.class, "class", "", "class of the request")
-	flags.StringVar(&options.tenant, "tenant", "", "tenant")
-	flags.StringVar(&options.key, "key", "", "idempotency key")
-	flags.DurationVar(&options.timeout, "patience", 0, "timeout of the request; 0: that of its class")
+	flags.StringVar(&options.tenant, "tenant", "", "tenant of the request")
+	flags.StringVar(&options.key, "key", "", "idempotency key of the request")
+	flags.DurationVar(&options.timeout, "patience", 0, "timeout of the request; 0: the timeout of its class")
 	return cmd
 }
 
-// request returns the HTTP request that the flags ask for.
+// request returns the HTTP request for the flags.
 func (o callOptions) request(cmd *cobra.Command, function, body string) (*http.Request, error) {
 	url := "http://" + o.address + "/call/" + function
 	request, err := http.NewRequestWithContext(cmd.Context(), http.MethodPost, url, strings.NewReader(body))
@@ -63,8 +63,8 @@
 	return request, nil
 }
 
-// sendCall sends the request and prints the response; its outcome goes to standard error. It returns an error unless
-// the request was served, so that the exit code tells.
+// sendCall sends the request. It prints the response body to standard output and the outcome headers to standard error.
+// It returns an error unless the request was served, so that the exit code shows whether the request succeeded.
 func sendCall(cmd *cobra.Command, options callOptions, function, body string) error {
 	request, err := options.request(cmd, function, body)
 	if err != nil {
@@ -74,17 +74,17 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read or is given up
+	defer func() { _ = response.Body.Close() }() // the body was read to the end or is no longer needed
 	for _, name := range []string{"Call-Outcome", "Call-Worker", "Call-Attempts", "Retry-After-Ms"} {
 		if value := response.Header.Get(name); value != "" {
 			output{os.Stderr}.printf("%s: %s\n", name, value)
 		}
 	}
 	if _, err := io.Copy(cmd.OutOrStdout(), response.Body); err != nil {
-		return fmt.Errorf("the response was cut off: %w", err)
+		return fmt.Errorf("response is incomplete: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("not served: %s", response.Status)
+		return fmt.Errorf("request was not served: %s", response.Status)
 	}
 	return nil
 }
--- a/cmd/havencart/check.go
+++ b/cmd/havencart/check.go
@@ -7,19 +7,19 @@
 	"havencart/lab/scenario"
 )
 
-// checkCommand checks a file by the code that a start would run.
+// checkCommand returns the command that checks a file with the same code that loads it at startup.
 func checkCommand() *cobra.Command {
 	isScript := false
 	cmd := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check the settings, or a fault script, in FILE",
+		Short: "Check the settings or the fault script in FILE",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			path := args[0]
 			if err := checkFile(path, isScript); err != nil {
 				return err
 			}
-			results(cmd).println(path, "is good")
+			results(cmd).println(path, "is valid")
 			return nil
 		},
 	}
@@ -36,21 +36,22 @@
 	return err
 }
 
-// referenceCommand prints the page that docs/settings.md is generated from, or that of fault scripts.
+// referenceCommand returns the command that prints a reference page: the page of all settings, from which
+// docs/settings.md is generated, or the page of fault scripts.
 func referenceCommand() *cobra.Command {
-	ofScripts := false
+	forScripts := false
 	cmd := &cobra.Command{
 		Use:   "reference",
-		Short: "Print the reference page of all settings, or of fault scripts",
+		Short: "Print the reference page of all settings or of fault scripts",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			page := gatewayconfig.Reference()
-			if ofScripts {
+			if forScripts {
 				page = scenario.Reference()
 			}
 			results(cmd).print(page)
 		},
 	}
-	cmd.Flags().BoolVar(&ofScripts, "script", false, "the page of fault scripts")
+	cmd.Flags().BoolVar(&forScripts, "script", false, "print the reference page of fault scripts")
 	return cmd
 }
--- a/cmd/havencart/experiment.go
+++ b/cmd/havencart/experiment.go
@@ -15,30 +15,30 @@
 	"havencart/lab/report"
 )
 
-// experimentOptions are the flags of an experiment.
+// experimentOptions holds the flags of the experiment command.
 type experimentOptions struct {
 	resultsPath string
 	htmlPath    string
-	plot        string // SCENARIO=FILE.svg
-	parallel    int
+	plot        string // scenario and output file, as SCENARIO=FILE.svg; empty: no plot
+	parallel    int    // maximum number of concurrent runs
 }
 
-// experimentCommand compares variants of the gateway on scenarios.
+// experimentCommand returns the command that compares variants of the gateway on scenarios.
 func experimentCommand() *cobra.Command {
 	options := experimentOptions{}
 	cmd := &cobra.Command{
 		Use:   "experiment FILE",
-		Short: "Play variants on scenarios in virtual time and compare them",
+		Short: "Run variants on scenarios in virtual time and compare them",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runExperiment(cmd, args[0], options)
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.resultsPath, "results", "", "file that keeps each run as it ends; FILE.results if not given")
-	flags.StringVar(&options.htmlPath, "html", "", "write the report as one HTML file here")
-	flags.StringVar(&options.plot, "plot", "", "DAY=FILE.svg: write that scenario's plot of service")
-	flags.IntVar(&options.parallel, "parallel", runtime.NumCPU(), "runs at a time")
+	flags.StringVar(&options.resultsPath, "results", "", "file to which the result of each finished run is appended; default: FILE.results")
+	flags.StringVar(&options.htmlPath, "html", "", "write the report as an HTML file to this path")
+	flags.StringVar(&options.plot, "plot", "", "SCENARIO=FILE.svg: write the plot of the service level in this scenario to the file")
+	flags.IntVar(&options.parallel, "parallel", runtime.NumCPU(), "maximum number of concurrent runs")
 	return cmd
 }
 
@@ -60,7 +60,7 @@
 	return writeReportFiles(comparison, options)
 }
 
-// writeReportFiles writes the files that the flags ask for.
+// writeReportFiles writes the HTML report and the plot if the flags name files for them.
 func writeReportFiles(comparison report.Report, options experimentOptions) error {
 	if options.htmlPath != "" {
 		if err := writeFile(options.htmlPath, comparison.HTML); err != nil {
@@ -74,7 +74,7 @@
 	return writeFile(path, func(file io.Writer) error { return comparison.Plot(file, scenarioName) })
 }
 
-// writeFile creates the file at path, has write fill it and closes it. The error is the first of these.
+// writeFile creates the file at path, calls write to write its contents and closes it. It returns the first error.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -87,7 +87,8 @@
 	return file.Close()
 }
 
-// cellCommand plays one run of an experiment and prints it as JSON. An experiment runs it in builds of other commits.
+// cellCommand returns the command that performs one run of an experiment and prints its result as JSON. Experiments
+// execute this command in builds of other commits.
 func cellCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "cell FILE VARIANT DAY SEED",
--- a/cmd/havencart/faultsearch.go
+++ b/cmd/havencart/faultsearch.go
@@ -12,14 +12,14 @@
 	"havencart/lab/faultsearch"
 )
 
-// faultSearchCommand searches for scenarios that the scheduler handles badly.
+// faultSearchCommand returns the command that searches for scenarios that the scheduler handles badly.
 func faultSearchCommand() *cobra.Command {
 	config := faultsearch.Config{Parallel: runtime.NumCPU()}
 	directory, duration := "", 20*time.Second
 	cmd := &cobra.Command{
 		Use:     "fault-search",
 		Aliases: []string{"hunt"},
-		Short:   "Search for scenarios that are handled badly, in virtual time; shrink and keep them",
+		Short:   "Search in virtual time for scenarios that the scheduler handles badly; minimize and store them",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			config.Base = faultsearch.Base(duration)
@@ -29,29 +29,29 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&config.Rounds, "rounds", 12, "rounds of mutation")
-	flags.IntVar(&config.Width, "width", 24, "scripts tried in each round")
-	flags.IntVar(&config.Keep, "keep", 10, "finds that are kept")
+	flags.IntVar(&config.Rounds, "rounds", 12, "number of mutation rounds")
+	flags.IntVar(&config.Width, "width", 24, "number of fault scripts tried in each round")
+	flags.IntVar(&config.Keep, "keep", 10, "number of findings to keep")
 	flags.Uint64Var(&config.Seed, "seed", 1, "seed of the search and of its scenarios")
-	flags.DurationVar(&duration, "for", duration, "length of a scenario")
-	flags.StringVar(&directory, "out", "", "directory that keeps the finds")
+	flags.DurationVar(&duration, "for", duration, "duration of each scenario")
+	flags.StringVar(&directory, "out", "", "directory to which the findings are written; empty: only print them")
 	return cmd
 }
 
-// runFaultSearch prints the finds and, unless directory is empty, writes each to a file of its own there.
+// runFaultSearch prints the findings and, unless directory is empty, writes each finding to a separate file in it.
 func runFaultSearch(cmd *cobra.Command, config faultsearch.Config, directory string) error {
-	finds, err := faultsearch.Run(cmd.Context(), config)
+	findings, err := faultsearch.Run(cmd.Context(), config)
 	if err != nil {
 		return err
 	}
-	for i, find := range finds {
+	for i, finding := range findings {
 		number := i + 1
-		results(cmd).printf("--- find %d: worse than the oracle by %.3f\n%s", number, find.Score(), find.Text())
+		results(cmd).printf("--- finding %d: worse than the oracle by %.3f\n%s", number, finding.Score(), finding.Text())
 		if directory == "" {
 			continue
 		}
 		path := filepath.Join(directory, fmt.Sprintf("seed%d-%d.day", config.Seed, number))
-		if err := os.WriteFile(path, []byte(find.Text()), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(finding.Text()), 0o644); err != nil {
 			return err
 		}
 	}
--- a/cmd/havencart/importreport.go
+++ b/cmd/havencart/importreport.go
@@ -9,14 +9,15 @@
 	"havencart/lab/reportimport"
 )
 
-// importReportCommand writes the scenario of a bench report as a fault script.
+// importReportCommand returns the command that converts the scenario of a bench report to a fault script.
 func importReportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "import-report REPORT",
 		Aliases: []string{"transcribe"},
-		Short:   "Write the scenario that a report of the bench describes as a fault script",
-		Long: "Reads what the bench printed for a run, a replay or an incident, and writes its course as a fault script. What the\n" +
-			"report does not tell is assumed, and the script says so. `havencart demo --report REPORT` plays it.",
+		Short:   "Convert the scenario of a bench report to a fault script",
+		Long: "Reads the report that the bench printed for a run, a replay or an incident, and prints its scenario as a fault script.\n" +
+			"Values that the report does not contain are assumed, and the script marks them as assumptions.\n" +
+			"`havencart demo --report REPORT` runs the scenario.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			imported, err := readReport(args[0])
@@ -29,7 +30,7 @@
 	}
 }
 
-// readReport reads a report of the bench. A file that is no report is a usage error.
+// readReport reads a bench report. If the file is not a valid report, the error wraps errUsage.
 func readReport(path string) (*reportimport.RunReport, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/havencart/loadtally.go
+++ b/cmd/havencart/loadtally.go
@@ -14,17 +14,17 @@
 	"havencart/lab/client"
 )
 
-// errVoid is returned by a load run in which the tool itself was too slow.
-var errVoid = errors.New("the load tool could not keep up: the run is void")
+// errInvalidRun is returned for a run in which the load generator itself was too slow.
+var errInvalidRun = errors.New("the load generator could not keep up; the results of this run are invalid")
 
-// The tool was the bottleneck of a run, which is then void, if the voidQuantile of its requests were sent more than
-// voidLag after they were due.
+// The load generator was the bottleneck of a run, whose results are then invalid, if the sendLagQuantile of the delay
+// between a request's scheduled time and its sending exceeds maxSendLag.
 const (
-	voidQuantile = 99 // percent
-	voidLag      = 20 * time.Millisecond
+	sendLagQuantile = 99 // percentile
+	maxSendLag      = 20 * time.Millisecond
 )
 
-// The range and precision of latency histograms, in nanoseconds and significant digits.
+// Range of the latency histograms in nanoseconds, and their precision in significant decimal digits.
 const (
 	histogramMin    = int64(time.Microsecond)
 	histogramMax    = int64(10 * time.Minute)
@@ -35,25 +35,24 @@
 	return hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 }
 
-// progressInterval is the time between two lines of progress.
+// progressInterval is the interval at which the progress line is updated.
 const progressInterval = time.Second
 
-// outcomeServed is the outcome of a request whose latency counts; outcomeMissing stands for a request without one.
 const (
-	outcomeServed  = "served"
-	outcomeMissing = "no answer"
+	outcomeServed  = "served"      // outcome of requests that are included in the latencies
+	outcomeMissing = "no response" // stands for the empty outcome of a request without a response
 )
 
 // allRequests is the name of the histogram of all served requests.
 const allRequests = "all"
 
-// loadTally gathers the outcomes and latencies of requests. It is safe for concurrent use.
+// loadTally collects the outcomes and latencies of requests. It is safe for concurrent use.
 type loadTally struct {
 	mu        sync.Mutex
-	latencies map[string]*hdrhistogram.Histogram // of served requests, by "class NAME", "tenant NAME" and allRequests
-	outcomes  map[string]int
-	sendLag   *hdrhistogram.Histogram // of each request, from when it was due
-	lost      int                     // requests without an answer that they should have had
+	latencies map[string]*hdrhistogram.Histogram // latencies of served requests, keyed by class, tenant or allRequests
+	outcomes  map[string]int                     // number of requests by outcome
+	sendLag   *hdrhistogram.Histogram            // delay between a request's scheduled time and its sending
+	lost      int                                // requests that got no response although a response was due
 	attempts  int
 }
 
@@ -69,7 +68,7 @@
 func (t *loadTally) observe(observation client.Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.sendLag.RecordValue(int64(max(observation.SendDelay, time.Microsecond))) // an error is a value out of range
+	_ = t.sendLag.RecordValue(int64(max(observation.SendDelay, time.Microsecond))) // fails only for values out of range
 	t.attempts += observation.Attempts
 	if observation.Lost {
 		t.lost++
@@ -89,17 +88,17 @@
 	}
 }
 
-// recordLatency adds a latency to the histogram of that name. The caller holds mu.
+// recordLatency adds a latency to the histogram with the given name. The caller must hold mu.
 func (t *loadTally) recordLatency(name string, latency time.Duration) {
 	histogram := t.latencies[name]
 	if histogram == nil {
 		histogram = newHistogram()
 		t.latencies[name] = histogram
 	}
-	_ = histogram.RecordValue(int64(latency)) // an error is a value out of range
+	_ = histogram.RecordValue(int64(latency)) // fails only for values out of range
 }
 
-// reportProgress rewrites one line of progress until ctx ends.
+// reportProgress prints the progress line once per progressInterval, over the previous one, until ctx ends.
 func (t *loadTally) reportProgress(ctx context.Context, out output) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
@@ -124,18 +123,18 @@
 	out.printf("\r%4ds %v p99 %v   ", seconds, t.outcomes, p99.Round(100*time.Microsecond))
 }
 
-// print prints the results. It returns an error that wraps errVoid if the tool was too slow for them to count.
+// print prints the results. It returns an error that wraps errInvalidRun if the load generator was too slow.
 func (t *loadTally) print(out output) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out.printf("calls %d, tries %d, lost %d, by outcome %v\n", t.sendLag.TotalCount(), t.attempts, t.lost, t.outcomes)
+	out.printf("requests %d, attempts %d, lost %d, by outcome %v\n", t.sendLag.TotalCount(), t.attempts, t.lost, t.outcomes)
 	for _, name := range slices.Sorted(maps.Keys(t.latencies)) {
 		printLatencies(out, name, t.latencies[name])
 	}
-	lag := time.Duration(t.sendLag.ValueAtQuantile(voidQuantile))
-	out.printf("sent late by p99 %v\n", lag.Round(10*time.Microsecond))
-	if lag > voidLag {
-		return fmt.Errorf("%w: 1 call in 100 was sent %v late or more", errVoid, lag)
+	lag := time.Duration(t.sendLag.ValueAtQuantile(sendLagQuantile))
+	out.printf("send delay p99 %v\n", lag.Round(10*time.Microsecond))
+	if lag > maxSendLag {
+		return fmt.Errorf("%w: 1 request in 100 was sent at least %v late", errInvalidRun, lag)
 	}
 	return nil
 }
--- a/cmd/havencart/loadtally_test.go
+++ b/cmd/havencart/loadtally_test.go
@@ -22,15 +22,15 @@
 	return tally.print(output{new(bytes.Buffer)})
 }
 
-// What a tool that lags measures would be its own slowness.
-func TestLoadTally_ToolSendsLate_RunIsVoid(t *testing.T) {
-	if err := lateRun(20, 50*time.Millisecond); !errors.Is(err, errVoid) {
-		t.Errorf("2 requests in 100 were sent 50 ms late: %v", err)
+// A load generator that sends requests late would measure its own delay instead of the gateway's latency.
+func TestLoadTally_GeneratorSendsLate_RunIsInvalid(t *testing.T) {
+	if err := lateRun(20, 50*time.Millisecond); !errors.Is(err, errInvalidRun) {
+		t.Errorf("2 requests in 100 were sent 50 ms late: error %v, want errInvalidRun", err)
 	}
 	if err := lateRun(5, 50*time.Millisecond); err != nil {
-		t.Errorf("5 requests in 1000 were sent late: %v", err)
+		t.Errorf("5 requests in 1000 were sent 50 ms late: unexpected error %v", err)
 	}
 	if err := lateRun(1000, time.Millisecond); err != nil {
-		t.Errorf("all requests were sent 1 ms late: %v", err)
+		t.Errorf("all requests were sent 1 ms late: unexpected error %v", err)
 	}
 }
--- a/cmd/havencart/main.go
+++ b/cmd/havencart/main.go
@@ -1,5 +1,5 @@
-// Command havencart is the gateway, the laboratory's stand-ins and the measuring tools on one command line. It holds
-// no logic of its own: each command reads its flags, runs what the packages below provide, and prints the result.
+// Command havencart provides the gateway, the laboratory's emulated components and the measurement tools as subcommands
+// of one program. Each command parses its flags, calls the packages that implement it, and prints the result.
 package main
 
 import (
@@ -19,34 +19,34 @@
 	"havencart/internal/platform/endpointstream"
 )
 
-// Exit codes; docs/running.md has them.
+// Exit codes, which docs/running.md documents.
 const (
-	exitOK       = 0
-	exitFailure  = 1 // the command could not be carried out
-	exitSettings = 2 // settings, script or command line are wrong
-	exitUnclean  = 3 // stopped, but requests were in flight when the shutdown timeout was over
-	exitRule     = 4 // an invariant was violated in a demo or measurement
+	exitOK                = 0
+	exitFailure           = 1 // the command failed for another reason
+	exitSettings          = 2 // settings, fault script or command line are invalid
+	exitShutdownTimeout   = 3 // requests were still in flight when the shutdown timeout expired
+	exitInvariantViolated = 4 // an invariant was violated in a demo, a measurement or the soak
 )
 
 var (
 	// errUsage is wrapped by errors about the command line.
 	errUsage = errors.New("usage")
-	// errRule is returned by a demo or measurement in which an invariant was violated.
-	errRule = errors.New("a rule was broken")
+	// errInvariantViolated is returned by a demo, a measurement or the soak if an invariant was violated.
+	errInvariantViolated = errors.New("an invariant was violated")
 )
 
-// timeFormat is the form of times in the log: RFC 3339 with milliseconds.
+// timeFormat is the format of times in the log: RFC 3339 with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func main() {
 	zerolog.TimeFieldFormat = timeFormat
-	// Signals are caught until the process ends, so that neither a second one nor one during the shutdown kills it.
+	// The process handles signals until it exits, so that a second signal during the shutdown does not kill it.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	os.Exit(exitCode(rootCommand().ExecuteContext(ctx)))
 }
 
-// exitCode reports the error of a command on standard error and returns the process's exit code for it.
+// exitCode prints the error of a command to standard error and returns the corresponding exit code.
 func exitCode(err error) int {
 	if err == nil {
 		return exitOK
@@ -56,14 +56,14 @@
 	case isSettingsError(err):
 		return exitSettings
 	case errors.Is(err, gateway.ErrShutdownTimeout):
-		return exitUnclean
-	case errors.Is(err, errRule):
-		return exitRule
+		return exitShutdownTimeout
+	case errors.Is(err, errInvariantViolated):
+		return exitInvariantViolated
 	}
 	return exitFailure
 }
 
-// isSettingsError reports whether the user's settings, script or command line caused the error.
+// isSettingsError reports whether the user's settings, fault script or command line caused the error.
 func isSettingsError(err error) bool {
 	for _, cause := range []error{
 		gatewayconfig.ErrSettings,
@@ -78,20 +78,20 @@
 	return false
 }
 
-// usageError wraps an error that the command line, or a file that it names, caused.
+// usageError wraps an error that was caused by the command line or by a file that the command line names.
 func usageError(err error) error { return fmt.Errorf("%w: %w", errUsage, err) }
 
-// globalOptions are the flags that all commands have.
+// globalOptions holds the flags that all commands have.
 type globalOptions struct {
-	level string
-	plain bool
+	level string // minimum log level
+	plain bool   // log as plain text instead of JSON
 }
 
-// logger returns the log on standard error that the flags ask for.
+// logger returns a logger that writes to standard error with the level and format of the flags.
 func (o *globalOptions) logger() (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(o.level)
 	if err != nil {
-		return zerolog.Nop(), fmt.Errorf("%w: log level %q; allowed: debug, info, warn, error", errUsage, o.level)
+		return zerolog.Nop(), fmt.Errorf("%w: unknown log level %q; allowed: debug, info, warn, error", errUsage, o.level)
 	}
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()
 	if o.plain {
@@ -100,7 +100,7 @@
 	return log, nil
 }
 
-// rootCommand returns the command line. A command that was renamed has its old word as an alias.
+// rootCommand returns the root command with all subcommands. Renamed commands keep their old names as aliases.
 func rootCommand() *cobra.Command {
 	options := &globalOptions{}
 	root := &cobra.Command{
@@ -111,8 +111,8 @@
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	flags := root.PersistentFlags()
-	flags.StringVar(&options.level, "log", "info", "least level that is logged: debug, info, warn, error")
-	flags.BoolVar(&options.plain, "plain", false, "log as plain text in place of JSON")
+	flags.StringVar(&options.level, "log", "info", "minimum log level: debug, info, warn or error")
+	flags.BoolVar(&options.plain, "plain", false, "log as plain text instead of JSON")
 	root.AddCommand(
 		runCommand(options),
 		servePlatformCommand(options),
--- a/cmd/havencart/run.go
+++ b/cmd/havencart/run.go
@@ -7,11 +7,11 @@
 	"havencart/internal/gateway"
 )
 
-// runCommand runs the gateway.
+// runCommand returns the command that runs the gateway.
 func runCommand(options *globalOptions) *cobra.Command {
 	return &cobra.Command{
 		Use:   "run FILE",
-		Short: "Run the gateway with the settings in FILE until it is told to stop",
+		Short: "Run the gateway with the settings in FILE until it receives SIGINT or SIGTERM",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runGateway(cmd, options, args[0])
--- a/cmd/havencart/serveplatform.go
+++ b/cmd/havencart/serveplatform.go
@@ -14,14 +14,15 @@
 	"havencart/internal/gateway"
 )
 
-// The environment by which the platform configures a front end.
+// Environment variables through which the platform configures a front end.
 const (
 	envConfigPath    = "RELAY_CONFIG" // path of the configuration file
-	envName          = "RELAY_NAME"   // overrides the file's name, unless empty
-	envListenAddress = "RELAY_LISTEN" // overrides the file's listen address, unless empty
+	envName          = "RELAY_NAME"   // overrides the name in the configuration file, unless empty
+	envListenAddress = "RELAY_LISTEN" // overrides the listen address in the configuration file, unless empty
 )
 
-// servePlatformCommand runs a front end on the platform, which configures it by its environment.
+// servePlatformCommand returns the command that runs a front end on the platform. The platform configures it through
+// environment variables.
 func servePlatformCommand(options *globalOptions) *cobra.Command {
 	return &cobra.Command{
 		Use:     "serve-platform",
@@ -34,7 +35,7 @@
 
 func servePlatform(cmd *cobra.Command, options *globalOptions) error {
 	reloads := make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP) // until the process ends, so that a late one does not kill it
+	signal.Notify(reloads, syscall.SIGHUP) // never stopped, so that a SIGHUP during the shutdown does not kill the process
 	log, err := options.logger()
 	if err != nil {
 		return err
@@ -49,13 +50,13 @@
 		return err
 	}
 	log.Info().Str("name", config.Name).Str("listen", server.Address()).Msg("running")
-	go reloadOnSignal(cmd.Context(), reloads, path, server, log) // ends with the context, when the server begins to stop
+	go reloadOnSignal(cmd.Context(), reloads, path, server, log) // returns when ctx ends, which also stops the server
 	counts, err := server.Run(cmd.Context())
 	log.Info().Interface("counts", counts).Err(err).Msg("stopped")
 	return err
 }
 
-// loadPlatformConfig reads the configuration file; the name and address of the environment override those in it.
+// loadPlatformConfig reads the configuration file and applies the name and listen address from the environment.
 func loadPlatformConfig(path string) (*platformconfig.Config, error) {
 	if path == "" {
 		return nil, fmt.Errorf("%w: %s is not set", errUsage, envConfigPath)
@@ -73,7 +74,8 @@
 	return config, nil
 }
 
-// reloadOnSignal reads the configuration again on each signal until ctx ends. One that cannot be read changes nothing.
+// reloadOnSignal reloads the configuration on each signal until ctx ends. If the new configuration cannot be loaded, the
+// current one stays in effect.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, path string, server *gateway.PlatformServer, log zerolog.Logger) {
 	for {
 		select {
@@ -83,7 +85,7 @@
 		}
 		config, err := loadPlatformConfig(path)
 		if err != nil {
-			log.Error().Err(err).Msg("the configuration stays as it was")
+			log.Error().Err(err).Msg("configuration reload failed; keeping the current configuration")
 			continue
 		}
 		server.Reload(config)
--- a/cmd/havencart/serveplatform_test.go
+++ b/cmd/havencart/serveplatform_test.go
@@ -215,7 +215,7 @@
 	newConfig := fmt.Sprintf(platformConfig, newDiscovery.Address(), worker.Address())
 	p.writeConfig(newConfig[:len(newConfig)/2])
 	p.signal(syscall.SIGHUP)
-	p.waitForLog("the configuration stays as it was")
+	p.waitForLog("configuration reload failed; keeping the current configuration")
 	p.writeConfig(strings.Replace(newConfig, `"name":"quote"`, `"name":"another customer's"`, 1))
 	p.signal(syscall.SIGHUP)
 	if field := p.waitForLog("the configuration stays as it was")["field"]; field != "settings.classes" {
--- a/cmd/havencart/soak.go
+++ b/cmd/havencart/soak.go
@@ -15,45 +15,47 @@
 	"havencart/lab/soak"
 )
 
-// soakOptions are the flags of the soak command.
+// soakOptions holds the flags of the soak command.
 type soakOptions struct {
 	firstSeed  uint64
 	seeds      int
 	parallel   int
 	frontEnds  int
 	workers    int
-	largeEvery uint64 // seeds that it divides have many workers; 0: none
+	largeEvery uint64 // runs whose seed is a multiple of it have many workers; 0: no such runs
 	length     time.Duration
-	logs       string
+	logs       string // directory for the front ends' logs; empty: the logs are not kept
 	verbose    bool
 }
 
-// soakCommand runs front ends as processes under random faults and judges what clients and workers saw.
+// soakCommand returns the command that runs front ends as processes under random faults and checks the invariants
+// against what clients and workers observed.
 func soakCommand() *cobra.Command {
 	options := &soakOptions{}
 	command := &cobra.Command{
 		Use:   "soak",
-		Short: "Run front ends as processes under random faults that overlap, and judge them by the rules",
+		Short: "Run front ends as processes under random, overlapping faults and check the invariants",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return runSoak(cmd.Context(), results(cmd), options) },
 	}
 	flags := command.Flags()
-	flags.Uint64Var(&options.firstSeed, "seed", 1, "first seed")
-	flags.IntVar(&options.seeds, "seeds", 1, "how many seeds, from the first one on")
-	flags.IntVar(&options.parallel, "parallel", 1, "how many runs at a time")
-	flags.IntVar(&options.frontEnds, "front-ends", 24, "processes of a run")
-	flags.IntVar(&options.workers, "workers", 10, "emulated workers of a run")
-	flags.Uint64Var(&options.largeEvery, "large-every", 5, "one seed in so many has few processes and many workers; 0: none")
-	flags.DurationVar(&options.length, "length", 12*time.Second, "length of a run")
-	flags.StringVar(&options.logs, "logs", "", "directory that keeps the front ends' logs")
-	flags.BoolVar(&options.verbose, "verbose", false, "tell each fault as it begins")
+	flags.Uint64Var(&options.firstSeed, "seed", 1, "seed of the first run")
+	flags.IntVar(&options.seeds, "seeds", 1, "number of runs, with consecutive seeds")
+	flags.IntVar(&options.parallel, "parallel", 1, "maximum number of concurrent runs")
+	flags.IntVar(&options.frontEnds, "front-ends", 24, "number of front-end processes in a run")
+	flags.IntVar(&options.workers, "workers", 10, "number of emulated workers in a run")
+	flags.Uint64Var(&options.largeEvery, "large-every", 5, "runs whose seed is a multiple of this have few processes and many workers; 0: no such runs")
+	flags.DurationVar(&options.length, "length", 12*time.Second, "duration of a run")
+	flags.StringVar(&options.logs, "logs", "", "directory in which the front ends' logs are kept")
+	flags.BoolVar(&options.verbose, "verbose", false, "print each fault when it begins")
 	return command
 }
 
-// soakCells is the number of cells of a run's workers.
+// soakCells is the number of cells in a run, except for runs with many workers.
 const soakCells = 3
 
-// A run with many workers: about as many as the descriptors of one emulating process allow.
+// Sizes of a run with many workers. The number of workers is limited by the file descriptors of the process that emulates
+// them.
 const (
 	largeSoakFrontEnds = 6
 	largeSoakWorkers   = 3000
@@ -84,7 +86,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				out.printf("seed %d was not played to its end: %v\n", config.Seed, err)
+				out.printf("seed %d: the run did not complete: %v\n", config.Seed, err)
 				failed = err
 				return
 			}
@@ -97,26 +99,27 @@
 	if failed != nil {
 		return failed
 	}
-	if tally.broken.total() > 0 {
-		return errRule
+	if tally.violating.total() > 0 {
+		return errInvariantViolated
 	}
 	return nil
 }
 
-// soakTally counts the runs that kept the rules and those that broke one.
-type soakTally struct{ kept, broken soakRuns }
+// soakTally counts the runs without and with violations.
+type soakTally struct{ clean, violating soakRuns }
 
-// soakRuns are runs by whether the soak itself was late by more than the rules' slack: what is found by times in a late
-// one may be its own, and one without a violation shows less.
+// soakRuns counts runs by whether the soak process itself lagged by more than the slack that the checks allow. In a
+// lagging run, a violation that was found by comparing times may be caused by the lag, and the absence of violations is
+// weaker evidence.
 type soakRuns struct{ punctual, late int }
 
 func (r soakRuns) total() int { return r.punctual + r.late }
 
 // add counts a run.
 func (t *soakTally) add(report soak.Report) {
-	runs := &t.kept
+	runs := &t.clean
 	if len(report.Violations) > 0 {
-		runs = &t.broken
+		runs = &t.violating
 	}
 	if len(report.NotedLags) > 0 {
 		runs.late++
@@ -125,13 +128,13 @@
 	}
 }
 
-// String returns the totals in words.
+// String returns the counts as text.
 func (t soakTally) String() string {
-	return fmt.Sprintf("%d kept the rules, %d broke one; the soak itself was late in %d and %d of them",
-		t.kept.total(), t.broken.total(), t.kept.late, t.broken.late)
+	return fmt.Sprintf("%d runs without violations, %d with violations; the soak process itself lagged in %d and %d of them",
+		t.clean.total(), t.violating.total(), t.clean.late, t.violating.late)
 }
 
-// config is the configuration of the run of a seed.
+// config returns the configuration of the run with the given seed.
 func (o *soakOptions) config(seed uint64, executable string, out output) soak.Config {
 	frontEnds, workers, cells := o.frontEnds, o.workers, soakCells
 	if o.largeEvery > 0 && seed%o.largeEvery == 0 {
@@ -152,16 +155,16 @@
 	return config
 }
 
-// printSoakReport prints what became of a run, with each violation on a line.
+// printSoakReport prints the results of a run, followed by one line for each violation.
 func printSoakReport(out output, seed uint64, report soak.Report) {
 	faults := 0
 	for _, name := range slices.Sorted(maps.Keys(report.Faults)) {
 		faults += report.Faults[name]
 	}
-	out.printf("seed %d: %d requests, %d served, %d rejected, %d failed, %d given up; %d attempts, %d of them repeats; %d faults; %d violations\n",
+	out.printf("seed %d: %d requests, %d served, %d rejected, %d failed, %d cancelled; %d attempts, %d of them repeats; %d faults; %d violations\n",
 		seed, report.Requests, report.Served, report.Rejected, report.Failed, report.Cancelled, report.Arrivals, report.Repeats,
 		faults, len(report.Violations))
-	out.printf("seed %d: the soak itself was late by %v at most; by more than the rules' slack: %v\n", seed, report.WorstLag, report.NotedLags)
+	out.printf("seed %d: maximum lag of the soak process itself: %v; lags above the allowed slack: %v\n", seed, report.WorstLag, report.NotedLags)
 	for _, violation := range report.Violations {
 		out.printf("seed %d: %s\n", seed, violation)
 	}
--- a/cmd/havencart/worker.go
+++ b/cmd/havencart/worker.go
@@ -16,13 +16,14 @@
 	"havencart/lab/worker"
 )
 
-// The function store that a worker starts for itself where it is given none.
+// Limits of the function store that a worker starts for itself if no store address is given.
 const (
-	ownStoreConcurrency = 8  // fetches at full pace
-	ownStoreLimit       = 40 // fetches in flight beyond which it rejects
+	ownStoreConcurrency = 8  // concurrent fetches at full speed
+	ownStoreLimit       = 40 // concurrent fetches above which the store rejects further ones
 )
 
-// workerCommand runs one emulated worker as a process of its own; fault commands come on standard input.
+// workerCommand returns the command that runs one emulated worker as a separate process. The process reads fault commands
+// from standard input.
 func workerCommand() *cobra.Command {
 	config := worker.Config{WorkerConfig: fleet.DemoWorker()}
 	storeAddress := ""
@@ -35,16 +36,16 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return runWorker(cmd, config, storeAddress) },
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&config.Name, "name", "worker-1", "its name in the endpoint list")
-	flags.StringVar(&config.Cell, "cell", "cell-1", "its cell")
+	flags.StringVar(&config.Name, "name", "worker-1", "name of the worker in the endpoint list")
+	flags.StringVar(&config.Cell, "cell", "cell-1", "cell of the worker")
 	flags.StringVar(&config.Address, "listen", "127.0.0.1:9001", "address that front ends connect to")
-	flags.StringVar(&storeAddress, "store", "", "HOST:PORT of a function store; empty: one of its own")
-	flags.Float64Var(&config.Cores, "cores", config.Cores, "cores")
+	flags.StringVar(&storeAddress, "store", "", "HOST:PORT of a function store; empty: start a separate store")
+	flags.Float64Var(&config.Cores, "cores", config.Cores, "number of cores")
 	flags.Float64Var(&config.Speed, "speed", config.Speed, "speed of a core, relative to the emulation's standard core")
-	flags.Float64Var(&config.MemoryMB, "memory", config.MemoryMB, "megabytes for replicas")
-	flags.IntVar(&config.Queue, "queue", config.Queue, "requests that may be queued")
-	flags.BoolVar(&config.ReportsNotLoaded, "miss", false, "answer miss in place of loading")
-	flags.DurationVar(&config.Work, "work", 20*time.Millisecond, "work of a request whose body does not tell (\"work 20ms reply 100\")")
+	flags.Float64Var(&config.MemoryMB, "memory", config.MemoryMB, "memory for replicas in megabytes")
+	flags.IntVar(&config.Queue, "queue", config.Queue, "maximum number of queued requests")
+	flags.BoolVar(&config.ReportsNotLoaded, "miss", false, "respond with a miss to requests for functions that are not loaded, instead of loading them")
+	flags.DurationVar(&config.Work, "work", 20*time.Millisecond, "work of a request whose body does not specify it (as in \"work 20ms reply 100\")")
 	return cmd
 }
 
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// runFaultCommands carries out the lines of standard input until the command's context ends. The end of standard input
-// does not end it.
+// runFaultCommands executes the fault commands on standard input until the command's context ends. It does not return at
+// the end of standard input, so that the worker continues to run.
 func runFaultCommands(cmd *cobra.Command, server *worker.Server) {
 	lines := make(chan string)
 	go readLines(cmd.Context(), cmd.InOrStdin(), lines)
@@ -88,8 +89,8 @@
 	}
 }
 
-// readLines sends each line that is not blank until ctx or the input ends. While it waits for input it does not see
-// ctx end; it then lasts as long as the process.
+// readLines sends each non-blank line of input to lines until ctx ends or the input ends. A blocked read is not
+// interrupted when ctx ends; in this case the goroutine runs until the process exits.
 func readLines(ctx context.Context, input io.Reader, lines chan<- string) {
 	scanner := bufio.NewScanner(input)
 	for scanner.Scan() {
