--- a/cmd/havencart/demo.go
+++ b/cmd/havencart/demo.go
@@ -59,8 +59,8 @@
 	return cmd
 }
 
-// prepare sets the demo's fault script and request mix. A script that is derived from a bench report is printed, because
-// no file contains it.
+// prepare sets the demo's fault script and request mix. A script that is derived from a bench report is printed,
+// because no file contains it.
 func (o *demoOptions) prepare(demo *fleet.Demo, out output) error {
 	demo.Scenario, demo.Mix = fleet.DemoScenario, fleet.DemoMix(o.rate)
 	if o.scriptPath != "" {
--- a/cmd/havencart/incident_discovery_outage_test.go
+++ b/cmd/havencart/incident_discovery_outage_test.go
@@ -16,60 +16,58 @@
 	"havencart/lab/platformworker"
 )
 
-// Seen: discovery was out of reach of every front end. Busy workers began to drain just after the outage began and stayed
-// up. Front ends went on sending them attempts and orders to load for as long as the outage lasted; the workers turned them
-// away, the requests were served elsewhere, and no client noticed.
+// These tests guard against new work for workers that drain while discovery is unreachable. The platform considers a
+// front end notified of a drain a few seconds after discovery became silent, whether or not the front end received a
+// notice. Once this time and the drain grace have passed, no new work may start at the worker.
 //
-// How it came about: by the platform's rules a front end counts as notified of a drain some seconds after discovery fell
-// silent, whether it was told or not; after that and the grace, nothing new may begin there.
+// In the incident, the last endpoint list remained valid for an unlimited time, so that front ends sent attempts and
+// load orders to draining workers for the whole outage. The workers rejected them, and the front ends mistook the
+// draining workers for overloaded ones. The requests were served elsewhere, and no client noticed.
 //
-// Cause: the last list stayed in force without end. A worker that it had as ready was ready for as long as nothing was
-// heard, and a draining worker that turns work away was taken for one that is full.
-//
-// Proof: before the repair, new work arrived at workers of both groups until the outage ended, while the front end's own log had the
-// list as no longer confirmed. With the repair none arrives, and as many requests are served.
+// Without the fix, new work arrived at workers of both groups until the outage ended, although the front end's own log
+// said that the list was no longer confirmed. With the fix, none arrives, and as many requests are served.
 
-// The installation that is played. Of its workers one group begins to drain just after the outage began, and another one
-// when the front end counts as notified at once.
+// Parameters of the installation. One group of workers begins to drain just after the outage begins. A second group
+// begins later, when the front end is considered notified immediately.
 const (
-	outageWorkers     = 12
-	drainsPerGroup    = 3
-	outageFunctions   = 24
-	outageRequestGap  = 15 * time.Millisecond
-	outageRequestWait = 1200 * time.Millisecond
-	outageDrainGrace  = 500 * time.Millisecond
-	noticeInSilence   = 4 * time.Second
-	outageWarmUp      = 2500 * time.Millisecond // so that the list is confirmed
-	outageLength      = 7 * time.Second
-	outageAfter       = 2 * time.Second
-	firstDrainsAfter  = 100 * time.Millisecond // after the warm-up, which the outage begins at or has begun before
-	secondDrainsAfter = 5 * time.Second
-	outageLeastServed = 0.95 // of the requests
+	outageWorkers         = 12
+	drainsPerGroup        = 3
+	outageFunctions       = 24
+	outageRequestInterval = 15 * time.Millisecond
+	outageRequestTimeout  = 1200 * time.Millisecond
+	outageDrainGrace      = 500 * time.Millisecond
+	notifiedAfterSilence  = 4 * time.Second
+	outageWarmUp          = 2500 * time.Millisecond // long enough for the endpoint list to be confirmed
+	outageLength          = 7 * time.Second
+	outageRecovery        = 2 * time.Second
+	firstDrainDelay       = 100 * time.Millisecond // delay after the warm-up, when discovery is unreachable
+	secondDrainDelay      = 5 * time.Second
+	outageMinServed       = 0.95 // minimum fraction of requests that are served
 )
 
-// TestIncidentDiscoveryOutage_WorkersDrainMeanwhile_GetNothingNew holds that nothing new begins at workers that drain while
-// discovery is out of reach, and that the others serve on.
-func TestIncidentDiscoveryOutage_WorkersDrainMeanwhile_GetNothingNew(t *testing.T) {
+// TestIncidentDiscoveryOutage_WorkersDrainMeanwhile_GetNoNewWork checks that workers that drain while discovery is
+// unreachable receive no new work, and that the other workers continue to serve requests.
+func TestIncidentDiscoveryOutage_WorkersDrainMeanwhile_GetNoNewWork(t *testing.T) {
 	for name, outage := range map[string]discoveryOutage{
-		"discovery silent":         {reach: platformdiscovery.Silent},
-		"discovery unreachable":    {reach: platformdiscovery.Unreachable},
-		"front end starts in it":   {reach: platformdiscovery.Silent, began: time.Minute},
-		"started, and unreachable": {reach: platformdiscovery.Unreachable, began: time.Minute},
+		"discovery silent":                                 {reach: platformdiscovery.Silent},
+		"discovery unreachable":                            {reach: platformdiscovery.Unreachable},
+		"front end started while discovery is silent":      {reach: platformdiscovery.Silent, began: time.Minute},
+		"front end started while discovery is unreachable": {reach: platformdiscovery.Unreachable, began: time.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			outage.play(t)
+			outage.run(t)
 		})
 	}
 }
 
-// discoveryOutage is how discovery is out of reach, and for how long it was when the front end started; 0: it begins later.
+// discoveryOutage describes an outage of discovery.
 type discoveryOutage struct {
-	reach platformdiscovery.Reachability
-	began time.Duration
+	reach platformdiscovery.Reachability // what a connection to discovery meets during the outage
+	began time.Duration                  // age of the outage at the front end's start; 0: begins after the warm-up
 }
 
-func (o discoveryOutage) play(t *testing.T) {
+func (o discoveryOutage) run(t *testing.T) {
 	t.Helper()
 	installation := startOutageInstallation(t)
 	if o.began > 0 {
@@ -87,14 +85,14 @@
 	installation.discovery.SetReachability(o.reach)
 	now := time.Now()
 	outageAt := now.Add(-o.began)
-	installation.drainAt(now.Add(firstDrainsAfter), installation.workers[:drainsPerGroup])
-	installation.drainAt(now.Add(secondDrainsAfter), installation.workers[drainsPerGroup:2*drainsPerGroup])
+	installation.drainAt(now.Add(firstDrainDelay), installation.workers[:drainsPerGroup])
+	installation.drainAt(now.Add(secondDrainDelay), installation.workers[drainsPerGroup:2*drainsPerGroup])
 	installation.at(now.Add(outageLength), func() { installation.discovery.SetReachability(platformdiscovery.Reachable) })
 	client.Wait()
 	frontEnd.signal(syscall.SIGTERM)
 	lines := <-logged
 	if code := frontEnd.waitForExit(); code != 0 {
-		t.Errorf("the front end ended with code %d", code)
+		t.Errorf("the front end exited with code %d", code)
 	}
 	t.Logf("%d served, %d rejected, %d failed, %d lost", log.served, log.rejected, log.failed, len(log.lost))
 	for _, line := range lines {
@@ -103,40 +101,41 @@
 	for _, worker := range installation.workers {
 		worker.verify(t, outageAt)
 	}
-	if sent := log.served + log.rejected + log.failed + len(log.lost); float64(log.served) < outageLeastServed*float64(sent) {
+	if sent := log.served + log.rejected + log.failed + len(log.lost); float64(log.served) < outageMinServed*float64(sent) {
 		t.Errorf("%d of %d requests were served", log.served, sent)
 	}
 	if len(log.lost) > 0 {
-		t.Errorf("%d requests were lost, the first one: %s", len(log.lost), log.lost[0])
+		t.Errorf("%d requests were lost, the first of them: %s", len(log.lost), log.lost[0])
 	}
 }
 
-// drainingWorker is a worker that notes when new work arrives and when it begins to drain.
+// drainingWorker is a worker that records when new work arrives and when it begins to drain.
 type drainingWorker struct {
 	*emulatedWorker
-	arrivals arrivals
-	drainsAt atomic.Pointer[time.Time] // nil: it does not drain
+	arrivals    arrivals
+	drainsSince atomic.Pointer[time.Time] // start of the drain; nil until then
 }
 
-// verify reports new work that arrived after the front end counted as notified of the drain, and the grace.
+// verify fails the test if new work arrived after the front end was considered notified of the drain and the drain
+// grace had passed.
 func (w *drainingWorker) verify(t *testing.T, outageAt time.Time) {
 	t.Helper()
-	drainsAt := w.drainsAt.Load()
-	if drainsAt == nil {
+	drainsSince := w.drainsSince.Load()
+	if drainsSince == nil {
 		return
 	}
-	notified := *drainsAt
-	if inSilence := outageAt.Add(noticeInSilence); inSilence.After(notified) {
-		notified = inSilence
+	notified := *drainsSince
+	if afterSilence := outageAt.Add(notifiedAfterSilence); afterSilence.After(notified) {
+		notified = afterSilence
 	}
-	late, last := w.arrivals.after(notified.Add(outageDrainGrace + ruleSlack))
+	late, last := w.arrivals.after(notified.Add(outageDrainGrace + timingSlack))
 	if late > 0 {
-		t.Errorf("%s drains since %v and was sent new work %d times after the notice and the grace, the last time %v after the outage began",
-			w.entry(endpointstream.Draining).Name(), drainsAt.Sub(outageAt), late, last.Sub(outageAt))
+		t.Errorf("%s began to drain %v after the start of the outage and received new work %d times after the notice and the grace, the last time %v after the start",
+			w.entry(endpointstream.Draining).Name(), drainsSince.Sub(outageAt), late, last.Sub(outageAt))
 	}
 }
 
-// after returns how many arrivals there were after a time, and the last one.
+// after returns the number of arrivals after limit, and the time of the last of them.
 func (a *arrivals) after(limit time.Time) (count int, last time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -149,7 +148,7 @@
 	return count, last
 }
 
-// outageInstallation is what a front end meets in these tests.
+// outageInstallation holds the discovery service and the workers that a front end connects to in these tests.
 type outageInstallation struct {
 	*testing.T
 	discovery *platformdiscovery.Server
@@ -166,7 +165,7 @@
 	t.Cleanup(installation.discovery.Close)
 	for i := range outageWorkers {
 		worker := &drainingWorker{emulatedWorker: &emulatedWorker{id: uint32(i + 1), loaded: map[string]time.Time{}}}
-		worker.Server, err = platformworker.StartObserved(worker.handle, worker.note)
+		worker.Server, err = platformworker.StartObserved(worker.handle, worker.recordNewWork)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -176,22 +175,23 @@
 	return installation
 }
 
-// note notes new work, whatever becomes of it.
-func (w *drainingWorker) note(f workerframe.Frame) {
+// recordNewWork records the arrival of new work, whether or not the worker accepts it.
+func (w *drainingWorker) recordNewWork(f workerframe.Frame) {
 	if platformworker.IsNewWork(f) {
 		w.arrivals.add()
 	}
 }
 
-// drainAt has workers begin to drain at a time. Discovery tells of each once it is within reach.
+// drainAt makes workers begin to drain at the time begin. Discovery publishes each drain, which front ends receive once
+// discovery is reachable.
 func (o *outageInstallation) drainAt(begin time.Time, workers []*drainingWorker) {
 	o.at(begin, func() {
 		for _, worker := range workers {
 			worker.SetDraining(true)
 			now := time.Now()
-			worker.drainsAt.Store(&now)
+			worker.drainsSince.Store(&now)
 			o.discovery.Publish(endpointstream.Event{
-				Number:  uint64(worker.id) + 1, // the first event is the configuration's
+				Number:  uint64(worker.id) + 1, // event 1 is in the front end's configuration
 				Kind:    endpointstream.Delta,
 				Entries: []endpointstream.Entry{worker.entry(endpointstream.Draining)},
 			})
@@ -199,13 +199,13 @@
 	})
 }
 
-// at does something at a time, unless the test has ended by then.
+// at calls do at the time due, unless the test has ended by then.
 func (o *outageInstallation) at(due time.Time, do func()) {
 	timer := time.AfterFunc(time.Until(due), do)
 	o.Cleanup(func() { timer.Stop() })
 }
 
-// send sends requests for the warm-up, the outage and a while after it, and closes warm after the first.
+// send sends requests during the warm-up, the outage and the recovery. It closes warm at the end of the warm-up.
 func (o *outageInstallation) send(address string, log *responseLog, warm chan<- struct{}) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
@@ -216,28 +216,28 @@
 	client := &steadyClient{Conn: connection, rng: rand.New(rand.NewPCG(1, 4)), log: log, open: map[int]openRequest{}, cancelled: map[int]bool{}}
 	ended := make(chan struct{})
 	go func() { defer close(ended); client.read() }()
-	warmUp := int(outageWarmUp / outageRequestGap)
+	warmUp := int(outageWarmUp / outageRequestInterval)
 	next := time.Now()
-	for i := range warmUp + int((outageLength+outageAfter)/outageRequestGap) {
+	for i := range warmUp + int((outageLength+outageRecovery)/outageRequestInterval) {
 		if i == warmUp {
 			close(warm)
 		}
-		time.Sleep(time.Until(next)) // the client's own pace is what is emulated
-		next = next.Add(outageRequestGap)
+		time.Sleep(time.Until(next)) // emulates a client that sends at a steady rate
+		next = next.Add(outageRequestInterval)
 		function := fmt.Sprintf("%016x", 1+client.rng.IntN(outageFunctions))
-		client.sendRequest(i+1, fmt.Sprintf("%016x", i+1), "quote", outageRequestWait, map[string]string{"key": function})
+		client.sendRequest(i+1, fmt.Sprintf("%016x", i+1), "quote", outageRequestTimeout, map[string]string{"key": function})
 	}
-	time.Sleep(outageRequestWait + 2*lateResponse) // all have ended then
+	time.Sleep(outageRequestTimeout + 2*lateResponseGrace) // by then every request has a response or is lost
 	_ = client.Close()
 	<-ended
 }
 
-// config is the configuration of the front end.
+// config returns the configuration of the front end.
 func (o *outageInstallation) config() string {
 	o.Helper()
 	settings := platformSettings{
 		discovery: o.discovery.Address(), frontEnds: 1,
-		allowed: map[string]any{"probes": true},
+		limits:  map[string]any{"probes": true},
 		rules:   map[string]any{"stopSendingWithin": float64(outageDrainGrace.Milliseconds())},
 		classes: []map[string]any{{"name": "quote", "deadline": 1200.0, "onTime": 600.0, "repeat": "retryable", "worth": 2.0}},
 	}
--- a/cmd/havencart/incident_many_workers_test.go
+++ b/cmd/havencart/incident_many_workers_test.go
@@ -12,36 +12,38 @@
 	"havencart/lab/cpuquota"
 )
 
-// This test reproduces the second report named incident-1 (docs/incidents/incident-1-many-workers.md): one front end in a
-// process of its own, held to a share of a core, before thousands of workers of which many are replaced.
+// This test reproduces the second report named incident-1 (docs/incidents/incident-1-many-workers.md): a front end in a
+// separate process that may use only a fraction of a core loses requests while many of its thousands of workers are
+// replaced.
 
-// The installation that is played.
+// Parameters of the installation.
 const (
-	largeFleetWorkers   = 3000
-	largeFleetShare     = 0.5 // of a core, that the front end has
-	largeFleetFunctions = 200
-	largeFleetClients   = 8                     // few enough requests of each are open to keep the protocol's bound of 32
-	largeFleetGap       = 80 * time.Millisecond // between two requests of a client
-	largeFleetRequests  = 100                   // of a client: for 8 s
+	largeFleetWorkers         = 3000
+	largeFleetCPUQuota        = 0.5 // fraction of a core that the front end may use
+	largeFleetFunctions       = 200
+	largeFleetClients         = 8                     // keeps each client below the protocol's limit of 32 open requests
+	largeFleetRequestInterval = 80 * time.Millisecond // interval between two requests of a client
+	largeFleetRequests        = 100                   // number of requests of each client, which take 8 s
 
-	releaseSteps    = 20 // changes of the list
+	releaseSteps    = 20 // number of changes of the endpoint list
 	releaseInterval = 300 * time.Millisecond
-	releaseShare    = 0.05 // of the workers, replaced by each
+	releaseFraction = 0.05 // fraction of the workers that each change replaces
 
-	emulatedRunTime  = 30 * time.Millisecond
-	emulatedLoadTime = 150 * time.Millisecond
-	lateResponse     = 500 * time.Millisecond // after the client's wait; from then on a request is lost
+	emulatedRunTime   = 30 * time.Millisecond
+	emulatedLoadTime  = 150 * time.Millisecond
+	lateResponseGrace = 500 * time.Millisecond // time after the client's timeout at which a request counts as lost
 
-	// leastServed of the requests are served: 0.85 of the part that is served before 100 workers, which is 0.93.
-	leastServed = 0.79
+	// minServedFraction is the minimum fraction of requests that must be served. With 100 workers, 0.93 of the requests
+	// are served; 0.79 is 0.85 of that.
+	minServedFraction = 0.79
 )
 
-// largeFleetWaits is how long clients of the classes wait, in milliseconds.
-var largeFleetWaits = map[string]int{"quote": 1230, "status": 1230, "charge": 820}
+// largeFleetTimeouts holds the timeouts of clients by class, in milliseconds.
+var largeFleetTimeouts = map[string]int{"quote": 1230, "status": 1230, "charge": 820}
 
-// TestIncidentManyWorkers_ReleaseWithPartOfACore_EveryRequestIsAnswered holds that a front end with thousands of workers
-// gives each request its final response while many of them are replaced.
-func TestIncidentManyWorkers_ReleaseWithPartOfACore_EveryRequestIsAnswered(t *testing.T) {
+// TestIncidentManyWorkers_ReleaseWithPartOfACore_EveryRequestGetsResponse checks that a front end with thousands of
+// workers gives each request its final response while many of the workers are replaced.
+func TestIncidentManyWorkers_ReleaseWithPartOfACore_EveryRequestGetsResponse(t *testing.T) {
 	fleet := startLargeFleet(t, largeFleetWorkers)
 	frontEnd := startProcess(t, fleet.config())
 	address := frontEnd.waitForLog("running")["listen"].(string)
@@ -50,7 +52,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var quota sync.WaitGroup
 	quota.Go(func() {
-		if err := cpuquota.Hold(ctx, frontEnd.Process.Pid, largeFleetShare); err != nil {
+		if err := cpuquota.Hold(ctx, frontEnd.Process.Pid, largeFleetCPUQuota); err != nil {
 			t.Error(err)
 		}
 	})
@@ -71,7 +73,7 @@
 	frontEnd.signal(syscall.SIGTERM)
 	lines := <-logged
 	if code := frontEnd.waitForExit(); code != 0 {
-		t.Errorf("the front end ended with code %d", code)
+		t.Errorf("the front end exited with code %d", code)
 	}
 	usage := frontEnd.ProcessState.SysUsage().(*syscall.Rusage)
 	t.Logf("%d served, %d rejected, %d failed, %d lost; %v of processor time, %d KB of memory", log.served, log.rejected, log.failed,
@@ -79,10 +81,10 @@
 	for _, line := range lines[max(0, len(lines)-8):] {
 		t.Log(line)
 	}
-	if least := int(leastServed * largeFleetClients * largeFleetRequests); log.served < least {
-		t.Errorf("%d of %d requests were served, want %d", log.served, largeFleetClients*largeFleetRequests, least)
+	if least := int(minServedFraction * largeFleetClients * largeFleetRequests); log.served < least {
+		t.Errorf("%d of %d requests were served, want at least %d", log.served, largeFleetClients*largeFleetRequests, least)
 	}
 	if len(log.lost) > 0 {
-		t.Errorf("%d of %d requests were lost, the first one is %s", len(log.lost), largeFleetClients*largeFleetRequests, log.lost[0])
+		t.Errorf("%d of %d requests were lost, the first of them: %s", len(log.lost), largeFleetClients*largeFleetRequests, log.lost[0])
 	}
 }
--- a/cmd/havencart/incident_test.go
+++ b/cmd/havencart/incident_test.go
@@ -20,14 +20,15 @@
 	"havencart/lab/platformworker"
 )
 
-// These tests reproduce incident-1 (docs/incidents/incident-1.md) with a front end in a process of its own, two workers
-// of one cell and a proxy before the second one, whose connections come up late.
+// These tests reproduce incident-1 (docs/incidents/incident-1.md): the connection for a retry is established late, and
+// the retry is sent after its idempotency key has expired. The front end runs in a separate process with two workers of
+// one cell, and a proxy in front of the second worker delays its connections.
 
-// keyRetention is for how long the workers of these tests drop the repeat of a request with a key.
+// keyRetention is the time for which the workers of these tests remember an idempotency key and drop repeated requests.
 const keyRetention = 500 * time.Millisecond
 
-// A network is late by this much on top of what the rules allow.
-const ruleSlack = 50 * time.Millisecond
+// timingSlack is the network delay that the checks tolerate in addition to the limits.
+const timingSlack = 50 * time.Millisecond
 
 const keyedConfig = `{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1,"memory_mb":256,"sockets":256},"bulletin":%q,
@@ -38,7 +39,7 @@
 	"rules":{"stopSendingWithin":500.0},"familyInfo":{"keep":8000.0},
 	"classes":[{"name":"status","deadline":20000.0,"onTime":1500.0,"repeat":"dedup","keyScope":"cell","memorySpan":500.0,"worth":2.0}]}}`
 
-// arrivals notes when requests arrive at workers.
+// arrivals records the times at which requests arrive at workers.
 type arrivals struct {
 	mu    sync.Mutex
 	times []time.Time
@@ -50,7 +51,7 @@
 	a.times = append(a.times, time.Now())
 }
 
-// firstAndLast returns the first and the last arrival, and how many there were.
+// firstAndLast returns the times of the first and the last arrival, and the number of arrivals.
 func (a *arrivals) firstAndLast() (first, last time.Time, count int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,21 +61,21 @@
 	return a.times[0], a.times[len(a.times)-1], len(a.times)
 }
 
-// keyExpiryInstallation is a front end whose first attempt of a request may have executed at a worker that is gone, and
-// whose retry waits for a connection to the only worker that is left.
+// keyExpiryInstallation is an installation in which the first attempt of a request may have been executed by a worker
+// that was removed, and the retry waits for a connection to the only remaining worker.
 type keyExpiryInstallation struct {
 	*testing.T
 	frontEnd *process
 	client   *rpcClient
 	proxy    *faultproxy.Proxy
 	requests arrivals
-	expired  <-chan time.Time // receives once the key is no longer remembered
-	response chan [2]any      // failure and result of the request
-	retry    map[string]any   // what the front end logged of the retry
+	expired  <-chan time.Time // receives a value once the workers no longer remember the key
+	response chan [2]any      // failure and result in the response to the request
+	retry    map[string]any   // log fields of the front end's line about the retry
 }
 
-// startRetryThatWaits plays an installation up to the moment where the retry waits for its connection.
-func startRetryThatWaits(t *testing.T) *keyExpiryInstallation {
+// startWithWaitingRetry starts an installation and returns once the retry waits for its connection.
+func startWithWaitingRetry(t *testing.T) *keyExpiryInstallation {
 	t.Helper()
 	installation := &keyExpiryInstallation{T: t, response: make(chan [2]any, 1)}
 	discovery, err := platformdiscovery.Start()
@@ -98,9 +99,9 @@
 	installation.frontEnd = startProcess(t, fmt.Sprintf(keyedConfig, discovery.Address(), first.Address()))
 	installation.client = installation.frontEnd.connect(installation.frontEnd.waitForLog("running")["listen"].(string))
 	<-discovery.Resumed()
-	go installation.call() // ends with the response, or with the connection
+	go installation.call() // returns when the response arrives or the connection ends
 	connection := <-received
-	installation.expired = time.After(keyRetention + 2*ruleSlack)
+	installation.expired = time.After(keyRetention + 2*timingSlack)
 	discovery.Publish(endpointstream.Event{Number: 2, Kind: endpointstream.Delta, Entries: []endpointstream.Entry{
 		{ID: 1, Address: netip.MustParseAddrPort(first.Address()), State: endpointstream.Removed},
 		{ID: 2, Address: netip.MustParseAddrPort(installation.proxy.Address()), State: endpointstream.Ready, Weight: 1},
@@ -111,7 +112,7 @@
 	return installation
 }
 
-// startWorker starts a worker that handles requests by a script, and notes their arrival.
+// startWorker starts a worker that records the arrival of requests and handles them with script.
 func (k *keyExpiryInstallation) startWorker(script platformworker.Script) *platformworker.Server {
 	k.Helper()
 	worker, err := platformworker.Start(func(c *platformworker.Conn, f workerframe.Frame) {
@@ -136,10 +137,11 @@
 	k.response <- [2]any{failure, result}
 }
 
-// synSent is the state of a connection that waits for its peer's answer, as /proc/net/tcp has it.
+// synSent is the code in /proc/net/tcp for the TCP state SYN_SENT.
 const synSent = "02"
 
-// awaitConnecting waits until the system has a connection to the proxy that is held back: the front end has dialled.
+// awaitConnecting waits until the kernel has a connection to the proxy in state SYN_SENT, which means that the front
+// end has dialled.
 func (k *keyExpiryInstallation) awaitConnecting() {
 	k.Helper()
 	_, port, err := net.SplitHostPort(k.proxy.Address())
@@ -151,21 +153,22 @@
 		k.Fatal(err)
 	}
 	remote := fmt.Sprintf(":%04X", number)
-	k.awaitSystem("/proc/net/tcp", func(line []string) bool {
+	k.awaitProcLine("/proc/net/tcp", func(line []string) bool {
 		return len(line) > 3 && strings.HasSuffix(line[2], remote) && line[3] == synSent
 	})
 }
 
-// awaitStopped waits until the front end's process stands still.
+// awaitStopped waits until the front end's process is stopped.
 func (k *keyExpiryInstallation) awaitStopped() {
 	k.Helper()
-	k.awaitSystem(fmt.Sprintf("/proc/%d/status", k.frontEnd.Process.Pid), func(line []string) bool {
+	k.awaitProcLine(fmt.Sprintf("/proc/%d/status", k.frontEnd.Process.Pid), func(line []string) bool {
 		return len(line) > 1 && line[0] == "State:" && line[1] == "T"
 	})
 }
 
-// awaitSystem waits until a line of a file of the system matches. The system tells of no change, so it is asked again.
-func (k *keyExpiryInstallation) awaitSystem(path string, matches func(fields []string) bool) {
+// awaitProcLine waits until a line of a file in /proc matches. It polls the file, because /proc does not notify of
+// changes.
+func (k *keyExpiryInstallation) awaitProcLine(path string, matches func(fields []string) bool) {
 	k.Helper()
 	for k.Context().Err() == nil {
 		text, err := os.ReadFile(path)
@@ -181,27 +184,28 @@
 	}
 }
 
-// verify ends the front end and reports a request that arrived after its key had expired, or got no failure.
+// verify stops the front end. It fails the test if the request was sent again after its key had expired or if its final
+// response is not a failure.
 func (k *keyExpiryInstallation) verify() {
 	k.Helper()
 	response := <-k.response
 	k.frontEnd.signal(syscall.SIGTERM)
 	if code := k.frontEnd.waitForExit(); code != 0 {
-		k.Errorf("the front end ended with code %d", code)
+		k.Errorf("the front end exited with code %d", code)
 	}
 	first, last, count := k.requests.firstAndLast()
-	k.Logf("%d attempts, the last one %v after the first; the retry: %v", count, last.Sub(first), k.retry)
-	if count > 1 && last.Sub(first) > keyRetention+ruleSlack {
-		k.Errorf("the request was sent again %v after its first attempt, its key is remembered for %v", last.Sub(first), keyRetention)
+	k.Logf("%d attempts, the last one %v after the first; log fields of the retry: %v", count, last.Sub(first), k.retry)
+	if count > 1 && last.Sub(first) > keyRetention+timingSlack {
+		k.Errorf("the request was sent again %v after its first attempt, but its key is remembered for only %v", last.Sub(first), keyRetention)
 	}
 	if failure := response[0]; failure == nil || failure == "Backoff" {
-		k.Errorf("final response is %v, %v; want a failure: the request may have executed", response[0], response[1])
+		k.Errorf("final response is %v, %v; want a failure, because the request may have executed", response[0], response[1])
 	}
 }
 
-// The connection for the retry comes up after the key has expired.
+// The connection for the retry is established after the key has expired.
 func TestIncident1_ConnectionUpAfterKeyExpired_RetryIsNotSent(t *testing.T) {
-	installation := startRetryThatWaits(t)
+	installation := startWithWaitingRetry(t)
 	<-installation.expired
 	if err := installation.proxy.ReleaseConnects(); err != nil {
 		t.Fatal(err)
@@ -209,9 +213,10 @@
 	installation.verify()
 }
 
-// The process stands still while its connection comes up, and goes on when the key has expired.
+// The front end's process is stopped while the connection for the retry is established, and continues after the key has
+// expired.
 func TestIncident1_ProcessStoppedUntilKeyExpired_RetryIsNotSent(t *testing.T) {
-	installation := startRetryThatWaits(t)
+	installation := startWithWaitingRetry(t)
 	installation.awaitConnecting()
 	installation.frontEnd.signal(syscall.SIGSTOP)
 	installation.awaitStopped()
--- a/cmd/havencart/large_fleet_test.go
+++ b/cmd/havencart/large_fleet_test.go
@@ -15,13 +15,13 @@
 	"havencart/lab/platformworker"
 )
 
-// emulatedWorker is a worker that loads what it lacks.
+// emulatedWorker is a worker that loads functions on demand.
 type emulatedWorker struct {
 	*platformworker.Server
-	id uint32 // of the process that stands at its address now; release's goroutine only
+	id uint32 // ID of the worker process that currently has this address; used only by the goroutine of release
 
 	mu     sync.Mutex
-	loaded map[string]time.Time // from when on, by function
+	loaded map[string]time.Time // time at which each function is or will be loaded
 }
 
 func (w *emulatedWorker) handle(c *platformworker.Conn, f workerframe.Frame) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// handleLoad answers an order to load, or a residency query, which asks for no replica.
+// handleLoad responds to a load order, or to a residency query, which is a load order for 0 replicas.
 func (w *emulatedWorker) handleLoad(c *platformworker.Conn, f workerframe.Frame, name string, replicas int) {
 	wait := time.Duration(0)
 	if replicas > 0 {
@@ -51,7 +51,7 @@
 	})
 }
 
-// load loads a function unless it is loaded, and returns how long that takes from now on.
+// load starts to load a function unless it is loaded or loading, and returns the remaining load time.
 func (w *emulatedWorker) load(name string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,15 +80,15 @@
 	return endpointstream.Entry{ID: w.id, Address: netip.MustParseAddrPort(w.Address()), State: state, Weight: 1, Cell: int(w.id) % 4}
 }
 
-// largeFleet is an installation with many workers.
+// largeFleet is an installation with many workers that are replaced during the test.
 type largeFleet struct {
 	*testing.T
 	rng       *rand.Rand
 	discovery *platformdiscovery.Server
 	workers   []*emulatedWorker
 	lastID    uint32
-	number    uint64 // of the last event of the list
-	draining  []*emulatedWorker
+	number    uint64            // number of the last event of the endpoint list
+	draining  []*emulatedWorker // workers that the next step replaces
 }
 
 func startLargeFleet(t *testing.T, workers int) *largeFleet {
@@ -112,10 +112,10 @@
 
 func (l *largeFleet) nextID() uint32 {
 	l.lastID++
-	return l.lastID * 2654435761 // spread, as the platform's identifiers are
+	return l.lastID * 2654435761 // spreads the IDs over all 32 bits, as the IDs of the platform are
 }
 
-// config is the configuration of the front end, with all workers.
+// config returns the configuration of the front end, with all workers.
 func (l *largeFleet) config() string {
 	l.Helper()
 	l.number = 1
@@ -134,8 +134,8 @@
 	return settings.json(l.T)
 }
 
-// release replaces workers step by step: some drain, those of the step before are removed, and a new process takes the
-// place of each at its address.
+// release replaces workers in steps until ctx ends. In each step, some workers begin to drain, and the workers that
+// began to drain in the step before are removed and replaced by new processes at the same addresses.
 func (l *largeFleet) release(ctx context.Context) {
 	for range releaseSteps {
 		select {
@@ -153,7 +153,7 @@
 			entries = append(entries, started)
 		}
 		l.draining = nil
-		for range int(releaseShare * float64(len(l.workers))) {
+		for range int(releaseFraction * float64(len(l.workers))) {
 			worker := l.workers[l.rng.IntN(len(l.workers))]
 			l.draining = append(l.draining, worker)
 			entries = append(entries, worker.entry(endpointstream.Draining))
--- a/cmd/havencart/load.go
+++ b/cmd/havencart/load.go
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// mixInRange reports whether the numbers of the request mix are valid. It returns false if the rate or the Zipf exponent
-// is NaN.
+// mixInRange reports whether the numbers of the request mix are valid. It returns false if the rate or the Zipf
+// exponent is NaN.
 func (o *loadOptions) mixInRange() bool {
 	hasRate := o.mix.Rate > 0
 	hasFunctions := o.mix.Functions >= 1 && o.mix.Zipf > 1
--- a/cmd/havencart/output.go
+++ b/cmd/havencart/output.go
@@ -7,8 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// output prints the results or the progress of a command. Write errors are ignored, so that a reader that closes its end
-// of a pipe, such as head, does not stop the command.
+// output prints the results or the progress of a command. Write errors are ignored, so that a reader that closes its
+// end of a pipe, such as head, does not stop the command.
 type output struct{ writer io.Writer }
 
 // results returns the output for the results of a command, which is standard output by default.
--- a/cmd/havencart/platform_config_test.go
+++ b/cmd/havencart/platform_config_test.go
@@ -7,26 +7,26 @@
 	"havencart/internal/platform/endpointstream"
 )
 
-// platformSettings are a front end's configuration on the platform, as far as tests of installations differ in it. Keys are
-// the platform's.
+// platformSettings holds the parts of a front end's platform configuration that differ between the tests. The keys of
+// the maps are the platform's.
 type platformSettings struct {
-	discovery string // address
-	frontEnds int
-	index     int
+	discovery string // address of discovery
+	frontEnds int    // number of front ends
+	index     int    // number of this front end, starting at 0
 	workers   []endpointstream.Entry
-	allowed   map[string]any // further limits
+	limits    map[string]any // additional limits
 	rules     map[string]any
 	classes   []map[string]any
 }
 
-// json is the configuration file, whose first event has the workers.
+// json returns the configuration file. The first event in it is the endpoint list.
 func (s platformSettings) json(t *testing.T) string {
 	t.Helper()
 	limits := map[string]any{
 		"streamsPerConn": 32, "connectTimeout": 250.0, "connIdle": 30000.0, "maxAttempts": 5, "mayCancel": true, "retryAfter": true,
 		"maxRetryAfter": 500.0,
 	}
-	for key, value := range s.allowed {
+	for key, value := range s.limits {
 		limits[key] = value
 	}
 	config, err := json.Marshal(map[string]any{
@@ -45,7 +45,7 @@
 	return string(config)
 }
 
-// firstEvent is the whole list of workers, all ready.
+// firstEvent returns the event with the full endpoint list, in which all workers are ready.
 func (s platformSettings) firstEvent() map[string]any {
 	var hosts []map[string]any
 	for _, worker := range s.workers {
--- a/cmd/havencart/serveplatform.go
+++ b/cmd/havencart/serveplatform.go
@@ -35,7 +35,7 @@
 
 func servePlatform(cmd *cobra.Command, options *globalOptions) error {
 	reloads := make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP) // never stopped, so that a SIGHUP during the shutdown does not kill the process
+	signal.Notify(reloads, syscall.SIGHUP) // until the process exits, so that a SIGHUP during the shutdown does not kill it
 	log, err := options.logger()
 	if err != nil {
 		return err
@@ -74,8 +74,8 @@
 	return config, nil
 }
 
-// reloadOnSignal reloads the configuration on each signal until ctx ends. If the new configuration cannot be loaded, the
-// current one stays in effect.
+// reloadOnSignal reloads the configuration on each signal until ctx ends. If the new configuration cannot be loaded,
+// the current one stays in effect.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, path string, server *gateway.PlatformServer, log zerolog.Logger) {
 	for {
 		select {
--- a/cmd/havencart/serveplatform_test.go
+++ b/cmd/havencart/serveplatform_test.go
@@ -21,9 +21,10 @@
 	"havencart/lab/platformworker"
 )
 
-// These tests are about the process that the platform starts: its signals, exit codes and log.
+// These tests check how the process that the platform starts handles signals, and check its exit codes and its log.
 
-// envRunAsFrontEnd makes the test binary run as a front end, by the word that deploy/balancer.toml has.
+// envRunAsFrontEnd is the environment variable that makes the test binary run as a front end. The command is "relay",
+// the alias that deploy/balancer.toml uses.
 const envRunAsFrontEnd = "HAVENCART_TEST_AS_FRONT_END"
 
 func TestMain(m *testing.M) {
@@ -41,15 +42,15 @@
 	"settings":{"azs":["room"],"skus":["std"],"limits":{"streamsPerConn":32,"connectTimeout":2000.0,"connIdle":30000.0},
 	"familyInfo":{"keep":8000.0},"classes":[{"name":"quote","deadline":20000.0,"repeat":"retryable","worth":2.0}]}}`
 
-// process is a front end in a process of its own, as the platform starts it.
+// process is a front end that runs as a separate process, as on the platform.
 type process struct {
 	*exec.Cmd
 	t      *testing.T
-	config string
+	config string // path of the configuration file
 	log    *bufio.Scanner
 }
 
-// startProcess starts a front end with a configuration.
+// startProcess starts a front end with the given configuration.
 func startProcess(t *testing.T, config string) *process {
 	t.Helper()
 	p := &process{Cmd: exec.Command(os.Args[0]), t: t, config: filepath.Join(t.TempDir(), "config.json")}
@@ -63,7 +64,7 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = p.Process.Kill() }) // fails where it has ended
+	t.Cleanup(func() { _ = p.Process.Kill() }) // fails if the process has already exited
 	return p
 }
 
@@ -81,21 +82,21 @@
 	}
 }
 
-// waitForLog waits for a line of the log with this text, and returns its fields.
+// waitForLog waits for a log line that contains text, and returns the fields of the line.
 func (p *process) waitForLog(text string) map[string]any {
 	p.t.Helper()
 	for p.log.Scan() {
 		if strings.Contains(p.log.Text(), text) {
 			fields := map[string]any{}
-			_ = json.Unmarshal(p.log.Bytes(), &fields) // a line that is no JSON has no fields
+			_ = json.Unmarshal(p.log.Bytes(), &fields) // a line that is not JSON has no fields
 			return fields
 		}
 	}
-	p.t.Fatalf("it ended without logging %q", text)
+	p.t.Fatalf("the process exited without logging %q", text)
 	return nil
 }
 
-// waitForExit waits for the process to end and returns its exit code.
+// waitForExit waits for the process to exit and returns its exit code.
 func (p *process) waitForExit() int {
 	p.t.Helper()
 	for p.log.Scan() {
@@ -107,7 +108,7 @@
 	return p.ProcessState.ExitCode()
 }
 
-// rpcClient is one client's connection.
+// rpcClient is a client with one connection.
 type rpcClient struct {
 	net.Conn
 	t      *testing.T
@@ -125,7 +126,7 @@
 	return &rpcClient{Conn: c, t: p.t, dec: msgpack.NewDecoder(c)}
 }
 
-// send sends a request and returns what the response holds.
+// send sends a request, waits for the response and returns its failure and its result.
 func (c *rpcClient) send(method string, parameters ...any) (failure, result any) {
 	c.t.Helper()
 	c.lastID++
@@ -172,16 +173,16 @@
 	return discovery, worker
 }
 
-// The signals are a second SIGTERM and a SIGHUP, after the first SIGTERM.
+// The signals are a second SIGTERM and a SIGHUP, both sent after the first SIGTERM has started the shutdown.
 func TestServePlatform_SignalsDuringShutdown_AreIgnored(t *testing.T) {
 	discovery, worker := startPeers(t)
 	p := startProcess(t, fmt.Sprintf(platformConfig, discovery.Address(), worker.Address()))
 	c := p.connect(p.waitForLog("running")["listen"].(string))
 	if !c.isReady() {
-		t.Error("not ready at the start")
+		t.Error("the front end is not ready after its start")
 	}
 	if failure, _ := c.call(1); failure != nil {
-		t.Errorf("before the shutdown: %v", failure)
+		t.Errorf("a request before the shutdown failed: %v", failure)
 	}
 	p.signal(syscall.SIGTERM)
 	p.waitForLog("stopping")
@@ -192,7 +193,7 @@
 	}
 }
 
-// Discovery is down and no client ever connected.
+// Discovery is unreachable, and no client connects.
 func TestServePlatform_StopWithoutDiscoveryOrClients_ExitsCleanly(t *testing.T) {
 	p := startProcess(t, fmt.Sprintf(platformConfig, "127.0.0.1:1", "127.0.0.1:1"))
 	p.waitForLog("running")
@@ -202,7 +203,8 @@
 	}
 }
 
-// The reloads are of a file cut off in the middle, of another deployment, and then of a valid one, twice in a row.
+// The reloads read a truncated file, then the configuration of another deployment, and then a valid file twice in a
+// row.
 func TestServePlatform_InvalidReload_KeepsConfiguration(t *testing.T) {
 	discovery, worker := startPeers(t)
 	newDiscovery, _ := startPeers(t)
@@ -210,7 +212,7 @@
 	p := startProcess(t, config)
 	address := p.waitForLog("running")["listen"].(string)
 	if last := <-discovery.Resumed(); last != 1 {
-		t.Errorf("resumed from %d", last)
+		t.Errorf("the front end resumed the endpoint stream from event %d, want 1", last)
 	}
 	newConfig := fmt.Sprintf(platformConfig, newDiscovery.Address(), worker.Address())
 	p.writeConfig(newConfig[:len(newConfig)/2])
@@ -219,19 +221,19 @@
 	p.writeConfig(strings.Replace(newConfig, `"name":"quote"`, `"name":"another customer's"`, 1))
 	p.signal(syscall.SIGHUP)
 	if field := p.waitForLog("the configuration stays as it was")["field"]; field != "settings.classes" {
-		t.Errorf("the key that differs is reported as %v", field)
+		t.Errorf("the log names %v as the setting that differs, want settings.classes", field)
 	}
 	p.writeConfig(newConfig)
 	p.signal(syscall.SIGHUP)
 	p.signal(syscall.SIGHUP)
 	if last := <-newDiscovery.Resumed(); last != 1 {
-		t.Errorf("at the new address resumed from %d", last)
+		t.Errorf("the front end resumed the endpoint stream at the new address from event %d, want 1", last)
 	}
 	if failure, _ := p.connect(address).call(1); failure != nil {
-		t.Errorf("after reloads: %v", failure)
+		t.Errorf("a request after the reloads failed: %v", failure)
 	}
 	if len(discovery.Resumed()) > 0 {
-		t.Error("connected to the old address again")
+		t.Error("the front end connected to the old address again")
 	}
 	p.signal(syscall.SIGTERM)
 	if code := p.waitForExit(); code != 0 {
@@ -239,13 +241,15 @@
 	}
 }
 
-// One message names the key that is wrong.
+// The error message names the invalid setting.
 func TestServePlatform_InvalidConfiguration_ExitsBeforeListening(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // a front end that listens before it checks would report that the address is taken
+	// The listener occupies the front end's address: a front end that listens before it checks its configuration would
+	// report that the address is in use.
+	defer func() { _ = listener.Close() }()
 	config := fmt.Sprintf(platformConfig, "127.0.0.1:1", "127.0.0.1:1")
 	config = strings.Replace(config, "127.0.0.1:0", listener.Addr().String(), 1)
 	for change, field := range map[[2]string]string{
@@ -255,12 +259,12 @@
 		p := startProcess(t, strings.Replace(config, change[0], change[1], 1))
 		p.waitForLog(field)
 		if code := p.waitForExit(); code != exitSettings {
-			t.Errorf("with %s ended with code %d", change[1], code)
+			t.Errorf("the front end with %s exited with code %d, want %d", change[1], code, exitSettings)
 		}
 	}
 }
 
-// collectLog reads the log until the process ends, and returns the lines with one of the texts.
+// collectLog reads the log until the process exits, and returns the lines that contain one of the texts.
 func (p *process) collectLog(texts ...string) (lines []string) {
 	for p.log.Scan() {
 		if slices.ContainsFunc(texts, func(text string) bool { return strings.Contains(p.log.Text(), text) }) {
--- a/cmd/havencart/soak.go
+++ b/cmd/havencart/soak.go
@@ -54,8 +54,8 @@
 // soakCells is the number of cells in a run, except for runs with many workers.
 const soakCells = 3
 
-// Sizes of a run with many workers. The number of workers is limited by the file descriptors of the process that emulates
-// them.
+// Sizes of a run with many workers. The number of workers is limited by the file descriptors of the process that
+// emulates them.
 const (
 	largeSoakFrontEnds = 6
 	largeSoakWorkers   = 3000
--- a/cmd/havencart/soak_test.go
+++ b/cmd/havencart/soak_test.go
@@ -9,19 +9,20 @@
 	"havencart/lab/soak"
 )
 
-// Short runs of the soak with few processes, one of them with many workers, judged by what does not depend on times: other
-// packages' tests run at the same moment. `havencart soak` judges by all rules, over many seeds.
-func TestSoak_BriefRuns_KeepRules(t *testing.T) {
+// TestSoak_BriefRuns_KeepInvariants does short soak runs with few processes, one of them with many workers. Violations
+// that depend on times are only logged, because tests of other packages run at the same time and may cause them.
+// `havencart soak` checks all invariants, over many seeds.
+func TestSoak_BriefRuns_KeepInvariants(t *testing.T) {
 	for name, config := range map[string]soak.Config{
 		"few workers":  {Seed: 2, FrontEnds: 4, Workers: 6, Cells: 3, Length: 4 * time.Second},
 		"restarts":     {Seed: 3, FrontEnds: 6, Workers: 8, Cells: 3, Length: 8 * time.Second},
 		"many workers": {Seed: 4, FrontEnds: 3, Workers: 300, Cells: 60, Length: 8 * time.Second},
 	} {
-		t.Run(name, func(t *testing.T) { playBriefSoak(t, config) })
+		t.Run(name, func(t *testing.T) { runBriefSoak(t, config) })
 	}
 }
 
-func playBriefSoak(t *testing.T, config soak.Config) {
+func runBriefSoak(t *testing.T, config soak.Config) {
 	t.Helper()
 	report, err := soak.Run(t.Context(), soak.Config{
 		Seed: config.Seed, FrontEnds: config.FrontEnds, Workers: config.Workers, Cells: config.Cells, Length: config.Length,
@@ -35,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if report.Served == 0 || report.Arrivals == 0 || len(report.Faults) == 0 {
-		t.Errorf("served %d, %d attempts, faults %v: the run shows nothing", report.Served, report.Arrivals, report.Faults)
+		t.Errorf("%d requests served, %d attempts, faults %v: the run does not test anything", report.Served, report.Arrivals, report.Faults)
 	}
 	for _, violation := range report.Violations {
 		if violation.Timed {
--- a/cmd/havencart/steady_client_test.go
+++ b/cmd/havencart/steady_client_test.go
@@ -11,15 +11,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// steadyClient sends requests at a steady rate on one connection, whatever becomes of them.
+// steadyClient sends requests at a steady rate on one connection, without waiting for their responses.
 type steadyClient struct {
 	net.Conn
 	rng *rand.Rand
 	log *responseLog
 
 	mu        sync.Mutex
-	open      map[int]openRequest
-	cancelled map[int]bool // by number, whether it had no response when its client gave up
+	open      map[int]openRequest // requests without a response, by number
+	cancelled map[int]bool        // whether a request still had no response when its client timed out, by number
 }
 
 type openRequest struct {
@@ -28,11 +28,11 @@
 	wait   time.Duration
 }
 
-// responseLog is what became of the requests of all clients.
+// responseLog counts the outcomes of the requests of all clients.
 type responseLog struct {
 	mu                       sync.Mutex
 	served, rejected, failed int
-	lost                     []string
+	lost                     []string // descriptions of the lost requests
 }
 
 func (c *steadyClient) run(number int) {
@@ -43,11 +43,12 @@
 	}()
 	next := time.Now()
 	for i := range largeFleetRequests {
-		time.Sleep(time.Until(next)) // the clients' own pace is what is emulated
-		next = next.Add(largeFleetGap)
+		time.Sleep(time.Until(next)) // emulates a client that sends at a steady rate
+		next = next.Add(largeFleetRequestInterval)
 		c.send(i+1, fmt.Sprintf("%08x%08x", number+1, i+1))
 	}
-	time.Sleep(time.Duration(largeFleetWaits["quote"])*time.Millisecond + 2*lateResponse) // all have ended then
+	// After this time every request has a response or is lost.
+	time.Sleep(time.Duration(largeFleetTimeouts["quote"])*time.Millisecond + 2*lateResponseGrace)
 	_ = c.Close()
 	<-ended
 }
@@ -59,10 +60,10 @@
 	if class == "status" {
 		fields["once"] = fmt.Sprintf("%032s", id)
 	}
-	c.sendRequest(number, id, class, time.Duration(largeFleetWaits[class])*time.Millisecond, fields)
+	c.sendRequest(number, id, class, time.Duration(largeFleetTimeouts[class])*time.Millisecond, fields)
 }
 
-// sendRequest sends a request with the fields that belong to its class and function.
+// sendRequest sends a request with fields, which are specific to its class and function, and adds the common fields.
 func (c *steadyClient) sendRequest(number int, id, class string, wait time.Duration, fields map[string]string) {
 	fields["id"] = id
 	fields["wait"] = strconv.FormatInt(wait.Milliseconds(), 10)
@@ -73,12 +74,12 @@
 	c.mu.Lock()
 	c.open[number] = openRequest{id: id, sentAt: time.Now(), wait: wait}
 	c.mu.Unlock()
-	time.AfterFunc(wait+lateResponse, func() { c.giveUp(number) })
-	_, _ = c.Write(raw) // a connection that has ended is noticed by the reading goroutine
+	time.AfterFunc(wait+lateResponseGrace, func() { c.cancelIfOpen(number) })
+	_, _ = c.Write(raw) // the reading goroutine detects a closed connection
 }
 
-// giveUp cancels a request that still has no response: it is lost.
-func (c *steadyClient) giveUp(number int) {
+// cancelIfOpen cancels a request if it still has no response, and records it as lost.
+func (c *steadyClient) cancelIfOpen(number int) {
 	c.mu.Lock()
 	request, isOpen := c.open[number]
 	delete(c.open, number)
@@ -87,7 +88,7 @@
 	if !isOpen {
 		return
 	}
-	c.log.lose(request, "no final response")
+	c.log.recordLost(request, "no final response")
 	if raw, err := msgpack.Marshal([]any{2, "revoke", []int{number}}); err == nil {
 		_, _ = c.Write(raw)
 	}
@@ -99,25 +100,26 @@
 	for {
 		answer, err := decoder.DecodeSlice()
 		if err != nil || len(answer) != 4 {
-			c.endOfConnection()
+			c.connectionClosed()
 			return
 		}
-		c.answered(answer[1], answer[2])
+		c.responseReceived(answer[1], answer[2])
 	}
 }
 
-// endOfConnection loses what is open on a connection that has ended.
-func (c *steadyClient) endOfConnection() {
+// connectionClosed records all open requests as lost.
+func (c *steadyClient) connectionClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for number, request := range c.open {
-		c.log.lose(request, "its connection ended")
+		c.log.recordLost(request, "the connection was closed")
 		delete(c.open, number)
 	}
 }
 
-// answered notes the response to a request. One without a request would break the protocol.
-func (c *steadyClient) answered(numbered, failure any) {
+// responseReceived records the response to a request. A response without an open request violates the protocol and is
+// recorded as a lost request, unless the request was cancelled.
+func (c *steadyClient) responseReceived(numbered, failure any) {
 	number, err := strconv.Atoi(fmt.Sprint(numbered))
 	c.mu.Lock()
 	request, isOpen := c.open[number]
@@ -125,18 +127,18 @@
 	wasCancelled := c.cancelled[number]
 	c.mu.Unlock()
 	if wasCancelled {
-		return // its response crossed the cancel
+		return // the response was sent before the cancellation arrived
 	}
 	if err != nil || !isOpen {
-		c.log.lose(request, fmt.Sprintf("response to %v, which is not open", numbered))
+		c.log.recordLost(request, fmt.Sprintf("response to request number %v, which is not open", numbered))
 		return
 	}
-	c.log.answered(request, failure)
+	c.log.recordResponse(request, failure)
 }
 
-func (r *responseLog) answered(request openRequest, failure any) {
-	if late := time.Since(request.sentAt) - request.wait; late > lateResponse {
-		r.lose(request, fmt.Sprintf("final response %v after its client's wait", late))
+func (r *responseLog) recordResponse(request openRequest, failure any) {
+	if late := time.Since(request.sentAt) - request.wait; late > lateResponseGrace {
+		r.recordLost(request, fmt.Sprintf("final response %v after the client's timeout", late))
 		return
 	}
 	r.mu.Lock()
@@ -155,7 +157,7 @@
 	}
 }
 
-func (r *responseLog) lose(request openRequest, how string) {
+func (r *responseLog) recordLost(request openRequest, how string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = append(r.lost, fmt.Sprintf("request %s: %s", request.id, how))
--- a/cmd/havencart/worker.go
+++ b/cmd/havencart/worker.go
@@ -22,8 +22,8 @@
 	ownStoreLimit       = 40 // concurrent fetches above which the store rejects further ones
 )
 
-// workerCommand returns the command that runs one emulated worker as a separate process. The process reads fault commands
-// from standard input.
+// workerCommand returns the command that runs one emulated worker as a separate process. The process reads fault
+// commands from standard input.
 func workerCommand() *cobra.Command {
 	config := worker.Config{WorkerConfig: fleet.DemoWorker()}
 	storeAddress := ""
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// runFaultCommands executes the fault commands on standard input until the command's context ends. It does not return at
-// the end of standard input, so that the worker continues to run.
+// runFaultCommands executes the fault commands on standard input until the command's context ends. It does not return
+// at the end of standard input, so that the worker continues to run.
 func runFaultCommands(cmd *cobra.Command, server *worker.Server) {
 	lines := make(chan string)
 	go readLines(cmd.Context(), cmd.InOrStdin(), lines)
--- a/internal/directive/tokenize.go
+++ b/internal/directive/tokenize.go
@@ -14,10 +14,10 @@
 // errUnclosedQuote is returned for a line that ends inside a quoted string.
 var errUnclosedQuote = errors.New("a quote is not closed")
 
-// tokenize splits a line into words. Single or double quotes enclose text that may contain spaces; within double quotes,
-// \" and \\ stand for the escaped character. A comment extends from an unquoted # to the end of the line. On an error,
-// errorColumn is the column of the word that caused it. The widely used shlex package is not an alternative, as it does
-// not report columns.
+// tokenize splits a line into words. Single or double quotes enclose text that may contain spaces; within double
+// quotes, \" and \\ stand for the escaped character. A comment extends from an unquoted # to the end of the line. On an
+// error, errorColumn is the column of the word that caused it. The widely used shlex package is not an alternative, as
+// it does not report columns.
 func tokenize(line string) (words []Word, errorColumn int, err error) {
 	runes := []rune(line)
 	for i := 0; i < len(runes); {
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDecisions_EveryPackage_IsPure checks that decision packages do no I/O, start no goroutines and do not use the wall
-// clock.
+// TestDecisions_EveryPackage_IsPure checks that decision packages do no I/O, start no goroutines and do not use the
+// wall clock.
 func TestDecisions_EveryPackage_IsPure(t *testing.T) {
 	seen := 0
 	visitPackages(t, func(path string, p *build.Package) {
@@ -136,7 +136,8 @@
 	}
 }
 
-// skippedDirectory reports whether a directory contains no packages of the module. The name ".." is the repository root.
+// skippedDirectory reports whether a directory contains no packages of the module. The name ".." is the repository
+// root.
 func skippedDirectory(name string) bool {
 	hidden := name != ".." && strings.HasPrefix(name, ".")
 	return hidden || name == "journal" || name == "bin"
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// readBody reads n bytes. It allocates memory in chunks as the bytes arrive, so that a header with a wrong length cannot
-// cause a large allocation.
+// readBody reads n bytes. It allocates memory in chunks as the bytes arrive, so that a header with a wrong length
+// cannot cause a large allocation.
 func readBody(r io.Reader, n int) ([]byte, error) {
 	var body []byte
 	for len(body) < n {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
 // Package simwire reads and writes the frames of the simulator's wire protocol. A batch carries events to the instances
-// of one process; a reply carries the actions of the instances back to the simulator. Integers are little-endian, except
-// for the IPv4 addresses of workers; times are IEEE 754 numbers of milliseconds.
+// of one process; a reply carries the actions of the instances back to the simulator. Integers are little-endian,
+// except for the IPv4 addresses of workers; times are IEEE 754 numbers of milliseconds.
 //
 // The package maps the names of the protocol, such as CALL_OUT and TURN_AWAY, to the terms of the scheduler. Reading is
 // strict: a frame that violates the protocol results in an error that wraps ErrMalformed.
