--- a/cmd/havencart/incident_test.go
+++ b/cmd/havencart/incident_test.go
@@ -128,7 +128,7 @@
 	return worker
 }
 
-// call sends the request and delivers its response.
+// call sends the request and passes its response to k.response.
 func (k *keyExpiryInstallation) call() {
 	fields := map[string]string{
 		"id": "000000000000002a", "wait": "20000", "key": "7f3a9c21e0b4d655", "once": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -83,7 +83,7 @@
 	binary.LittleEndian.PutUint16(fields[4:], uint16(attempt))
 }
 
-// SetTimer adds the action that asks for a TimerFired event with the token after a while.
+// SetTimer adds the action that requests a TimerFired event with the token after the duration after.
 func (p *Reply) SetTimer(after time.Duration, token uint64) {
 	fields := p.addRecord(codeSetTimer)
 	putMillis(fields, after)
