--- a/cmd/havencart/loadtally.go
+++ b/cmd/havencart/loadtally.go
@@ -49,7 +49,7 @@
 // loadTally collects the outcomes and latencies of requests. It is safe for concurrent use.
 type loadTally struct {
 	mu        sync.Mutex
-	latencies map[string]*hdrhistogram.Histogram // of served requests; keys: "class NAME", "tenant NAME", allRequests
+	latencies map[string]*hdrhistogram.Histogram // served requests by "class NAME", "tenant NAME", allRequests
 	outcomes  map[string]int                     // number of requests by outcome
 	sendLag   *hdrhistogram.Histogram            // delay between a request's scheduled time and its sending
 	lost      int                                // requests that got no response although a response was due
