--- a/lab/soak/classes.go
+++ b/lab/soak/classes.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// ClassName is the name of a class of requests.
+// ClassName is the name of a request class.
 type ClassName string
 
-// The classes.
+// The request classes that clients use.
 const (
-	Quote  ClassName = "quote"  // may run any number of times
-	Status ClassName = "status" // has a key, whose repeats the workers of one cell drop
-	Charge ClassName = "charge" // must not run twice
+	Quote  ClassName = "quote"  // safe to execute any number of times
+	Status ClassName = "status" // carries an idempotency key; the workers of one cell deduplicate executions by it
+	Charge ClassName = "charge" // must not be executed twice
 )
 
-// repeat is what another attempt of a class may do.
-type repeat int
+// retryRule says whether and where a request that may have been executed can be sent again.
+type retryRule int
 
 const (
-	repeatAnywhere repeat = iota
-	repeatByKey
-	repeatNever
+	retryAnywhere retryRule = iota // at any worker, at any time
+	retryWithKey                   // in the cell of the first attempt, within keyRetention of it
+	retryNever
 )
 
-// class is what the rules say of a class.
+// class holds the rules of one request class.
 type class struct {
-	repeat   repeat
-	platform string // the platform's word for it
-	deadline time.Duration
+	retryRule    retryRule
+	platformRule string        // the retryRule as the platform's settings write it
+	deadline     time.Duration // longest timeout that a client of the class uses
 }
 
 var classes = map[ClassName]class{
-	Quote:  {repeatAnywhere, "retryable", 3 * time.Second},
-	Status: {repeatByKey, "dedup", 3 * time.Second},
-	Charge: {repeatNever, "fragile", 2 * time.Second},
+	Quote:  {retryAnywhere, "retryable", 3 * time.Second},
+	Status: {retryWithKey, "dedup", 3 * time.Second},
+	Charge: {retryNever, "fragile", 2 * time.Second},
 }
 
-// classNames are the classes in the order of the settings.
+// classNames lists the classes in the order in which the settings define them.
 var classNames = []ClassName{Quote, Status, Charge}
 
-// The rules in figures. The key is remembered for as long as two or three attempts take, so that it expires often.
+// Limits in the front ends' configuration, some of which CheckHistory enforces. keyRetention is only as long as two or
+// three attempts take, so that keys often expire between attempts.
 const (
 	keyRetention   = 700 * time.Millisecond
 	drainGrace     = 500 * time.Millisecond
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -12,16 +12,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// What clients do.
+// Parameters of the clients' load.
 const (
 	clientsPerFrontEnd = 4
 	meanRequestGap     = 120 * time.Millisecond
 	functionCount      = 12
-	cancelShare        = 0.06 // of the requests, cancelled after up to maxCancelDelay
-	disconnectShare    = 0.02 // of the requests, after which the client closes its connection
+	cancelShare        = 0.06 // fraction of the requests that the client cancels, within maxCancelDelay
+	disconnectShare    = 0.02 // fraction of the requests after which the client disconnects, within maxCancelDelay
 	maxCancelDelay     = 700 * time.Millisecond
-	reconnectPause     = 50 * time.Millisecond
-	maxOpenRequests    = 32 // on one connection, by the platform's rules
+	reconnectDelay     = 50 * time.Millisecond
+	maxOpenRequests    = 32 // most unanswered requests on one connection, set by the platform
 )
 
 // client sends requests to one front end, over one connection at a time.
@@ -31,16 +31,16 @@
 	rng      *rand.Rand
 }
 
-// loop sends requests until ctx ends.
-func (c *client) loop(ctx context.Context) {
+// sendRequests sends requests until ctx ends, and reconnects as needed.
+func (c *client) sendRequests(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !c.frontEnd.permits(allConnections) || !c.useConnection(ctx) {
-			sleep(ctx, reconnectPause)
+			sleep(ctx, reconnectDelay)
 		}
 	}
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -50,17 +50,17 @@
 	}
 }
 
-// useConnection sends requests on one connection until it ends, the front end accepts none, or ctx ends. It returns false
-// if there was no connection.
+// useConnection sends requests on one connection until the connection ends, the front end accepts no more requests, or
+// ctx ends. It returns false if the connection could not be established.
 func (c *client) useConnection(ctx context.Context) bool {
 	dialed, err := net.DialTimeout("tcp", c.frontEnd.address, time.Second)
 	if err != nil {
 		return false
 	}
 	conn := newClientConn(c.run.history, dialed)
-	defer conn.awaitEnd()
+	defer conn.awaitResponsesAndClose()
 	for ctx.Err() == nil && c.frontEnd.permits(openConnections) && !conn.hasEnded() {
-		if conn.openCount() < maxOpenRequests && !c.sendOne(ctx, conn) {
+		if conn.openCount() < maxOpenRequests && !c.sendRequest(ctx, conn) {
 			return true
 		}
 		sleep(ctx, c.requestGap())
@@ -68,30 +68,31 @@
 	return true
 }
 
-// requestGap draws the time until the next request.
+// requestGap draws the time until the next request. It is shorter during a traffic spike.
 func (c *client) requestGap() time.Duration {
 	gap := time.Duration(c.rng.ExpFloat64() * float64(meanRequestGap))
-	if c.frontEnd.isCrowded() {
-		return gap / crowdFactor
+	if c.frontEnd.inTrafficSpike() {
+		return gap / trafficSpikeFactor
 	}
 	return gap
 }
 
-// sendOne sends a request, and does what its client does with it. It returns false once the connection was closed.
-func (c *client) sendOne(ctx context.Context, conn *clientConn) bool {
+// sendRequest sends one request, and cancels it or disconnects on some draws. It returns false if it closed the
+// connection.
+func (c *client) sendRequest(ctx context.Context, conn *clientConn) bool {
 	name := classNames[c.rng.IntN(len(classNames))]
-	wait := classes[name].deadline
+	timeout := classes[name].deadline
 	if c.rng.Float64() < 0.3 {
-		wait = time.Duration((0.2 + 0.8*c.rng.Float64()) * float64(wait))
+		timeout = time.Duration((0.2 + 0.8*c.rng.Float64()) * float64(timeout))
 	}
-	number, id := conn.nextNumber(), fmt.Sprintf("%016x", c.run.nextRequest())
-	c.run.history.Sent(Request{ID: id, Class: name, FrontEnd: c.frontEnd.index, Wait: wait})
+	number, id := conn.nextRequestNumber(), fmt.Sprintf("%016x", c.run.nextRequest())
+	c.run.history.Sent(Request{ID: id, Class: name, FrontEnd: c.frontEnd.index, Timeout: timeout})
 	fields := map[string]string{
 		"id":   id,
-		"wait": fmt.Sprint(wait.Milliseconds()),
+		"wait": fmt.Sprint(timeout.Milliseconds()),
 		"key":  fmt.Sprintf("%016x", 1+c.rng.IntN(functionCount)),
 	}
-	if classes[name].repeat == repeatByKey {
+	if classes[name].retryRule == retryWithKey {
 		fields["once"] = fmt.Sprintf("%032s", id)
 	}
 	conn.send(number, id, []any{0, number, string(name), []any{fields, []byte(id)}})
@@ -107,34 +108,35 @@
 	return true
 }
 
-// clientConn is one connection of a client. A goroutine reads responses until it ends.
+// clientConn is one connection of a client. A goroutine reads responses until the connection ends.
 type clientConn struct {
 	net.Conn
 	history *History
-	ended   chan struct{} // closed when the reading goroutine has ended
+	ended   chan struct{} // closed when the reading goroutine has returned
 
 	mu           sync.Mutex
 	lastNumber   int
-	open         map[int]string // identifiers of the requests without a response, by number
-	answered     map[int]string // those that had one
-	disconnected bool           // the client closed it
-	endNoted     bool           // see noteEnd
+	open         map[int]string // identifiers of the requests that await a response, by request number
+	completed    map[int]string // identifiers of the requests that had a response, by request number
+	disconnected bool           // the client closed the connection
+	endRecorded  bool           // recordEnd has run; see send
 }
 
 func newClientConn(history *History, dialed net.Conn) *clientConn {
-	c := &clientConn{Conn: dialed, history: history, ended: make(chan struct{}), open: map[int]string{}, answered: map[int]string{}}
-	go c.read() // awaitEnd waits for it
+	c := &clientConn{Conn: dialed, history: history, ended: make(chan struct{}), open: map[int]string{}, completed: map[int]string{}}
+	go c.read() // ends with the connection; awaitResponsesAndClose waits for it
 	return c
 }
 
-func (c *clientConn) nextNumber() int {
+func (c *clientConn) nextRequestNumber() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastNumber++
 	return c.lastNumber
 }
 
-// send sends a request. If the connection ends, the reading goroutine notes its loss; if it has ended already, send does.
+// send sends a request. If the connection ends later, the reading goroutine records that the request lost its
+// connection; if the end of the connection was recorded before, send records it.
 func (c *clientConn) send(number int, id string, message []any) {
 	isOpen := c.register(number, id)
 	c.write(message)
@@ -144,11 +146,12 @@
 	}
 }
 
-// register notes that a request is about to be sent. It returns false if the connection's end was noted before.
+// register adds a request that is about to be sent to the open ones. It returns false if the connection's end was
+// recorded before.
 func (c *clientConn) register(number int, id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.endNoted {
+	if c.endRecorded {
 		return false
 	}
 	c.open[number] = id
@@ -162,7 +165,7 @@
 	}
 }
 
-// cancel cancels a request that has no response.
+// cancel sends a cancellation for a request unless its response was received.
 func (c *clientConn) cancel(number int) {
 	c.mu.Lock()
 	id, isOpen := c.open[number]
@@ -170,23 +173,23 @@
 	c.mu.Unlock()
 	if isOpen {
 		c.write([]any{2, "revoke", []int{number}})
-		c.history.GivenUp(id) // not before the front end can know
+		c.history.Abandoned(id) // after the write, as the front end cannot know of the cancellation earlier
 	}
 }
 
-// disconnect closes the connection with whatever is open on it.
+// disconnect closes the connection and records all open requests as abandoned.
 func (c *clientConn) disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disconnected = true
 	_ = c.Close()
 	for _, id := range c.open {
-		c.history.GivenUp(id)
+		c.history.Abandoned(id)
 	}
 	clear(c.open)
 }
 
-// hasEnded is whether the connection has ended.
+// hasEnded reports whether the reading goroutine has seen the end of the connection.
 func (c *clientConn) hasEnded() bool {
 	select {
 	case <-c.ended:
@@ -196,8 +199,9 @@
 	}
 }
 
-// awaitEnd waits until all requests have a response, for as long as any client may wait, and closes the connection.
-func (c *clientConn) awaitEnd() {
+// awaitResponsesAndClose waits until no request is open, for 5 s at most, which is longer than any request's timeout,
+// and closes the connection.
+func (c *clientConn) awaitResponsesAndClose() {
 	deadline := time.Now().Add(5 * time.Second)
 	for !c.hasEnded() && c.openCount() > 0 && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
@@ -212,62 +216,63 @@
 	return len(c.open)
 }
 
-// read notes responses until the connection ends.
+// read records responses until the connection ends or a response is malformed.
 func (c *clientConn) read() {
 	defer close(c.ended)
 	decoder := msgpack.NewDecoder(c.Conn)
-	decoder.UseLooseInterfaceDecoding(true) // all integers as 64 bits, bytes as strings
+	decoder.UseLooseInterfaceDecoding(true) // decodes all integers to 64 bits, and bytes to strings
 	for {
-		answer, err := decoder.DecodeSlice()
+		response, err := decoder.DecodeSlice()
 		if err != nil {
-			c.noteEnd(err)
+			c.recordEnd(err)
 			return
 		}
-		if err := c.noteAnswer(answer); err != nil {
-			c.history.Fault(fmt.Sprintf("a client received %v: %v", answer, err))
-			c.noteEnd(err)
+		if err := c.recordResponse(response); err != nil {
+			c.history.RecordViolation(fmt.Sprintf("a client received %v: %v", response, err))
+			c.recordEnd(err)
 			return
 		}
 	}
 }
 
-var errUnknownAnswer = errors.New("not a response to a request of this connection")
+// errUnknownResponse is returned for a response that is malformed or matches no request of its connection.
+var errUnknownResponse = errors.New("not a response to a request of this connection")
 
-// noteAnswer notes one response.
-func (c *clientConn) noteAnswer(answer []any) error {
-	if len(answer) != 4 {
-		return errUnknownAnswer
+// recordResponse records one response in the history.
+func (c *clientConn) recordResponse(response []any) error {
+	if len(response) != 4 {
+		return errUnknownResponse
 	}
-	number, isNumber := asInt(answer[1])
+	number, isNumber := asInt(response[1])
 	if !isNumber {
-		return errUnknownAnswer
+		return errUnknownResponse
 	}
 	c.mu.Lock()
 	id, isOpen := c.open[number]
 	if isOpen {
 		delete(c.open, number)
-		c.answered[number] = id
+		c.completed[number] = id
 	} else {
-		id = c.answered[number] // a second response; empty: it was cancelled while its response was on its way
+		id = c.completed[number] // duplicate response; empty if the request was cancelled while its response was in flight
 	}
 	isKnown := number <= c.lastNumber
 	c.mu.Unlock()
 	if !isKnown {
-		return errUnknownAnswer
+		return errUnknownResponse
 	}
 	if id == "" {
 		return nil
 	}
-	outcome, echoed := outcomeOf(answer[2], answer[3], id)
-	c.history.Answered(id, outcome, echoed)
+	outcome, bodyMatches := outcomeOf(response[2], response[3], id)
+	c.history.ResponseReceived(id, outcome, bodyMatches)
 	return nil
 }
 
-// noteEnd notes the requests that the connection's end leaves without a response.
-func (c *clientConn) noteEnd(error) {
+// recordEnd records that the open requests lost their connection, unless the client itself closed it.
+func (c *clientConn) recordEnd(error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endNoted = true
+	c.endRecorded = true
 	if c.disconnected {
 		return
 	}
@@ -277,7 +282,7 @@
 	clear(c.open)
 }
 
-// asInt returns an integer of a message.
+// asInt returns a decoded integer, and false for a value of any other type.
 func asInt(value any) (int, bool) {
 	switch number := value.(type) {
 	case int64:
@@ -288,15 +293,16 @@
 	return 0, false
 }
 
-// outcomeOf returns the outcome of a response, and whether a served one has the body that a worker made for the request.
+// outcomeOf returns the outcome of a response, and whether a served response has the body that a worker returns for the
+// request.
 func outcomeOf(failure, result any, id string) (Outcome, bool) {
 	if failure == nil {
 		list, _ := result.([]any)
 		if len(list) == 0 {
 			return Served, false
 		}
-		body, _ := list[0].(string) // as bytes are decoded, see read
-		return Served, body == string(echo(id))
+		body, _ := list[0].(string) // read decodes bytes to strings
+		return Served, body == string(responseBody(id))
 	}
 	name := failure
 	if list, isList := failure.([]any); isList && len(list) > 0 {
--- a/lab/soak/crowd.go
+++ b/lab/soak/crowd.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// crowdFactor is how many times the usual requests clients send while there is a crowd.
-const crowdFactor = 12
+// trafficSpikeFactor multiplies the clients' request rate during a traffic spike.
+const trafficSpikeFactor = 12
 
-// crowdFrontEnd has the clients of one front end send many times as much for a while.
-func crowdFrontEnd(ctx context.Context, r *run, draw *draw) {
-	f := r.frontEnds[draw.rng.IntN(len(r.frontEnds))]
-	f.setCrowded(true)
-	sleep(ctx, draw.length)
-	f.setCrowded(false)
+// spikeTraffic raises the request rate of one front end's clients by trafficSpikeFactor for the fault's duration.
+func spikeTraffic(ctx context.Context, r *run, params *faultParams) {
+	f := r.frontEnds[params.rng.IntN(len(r.frontEnds))]
+	f.setTrafficSpike(true)
+	sleep(ctx, params.duration)
+	f.setTrafficSpike(false)
 }
--- a/lab/soak/endpoints.go
+++ b/lab/soak/endpoints.go
@@ -10,26 +10,27 @@
 	"havencart/lab/platformdiscovery"
 )
 
-// notifiedAfterOutage is how long after an outage of the stream began front ends count as notified of what it would have
-// told since, by the platform's rules.
+// notifiedAfterOutage is how long after the start of an outage of the endpoint stream front ends are taken to know the
+// events that were published meanwhile. The platform's rules set it.
 const notifiedAfterOutage = 4 * time.Second
 
+// stateNames holds the states as a front end's configuration writes them.
 var stateNames = map[endpointstream.State]string{
 	endpointstream.Ready:    "up",
 	endpointstream.Draining: "draining",
 	endpointstream.Removed:  "removed",
 }
 
-// endpoints publishes the list of workers.
+// endpoints publishes the endpoint list to front ends, over a discovery server.
 type endpoints struct {
 	history *History
 	server  *platformdiscovery.Server
 
-	mu       sync.Mutex
-	number   uint64
-	entries  map[uint32]endpointstream.Entry // but removed ones
-	inOutage bool
-	outageAt time.Duration // when the last outage began, however short; 0: there was none
+	mu              sync.Mutex
+	eventNumber     uint64
+	entries         map[uint32]endpointstream.Entry // all workers except removed ones, by Entry.ID
+	inOutage        bool
+	lastOutageStart time.Duration // including outages that only closed the connections; 0 before the first outage
 }
 
 func startEndpoints(history *History) (*endpoints, error) {
@@ -40,41 +41,42 @@
 	return &endpoints{history: history, server: server, entries: map[uint32]endpointstream.Entry{}}, nil
 }
 
-// publish tells of a worker.
+// publish sends a worker's new state to front ends, and records from when on they count as notified of a drain or
+// removal.
 func (e *endpoints) publish(entry endpointstream.Entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.number++
+	e.eventNumber++
 	if entry.State == endpointstream.Removed {
 		delete(e.entries, entry.ID)
 	} else {
 		e.entries[entry.ID] = entry
 	}
 	if entry.State != endpointstream.Ready {
-		e.history.Notified(entry.Name(), e.notifiedAt())
+		e.history.DrainAnnounced(entry.Name(), e.notifiedAt())
 	}
-	e.server.Publish(endpointstream.Event{Number: e.number, Kind: endpointstream.Delta, Entries: []endpointstream.Entry{entry}})
+	e.server.Publish(endpointstream.Event{Number: e.eventNumber, Kind: endpointstream.Delta, Entries: []endpointstream.Entry{entry}})
 }
 
-// notifiedAt is when front ends count as notified of what is published now. The lock is held.
+// notifiedAt returns when front ends count as notified of an event that is published now. The caller holds e.mu.
 func (e *endpoints) notifiedAt() time.Duration {
-	if e.outageAt == 0 {
+	if e.lastOutageStart == 0 {
 		return e.history.Now()
 	}
-	return max(e.history.Now(), e.outageAt+notifiedAfterOutage)
+	return max(e.history.Now(), e.lastOutageStart+notifiedAfterOutage)
 }
 
-// breakOff closes all connections of the stream.
-func (e *endpoints) breakOff() {
+// closeConnections closes all connections of the endpoint stream. Front ends can reconnect at once.
+func (e *endpoints) closeConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.inOutage {
-		e.outageAt = e.history.Now()
+		e.lastOutageStart = e.history.Now()
 	}
 	e.server.CloseConnections()
 }
 
-// beginOutage puts the service out of reach, and reports whether it was within reach before.
+// beginOutage makes discovery unreachable. It returns false, without an effect, if an outage is in progress.
 func (e *endpoints) beginOutage(reach platformdiscovery.Reachability) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,12 +84,12 @@
 		return false
 	}
 	e.inOutage = true
-	e.outageAt = e.history.Now()
+	e.lastOutageStart = e.history.Now()
 	e.server.SetReachability(reach)
 	return true
 }
 
-// endOutage has the service within reach again.
+// endOutage makes discovery reachable again.
 func (e *endpoints) endOutage() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,8 +97,8 @@
 	e.server.SetReachability(platformdiscovery.Reachable)
 }
 
-// known is the list as a front end is told at its start.
-func (e *endpoints) known() knownEndpoints {
+// snapshot returns the current endpoint list in the form in which a front end's configuration has it.
+func (e *endpoints) snapshot() knownEndpoints {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	list := knownList{Sequence: 1, Whole: true, Hosts: []knownHost{}}
@@ -112,10 +114,10 @@
 			Started: entry.StartedUnixMilli,
 		})
 	}
-	return knownEndpoints{LastNumber: e.number, Events: []knownEvent{{Number: e.number, List: list}}}
+	return knownEndpoints{LastNumber: e.eventNumber, Events: []knownEvent{{Number: e.eventNumber, List: list}}}
 }
 
-// parseAddress returns the address of a listener of this process.
+// parseAddress parses the address (host:port) of a listener.
 func parseAddress(address string) (netip.AddrPort, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -10,57 +10,59 @@
 	"havencart/lab/platformdiscovery"
 )
 
-// meanFaultGap is the mean time between the beginnings of two faults; each lasts up to maxFault, so that several overlap.
+// Times of the faults. Faults begin every meanFaultGap on average and most last up to maxFaultDuration, so that several
+// overlap.
 const (
-	meanFaultGap = 150 * time.Millisecond
-	maxFault     = 1500 * time.Millisecond
-	maxStop      = 1200 * time.Millisecond
-	maxOutage    = 9 * time.Second        // of discovery
-	maxDrain     = 6 * time.Second        // for which a worker drains
-	maxNotice    = 800 * time.Millisecond // until the list has a worker as draining that drains
-
-	// Signals come in series.
-	maxStopsInSeries   = 3
+	meanFaultGap        = 150 * time.Millisecond
+	maxFaultDuration    = 1500 * time.Millisecond
+	maxPauseDuration    = 1200 * time.Millisecond
+	maxOutageDuration   = 9 * time.Second        // of an outage of discovery
+	maxDrainDuration    = 6 * time.Second        // from the publication of a worker's drain to its removal
+	maxDrainNoticeDelay = 800 * time.Millisecond // from the start of a worker's drain to its publication
+
+	// Signals to a front end are sent in series, with up to maxGapInSeries between them.
+	maxPausesInSeries  = 3
 	maxReloadsInSeries = 4
 	maxGapInSeries     = 300 * time.Millisecond
 )
 
-// fault does harm for a time and then undoes it. It returns early when ctx ends, with the harm undone.
+// fault is one kind of fault. Its function inject causes the fault, waits and undoes it; when ctx ends, inject undoes
+// it and returns early.
 type fault struct {
 	name   string
 	weight int
-	play   func(ctx context.Context, r *run, draw *draw)
+	inject func(ctx context.Context, r *run, params *faultParams)
 }
 
-// draw is what one fault draws at random, before it begins.
-type draw struct {
-	rng    *rand.Rand
-	length time.Duration
+// faultParams holds the random inputs of one fault.
+type faultParams struct {
+	rng      *rand.Rand // the fault's own, so that concurrent faults do not change each other's draws
+	duration time.Duration
 }
 
-// faults are all kinds, with how often each is drawn.
+// faults lists all kinds of faults with their relative frequencies.
 var faults = []fault{
-	{"worker silent", 3, withBehavior(isSilent)},
-	{"worker fails", 2, withBehavior(fails)},
-	{"worker overloaded", 1, withBehavior(overloaded)},
-	{"worker breaks off", 2, withBehavior(breaksOff)},
+	{"worker silent", 3, withBehavior(neverResponds)},
+	{"worker fails", 2, withBehavior(respondsWithError)},
+	{"worker overloaded", 1, withBehavior(respondsOverloaded)},
+	{"worker breaks off", 2, withBehavior(resetsConnection)},
 	{"connects held back", 5, holdConnects},
 	{"connections reset", 3, resetConnections},
 	{"requests stall", 2, stallForward},
 	{"responses stall", 3, stallBackward},
 	{"worker replaced", 3, replaceWorker},
-	{"front end stopped", 5, stopFrontEnd},
+	{"front end stopped", 5, pauseFrontEnd},
 	{"front end killed", 1, killFrontEnd},
 	{"front end restarted", 1, restartFrontEnd},
 	{"front end reloads", 1, reloadFrontEnd},
-	{"crowd", 2, crowdFrontEnd},
-	{"workers released", 1, releaseWorkers},
-	{"endpoint stream breaks off", 1, breakStream},
+	{"crowd", 2, spikeTraffic},
+	{"workers released", 1, rolloutWorkers},
+	{"endpoint stream breaks off", 1, closeStreamConnections},
 	{"discovery silent", 2, discoveryOutage(platformdiscovery.Silent)},
 	{"discovery unreachable", 2, discoveryOutage(platformdiscovery.Unreachable)},
 }
 
-// pickFault draws a kind of fault.
+// pickFault draws a kind of fault, with a probability in proportion to its weight.
 func pickFault(rng *rand.Rand) fault {
 	total := 0
 	for _, f := range faults {
@@ -75,69 +77,74 @@
 	return faults[0]
 }
 
-func withBehavior(b behavior) func(context.Context, *run, *draw) {
-	return func(ctx context.Context, r *run, draw *draw) {
-		w := r.pickWorker(draw.rng)
-		w.set(b)
-		sleep(ctx, draw.length)
-		w.set(serves)
+// withBehavior returns a fault that changes how one worker responds.
+func withBehavior(b behavior) func(context.Context, *run, *faultParams) {
+	return func(ctx context.Context, r *run, params *faultParams) {
+		w := r.pickWorker(params.rng)
+		w.setBehavior(b)
+		sleep(ctx, params.duration)
+		w.setBehavior(respondsNormally)
 	}
 }
 
-func holdConnects(ctx context.Context, r *run, draw *draw) {
-	w := r.pickWorker(draw.rng)
+// holdConnects delays the establishment of new connections to one worker.
+func holdConnects(ctx context.Context, r *run, params *faultParams) {
+	w := r.pickWorker(params.rng)
 	if w.proxy.HoldConnects() != nil {
-		_ = w.proxy.ReleaseConnects() // it was replaced meanwhile
+		_ = w.proxy.ReleaseConnects() // the hold failed because the worker was replaced meanwhile
 		return
 	}
-	if draw.rng.IntN(2) == 0 {
-		w.proxy.ResetConnections() // so that new ones are needed
+	if params.rng.IntN(2) == 0 {
+		w.proxy.ResetConnections() // front ends have to connect again, which the hold delays
 	}
-	sleep(ctx, draw.length)
-	_ = w.proxy.ReleaseConnects() // as above
+	sleep(ctx, params.duration)
+	_ = w.proxy.ReleaseConnects() // fails if the worker was replaced meanwhile
 }
 
-func resetConnections(_ context.Context, r *run, draw *draw) {
-	r.pickWorker(draw.rng).proxy.ResetConnections()
+// resetConnections resets all connections to one worker.
+func resetConnections(_ context.Context, r *run, params *faultParams) {
+	r.pickWorker(params.rng).proxy.ResetConnections()
 }
 
-func stallForward(ctx context.Context, r *run, draw *draw) {
-	w := r.pickWorker(draw.rng)
+// stallForward delays what front ends send to one worker.
+func stallForward(ctx context.Context, r *run, params *faultParams) {
+	w := r.pickWorker(params.rng)
 	w.proxy.StallForward()
-	sleep(ctx, draw.length)
+	sleep(ctx, params.duration)
 	w.proxy.ResumeForward()
 }
 
-func stallBackward(ctx context.Context, r *run, draw *draw) {
-	w := r.pickWorker(draw.rng)
+// stallBackward delays what one worker sends to front ends.
+func stallBackward(ctx context.Context, r *run, params *faultParams) {
+	w := r.pickWorker(params.rng)
 	w.proxy.StallBackward()
-	sleep(ctx, draw.length)
+	sleep(ctx, params.duration)
 	w.proxy.ResumeBackward()
 }
 
-// replaceWorker has a worker drain, which the list has a little later, removes it, and starts another one in its cell; on some
-// draws the worker dies before the stream tells so, or its successor comes first.
-func replaceWorker(ctx context.Context, r *run, draw *draw) {
-	old := r.removeWorker(draw.rng)
+// replaceWorker starts a successor of a worker in the same cell and removes the worker. Mostly the worker drains first,
+// which the endpoint list publishes a little later. On some draws it dies instead, before its removal is published.
+func replaceWorker(ctx context.Context, r *run, params *faultParams) {
+	old := r.removeWorker(params.rng)
 	if old == nil {
-		return // another replacement is under way
+		return // too many workers are being replaced
 	}
 	startedAt := time.Now().UnixMilli()
-	dies := draw.rng.IntN(3) == 0
+	dies := params.rng.IntN(3) == 0
 	if !dies {
 		old.draining.Store(true)
-		sleep(ctx, time.Duration(draw.rng.Float64()*float64(maxNotice)))
+		sleep(ctx, time.Duration(params.rng.Float64()*float64(maxDrainNoticeDelay)))
 		entry := old.entry
 		entry.State = endpointstream.Draining
 		r.endpoints.publish(entry)
-		sleep(ctx, time.Duration(draw.rng.Float64()*float64(maxDrain)))
+		sleep(ctx, time.Duration(params.rng.Float64()*float64(maxDrainDuration)))
 	}
-	if successor := r.addWorker(old.entry.Cell, startedAt, draw.rng); successor != nil {
+	if successor := r.addWorker(old.entry.Cell, startedAt, params.rng); successor != nil {
 		r.endpoints.publish(successor.entry)
 	}
 	if dies {
 		old.proxy.Close()
-		sleep(ctx, draw.length)
+		sleep(ctx, params.duration)
 	}
 	entry := old.entry
 	entry.State = endpointstream.Removed
@@ -146,59 +153,66 @@
 	old.close()
 }
 
-func stopFrontEnd(ctx context.Context, r *run, draw *draw) {
-	f := r.acquireFrontEnd(draw.rng)
+// pauseFrontEnd stops a front end's process with SIGSTOP and continues it with SIGCONT, up to maxPausesInSeries times.
+func pauseFrontEnd(ctx context.Context, r *run, params *faultParams) {
+	f := r.acquireFrontEnd(params.rng)
 	if f == nil {
 		return
 	}
-	defer r.release(f)
-	for range 1 + draw.rng.IntN(maxStopsInSeries) {
+	defer r.releaseFrontEnd(f)
+	for range 1 + params.rng.IntN(maxPausesInSeries) {
 		resumed := r.history.Paused(f.index, false)
-		r.notef("front end %d stopped", f.index)
+		r.logf("front end %d paused", f.index)
 		f.signal(syscall.SIGSTOP)
-		sleep(ctx, min(draw.length, maxStop))
+		sleep(ctx, min(params.duration, maxPauseDuration))
 		f.signal(syscall.SIGCONT)
-		r.notef("front end %d goes on", f.index)
+		r.logf("front end %d resumed", f.index)
 		resumed()
-		sleep(ctx, time.Duration(draw.rng.Float64()*float64(maxGapInSeries)))
+		sleep(ctx, time.Duration(params.rng.Float64()*float64(maxGapInSeries)))
 	}
 }
 
-func killFrontEnd(_ context.Context, r *run, draw *draw) {
-	if f := r.acquireFrontEnd(draw.rng); f != nil {
+// killFrontEnd kills a front end's process and starts it again.
+func killFrontEnd(_ context.Context, r *run, params *faultParams) {
+	if f := r.acquireFrontEnd(params.rng); f != nil {
 		resumed := r.history.Paused(f.index, true)
-		r.notef("front end %d killed", f.index)
+		r.logf("front end %d killed", f.index)
 		f.kill()
 		r.restart(f, resumed)
 	}
 }
 
-func reloadFrontEnd(ctx context.Context, r *run, draw *draw) {
-	f := r.acquireFrontEnd(draw.rng)
+// reloadFrontEnd has a front end reload its configuration, up to maxReloadsInSeries times.
+func reloadFrontEnd(ctx context.Context, r *run, params *faultParams) {
+	f := r.acquireFrontEnd(params.rng)
 	if f == nil {
 		return
 	}
-	defer r.release(f)
-	for range 1 + draw.rng.IntN(maxReloadsInSeries) {
+	defer r.releaseFrontEnd(f)
+	for range 1 + params.rng.IntN(maxReloadsInSeries) {
 		if err := f.writeConfig(); err != nil {
-			r.history.Fault(err.Error())
+			r.history.RecordViolation(err.Error())
 			return
 		}
 		f.signal(syscall.SIGHUP)
-		sleep(ctx, time.Duration(draw.rng.Float64()*float64(maxGapInSeries)))
+		sleep(ctx, time.Duration(params.rng.Float64()*float64(maxGapInSeries)))
 	}
 }
 
-func breakStream(_ context.Context, r *run, _ *draw) { r.endpoints.breakOff() }
+// closeStreamConnections closes the endpoint stream's connections to all front ends.
+func closeStreamConnections(_ context.Context, r *run, _ *faultParams) {
+	r.endpoints.closeConnections()
+}
 
-// discoveryOutage puts discovery out of reach of all front ends, mostly for longer than until they count as notified.
-func discoveryOutage(reach platformdiscovery.Reachability) func(context.Context, *run, *draw) {
-	return func(ctx context.Context, r *run, draw *draw) {
+// discoveryOutage returns a fault that makes discovery unreachable for all front ends, mostly for longer than
+// notifiedAfterOutage.
+func discoveryOutage(reach platformdiscovery.Reachability) func(context.Context, *run, *faultParams) {
+	return func(ctx context.Context, r *run, params *faultParams) {
 		if !r.endpoints.beginOutage(reach) {
 			return
 		}
-		sleep(ctx, time.Duration(draw.rng.Float64()*float64(maxOutage)))
+		sleep(ctx, time.Duration(params.rng.Float64()*float64(maxOutageDuration)))
 		r.endpoints.endOutage()
-		r.notef("discovery within reach again")
+		r.logf("discovery reachable again")
 	}
 }
--- a/lab/soak/frontend.go
+++ b/lab/soak/frontend.go
@@ -13,37 +13,37 @@
 	"time"
 )
 
-// Waits for a front end's process.
+// Timeouts for the start and the end of a front end's process.
 const (
-	readyWithin = 10 * time.Second
-	endsWithin  = 6 * time.Second // after SIGTERM: the longest deadline and 0.7 s, and room
+	readyTimeout     = 10 * time.Second
+	terminateTimeout = 6 * time.Second // after SIGTERM: the longest deadline (3 s) and the platform's 0.7 s, with a margin
 )
 
-// frontEnd is one front end, which may be started several times.
+// frontEnd is one front end. Its process may be started several times.
 type frontEnd struct {
 	index   int
-	address string // where clients connect, the same after a restart
-	path    string // of its configuration
+	address string // where clients connect; stays the same after a restart
+	path    string // of its configuration file
 	run     *run
 
-	mu       sync.Mutex
-	process  *exec.Cmd
-	exited   chan struct{} // closed when the process has ended
-	stopping bool          // it was told to end
-	access   clientAccess
-	crowded  bool // clients send many times as much
+	mu           sync.Mutex
+	process      *exec.Cmd
+	exited       chan struct{} // closed when the process has ended
+	stopping     bool          // the process was told to end
+	access       clientAccess
+	trafficSpike bool // clients send trafficSpikeFactor times the usual requests
 }
 
-// clientAccess is what clients may do with a front end.
+// clientAccess is what clients may do with a front end. Each value includes what the ones before it allow.
 type clientAccess int
 
 const (
 	noRequests      clientAccess = iota
-	openConnections              // send requests, but make no new connection
+	openConnections              // clients may send requests on open connections, but make no new ones
 	allConnections
 )
 
-// start starts the process with the endpoints that are known now, and waits until it is ready.
+// start starts the process with the current endpoint list, and waits until it is ready to serve.
 func (f *frontEnd) start() error {
 	if err := f.writeConfig(); err != nil {
 		return err
@@ -65,20 +65,20 @@
 	f.run.tasks.Go(func() {
 		defer close(exited)
 		f.readLog(bufio.NewScanner(output), ready)
-		f.noteExit(command.Wait())
+		f.checkExit(command.Wait())
 	})
 	select {
 	case <-ready:
 	case <-exited:
-		return fmt.Errorf("soak: front end %d ended at its start", f.index)
-	case <-time.After(readyWithin):
-		return fmt.Errorf("soak: front end %d is not ready", f.index)
+		return fmt.Errorf("soak: front end %d exited during start-up", f.index)
+	case <-time.After(readyTimeout):
+		return fmt.Errorf("soak: front end %d did not become ready in time", f.index)
 	}
 	f.setAccess(allConnections)
 	return nil
 }
 
-// writeConfig writes the configuration of the next start, or for SIGHUP.
+// writeConfig replaces the configuration file atomically. The process reads it at its start and on SIGHUP.
 func (f *frontEnd) writeConfig() error {
 	settings := frontEndSettings{
 		index:           f.index,
@@ -88,7 +88,7 @@
 		seed:            uint64(f.index) + f.run.config.Seed<<16,
 		connectTimeout:  f.run.connectTimeout,
 		hasHealthChecks: f.run.config.Seed%noHealthChecksEvery != 0,
-		known:           f.run.endpoints.known(),
+		known:           f.run.endpoints.snapshot(),
 	}
 	config, err := settings.json()
 	if err != nil {
@@ -101,50 +101,52 @@
 	return os.Rename(temporary, f.path)
 }
 
-// loggedTotals is what is read of a log line.
-type loggedTotals struct {
+// logLine holds the fields that readLog uses of a line of the process's log.
+type logLine struct {
 	Message string `json:"message"`
 	Counts  struct {
 		Violations map[string]uint64
 	} `json:"counts"`
 }
 
-// readLog reads the process's log until it ends, and notes violations that it counted itself.
+// readLog reads the process's log to its end and stores a copy. It closes ready when the process is ready to serve, and
+// records panics and the violations that the process counts itself.
 func (f *frontEnd) readLog(lines *bufio.Scanner, ready chan<- struct{}) {
 	lines.Buffer(nil, 1<<20)
-	kept, err := os.Create(filepath.Join(f.run.directory, fmt.Sprintf("n%d-%d.log", f.index, f.run.history.Now().Milliseconds())))
+	logFile, err := os.Create(filepath.Join(f.run.directory, fmt.Sprintf("n%d-%d.log", f.index, f.run.history.Now().Milliseconds())))
 	if err == nil {
-		defer func() { _ = kept.Close() }()
+		defer func() { _ = logFile.Close() }()
 	}
 	for lines.Scan() {
-		if kept != nil {
-			_, _ = kept.WriteString(lines.Text() + "\n")
+		if logFile != nil {
+			_, _ = logFile.WriteString(lines.Text() + "\n")
 		}
-		var line loggedTotals
-		_ = json.Unmarshal(lines.Bytes(), &line) // another line has neither field
+		var line logLine
+		_ = json.Unmarshal(lines.Bytes(), &line) // other lines have neither field
 		if line.Message == "running" {
 			close(ready)
 		}
 		if len(line.Counts.Violations) > 0 {
-			f.run.history.Fault(fmt.Sprintf("front end %d counts violations: %v", f.index, line.Counts.Violations))
+			f.run.history.RecordViolation(fmt.Sprintf("front end %d reports invariant violations: %v", f.index, line.Counts.Violations))
 		}
 		if strings.HasPrefix(lines.Text(), "panic:") || strings.HasPrefix(lines.Text(), "fatal error:") {
-			f.run.history.Fault(fmt.Sprintf("front end %d: %s", f.index, lines.Text()))
+			f.run.history.RecordViolation(fmt.Sprintf("front end %d: %s", f.index, lines.Text()))
 		}
 	}
 }
 
-// noteExit notes an end that nobody asked for, or that is not clean.
-func (f *frontEnd) noteExit(err error) {
+// checkExit records an unexpected exit of the process, and an expected one with an error, unless the process was
+// killed.
+func (f *frontEnd) checkExit(err error) {
 	f.mu.Lock()
 	stopping := f.stopping
 	f.mu.Unlock()
 	f.setAccess(noRequests)
 	switch {
 	case !stopping:
-		f.run.history.Fault(fmt.Sprintf("front end %d ended by itself: %v", f.index, err))
+		f.run.history.RecordViolation(fmt.Sprintf("front end %d exited unexpectedly: %v", f.index, err))
 	case err != nil && !strings.Contains(err.Error(), "killed"):
-		f.run.history.Fault(fmt.Sprintf("front end %d ended with %v", f.index, err))
+		f.run.history.RecordViolation(fmt.Sprintf("front end %d exited with %v", f.index, err))
 	}
 }
 
@@ -154,69 +156,71 @@
 	f.access = access
 }
 
-// refuseConnects lets clients make no new connections.
+// refuseConnects keeps clients from making new connections.
 func (f *frontEnd) refuseConnects() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.access = min(f.access, openConnections)
 }
 
-// permits is whether clients may do this much.
+// permits reports whether clients have at least the given access.
 func (f *frontEnd) permits(access clientAccess) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.access >= access
 }
 
-// setCrowded has clients send many times as much, or as usual again.
-func (f *frontEnd) setCrowded(crowded bool) {
+// setTrafficSpike starts or ends a traffic spike of the front end's clients.
+func (f *frontEnd) setTrafficSpike(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crowded = crowded
+	f.trafficSpike = on
 }
 
-func (f *frontEnd) isCrowded() bool {
+func (f *frontEnd) inTrafficSpike() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.crowded
+	return f.trafficSpike
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process. It has no effect if the process has ended.
 func (f *frontEnd) signal(signal syscall.Signal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_ = f.process.Process.Signal(signal) // fails if it has ended
+	_ = f.process.Process.Signal(signal) // fails if the process has ended
 }
 
-// kill ends the process at once, and returns once it has ended.
+// kill kills the process and waits until it has ended.
 func (f *frontEnd) kill() {
-	f.expectEnd()
+	f.expectExit()
 	f.setAccess(noRequests)
 	f.signal(syscall.SIGKILL)
 	<-f.exitedChannel()
 }
 
-// terminate asks the process to end at the end of the run, when clients send nothing new, and waits until it has.
+// terminate sends SIGTERM to the process at the end of the run, when clients send no more requests, and waits until the
+// process has ended. It kills a process that does not end within terminateTimeout.
 func (f *frontEnd) terminate() {
-	f.expectEnd()
+	f.expectExit()
 	f.setAccess(noRequests)
 	f.signal(syscall.SIGTERM)
 	select {
 	case <-f.exitedChannel():
-	case <-time.After(endsWithin):
-		f.run.history.Fault(fmt.Sprintf("front end %d did not end in %v after SIGTERM", f.index, endsWithin))
+	case <-time.After(terminateTimeout):
+		f.run.history.RecordViolation(fmt.Sprintf("front end %d did not exit within %v of SIGTERM", f.index, terminateTimeout))
 		f.signal(syscall.SIGKILL)
 		<-f.exitedChannel()
 	}
 }
 
-// expectEnd notes that the process is about to be ended.
-func (f *frontEnd) expectEnd() {
+// expectExit marks the process's next exit as intended, so that checkExit does not record it.
+func (f *frontEnd) expectExit() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopping = true
 }
 
+// exitedChannel returns a channel that is closed when the current process has ended.
 func (f *frontEnd) exitedChannel() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/soak/history.go
+++ b/lab/soak/history.go
@@ -1,8 +1,10 @@
-// Package soak runs front ends as processes of their own under random faults that overlap, and judges what clients and
-// workers saw by the platform's rules. Faults are drawn from a seed: signals to front ends, connections to workers that
-// come up late, stall or are reset, workers that are silent, failing or replaced, an endpoint stream that breaks off, and
-// clients that cancel or leave. What is judged is taken from sockets and from the processes' exits, and from the totals
-// that they log.
+// Package soak runs front ends as separate processes under random, overlapping faults, and checks what clients and
+// workers observed against the platform's rules.
+//
+// Faults are drawn from a seed: signals to front ends; connections to workers that are established late, stall or are
+// reset; workers that do not respond, fail or are replaced; an endpoint stream that disconnects; and clients that
+// cancel requests or disconnect. The checks use what passes through sockets, the processes' exits, and the totals that
+// the processes log.
 package soak
 
 import (
@@ -13,7 +15,7 @@
 // Outcome is the kind of a final response as a client received it.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a request.
 const (
 	Served   Outcome = "served"
 	Rejected Outcome = "rejected"
@@ -22,76 +24,77 @@
 
 // Response is one final response to a request.
 type Response struct {
-	At      time.Duration
-	Outcome Outcome
-	Echoed  bool // a served response had the body that a worker made for this request
+	At          time.Duration
+	Outcome     Outcome
+	BodyMatches bool // the response was served with the body that a worker returns for this request
 }
 
-// Request is what a client sent, and what became of it.
+// Request is a request that a client sent, with its responses. Its times count from the start of the run, as all times
+// of a History do.
 type Request struct {
-	ID       string
-	Class    ClassName
-	FrontEnd int
-	SentAt   time.Duration
-	Wait     time.Duration
-	GivenUp  time.Duration // when the client cancelled it or closed its connection; 0: it did not
-	Lost     time.Duration // when its connection ended without a response; 0: it did not
-	Answers  []Response
+	ID               string
+	Class            ClassName
+	FrontEnd         int
+	SentAt           time.Duration // when its last byte was written
+	Timeout          time.Duration // of the client, counted from SentAt
+	AbandonedAt      time.Duration // when the client cancelled it or closed its connection; 0 if it did neither
+	ConnectionLostAt time.Duration // when its connection ended before a response; 0 if it did not
+	Responses        []Response
 }
 
-// Arrival is a frame of an attempt that came whole from a front end.
+// Arrival is an attempt whose frame a worker's proxy received completely from a front end.
 type Arrival struct {
-	At        time.Duration
-	RequestID string
-	Worker    string
-	Cell      int
-	TTL       time.Duration
-	NotRun    bool // the worker answered that it did not execute it; set by Judge
+	At          time.Duration
+	RequestID   string
+	Worker      string
+	Cell        int
+	TTL         time.Duration // time left to the client, as the front end passed it to the worker
+	NotExecuted bool          // the worker responded that it did not execute the attempt; set by CheckHistory
 }
 
-// LoadOrder is an order to load that came whole from a front end.
+// LoadOrder is a load order whose frame a worker's proxy received completely from a front end.
 type LoadOrder struct {
 	At     time.Duration
 	Worker string
 }
 
-// Notice is that the endpoint stream told that a worker drains or was removed.
+// Notice records that the endpoint stream announced a worker's drain or removal.
 type Notice struct {
 	Worker string
-	At     time.Duration // by when every front end counts as notified
+	At     time.Duration // from when on all front ends count as notified
 }
 
-// Pause is a time in which a front end's process was stopped, or did not run.
+// Pause is a period in which a front end's process was stopped or did not exist.
 type Pause struct {
 	FrontEnd int
 	From, To time.Duration
-	Killed   bool // it was killed: what it held is lost
+	Killed   bool // the process was killed, and its open requests are lost
 }
 
-// History collects what is seen during a run. Its methods may be called from any goroutine.
+// History collects the observations of a run. It is safe for concurrent use.
 type History struct {
 	start time.Time
 
-	mu       sync.Mutex
-	requests map[string]*Request
-	arrivals []*Arrival
-	notRun   map[executionKey]int // how often a worker answered that it did not execute a request
-	orders   []LoadOrder
-	notices  map[string]*Notice
-	pauses   []*Pause
-	ends     []*Termination
-	faults   []string // violations that are seen at once, as a process that crashed
+	mu                  sync.Mutex
+	requests            map[string]*Request // by ID
+	arrivals            []*Arrival
+	notExecuted         map[executionKey]int // number of responses that a request was not executed
+	loadOrders          []LoadOrder
+	notices             map[string]*Notice // by worker
+	pauses              []*Pause
+	terminations        []*Termination
+	immediateViolations []string // violations found during the run, such as a crashed process
 }
 
 // NewHistory returns an empty History whose clock starts now.
 func NewHistory() *History {
-	return &History{start: time.Now(), requests: map[string]*Request{}, notices: map[string]*Notice{}, notRun: map[executionKey]int{}}
+	return &History{start: time.Now(), requests: map[string]*Request{}, notices: map[string]*Notice{}, notExecuted: map[executionKey]int{}}
 }
 
-// Now is the time since the start.
+// Now returns the time since the start of the run.
 func (h *History) Now() time.Duration { return time.Since(h.start) }
 
-// Sent notes a request that a client is about to send.
+// Sent records a request that a client is about to send.
 func (h *History) Sent(request Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,7 +102,7 @@
 	h.requests[request.ID] = &request
 }
 
-// Written notes that a request was written: its time counts from its last byte.
+// Written records that a request was written. Its timeout counts from then on.
 func (h *History) Written(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -108,63 +111,64 @@
 	}
 }
 
-// Answered notes a final response.
-func (h *History) Answered(id string, outcome Outcome, echoed bool) {
+// ResponseReceived records a final response.
+func (h *History) ResponseReceived(id string, outcome Outcome, bodyMatches bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if request := h.requests[id]; request != nil {
-		request.Answers = append(request.Answers, Response{At: h.Now(), Outcome: outcome, Echoed: echoed})
+		request.Responses = append(request.Responses, Response{At: h.Now(), Outcome: outcome, BodyMatches: bodyMatches})
 	}
 }
 
-// GivenUp notes that a client cancels a request or closes its connection.
-func (h *History) GivenUp(id string) {
+// Abandoned records that a client has cancelled a request or closed its connection.
+func (h *History) Abandoned(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if request := h.requests[id]; request != nil && request.GivenUp == 0 {
-		request.GivenUp = h.Now()
+	if request := h.requests[id]; request != nil && request.AbandonedAt == 0 {
+		request.AbandonedAt = h.Now()
 	}
 }
 
-// ConnectionLost notes that a request's connection ended without a response.
+// ConnectionLost records that a request's connection ended before a response.
 func (h *History) ConnectionLost(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if request := h.requests[id]; request != nil && request.Lost == 0 {
-		request.Lost = h.Now()
+	if request := h.requests[id]; request != nil && request.ConnectionLostAt == 0 {
+		request.ConnectionLostAt = h.Now()
 	}
 }
 
-// Arrived notes an attempt.
-func (h *History) Arrived(arrival Arrival) {
+// AttemptArrived records an attempt that arrives now.
+func (h *History) AttemptArrived(arrival Arrival) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	arrival.At = h.Now()
 	h.arrivals = append(h.arrivals, &arrival)
 }
 
-// NotRun notes that a worker answers that it did not execute an attempt.
-func (h *History) NotRun(id, worker string) {
+// NotExecuted records that a worker responds that it did not execute an attempt of a request.
+func (h *History) NotExecuted(id, worker string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.notRun[executionKey{id, worker}]++
+	h.notExecuted[executionKey{id, worker}]++
 }
 
-// executionKey names the executions of a request at a worker.
+// executionKey identifies the executions of a request at a worker.
 type executionKey struct {
 	requestID string
 	worker    string
 }
 
-// OrderedToLoad notes an order to load.
-func (h *History) OrderedToLoad(worker string) {
+// LoadOrderArrived records a load order that a worker's proxy receives now.
+func (h *History) LoadOrderArrived(worker string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.orders = append(h.orders, LoadOrder{At: h.Now(), Worker: worker})
+	h.loadOrders = append(h.loadOrders, LoadOrder{At: h.Now(), Worker: worker})
 }
 
-// Notified notes that front ends count as notified, from a time on, that a worker drains or was removed.
-func (h *History) Notified(worker string, at time.Duration) {
+// DrainAnnounced records that a worker's drain or removal was announced, and that front ends count as notified of it
+// from a time on. Only the first call for a worker has an effect.
+func (h *History) DrainAnnounced(worker string, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.notices[worker] == nil {
@@ -172,7 +176,7 @@
 	}
 }
 
-// Paused notes that a front end's process does not run from now on. The function that it returns notes that it runs again.
+// Paused records that a front end's process does not run from now on. The caller calls resumed when it runs again.
 func (h *History) Paused(frontEnd int, killed bool) (resumed func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -185,19 +189,20 @@
 	}
 }
 
-// Termination is that a front end was told to end.
+// Termination records that a front end was sent SIGTERM.
 type Termination struct {
 	FrontEnd int
 	At       time.Duration
-	Killed   bool // it had not ended when the platform may kill it
+	Killed   bool // it had not ended after killAfter, when the platform may kill it
 }
 
-// Terminated notes that a front end is told to end now. The function that it returns notes that it has not, and is killed.
+// Terminated records that a front end is sent SIGTERM now. The caller calls killed if the front end does not end in
+// time and is killed.
 func (h *History) Terminated(frontEnd int) (killed func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	end := &Termination{FrontEnd: frontEnd, At: h.Now()}
-	h.ends = append(h.ends, end)
+	h.terminations = append(h.terminations, end)
 	return func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -205,12 +210,12 @@
 	}
 }
 
-// never is after the end of every run.
+// never is later than the end of any run.
 const never = 24 * time.Hour
 
-// Fault notes a violation that is seen at once.
-func (h *History) Fault(text string) {
+// RecordViolation records a violation that is found during the run.
+func (h *History) RecordViolation(text string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.faults = append(h.faults, text)
+	h.immediateViolations = append(h.immediateViolations, text)
 }
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// Slack of the rules: all their times are longer by it, as the platform has it.
-const slack = 50 * time.Millisecond
+// timingSlack is added to every time limit of the rules. The platform checks with the same slack.
+const timingSlack = 50 * time.Millisecond
 
-// The times of the rules, which the settings do not name.
+// Time limits of the rules that are not part of a front end's settings.
 const (
-	cancelGrace  = 100 * time.Millisecond // after a client left, until which an attempt may begin
-	lateResponse = 500 * time.Millisecond // after the client's timeout, until which a response is only late
-	ttlSlack     = 150 * time.Millisecond // by which the time passed to a worker may exceed what the client has left
-	crossing     = 50 * time.Millisecond  // in which a request may cross the close of a connection without one in flight
+	cancelGrace       = 100 * time.Millisecond // after a client abandons a request, in which an attempt may still begin
+	lateResponseGrace = 500 * time.Millisecond // after the client's timeout, in which a late response is no violation
+	ttlTolerance      = 150 * time.Millisecond // by which the TTL of an attempt may exceed the time left to the client
+	closeRaceWindow   = 50 * time.Millisecond  // in which a request may cross the close of an idle connection
 )
 
-// Violation is a rule that was broken.
+// Violation describes one case in which a rule was broken.
 type Violation struct {
 	Rule  string
 	Text  string
-	Timed bool // it is told from other cases by times alone, which a machine that is busy otherwise makes later
+	Timed bool // only time limits were exceeded, which can also happen because the machine is busy with other work
 }
 
-// String returns the violation in one line.
+// String returns the rule and the text in one line.
 func (v Violation) String() string { return v.Rule + ": " + v.Text }
 
-// judge collects violations.
-type judge struct {
+// checker collects the violations of one run.
+type checker struct {
 	*History
-	arrivalsOf map[string][]*Arrival // by request, in their order
-	found      []Violation
+	arrivalsOf map[string][]*Arrival // by request identifier, in the order of arrival
+	violations []Violation
 }
 
-// Judge returns the rules that were broken in a run that has ended.
-func Judge(history *History) []Violation {
+// CheckHistory returns the violations in the history of a run that has ended, sorted by their text.
+func CheckHistory(history *History) []Violation {
 	history.mu.Lock()
 	defer history.mu.Unlock()
-	j := &judge{History: history, arrivalsOf: map[string][]*Arrival{}}
+	c := &checker{History: history, arrivalsOf: map[string][]*Arrival{}}
 	for _, arrival := range history.arrivals {
-		if key := (executionKey{arrival.RequestID, arrival.Worker}); history.notRun[key] > 0 {
-			history.notRun[key]--
-			arrival.NotRun = true
+		if key := (executionKey{arrival.RequestID, arrival.Worker}); history.notExecuted[key] > 0 {
+			history.notExecuted[key]--
+			arrival.NotExecuted = true
 		}
-		j.arrivalsOf[arrival.RequestID] = append(j.arrivalsOf[arrival.RequestID], arrival)
+		c.arrivalsOf[arrival.RequestID] = append(c.arrivalsOf[arrival.RequestID], arrival)
 	}
-	for _, fault := range history.faults {
-		j.report("process", "%s", fault)
+	for _, text := range history.immediateViolations {
+		c.report("process", "%s", text)
 	}
 	for _, request := range history.requests {
-		j.checkResponse(request)
-		j.checkExecutions(request)
-		j.checkCancel(request)
-		j.checkTTL(request)
+		c.checkResponse(request)
+		c.checkExecutions(request)
+		c.checkCancel(request)
+		c.checkTTL(request)
 	}
-	j.checkDrains()
-	j.checkTerminations()
-	slices.SortFunc(j.found, func(a, b Violation) int { return compareText(a.String(), b.String()) })
-	return j.found
+	c.checkDrains()
+	c.checkTerminations()
+	slices.SortFunc(c.violations, func(a, b Violation) int { return compareText(a.String(), b.String()) })
+	return c.violations
 }
 
 func compareText(a, b string) int {
@@ -71,65 +71,67 @@
 	return 0
 }
 
-func (j *judge) report(rule, format string, args ...any) {
-	j.found = append(j.found, Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
+func (c *checker) report(rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// reportTimed reports a violation that is found by times.
-func (j *judge) reportTimed(rule, format string, args ...any) {
-	j.found = append(j.found, Violation{Rule: rule, Text: fmt.Sprintf(format, args...), Timed: true})
+// reportTimed reports a violation that only exceeds a time limit; see Violation.Timed.
+func (c *checker) reportTimed(rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...), Timed: true})
 }
 
-// checkResponse holds that each request has one final response, in time and with what a worker made for it.
-func (j *judge) checkResponse(request *Request) {
-	if len(request.Answers) > 1 {
-		j.report("lost", "%s has %d final responses", request.ID, len(request.Answers))
+// checkResponse checks that a request has exactly one final response, that the response was received in time, and that
+// a served response has the body that a worker returns for the request.
+func (c *checker) checkResponse(request *Request) {
+	if len(request.Responses) > 1 {
+		c.report("lost", "%s has %d final responses", request.ID, len(request.Responses))
 	}
-	if len(request.Answers) == 0 {
+	if len(request.Responses) == 0 {
 		switch {
-		case j.isExcused(request):
-		case j.crossedTermination(request):
-			j.reportTimed("lost", "%s, sent at %v, was left without a response %v later as its front end ended",
-				request.ID, request.SentAt, request.Lost-request.SentAt)
+		case c.isExcused(request):
+		case c.mayHaveCrossedTermination(request):
+			c.reportTimed("lost", "%s, sent at %v, lost its connection without a response %v later, while its front end shut down",
+				request.ID, request.SentAt, request.ConnectionLostAt-request.SentAt)
 		default:
-			j.report("lost", "%s, sent at %v, has no response: connection lost at %v", request.ID, request.SentAt, request.Lost)
+			c.report("lost", "%s, sent at %v, has no response: connection lost at %v", request.ID, request.SentAt, request.ConnectionLostAt)
 		}
 		return
 	}
-	answer := request.Answers[0]
-	if answer.Outcome == Served && !answer.Echoed {
-		j.report("lost", "%s was served what no worker made for it", request.ID)
+	response := request.Responses[0]
+	if response.Outcome == Served && !response.BodyMatches {
+		c.report("lost", "%s was served a body that no worker returned for it", request.ID)
 	}
-	due := request.SentAt + request.Wait + lateResponse + slack
-	if late := answer.At - due - j.pausedWithin(request.FrontEnd, request.SentAt, answer.At); late > 0 {
-		j.reportTimed("lost", "%s was answered %v too late", request.ID, late)
+	due := request.SentAt + request.Timeout + lateResponseGrace + timingSlack
+	if late := response.At - due - c.pausedWithin(request.FrontEnd, request.SentAt, response.At); late > 0 {
+		c.reportTimed("lost", "%s had its final response %v too late", request.ID, late)
 	}
 }
 
-// isExcused is whether no response is owed: the client left, the process was killed, or the request crossed the close of
-// a connection on which none was in flight.
-func (j *judge) isExcused(request *Request) bool {
-	if request.GivenUp > 0 {
+// isExcused reports whether a request may lack a response: its client abandoned it, its front end was killed, or it
+// crossed the close of an idle connection.
+func (c *checker) isExcused(request *Request) bool {
+	if request.AbandonedAt > 0 {
 		return true
 	}
-	for _, pause := range j.pauses {
-		wasHeld := pause.Killed && pause.FrontEnd == request.FrontEnd
-		if wasHeld && request.SentAt <= pause.To && pause.From <= request.SentAt+request.Wait {
+	for _, pause := range c.pauses {
+		wasKilled := pause.Killed && pause.FrontEnd == request.FrontEnd
+		if wasKilled && request.SentAt <= pause.To && pause.From <= request.SentAt+request.Timeout {
 			return true
 		}
 	}
-	neverSent := len(j.arrivalsOf[request.ID]) == 0
-	return request.Lost > 0 && request.Lost-request.SentAt <= crossing && neverSent
+	reachedNoWorker := len(c.arrivalsOf[request.ID]) == 0
+	return request.ConnectionLostAt > 0 && request.ConnectionLostAt-request.SentAt <= closeRaceWindow && reachedNoWorker
 }
 
-// crossedTermination is whether a request was sent to a front end that was ending, reached no worker and lost its
-// connection soon: only the time tells whether it crossed the close.
-func (j *judge) crossedTermination(request *Request) bool {
-	isSoon := request.Lost > 0 && request.Lost-request.SentAt <= lateResponse
-	if !isSoon || len(j.arrivalsOf[request.ID]) > 0 {
+// mayHaveCrossedTermination reports whether a request was sent to a front end that was shutting down, reached no
+// worker and lost its connection within lateResponseGrace. Only the time tells whether such a request crossed the
+// close of its connection.
+func (c *checker) mayHaveCrossedTermination(request *Request) bool {
+	wasLostSoon := request.ConnectionLostAt > 0 && request.ConnectionLostAt-request.SentAt <= lateResponseGrace
+	if !wasLostSoon || len(c.arrivalsOf[request.ID]) > 0 {
 		return false
 	}
-	for _, end := range j.ends {
+	for _, end := range c.terminations {
 		if end.FrontEnd == request.FrontEnd && end.At <= request.SentAt && request.SentAt <= end.At+killAfter {
 			return true
 		}
@@ -137,9 +139,9 @@
 	return false
 }
 
-// pausedWithin is how long a front end did not run between two times.
-func (j *judge) pausedWithin(frontEnd int, from, to time.Duration) (paused time.Duration) {
-	for _, pause := range j.pauses {
+// pausedWithin returns how long a front end did not run between two times.
+func (c *checker) pausedWithin(frontEnd int, from, to time.Duration) (paused time.Duration) {
+	for _, pause := range c.pauses {
 		if pause.FrontEnd == frontEnd {
 			paused += max(0, min(to, pause.To)-max(from, pause.From))
 		}
@@ -147,90 +149,92 @@
 	return paused
 }
 
-// checkExecutions holds that nothing is executed twice where that does harm, and that no rejection promises too much.
-func (j *judge) checkExecutions(request *Request) {
+// checkExecutions checks that a request which may have been executed is sent again only where its class allows it, and
+// is rejected only if it is safe to execute again: a rejection tells the client that it may send the request retry.
+func (c *checker) checkExecutions(request *Request) {
 	class := classes[request.Class]
 	var first *Arrival
-	for _, arrival := range j.arrivalsOf[request.ID] {
+	for _, arrival := range c.arrivalsOf[request.ID] {
 		if first != nil {
-			j.checkRepeat(request, class, first, arrival)
+			c.checkRetry(request, class, first, arrival)
 		}
-		if first == nil && !arrival.NotRun {
+		if first == nil && !arrival.NotExecuted {
 			first = arrival
 		}
 	}
-	for _, answer := range request.Answers {
-		if answer.Outcome == Rejected && first != nil && class.repeat != repeatAnywhere {
-			j.report("duplicate", "%s was rejected although it may have run at %s", request.ID, first.Worker)
+	for _, response := range request.Responses {
+		if response.Outcome == Rejected && first != nil && class.retryRule != retryAnywhere {
+			c.report("duplicate", "%s was rejected although %s may have executed it", request.ID, first.Worker)
 		}
 	}
 }
 
-// checkRepeat checks an attempt of what may have run.
-func (j *judge) checkRepeat(request *Request, class class, first, again *Arrival) {
-	age := again.At - first.At
+// checkRetry checks an attempt of a request that an earlier attempt, first, may have executed.
+func (c *checker) checkRetry(request *Request, class class, first, retry *Arrival) {
+	age := retry.At - first.At
 	switch {
-	case class.repeat == repeatNever:
-		j.report("duplicate", "%s was sent again after %v, to %s after %s", request.ID, age, again.Worker, first.Worker)
-	case class.repeat == repeatByKey && again.Cell != first.Cell:
-		j.report("duplicate", "%s was sent again outside its cell, to %s after %s", request.ID, again.Worker, first.Worker)
-	case class.repeat == repeatByKey && age > keyRetention+slack:
-		j.reportTimed("duplicate", "%s was sent again %v after its first attempt, to %s", request.ID, age, again.Worker)
+	case class.retryRule == retryNever:
+		c.report("duplicate", "%s was sent again after %v, to %s after %s", request.ID, age, retry.Worker, first.Worker)
+	case class.retryRule == retryWithKey && retry.Cell != first.Cell:
+		c.report("duplicate", "%s was sent again outside its cell, to %s after %s", request.ID, retry.Worker, first.Worker)
+	case class.retryRule == retryWithKey && age > keyRetention+timingSlack:
+		c.reportTimed("duplicate", "%s was sent again %v after its first attempt, to %s", request.ID, age, retry.Worker)
 	}
 }
 
-// checkCancel holds that no attempt begins once the client has left.
-func (j *judge) checkCancel(request *Request) {
-	if request.GivenUp == 0 {
+// checkCancel checks that no attempt begins later than cancelGrace after the client abandoned the request.
+func (c *checker) checkCancel(request *Request) {
+	if request.AbandonedAt == 0 {
 		return
 	}
-	for _, arrival := range j.arrivalsOf[request.ID] {
-		if late := arrival.At - request.GivenUp; late > cancelGrace+slack {
-			j.reportTimed("lost", "%s was sent to %s %v after its client left", request.ID, arrival.Worker, late)
+	for _, arrival := range c.arrivalsOf[request.ID] {
+		if late := arrival.At - request.AbandonedAt; late > cancelGrace+timingSlack {
+			c.reportTimed("lost", "%s was sent to %s %v after its client abandoned it", request.ID, arrival.Worker, late)
 		}
 	}
 }
 
-// checkTTL holds that a worker is told no more time than the client has left.
-func (j *judge) checkTTL(request *Request) {
-	for _, arrival := range j.arrivalsOf[request.ID] {
-		left := request.SentAt + request.Wait - arrival.At
-		if excess := arrival.TTL - max(0, left); excess > ttlSlack+slack {
-			j.reportTimed("ttl", "%s, sent to front end %d at %v, had %v left at %v and was sent with %v",
+// checkTTL checks that the TTL of each attempt does not exceed the time left to the client by more than ttlTolerance.
+func (c *checker) checkTTL(request *Request) {
+	for _, arrival := range c.arrivalsOf[request.ID] {
+		left := request.SentAt + request.Timeout - arrival.At
+		if excess := arrival.TTL - max(0, left); excess > ttlTolerance+timingSlack {
+			c.reportTimed("ttl", "%s, sent to front end %d at %v, had %v left at %v but was sent to a worker with a TTL of %v",
 				request.ID, request.FrontEnd, request.SentAt, left, arrival.At, arrival.TTL)
 		}
 	}
 }
 
-// checkTerminations holds that a front end that was told to end does so before the platform may kill it.
-func (j *judge) checkTerminations() {
-	for _, end := range j.ends {
+// checkTerminations checks that each front end ended within killAfter of SIGTERM, when the platform may kill it.
+func (c *checker) checkTerminations() {
+	for _, end := range c.terminations {
 		if end.Killed {
-			j.reportTimed("process", "front end %d, told to end at %v, had not ended %v later", end.FrontEnd, end.At, killAfter)
+			c.reportTimed("process", "front end %d, sent SIGTERM at %v, had not exited %v later", end.FrontEnd, end.At, killAfter)
 		}
 	}
 }
 
-// checkDrains holds that a worker gets nothing new once front ends were told that it drains.
-func (j *judge) checkDrains() {
-	for _, arrival := range j.arrivals {
-		if late, isLate := j.afterDrain(arrival.Worker, arrival.At); isLate {
-			j.reportTimed("drain", "%s was sent to %s %v after the grace", arrival.RequestID, arrival.Worker, late)
+// checkDrains checks that no worker receives attempts or load orders later than drainGrace after front ends were
+// notified that it drains.
+func (c *checker) checkDrains() {
+	for _, arrival := range c.arrivals {
+		if late, isLate := c.timeAfterDrain(arrival.Worker, arrival.At); isLate {
+			c.reportTimed("drain", "%s was sent to %s %v after the drain grace", arrival.RequestID, arrival.Worker, late)
 		}
 	}
-	for _, order := range j.orders {
-		if late, isLate := j.afterDrain(order.Worker, order.At); isLate {
-			j.reportTimed("drain", "an order to load was sent to %s %v after the grace", order.Worker, late)
+	for _, order := range c.loadOrders {
+		if late, isLate := c.timeAfterDrain(order.Worker, order.At); isLate {
+			c.reportTimed("drain", "a load order was sent to %s %v after the drain grace", order.Worker, late)
 		}
 	}
 }
 
-// afterDrain is how long after the grace of a drain something was sent to a worker.
-func (j *judge) afterDrain(worker string, at time.Duration) (late time.Duration, isLate bool) {
-	notice := j.notices[worker]
+// timeAfterDrain returns how long after the end of a worker's drain grace a time is, and whether it is after the end.
+func (c *checker) timeAfterDrain(worker string, at time.Duration) (late time.Duration, isLate bool) {
+	notice := c.notices[worker]
 	if notice == nil {
 		return 0, false
 	}
-	late = at - notice.At - drainGrace - slack
+	late = at - notice.At - drainGrace - timingSlack
 	return late, late > 0
 }
--- a/lab/soak/judge_test.go
+++ b/lab/soak/judge_test.go
@@ -9,84 +9,84 @@
 
 const ms = time.Millisecond
 
-// sentRequest is a request to front end 0 that was sent at 1 s and served.
+// sentRequest returns a request to front end 0 that was sent at 1 s and served.
 func sentRequest(class ClassName) *Request {
 	return &Request{
-		ID: "a", Class: class, SentAt: time.Second, Wait: 2 * time.Second,
-		Answers: []Response{{At: 1200 * ms, Outcome: Served, Echoed: true}},
+		ID: "a", Class: class, SentAt: time.Second, Timeout: 2 * time.Second,
+		Responses: []Response{{At: 1200 * ms, Outcome: Served, BodyMatches: true}},
 	}
 }
 
-// arrivalAt is an attempt of it that a worker of a cell received.
+// arrivalAt returns an attempt of sentRequest's request that a worker received.
 func arrivalAt(at time.Duration, worker string, cell int) *Arrival {
 	return &Arrival{At: at, RequestID: "a", Worker: worker, Cell: cell, TTL: time.Second}
 }
 
-// Each broken rule is found, and what just keeps it is not.
-func TestJudge_EachRule_IsFoundWhenBrokenOnly(t *testing.T) {
+// Each rule's violation is reported, and a history that just keeps within the limit is not.
+func TestCheckHistory_EachRule_IsReportedOnlyWhenBroken(t *testing.T) {
 	cases := map[string]struct {
 		class    ClassName
 		change   func(h *History, request *Request)
 		arrivals []*Arrival
-		want     string // the rule, empty: none is broken
+		want     string // the rule that is broken; empty if none is
 	}{
 		"served": {class: Charge, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1)}},
 		"no response": {class: Quote, want: "lost", change: func(_ *History, r *Request) {
-			r.Answers = nil
-			r.Lost = 2 * time.Second
+			r.Responses = nil
+			r.ConnectionLostAt = 2 * time.Second
 		}},
-		"no response, its client left": {class: Quote, change: func(_ *History, r *Request) {
-			r.Answers = nil
-			r.GivenUp = 1500 * ms
+		"no response, abandoned by its client": {class: Quote, change: func(_ *History, r *Request) {
+			r.Responses = nil
+			r.AbandonedAt = 1500 * ms
 		}},
 		"no response, its front end was killed": {class: Quote, change: func(h *History, r *Request) {
-			r.Answers = nil
+			r.Responses = nil
 			h.pauses = []*Pause{{From: 1500 * ms, To: 2 * time.Second, Killed: true}}
 		}},
 		"no response, another front end was killed": {class: Quote, want: "lost", change: func(h *History, r *Request) {
-			r.Answers = nil
+			r.Responses = nil
 			h.pauses = []*Pause{{FrontEnd: 1, From: 1500 * ms, To: 2 * time.Second, Killed: true}}
 		}},
 		"crossed the close of its connection": {class: Quote, change: func(_ *History, r *Request) {
-			r.Answers = nil
-			r.Lost = r.SentAt + 40*ms
+			r.Responses = nil
+			r.ConnectionLostAt = r.SentAt + 40*ms
 		}},
-		"two responses": {class: Quote, want: "lost", change: func(_ *History, r *Request) { r.Answers = append(r.Answers, r.Answers[0]) }},
-		"a body that no worker made": {class: Quote, want: "lost", change: func(_ *History, r *Request) {
-			r.Answers[0].Echoed = false
+		"two responses": {class: Quote, want: "lost", change: func(_ *History, r *Request) { r.Responses = append(r.Responses, r.Responses[0]) }},
+		"a body that no worker returned": {class: Quote, want: "lost", change: func(_ *History, r *Request) {
+			r.Responses[0].BodyMatches = false
 		}},
-		"late, but within half a second": {class: Quote, change: func(_ *History, r *Request) { r.Answers[0].At = 3500 * ms }},
-		"too late":                       {class: Quote, want: "lost", change: func(_ *History, r *Request) { r.Answers[0].At = 3600 * ms }},
-		"as late as its front end was stopped": {class: Quote, change: func(h *History, r *Request) {
-			r.Answers[0].At = 3600 * ms
+		"late, but within half a second": {class: Quote, change: func(_ *History, r *Request) { r.Responses[0].At = 3500 * ms }},
+		"too late":                       {class: Quote, want: "lost", change: func(_ *History, r *Request) { r.Responses[0].At = 3600 * ms }},
+		"as late as its front end was paused": {class: Quote, change: func(h *History, r *Request) {
+			r.Responses[0].At = 3600 * ms
 			h.pauses = []*Pause{{From: 2 * time.Second, To: 2100 * ms}}
 		}},
-		"idempotent, twice":     {class: Quote, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1900*ms, "w2", 2)}},
-		"non-idempotent, twice": {class: Charge, want: "duplicate", arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1100*ms, "w2", 1)}},
-		"non-idempotent, the first one did not run": {
+		"idempotent, sent twice":     {class: Quote, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1900*ms, "w2", 2)}},
+		"non-idempotent, sent twice": {class: Charge, want: "duplicate", arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1100*ms, "w2", 1)}},
+		"non-idempotent, first attempt not executed": {
 			class: Charge, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1100*ms, "w2", 1)},
-			change: func(h *History, _ *Request) { h.notRun[executionKey{"a", "w1"}] = 1 },
+			change: func(h *History, _ *Request) { h.notExecuted[executionKey{"a", "w1"}] = 1 },
 		},
-		"keyed, in its cell and time":    {class: Status, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1760*ms, "w2", 1)}},
-		"keyed, after its key's time":    {class: Status, want: "duplicate", arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1761*ms, "w2", 1)}},
-		"keyed, in another cell":         {class: Status, want: "duplicate", arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1100*ms, "w2", 2)}},
-		"rejected after it may have run": {class: Charge, want: "duplicate", arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1)}, change: rejected},
-		"rejected, may run anywhere":     {class: Quote, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1)}, change: rejected},
-		"sent after its client left": {class: Quote, want: "lost", arrivals: []*Arrival{arrivalAt(1311*ms, "w1", 1)}, change: func(_ *History, r *Request) {
-			r.GivenUp = 1160 * ms
+		"keyed, in its cell within its key's retention": {class: Status, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1760*ms, "w2", 1)}},
+		"keyed, after its key's retention":              {class: Status, want: "duplicate", arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1761*ms, "w2", 1)}},
+		"keyed, in another cell":                        {class: Status, want: "duplicate", arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1), arrivalAt(1100*ms, "w2", 2)}},
+		"rejected after it may have been executed":      {class: Charge, want: "duplicate", arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1)}, change: rejected},
+		"rejected, safe to execute again":               {class: Quote, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1)}, change: rejected},
+		"sent after the cancellation grace": {class: Quote, want: "lost", arrivals: []*Arrival{arrivalAt(1311*ms, "w1", 1)}, change: func(_ *History, r *Request) {
+			r.AbandonedAt = 1160 * ms
 		}},
-		"sent just after its client left": {class: Quote, arrivals: []*Arrival{arrivalAt(1310*ms, "w1", 1)}, change: func(_ *History, r *Request) {
-			r.GivenUp = 1160 * ms
+		"sent within the cancellation grace": {class: Quote, arrivals: []*Arrival{arrivalAt(1310*ms, "w1", 1)}, change: func(_ *History, r *Request) {
+			r.AbandonedAt = 1160 * ms
 		}},
-		"sent with more time than is left": {class: Quote, want: "ttl", arrivals: []*Arrival{{At: 2201 * ms, RequestID: "a", Worker: "w1", TTL: time.Second}}},
-		"sent with the time that is left":  {class: Quote, arrivals: []*Arrival{{At: 2200 * ms, RequestID: "a", Worker: "w1", TTL: time.Second}}},
-		"sent after a drain":               {class: Quote, want: "drain", arrivals: []*Arrival{arrivalAt(1651*ms, "w1", 1)}, change: draining},
-		"sent within the grace":            {class: Quote, arrivals: []*Arrival{arrivalAt(1650*ms, "w1", 1)}, change: draining},
-		"order to load after a drain": {class: Quote, want: "drain", change: func(h *History, r *Request) {
+		"sent with a TTL above the time left":  {class: Quote, want: "ttl", arrivals: []*Arrival{{At: 2201 * ms, RequestID: "a", Worker: "w1", TTL: time.Second}}},
+		"sent with a TTL within the tolerance": {class: Quote, arrivals: []*Arrival{{At: 2200 * ms, RequestID: "a", Worker: "w1", TTL: time.Second}}},
+		"sent after the drain grace":           {class: Quote, want: "drain", arrivals: []*Arrival{arrivalAt(1651*ms, "w1", 1)}, change: draining},
+		"sent within the drain grace":          {class: Quote, arrivals: []*Arrival{arrivalAt(1650*ms, "w1", 1)}, change: draining},
+		"load order after the drain grace": {class: Quote, want: "drain", change: func(h *History, r *Request) {
 			draining(h, r)
-			h.orders = []LoadOrder{{At: 1651 * ms, Worker: "w1"}}
+			h.loadOrders = []LoadOrder{{At: 1651 * ms, Worker: "w1"}}
 		}},
-		"a process that crashed": {class: Quote, want: "process", change: func(h *History, _ *Request) { h.Fault("front end 0 ended by itself") }},
+		"crashed process": {class: Quote, want: "process", change: func(h *History, _ *Request) { h.RecordViolation("front end 0 exited unexpectedly") }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 				c.change(history, request)
 			}
 			var rules []string
-			for _, violation := range Judge(history) {
+			for _, violation := range CheckHistory(history) {
 				rules = append(rules, violation.Rule)
 			}
 			if got := strings.Join(rules, " "); got != c.want {
@@ -107,20 +107,21 @@
 	}
 }
 
-// A request that was left without a response as its front end ended is told by times only where it may have crossed the close.
-func TestJudge_Termination_TellsWhatIsFoundByTimes(t *testing.T) {
+// A request that lost its connection while its front end shut down is a violation by time alone only if it may have
+// crossed the close of its connection.
+func TestCheckHistory_Termination_MarksTimedViolations(t *testing.T) {
 	cases := map[string]struct {
-		lostAfter time.Duration // 0: the request was served
+		lostAfter time.Duration // 0 if the request was served
 		arrivals  []*Arrival
 		killed    bool
-		rule      string // empty: none is broken
+		rule      string // the rule that is broken; empty if none is
 		timed     bool
 	}{
-		"ended when told":                          {},
+		"ended after SIGTERM":                      {},
 		"had to be killed":                         {killed: true, rule: "process", timed: true},
 		"request crossed the close":                {lostAfter: 50 * ms},
 		"request crossed the close late":           {lostAfter: 60 * ms, rule: "lost", timed: true},
-		"request lost long after it was sent":      {lostAfter: lateResponse + ms, rule: "lost"},
+		"request lost long after it was sent":      {lostAfter: lateResponseGrace + ms, rule: "lost"},
 		"request lost that had reached its worker": {lostAfter: 60 * ms, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1)}, rule: "lost"},
 	}
 	for name, c := range cases {
@@ -128,11 +129,11 @@
 			history, request := NewHistory(), sentRequest(Quote)
 			history.requests[request.ID] = request
 			history.arrivals = c.arrivals
-			history.ends = []*Termination{{At: 500 * ms, Killed: c.killed}}
+			history.terminations = []*Termination{{At: 500 * ms, Killed: c.killed}}
 			if c.lostAfter > 0 {
-				request.Answers, request.Lost = nil, request.SentAt+c.lostAfter
+				request.Responses, request.ConnectionLostAt = nil, request.SentAt+c.lostAfter
 			}
-			found := Judge(history)
+			found := CheckHistory(history)
 			if c.rule == "" {
 				if len(found) > 0 {
 					t.Errorf("found %v, want nothing", found)
@@ -140,19 +141,19 @@
 				return
 			}
 			if len(found) != 1 || found[0].Rule != c.rule || found[0].Timed != c.timed {
-				t.Errorf("found %+v, want one of rule %s, by times %v", found, c.rule, c.timed)
+				t.Errorf("found %+v, want one violation of rule %s with Timed %v", found, c.rule, c.timed)
 			}
 		})
 	}
 }
 
-func rejected(_ *History, request *Request) { request.Answers[0].Outcome = Rejected }
+func rejected(_ *History, request *Request) { request.Responses[0].Outcome = Rejected }
 
 func draining(history *History, _ *Request) {
 	history.notices["w1"] = &Notice{Worker: "w1", At: 1100 * ms}
 }
 
-// The faults are drawn by their weights, each of them at times.
+// Each kind of fault is drawn sometimes.
 func TestPickFault_DrawsEachKind(t *testing.T) {
 	seen := map[string]bool{}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -160,6 +161,6 @@
 		seen[pickFault(rng).name] = true
 	}
 	if len(seen) != len(faults) {
-		t.Errorf("%d of %d kinds were drawn", len(seen), len(faults))
+		t.Errorf("%d of %d kinds of faults were drawn", len(seen), len(faults))
 	}
 }
--- a/lab/soak/lag.go
+++ b/lab/soak/lag.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	lagInterval  = 5 * time.Millisecond
-	maxNotedLags = 20
+	lagInterval     = 5 * time.Millisecond
+	maxRecordedLags = 20
 )
 
-// lagMeter measures how late the soak itself runs, which notes all times: by as much a violation that is told by times may
-// be its own.
+// lagMeter measures how late goroutines of the soak's own process run. The soak takes the times of all observations, so
+// that its own lag can cause a timed violation.
 type lagMeter struct {
-	worst time.Duration
-	noted []string // when it was more than the slack of the rules; at most maxNotedLags
+	worst    time.Duration // the longest lag
+	recorded []string      // lags above timingSlack and their times, at most maxRecordedLags
 }
 
-// measure wakes up at short intervals until ctx ends, and notes by how much later than asked for.
+// measure sleeps for lagInterval repeatedly until ctx ends, and records how late it wakes up.
 func (m *lagMeter) measure(ctx context.Context, history *History) {
 	for ctx.Err() == nil {
 		due := history.Now() + lagInterval
 		time.Sleep(lagInterval)
 		lag := history.Now() - due
 		m.worst = max(m.worst, lag)
-		if lag > slack && len(m.noted) < maxNotedLags {
-			m.noted = append(m.noted, fmt.Sprintf("%v at %v", lag.Round(time.Millisecond), history.Now().Round(time.Millisecond)))
+		if lag > timingSlack && len(m.recorded) < maxRecordedLags {
+			m.recorded = append(m.recorded, fmt.Sprintf("%v at %v", lag.Round(time.Millisecond), history.Now().Round(time.Millisecond)))
 		}
 	}
 }
--- a/lab/soak/release.go
+++ b/lab/soak/release.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	maxReleasePart = 0.3 // of the workers, replaced within one release
-	releaseTime    = 2 * time.Second
+	maxRolloutShare = 0.3             // largest fraction of the workers that one rollout replaces
+	rolloutDuration = 2 * time.Second // in which the replacements begin
 )
 
-// releaseWorkers replaces many workers within a short time.
-func releaseWorkers(ctx context.Context, r *run, drawn *draw) {
-	count := 1 + int(drawn.rng.Float64()*maxReleasePart*float64(r.config.Workers))
+// rolloutWorkers replaces many workers within a short time, as a rollout of a new release does.
+func rolloutWorkers(ctx context.Context, r *run, params *faultParams) {
+	count := 1 + int(params.rng.Float64()*maxRolloutShare*float64(r.config.Workers))
 	var replacements sync.WaitGroup
 	for range count {
-		each := &draw{rng: rand.New(rand.NewPCG(drawn.rng.Uint64(), 0)), length: drawn.length}
+		each := &faultParams{rng: rand.New(rand.NewPCG(params.rng.Uint64(), 0)), duration: params.duration}
 		replacements.Go(func() { replaceWorker(ctx, r, each) })
-		sleep(ctx, releaseTime/time.Duration(count))
+		sleep(ctx, rolloutDuration/time.Duration(count))
 	}
 	replacements.Wait()
 }
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -12,29 +12,29 @@
 	"time"
 )
 
-// Config is one run.
+// Config configures one run.
 type Config struct {
-	Seed      uint64
+	Seed      uint64 // of the faults and the clients' requests
 	FrontEnds int
 	Workers   int
 	Cells     int
-	Length    time.Duration
-	Command   func() *exec.Cmd  // starts a front end, which reads its configuration's path from RELAY_CONFIG
-	LogDir    string            // keeps the front ends' logs; empty: a temporary directory that is removed
-	Notes     func(text string) // told of each fault as it begins; nil: nobody
+	Length    time.Duration     // for which clients send requests and faults are injected
+	Command   func() *exec.Cmd  // returns a front end's command, to which RELAY_CONFIG names its configuration file
+	LogDir    string            // where the front ends' logs are kept; empty for a temporary directory that is removed
+	Notes     func(text string) // called for each fault as it begins, and for its steps; may be nil
 }
 
-// Report is what became of a run.
+// Report summarizes a run.
 type Report struct {
 	Requests, Served, Rejected, Failed, Cancelled int
-	Arrivals, Repeats                             int
-	Faults                                        map[string]int
+	Arrivals, Repeats                             int            // attempts, and those after a request's first one
+	Faults                                        map[string]int // number of injected faults by name
 	Violations                                    []Violation
-	WorstLag                                      time.Duration // of the soak itself
-	NotedLags                                     []string      // when it was more than the slack of the rules
+	WorstLag                                      time.Duration // the longest lag of the soak's own process; see lagMeter
+	NotedLags                                     []string      // lags above timingSlack, at most maxRecordedLags
 }
 
-// run is a run under way.
+// run is a run in progress.
 type run struct {
 	config         Config
 	history        *History
@@ -44,30 +44,31 @@
 	frontEnds      []*frontEnd
 	tasks          sync.WaitGroup
 	requests       atomic.Uint64
-	lag            lagMeter // of the goroutine that measures, until the tasks have ended
+	lag            lagMeter // owned by the measuring goroutine until tasks have ended
 	stopOnce       sync.Once
 
-	mu      sync.Mutex
-	workers []*worker // but those being replaced, which their fault closes
-	nextID  uint32
-	busy    map[*frontEnd]bool // a signal or restart is under way
-	played  map[string]int
+	mu          sync.Mutex
+	workers     []*worker // except those being replaced, which replaceWorker closes
+	nextID      uint32
+	busy        map[*frontEnd]bool // a fault that signals or restarts the front end is in progress
+	faultCounts map[string]int     // by name
 }
 
-// lateConnectTimeout lets connections come up that were held back: the system sends a SYN again after a second.
+// lateConnectTimeout lets connections that were held back be established: the system retransmits a SYN after one
+// second. Runs with an even seed use it in place of connectTimeout.
 const lateConnectTimeout = 1500 * time.Millisecond
 
-// noHealthChecksEvery gives the runs whose settings forbid health checks: one seed in so many.
+// noHealthChecksEvery selects the runs whose settings forbid health checks: the seeds that it divides.
 const noHealthChecksEvery = 4
 
-// Run plays one run and judges it. An error is about the run itself.
+// Run executes one run and checks its history. An error means that the run itself failed, not that a rule was broken.
 func Run(ctx context.Context, config Config) (Report, error) {
 	r := &run{
 		config:         config,
 		history:        NewHistory(),
 		connectTimeout: connectTimeout,
 		busy:           map[*frontEnd]bool{},
-		played:         map[string]int{},
+		faultCounts:    map[string]int{},
 	}
 	if config.Seed%2 == 0 {
 		r.connectTimeout = lateConnectTimeout
@@ -82,10 +83,11 @@
 	if err != nil {
 		return Report{}, err
 	}
-	r.play(ctx)
+	r.runClientsAndFaults(ctx)
 	return r.report(), nil
 }
 
+// makeDirectory creates the directory of configurations and logs. The function remove removes it if it is temporary.
 func (r *run) makeDirectory() (remove func(), err error) {
 	if r.config.LogDir != "" {
 		r.directory = filepath.Join(r.config.LogDir, fmt.Sprintf("seed-%d", r.config.Seed))
@@ -95,7 +97,7 @@
 	return func() { _ = os.RemoveAll(r.directory) }, err
 }
 
-// start starts everything.
+// start starts discovery, the workers and the front ends.
 func (r *run) start() error {
 	var err error
 	if r.endpoints, err = startEndpoints(r.history); err != nil {
@@ -123,18 +125,18 @@
 	return nil
 }
 
-// runsStarted counts the runs of this process.
+// runsStarted counts the runs of this process, which may overlap.
 var runsStarted atomic.Int64
 
-// subnet is the loopback network of a run's front ends: no other run has it, and no connection has an end in it, so that
-// a front end finds its address free again after a restart.
+// subnet returns the prefix of the loopback addresses of a run's front ends. Concurrent runs have different ones, and
+// no outgoing connection has its local address there, so that a front end finds its address free after a restart.
 func subnet() string {
 	number := os.Getpid()*64 + int(runsStarted.Add(1))%64
 	return fmt.Sprintf("127.%d.%d", 64+number%128, number/128%250)
 }
 
-// play plays clients and faults for the run's length, and lets what is open end.
-func (r *run) play(ctx context.Context) {
+// runClientsAndFaults runs the clients and injects faults for the run's length, and waits until all of them have ended.
+func (r *run) runClientsAndFaults(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.Length)
 	defer cancel()
 	r.tasks.Go(func() { r.lag.measure(ctx, r.history) })
@@ -142,36 +144,38 @@
 	for i, f := range r.frontEnds {
 		for n := range clientsPerFrontEnd {
 			c := &client{run: r, frontEnd: f, rng: rand.New(rand.NewPCG(r.config.Seed, uint64(1000+i*clientsPerFrontEnd+n)))}
-			clients.Go(func() { c.loop(ctx) })
+			clients.Go(func() { c.sendRequests(ctx) })
 		}
 	}
 	rng := rand.New(rand.NewPCG(r.config.Seed, 2))
 	for n := uint64(0); ctx.Err() == nil; n++ {
 		sleep(ctx, time.Duration(rng.ExpFloat64()*float64(meanFaultGap)))
 		kind := pickFault(rng)
-		drawn := &draw{rng: rand.New(rand.NewPCG(r.config.Seed, 1<<32+n)), length: time.Duration(rng.Float64() * float64(maxFault))}
-		r.note(kind.name, drawn.length)
-		faults.Go(func() { kind.play(ctx, r, drawn) })
+		params := &faultParams{rng: rand.New(rand.NewPCG(r.config.Seed, 1<<32+n)), duration: time.Duration(rng.Float64() * float64(maxFaultDuration))}
+		r.recordFault(kind.name, params.duration)
+		faults.Go(func() { kind.inject(ctx, r, params) })
 	}
 	faults.Wait()
 	clients.Wait()
 }
 
-func (r *run) note(name string, length time.Duration) {
+// recordFault counts a fault that begins and reports it.
+func (r *run) recordFault(name string, length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.played[name]++
-	r.notef("%s for %v", name, length.Round(time.Millisecond))
+	r.faultCounts[name]++
+	r.logf("%s for %v", name, length.Round(time.Millisecond))
 }
 
-// notef reports something that is done to the installation.
-func (r *run) notef(format string, args ...any) {
+// logf passes a line with the time of the run to Config.Notes.
+func (r *run) logf(format string, args ...any) {
 	if r.config.Notes != nil {
 		r.config.Notes(fmt.Sprintf("%v ", r.history.Now().Round(time.Millisecond)) + fmt.Sprintf(format, args...))
 	}
 }
 
-// stopFrontEnds ends all front ends with SIGTERM, so that their logs are complete. Only the first call has an effect.
+// stopFrontEnds terminates all front ends and waits for the background tasks, so that the front ends' logs are read to
+// their end. Only the first call has an effect.
 func (r *run) stopFrontEnds() {
 	r.stopOnce.Do(func() {
 		var ends sync.WaitGroup
@@ -183,7 +187,7 @@
 	})
 }
 
-// stop ends all that was started.
+// stop stops everything that start started. It also works after a failed start.
 func (r *run) stop() {
 	r.stopFrontEnds()
 	r.mu.Lock()
@@ -197,31 +201,32 @@
 	}
 }
 
-// nextRequest returns the number of a request that no other of the run has.
+// nextRequest returns the next request's number, which is unique within the run.
 func (r *run) nextRequest() uint64 { return r.config.Seed<<32 + r.requests.Add(1) }
 
-// addWorker starts a worker, nil if that fails.
+// addWorker starts a worker. It returns nil, and records the error as a violation, if the worker cannot start.
 func (r *run) addWorker(cell int, startedMillis int64, rng *rand.Rand) *worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nextID++
 	w, err := startWorker(r.history, r.nextID, cell, startedMillis, rand.New(rand.NewPCG(rng.Uint64(), 0)))
 	if err != nil {
-		r.history.Fault(err.Error())
+		r.history.RecordViolation(err.Error())
 		return nil
 	}
 	r.workers = append(r.workers, w)
 	return w
 }
 
-// pickWorker draws one of the workers.
+// pickWorker draws a worker at random.
 func (r *run) pickWorker(rng *rand.Rand) *worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.workers[rng.IntN(len(r.workers))]
 }
 
-// removeWorker removes one of the workers out, nil if too many were taken out lately.
+// removeWorker draws a worker at random and takes it off the list, for the caller to close. It returns nil if no more
+// than half of the configured workers are left.
 func (r *run) removeWorker(rng *rand.Rand) *worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -234,7 +239,8 @@
 	return w
 }
 
-// acquireFrontEnd draws a front end to which nothing is done yet, nil if there is none.
+// acquireFrontEnd draws a front end at random and marks it as busy. It returns nil if the front end drawn is busy
+// already.
 func (r *run) acquireFrontEnd(rng *rand.Rand) *frontEnd {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -246,30 +252,30 @@
 	return f
 }
 
-// release ends what acquireFrontEnd began.
-func (r *run) release(f *frontEnd) {
+// releaseFrontEnd ends the reservation that acquireFrontEnd made.
+func (r *run) releaseFrontEnd(f *frontEnd) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.busy, f)
 }
 
-// restart starts a front end that has ended.
+// restart starts the process of an acquired front end that has ended, calls resumed and releases the front end.
 func (r *run) restart(f *frontEnd, resumed func()) {
-	defer r.release(f)
+	defer r.releaseFrontEnd(f)
 	if err := f.start(); err != nil {
-		r.history.Fault(err.Error())
+		r.history.RecordViolation(err.Error())
 	}
 	resumed()
 }
 
-// report judges the run.
+// report checks the run's history and returns the run's totals.
 func (r *run) report() Report {
 	r.stopFrontEnds()
 	report := Report{
-		Faults:     r.played,
-		Violations: Judge(r.history),
+		Faults:     r.faultCounts,
+		Violations: CheckHistory(r.history),
 		WorstLag:   r.lag.worst,
-		NotedLags:  r.lag.noted,
+		NotedLags:  r.lag.recorded,
 	}
 	h := r.history
 	h.mu.Lock()
@@ -283,13 +289,13 @@
 		seen[arrival.RequestID] = true
 	}
 	for _, request := range h.requests {
-		if request.GivenUp > 0 {
+		if request.AbandonedAt > 0 {
 			report.Cancelled++
 		}
-		if len(request.Answers) == 0 {
+		if len(request.Responses) == 0 {
 			continue
 		}
-		switch request.Answers[0].Outcome {
+		switch request.Responses[0].Outcome {
 		case Served:
 			report.Served++
 		case Rejected:
--- a/lab/soak/settings.go
+++ b/lab/soak/settings.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Names of the only zone and kind of worker.
+// Names of the only zone and of the only kind of worker.
 const (
 	zoneName = "room"
 	kindName = "std"
 )
 
-// Limits of a front end's process.
+// Resource limits in a front end's configuration.
 const (
 	memoryMB    = 192
-	descriptors = 512
+	descriptors = 512 // sockets
 )
 
-// frontEndSettings are what differs between the configurations of front ends.
+// frontEndSettings holds the parts of the configuration that vary between front ends, runs or starts.
 type frontEndSettings struct {
 	index, count    int
-	listen          string // address
-	discovery       string // address
+	listen          string // address for clients
+	discovery       string // address of the endpoint stream's server
 	seed            uint64
 	connectTimeout  time.Duration
-	hasHealthChecks bool // they are allowed
-	known           knownEndpoints
+	hasHealthChecks bool           // the front end may send health checks
+	known           knownEndpoints // the endpoint list at the start
 }
 
-// json is the platform's configuration of the front end.
+// json returns the front end's configuration in the platform's format.
 func (f frontEndSettings) json() ([]byte, error) {
 	var classList []map[string]any
 	for _, name := range classNames {
 		class := classes[name]
 		settings := map[string]any{
-			"name": name, "deadline": millis(class.deadline), "onTime": millis(class.deadline / 2), "repeat": class.platform, "worth": 2.0,
+			"name": name, "deadline": millis(class.deadline), "onTime": millis(class.deadline / 2), "repeat": class.platformRule, "worth": 2.0,
 		}
-		if class.repeat == repeatByKey {
+		if class.retryRule == retryWithKey {
 			settings["keyScope"] = "cell"
 			settings["memorySpan"] = millis(keyRetention)
 		}
@@ -62,10 +62,11 @@
 	})
 }
 
-// millis is a time as the platform writes it.
+// millis returns a duration in milliseconds, the unit of the platform's configuration.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// knownEndpoints are the endpoints that a front end is told at its start, as one event with the whole list.
+// knownEndpoints is the part of the configuration with the endpoints known at the start, as one event with the whole
+// list.
 type knownEndpoints struct {
 	LastNumber uint64       `json:"no"`
 	Events     []knownEvent `json:"items"`
--- a/lab/soak/terminate.go
+++ b/lab/soak/terminate.go
@@ -7,58 +7,60 @@
 	"time"
 )
 
-// The terms of a planned restart, as the platform has them.
+// Terms of a planned restart. The platform sets them.
 const (
-	killAfter           = 3*time.Second + 700*time.Millisecond // after SIGTERM: the longest deadline of the classes, and 0.7 s
-	leastConnectsAfter  = 200 * time.Millisecond               // after SIGTERM, until which clients connect anew at least
-	spreadConnectsAfter = 200 * time.Millisecond               // and up to so much longer
-	maxFurtherSignals   = 3
+	killAfter           = 3*time.Second + 700*time.Millisecond // after SIGTERM: the longest deadline and 0.7 s
+	minConnectPeriod    = 200 * time.Millisecond               // shortest time for which clients connect after SIGTERM
+	connectPeriodSpread = 200 * time.Millisecond               // largest random extension of minConnectPeriod
+	maxFurtherSignals   = 3                                    // between SIGTERM and the kill
 )
 
-// timedSignal is a signal that follows on SIGTERM.
+// timedSignal is a signal that follows the first SIGTERM after a time.
 type timedSignal struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
-// furtherSignals draws what follows on SIGTERM before the kill: it must change nothing.
-func furtherSignals(draw *draw) []timedSignal {
-	signals := make([]timedSignal, draw.rng.IntN(maxFurtherSignals+1))
+// drawFurtherSignals draws signals to be sent between the first SIGTERM and the kill. They must not change the front
+// end's shutdown.
+func drawFurtherSignals(params *faultParams) []timedSignal {
+	signals := make([]timedSignal, params.rng.IntN(maxFurtherSignals+1))
 	for i := range signals {
 		signals[i] = timedSignal{
-			after:  time.Duration(draw.rng.Float64() * float64(killAfter)),
-			signal: []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[draw.rng.IntN(2)],
+			after:  time.Duration(params.rng.Float64() * float64(killAfter)),
+			signal: []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[params.rng.IntN(2)],
 		}
 	}
 	slices.SortFunc(signals, func(a, b timedSignal) int { return int(a.after - b.after) })
 	return signals
 }
 
-// restartFrontEnd tells a front end to end, as the platform does at a planned restart: clients connect for a while longer
-// and go on sending on open connections until the process has ended, or is killed at the earliest time that the platform
-// allows. What it has taken and not answered then is lost.
-func restartFrontEnd(_ context.Context, r *run, draw *draw) {
-	f := r.acquireFrontEnd(draw.rng)
+// restartFrontEnd terminates and restarts a front end as the platform does at a planned restart. Clients make new
+// connections for a while after SIGTERM, and send requests on open connections until the process ends. A process that
+// has not ended after killAfter, the earliest time at which the platform may kill it, is killed, and its unanswered
+// requests are lost.
+func restartFrontEnd(_ context.Context, r *run, params *faultParams) {
+	f := r.acquireFrontEnd(params.rng)
 	if f == nil {
 		return
 	}
-	r.notef("front end %d terminated", f.index)
-	signals := furtherSignals(draw)
-	f.expectEnd()
+	r.logf("front end %d sent SIGTERM", f.index)
+	signals := drawFurtherSignals(params)
+	f.expectExit()
 	killed := r.history.Terminated(f.index)
 	f.signal(syscall.SIGTERM)
-	stopConnects := time.AfterFunc(leastConnectsAfter+time.Duration(draw.rng.Float64()*float64(spreadConnectsAfter)), f.refuseConnects)
+	stopConnects := time.AfterFunc(minConnectPeriod+time.Duration(params.rng.Float64()*float64(connectPeriodSpread)), f.refuseConnects)
 	defer stopConnects.Stop()
 	began := time.Now()
 	for _, next := range signals {
-		if f.endsWithin(time.Until(began.Add(next.after))) {
+		if f.exitsWithin(time.Until(began.Add(next.after))) {
 			break
 		}
 		f.signal(next.signal)
 	}
-	if !f.endsWithin(time.Until(began.Add(killAfter))) {
+	if !f.exitsWithin(time.Until(began.Add(killAfter))) {
 		killed()
-		r.notef("front end %d killed after SIGTERM", f.index)
+		r.logf("front end %d killed as it had not exited after SIGTERM", f.index)
 		f.signal(syscall.SIGKILL)
 	}
 	<-f.exitedChannel()
@@ -66,8 +68,8 @@
 	r.restart(f, resumed)
 }
 
-// endsWithin waits for a time at most, and reports whether the process has ended.
-func (f *frontEnd) endsWithin(d time.Duration) bool {
+// exitsWithin waits until the process has ended, for d at most, and reports whether it has ended.
+func (f *frontEnd) exitsWithin(d time.Duration) bool {
 	timer := time.NewTimer(max(0, d))
 	defer timer.Stop()
 	select {
--- a/lab/soak/worker.go
+++ b/lab/soak/worker.go
@@ -16,39 +16,40 @@
 	"havencart/lab/platformworker"
 )
 
-// The times of an emulated worker.
+// Durations of an emulated worker's operations.
 const (
-	meanRunTime = 40 * time.Millisecond
-	loadTime    = 150 * time.Millisecond
+	meanRunTime = 40 * time.Millisecond  // of an execution
+	loadTime    = 150 * time.Millisecond // of loading a function
 )
 
-// behavior is how a worker answers.
+// behavior is how a worker responds to frames.
 type behavior int32
 
 const (
-	serves     behavior = iota
-	isSilent            // takes requests and answers none
-	fails               // answers each with an error: it may have run
-	overloaded          // answers each that it is overloaded: it did not run
-	breaksOff           // closes the connection in place of an answer
+	respondsNormally   behavior = iota // executes requests and loads functions
+	neverResponds                      // responds to no frame
+	respondsWithError                  // responds to requests with an error, after which they may have been executed
+	respondsOverloaded                 // responds to requests that it is overloaded and did not execute them
+	resetsConnection                   // resets the connection in place of a response to a request
 )
 
-// worker is an emulated worker behind a proxy. Arrivals are noted where a front end's bytes reach the proxy, as the
-// network between is part of what is emulated.
+// worker is an emulated worker behind a proxy, which emulates the network. Arrivals are recorded when a front end's
+// bytes reach the proxy, before any fault of the network affects them.
 type worker struct {
 	entry    endpointstream.Entry
 	history  *History
 	server   *platformworker.Server
 	proxy    *faultproxy.Proxy
 	behavior atomic.Int32
-	draining atomic.Bool    // it rejects new work
-	tasks    sync.WaitGroup // answers that are to come
+	draining atomic.Bool    // the worker rejects new work
+	tasks    sync.WaitGroup // delayed responses
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// startWorker starts a worker of a cell. started is in Unix milliseconds, 0 if it is not announced.
+// startWorker starts a worker in a cell. The time of its start that the endpoint list announces is given in Unix
+// milliseconds; 0 announces none.
 func startWorker(history *History, id uint32, cell int, started int64, rng *rand.Rand) (*worker, error) {
 	w := &worker{history: history, rng: rng}
 	var err error
@@ -68,49 +69,49 @@
 	return w, nil
 }
 
-// close ends the worker as the end of its machine does.
+// close ends the worker and its connections, as a failure of its machine does.
 func (w *worker) close() {
 	w.proxy.Close()
 	w.server.Close()
 	w.tasks.Wait()
 }
 
-// set changes how the worker answers.
-func (w *worker) set(b behavior) { w.behavior.Store(int32(b)) }
+// setBehavior changes how the worker responds.
+func (w *worker) setBehavior(b behavior) { w.behavior.Store(int32(b)) }
 
-// tap notes what front ends send on a connection.
+// tap returns a writer that records the frames which front ends send on one connection. It is a faultproxy.Tap.
 func (w *worker) tap() io.WriteCloser { return &frameTap{worker: w} }
 
-// frameTap notes the frames of one connection as their last byte is written to it, and so before they are forwarded: the
-// arrival of an attempt is noted before its answer can lead to another one.
+// frameTap records each frame of one connection when its last byte is written, before the proxy forwards it. So the
+// arrival of an attempt is recorded before the worker's response can cause another attempt.
 type frameTap struct {
-	worker *worker
-	rest   []byte // the begin of a frame
+	worker   *worker
+	buffered []byte // start of a frame that is not complete yet
 }
 
 // Write implements io.Writer.
-func (t *frameTap) Write(part []byte) (int, error) {
-	t.rest = append(t.rest, part...)
+func (t *frameTap) Write(chunk []byte) (int, error) {
+	t.buffered = append(t.buffered, chunk...)
 	for {
-		unread := bytes.NewReader(t.rest)
+		unread := bytes.NewReader(t.buffered)
 		frame, err := workerframe.NewReader(unread, workerframe.FromFrontEnd, workerframe.MaxBody).Next()
 		if err != nil {
-			return len(part), nil // not whole yet
+			return len(chunk), nil // the frame is not complete yet
 		}
-		t.rest = t.rest[len(t.rest)-unread.Len():]
-		t.worker.note(frame)
+		t.buffered = t.buffered[len(t.buffered)-unread.Len():]
+		t.worker.recordFrame(frame)
 	}
 }
 
 // Close implements io.Closer.
 func (t *frameTap) Close() error { return nil }
 
-// note notes a frame of a front end.
-func (w *worker) note(frame workerframe.Frame) {
+// recordFrame records the arrival of an attempt or a load order.
+func (w *worker) recordFrame(frame workerframe.Frame) {
 	switch frame.Code {
 	case workerframe.Request:
 		ttl, _ := workerframe.Count(frame.Fields, "ttl", 0)
-		w.history.Arrived(Arrival{
+		w.history.AttemptArrived(Arrival{
 			RequestID: requestID(frame.ID),
 			Worker:    w.entry.Name(),
 			Cell:      w.entry.Cell,
@@ -118,17 +119,17 @@
 		})
 	case workerframe.Load:
 		if platformworker.IsNewWork(frame) {
-			w.history.OrderedToLoad(w.entry.Name())
+			w.history.LoadOrderArrived(w.entry.Name())
 		}
 	}
 }
 
-// requestID is a request's identifier as clients write it.
+// requestID returns a request's identifier in the form that clients send, from its number in a worker's frame.
 func requestID(number uint64) string { return fmt.Sprintf("%016x", number) }
 
-// handle answers one frame. It is a platformworker.Script.
+// handle responds to one frame. It is a platformworker.Script.
 func (w *worker) handle(c *platformworker.Conn, frame workerframe.Frame) {
-	if behavior(w.behavior.Load()) == isSilent {
+	if behavior(w.behavior.Load()) == neverResponds {
 		return
 	}
 	draining := w.draining.Load()
@@ -144,53 +145,53 @@
 	}
 }
 
-// reject answers new work that the worker does not take on.
+// reject responds that the worker is overloaded and does not execute the request or load the function.
 func (w *worker) reject(c *platformworker.Conn, frame workerframe.Frame) {
 	if frame.Code == workerframe.Request {
-		w.history.NotRun(requestID(frame.ID), w.entry.Name())
+		w.history.NotExecuted(requestID(frame.ID), w.entry.Name())
 	}
 	c.Respond(workerframe.Frame{Code: workerframe.Overloaded, ID: frame.ID})
 }
 
 func (w *worker) handleRequest(c *platformworker.Conn, frame workerframe.Frame) {
 	switch behavior(w.behavior.Load()) {
-	case fails:
+	case respondsWithError:
 		c.Respond(workerframe.Frame{Code: workerframe.Error, ID: frame.ID})
-	case overloaded:
+	case respondsOverloaded:
 		w.reject(c, frame)
-	case breaksOff:
+	case resetsConnection:
 		c.Reset()
 	default:
-		w.later(w.runTime(), func() {
-			c.Respond(workerframe.Frame{Code: workerframe.OK, ID: frame.ID, Body: echo(requestID(frame.ID))})
+		w.runAfter(w.runTime(), func() {
+			c.Respond(workerframe.Frame{Code: workerframe.OK, ID: frame.ID, Body: responseBody(requestID(frame.ID))})
 		})
 	}
 }
 
 func (w *worker) handleLoad(c *platformworker.Conn, frame workerframe.Frame) {
 	replicas, _ := workerframe.Count(frame.Fields, "replicas", 0)
-	answer := workerframe.Frame{Code: workerframe.OK, ID: frame.ID, Fields: "replicas=" + strconv.Itoa(replicas)}
+	response := workerframe.Frame{Code: workerframe.OK, ID: frame.ID, Fields: "replicas=" + strconv.Itoa(replicas)}
 	if replicas == 0 {
-		c.Respond(answer)
+		c.Respond(response)
 		return
 	}
-	w.later(loadTime, func() { c.Respond(answer) })
+	w.runAfter(loadTime, func() { c.Respond(response) })
 }
 
-// later does something after a time; close waits for it.
-func (w *worker) later(d time.Duration, do func()) {
+// runAfter calls do after d, in a goroutine that close waits for.
+func (w *worker) runAfter(d time.Duration, do func()) {
 	w.tasks.Go(func() {
 		time.Sleep(d)
 		do()
 	})
 }
 
-// runTime draws the time of one execution.
+// runTime draws the duration of one execution.
 func (w *worker) runTime() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(w.rng.ExpFloat64() * float64(meanRunTime))
 }
 
-// echo is the body that a worker makes for a request.
-func echo(id string) []byte { return []byte("ran " + id) }
+// responseBody returns the body with which a worker responds to a request.
+func responseBody(id string) []byte { return []byte("ran " + id) }
--- a/lab/soak/worker_test.go
+++ b/lab/soak/worker_test.go
@@ -6,8 +6,8 @@
 	"havencart/internal/platform/workerframe"
 )
 
-// The frames come in parts, split at every byte.
-func TestFrameTap_AnySplit_NotesEachRequestOnce(t *testing.T) {
+// The tap recognizes frames that arrive in two writes, whatever byte they are split at.
+func TestFrameTap_AnySplit_RecordsEachRequestOnce(t *testing.T) {
 	var raw []byte
 	for _, frame := range []workerframe.Frame{
 		{Code: workerframe.Request, ID: 7, Fields: "lane=quote,ttl=1500", Body: []byte("body")},
@@ -25,14 +25,14 @@
 		tap := (&worker{history: history}).tap()
 		for _, part := range [][]byte{raw[:split], raw[split:]} {
 			if n, err := tap.Write(part); n != len(part) || err != nil {
-				t.Fatalf("written %d, %v", n, err)
+				t.Fatalf("wrote %d bytes, %v", n, err)
 			}
 		}
 		if len(history.arrivals) != 2 || history.arrivals[0].RequestID != requestID(7) || history.arrivals[1].TTL != 20*ms {
 			t.Fatalf("split at %d: %d arrivals", split, len(history.arrivals))
 		}
-		if len(history.orders) != 1 {
-			t.Fatalf("split at %d: %d orders", split, len(history.orders))
+		if len(history.loadOrders) != 1 {
+			t.Fatalf("split at %d: %d load orders", split, len(history.loadOrders))
 		}
 	}
 }
