--- a/lab/fleet/clients.go
+++ b/lab/fleet/clients.go
@@ -9,14 +9,14 @@
 	"havencart/lab/loadgen"
 )
 
-// Clients are the clients of a Fleet. They may be used by several goroutines.
+// Clients controls the demand of a Fleet's clients. It is safe for concurrent use.
 type Clients struct {
 	mu     sync.Mutex
-	source *loadgen.Source // of the run under way, nil before the first one
+	source *loadgen.Source // of the latest call of RunClients, nil before the first one
 }
 
-// change changes what the clients of the run under way ask for.
-func (c *Clients) change(f func(*loadgen.Demand)) error {
+// changeDemand changes the demand of the current run. It has no effect before the first run.
+func (c *Clients) changeDemand(f func(*loadgen.Demand)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.source == nil {
@@ -31,8 +31,8 @@
 	c.source = s
 }
 
-// RunClients sends requests of a mix for d, with arrivals drawn from seed and independent of the responses, and returns
-// when all have ended. It returns the number of requests by their outcomes, retries counted as one with their request.
+// RunClients sends requests of a mix for d and returns when all of them have ended. Arrivals are drawn from seed and do
+// not depend on the responses. The result is the number of requests by outcome; a request and its retries count as one.
 func (f *Fleet) RunClients(ctx context.Context, m loadgen.Mix, d time.Duration, seed uint64) map[string]int {
 	source := loadgen.ForSettings(m, d, f.Settings, seed)
 	f.Clients.setSource(source)
--- a/lab/fleet/clients_test.go
+++ b/lab/fleet/clients_test.go
@@ -14,9 +14,11 @@
 	"havencart/internal/gateway"
 )
 
+// TestClient_PipelinesTenAndClosesAfterThree_AllAccountedFor checks that each of the requests that a client abandons by
+// closing its connection is counted exactly once.
 func TestClient_PipelinesTenAndClosesAfterThree_AllAccountedFor(t *testing.T) {
 	fleet := start(t, smallConfig(2, 1))
-	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	waitUntil(t, "the endpoint list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
 	fleet.send(t, 0, newRequest("first", "unlock", time.Millisecond))
 	conn, err := net.Dial("tcp", fleet.FrontEnds[0].Pool().Address)
 	if err != nil {
@@ -40,42 +42,44 @@
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		if id := r.Header.Get("Call-Id"); id != fmt.Sprint("p", i) {
-			t.Errorf("answer %d is for %q", i, id)
+			t.Errorf("response %d is for %q", i, id)
 		}
 	}
 	_ = conn.Close()
 	service := fleet.FrontEnds[0].Service()
-	waitUntil(t, "every call to be accounted for", func() bool {
+	waitUntil(t, "every request to be accounted for", func() bool {
 		c := service.Counts()
 		return c.Admitted == 11 && c.Served+c.Rejected+c.Failed+c.Disconnected == 11
 	})
 	fleet.stopAndCheck(t)
-	// Where the client's goroutine stood still before it closed, some were called back from a worker silent for long.
+	// The number of disconnected requests varies: if this goroutine is delayed before it closes the connection, the front
+	// end can cancel some attempts before that, as their worker did not respond for long.
 	if c := fleet.FrontEnds[0].Counts(); c.Served != 4 || c.Disconnected == 0 || c.PastDeadline != 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("want 4 served, some disconnected and none past its deadline: %+v", c)
 	}
 }
 
-// TestStop_HundredsOfQueuedRequests_AllGetResponses: SIGTERM ends Run's context; each request has its one response.
+// TestStop_HundredsOfQueuedRequests_AllGetResponses checks that each request has exactly one response when Run's
+// context ends, as it does on SIGTERM.
 func TestStop_HundredsOfQueuedRequests_AllGetResponses(t *testing.T) {
 	cfg := smallConfig(1, 1)
 	cfg.Settings = "stop-wait 200ms\n" + cfg.Settings
 	fleet := start(t, cfg)
-	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	waitUntil(t, "the endpoint list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
 	fleet.commandWorkers(t, "hang on", 0)
 	var all sync.WaitGroup
 	for i := range 300 {
 		all.Go(func() {
 			c := newRequest(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], time.Millisecond)
-			c.Timeout = 20 * time.Second // as long as the class allows
-			if seen, err := fleet.FrontEnds[0].Pool().Do(c); err != nil || seen.Outcome == "" {
-				t.Errorf("call %d: %+v, %v", i, seen, err)
+			c.Timeout = 20 * time.Second // limited by the class's own timeout
+			if response, err := fleet.FrontEnds[0].Pool().Do(c); err != nil || response.Outcome == "" {
+				t.Errorf("request %d: %+v, %v", i, response, err)
 			}
 		})
 	}
 	service := fleet.FrontEnds[0].Service()
-	// On a busy machine the queue gate sheds some: these have their responses.
-	waitUntil(t, "the calls to be taken or shed", func() bool {
+	// On a busy machine the overload control sheds some requests, which then have their responses already.
+	waitUntil(t, "the requests to be admitted or shed", func() bool {
 		counts := service.Counts()
 		return counts.Admitted > 0 && counts.Admitted+counts.Shed == 300
 	})
@@ -86,12 +90,13 @@
 	fleet.stopAndCheck(t)
 }
 
-// TestFrontEnd_FullWithTwoHundredConnections_RejectsEach: each is rejected at once, none is lost.
+// TestFrontEnd_FullWithTwoHundredConnections_RejectsEach checks that a front end at its limit of open requests rejects
+// each further request with a retry delay, and loses none.
 func TestFrontEnd_FullWithTwoHundredConnections_RejectsEach(t *testing.T) {
 	cfg := smallConfig(1, 1)
 	cfg.Settings = "max-calls 5\n" + cfg.Settings
 	fleet := start(t, cfg)
-	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	waitUntil(t, "the endpoint list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
 	fleet.commandWorkers(t, "hang on", 0)
 	var all sync.WaitGroup
 	for i := range 5 {
@@ -100,20 +105,20 @@
 	service := fleet.FrontEnds[0].Service()
 	waitUntil(t, "the front end to be full", func() bool { return service.Counts().Admitted == 5 })
 	var mu sync.Mutex
-	refused := 0
+	rejected := 0
 	for i := range 200 {
 		all.Go(func() {
-			seen := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "unlock", time.Millisecond))
+			response := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "unlock", time.Millisecond))
 			mu.Lock()
 			defer mu.Unlock()
-			if seen.Outcome == "refused" && seen.RetryAfter > 0 {
-				refused++
+			if response.Outcome == "refused" && response.RetryAfter > 0 {
+				rejected++
 			}
 		})
 	}
 	all.Wait()
-	if refused != 200 {
-		t.Errorf("%d of 200 refused with advice", refused)
+	if rejected != 200 {
+		t.Errorf("%d of 200 requests rejected with a retry delay", rejected)
 	}
 	fleet.stopAndCheck(t)
 	if c := fleet.FrontEnds[0].Counts(); c.Shed != 200 {
@@ -121,11 +126,11 @@
 	}
 }
 
-// TestClient_SlowReaderOfLongResponse_DelaysNoOther: one client reads nothing of a long response, others are served by
-// the same worker meanwhile.
+// TestClient_SlowReaderOfLongResponse_DelaysNoOther checks that the same worker serves other clients while one client
+// reads nothing of a long response.
 func TestClient_SlowReaderOfLongResponse_DelaysNoOther(t *testing.T) {
 	fleet := start(t, smallConfig(1, 1))
-	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	waitUntil(t, "the endpoint list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
 	conn, err := net.Dial("tcp", fleet.FrontEnds[0].Pool().Address)
 	if err != nil {
 		t.Fatal(err)
@@ -134,10 +139,10 @@
 	body := "work 1ms reply 50000000"
 	_, _ = fmt.Fprintf(conn, "POST /call/quote-f HTTP/1.1\r\nHost: h\r\nCall-Class: quote\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	service := fleet.FrontEnds[0].Service()
-	waitUntil(t, "the long answer to begin", func() bool { return service.Counts().Served == 1 })
+	waitUntil(t, "the long response to begin", func() bool { return service.Counts().Served == 1 })
 	for i := range 50 {
-		if seen := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "unlock", time.Millisecond)); seen.Outcome != "served" {
-			t.Errorf("call %d: %+v", i, seen)
+		if response := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "unlock", time.Millisecond)); response.Outcome != "served" {
+			t.Errorf("request %d: %+v", i, response)
 		}
 	}
 	r, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -145,29 +150,30 @@
 		t.Fatal(err)
 	}
 	if n, err := io.Copy(io.Discard, r.Body); n != 50000000 || err != nil {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("read %d bytes, %v", n, err)
 	}
 	fleet.stopAndCheck(t)
 }
 
-// TestLoops_OfOneProcess_AreSeparateFrontEnds: each has its own connections and its own query of the endpoint list.
+// TestLoops_OfOneProcess_AreSeparateFrontEnds checks that each event loop acts as a front end of its own, with its own
+// connections and its own query of the endpoint list.
 func TestLoops_OfOneProcess_AreSeparateFrontEnds(t *testing.T) {
 	cfg := smallConfig(2, 1)
 	cfg.Loops = 3
 	fleet := start(t, cfg)
-	waitUntil(t, "three lists", func() bool { return len(fleet.Discovery.Updates()) >= 3 })
-	asked := map[string]bool{}
+	waitUntil(t, "three endpoint lists", func() bool { return len(fleet.Discovery.Updates()) >= 3 })
+	clients := map[string]bool{}
 	for _, n := range fleet.Discovery.Updates() {
-		asked[n.Client] = true
+		clients[n.Client] = true
 	}
-	if len(asked) != 3 {
-		t.Errorf("the directory was asked by %v", asked)
+	if len(clients) != 3 {
+		t.Errorf("discovery was queried by %v, want 3 clients", clients)
 	}
 	var all sync.WaitGroup
 	for i := range 30 {
 		all.Go(func() {
-			if seen := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "quote", time.Millisecond)); seen.Outcome != "served" {
-				t.Errorf("%+v", seen)
+			if response := fleet.send(t, 0, newRequest(fmt.Sprint("c", i), "quote", time.Millisecond)); response.Outcome != "served" {
+				t.Errorf("%+v", response)
 			}
 		})
 	}
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -14,7 +14,7 @@
 	"havencart/lab/scenario"
 )
 
-// DemoScenario is a short scenario with several faults.
+// DemoScenario is a short scenario with several kinds of faults.
 const DemoScenario = `
 at 2s  crash 25% for 2s
 at 4s  store-slow factor 3 for 2s
@@ -32,7 +32,7 @@
 end
 `
 
-// DemoClasses are the demo's settings without tenants: three classes as a scooter service has them.
+// DemoClasses are the demo's settings without tenants. They define three request classes of a scooter rental service.
 const DemoClasses = `
 keep-alive 10s
 max-retry-after 300ms
@@ -60,7 +60,7 @@
 end
 `
 
-// DemoWorker is the configuration of each worker of the demo.
+// DemoWorker returns the configuration of each worker of the demo.
 func DemoWorker() model.WorkerConfig {
 	return model.WorkerConfig{
 		Cores:              4,
@@ -77,7 +77,7 @@
 	}
 }
 
-// DemoStore is the configuration of the demo's function store.
+// DemoStore returns the configuration of the demo's function store.
 func DemoStore() model.StoreConfig {
 	return model.StoreConfig{
 		Concurrency:    8,
@@ -88,7 +88,7 @@
 	}
 }
 
-// DemoMix is what the demo's clients ask for, at a mean rate of requests a second.
+// DemoMix returns the mix of requests of the demo's clients, at a mean rate in requests per second.
 func DemoMix(rate float64) loadgen.Mix {
 	return loadgen.Mix{
 		Rate:          rate,
@@ -104,27 +104,27 @@
 	}
 }
 
-// Demo is a whole installation with a load and a scenario.
+// Demo configures a run of a whole installation with client load and a fault scenario.
 type Demo struct {
 	Workers, FrontEnds int
 	Mix                loadgen.Mix
 	Duration           time.Duration
 	Scenario           string   // text of the scenario
-	Settings           []string // lines of settings put before DemoSettings
+	Settings           []string // lines that precede DemoSettings in the front ends' settings
 	Seed               uint64
 	Log                zerolog.Logger
-	Report             func(string) // is called with the progress
+	Report             func(string) // receives progress lines: faults, and the totals each second; not nil
 }
 
 // Result is the outcome of a Demo.
 type Result struct {
-	Outcomes   map[string]int // clients' requests by their outcomes, retries counted as one with their request
+	Outcomes   map[string]int // number of client requests by outcome; a request and its retries count as one
 	Tally      invariant.Tally
 	Violations []invariant.Violation
 	Score      invariant.Score
 }
 
-// Run runs the demo until its time is over or ctx ends.
+// Run runs the demo for its duration, or until ctx ends, and checks the invariants.
 func (d Demo) Run(ctx context.Context) (Result, error) {
 	faults, err := scenario.Parse("script", d.Scenario)
 	if err != nil {
@@ -145,13 +145,13 @@
 		return Result{}, err
 	}
 	defer fleet.Close()
-	d.Report("front ends, emulated workers, store and directory run on loopback")
-	outcomes, err := d.load(ctx, fleet, faults)
+	d.Report("front ends, emulated workers, function store and discovery are running on loopback")
+	outcomes, err := d.runLoad(ctx, fleet, faults)
 	if err != nil {
 		return Result{}, err
 	}
-	for _, e := range fleet.FrontEnds {
-		if err := e.Stop(); err != nil {
+	for _, fe := range fleet.FrontEnds {
+		if err := fe.Stop(); err != nil {
 			return Result{}, err
 		}
 	}
@@ -159,24 +159,24 @@
 	return Result{outcomes, tally, violations, fleet.Score()}, nil
 }
 
-// load runs the clients, and beside them the scenario and the report of the progress.
-func (d Demo) load(ctx context.Context, f *Fleet, faults []scenario.Fault) (outcomes map[string]int, err error) {
-	besides, end := context.WithCancel(ctx)
-	defer end()
+// runLoad runs the clients. The scenario and the progress reports run in the background until the clients have ended.
+func (d Demo) runLoad(ctx context.Context, f *Fleet, faults []scenario.Fault) (outcomes map[string]int, err error) {
+	background, cancel := context.WithCancel(ctx)
+	defer cancel()
 	scenarioEnded := make(chan error, 1)
-	go func() { scenarioEnded <- f.RunScenario(besides, faults, d.Seed, d.Report) }()
+	go func() { scenarioEnded <- f.RunScenario(background, faults, d.Seed, d.Report) }()
 	progressEnded := make(chan struct{})
 	go func() {
 		defer close(progressEnded)
-		f.reportProgress(besides, d.Report)
+		f.reportProgress(background, d.Report)
 	}()
 	outcomes = f.RunClients(ctx, d.Mix, d.Duration, d.Seed)
-	end()
+	cancel()
 	<-progressEnded
 	return outcomes, <-scenarioEnded
 }
 
-// reportProgress reports the front ends' totals each second.
+// reportProgress reports the front ends' totals each second until ctx ends.
 func (f *Fleet) reportProgress(ctx context.Context, report func(string)) {
-	periodic.Run(ctx, time.Second, func() { report(f.progress()) })
+	periodic.Run(ctx, time.Second, func() { report(f.formatTotals()) })
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet sets up a whole installation on loopback: function store, discovery, emulated workers, front ends and
-// clients, with a history of what all of them saw.
+// clients. All of them record what they observe in one event history, which Check checks against the invariants.
 package fleet
 
 import (
@@ -24,10 +24,10 @@
 )
 
 const (
-	loopback     = "127.0.0.1:0" // any free port
-	defaultWork  = 50 * time.Millisecond
-	networkSeed  = 1
-	randomStream = 0x6e6574 // of the network's generator
+	anyLoopbackPort     = "127.0.0.1:0" // port 0 selects a free port
+	defaultWorkDuration = 50 * time.Millisecond
+	networkSeed         = 1
+	networkRandomStream = 0x6e6574 // of the emulated network's random generator
 )
 
 // Config describes an installation.
@@ -35,12 +35,12 @@
 	Workers   int
 	Cells     int
 	FrontEnds int
-	Loops     int                // event loops in each front end's process; 0: 1
-	Zones     int                // that machines are assigned to, round robin; 0: there is no emulated network
-	Worker    model.WorkerConfig // of each; its name and cell are generated
+	Loops     int                // event loops of each front end; 0 means 1
+	Zones     int                // machines are assigned to them round robin; 0 disables the emulated network
+	Worker    model.WorkerConfig // of each worker, except its name and cell, which are generated
 	Store     model.StoreConfig
-	Settings  string        // text of the front ends' settings, without listen, directory, name and numbers
-	Tolerance time.Duration // of the invariant checker
+	Settings  string        // text of the front ends' settings, without the directives that settingsText adds
+	Tolerance time.Duration // added by the invariant checker to time limits
 	Log       zerolog.Logger
 }
 
@@ -57,10 +57,10 @@
 	Clients   Clients
 	fetcher   *functionstore.Client
 	network   *model.Network
-	clockSkew []time.Duration // of the workers' wall clocks, as a scenario sets it
+	clockSkew []time.Duration // of each worker's wall clock, set by a scenario
 }
 
-// Start sets an installation up. Close ends it.
+// Start starts an installation. The caller must call Close.
 func Start(cfg Config) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, Clock: model.NewRealClock(), History: invariant.NewHistory()}
 	if err := f.start(); err != nil {
@@ -71,14 +71,14 @@
 }
 
 func (f *Fleet) start() (err error) {
-	if f.Store, err = functionstore.Start(f.Clock, f.cfg.Store, loopback); err != nil {
+	if f.Store, err = functionstore.Start(f.Clock, f.cfg.Store, anyLoopbackPort); err != nil {
 		return err
 	}
 	f.fetcher = functionstore.NewClient(f.Clock, f.Store.Address())
-	if f.Discovery, err = discoveryserver.Start(loopback); err != nil {
+	if f.Discovery, err = discoveryserver.Start(anyLoopbackPort); err != nil {
 		return err
 	}
-	rng := rand.New(rand.NewPCG(networkSeed, randomStream))
+	rng := rand.New(rand.NewPCG(networkSeed, networkRandomStream))
 	f.network = model.NewNetwork(f.Clock, model.NetworkConfig{Zones: f.cfg.Zones}, rng)
 	if err := f.startWorkers(); err != nil {
 		return err
@@ -96,8 +96,8 @@
 		cfg, cell := f.cfg.Worker.ForWorker(i, len(keyCaches))
 		w, err := worker.Start(f.Clock, worker.Config{
 			WorkerConfig: cfg,
-			Address:      loopback,
-			Work:         defaultWork,
+			Address:      anyLoopbackPort,
+			Work:         defaultWorkDuration,
 			Paths:        f.paths(i),
 		}, f.fetcher, keyCaches[cell], f.History)
 		if err != nil {
@@ -111,32 +111,34 @@
 
 func (f *Fleet) startFrontEnds() error {
 	for i := range f.cfg.FrontEnds {
-		reservation, err := portreservation.Reserve(loopback)
+		reservation, err := portreservation.Reserve(anyLoopbackPort)
 		if err != nil {
 			return err
 		}
-		e := &FrontEnd{fleet: f, number: i, reservation: reservation}
-		f.FrontEnds = append(f.FrontEnds, e)
-		if err := e.Start(); err != nil {
+		fe := &FrontEnd{fleet: f, number: i, reservation: reservation}
+		f.FrontEnds = append(f.FrontEnds, fe)
+		if err := fe.Start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// paths returns the network's paths of a worker from and to front ends, by their names.
+// paths returns a function that returns the network paths to and from a worker for the name of a front end. It returns
+// nil if there is no emulated network.
 func (f *Fleet) paths(workerIndex int) func(frontEnd string) (in, out *model.Path) {
 	if f.cfg.Zones == 0 {
 		return nil
 	}
 	return func(frontEnd string) (in, out *model.Path) {
-		number, _ := strconv.Atoi(frontEnd[strings.LastIndexByte(frontEnd, '-')+1:]) // as FrontEnd.Name writes it
+		number, _ := strconv.Atoi(frontEnd[strings.LastIndexByte(frontEnd, '-')+1:]) // number of FrontEnd.Name
 		near, far := f.network.Zone(number), f.network.Zone(workerIndex)
 		return f.network.NewPath(near, far), f.network.NewPath(far, near)
 	}
 }
 
-// ListWorker changes a worker's state in discovery, with the start of its process as it is now.
+// ListWorker sets a worker's state in discovery. The start time that discovery lists is that of the worker's current
+// process, according to the worker's wall clock.
 func (f *Fleet) ListWorker(w *worker.Server, state scheduler.WorkerState) {
 	_, uptime, _ := w.Running()
 	if i := slices.Index(f.Workers, w); i >= 0 {
@@ -153,11 +155,11 @@
 	})
 }
 
-// Close ends the installation: front ends first, each with a graceful shutdown.
+// Close stops the installation. It shuts the front ends down gracefully before it stops anything else.
 func (f *Fleet) Close() {
-	for _, e := range f.FrontEnds {
-		_ = e.Stop() // reported where a test asks for it
-		e.reservation.Release()
+	for _, fe := range f.FrontEnds {
+		_ = fe.Stop() // callers that need the error call Stop themselves
+		fe.reservation.Release()
 	}
 	if f.Discovery != nil {
 		f.Discovery.Close()
@@ -173,7 +175,7 @@
 	}
 }
 
-// Check checks the history against the invariants. It is to be called when everything has ended.
+// Check checks the history against the invariants. The front ends and clients must have stopped.
 func (f *Fleet) Check() ([]invariant.Violation, invariant.Tally) {
 	for _, n := range f.Discovery.Updates() {
 		f.History.EndpointsUpdated(invariant.EndpointUpdate{
@@ -185,17 +187,17 @@
 	return f.History.Check(invariant.RulesOf(f.Settings, f.cfg.Tolerance))
 }
 
-// Score is the service that clients saw.
+// Score returns the score of the service that clients observed.
 func (f *Fleet) Score() invariant.Score {
 	return f.History.Score(invariant.RulesOf(f.Settings, 0).Classes)
 }
 
-// progress is the front ends' totals in a line.
-func (f *Fleet) progress() string {
-	var all gateway.Counts
-	for _, e := range f.FrontEnds {
-		all.Add(e.Service().Counts())
+// formatTotals returns the sum of the front ends' totals as one line.
+func (f *Fleet) formatTotals() string {
+	var totals gateway.Counts
+	for _, fe := range f.FrontEnds {
+		totals.Add(fe.Service().Counts())
 	}
-	return fmt.Sprintf("  taken %d, served %d, refused %d, failed %d, left %d; attempts %d, loads %d", all.Admitted, all.Served,
-		all.Rejected, all.Failed, all.Disconnected, all.Attempts, all.LoadOrders)
+	return fmt.Sprintf("  admitted %d, served %d, rejected %d, failed %d, disconnected %d; attempts %d, load orders %d", totals.Admitted, totals.Served,
+		totals.Rejected, totals.Failed, totals.Disconnected, totals.Attempts, totals.LoadOrders)
 }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -73,25 +73,25 @@
 	for i := range 60 {
 		all.Go(func() {
 			class := []string{"quote", "log", "unlock"}[i%3]
-			seen, err := fleet.FrontEnds[i%2].Pool().Do(loadgen.Request{
+			response, err := fleet.FrontEnds[i%2].Pool().Do(loadgen.Request{
 				ID: fmt.Sprint("call-", i), Class: class,
 				Function: class + "-f", Timeout: 2 * time.Second, Work: 2 * time.Millisecond, ResponseBytes: 100000 * (i % 2),
 				LoadTime: 50 * time.Millisecond, MemoryMB: 200, Concurrency: 2,
 			})
-			if err != nil || seen.Outcome != "served" || seen.Bytes != 100000*(i%2) {
-				t.Errorf("call %d: %+v, %v", i, seen, err)
+			if err != nil || response.Outcome != "served" || response.Bytes != 100000*(i%2) {
+				t.Errorf("request %d: %+v, %v", i, response, err)
 			}
 		})
 	}
 	all.Wait()
-	for _, e := range fleet.FrontEnds {
-		if err := e.Stop(); err != nil {
+	for _, fe := range fleet.FrontEnds {
+		if err := fe.Stop(); err != nil {
 			t.Error(err)
 		}
 	}
 	violations, tally := fleet.Check()
 	if len(violations) > 0 || !tally.Balanced() || tally.Served != 60 || tally.Executions != 60 {
-		t.Errorf("%v; broken: %v", tally, violations)
+		t.Errorf("%v; violations: %v", tally, violations)
 	}
 }
 
@@ -99,26 +99,27 @@
 	cfg := smallConfig(4, 2)
 	cfg.Settings += "watch other\n  orders off\n  retry-after off\nend\n"
 	fleet := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
+	waitUntil(t, "the endpoint lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
 	for number, frontEnd := range fleet.FrontEnds {
-		calls := 0
-		// A front end that lags asks nobody, and the first request of a function is the one that asks: each has its own.
+		sent := 0
+		// Each request has its own function, as only the first request of a function causes a residency query. A single
+		// request does not suffice, as a front end whose event loop lags sends no queries.
 		waitUntil(t, "a residency query", func() bool {
-			request := newRequest(fmt.Sprint("w.", number, ".", calls), "quote", time.Millisecond)
-			request.Function = fmt.Sprint("quote-", calls)
-			calls++
-			if seen := fleet.send(t, number, request); seen.Outcome != "served" {
-				t.Errorf("call %d: %+v", calls, seen)
+			request := newRequest(fmt.Sprint("w.", number, ".", sent), "quote", time.Millisecond)
+			request.Function = fmt.Sprint("quote-", sent)
+			sent++
+			if response := fleet.send(t, number, request); response.Outcome != "served" {
+				t.Errorf("request %d: %+v", sent, response)
 			}
-			return calls >= 6 && frontEnd.Service().Counts().ResidencyQueries > 0
+			return sent >= 6 && frontEnd.Service().Counts().ResidencyQueries > 0
 		})
 	}
-	for _, e := range fleet.FrontEnds {
-		if err := e.Stop(); err != nil {
+	for _, fe := range fleet.FrontEnds {
+		if err := fe.Stop(); err != nil {
 			t.Error(err)
 		}
-		if c := e.Counts(); c.ResidencyQueries == 0 || c.ShadowDifferences.ResidencyQuery != c.ResidencyQueries || c.ShadowDifferences.OtherResponse != 0 || c.ShadowDifferences.Compared == 0 {
-			t.Errorf("%s: %+v; every question would have been spared without orders, and nothing was refused", e.Name(), c)
+		if c := fe.Counts(); c.ResidencyQueries == 0 || c.ShadowDifferences.ResidencyQuery != c.ResidencyQueries || c.ShadowDifferences.OtherResponse != 0 || c.ShadowDifferences.Compared == 0 {
+			t.Errorf("%s: %+v; every residency query should differ from the shadow, which sends no load orders, and no response should", fe.Name(), c)
 		}
 	}
 	fleet.stopAndCheck(t)
--- a/lab/fleet/front_end.go
+++ b/lab/fleet/front_end.go
@@ -12,110 +12,109 @@
 	"havencart/lab/portreservation"
 )
 
-var errNeverStarted = errors.New("never started")
+var errNeverStarted = errors.New("fleet: the front end was never started")
 
-// FrontEnd is one front end of a Fleet, and its clients' connections to it.
+// FrontEnd is one front end of a Fleet, with its clients' connections. It can be stopped or killed and started again.
 type FrontEnd struct {
 	fleet       *Fleet
 	number      int
-	reservation *portreservation.Reservation // of its address, for all its processes
+	reservation *portreservation.Reservation // of its address, kept across restarts
 
 	mu      sync.Mutex
 	service *gateway.Service
 	pool    *client.Pool
 	cancel  context.CancelFunc
-	done    chan struct{}  // closed when the service has ended
-	counts  gateway.Counts // of the service that ended last
-	err     error          // and how it ended
+	done    chan struct{}  // closed when the service has stopped
+	counts  gateway.Counts // final totals of the service that stopped last
+	err     error          // result of the service that stopped last
 }
 
-// Name is the front end's name, as workers and discovery see it.
-func (e *FrontEnd) Name() string { return fmt.Sprintf("fe-%d", e.number) }
+// Name returns the name by which workers and discovery know the front end.
+func (fe *FrontEnd) Name() string { return fmt.Sprintf("fe-%d", fe.number) }
 
-// Pool is the clients' connections to the front end.
-func (e *FrontEnd) Pool() *client.Pool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.pool
+// Pool returns the clients' connections to the front end.
+func (fe *FrontEnd) Pool() *client.Pool {
+	fe.mu.Lock()
+	defer fe.mu.Unlock()
+	return fe.pool
 }
 
-// Counts are the totals of the service that ended last.
-func (e *FrontEnd) Counts() gateway.Counts {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.counts
+// Counts returns the final totals of the service that stopped last.
+func (fe *FrontEnd) Counts() gateway.Counts {
+	fe.mu.Lock()
+	defer fe.mu.Unlock()
+	return fe.counts
 }
 
-// Service is the service that was started last.
-func (e *FrontEnd) Service() *gateway.Service {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.service
+// Service returns the service that was started last.
+func (fe *FrontEnd) Service() *gateway.Service {
+	fe.mu.Lock()
+	defer fe.mu.Unlock()
+	return fe.service
 }
 
-// Start starts the front end, at its address.
-func (e *FrontEnd) Start() error {
-	settings, err := gatewayconfig.Parse(e.Name(), e.settingsText())
+// Start starts the front end at its address, which stays the same for all starts.
+func (fe *FrontEnd) Start() error {
+	settings, err := gatewayconfig.Parse(fe.Name(), fe.settingsText())
 	if err != nil {
 		return err
 	}
-	cfg := &e.fleet.cfg
-	service, err := gateway.NewService(settings, cfg.Log.With().Str("of", e.Name()).Logger())
+	cfg := &fe.fleet.cfg
+	service, err := gateway.NewService(settings, cfg.Log.With().Str("of", fe.Name()).Logger())
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.service, e.cancel, e.done = service, cancel, done
-	if e.pool == nil {
-		e.pool = &client.Pool{Name: e.Name(), Address: e.reservation.Address(), History: e.fleet.History, Grace: cfg.Tolerance}
+	fe.mu.Lock()
+	defer fe.mu.Unlock()
+	fe.service, fe.cancel, fe.done = service, cancel, done
+	if fe.pool == nil {
+		fe.pool = &client.Pool{Name: fe.Name(), Address: fe.reservation.Address(), History: fe.fleet.History, Grace: cfg.Tolerance}
 	}
 	go func() {
 		defer close(done)
 		counts, err := service.Run(ctx)
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		e.counts, e.err = counts, err
+		fe.mu.Lock()
+		defer fe.mu.Unlock()
+		fe.counts, fe.err = counts, err
 	}()
 	return nil
 }
 
-// settingsText is the fleet's settings with what is this front end's own.
-func (e *FrontEnd) settingsText() string {
-	cfg := &e.fleet.cfg
+// settingsText returns the fleet's settings preceded by those that differ between front ends.
+func (fe *FrontEnd) settingsText() string {
+	cfg := &fe.fleet.cfg
 	loops := max(1, cfg.Loops)
-	return fmt.Sprintf("name fe\nlisten %s\ndirectory consul %s workers\nloops %d\nfirst %d\nfront-ends %d\n%s", e.reservation.Address(),
-		e.fleet.Discovery.URL(), loops, e.number*loops, cfg.FrontEnds*loops, cfg.Settings)
+	return fmt.Sprintf("name fe\nlisten %s\ndirectory consul %s workers\nloops %d\nfirst %d\nfront-ends %d\n%s", fe.reservation.Address(),
+		fe.fleet.Discovery.URL(), loops, fe.number*loops, cfg.FrontEnds*loops, cfg.Settings)
 }
 
-// Kill ends the front end as a kill -9 of its process does, as far as others can see: its listener and all its
-// connections close at once, without a word to anybody. Its goroutines, which a process would take with it, are waited
-// for.
-func (e *FrontEnd) Kill() {
-	e.mu.Lock()
-	cancel, done, pool, service := e.cancel, e.done, e.pool, e.service
-	e.mu.Unlock()
-	e.fleet.History.FrontEndKilled(e.Name())
+// Kill stops the front end as SIGKILL stops a process, as far as its peers can tell: its listener and all its
+// connections close at once, without any shutdown messages. Kill waits for the front end's goroutines to end.
+func (fe *FrontEnd) Kill() {
+	fe.mu.Lock()
+	cancel, done, pool, service := fe.cancel, fe.done, fe.pool, fe.service
+	fe.mu.Unlock()
+	fe.fleet.History.FrontEndKilled(fe.Name())
 	service.Kill()
 	cancel()
 	<-done
 	pool.Close()
 }
 
-// Stop shuts the front end down gracefully and returns how that went.
-func (e *FrontEnd) Stop() error {
-	e.mu.Lock()
-	cancel, done, pool := e.cancel, e.done, e.pool
-	e.mu.Unlock()
+// Stop shuts the front end down gracefully and returns the service's error, if any.
+func (fe *FrontEnd) Stop() error {
+	fe.mu.Lock()
+	cancel, done, pool := fe.cancel, fe.done, fe.pool
+	fe.mu.Unlock()
 	if cancel == nil {
 		return errNeverStarted
 	}
 	cancel()
 	<-done
 	pool.Close()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.err
+	fe.mu.Lock()
+	defer fe.mu.Unlock()
+	return fe.err
 }
--- a/lab/fleet/helpers_test.go
+++ b/lab/fleet/helpers_test.go
@@ -28,21 +28,21 @@
 	}
 }
 
-func (f *Fleet) send(t *testing.T, front int, c loadgen.Request) client.Response {
+func (f *Fleet) send(t *testing.T, frontEnd int, c loadgen.Request) client.Response {
 	t.Helper()
-	seen, err := f.FrontEnds[front].Pool().Do(c)
+	response, err := f.FrontEnds[frontEnd].Pool().Do(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return seen
+	return response
 }
 
-// waitUntil waits for a condition that must become true.
-func waitUntil(t *testing.T, what string, is func() bool) {
+// waitUntil waits until a condition holds, and fails the test if that takes more than 20 s.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -50,16 +50,16 @@
 // stopAndCheck stops all front ends and checks that no invariant was violated and every request is accounted for.
 func (f *Fleet) stopAndCheck(t *testing.T) {
 	t.Helper()
-	for _, e := range f.FrontEnds {
-		if err := e.Stop(); err != nil && !errors.Is(err, gateway.ErrShutdownTimeout) {
+	for _, fe := range f.FrontEnds {
+		if err := fe.Stop(); err != nil && !errors.Is(err, gateway.ErrShutdownTimeout) {
 			t.Error(err)
 		}
 	}
 	violations, tally := f.Check()
-	for _, b := range violations {
-		t.Errorf("rule %s broken: %s", b.Rule, b.Detail)
+	for _, violation := range violations {
+		t.Errorf("rule %s violated: %s", violation.Rule, violation.Detail)
 	}
 	if !tally.Balanced() {
-		t.Errorf("not all accounted for: %v", tally)
+		t.Errorf("not all requests are accounted for: %v", tally)
 	}
 }
--- a/lab/fleet/invariants_test.go
+++ b/lab/fleet/invariants_test.go
@@ -19,12 +19,12 @@
 	"havencart/scheduler"
 )
 
-// misbehavingFrontEnd is a front end that violates invariants: it sends clients and workers what a test wants. The
-// invariant checker sees it on the sockets as it would see any front end.
+// misbehavingFrontEnd is a front end that violates invariants: a test decides what it sends to clients and workers. The
+// event history records what passes through its sockets, as for any front end.
 type misbehavingFrontEnd struct {
 	*testing.T
 	fleet   *Fleet
-	respond func(call *http.Request, out io.Writer)
+	respond func(request *http.Request, out io.Writer)
 	pool    *client.Pool
 }
 
@@ -36,7 +36,7 @@
 		change(&cfg)
 	}
 	r := &misbehavingFrontEnd{T: t, fleet: start(t, cfg), respond: func(*http.Request, io.Writer) {}}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,24 +44,24 @@
 	go func() {
 		defer close(done)
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			in := bufio.NewReader(c)
 			for {
-				call, err := http.ReadRequest(in)
+				request, err := http.ReadRequest(in)
 				if err != nil {
 					break
 				}
-				_, _ = io.Copy(io.Discard, call.Body)
-				r.respond(call, c)
+				_, _ = io.Copy(io.Discard, request.Body)
+				r.respond(request, c)
 			}
 			_ = c.Close()
 		}
 	}()
-	r.pool = &client.Pool{Name: "rogue", Address: l.Addr().String(), History: r.fleet.History, Grace: cfg.Tolerance}
-	t.Cleanup(func() { r.pool.Close(); _ = l.Close(); <-done })
+	r.pool = &client.Pool{Name: "rogue", Address: listener.Addr().String(), History: r.fleet.History, Grace: cfg.Tolerance}
+	t.Cleanup(func() { r.pool.Close(); _ = listener.Close(); <-done })
 	return r
 }
 
@@ -73,9 +73,9 @@
 // workerConnection is the misbehaving front end's connection to one worker.
 type workerConnection struct {
 	*misbehavingFrontEnd
-	conn net.Conn
-	in   *muxframe.Reader
-	last uint32
+	conn       net.Conn
+	in         *muxframe.Reader
+	lastNumber uint32
 }
 
 func (r *misbehavingFrontEnd) connect(w *worker.Server) *workerConnection {
@@ -86,59 +86,59 @@
 	}
 	r.Cleanup(func() { _ = c.Close() })
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	l := &workerConnection{misbehavingFrontEnd: r, conn: c, in: muxframe.NewReader(bufio.NewReader(c), 0)}
-	l.write(muxframe.TypeHello, 0, muxframe.Hello{Version: muxframe.Version, FrontEnd: "rogue"}, nil)
-	l.next(muxframe.TypeWelcome)
-	return l
+	conn := &workerConnection{misbehavingFrontEnd: r, conn: c, in: muxframe.NewReader(bufio.NewReader(c), 0)}
+	conn.writeFrame(muxframe.TypeHello, 0, muxframe.Hello{Version: muxframe.Version, FrontEnd: "rogue"}, nil)
+	conn.expectFrame(muxframe.TypeWelcome)
+	return conn
 }
 
-func (l *workerConnection) write(kind muxframe.Type, number uint32, header any, body []byte) {
-	l.Helper()
+func (c *workerConnection) writeFrame(kind muxframe.Type, number uint32, header any, body []byte) {
+	c.Helper()
 	raw, err := muxframe.Append(nil, kind, number, header, body)
 	if err != nil {
-		l.Fatal(err)
+		c.Fatal(err)
 	}
-	if _, err := l.conn.Write(raw); err != nil {
-		l.Fatal(err)
+	if _, err := c.conn.Write(raw); err != nil {
+		c.Fatal(err)
 	}
 }
 
-func (l *workerConnection) next(kind muxframe.Type) {
-	l.Helper()
-	f, err := l.in.Next()
+func (c *workerConnection) expectFrame(kind muxframe.Type) {
+	c.Helper()
+	f, err := c.in.Next()
 	if err != nil || f.Type != kind {
-		l.Fatalf("%v %v in place of %v", f.Type, err, kind)
+		c.Fatalf("received frame %v, error %v; want frame %v", f.Type, err, kind)
 	}
 }
 
-// requestID is that of the request of which executeAttempt sends attempts.
+// requestID identifies the request whose attempts executeAttempt sends.
 const requestID = "a"
 
 // executeAttempt sends a short attempt and waits for the worker's response.
-func (l *workerConnection) executeAttempt(class string, attempt int) {
-	l.Helper()
-	l.sendAttempt(requestID, class, attempt, time.Millisecond)
-	l.next(muxframe.TypeResponse)
+func (c *workerConnection) executeAttempt(class string, attempt int) {
+	c.Helper()
+	c.sendAttempt(requestID, class, attempt, time.Millisecond)
+	c.expectFrame(muxframe.TypeResponse)
 }
 
-func (l *workerConnection) sendAttempt(id, class string, attempt int, work time.Duration) {
-	l.Helper()
-	l.last++
-	l.write(muxframe.TypeRequest, l.last, muxframe.Request{
+func (c *workerConnection) sendAttempt(id, class string, attempt int, work time.Duration) {
+	c.Helper()
+	c.lastNumber++
+	c.writeFrame(muxframe.TypeRequest, c.lastNumber, muxframe.Request{
 		Replica: muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 9},
 		ID:      id, Class: class, Attempt: attempt, TimeoutMillis: 5000, IdempotencyKey: map[string]string{"log": "key-" + id}[class],
 	},
 		worker.Body(work, 0))
 }
 
-func (l *workerConnection) sendLoadOrder(copies int) {
-	l.Helper()
-	l.last++
-	l.write(muxframe.TypeLoadOrder, l.last, muxframe.LoadOrder{
+func (c *workerConnection) sendLoadOrder(replicas int) {
+	c.Helper()
+	c.lastNumber++
+	c.writeFrame(muxframe.TypeLoadOrder, c.lastNumber, muxframe.LoadOrder{
 		Replica:  muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 1},
-		Replicas: copies,
+		Replicas: replicas,
 	}, nil)
-	l.next(muxframe.TypeLoadResult)
+	c.expectFrame(muxframe.TypeLoadResult)
 }
 
 func (r *misbehavingFrontEnd) request(id, class string) {
@@ -148,16 +148,17 @@
 	}
 }
 
-// expectViolation fails the test unless the checker found a violation of the rule, and of no other.
+// expectViolation fails the test unless the checker finds a violation of the rule whose detail contains word, and none
+// of another rule.
 func (r *misbehavingFrontEnd) expectViolation(rule, word string) {
 	r.Helper()
 	violations, _ := r.fleet.Check()
 	found := false
-	for _, b := range violations {
-		if b.Rule != rule {
-			r.Errorf("found broken too: %+v", b)
+	for _, violation := range violations {
+		if violation.Rule != rule {
+			r.Errorf("violation of another rule: %+v", violation)
 		}
-		found = found || strings.Contains(b.Detail, word)
+		found = found || strings.Contains(violation.Detail, word)
 	}
 	if !found {
 		r.Errorf("no violation of %q with %q in %+v", rule, word, violations)
@@ -167,12 +168,12 @@
 func (r *misbehavingFrontEnd) expectNoViolation() {
 	r.Helper()
 	if violations, tally := r.fleet.Check(); len(violations) > 0 || !tally.Balanced() {
-		r.Errorf("a front end without fault: %+v, %v", violations, tally)
+		r.Errorf("violations or unbalanced tally for a correct front end: %+v, %v", violations, tally)
 	}
 }
 
 func TestCheck_MissingLateOrDuplicateResponse_IsFound(t *testing.T) {
-	t.Run("no answer", func(t *testing.T) {
+	t.Run("no response", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		r.request("a", "quote")
 		r.expectViolation("lost", "no answer")
@@ -192,13 +193,13 @@
 		r.request("a", "quote")
 		r.expectViolation("lost", "2 final answers")
 	})
-	t.Run("the connection violations", func(t *testing.T) {
+	t.Run("connection closed", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		r.respond = func(_ *http.Request, out io.Writer) { _ = out.(net.Conn).Close() }
 		r.request("a", "quote")
 		r.expectViolation("lost", "connection lost true")
 	})
-	t.Run("none", func(t *testing.T) {
+	t.Run("rejected in time", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		r.respond = func(_ *http.Request, out io.Writer) { writeResponse(out, "refused") }
 		r.request("a", "unlock")
@@ -213,7 +214,7 @@
 		r.connect(r.fleet.Workers[1]).executeAttempt("unlock", 1)
 		r.expectViolation("twice", "2 effects")
 	})
-	t.Run("unsafe, sent again while the first is out", func(t *testing.T) {
+	t.Run("unsafe, sent again during the first attempt", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		if err := r.fleet.Workers[0].Command("hang on"); err != nil {
 			t.Fatal(err)
@@ -237,17 +238,17 @@
 		r.connect(r.fleet.Workers[2]).executeAttempt("log", 1)
 		r.expectNoViolation()
 	})
-	t.Run("refused after a run", func(t *testing.T) {
+	t.Run("rejected after an execution", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
-		l := r.connect(r.fleet.Workers[0])
+		conn := r.connect(r.fleet.Workers[0])
 		r.respond = func(_ *http.Request, out io.Writer) {
-			l.executeAttempt("unlock", 0)
+			conn.executeAttempt("unlock", 0)
 			writeResponse(out, "refused")
 		}
 		r.request("a", "unlock")
 		r.expectViolation("twice", "refused")
 	})
-	t.Run("unsafe, turned away first", func(t *testing.T) {
+	t.Run("unsafe, first attempt rejected by its worker", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		if err := r.fleet.Workers[0].Command("drain on"); err != nil {
 			t.Fatal(err)
@@ -259,39 +260,39 @@
 }
 
 func TestCheck_WorkAfterDrain_IsFound(t *testing.T) {
-	told := func(r *misbehavingFrontEnd, state scheduler.WorkerState, ago time.Duration) {
+	announce := func(r *misbehavingFrontEnd, state scheduler.WorkerState, ago time.Duration) {
 		r.fleet.History.EndpointsUpdated(invariant.EndpointUpdate{
 			At: r.fleet.History.Now() - ago, FrontEnd: "rogue",
 			States: map[string]scheduler.WorkerState{"worker-1": state},
 		})
 	}
-	t.Run("call", func(t *testing.T) {
+	t.Run("request", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
-		told(r, scheduler.Draining, time.Minute)
+		announce(r, scheduler.Draining, time.Minute)
 		r.connect(r.fleet.Workers[0]).executeAttempt("quote", 0)
 		r.expectViolation("drains", "call a")
 	})
-	t.Run("order to a worker that is listed no longer", func(t *testing.T) {
+	t.Run("load order to a worker that is no longer listed", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		r.fleet.History.EndpointsUpdated(invariant.EndpointUpdate{At: 0, FrontEnd: "rogue"})
-		l := r.connect(r.fleet.Workers[0])
+		conn := r.connect(r.fleet.Workers[0])
 		r.fleet.Settings.DrainGrace, r.fleet.cfg.Tolerance = 0, 0
-		l.sendLoadOrder(1)
+		conn.sendLoadOrder(1)
 		r.expectViolation("drains", "order")
 	})
-	t.Run("a question, and a call within the grace", func(t *testing.T) {
+	t.Run("residency query, and request within the grace", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
 		r.fleet.Settings.DrainGrace = time.Hour
-		told(r, scheduler.Draining, time.Minute)
-		l := r.connect(r.fleet.Workers[0])
-		l.sendLoadOrder(0)
-		l.executeAttempt("quote", 0)
+		announce(r, scheduler.Draining, time.Minute)
+		conn := r.connect(r.fleet.Workers[0])
+		conn.sendLoadOrder(0)
+		conn.executeAttempt("quote", 0)
 		r.expectNoViolation()
 	})
-	t.Run("a call once it is ready again", func(t *testing.T) {
+	t.Run("request after the worker is ready again", func(t *testing.T) {
 		r := startMisbehavingFrontEnd(t, nil)
-		told(r, scheduler.Removed, time.Hour)
-		told(r, scheduler.Ready, time.Minute)
+		announce(r, scheduler.Removed, time.Hour)
+		announce(r, scheduler.Ready, time.Minute)
 		r.connect(r.fleet.Workers[0]).executeAttempt("quote", 0)
 		r.expectNoViolation()
 	})
@@ -302,9 +303,9 @@
 	if err := r.fleet.Workers[0].Command("start"); err != nil {
 		t.Fatal(err)
 	}
-	l := r.connect(r.fleet.Workers[0])
-	l.executeAttempt("quote", 0)
-	l.sendAttempt("b", "quote", 0, 24*time.Hour)
+	conn := r.connect(r.fleet.Workers[0])
+	conn.executeAttempt("quote", 0)
+	conn.sendAttempt("b", "quote", 0, 24*time.Hour)
 	for up := true; up; {
 		up, _, _ = r.fleet.Workers[0].Running()
 	}
@@ -317,11 +318,11 @@
 	r.respond = func(_ *http.Request, out io.Writer) { writeResponse(out, "refused") }
 	r.request("a", "quote")
 	r.request("b", "quote")
-	l := r.connect(r.fleet.Workers[0])
-	l.sendLoadOrder(1)
-	l.sendLoadOrder(1)
-	l.sendLoadOrder(0)
+	conn := r.connect(r.fleet.Workers[0])
+	conn.sendLoadOrder(1)
+	conn.sendLoadOrder(1)
+	conn.sendLoadOrder(0)
 	r.expectNoViolation()
-	l.sendLoadOrder(1)
+	conn.sendLoadOrder(1)
 	r.expectViolation("loads", "3 orders for 2 calls")
 }
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -11,11 +11,11 @@
 	"havencart/scheduler"
 )
 
-// RunScenario injects a scenario's faults, each at its time, until ctx ends. Which workers are affected is drawn from
-// seed. report is called with each fault.
+// RunScenario injects a scenario's faults, each at its time, until ctx ends. The workers that a fault affects are drawn
+// from seed. RunScenario calls report with a line for each fault.
 func (f *Fleet) RunScenario(ctx context.Context, faults []scenario.Fault, seed uint64, report func(string)) error {
 	target := &installation{Fleet: f}
-	clock := model.NewRealClock() // of its own: the faults enter the workers' clock
+	clock := model.NewRealClock() // separate from f.Clock, whose lock the faults take
 	var player *scenario.Player
 	clock.Do(func() { player = scenario.Start(clock, target, faults, seed, report) })
 	<-ctx.Done()
@@ -24,12 +24,12 @@
 	return target.err
 }
 
-// installation is a Fleet into which faults are injected. It implements scenario.Installation.
+// installation implements scenario.Installation, the target of fault injection, for a Fleet.
 type installation struct {
 	*Fleet
-	tasks sync.WaitGroup // restarts under way
+	tasks sync.WaitGroup // restarts in progress
 	mu    sync.Mutex
-	err   error // the first one
+	err   error // the first error of a fault
 }
 
 var _ scenario.Installation = (*installation)(nil)
@@ -75,7 +75,7 @@
 }
 
 func (t *installation) ChangeDemand(change func(*loadgen.Demand)) error {
-	return t.Clients.change(change)
+	return t.Clients.changeDemand(change)
 }
 
 func (t *installation) FrontEnds() int { return len(t.Fleet.FrontEnds) }
@@ -87,13 +87,13 @@
 
 func (t *installation) StartFrontEnd(i int) error { return t.Fleet.FrontEnds[i].Start() }
 
-// RestartFrontEnd shuts a front end down gracefully, which takes its time, and starts it.
+// RestartFrontEnd shuts a front end down gracefully and starts it again, in the background as the shutdown takes time.
 func (t *installation) RestartFrontEnd(i int) error {
-	e := t.Fleet.FrontEnds[i]
+	fe := t.Fleet.FrontEnds[i]
 	t.tasks.Go(func() {
-		err := e.Stop()
+		err := fe.Stop()
 		if err == nil {
-			err = e.Start()
+			err = fe.Start()
 		}
 		t.recordError(err)
 	})
@@ -101,8 +101,8 @@
 }
 
 func (t *installation) StallFrontEnd(i int, d time.Duration) error {
-	e := t.Fleet.FrontEnds[i]
-	t.History.FrontEndStalled(e.Name(), d)
-	e.Service().Stall(d)
+	fe := t.Fleet.FrontEnds[i]
+	t.History.FrontEndStalled(fe.Name(), d)
+	fe.Service().Stall(d)
 	return nil
 }
--- a/lab/fleet/scenario_test.go
+++ b/lab/fleet/scenario_test.go
@@ -9,39 +9,39 @@
 	"github.com/rs/zerolog"
 )
 
-// TestRunScenario_FaultScenarios_KeepInvariants runs scenarios on 12 workers, 3 front ends and 3 classes, and checks what
-// was seen on the sockets.
+// TestRunScenario_FaultScenarios_KeepInvariants runs scenarios on 12 workers, 3 front ends and 3 classes, and checks
+// the invariants on what passed through the sockets.
 func TestRunScenario_FaultScenarios_KeepInvariants(t *testing.T) {
-	for name, lasts := range map[string]time.Duration{"bad": 22 * time.Second, "ways": 17 * time.Second} {
+	for name, duration := range map[string]time.Duration{"bad": 22 * time.Second, "ways": 17 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runScenarioFile(t, name, lasts)
+			runScenarioFile(t, name, duration)
 		})
 	}
 }
 
-func runScenarioFile(t *testing.T, name string, lasts time.Duration) {
+func runScenarioFile(t *testing.T, name string, duration time.Duration) {
 	text, err := os.ReadFile("../scenarios/" + name + ".day")
 	if err != nil {
 		t.Fatal(err)
 	}
 	demo := Demo{
-		Workers: 12, FrontEnds: 3, Mix: DemoMix(120), Duration: lasts, Scenario: string(text), Seed: 7,
+		Workers: 12, FrontEnds: 3, Mix: DemoMix(120), Duration: duration, Scenario: string(text), Seed: 7,
 		Log: zerolog.Nop(), Report: func(s string) { t.Log(s) },
 	}
-	report, err := demo.Run(context.Background())
+	result, err := demo.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	tally := report.Tally
-	t.Log(tally, report.Outcomes)
-	for _, violation := range report.Violations {
-		t.Errorf("rule %s broken: %s", violation.Rule, violation.Detail)
+	tally := result.Tally
+	t.Log(tally, result.Outcomes)
+	for _, violation := range result.Violations {
+		t.Errorf("rule %s violated: %s", violation.Rule, violation.Detail)
 	}
 	if !tally.Balanced() {
 		t.Error("not every request is accounted for")
 	}
 	if tally.Served < tally.Sent/2 || tally.Disconnected+tally.Rejected == 0 {
-		t.Errorf("%v: a scenario in which next to nothing was served, or no fault showed, proves nothing", tally)
+		t.Errorf("%v: fewer than half of the requests were served, or no fault had an effect, so the scenario tests too little", tally)
 	}
 }
--- a/lab/fleet/workers_test.go
+++ b/lab/fleet/workers_test.go
@@ -13,66 +13,68 @@
 	"havencart/scheduler"
 )
 
-// TestRetry_SameKeyThroughAnotherFrontEnd_HasOneEffect: its worker hangs and goes on after the timeout, while the client
-// retries with the same key elsewhere.
-func TestRetry_SameKeyThroughAnotherFrontEnd_HasOneEffect(t *testing.T) {
+// TestRetry_SameKeyThroughAnotherFrontEnd_ExecutesOnce checks that an idempotency key is executed once although its
+// first worker hangs, the client retries through another front end after its timeout, and the worker then resumes.
+func TestRetry_SameKeyThroughAnotherFrontEnd_ExecutesOnce(t *testing.T) {
 	cfg := smallConfig(2, 2)
 	cfg.Cells = 1
 	cfg.Settings = "keep-alive 10s\nclass log\nrepeat keyed\nscope all\nmemory 10s\nend\n"
 	cfg.Worker.KeyRetention = 10 * time.Second
 	fleet := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
+	waitUntil(t, "the endpoint lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
 	fleet.commandWorkers(t, "hang on", 0, 1)
 	first := newRequest("a.0", "log", time.Millisecond)
 	first.IdempotencyKey = "one"
-	if seen := fleet.send(t, 0, first); seen.Outcome == "served" {
-		t.Fatalf("%+v from workers that hang", seen)
+	if response := fleet.send(t, 0, first); response.Outcome == "served" {
+		t.Fatalf("%+v: want no served response from workers that hang", response)
 	}
 	fleet.commandWorkers(t, "hang off", 1)
 	second := newRequest("a.1", "log", time.Millisecond)
 	second.IdempotencyKey = "one"
-	waitUntil(t, "the repeat to be served", func() bool {
-		seen := fleet.send(t, 1, second)
+	waitUntil(t, "the retry to be served", func() bool {
+		response := fleet.send(t, 1, second)
 		second.ID += "x"
-		return seen.Outcome == "served"
+		return response.Outcome == "served"
 	})
 	fleet.commandWorkers(t, "hang off", 0)
 	third := newRequest("b", "log", time.Millisecond)
-	waitUntil(t, "the worker that hung to answer", func() bool {
+	waitUntil(t, "the worker that hung to respond", func() bool {
 		third.ID += "x"
 		return fleet.send(t, 0, third).Outcome == "served"
 	})
-	effects := fleet.History.ExecutionCount("one")
-	if effects != 1 {
-		t.Errorf("%d effects of one key", effects)
+	executions := fleet.History.ExecutionCount("one")
+	if executions != 1 {
+		t.Errorf("%d executions of one key, want 1", executions)
 	}
 	fleet.stopAndCheck(t)
 }
 
-// TestStall_ResponseReceivedMeanwhile_IsServed: the response is there when the front end goes on.
+// TestStall_ResponseReceivedMeanwhile_IsServed checks that a worker's response which arrives while the event loop
+// stalls is served once the event loop resumes.
 func TestStall_ResponseReceivedMeanwhile_IsServed(t *testing.T) {
-	seen := callDuringStall(t, 900*time.Millisecond, 600*time.Millisecond)
-	if seen.Outcome != "served" {
-		t.Errorf("%+v: the answer was there", seen)
+	response := requestDuringStall(t, 900*time.Millisecond, 600*time.Millisecond)
+	if response.Outcome != "served" {
+		t.Errorf("%+v: want served, as the worker had responded", response)
 	}
 }
 
-// TestStall_LongerThanClientsTimeout_FailsInTime: the client is answered in time, although the event loop stands still.
+// TestStall_LongerThanClientsTimeout_FailsInTime checks that the client has a response within its timeout although the
+// event loop stalls for longer.
 func TestStall_LongerThanClientsTimeout_FailsInTime(t *testing.T) {
 	const timeout = 400 * time.Millisecond
-	seen := callDuringStall(t, timeout, 600*time.Millisecond)
-	if seen.Outcome != "failed" || seen.Duration > timeout {
-		t.Errorf("%+v: want a failure within %v", seen, timeout)
+	response := requestDuringStall(t, timeout, 600*time.Millisecond)
+	if response.Outcome != "failed" || response.Duration > timeout {
+		t.Errorf("%+v: want a failure within %v", response, timeout)
 	}
 }
 
-// callDuringStall plays a request that takes 100 ms at its worker, and whose front end's event loop stands still meanwhile.
-func callDuringStall(t *testing.T, timeout, stall time.Duration) client.Response {
+// requestDuringStall sends a request that takes 100 ms at its worker, and stalls the front end's event loop meanwhile.
+func requestDuringStall(t *testing.T, timeout, stall time.Duration) client.Response {
 	t.Helper()
 	fleet := start(t, smallConfig(1, 1))
-	waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
-	if seen := fleet.send(t, 0, newRequest("first", "unlock", time.Millisecond)); seen.Outcome != "served" {
-		t.Fatalf("%+v", seen)
+	waitUntil(t, "the endpoint list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+	if response := fleet.send(t, 0, newRequest("first", "unlock", time.Millisecond)); response.Outcome != "served" {
+		t.Fatalf("%+v", response)
 	}
 	done := make(chan client.Response)
 	go func() {
@@ -83,11 +85,13 @@
 	waitUntil(t, "the attempt", func() bool { return fleet.History.AttemptCount("second") > 0 })
 	fleet.History.FrontEndStalled(fleet.FrontEnds[0].Name(), stall)
 	fleet.FrontEnds[0].Service().Stall(stall)
-	seen := <-done
+	response := <-done
 	fleet.stopAndCheck(t)
-	return seen
+	return response
 }
 
+// TestWorkerFault_OfOneWorker_LosesNoRequest checks that each request has its response, and most are served, while one
+// of three workers has a fault.
 func TestWorkerFault_OfOneWorker_LosesNoRequest(t *testing.T) {
 	for _, fault := range []string{
 		"handshake never", "handshake 400ms", "garbage on", "twice on", "late 50ms", "reset", "die",
@@ -96,7 +100,7 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			fleet := start(t, smallConfig(3, 1))
-			waitUntil(t, "the list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
+			waitUntil(t, "the endpoint list", func() bool { return len(fleet.Discovery.Updates()) >= 1 })
 			fleet.send(t, 0, newRequest("first", "quote", time.Millisecond))
 			fleet.commandWorkers(t, fault, 0)
 			if fault == "handshake never" || fault == "handshake 400ms" {
@@ -115,14 +119,14 @@
 			all.Wait()
 			fleet.stopAndCheck(t)
 			if _, tally := fleet.Check(); tally.Served < 45 {
-				t.Errorf("%v: the fault of one worker took more than half", tally)
+				t.Errorf("%v: want at least half of the requests served despite one worker's fault", tally)
 			}
 		})
 	}
 }
 
-// TestWorker_ReadsNothing_DelaysNoOtherRequest: it completes the handshake and then lets its socket fill with long
-// requests.
+// TestWorker_ReadsNothing_DelaysNoOtherRequest checks that requests are still served by other workers after one worker
+// has completed the handshake and then reads nothing, so that its socket fills with long requests.
 func TestWorker_ReadsNothing_DelaysNoOtherRequest(t *testing.T) {
 	fleet := start(t, smallConfig(2, 1))
 	stuck, err := net.Listen("tcp", "127.0.0.1:0")
@@ -153,7 +157,7 @@
 		}
 	})
 	fleet.Discovery.Set(discoveryserver.Entry{Name: "stuck", Address: stuck.Addr().String(), Cell: "cell-1", State: scheduler.Ready})
-	waitUntil(t, "the list", func() bool {
+	waitUntil(t, "the endpoint list", func() bool {
 		for _, n := range fleet.Discovery.Updates() {
 			if n.States["stuck"] == scheduler.Ready {
 				return true
@@ -162,7 +166,7 @@
 		return false
 	})
 	var all sync.WaitGroup
-	for i := range 60 { // how many are served is the machine's speed; that each is answered once is not
+	for i := range 60 { // the machine's speed decides how many are served, so only that each has one response is checked
 		all.Go(func() {
 			c := newRequest(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], time.Millisecond)
 			c.Function, c.PaddingBytes = fmt.Sprint(c.Function, i%12), 900_000
@@ -173,7 +177,7 @@
 	for i := range 12 {
 		c := newRequest("after", "quote", time.Millisecond)
 		c.Function = fmt.Sprint(c.Function, i)
-		waitUntil(t, "a call to be served beside it", func() bool {
+		waitUntil(t, "a request to be served by another worker", func() bool {
 			c.ID += "x"
 			return fleet.send(t, 0, c).Outcome == "served"
 		})
@@ -181,16 +185,17 @@
 	fleet.stopAndCheck(t)
 }
 
-// TestWorker_ReportsNotLoaded_ReceivesLoadOrders within the load rate limit, which the invariant checker holds.
+// TestWorker_ReportsNotLoaded_ReceivesLoadOrders checks that workers which report a function as not loaded are sent
+// load orders, at a rate within the limit that the invariant checker enforces.
 func TestWorker_ReportsNotLoaded_ReceivesLoadOrders(t *testing.T) {
 	cfg := smallConfig(4, 2)
 	cfg.Worker.ReportsNotLoaded = true
 	cfg.Settings = "on-miss miss\nload-window 2s\nload-free 3\nload-share 0.2\n" + cfg.Settings
 	fleet := start(t, cfg)
-	waitUntil(t, "the lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
+	waitUntil(t, "the endpoint lists", func() bool { return len(fleet.Discovery.Updates()) >= 2 })
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	seen := map[string]int{}
+	outcomes := map[string]int{}
 	for i := range 200 {
 		all.Go(func() {
 			c := newRequest(fmt.Sprint("c", i), []string{"quote", "log", "unlock"}[i%3], time.Millisecond)
@@ -198,16 +203,16 @@
 			outcome := fleet.send(t, i%2, c).Outcome
 			mu.Lock()
 			defer mu.Unlock()
-			seen[outcome]++
+			outcomes[outcome]++
 		})
 		time.Sleep(2 * time.Millisecond)
 	}
 	all.Wait()
-	if seen["served"] < 100 {
-		t.Errorf("%v", seen)
+	if outcomes["served"] < 100 {
+		t.Errorf("%v: want at least 100 served", outcomes)
 	}
 	fleet.stopAndCheck(t)
 	if _, tally := fleet.Check(); tally.LoadOrders == 0 {
-		t.Error("no order was given")
+		t.Error("no load order was sent")
 	}
 }
