--- a/lab/cpuquota/cpuquota.go
+++ b/lab/cpuquota/cpuquota.go
@@ -1,6 +1,6 @@
-// Package cpuquota holds a process of the laboratory to a share of a processor core, as a host does that many processes
-// share. It needs no privileges: processor time is a token bucket, and the process is stopped by SIGSTOP while the bucket
-// is overdrawn and continued by SIGCONT.
+// Package cpuquota limits a process to a share of a processor core, to emulate a host that many processes share. It
+// needs no privileges: a token bucket accounts for the processor time, and the process is stopped with SIGSTOP while
+// the bucket is overdrawn and continued with SIGCONT.
 package cpuquota
 
 import (
@@ -15,31 +15,33 @@
 )
 
 const (
-	// pollInterval is the time between two looks at what the process has used: it may exceed its share by so much.
+	// pollInterval is the time between two readings of the processor time that the process has used. The process can
+	// exceed its share by the processor time that it uses within one interval.
 	pollInterval = 2 * time.Millisecond
-	// maxTokens is how much processor time an idle process saves up.
+	// maxTokens is the most processor time that an idle process can accumulate.
 	maxTokens = 5 * time.Millisecond
 )
 
-// Hold holds a process to a share of a core (1: all of it) until ctx ends, and leaves it running then. An error is about
-// what the system tells of the process, as when it has ended.
-func Hold(ctx context.Context, process int, share float64) error {
-	used, err := processorTime(process)
+// Hold limits a process to a share of a core, where 1 is the whole core. It returns nil once ctx ends and leaves the
+// process running. It returns an error if the processor time of the process cannot be read or the process cannot be
+// signaled, for example because it has ended.
+func Hold(ctx context.Context, pid int, share float64) error {
+	used, err := processorTime(pid)
 	if err != nil {
 		return err
 	}
-	bucket := tokenBucket{share: share, usedBefore: used, lookedAt: time.Now()}
+	bucket := tokenBucket{share: share, lastUsed: used, updatedAt: time.Now()}
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	stopped := false
-	defer func() { _ = syscall.Kill(process, syscall.SIGCONT) }() // fails where it has ended
+	defer func() { _ = syscall.Kill(pid, syscall.SIGCONT) }() // fails if the process has ended
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		}
-		used, err := processorTime(process)
+		used, err := processorTime(pid)
 		if err != nil {
 			return err
 		}
@@ -48,8 +50,8 @@
 			continue
 		}
 		stopped = overdrawn
-		if err := syscall.Kill(process, signalFor(stopped)); err != nil {
-			return fmt.Errorf("cpuquota: signal process %d: %w", process, err)
+		if err := syscall.Kill(pid, signalFor(stopped)); err != nil {
+			return fmt.Errorf("cpuquota: signal process %d: %w", pid, err)
 		}
 	}
 }
@@ -61,39 +63,41 @@
 	return syscall.SIGCONT
 }
 
-// tokenBucket is how much processor time a process may still use.
+// tokenBucket accounts for the processor time that a process may still use.
 type tokenBucket struct {
-	share      float64       // of the time that passes, which fills the bucket
-	tokens     time.Duration // negative: it has used more than its share
-	usedBefore time.Duration
-	lookedAt   time.Time
+	share     float64       // processor time added per time that passes
+	tokens    time.Duration // negative if the process has used more than its share
+	lastUsed  time.Duration // processor time at the last update
+	updatedAt time.Time     // time of the last update
 }
 
-// update takes what the process has used until now, and reports whether the bucket is overdrawn.
+// update adds the tokens for the time since the last update and removes those for the processor time used since then.
+// It reports whether the bucket is overdrawn. The argument used is the total since the start of the process.
 func (b *tokenBucket) update(used time.Duration, now time.Time) (overdrawn bool) {
-	added := time.Duration(b.share * float64(now.Sub(b.lookedAt)))
-	b.tokens = min(maxTokens, b.tokens+added-(used-b.usedBefore))
-	b.usedBefore, b.lookedAt = used, now
+	added := time.Duration(b.share * float64(now.Sub(b.updatedAt)))
+	b.tokens = min(maxTokens, b.tokens+added-(used-b.lastUsed))
+	b.lastUsed, b.updatedAt = used, now
 	return b.tokens < 0
 }
 
-// processorTime is what the threads of a process have used. It never falls, but for threads that end.
-func processorTime(process int) (time.Duration, error) {
-	directory := fmt.Sprintf("/proc/%d/task", process)
+// processorTime returns the processor time that the current threads of a process have used. It decreases only when a
+// thread ends.
+func processorTime(pid int) (time.Duration, error) {
+	directory := fmt.Sprintf("/proc/%d/task", pid)
 	threads, err := os.ReadDir(directory)
 	if err != nil {
-		return 0, fmt.Errorf("cpuquota: threads of process %d: %w", process, err)
+		return 0, fmt.Errorf("cpuquota: list the threads of process %d: %w", pid, err)
 	}
 	total := time.Duration(0)
 	for _, thread := range threads {
 		text, err := os.ReadFile(filepath.Join(directory, thread.Name(), "schedstat"))
 		if err != nil {
-			continue // the thread has ended meanwhile
+			continue // the thread has ended since it was listed
 		}
 		nanoseconds, _, _ := strings.Cut(string(text), " ")
 		used, err := strconv.ParseInt(nanoseconds, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("cpuquota: processor time of process %d: %w", process, err)
+			return 0, fmt.Errorf("cpuquota: parse the processor time of process %d: %w", pid, err)
 		}
 		total += time.Duration(used)
 	}
--- a/lab/portreservation/portreservation.go
+++ b/lab/portreservation/portreservation.go
@@ -1,8 +1,8 @@
-// Package portreservation keeps a TCP port for one owner while nothing listens there.
+// Package portreservation reserves a TCP port for one owner while the owner does not listen on it.
 //
-// An emulated process that crashes and comes back has to listen at its old address. A free port does not stay free: the
-// system gives it to any connection of the machine that needs a local port, and a listener is refused for as long as such a
-// connection lasts.
+// An emulated process that crashes and restarts has to listen on its old address. Without a reservation, the operating
+// system can assign the free port to any outgoing connection as its local port, and a listener then fails with
+// EADDRINUSE for as long as that connection lasts.
 package portreservation
 
 import (
@@ -12,14 +12,16 @@
 	"syscall"
 )
 
-// Reservation is a port that the system gives to nobody. A connect to it is refused until its owner listens there, with
-// net.Listen at Address, as often as it likes. The owner ends it by Release.
+// Reservation is a port that the operating system assigns to no connection. The owner can listen on it with net.Listen
+// at Address, any number of times. While the owner does not listen, connections to the port are refused. The owner
+// ends the reservation with Release.
 type Reservation struct {
 	address netip.AddrPort
-	socket  int // bound, and never listening
+	socket  int // file descriptor of a bound socket that never listens
 }
 
-// Reserve reserves an IPv4 address (host:port); port 0 chooses a free one.
+// Reserve reserves an IPv4 address (host:port). Port 0 selects a free port. Reserve fails with EADDRINUSE if a listener
+// already uses the address.
 func Reserve(address string) (*Reservation, error) {
 	wanted, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -37,8 +39,8 @@
 	return &Reservation{address: bound, socket: socket}, nil
 }
 
-// bind binds a socket, and returns its address. SO_REUSEADDR lets a listener that has it too, as those of package net do,
-// have the same address.
+// bind binds a socket and returns the address with its actual port. It sets SO_REUSEADDR, which lets a listener with
+// the same option share the address; listeners of package net have it.
 func bind(socket int, wanted netip.AddrPort) (bound netip.AddrPort, err error) {
 	if err := syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return bound, os.NewSyscallError("setsockopt", err)
@@ -53,8 +55,8 @@
 	return netip.AddrPortFrom(wanted.Addr(), uint16(name.(*syscall.SockaddrInet4).Port)), nil
 }
 
-// Address is what is reserved, as host:port.
+// Address returns the reserved address as host:port.
 func (r *Reservation) Address() string { return r.address.String() }
 
-// Release ends the reservation. A listener at its address goes on.
+// Release ends the reservation. It does not affect a listener on the address.
 func (r *Reservation) Release() { _ = syscall.Close(r.socket) }
--- a/lab/portreservation/portreservation_test.go
+++ b/lab/portreservation/portreservation_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// dialFrom makes a connection to a server whose local address is given.
+// dialFrom connects to server from the given local address.
 func dialFrom(t *testing.T, local string, server net.Listener) (net.Conn, error) {
 	t.Helper()
 	address, err := net.ResolveTCPAddr("tcp", local)
@@ -27,7 +27,8 @@
 	return listener
 }
 
-// What a reservation is for: a connection with the port of a listener that has closed keeps the next one out.
+// Shows why reservations are needed: after a listener has closed, an outgoing connection can have its port as the local
+// port, and then no new listener can use it.
 func TestListen_PortOfAConnection_IsInUse(t *testing.T) {
 	server := listen(t, "127.0.0.1:0")
 	defer func() { _ = server.Close() }()
@@ -40,11 +41,12 @@
 	}
 	defer func() { _ = connection.Close() }()
 	if _, err := net.Listen("tcp", address); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("listen at the port of a connection: %v, want %v", err, syscall.EADDRINUSE)
+		t.Errorf("listen on the local port of a connection: %v, want %v", err, syscall.EADDRINUSE)
 	}
 }
 
-func TestReserve_ListenerRestarts_NobodyElseGetsThePort(t *testing.T) {
+// Guards against a connection taking the port between two listeners of the owner.
+func TestReserve_ListenerRestarts_NoConnectionTakesThePort(t *testing.T) {
 	server := listen(t, "127.0.0.1:0")
 	defer func() { _ = server.Close() }()
 	reservation, err := Reserve("127.0.0.1:0")
@@ -55,13 +57,13 @@
 	for range 3 {
 		connection, err := dialFrom(t, reservation.Address(), server)
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("connect with the reserved port: %v, want %v", err, syscall.EADDRINUSE)
+			t.Errorf("connect from the reserved port: %v, want %v", err, syscall.EADDRINUSE)
 		}
 		if err == nil {
 			_ = connection.Close()
 		}
 		if _, err := net.Dial("tcp", reservation.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("connect to the reserved port: %v, want %v", err, syscall.ECONNREFUSED)
+			t.Errorf("connect to the reserved port without a listener: %v, want %v", err, syscall.ECONNREFUSED)
 		}
 		listener := listen(t, reservation.Address())
 		client, err := net.Dial("tcp", reservation.Address())
@@ -80,6 +82,6 @@
 		t.Errorf("reserve the address of a listener: %v, want %v", err, syscall.EADDRINUSE)
 	}
 	if _, err := Reserve("here"); err == nil {
-		t.Error("reserved an address that is none")
+		t.Error("reserved a malformed address")
 	}
 }
