--- a/lab/fleet/clients.go
+++ b/lab/fleet/clients.go
@@ -12,7 +12,7 @@
 // Clients controls the demand of a Fleet's clients. It is safe for concurrent use.
 type Clients struct {
 	mu     sync.Mutex
-	source *loadgen.Source // of the latest call of RunClients, nil before the first one
+	source *loadgen.Source // source of the latest run; nil before the first run
 }
 
 // changeDemand changes the demand of the current run. It has no effect before the first run.
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -27,7 +27,7 @@
 	anyLoopbackPort     = "127.0.0.1:0" // port 0 selects a free port
 	defaultWorkDuration = 50 * time.Millisecond
 	networkSeed         = 1
-	networkRandomStream = 0x6e6574 // of the emulated network's random generator
+	networkRandomStream = 0x6e6574 // PCG stream of the emulated network's random generator
 )
 
 // Config describes an installation.
@@ -37,10 +37,10 @@
 	FrontEnds int
 	Loops     int                // event loops of each front end; 0 means 1
 	Zones     int                // machines are assigned to them round robin; 0 disables the emulated network
-	Worker    model.WorkerConfig // of each worker, except its name and cell, which are generated
+	Worker    model.WorkerConfig // configuration of each worker, whose name and cell are generated
 	Store     model.StoreConfig
 	Settings  string        // text of the front ends' settings, without the directives that settingsText adds
-	Tolerance time.Duration // added by the invariant checker to time limits
+	Tolerance time.Duration // how much the invariant checker adds to time limits
 	Log       zerolog.Logger
 }
 
@@ -57,7 +57,7 @@
 	Clients   Clients
 	fetcher   *functionstore.Client
 	network   *model.Network
-	clockSkew []time.Duration // of each worker's wall clock, set by a scenario
+	clockSkew []time.Duration // error of each worker's wall clock, set by a scenario
 }
 
 // Start starts an installation. The caller must call Close.
--- a/lab/fleet/front_end.go
+++ b/lab/fleet/front_end.go
@@ -18,7 +18,7 @@
 type FrontEnd struct {
 	fleet       *Fleet
 	number      int
-	reservation *portreservation.Reservation // of its address, kept across restarts
+	reservation *portreservation.Reservation // keeps the address across restarts
 
 	mu      sync.Mutex
 	service *gateway.Service
--- a/lab/soak/classes.go
+++ b/lab/soak/classes.go
@@ -8,7 +8,7 @@
 // The request classes that clients use.
 const (
 	Quote  ClassName = "quote"  // safe to execute any number of times
-	Status ClassName = "status" // carries an idempotency key; the workers of one cell deduplicate executions by it
+	Status ClassName = "status" // carries an idempotency key, by which the workers of a cell deduplicate executions
 	Charge ClassName = "charge" // must not be executed twice
 )
 
@@ -16,9 +16,9 @@
 type retryRule int
 
 const (
-	retryAnywhere retryRule = iota // at any worker, at any time
-	retryWithKey                   // in the cell of the first attempt, within keyRetention of it
-	retryNever
+	retryAnywhere retryRule = iota // may be sent again to any worker at any time
+	retryWithKey                   // may be sent again to the cell of the first attempt, within keyRetention of it
+	retryNever                     // must not be sent again
 )
 
 // class holds the rules of one request class.
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -21,7 +21,7 @@
 	disconnectShare    = 0.02 // fraction of the requests after which the client disconnects, within maxCancelDelay
 	maxCancelDelay     = 700 * time.Millisecond
 	reconnectDelay     = 50 * time.Millisecond
-	maxOpenRequests    = 32 // most unanswered requests on one connection, set by the platform
+	maxOpenRequests    = 32 // the platform's limit of unanswered requests on one connection
 )
 
 // client sends requests to one front end, over one connection at a time.
@@ -173,7 +173,7 @@
 	c.mu.Unlock()
 	if isOpen {
 		c.write([]any{2, "revoke", []int{number}})
-		c.history.Abandoned(id) // after the write, as the front end cannot know of the cancellation earlier
+		c.history.Abandoned(id) // recorded after the write, as the front end cannot know of the cancellation earlier
 	}
 }
 
--- a/lab/soak/endpoints.go
+++ b/lab/soak/endpoints.go
@@ -30,7 +30,7 @@
 	eventNumber     uint64
 	entries         map[uint32]endpointstream.Entry // all workers except removed ones, by Entry.ID
 	inOutage        bool
-	lastOutageStart time.Duration // including outages that only closed the connections; 0 before the first outage
+	lastOutageStart time.Duration // includes outages that only closed the connections; 0 before the first outage
 }
 
 func startEndpoints(history *History) (*endpoints, error) {
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -16,9 +16,9 @@
 	meanFaultGap        = 150 * time.Millisecond
 	maxFaultDuration    = 1500 * time.Millisecond
 	maxPauseDuration    = 1200 * time.Millisecond
-	maxOutageDuration   = 9 * time.Second        // of an outage of discovery
-	maxDrainDuration    = 6 * time.Second        // from the publication of a worker's drain to its removal
-	maxDrainNoticeDelay = 800 * time.Millisecond // from the start of a worker's drain to its publication
+	maxOutageDuration   = 9 * time.Second        // the longest outage of discovery
+	maxDrainDuration    = 6 * time.Second        // longest time from the publication of a worker's drain to its removal
+	maxDrainNoticeDelay = 800 * time.Millisecond // longest time from the start of a worker's drain to its publication
 
 	// Signals to a front end are sent in series, with up to maxGapInSeries between them.
 	maxPausesInSeries  = 3
--- a/lab/soak/frontend.go
+++ b/lab/soak/frontend.go
@@ -16,14 +16,14 @@
 // Timeouts for the start and the end of a front end's process.
 const (
 	readyTimeout     = 10 * time.Second
-	terminateTimeout = 6 * time.Second // after SIGTERM: the longest deadline (3 s) and the platform's 0.7 s, with a margin
+	terminateTimeout = 6 * time.Second // killAfter (3.7 s) and a margin, counted from SIGTERM
 )
 
 // frontEnd is one front end. Its process may be started several times.
 type frontEnd struct {
 	index   int
-	address string // where clients connect; stays the same after a restart
-	path    string // of its configuration file
+	address string // address for clients; stays the same after a restart
+	path    string // the configuration file's path
 	run     *run
 
 	mu           sync.Mutex
--- a/lab/soak/history.go
+++ b/lab/soak/history.go
@@ -24,7 +24,7 @@
 
 // Response is one final response to a request.
 type Response struct {
-	At          time.Duration
+	At          time.Duration // time of receipt
 	Outcome     Outcome
 	BodyMatches bool // the response was served with the body that a worker returns for this request
 }
@@ -35,10 +35,10 @@
 	ID               string
 	Class            ClassName
 	FrontEnd         int
-	SentAt           time.Duration // when its last byte was written
-	Timeout          time.Duration // of the client, counted from SentAt
-	AbandonedAt      time.Duration // when the client cancelled it or closed its connection; 0 if it did neither
-	ConnectionLostAt time.Duration // when its connection ended before a response; 0 if it did not
+	SentAt           time.Duration // time at which the last byte of the request was written
+	Timeout          time.Duration // the client's timeout, counted from SentAt
+	AbandonedAt      time.Duration // time at which the client cancelled the request or disconnected; 0 if it did neither
+	ConnectionLostAt time.Duration // time at which the connection ended without a response; 0 if it did not
 	Responses        []Response
 }
 
@@ -61,7 +61,7 @@
 // Notice records that the endpoint stream announced a worker's drain or removal.
 type Notice struct {
 	Worker string
-	At     time.Duration // from when on all front ends count as notified
+	At     time.Duration // time from which on all front ends count as notified
 }
 
 // Pause is a period in which a front end's process was stopped or did not exist.
@@ -76,11 +76,11 @@
 	start time.Time
 
 	mu                  sync.Mutex
-	requests            map[string]*Request // by ID
+	requests            map[string]*Request // requests by Request.ID
 	arrivals            []*Arrival
 	notExecuted         map[executionKey]int // number of responses that a request was not executed
 	loadOrders          []LoadOrder
-	notices             map[string]*Notice // by worker
+	notices             map[string]*Notice // first notice of each worker, by its name
 	pauses              []*Pause
 	terminations        []*Termination
 	immediateViolations []string // violations found during the run, such as a crashed process
@@ -193,7 +193,7 @@
 type Termination struct {
 	FrontEnd int
 	At       time.Duration
-	Killed   bool // it had not ended after killAfter, when the platform may kill it
+	Killed   bool // the process had not ended after killAfter, when the platform may kill it
 }
 
 // Terminated records that a front end is sent SIGTERM now. The caller calls killed if the front end does not end in
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -11,10 +11,10 @@
 
 // Time limits of the rules that are not part of a front end's settings.
 const (
-	cancelGrace       = 100 * time.Millisecond // after a client abandons a request, in which an attempt may still begin
-	lateResponseGrace = 500 * time.Millisecond // after the client's timeout, in which a late response is no violation
-	ttlTolerance      = 150 * time.Millisecond // by which the TTL of an attempt may exceed the time left to the client
-	closeRaceWindow   = 50 * time.Millisecond  // in which a request may cross the close of an idle connection
+	cancelGrace       = 100 * time.Millisecond // an attempt may begin this long after its request was abandoned
+	lateResponseGrace = 500 * time.Millisecond // a response may be this late after the client's timeout
+	ttlTolerance      = 150 * time.Millisecond // an attempt's TTL may exceed the time left to the client by this
+	closeRaceWindow   = 50 * time.Millisecond  // a request sent this soon before an idle connection ends may be lost
 )
 
 // Violation describes one case in which a rule was broken.
@@ -30,7 +30,7 @@
 // checker collects the violations of one run.
 type checker struct {
 	*History
-	arrivalsOf map[string][]*Arrival // by request identifier, in the order of arrival
+	arrivalsOf map[string][]*Arrival // the attempts of each request, by its identifier, in the order of arrival
 	violations []Violation
 }
 
--- a/lab/soak/release.go
+++ b/lab/soak/release.go
@@ -9,7 +9,7 @@
 
 const (
 	maxRolloutShare = 0.3             // largest fraction of the workers that one rollout replaces
-	rolloutDuration = 2 * time.Second // in which the replacements begin
+	rolloutDuration = 2 * time.Second // time over which the starts of the replacements are spread
 )
 
 // rolloutWorkers replaces many workers within a short time, as a rollout of a new release does.
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -14,20 +14,20 @@
 
 // Config configures one run.
 type Config struct {
-	Seed      uint64 // of the faults and the clients' requests
+	Seed      uint64 // seeds the random draws of faults, clients and workers
 	FrontEnds int
 	Workers   int
 	Cells     int
-	Length    time.Duration     // for which clients send requests and faults are injected
+	Length    time.Duration     // how long clients send requests and faults are injected
 	Command   func() *exec.Cmd  // returns a front end's command, to which RELAY_CONFIG names its configuration file
-	LogDir    string            // where the front ends' logs are kept; empty for a temporary directory that is removed
+	LogDir    string            // directory for the front ends' logs; if empty, a temporary directory that is removed
 	Notes     func(text string) // called for each fault as it begins, and for its steps; may be nil
 }
 
 // Report summarizes a run.
 type Report struct {
 	Requests, Served, Rejected, Failed, Cancelled int
-	Arrivals, Repeats                             int            // attempts, and those after a request's first one
+	Arrivals, Repeats                             int            // all attempts, and those after a request's first
 	Faults                                        map[string]int // number of injected faults by name
 	Violations                                    []Violation
 	WorstLag                                      time.Duration // the longest lag of the soak's own process; see lagMeter
@@ -43,22 +43,22 @@
 	connectTimeout time.Duration
 	frontEnds      []*frontEnd
 	tasks          sync.WaitGroup
-	requests       atomic.Uint64
-	lag            lagMeter // owned by the measuring goroutine until tasks have ended
+	requests       atomic.Uint64 // number of requests sent
+	lag            lagMeter      // owned by the measuring goroutine until tasks have ended
 	stopOnce       sync.Once
 
 	mu          sync.Mutex
 	workers     []*worker // except those being replaced, which replaceWorker closes
 	nextID      uint32
 	busy        map[*frontEnd]bool // a fault that signals or restarts the front end is in progress
-	faultCounts map[string]int     // by name
+	faultCounts map[string]int     // number of faults by name
 }
 
 // lateConnectTimeout lets connections that were held back be established: the system retransmits a SYN after one
 // second. Runs with an even seed use it in place of connectTimeout.
 const lateConnectTimeout = 1500 * time.Millisecond
 
-// noHealthChecksEvery selects the runs whose settings forbid health checks: the seeds that it divides.
+// noHealthChecksEvery selects the runs whose settings forbid health checks: those whose seed is a multiple of it.
 const noHealthChecksEvery = 4
 
 // Run executes one run and checks its history. An error means that the run itself failed, not that a rule was broken.
--- a/lab/soak/terminate.go
+++ b/lab/soak/terminate.go
@@ -9,15 +9,15 @@
 
 // Terms of a planned restart. The platform sets them.
 const (
-	killAfter           = 3*time.Second + 700*time.Millisecond // after SIGTERM: the longest deadline and 0.7 s
+	killAfter           = 3*time.Second + 700*time.Millisecond // the longest deadline and 0.7 s, counted from SIGTERM
 	minConnectPeriod    = 200 * time.Millisecond               // shortest time for which clients connect after SIGTERM
 	connectPeriodSpread = 200 * time.Millisecond               // largest random extension of minConnectPeriod
-	maxFurtherSignals   = 3                                    // between SIGTERM and the kill
+	maxFurtherSignals   = 3                                    // most signals sent between the first SIGTERM and the kill
 )
 
 // timedSignal is a signal that follows the first SIGTERM after a time.
 type timedSignal struct {
-	after  time.Duration
+	after  time.Duration // counted from the first SIGTERM
 	signal syscall.Signal
 }
 
--- a/lab/soak/worker.go
+++ b/lab/soak/worker.go
@@ -18,8 +18,8 @@
 
 // Durations of an emulated worker's operations.
 const (
-	meanRunTime = 40 * time.Millisecond  // of an execution
-	loadTime    = 150 * time.Millisecond // of loading a function
+	meanRunTime = 40 * time.Millisecond  // mean duration of an execution
+	loadTime    = 150 * time.Millisecond // duration of loading a function
 )
 
 // behavior is how a worker responds to frames.
