--- a/lab/model/clock.go
+++ b/lab/model/clock.go
@@ -1,7 +1,7 @@
-// Package model holds the models of what surrounds a front end: workers with their cores, memory and replicas, the
-// function store that they share, and the network. The models are driven by a Clock and callbacks alone, so that the
-// same code runs behind sockets in real time and in a simulation in virtual time. Nothing here locks: all calls into
-// models that share a Clock are made one at a time, as the Clock makes its own.
+// Package model contains the models of the environment of a front end: workers with their cores, memory and replicas,
+// the function store that the workers share, and the network. The models are driven only by a Clock and callbacks, so
+// that the same code runs behind sockets in real time and in a simulation in virtual time. The models take no locks:
+// callers must serialize all calls into models that share a Clock, with each other and with the Clock's callbacks.
 package model
 
 import (
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// Clock tells the time and calls back. Callbacks of one Clock never overlap.
+// Clock provides the time and timers. The callbacks of one Clock never run concurrently.
 type Clock interface {
-	// Now is the time since the Clock started.
+	// Now returns the time since the Clock started.
 	Now() time.Duration
-	// After calls f once d has passed. The returned function cancels that.
+	// After calls f once d has passed. The returned function cancels the call.
 	After(d time.Duration, f func()) (cancel func())
 }
 
-// RealClock is a Clock in real time. Code from outside enters by Do, so that it never overlaps a callback.
+// RealClock is a Clock in real time. Other goroutines must access the models through Do, which never runs concurrently
+// with a callback.
 type RealClock struct {
 	mu    sync.Mutex
 	start time.Time
@@ -26,19 +27,19 @@
 // NewRealClock returns a RealClock that starts now.
 func NewRealClock() *RealClock { return &RealClock{start: time.Now()} }
 
-// Do runs f between callbacks.
+// Do runs f while no callback runs.
 func (c *RealClock) Do(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
 }
 
-// Now is the time since the clock started. It may be called from anywhere.
+// Now returns the time since the clock started. It is safe for concurrent use.
 func (c *RealClock) Now() time.Duration { return time.Since(c.start) }
 
-// After calls f once d has passed. After and the function that it returns are called within Do or a callback.
+// After calls f once d has passed. After and the function that it returns must be called from within Do or a callback.
 func (c *RealClock) After(d time.Duration, f func()) func() {
-	cancelled := false // read and written under the lock only
+	cancelled := false // guarded by c.mu
 	t := time.AfterFunc(d, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/lab/model/command.go
+++ b/lab/model/command.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Commands names the commands that Command accepts, each with its arguments.
+// Commands lists the commands that Command accepts, with their arguments.
 const Commands = "die | start | drain on|off | hang on|off | pause on|off | slow FACTOR | fail SHARE | flush [FUNCTION] | re-release SHARE SALT"
 
-// Command injects a fault into the worker's process or ends one. known reports whether it is a command of the
-// process; the others are commands of its socket.
+// Command executes a command that injects a fault into the worker's process or ends one. known is false for a command
+// that does not apply to the process; the caller may know it as a command for the worker's socket.
 func (w *Worker) Command(line string) (known bool, err error) {
 	verb, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
 	argument = strings.TrimSpace(argument)
@@ -39,12 +39,12 @@
 	return true, nil
 }
 
-// reRelease reads "SHARE SALT".
+// reRelease executes the re-release command, whose argument is "SHARE SALT".
 func (w *Worker) reRelease(argument string) error {
 	text, salt, _ := strings.Cut(argument, " ")
 	share, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(share >= 0 && share <= 1) {
-		return fmt.Errorf("%q is no share", text)
+		return fmt.Errorf("%q is not a share from 0 to 1", text)
 	}
 	w.InvalidateShare(share, salt)
 	return nil
@@ -53,7 +53,7 @@
 func applyFactor(argument string, set func(float64)) error {
 	x, err := strconv.ParseFloat(argument, 64)
 	if err != nil || x < 0 {
-		return fmt.Errorf("%q is no factor or share", argument)
+		return fmt.Errorf("%q is not a number of at least 0", argument)
 	}
 	set(x)
 	return nil
--- a/lab/model/estimate.go
+++ b/lab/model/estimate.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// oracleOverloadShare is the share of the overload limit of a cold worker up to which an oracle sends to it.
+	// oracleOverloadShare is the share of a cold worker's overload limit up to which an oracle sends requests to it.
 	oracleOverloadShare = 0.6
-	// stoppedStorePace stands for the pace of a store that serves nothing.
+	// stoppedStorePace is the factor by which a stopped store is assumed to prolong a fetch.
 	stoppedStorePace = 10
-	// unacceptableWait stands for a wait that no request is sent for.
+	// unacceptableWait is an estimate that is longer than any request can wait.
 	unacceptableWait = time.Hour
 )
 
-// Estimate is what an oracle can know of a request if it were sent now: how long it would wait for a load, and how
-// long it would take beside that, by all that the worker and the store hold. It reports false where the request would
-// get no response, or would bring a cold worker near its overload limit. No front end sees this.
+// Estimate returns how long a request would wait for a load if it were sent now, and how long it would take in
+// addition to that, from the exact state of the worker and the store. usable is false if the request would get no
+// response or would bring a cold worker near its overload limit. Only oracles use Estimate: a front end does not know
+// this state.
 func (w *Worker) Estimate(r *Request, store *Store) (loadWait, rest time.Duration, usable bool) {
 	speed := w.speed()
 	if !w.accepts() || w.approachesOverload(r.Work) {
@@ -31,13 +32,13 @@
 	return loadWait, queueWait + runTime, true
 }
 
-// accepts reports whether the worker would accept a request and respond to it.
+// accepts reports whether the worker would accept a request now and respond to it.
 func (w *Worker) accepts() bool {
 	faulty := w.hung || w.draining || w.paused || w.failures.Share > 0
 	return w.up && !faulty && len(w.queue) < w.Config.Queue
 }
 
-// approachesOverload reports whether more work would bring a cold worker near its overload limit.
+// approachesOverload reports whether additional work would bring a cold worker near its overload limit.
 func (w *Worker) approachesOverload(work time.Duration) bool {
 	if !w.Cold() || w.Config.OverloadWindow <= 0 {
 		return false
@@ -46,9 +47,9 @@
 	return float64(work+w.recentWorkTotal()) > limit
 }
 
-// estimateReplicaWait estimates how long a request waits for a load, and then for room at a replica of its function.
-// Without a replica it waits for a load at the store's present pace; where that load evicts another replica, the time
-// of loading that one again is added.
+// estimateReplicaWait estimates how long a request waits for a load, and then for free concurrency at a replica of its
+// function. Without a replica it waits for a load at the store's current pace. If that load evicts another replica, the
+// estimate includes the time to load the evicted replica again.
 func (w *Worker) estimateReplicaWait(r *Request, speed float64, store *Store) (loadWait, queueWait time.Duration) {
 	free, all := w.concurrencyOf(r.Function)
 	ahead := w.queuedFor(r.Function)
@@ -60,7 +61,7 @@
 	}
 	duration := store.estimateLoad(r.LoadTime)
 	for _, l := range w.loads {
-		if l.function == r.Function { // under way: on average half of it is over
+		if l.function == r.Function { // in progress: on average, half of the load is done
 			return duration / 2, time.Duration(float64(ahead) / float64(l.concurrency) * float64(r.Work) / speed)
 		}
 	}
@@ -74,7 +75,7 @@
 	return duration, 0
 }
 
-// concurrencyOf is how many requests of a function the worker can execute at a time, and how many more than now.
+// concurrencyOf returns the total concurrency of the worker's replicas of a function, and how much of it is free.
 func (w *Worker) concurrencyOf(function string) (free, all int) {
 	for _, r := range w.replicas {
 		if r.serves(function) {
@@ -85,7 +86,8 @@
 	return free, all
 }
 
-// estimateLoad is how long a load that takes load alone would take at the store's present pace.
+// estimateLoad returns how long a load would take at the store's current pace. load is its duration while nothing else
+// is being fetched.
 func (s *Store) estimateLoad(load time.Duration) time.Duration {
 	pace := max(1, float64(s.shared.Len()+1)/s.cfg.Concurrency)
 	if speed := s.shared.speed; speed > 0 {
@@ -96,5 +98,5 @@
 	return time.Duration(float64(load) * (fetchShare*pace + 1 - fetchShare))
 }
 
-// approachesLimit reports whether the store is stopped or near its limit, so that nothing more should be fetched.
+// approachesLimit reports whether the store is stopped or near its limit, so that no further fetch should be started.
 func (s *Store) approachesLimit() bool { return s.outages > 0 || 2*s.shared.Len() > s.cfg.Limit }
--- a/lab/model/execution.go
+++ b/lab/model/execution.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// attempt is a request at a worker.
+// attempt is one attempt of a request while the worker handles it.
 type attempt struct {
 	*Request
 	reply      func(Response)
 	queueDepth int
 	coldStart  ColdStart
-	closed     bool // a response was sent, or the request was cancelled
+	closed     bool // a response was sent, or the attempt was cancelled
 
-	// Set when the execution starts.
+	// The following fields are set when the execution starts.
 	replica   *replica
 	job       *Job
 	startedAt time.Duration
 }
 
-// arrival is work that was received at a time.
+// arrival records the time at which work was received, and its amount.
 type arrival struct {
 	at   time.Duration
 	work time.Duration
 }
 
-// Handle receives a request. reply is called once, unless the worker crashes or hangs or the request is cancelled.
+// Handle receives an attempt of a request. reply is called once, unless the worker crashes or hangs or the attempt is
+// cancelled.
 func (w *Worker) Handle(r *Request, reply func(Response)) {
 	w.observer.RequestReceived(w, r)
 	if !w.up {
@@ -36,7 +37,7 @@
 	}
 	a := &attempt{Request: r, reply: reply, queueDepth: w.inFlight(r.Function)}
 	switch {
-	case w.hung: // queued until the worker goes on
+	case w.hung: // dispatched when the worker stops hanging
 		w.queue = append(w.queue, a)
 	case w.draining:
 		w.respond(a, Overloaded)
@@ -50,7 +51,7 @@
 	}
 }
 
-// respond ends an attempt. The observer is told of the outcome also where nobody waits for it.
+// respond ends an attempt. The observer is notified of the outcome even if the attempt was cancelled.
 func (w *Worker) respond(a *attempt, o Outcome) {
 	w.observer.ResponseSent(w, a.Request, o)
 	if a.closed {
@@ -64,12 +65,12 @@
 	a.reply(response)
 }
 
-// inFlight counts the requests of a function that wait or execute.
+// inFlight returns the number of requests of a function that are queued or executing.
 func (w *Worker) inFlight(function string) int {
 	return countOf(w.queue, function) + countOf(w.running, function)
 }
 
-// queuedFor counts the requests of a function that wait.
+// queuedFor returns the number of requests of a function that are queued.
 func (w *Worker) queuedFor(function string) int { return countOf(w.queue, function) }
 
 func countOf(attempts []*attempt, function string) (n int) {
@@ -81,8 +82,8 @@
 	return n
 }
 
-// crashesFromOverload records work received while the worker is cold, and crashes the worker where that is too much
-// within the overload window.
+// crashesFromOverload records work that is received while the worker is cold. It crashes the worker and returns true if
+// the work received within the overload window exceeds the overload limit.
 func (w *Worker) crashesFromOverload(work time.Duration) bool {
 	if !w.Cold() || w.Config.OverloadWindow <= 0 {
 		w.recentWork = nil
@@ -106,12 +107,14 @@
 	return total
 }
 
-// overloadLimit is the work, in nanoseconds, beyond which a cold worker crashes when it arrives within the window.
+// overloadLimit returns the work, in nanoseconds, that a cold worker can receive within the overload window without
+// crashing.
 func (w *Worker) overloadLimit() float64 {
 	return w.Config.OverloadMultiple * w.Capacity() * float64(w.Config.OverloadWindow)
 }
 
-// hasExecuted reports whether a request with an idempotency key has executed in this cell within the key retention.
+// hasExecuted reports whether a request with the idempotency key was executed in the worker's cell within the key
+// retention.
 func (w *Worker) hasExecuted(key string) bool {
 	if key == "" {
 		return false
@@ -120,7 +123,8 @@
 	return executed && w.clock.Now()-at < w.Config.KeyRetention
 }
 
-// dispatch executes a request on a replica with room, queues it, or begins a load for it.
+// dispatch executes a request on a replica with free concurrency. Otherwise it queues the request, starting a load if
+// necessary, or rejects it.
 func (w *Worker) dispatch(a *attempt) {
 	if r := w.replicaWithRoom(a.Function); r != nil {
 		w.execute(a, r)
@@ -151,7 +155,8 @@
 	}
 }
 
-// needsAnotherReplica reports whether the worker loads another replica of a queued request's function by itself.
+// needsAnotherReplica reports whether the worker should load another replica of a queued request's function without a
+// load order.
 func (w *Worker) needsAnotherReplica(a *attempt, loaded, loading int) bool {
 	if !w.Config.LoadsMoreReplicas || loaded == 0 || loading > 0 {
 		return false
@@ -159,7 +164,7 @@
 	return w.queuedFor(a.Function) > a.Concurrency
 }
 
-// execute starts a request on a replica.
+// execute starts the execution of a request on a replica.
 func (w *Worker) execute(a *attempt, r *replica) {
 	a.startedAt = w.clock.Now()
 	if a.coldStart == ColdStartUnknown {
@@ -169,12 +174,12 @@
 	r.stopIdleTimer()
 	a.replica = r
 	w.running = append(w.running, a)
-	a.job = w.cpu.Add(a.Work, func() { w.executed(a) })
+	a.job = w.cpu.Add(a.Work, func() { w.completeExecution(a) })
 }
 
-// executed ends an execution: the request's effect took place. A request that executed beside another one with the
-// same idempotency key has no second effect.
-func (w *Worker) executed(a *attempt) {
+// completeExecution handles the end of an execution, at which the request takes effect. If a request with the same idempotency
+// key completed while this one was executing, this one has no second effect.
+func (w *Worker) completeExecution(a *attempt) {
 	w.running = slices.DeleteFunc(w.running, func(x *attempt) bool { return x == a })
 	if !w.hasExecuted(a.IdempotencyKey) {
 		w.observer.RequestExecuted(w, a.Request)
@@ -187,7 +192,7 @@
 	w.dispatchQueued(a.Function)
 }
 
-// dispatchQueued executes queued requests of a function while a replica has room.
+// dispatchQueued executes queued requests of a function while one of its replicas has free concurrency.
 func (w *Worker) dispatchQueued(function string) {
 	for i := 0; i < len(w.queue); {
 		a := w.queue[i]
@@ -208,10 +213,10 @@
 	}
 }
 
-// Cancel reports that nobody waits for an attempt: it leaves the queue, and stops executing where the worker is
-// configured so.
-func (w *Worker) Cancel(id string, number int) {
-	matches := func(a *attempt) bool { return a.ID == id && a.Attempt == number }
+// Cancel cancels an attempt. A queued attempt is removed from the queue. An executing one is stopped only if
+// Config.CancelStopsWork is set.
+func (w *Worker) Cancel(id string, attemptNumber int) {
+	matches := func(a *attempt) bool { return a.ID == id && a.Attempt == attemptNumber }
 	w.queue = slices.DeleteFunc(w.queue, func(a *attempt) bool {
 		a.closed = a.closed || matches(a)
 		return matches(a) && !w.hung
@@ -227,7 +232,7 @@
 	}
 }
 
-// abort stops an execution before its end.
+// abort stops an execution before it is complete.
 func (w *Worker) abort(a *attempt) {
 	w.cpu.Remove(a.job)
 	w.running = slices.DeleteFunc(w.running, func(x *attempt) bool { return x == a })
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -7,8 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Crash ends the process. Everything that it held is lost, and callbacks of this incarnation have no effect any
-// longer.
+// Crash ends the process. Its state is lost, and pending callbacks of its incarnation no longer have an effect.
 func (w *Worker) Crash() {
 	w.up = false
 	w.incarnation++
@@ -24,7 +23,7 @@
 	w.updateSpeed()
 }
 
-// Start starts the process anew, cold and empty. A process that runs crashes first.
+// Start starts a new process, which is cold and has no replicas. If a process is running, Start crashes it first.
 func (w *Worker) Start() {
 	if w.up {
 		w.Crash()
@@ -33,11 +32,11 @@
 	w.updateSpeed()
 }
 
-// SetDraining makes the worker reject new requests and load orders as overloaded, or accept them again.
+// SetDraining makes the worker reject new requests and load orders with Overloaded, or accept them again.
 func (w *Worker) SetDraining(on bool) { w.draining = on }
 
-// SetHung makes the worker receive everything and respond to nothing. When it ends, the worker goes on with what it
-// received.
+// SetHung makes the worker receive requests without responding to them. When the fault ends, the worker handles the
+// requests that it received meanwhile.
 func (w *Worker) SetHung(on bool) {
 	if w.hung == on || !w.up {
 		return
@@ -49,7 +48,8 @@
 	}
 }
 
-// resume dispatches what was received while the worker hung, and ends the loads whose end it missed.
+// resume dispatches the requests that were received while the worker was hung, and completes the started loads, whose
+// end loadEnded ignores while the worker is hung.
 func (w *Worker) resume() {
 	queue := w.queue
 	w.queue = nil
@@ -65,28 +65,29 @@
 	}
 }
 
-// SetPaused stops all executions, or continues them.
+// SetPaused pauses all executions, or resumes them.
 func (w *Worker) SetPaused(on bool) {
 	w.paused = on
 	w.updateSpeed()
 }
 
-// SetSlowdown makes all work take factor times as long; 1 ends it.
+// SetSlowdown makes all work take factor times as long. A factor of 1 ends the fault.
 func (w *Worker) SetSlowdown(factor float64) {
 	w.slowdown = max(1, factor)
 	w.updateSpeed()
 }
 
-// SetFailureShare makes the worker fail a share of its requests at once; 0 ends it.
+// SetFailureShare makes the worker fail a share of its requests without executing them. A share of 0 ends the fault.
 func (w *Worker) SetFailureShare(share float64) { w.failures = Sampler{Share: share} }
 
-// InvalidateReplicas unloads the replicas of a function, or all if function is empty, as a new release does. Those
-// that execute requests finish them first.
+// InvalidateReplicas unloads the replicas of a function, or all replicas if function is empty, as a new release of the
+// function does. Busy replicas finish their requests first.
 func (w *Worker) InvalidateReplicas(function string) {
 	w.invalidate(func(f string) bool { return function == "" || f == function })
 }
 
-// InvalidateShare does the same for a share of the functions: the same ones at each worker that is given the salt.
+// InvalidateShare unloads the replicas of a share of the functions, as InvalidateReplicas does. Workers that are given
+// the same share and salt select the same functions.
 func (w *Worker) InvalidateShare(share float64, salt string) {
 	w.invalidate(func(f string) bool { return float64(xxhash.Sum64String(salt+f)) < share*math.MaxUint64 })
 }
--- a/lab/model/load.go
+++ b/lab/model/load.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// load is a replica of a function that is being loaded, or waits for its turn.
+// load is the load of one replica of a function. It is queued or in progress.
 type load struct {
 	function    string
 	memoryMB    float64
 	concurrency int
-	duration    time.Duration // while nothing else loads
+	duration    time.Duration // duration while nothing else is being loaded
 	started     bool
-	orders      []*loadOrder // that wait for its end
+	orders      []*loadOrder // load orders that are answered when the load ends
 }
 
-// loadOrder is a front end's order to hold replicas of a function.
+// loadOrder is a front end's load order that has not been answered yet.
 type loadOrder struct {
 	replicas int
 	reply    func(Outcome, int)
 }
 
-// newLoad is a load of the function that a request is for.
+// newLoad returns a load of the function that a request calls.
 func newLoad(a *attempt) *load {
 	return &load{function: a.Function, memoryMB: a.MemoryMB, concurrency: a.Concurrency, duration: a.LoadTime}
 }
 
 const (
-	// queuedLoadsFactor bounds the loads, those that wait included, as a multiple of those at a time.
+	// queuedLoadsFactor bounds the number of loads, queued ones included, as a multiple of MaxConcurrentLoads.
 	queuedLoadsFactor = 3
-	// fetchShare is the share of a load's time that is the fetch; the rest is the start, which uses no core.
+	// fetchShare is the fraction of a load's duration that the fetch takes. The remainder is the start of the replica,
+	// which uses no core.
 	fetchShare = 0.6
 )
 
-// enqueueLoad starts a load or queues it. It reports false where memory or places in the queue are short. order may
-// be nil.
+// enqueueLoad starts a load or queues it. It returns false if there is not enough memory or the queue of loads is full.
+// order is the load order that is answered when the load ends; it may be nil.
 func (w *Worker) enqueueLoad(l *load, order *loadOrder) bool {
 	if len(w.loads) >= queuedLoadsFactor*w.Config.MaxConcurrentLoads || !w.makeRoom(l.memoryMB) {
 		return false
@@ -48,7 +49,7 @@
 	return true
 }
 
-// startLoads starts the oldest loads, as many as may run at a time.
+// startLoads starts queued loads, oldest first, up to the limit of concurrent loads.
 func (w *Worker) startLoads() {
 	for i, l := range w.loads {
 		if i >= w.Config.MaxConcurrentLoads || l.started {
@@ -59,7 +60,7 @@
 	}
 }
 
-// fetch fetches a load's artefact and then starts the replica.
+// fetch fetches the artefact for a load and then starts the replica.
 func (w *Worker) fetch(l *load) {
 	incarnation := w.incarnation
 	fetchTime := time.Duration(fetchShare * float64(l.duration))
@@ -67,7 +68,7 @@
 		if incarnation != w.incarnation || !w.up {
 			return
 		}
-		if !ok { // never from within Fetch itself
+		if !ok { // ends the load in a callback of its own, because Fetch may call done before it returns
 			w.clock.After(0, func() { w.loadEnded(incarnation, l, false) })
 			return
 		}
@@ -75,7 +76,7 @@
 	})
 }
 
-// loadEnded handles the end of a load that an incarnation of the process began.
+// loadEnded handles the end of a load that the given incarnation of the process started.
 func (w *Worker) loadEnded(incarnation int, l *load, ok bool) {
 	if !w.isCurrent(incarnation, l) || w.hung {
 		return
@@ -99,12 +100,12 @@
 	w.startLoads()
 }
 
-// isCurrent reports whether a load belongs to the process that runs now.
+// isCurrent reports whether a load belongs to the current incarnation of the process and has not ended.
 func (w *Worker) isCurrent(incarnation int, l *load) bool {
 	return w.up && incarnation == w.incarnation && slices.Contains(w.loads, l)
 }
 
-// failQueued responds to the queued requests of a function whose load failed.
+// failQueued responds NotLoaded to the queued requests of a function whose load failed.
 func (w *Worker) failQueued(function string) {
 	var failed []*attempt
 	w.queue = slices.DeleteFunc(w.queue, func(a *attempt) bool {
@@ -120,18 +121,18 @@
 	}
 }
 
-// LoadOrder is an order to hold replicas of a function. For 0 replicas it is a residency query, which only asks how
-// many are loaded.
+// LoadOrder is an order to hold a number of replicas of a function. An order for 0 replicas is a residency query, which
+// only asks how many replicas are loaded.
 type LoadOrder struct {
 	FrontEnd    string
 	Function    string
 	Replicas    int
-	MemoryMB    float64       // of each replica
-	Concurrency int           // of each replica
-	LoadTime    time.Duration // of a replica, while nothing else loads
+	MemoryMB    float64       // memory of each replica
+	Concurrency int           // concurrency of each replica
+	LoadTime    time.Duration // time to load a replica while nothing else is being loaded
 }
 
-// HandleLoadOrder receives a load order. reply is called once with the number of loaded replicas, unless the worker
+// HandleLoadOrder receives a load order. reply is called once, with the number of loaded replicas, unless the worker
 // crashes or hangs.
 func (w *Worker) HandleLoadOrder(o LoadOrder, reply func(Outcome, int)) {
 	w.observer.LoadOrderReceived(w, o.FrontEnd, o.Function, o.Replicas)
@@ -161,7 +162,7 @@
 	}
 }
 
-// joinLoad makes an order wait for the first load of a function under way. It reports false where there is none.
+// joinLoad makes an order wait for the oldest load of a function. It returns false if the function has no load.
 func (w *Worker) joinLoad(function string, order *loadOrder) bool {
 	for _, l := range w.loads {
 		if l.function == function {
@@ -172,7 +173,7 @@
 	return false
 }
 
-// renewKeepAlive starts the keep-alive time of a function's idle replicas anew.
+// renewKeepAlive restarts the keep-alive time of a function's idle replicas.
 func (w *Worker) renewKeepAlive(function string) {
 	for _, r := range w.replicas {
 		if r.serves(function) && r.busy == 0 {
--- a/lab/model/network.go
+++ b/lab/model/network.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// NetworkConfig describes the network between machines in zones 1 to Zones.
+// NetworkConfig configures the network between machines in zones 1 to Zones.
 type NetworkConfig struct {
 	Zones   int
-	Latency time.Duration // one way, without faults
-	Jitter  float64       // share of the latency that is drawn anew for each message
+	Latency time.Duration // mean one-way latency without faults
+	Jitter  float64       // largest random deviation of a message from Latency, as a fraction of it
 }
 
-// Network is the model of the network between zones as a stream over it sees it: nothing is lost for good and nothing
-// is reordered, but a lost message arrives when it is retransmitted, and all behind it wait. It is driven within its
-// Clock.
+// Network is the model of the network between zones as a stream transport, such as TCP, presents it: messages are
+// neither lost for good nor reordered, but a lost message is delayed until its retransmission arrives, and so are all
+// messages behind it. Its methods must be called within its Clock.
 type Network struct {
 	cfg    NetworkConfig
 	clock  Clock
@@ -23,11 +23,11 @@
 	faults []*NetworkFault
 }
 
-// NetworkFault is a fault between two zones, in both directions. From and To may be the same zone.
+// NetworkFault is a fault between two zones. It applies to both directions. From and To may be the same zone.
 type NetworkFault struct {
 	From, To int
-	Delay    time.Duration // added to each message
-	Loss     float64       // share of messages that are lost; 1: partitioned
+	Delay    time.Duration // delay added to each message
+	Loss     float64       // share of messages that are lost, 0 to 1; 1 is a partition
 }
 
 // connects reports whether the fault is on the path between two zones.
@@ -38,8 +38,8 @@
 	return f.From == to && f.To == from
 }
 
-// A lost message is retransmitted after firstRetransmitWait, then after twice as long each time (RFC 6298, with the
-// shortest wait in common use).
+// A lost message is retransmitted after firstRetransmitWait. The wait doubles with each further loss, up to
+// maxRetransmitWait. This follows RFC 6298, with the shortest first wait in common use.
 const (
 	firstRetransmitWait = 200 * time.Millisecond
 	maxRetransmitWait   = 10 * time.Second
@@ -50,10 +50,10 @@
 	return &Network{cfg: cfg, clock: c, rng: rng}
 }
 
-// Zone is the zone of a machine by its number: machines are assigned to zones round robin.
+// Zone returns the zone of a machine, given the machine's number. Machines are assigned to zones round robin.
 func (n *Network) Zone(machine int) int { return machine%max(1, n.cfg.Zones) + 1 }
 
-// AddFault starts a fault. The returned function ends it.
+// AddFault starts a fault. The returned function ends the fault.
 func (n *Network) AddFault(f NetworkFault) (end func()) {
 	n.faults = append(n.faults, &f)
 	return func() { n.faults = slices.DeleteFunc(n.faults, func(x *NetworkFault) bool { return x == &f }) }
@@ -65,12 +65,12 @@
 	return delay > 0 || loss > 0
 }
 
-// Delay draws how long one message takes on a path without faults.
+// Delay draws the delay of one message on a path without faults.
 func (n *Network) Delay() time.Duration {
 	return time.Duration(float64(n.cfg.Latency) * (1 + n.cfg.Jitter*(2*n.rng.Float64()-1)))
 }
 
-// impairment is what faults add on a path now.
+// impairment returns the additional delay and the loss that the current faults cause between two zones.
 func (n *Network) impairment(from, to int) (delay time.Duration, loss float64) {
 	delivered := 1.0
 	for _, f := range n.faults {
@@ -86,7 +86,7 @@
 type Path struct {
 	network  *Network
 	from, to int
-	queue    []*message // sent and not delivered, in the order of sending
+	queue    []*message // messages sent but not delivered, in the order in which they were sent
 	closed   bool
 }
 
@@ -95,20 +95,20 @@
 	deliver  func()
 }
 
-// NewPath returns one direction of a new connection, between two zones.
+// NewPath returns one direction of a new connection between two zones.
 func (n *Network) NewPath(from, to int) *Path { return &Path{network: n, from: from, to: to} }
 
-// Send calls deliver when a message that is sent now and all messages before it were received.
+// Send sends a message. deliver is called once the message and all messages sent before it have been received.
 func (p *Path) Send(deliver func()) {
 	m := &message{deliver: deliver}
 	p.queue = append(p.queue, m)
 	p.transmit(m, firstRetransmitWait)
 }
 
-// Close drops all messages under way.
+// Close drops all messages that have not been delivered.
 func (p *Path) Close() { p.closed, p.queue = true, nil }
 
-// transmit sends a message; where it is lost, it is sent again after wait.
+// transmit sends a message. If the message is lost, transmit sends it again after wait.
 func (p *Path) transmit(m *message, wait time.Duration) {
 	if p.closed {
 		return
@@ -124,7 +124,7 @@
 	})
 }
 
-// deliverReceived delivers messages up to the first that was not received.
+// deliverReceived delivers the messages at the head of the queue, up to the first one that has not been received.
 func (p *Path) deliverReceived() {
 	for len(p.queue) > 0 && p.queue[0].received {
 		m := p.queue[0]
--- a/lab/model/processor_sharing.go
+++ b/lab/model/processor_sharing.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// ProcessorSharing serves jobs side by side, as cores or a disk do: alone a job takes its own time, and more jobs than
-// the capacity share it equally.
+// ProcessorSharing is a processor-sharing server: it serves all its jobs concurrently, as cores or a disk do. Up to
+// capacity jobs run at full speed; more jobs share the capacity equally.
 type ProcessorSharing struct {
 	clock       Clock
-	capacity    float64 // jobs that are served at full speed
-	speed       float64 // 1: the speed in which work is given; 0: stopped
+	capacity    float64 // number of jobs that are served at full speed
+	speed       float64 // 1 is the speed at which work is measured; 0 stops all jobs
 	jobs        []*Job
 	updatedAt   time.Duration
 	cancelTimer func()
-	Used        time.Duration // work done so far, at speed 1
+	Used        time.Duration // total work done for all jobs, as time at speed 1
 }
 
-// Job is one piece of work at a ProcessorSharing.
+// Job is a piece of work that a ProcessorSharing serves.
 type Job struct {
-	remaining float64 // nanoseconds at speed 1
+	remaining float64 // remaining work, in nanoseconds at speed 1
 	done      func()
 }
 
-// NewProcessorSharing returns one without jobs, at speed 1.
+// NewProcessorSharing returns a ProcessorSharing without jobs, at speed 1.
 func NewProcessorSharing(c Clock, capacity float64) *ProcessorSharing {
 	return &ProcessorSharing{clock: c, capacity: capacity, speed: 1, updatedAt: c.Now()}
 }
 
-// Add starts a job that takes work alone at speed 1. done is called at its end.
+// Add starts a job. work is the job's duration when it runs alone at speed 1. done is called when the job is complete.
 func (s *ProcessorSharing) Add(work time.Duration, done func()) *Job {
 	s.advance()
 	j := &Job{remaining: float64(max(0, work)), done: done}
@@ -51,7 +51,7 @@
 	s.schedule()
 }
 
-// SetSpeed changes the speed from now on.
+// SetSpeed changes the speed.
 func (s *ProcessorSharing) SetSpeed(speed float64) {
 	if speed == s.speed {
 		return
@@ -61,10 +61,10 @@
 	s.schedule()
 }
 
-// Len is the number of jobs.
+// Len returns the number of jobs.
 func (s *ProcessorSharing) Len() int { return len(s.jobs) }
 
-// rate is the progress of each job, in work at speed 1 per time.
+// rate returns the progress of each job, as work at speed 1 per unit of time.
 func (s *ProcessorSharing) rate() float64 {
 	if len(s.jobs) == 0 {
 		return 0
@@ -83,7 +83,7 @@
 	}
 }
 
-// schedule sets the timer for the job that ends next.
+// schedule sets the timer for the job that will be complete next.
 func (s *ProcessorSharing) schedule() {
 	if s.cancelTimer != nil {
 		s.cancelTimer()
@@ -100,7 +100,7 @@
 	s.cancelTimer = s.clock.After(time.Duration(max(0, least)/rate)+1, s.completeJobs)
 }
 
-// completeJobs ends the jobs that are done, in the order in which they were added.
+// completeJobs ends the jobs that are complete, in the order in which they were added.
 func (s *ProcessorSharing) completeJobs() {
 	s.advance()
 	var done []*Job
--- a/lab/model/replica.go
+++ b/lab/model/replica.go
@@ -10,10 +10,10 @@
 	function     string
 	memoryMB     float64
 	concurrency  int
-	busy         int // requests that execute
+	busy         int // number of requests that are executing
 	idleSince    time.Duration
-	cancelUnload func() // of the idle timer; nil while it is not set
-	invalid      bool   // of an old release: unloaded as soon as it is idle
+	cancelUnload func() // cancels the idle timer; nil while the timer is not set
+	invalid      bool   // belongs to an old release, so that it is unloaded as soon as it is idle
 }
 
 // hasRoom reports whether the replica can execute another request of a function.
@@ -21,10 +21,10 @@
 	return r.serves(function) && r.busy < r.concurrency
 }
 
-// serves reports whether the replica is a valid one of a function.
+// serves reports whether the replica is a valid replica of a function.
 func (r *replica) serves(function string) bool { return r.function == function && !r.invalid }
 
-// stopIdleTimer stops the timer that unloads the replica.
+// stopIdleTimer stops the timer that unloads the replica after its keep-alive time.
 func (r *replica) stopIdleTimer() {
 	if r.cancelUnload != nil {
 		r.cancelUnload()
@@ -32,7 +32,7 @@
 	}
 }
 
-// replicaWithRoom is the first replica that can execute another request of a function, nil if there is none.
+// replicaWithRoom returns the first replica that can execute another request of a function, or nil if there is none.
 func (w *Worker) replicaWithRoom(function string) *replica {
 	for _, r := range w.replicas {
 		if r.hasRoom(function) {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// replicaCounts counts the valid replicas of a function and the loads that will add to them.
+// replicaCounts returns the number of valid replicas of a function, and of loads of it that are queued or in progress.
 func (w *Worker) replicaCounts(function string) (loaded, loading int) {
 	for _, r := range w.replicas {
 		if r.serves(function) {
@@ -57,7 +57,7 @@
 	return loaded, loading
 }
 
-// release ends an execution on a replica.
+// release frees the concurrency that an execution used on a replica.
 func (w *Worker) release(r *replica) {
 	r.busy--
 	if r.busy == 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// startIdle starts a replica's keep-alive time anew, or unloads the replica where it is invalid.
+// startIdle restarts the keep-alive time of an idle replica, or unloads the replica if it is invalid.
 func (w *Worker) startIdle(r *replica) {
 	if r.invalid {
 		w.removeReplica(r)
@@ -90,8 +90,8 @@
 	}
 }
 
-// makeRoom makes room for a replica by unloading idle ones, least recently used first. It reports whether there is
-// room now.
+// makeRoom makes room for a replica by unloading idle replicas, least recently used first. It reports whether there is
+// enough memory now.
 func (w *Worker) makeRoom(memoryMB float64) bool {
 	used := w.memoryWith(memoryMB)
 	for used > w.Config.MemoryMB {
@@ -105,7 +105,7 @@
 	return true
 }
 
-// memoryWith is the memory of the replicas that are loaded or being loaded, and of another one.
+// memoryWith returns the memory of all replicas, including those that are being loaded, plus that of an additional one.
 func (w *Worker) memoryWith(memoryMB float64) float64 {
 	used := memoryMB
 	for _, r := range w.replicas {
@@ -117,7 +117,7 @@
 	return used
 }
 
-// longestIdle is the replica that has been idle longest, nil if none is idle.
+// longestIdle returns the replica that has been idle longest, or nil if none is idle.
 func (w *Worker) longestIdle() (oldest *replica) {
 	for _, r := range w.replicas {
 		if r.busy > 0 {
--- a/lab/model/request.go
+++ b/lab/model/request.go
@@ -9,13 +9,13 @@
 	Attempt             int
 	Function            string
 	MemoryMB            float64
-	Concurrency         int           // of each replica
-	LoadTime            time.Duration // of a replica, while nothing else loads
-	Work                time.Duration // on one core of speed 1
-	Deadline            time.Duration // on the worker's clock; nobody waits after this
+	Concurrency         int           // concurrency of each replica of the function
+	LoadTime            time.Duration // time to load a replica while nothing else is being loaded
+	Work                time.Duration // execution time on one core of speed 1
+	Deadline            time.Duration // time on the worker's clock after which a response is useless
 }
 
-// Outcome is how a worker responds. Its values are those of the worker protocol.
+// Outcome is the outcome of a request or a load order at a worker. Its values are those of the worker protocol.
 type Outcome int
 
 // The outcomes.
@@ -26,15 +26,16 @@
 	NotLoaded
 )
 
-// ColdStart is what a response reports of the replica that served it. Its values are those of the worker protocol.
+// ColdStart is what a response reports about the load of the replica that served the request. Its values are those of
+// the worker protocol.
 type ColdStart int
 
 // The cold start reports.
 const (
 	ColdStartUnknown   ColdStart = iota
-	WarmStart                    // a replica was loaded
-	ColdStartTriggered           // the request began a load
-	ColdStartAwaited             // the request waited for a load under way
+	WarmStart                    // a replica was already loaded
+	ColdStartTriggered           // the request started a load
+	ColdStartAwaited             // the request waited for a load that was in progress
 	ColdStartFailed              // the load failed
 )
 
@@ -42,28 +43,29 @@
 type Response struct {
 	Outcome    Outcome
 	ColdStart  ColdStart
-	QueueDepth int           // requests of the function at the worker when this one was received
-	Waiting    int           // requests queued at the worker now: its load report
-	RunTime    time.Duration // from the start of execution; 0 where it did not execute
+	QueueDepth int           // requests of the function at the worker when this request was received
+	Waiting    int           // requests queued at the worker when it responds: its load report
+	RunTime    time.Duration // time since the start of the execution; 0 if the request was not executed
 }
 
 // Fetcher fetches the artefacts that loads need.
 type Fetcher interface {
-	// Fetch calls done once, when an artefact that takes work to fetch alone was fetched or could not be.
+	// Fetch fetches the artefact of a function. work is the duration of the fetch when nothing else is being fetched.
+	// done is called once, when the fetch succeeds or fails. It may be called before Fetch returns.
 	Fetch(function string, work time.Duration, done func(ok bool))
 }
 
-// Observer is notified of what a worker sees and does. Its methods are called from callbacks of the worker's Clock.
+// Observer is notified of the events at a worker. Its methods are called within the worker's Clock.
 type Observer interface {
-	// RequestReceived reports an attempt before the worker acts on it.
+	// RequestReceived is called for each attempt that is received, before the worker acts on it.
 	RequestReceived(w *Worker, r *Request)
-	// ResponseSent reports the outcome of an attempt.
+	// ResponseSent is called with the outcome of an attempt, even if the attempt was cancelled.
 	ResponseSent(w *Worker, r *Request, o Outcome)
-	// RequestExecuted reports that a request's effect took place, at the end of its execution.
+	// RequestExecuted is called when a request takes effect, at the end of its execution.
 	RequestExecuted(w *Worker, r *Request)
-	// LoadOrderReceived reports a load order, or a residency query: an order for no replicas.
-	LoadOrderReceived(w *Worker, frontEnd, function string, copies int)
-	// WorkerCrashed reports a crash caused by overload.
+	// LoadOrderReceived is called for each load order that is received. A residency query is an order for 0 replicas.
+	LoadOrderReceived(w *Worker, frontEnd, function string, replicas int)
+	// WorkerCrashed is called when overload crashes the worker.
 	WorkerCrashed(w *Worker)
 }
 
@@ -75,7 +77,7 @@
 // NewKeyCache returns an empty KeyCache.
 func NewKeyCache() *KeyCache { return &KeyCache{executedAt: map[string]time.Duration{}} }
 
-// NewKeyCaches returns an empty KeyCache for each cell, and at least one.
+// NewKeyCaches returns an empty KeyCache for each cell. It returns at least one KeyCache.
 func NewKeyCaches(cells int) (caches []*KeyCache) {
 	for range max(1, cells) {
 		caches = append(caches, NewKeyCache())
--- a/lab/model/sampler.go
+++ b/lab/model/sampler.go
@@ -1,8 +1,8 @@
 package model
 
-// Sampler selects an exact share of a sequence, spread evenly. The zero Sampler selects nothing.
+// Sampler selects an exact share of the elements of a sequence, evenly spaced. The zero Sampler selects none.
 type Sampler struct {
-	Share       float64 // 0 to 1
+	Share       float64 // share of the elements to select, 0 to 1
 	accumulated float64
 }
 
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// StoreConfig describes the function store that all workers share.
+// StoreConfig configures the function store that all workers share.
 type StoreConfig struct {
-	Concurrency    float64       // fetches that it serves at full speed
-	Limit          int           // fetches at a time beyond which it rejects
-	OutageMultiple float64       // it stops when asked for more than this many times what it can do; 0: never
-	OutageAfter    time.Duration // over this window, rejected fetches included
+	Concurrency    float64       // number of concurrent fetches that are served at full speed
+	Limit          int           // number of concurrent fetches at which further fetches are rejected
+	OutageMultiple float64       // demand that causes an outage, as a multiple of the store's capacity; 0: no outages
+	OutageAfter    time.Duration // window over which demand is measured; rejected fetches count
 	OutageDuration time.Duration
 }
 
-// Store is the model of the function store: slow when crowded, rejecting beyond a limit, and stopped for a while when
-// it is pushed far beyond what it can do.
+// Store is the model of the function store. Concurrent fetches slow each other down, fetches beyond a limit are
+// rejected, and demand far above the store's capacity causes an outage.
 type Store struct {
 	cfg        StoreConfig
 	clock      Clock
 	shared     *ProcessorSharing
-	outages    int     // under way
-	slowdown   float64 // factor on the time of all fetches
+	outages    int     // number of outages in progress
+	slowdown   float64 // factor on the duration of all fetches
 	failures   Sampler
-	recentWork []arrival // asked for within OutageAfter
+	recentWork []arrival // demand within the last OutageAfter
 
 	StoreTotals
 }
 
-// StoreTotals count what was asked of a Store.
+// StoreTotals counts the fetches that a Store accepted and rejected, and its outages that were caused by demand.
 type StoreTotals struct{ Fetches, Rejected, Outages int }
 
 // NewStore returns a Store without faults.
@@ -33,8 +33,8 @@
 	return &Store{cfg: cfg, clock: c, shared: NewProcessorSharing(c, cfg.Concurrency)}
 }
 
-// Fetch asks for an artefact that takes work to fetch alone. done reports whether it was fetched; for a rejected fetch
-// it is called before Fetch returns.
+// Fetch fetches an artefact. work is the duration of the fetch when nothing else is being fetched. done receives
+// whether the fetch succeeded. For a rejected fetch, done is called before Fetch returns.
 func (s *Store) Fetch(work time.Duration, done func(ok bool)) {
 	s.recordDemand(work)
 	if s.outages > 0 || s.shared.Len() >= s.cfg.Limit || s.failures.Next() {
@@ -46,7 +46,7 @@
 	s.shared.Add(work, func() { done(true) })
 }
 
-// recordDemand records what is asked of the store, and starts an outage where that is too much within the window.
+// recordDemand records the demand of a fetch, and starts an outage if the demand within the window exceeds the limit.
 func (s *Store) recordDemand(work time.Duration) {
 	if s.cfg.OutageMultiple <= 0 || s.outages > 0 {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// StartOutage makes the store reject everything for d; fetches under way stop until then.
+// StartOutage makes the store reject all fetches for d. Fetches in progress are suspended until the outage ends.
 func (s *Store) StartOutage(d time.Duration) {
 	s.outages++
 	s.updateSpeed()
@@ -77,13 +77,13 @@
 	})
 }
 
-// SetSlowdown makes fetches take factor times as long from now on; 1 ends it.
+// SetSlowdown makes fetches take factor times as long from now on. A factor of 1 ends the fault.
 func (s *Store) SetSlowdown(factor float64) {
 	s.slowdown = factor
 	s.updateSpeed()
 }
 
-// SetFailureShare makes a share of the fetches fail from now on; 0 ends it.
+// SetFailureShare makes a share of the fetches fail from now on. A share of 0 ends the fault.
 func (s *Store) SetFailureShare(share float64) { s.failures = Sampler{Share: share} }
 
 func (s *Store) updateSpeed() {
--- a/lab/model/virtual_clock.go
+++ b/lab/model/virtual_clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// VirtualClock is a Clock in virtual time: Run goes from timer to timer. Timers of one time fire in the order in
-// which they were set. It is not safe for use by several goroutines.
+// VirtualClock is a Clock in virtual time: Run advances the time from one timer to the next. Timers for the same time
+// fire in the order in which they were set. A VirtualClock is not safe for concurrent use.
 type VirtualClock struct {
 	now      time.Duration
 	sequence uint64
@@ -15,15 +15,15 @@
 
 type timer struct {
 	at        time.Duration
-	sequence  uint64 // order among the timers of one time
+	sequence  uint64 // order among timers for the same time
 	callback  func()
 	cancelled bool
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (c *VirtualClock) Now() time.Duration { return c.now }
 
-// After calls f once d of virtual time has passed.
+// After calls f once d of virtual time has passed. The returned function cancels the call.
 func (c *VirtualClock) After(d time.Duration, f func()) func() {
 	c.sequence++
 	t := &timer{at: c.now + max(0, d), sequence: c.sequence, callback: f}
@@ -34,7 +34,7 @@
 	}
 }
 
-// Run fires all timers up to and at until, which is the time afterwards.
+// Run fires all timers up to and including the time until, and advances the clock to it.
 func (c *VirtualClock) Run(until time.Duration) {
 	for len(c.timers) > 0 && c.timers[0].at <= until {
 		t := heap.Pop(&c.timers).(*timer)
@@ -47,10 +47,10 @@
 	c.now = max(c.now, until)
 }
 
-// Pending is the number of timers that are set, cancelled ones included.
+// Pending returns the number of timers that are set. Cancelled timers count until their time has come.
 func (c *VirtualClock) Pending() int { return len(c.timers) }
 
-// timerQueue is a heap by time and sequence.
+// timerQueue is a min-heap of timers by time and sequence.
 type timerQueue []*timer
 
 func (q timerQueue) Len() int { return len(q) }
--- a/lab/model/worker.go
+++ b/lab/model/worker.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Worker is the model of one worker process: it queues requests, loads replicas of functions on demand or by load
+// Worker is the model of one worker process. It queues requests, loads replicas of functions on demand or on a load
 // order, and executes requests on a limited number of cores.
 type Worker struct {
 	Config   WorkerConfig
@@ -13,28 +13,28 @@
 
 	cpu      *ProcessorSharing
 	replicas []*replica
-	loads    []*load // under way and waiting, oldest first
+	loads    []*load // loads in progress and queued, oldest first
 	queue    []*attempt
 	running  []*attempt
 
-	incarnation   int
-	startedAt     time.Duration
-	up            bool
-	recentWork    []arrival // within the overload window, while cold
-	stopSlowStart func()    // cancels the next step of the slow start
+	incarnation         int
+	startedAt           time.Duration
+	up                  bool
+	recentWork          []arrival // work received within the overload window; empty unless the worker is cold
+	cancelSlowStartStep func()    // cancels the timer of the next step of the slow start; nil while it is not set
 
-	// Injected faults. They are independent of each other.
+	// The following fields are injected faults, which are independent of each other.
 	draining bool
 	hung     bool
 	paused   bool
-	slowdown float64 // factor on the time of all work
-	failures Sampler // of requests that fail
+	slowdown float64 // factor on the duration of all work
+	failures Sampler // selects the requests that fail
 }
 
-// initialUptime is how long a new worker has been running: it is warm.
+// initialUptime is the uptime of a new worker, long enough for the worker to be warm.
 const initialUptime = time.Hour
 
-// NewWorker returns a worker that has been running for long enough to be warm.
+// NewWorker returns a worker whose process is running and warm.
 func NewWorker(c Clock, cfg WorkerConfig, store Fetcher, keys *KeyCache, observer Observer) *Worker {
 	w := &Worker{
 		Config:      cfg,
@@ -52,31 +52,31 @@
 	return w
 }
 
-// Incarnation counts the starts of the worker's process, from 1.
+// Incarnation returns the incarnation of the worker's process, from 1. It increases with each crash.
 func (w *Worker) Incarnation() int { return w.incarnation }
 
-// Up reports whether the process runs.
+// Up reports whether the process is running.
 func (w *Worker) Up() bool { return w.up }
 
-// Uptime is the time since the process started.
+// Uptime returns the time since the process started.
 func (w *Worker) Uptime() time.Duration { return w.clock.Now() - w.startedAt }
 
-// QueueLength is the number of requests that wait for a replica.
+// QueueLength returns the number of requests that are queued for a replica.
 func (w *Worker) QueueLength() int { return len(w.queue) }
 
-// ReplicaCount is the number of loaded replicas.
+// ReplicaCount returns the number of loaded replicas.
 func (w *Worker) ReplicaCount() int { return len(w.replicas) }
 
-// ProcessorTime is the processor time spent so far.
+// ProcessorTime returns the total processor time that was used, as time on a core of speed 1.
 func (w *Worker) ProcessorTime() time.Duration { return w.cpu.Used }
 
-// Capacity is the work that the worker can do now, in cores of speed 1.
+// Capacity returns the current capacity of the worker, in cores of speed 1.
 func (w *Worker) Capacity() float64 { return w.Config.Cores * w.Config.Speed * w.capacityShare() }
 
 // Cold reports whether the worker is in its slow start.
 func (w *Worker) Cold() bool { return w.Config.ColdCapacity > 0 && w.Uptime() < w.Config.SlowStart }
 
-// capacityShare is the share of its capacity that the worker has now. It grows linearly during the slow start.
+// capacityShare returns the available share of the worker's full capacity. It grows linearly during the slow start.
 func (w *Worker) capacityShare() float64 {
 	if w.Config.ColdCapacity <= 0 || w.Config.SlowStart <= 0 {
 		return 1
@@ -85,27 +85,27 @@
 	return w.Config.ColdCapacity + (1-w.Config.ColdCapacity)*age
 }
 
-// speed is the speed of each core by the slow start and an injected slowdown.
+// speed returns the speed of each core, including the effects of the slow start and of an injected slowdown.
 func (w *Worker) speed() float64 { return w.Config.Speed * w.capacityShare() / w.slowdown }
 
-// slowStartSteps is the number of steps in which the cores' speed follows the slow start.
+// slowStartSteps is the number of steps in which the speed of the cores increases during the slow start.
 const slowStartSteps = 20
 
-// updateSpeed sets the cores' speed after a change of anything that slows them, and again at the next step of the
-// slow start.
+// updateSpeed sets the speed of the cores. It must be called after any change that affects the speed. During the slow
+// start it also schedules its next call.
 func (w *Worker) updateSpeed() {
 	speed := w.speed()
 	if w.paused || w.hung || !w.up {
 		speed = 0
 	}
 	w.cpu.SetSpeed(speed)
-	if w.stopSlowStart != nil {
-		w.stopSlowStart()
-		w.stopSlowStart = nil
+	if w.cancelSlowStartStep != nil {
+		w.cancelSlowStartStep()
+		w.cancelSlowStartStep = nil
 	}
 	if w.up && w.Cold() {
-		w.stopSlowStart = w.clock.After(w.Config.SlowStart/slowStartSteps, func() {
-			w.stopSlowStart = nil
+		w.cancelSlowStartStep = w.clock.After(w.Config.SlowStart/slowStartSteps, func() {
+			w.cancelSlowStartStep = nil
 			w.updateSpeed()
 		})
 	}
