--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,6 +1,7 @@
-// Package baseline holds scheduling policies that the laboratory compares the scheduler with, on the same events and
-// actions. They execute nothing twice where that is not safe and follow the endpoint list, and keep no other
-// invariant: a run in which they violate one counts for nothing, as the scheduler's would.
+// Package baseline contains scheduling policies with which the scheduler is compared in simulations. They receive
+// the same events and use the same actions as the scheduler. They retry a request only where that is safe, and send
+// requests only to workers that are ready in the endpoint list, but they maintain none of the scheduler's other
+// invariants. A run in which a policy violates an invariant does not count, as it would not for the scheduler.
 package baseline
 
 import (
@@ -10,10 +11,10 @@
 	"havencart/scheduler"
 )
 
-// Constructor makes the scheduler of one front end.
+// Constructor creates the scheduler of one front end.
 type Constructor = func(time.Duration, scheduler.Settings, scheduler.Actions) gateway.Scheduler
 
-// Names are the policies that New makes.
+// Names lists the policies that New knows.
 var Names = []string{"random", "round-robin", "least-out", "two-choices", "rendezvous"}
 
 var pickers = map[string]picker{
@@ -24,13 +25,13 @@
 	"rendezvous":  rendezvous,
 }
 
-// New returns the constructor of a policy by its name, nil for a name that is unknown.
+// New returns the constructor of the policy with the given name, or nil if there is none.
 func New(name string) Constructor {
 	pick := pickers[name]
 	if pick == nil {
 		return nil
 	}
-	return func(now time.Duration, set scheduler.Settings, actions scheduler.Actions) gateway.Scheduler {
-		return newPolicy(now, set, actions, pick)
+	return func(now time.Duration, settings scheduler.Settings, actions scheduler.Actions) gateway.Scheduler {
+		return newPolicy(now, settings, actions, pick)
 	}
 }
--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -8,22 +8,23 @@
 	"havencart/scheduler"
 )
 
-// Truth is what an oracle sees: the true state of each worker.
+// Truth gives an oracle access to the exact state of the workers, which a front end does not know.
 type Truth interface {
-	// Estimate is how long a request for a function would wait for a load if it were sent now, and how long it would
-	// take beside that, for a place at a replica and its execution. It reports false where the request would get no
-	// response, or must not be sent.
+	// Estimate returns how long a request for a function would wait for a load if it were sent now, and how long it
+	// would take in addition, waiting for a replica and executing. usable is false if the request would get no response
+	// or must not be sent to the worker.
 	Estimate(w scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, usable bool)
 }
 
-// oracle sees the truth and sends each request where it would be served first, or queues it where that takes longer
-// than the oracle accepts. No one rule is best in all scenarios, so the reference is the best of several.
+// oracle is a policy that knows the exact state of the workers. It sends each request to the worker that would serve it
+// first, or queues the request if no worker would serve it within the oracle's bound. No single bound is best in all
+// scenarios, so the reference for the scheduler is the best of several oracles.
 //
-// The bound leaves out the wait for a load: who never waits for one never has a replica.
+// The bound does not include the wait for a load: an oracle that never waits for a load never gets a replica.
 type oracle struct {
 	name  string
-	bound func(p *policy, r *request) time.Duration // how long a response may take beside a load
-	order func(p *policy, a, b *request) int        // of queued requests; nil: first in, first out
+	bound func(p *policy, r *request) time.Duration // longest time until the response, not counting a load
+	order func(p *policy, a, b *request) int        // order of queued requests; nil: first in, first out
 }
 
 var oracles = []oracle{
@@ -32,32 +33,33 @@
 	{name: "oracle-worth", bound: weightedObjective, order: heaviestNewestFirst},
 }
 
-// remainingTime is the time to the deadline.
+// remainingTime returns the time until the request's deadline.
 func remainingTime(p *policy, r *request) time.Duration { return r.deadline - p.now }
 
-// objective is the class's latency objective.
+// objective returns objectiveShare for the whole latency objective.
 func objective(p *policy, r *request) time.Duration { return objectiveShare(p, r, 1) }
 
-// weightedObjective is the share of the latency objective that the class's weight is of the greatest one.
+// weightedObjective scales the latency objective by the ratio of the class's weight to the greatest weight of a class.
 func weightedObjective(p *policy, r *request) time.Duration {
 	greatest := 0.0
-	for _, c := range p.set.Classes {
+	for _, c := range p.settings.Classes {
 		greatest = max(greatest, c.PriorityWeight)
 	}
-	return objectiveShare(p, r, p.set.Classes[r.Class].PriorityWeight/greatest)
+	return objectiveShare(p, r, p.settings.Classes[r.Class].PriorityWeight/greatest)
 }
 
-// heaviestNewestFirst orders requests by weight, and those of one weight the newest first.
+// heaviestNewestFirst orders requests by decreasing class weight. Requests of equal weight are ordered newest first.
 func heaviestNewestFirst(p *policy, a, b *request) int {
 	return cmp.Or(
-		cmp.Compare(p.set.Classes[b.Class].PriorityWeight, p.set.Classes[a.Class].PriorityWeight),
+		cmp.Compare(p.settings.Classes[b.Class].PriorityWeight, p.settings.Classes[a.Class].PriorityWeight),
 		cmp.Compare(b.receivedAt, a.receivedAt))
 }
 
-// objectiveShare is a share of the latency objective, within what is left of it; less once the objective has passed and
-// a late response earns less.
+// objectiveShare returns a share of the latency objective, but at most the time that is left until the objective is
+// missed. Once it is missed, the share is multiplied by the class's weight of late responses, and the limit is the time
+// that is left until the deadline.
 func objectiveShare(p *policy, r *request, share float64) time.Duration {
-	class := &p.set.Classes[r.Class]
+	class := &p.settings.Classes[r.Class]
 	left := r.receivedAt + class.LatencyObjective - p.now
 	if left <= 0 {
 		share, left = share*class.LateWeight, r.deadline-p.now
@@ -65,7 +67,7 @@
 	return min(left, time.Duration(share*float64(class.LatencyObjective)))
 }
 
-// Oracles are the names of the oracles.
+// Oracles returns the names of the oracles.
 func Oracles() (names []string) {
 	for _, o := range oracles {
 		names = append(names, o.name)
@@ -73,7 +75,7 @@
 	return names
 }
 
-// Oracle returns the constructor of an oracle by its name, nil for a name that is unknown.
+// Oracle returns the constructor of the oracle with the given name, or nil if there is none.
 func Oracle(name string, truth Truth) Constructor {
 	for _, o := range oracles {
 		if o.name == name {
@@ -85,8 +87,8 @@
 
 func (o oracle) constructor(truth Truth) Constructor {
 	pick := func(p *policy, r *request, candidates []*worker) *worker { return o.pick(p, r, candidates, truth) }
-	return func(now time.Duration, set scheduler.Settings, actions scheduler.Actions) gateway.Scheduler {
-		p := newPolicy(now, set, actions, pick)
+	return func(now time.Duration, settings scheduler.Settings, actions scheduler.Actions) gateway.Scheduler {
+		p := newPolicy(now, settings, actions, pick)
 		if o.order != nil {
 			p.queueOrder = func(a, b *request) int { return o.order(p, a, b) }
 		}
@@ -94,7 +96,8 @@
 	}
 }
 
-// pick is the worker that would serve a request first, nil if none would within the bound and the deadline.
+// pick returns the worker that would serve a request first, or nil if no worker would serve it within the bound and the
+// deadline.
 func (o oracle) pick(p *policy, r *request, candidates []*worker, truth Truth) *worker {
 	var best *worker
 	soonest, bound := remainingTime(p, r), o.bound(p, r)
--- a/lab/baseline/pickers.go
+++ b/lab/baseline/pickers.go
@@ -10,8 +10,8 @@
 	"havencart/scheduler"
 )
 
-// picker chooses one of the ready workers that a request may be sent to, of which there is at least one. It returns nil
-// to keep the request queued.
+// picker chooses a worker for a request. candidates are the ready workers that the request may be sent to; there is at
+// least one. A picker returns nil to keep the request queued.
 type picker func(p *policy, r *request, candidates []*worker) *worker
 
 func random(p *policy, _ *request, candidates []*worker) *worker {
@@ -23,7 +23,7 @@
 	return candidates[p.rotation%len(candidates)]
 }
 
-// leastInFlight picks the worker with the fewest requests of this front end in flight; ties are rotated.
+// leastInFlight picks the worker with the fewest requests of this front end in flight. Ties are broken by rotation.
 func leastInFlight(p *policy, _ *request, candidates []*worker) *worker {
 	p.rotation++
 	var best *worker
@@ -36,7 +36,8 @@
 	return best
 }
 
-// twoChoices is the power of two choices (M. Mitzenmacher, 1996): the less loaded of two drawn at random.
+// twoChoices picks the worker with fewer requests in flight out of two that are drawn at random. This is the power of
+// two choices (M. Mitzenmacher, 1996).
 func twoChoices(p *policy, _ *request, candidates []*worker) *worker {
 	a, b := candidates[p.rng.IntN(len(candidates))], candidates[p.rng.IntN(len(candidates))]
 	if b.inFlight < a.inFlight {
@@ -45,11 +46,12 @@
 	return a
 }
 
-// loadBound is how far a worker's load may exceed the mean in rendezvous.
+// loadBound is the largest load that rendezvous gives to a worker, as a multiple of the mean load.
 const loadBound = 1.25
 
-// rendezvous is highest-random-weight hashing (D. Thaler, C. Ravishankar, 1998) with bounded loads (V. Mirrokni et al.,
-// 2018): the first worker in the function's own order whose load does not exceed 1.25 times the mean.
+// rendezvous picks the first worker in the function's rendezvous order whose load does not exceed loadBound times the
+// mean. This is highest-random-weight hashing (D. Thaler, C. Ravishankar, 1998) with bounded loads (V. Mirrokni et al.,
+// 2018).
 func rendezvous(_ *policy, r *request, candidates []*worker) *worker {
 	total := 1
 	for _, w := range candidates {
--- a/lab/baseline/policy.go
+++ b/lab/baseline/policy.go
@@ -9,59 +9,60 @@
 	"havencart/scheduler"
 )
 
-// worker is a worker that the endpoint list named.
+// worker is a worker that is or was in the endpoint list.
 type worker struct {
 	info     scheduler.WorkerInfo
-	inFlight int // requests of this front end
+	inFlight int // requests of this front end in flight at the worker
 }
 
-// request is a request without a final response.
+// request is the state of a request that the front end received.
 type request struct {
 	scheduler.Request
 	receivedAt time.Duration
 	deadline   time.Duration
 	attempts   int
-	worker     *worker // of the attempt in flight, nil if there is none
-	ended      bool    // it has a final response, or its client disconnected
+	worker     *worker // worker of the attempt in flight; nil if there is none
+	ended      bool    // the request has a final response, or its client disconnected
 
-	// Of the first attempt that may have executed.
+	// The following fields describe the first attempt that may have executed.
 	mayHaveExecuted bool
 	firstWorker     scheduler.WorkerInfo
-	firstAt         time.Duration
+	firstEndedAt    time.Duration
 }
 
-// policy sends each request at once to the worker that its picker chooses, and retries it elsewhere where that is safe.
+// policy is a scheduler that sends each request at once to the worker that its picker chooses. It retries the request,
+// possibly at another worker, if that is safe.
 type policy struct {
-	set        scheduler.Settings
+	settings   scheduler.Settings
 	actions    scheduler.Actions
 	pick       picker
 	rng        *rand.Rand
 	now        time.Duration
-	workers    []*worker // by identifier
+	workers    []*worker // sorted by identifier
 	requests   map[scheduler.RequestID]*request
-	queued     []*request              // that no worker could take
-	queueOrder func(a, b *request) int // in which they are tried again; nil: first in, first out
-	rotation   int                     // of round robin
+	queued     []*request              // requests to send again
+	queueOrder func(a, b *request) int // order in which queued requests are sent; nil: first in, first out
+	rotation   int                     // position of round robin
 }
 
 const (
-	retryInterval = 20 * time.Millisecond // at which queued requests are tried again
-	watchBackoff  = time.Second           // until the endpoint list is watched again
-	randomStream  = 0x62617365            // of the policy's generator, beside those with the same seed
+	retryInterval = 20 * time.Millisecond // interval at which queued requests are sent again
+	watchBackoff  = time.Second           // delay before a failed watch is restarted
+	randomStream  = 0x62617365            // distinguishes the policy's random generator from others with the same seed
 )
 
-// Tokens of timers.
+// Timer tokens.
 const (
 	timerRetry uint64 = iota
 	timerWatch
 )
 
-func newPolicy(now time.Duration, set scheduler.Settings, actions scheduler.Actions, pick picker) *policy {
+func newPolicy(now time.Duration, settings scheduler.Settings, actions scheduler.Actions, pick picker) *policy {
 	p := &policy{
-		set:      set,
+		settings: settings,
 		actions:  actions,
 		pick:     pick,
-		rng:      rand.New(rand.NewPCG(set.Seed, randomStream)),
+		rng:      rand.New(rand.NewPCG(settings.Seed, randomStream)),
 		now:      now,
 		requests: map[scheduler.RequestID]*request{},
 	}
@@ -69,7 +70,7 @@
 	return p
 }
 
-// WorkersChanged implements gateway.Scheduler, as do the methods below.
+// WorkersChanged implements gateway.Scheduler, as do the other exported methods.
 func (p *policy) WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool) {
 	p.now = now
 	listed := map[scheduler.WorkerID]bool{}
@@ -114,7 +115,7 @@
 	p.retryQueued()
 }
 
-// retryQueued tries the queued requests again, and ends those whose deadline is near.
+// retryQueued sends the queued requests again, and gives a final response to those whose deadline is near.
 func (p *policy) retryQueued() {
 	queued := p.queued
 	p.queued = nil
@@ -124,7 +125,7 @@
 	for _, r := range queued {
 		switch {
 		case r.ended:
-		case p.isDue(r):
+		case p.isNearDeadline(r):
 			p.finish(r)
 		default:
 			p.send(r)
@@ -132,8 +133,8 @@
 	}
 }
 
-// isDue reports whether a request must have its final response now.
-func (p *policy) isDue(r *request) bool { return p.now+2*retryInterval >= r.deadline }
+// isNearDeadline reports whether a request must get its final response now because its deadline is near.
+func (p *policy) isNearDeadline(r *request) bool { return p.now+2*retryInterval >= r.deadline }
 
 func (p *policy) RequestReceived(now time.Duration, in scheduler.Request) {
 	p.now = now
@@ -142,7 +143,7 @@
 	p.send(r)
 }
 
-// send sends a request to the worker that the picker chooses, or queues it.
+// send sends a request to the worker that the picker chooses. It queues the request if there is none.
 func (p *policy) send(r *request) {
 	w := p.pickWorker(r)
 	if w == nil {
@@ -155,7 +156,7 @@
 	p.actions.Send(r.ID, w.info.ID, 0)
 }
 
-// pickWorker is the worker that the picker chooses, nil if there is none.
+// pickWorker returns the worker that the picker chooses for a request, or nil if there is none.
 func (p *policy) pickWorker(r *request) *worker {
 	var candidates []*worker
 	for _, w := range p.workers {
@@ -169,15 +170,16 @@
 	return p.pick(p, r, candidates)
 }
 
-// isSafe reports whether a request may be sent to a worker: it cannot have executed, or may execute again there.
+// isSafe reports whether a request may be sent to a worker: either no earlier attempt can have executed, or the request
+// may execute again at this worker.
 func (p *policy) isSafe(r *request, w *worker) bool {
-	class := &p.set.Classes[r.Class]
+	class := &p.settings.Classes[r.Class]
 	switch {
 	case !r.mayHaveExecuted || class.Idempotency == scheduler.Idempotent:
 		return true
 	case class.Idempotency == scheduler.NonIdempotent:
 		return false
-	case p.now-r.firstAt >= class.KeyRetention-retryInterval:
+	case p.now-r.firstEndedAt >= class.KeyRetention-retryInterval:
 		return false
 	case class.KeyScope == scheduler.ScopeZone:
 		return w.info.Zone == r.firstWorker.Zone
@@ -203,19 +205,20 @@
 	}
 	if !r.mayHaveExecuted && mayHaveExecuted(outcome.Status) {
 		r.mayHaveExecuted = true
-		r.firstAt, r.firstWorker = now, w.info
+		r.firstEndedAt, r.firstWorker = now, w.info
 	}
-	if p.isLast(r) {
+	if p.cannotRetry(r) {
 		p.finish(r)
 		return
 	}
-	if outcome.Status == scheduler.NotLoaded && p.set.LoadOrdersAllowed {
+	if outcome.Status == scheduler.NotLoaded && p.settings.LoadOrdersAllowed {
 		p.actions.Load(w.info.ID, r.Function, 1)
 	}
-	p.queued = append(p.queued, r) // retried later: a worker that rejected it is not asked at once
+	// The retry is delayed so that a worker that rejected the request does not receive it again at once.
+	p.queued = append(p.queued, r)
 }
 
-// mayHaveExecuted reports whether an attempt with a status may have had its effect.
+// mayHaveExecuted reports whether an attempt that ended with the given status may have executed.
 func mayHaveExecuted(s scheduler.Status) bool {
 	switch s {
 	case scheduler.Error, scheduler.Timeout, scheduler.Reset, scheduler.Cancelled:
@@ -224,18 +227,19 @@
 	return false
 }
 
-// isLast reports whether a request whose attempt ended cannot be retried.
-func (p *policy) isLast(r *request) bool {
-	unsafe := r.mayHaveExecuted && p.set.Classes[r.Class].Idempotency == scheduler.NonIdempotent
-	return unsafe || r.attempts >= p.set.MaxAttempts || p.isDue(r)
+// cannotRetry reports whether a request must not be retried after the end of its attempt.
+func (p *policy) cannotRetry(r *request) bool {
+	unsafe := r.mayHaveExecuted && p.settings.Classes[r.Class].Idempotency == scheduler.NonIdempotent
+	return unsafe || r.attempts >= p.settings.MaxAttempts || p.isNearDeadline(r)
 }
 
-// finish gives the final response: rejected where the client may retry, failed elsewhere.
+// finish gives the final response to a request. It rejects the request if the client may retry it, and fails it
+// otherwise.
 func (p *policy) finish(r *request) {
 	r.ended = true
 	delete(p.requests, r.ID)
-	if !r.mayHaveExecuted || isSafeAnywhere(&p.set.Classes[r.Class]) {
-		p.actions.Reject(r.ID, p.set.MaxRetryAfter, scheduler.DeadlineTooClose)
+	if !r.mayHaveExecuted || isSafeAnywhere(&p.settings.Classes[r.Class]) {
+		p.actions.Reject(r.ID, p.settings.MaxRetryAfter, scheduler.DeadlineTooClose)
 		return
 	}
 	p.actions.Fail(r.ID, scheduler.DeadlineTooClose)
@@ -259,7 +263,7 @@
 	switch {
 	case r.worker == nil:
 		delete(p.requests, id)
-	case p.set.CancelAllowed:
+	case p.settings.CancelAllowed:
 		p.actions.Cancel(id, r.attempts-1)
 	}
 }
--- a/lab/model/worker.go
+++ b/lab/model/worker.go
@@ -20,7 +20,7 @@
 	incarnation         int
 	startedAt           time.Duration
 	up                  bool
-	recentWork          []arrival // work received within the overload window; empty unless the worker is cold
+	recentWork          []arrival // work received within the overload window; used only while cold
 	cancelSlowStartStep func()    // cancels the timer of the next step of the slow start; nil while it is not set
 
 	// The following fields are injected faults, which are independent of each other.
