--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -8,8 +8,9 @@
 	"havencart/scheduler"
 )
 
-// Truth gives an oracle access to the exact state of the workers, which a front end does not know.
-type Truth interface {
+// Estimator estimates the response times of requests from the exact state of the workers, which a front end does not
+// know.
+type Estimator interface {
 	// Estimate returns how long a request for a function would wait for a load if it were sent now, and how long it
 	// would take in addition, waiting for a replica and executing. usable is false if the request would get no response
 	// or must not be sent to the worker.
@@ -76,17 +77,17 @@
 }
 
 // Oracle returns the constructor of the oracle with the given name, or nil if there is none.
-func Oracle(name string, truth Truth) Constructor {
+func Oracle(name string, estimator Estimator) Constructor {
 	for _, o := range oracles {
 		if o.name == name {
-			return o.constructor(truth)
+			return o.constructor(estimator)
 		}
 	}
 	return nil
 }
 
-func (o oracle) constructor(truth Truth) Constructor {
-	pick := func(p *policy, r *request, candidates []*worker) *worker { return o.pick(p, r, candidates, truth) }
+func (o oracle) constructor(estimator Estimator) Constructor {
+	pick := func(p *policy, r *request, candidates []*worker) *worker { return o.pick(p, r, candidates, estimator) }
 	return func(now time.Duration, settings scheduler.Settings, actions scheduler.Actions) gateway.Scheduler {
 		p := newPolicy(now, settings, actions, pick)
 		if o.order != nil {
@@ -98,11 +99,11 @@
 
 // pick returns the worker that would serve a request first, or nil if no worker would serve it within the bound and the
 // deadline.
-func (o oracle) pick(p *policy, r *request, candidates []*worker, truth Truth) *worker {
+func (o oracle) pick(p *policy, r *request, candidates []*worker, estimator Estimator) *worker {
 	var best *worker
 	soonest, bound := remainingTime(p, r), o.bound(p, r)
 	for _, w := range candidates {
-		load, rest, usable := truth.Estimate(w.info.ID, r.Function, r.Request)
+		load, rest, usable := estimator.Estimate(w.info.ID, r.Function, r.Request)
 		if usable && rest < bound && load+rest < soonest {
 			best, soonest = w, load+rest
 		}
--- a/lab/simulation/installation.go
+++ b/lab/simulation/installation.go
@@ -154,7 +154,7 @@
 	case PolicyDefault, PolicyScheduler, PolicyOracle: // runBestOracle sets the name of one oracle
 		return nil, nil
 	}
-	if constructor := baseline.Oracle(s.cfg.Policy, workerTruth{s}); constructor != nil {
+	if constructor := baseline.Oracle(s.cfg.Policy, workerEstimator{s}); constructor != nil {
 		return constructor, nil
 	}
 	if constructor := baseline.New(s.cfg.Policy); constructor != nil {
@@ -163,11 +163,11 @@
 	return nil, fmt.Errorf("no policy %q; allowed: module, oracle, %s", s.cfg.Policy, strings.Join(baseline.Names, ", "))
 }
 
-// workerTruth is what an oracle sees.
-type workerTruth struct{ s *Simulation }
+// workerEstimator gives an oracle estimates from the state of the models.
+type workerEstimator struct{ s *Simulation }
 
-// Estimate implements baseline.Truth.
-func (t workerTruth) Estimate(id scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, usable bool) {
+// Estimate implements baseline.Estimator.
+func (t workerEstimator) Estimate(id scheduler.WorkerID, f scheduler.FunctionID, r scheduler.Request) (load, rest time.Duration, usable bool) {
 	w := t.s.workers[t.s.workerIndex[id]]
 	return w.Estimate(&model.Request{
 		Function:    t.s.functionNames[f],
