--- a/lab/worker/body.go
+++ b/lab/worker/body.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// maxResponseBytes bounds the body of a response.
+// maxResponseBytes is the maximum size of a response body.
 const maxResponseBytes = 64 << 20
 
-// Body is the body of a request that asks an emulated worker for work and for the size of its response, as text:
-// "work 120ms reply 2000".
+// Body returns the body of a request that tells an emulated worker how much work the request takes and how large the
+// response body is. It is text, such as "work 120ms reply 2000".
 func Body(work time.Duration, responseBytes int) []byte {
 	return fmt.Appendf(nil, "work %v reply %d", work, responseBytes)
 }
 
-// ParseBody reads what Body writes. Where the text has no work, the given one is returned.
+// ParseBody parses a body that Body returned. If the text specifies no valid work, ParseBody returns the given work.
 func ParseBody(text string, work time.Duration) (time.Duration, int) {
 	words, responseBytes := strings.Fields(text), 0
 	for i := 0; i+1 < len(words); i += 2 {
--- a/lab/worker/command.go
+++ b/lab/worker/command.go
@@ -9,21 +9,22 @@
 	"havencart/lab/model"
 )
 
-// Commands names the commands that Command accepts, each with its arguments.
+// Commands lists the commands that Command accepts, with their arguments.
 const Commands = model.Commands + " | reset | handshake DURATION|never | late DURATION | twice on|off | garbage on|off"
 
-// never is the handshake delay of a worker that never sends its welcome.
-const never = -1
+// neverHandshake is the value of socketFaults.handshakeDelay for a worker that never sends its welcome.
+const neverHandshake = -1
 
-// socketFaults are the faults of the socket; those of the process are the model's.
+// socketFaults contains the current faults of the worker's socket. The faults of its process are part of the model.
 type socketFaults struct {
-	handshake          time.Duration // before the welcome, or never
+	handshakeDelay     time.Duration // delay before the welcome, or neverHandshake
 	responseDelay      time.Duration
 	duplicateResponses bool
-	garbageResponses   bool // bytes that are no frame, in place of each response
+	garbageResponses   bool // send bytes that are not a valid frame instead of each response
 }
 
-// Command injects a fault or ends one. The error of an unknown command names those that are allowed.
+// Command executes a command that injects a fault or ends one. The error of an invalid command lists the allowed
+// commands.
 func (s *Server) Command(line string) error {
 	if err := s.command(line); err != nil {
 		return fmt.Errorf("command %q: %w; allowed: %s", line, err, Commands)
@@ -60,10 +61,10 @@
 		return nil
 	case "handshake":
 		if argument == "never" {
-			s.changeFaults(func(f *socketFaults) { f.handshake = never })
+			s.changeFaults(func(f *socketFaults) { f.handshakeDelay = neverHandshake })
 			return nil
 		}
-		return s.delayCommand(argument, func(f *socketFaults, d time.Duration) { f.handshake = d })
+		return s.delayCommand(argument, func(f *socketFaults, d time.Duration) { f.handshakeDelay = d })
 	case "late":
 		return s.delayCommand(argument, func(f *socketFaults, d time.Duration) { f.responseDelay = d })
 	case "twice":
--- a/lab/worker/connection.go
+++ b/lab/worker/connection.go
@@ -11,35 +11,35 @@
 	"havencart/lab/model"
 )
 
-// longestHandshake stands for a handshake that never ends: connections do not live as long.
-const longestHandshake = time.Hour
+// maxHandshakeDelay is the delay of a handshake that never ends. It exceeds the lifetime of any connection.
+const maxHandshakeDelay = time.Hour
 
-// connection is one front end's connection.
+// connection is a connection from a front end.
 type connection struct {
 	server   *Server
 	raw      net.Conn
-	stream   net.Conn // raw, or the emulated network over it
-	frontEnd string   // from the handshake on
+	stream   net.Conn // raw, or a delayedConn on top of it if there is an emulated network
+	frontEnd string   // name of the front end; set by the handshake
 
-	mu         sync.Mutex
-	sendQueue  []byte
-	outgoing   map[uint32]*responseBody // by stream
-	requests   map[uint32]*model.Request
-	wakeWriter chan struct{}
-	done       chan struct{}
-	once       sync.Once // closes done
+	mu             sync.Mutex
+	sendQueue      []byte
+	outgoingBodies map[uint32]*responseBody  // bodies being sent, by stream identifier
+	requests       map[uint32]*model.Request // requests without a response, by stream identifier
+	wakeWriter     chan struct{}
+	done           chan struct{}
+	closeOnce      sync.Once // closes done
 }
 
 // serve starts the goroutines of a connection.
 func (s *Server) serve(raw net.Conn) {
 	conn := &connection{
-		server:     s,
-		raw:        raw,
-		stream:     raw,
-		outgoing:   map[uint32]*responseBody{},
-		requests:   map[uint32]*model.Request{},
-		wakeWriter: make(chan struct{}, 1),
-		done:       make(chan struct{}),
+		server:         s,
+		raw:            raw,
+		stream:         raw,
+		outgoingBodies: map[uint32]*responseBody{},
+		requests:       map[uint32]*model.Request{},
+		wakeWriter:     make(chan struct{}, 1),
+		done:           make(chan struct{}),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	}
 	s.tasks.Go(conn.write)
 	s.tasks.Go(func() {
-		_ = conn.read() // however it ends, the connection is over; the front end reports why
+		_ = conn.read() // the error is ignored: the front end reports why the connection ended
 		conn.close()
 		s.mu.Lock()
 		delete(s.connections, conn)
@@ -62,13 +62,13 @@
 }
 
 func (c *connection) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		_ = c.stream.Close()
 	})
 }
 
-// write writes what is queued, so that nothing within the clock waits for a socket.
+// write writes the queued frames to the socket, so that no callback of the clock blocks on the socket.
 func (c *connection) write() {
 	for {
 		select {
@@ -87,18 +87,18 @@
 	}
 }
 
-// send queues a frame without a body.
+// send appends a frame without a body to the send queue.
 func (c *connection) send(kind muxframe.Type, streamID uint32, header any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.appendFrame(kind, streamID, header, nil)
 }
 
-// appendFrame queues a frame. The lock is held.
+// appendFrame appends a frame to the send queue. The caller must hold c.mu.
 func (c *connection) appendFrame(kind muxframe.Type, streamID uint32, header any, body []byte) {
 	queue, err := muxframe.Append(c.sendQueue, kind, streamID, header, body)
 	if err != nil {
-		panic(err) // the emulator's own messages are short
+		panic(err) // the frames of an emulated worker are below the size limits
 	}
 	c.sendQueue = queue
 	select {
@@ -124,7 +124,7 @@
 	}
 }
 
-// handshake receives the hello and sends the welcome.
+// handshake receives the hello message and sends the welcome message.
 func (c *connection) handshake(in *muxframe.Reader) error {
 	f, err := in.Next()
 	if err != nil {
@@ -132,13 +132,13 @@
 	}
 	var hello muxframe.Hello
 	if f.Type != muxframe.TypeHello || f.Decode(&hello) != nil {
-		return fmt.Errorf("%v in place of hello", f.Type)
+		return fmt.Errorf("expected hello frame, received %v", f.Type)
 	}
-	if !c.delayHandshake(c.server.currentFaults().handshake) {
+	if !c.delayHandshake(c.server.currentFaults().handshakeDelay) {
 		return nil
 	}
 	c.frontEnd = hello.FrontEnd
-	if delayed, is := c.stream.(*delayedConn); is {
+	if delayed, ok := c.stream.(*delayedConn); ok {
 		delayed.setPaths(c.server.cfg.Paths(c.frontEnd))
 	}
 	_, uptime, incarnation := c.server.Running()
@@ -156,13 +156,14 @@
 	return nil
 }
 
-// delayHandshake waits for a delay, or never. It reports false where the connection ended meanwhile.
+// delayHandshake waits for the given delay, or for maxHandshakeDelay if delay is neverHandshake. It returns false if the
+// connection ended meanwhile.
 func (c *connection) delayHandshake(delay time.Duration) bool {
 	if delay == 0 {
 		return true
 	}
 	if delay < 0 {
-		delay = longestHandshake
+		delay = maxHandshakeDelay
 	}
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -192,7 +193,7 @@
 		c.send(muxframe.TypePong, 0, nil)
 	case muxframe.TypePong:
 	default:
-		return fmt.Errorf("%v from a front end", frame.Type)
+		return fmt.Errorf("unexpected %v frame from a front end", frame.Type)
 	}
 	return nil
 }
--- a/lab/worker/delayed_conn.go
+++ b/lab/worker/delayed_conn.go
@@ -8,58 +8,59 @@
 	"havencart/lab/model"
 )
 
-// maxChunks bounds what is under way on one connection in each direction; beyond, reading and writing block.
+// maxChunks is the maximum number of chunks in flight on a connection in each direction. Beyond it, reads and writes
+// block.
 const maxChunks = 1024
 
-// chunkBytes is the most that is read at a time.
+// chunkBytes is the maximum number of bytes that one read from the peer returns.
 const chunkBytes = 4 << 10
 
-// delayedConn is a connection whose bytes travel over the paths of a model.Network once it has them.
+// delayedConn is a connection whose bytes are delayed by the paths of a model.Network, from the call of setPaths on.
 type delayedConn struct {
 	net.Conn
-	clock   *model.RealClock
-	out, in *model.Path // accessed within the clock; nil before setPaths
-	done    chan struct{}
-	once    sync.Once // closes done
-
-	received  chan chunk  // from the peer, in order
-	departing chan []byte // to the peer, in order
-	unread    []byte      // of the last chunk; the reader's alone
-
-	// One slot for each chunk under way, so that nothing blocks within the clock.
-	outgoingSlots chan struct{}
-	incomingSlots chan struct{}
+	clock           *model.RealClock
+	outPath, inPath *model.Path // accessed only within the clock; nil before setPaths
+	done            chan struct{}
+	closeOnce       sync.Once // closes done
+
+	inbound  chan chunk  // chunks from the peer, in order
+	outbound chan []byte // chunks to the peer, in order
+	unread   []byte      // unread part of the last chunk; accessed only by Read
+
+	// Each chunk in flight holds one slot, so that sending to the channels never blocks within the clock.
+	outboundSlots chan struct{}
+	inboundSlots  chan struct{}
 }
 
-// chunk is what one read returned.
+// chunk is the result of one read from the peer.
 type chunk struct {
 	bytes []byte
 	err   error
 }
 
-// newDelayedConn wraps a connection. Its two goroutines end with it.
+// newDelayedConn wraps a connection. It starts two goroutines, which end when the connection is closed.
 func newDelayedConn(c net.Conn, clock *model.RealClock, tasks *sync.WaitGroup) *delayedConn {
 	d := &delayedConn{
 		Conn:          c,
 		clock:         clock,
 		done:          make(chan struct{}),
-		received:      make(chan chunk, maxChunks),
-		departing:     make(chan []byte, maxChunks),
-		outgoingSlots: make(chan struct{}, maxChunks),
-		incomingSlots: make(chan struct{}, maxChunks),
+		inbound:       make(chan chunk, maxChunks),
+		outbound:      make(chan []byte, maxChunks),
+		outboundSlots: make(chan struct{}, maxChunks),
+		inboundSlots:  make(chan struct{}, maxChunks),
 	}
 	tasks.Go(d.readLoop)
 	tasks.Go(d.writeLoop)
 	return d
 }
 
-// setPaths gives the connection its paths from now on.
+// setPaths sets the paths over which bytes are sent and received from now on.
 func (d *delayedConn) setPaths(in, out *model.Path) {
-	d.clock.Do(func() { d.in, d.out = in, out })
+	d.clock.Do(func() { d.inPath, d.outPath = in, out })
 }
 
-// send calls deliver when what is sent now over a path is received; at once where there is no path yet. path is called
-// within the clock.
+// send calls deliver when a message that is sent now would arrive at the other end of a path, or at once if there is no
+// path yet. path is called within the clock.
 func (d *delayedConn) send(path func() *model.Path, deliver func()) {
 	d.clock.Do(func() {
 		if p := path(); p != nil {
@@ -70,29 +71,29 @@
 	})
 }
 
-// readLoop reads from the peer.
+// readLoop reads chunks from the peer and sends them over the inbound path.
 func (d *delayedConn) readLoop() {
 	for {
 		select {
-		case d.incomingSlots <- struct{}{}:
+		case d.inboundSlots <- struct{}{}:
 		case <-d.done:
 			return
 		}
 		b := make([]byte, chunkBytes)
 		n, err := d.Conn.Read(b)
-		d.send(func() *model.Path { return d.in }, func() { d.received <- chunk{b[:n], err} })
+		d.send(func() *model.Path { return d.inPath }, func() { d.inbound <- chunk{b[:n], err} })
 		if err != nil {
 			return
 		}
 	}
 }
 
-// writeLoop writes to the peer.
+// writeLoop writes the chunks that left the outbound path to the peer.
 func (d *delayedConn) writeLoop() {
 	for {
 		select {
-		case b := <-d.departing:
-			<-d.outgoingSlots
+		case b := <-d.outbound:
+			<-d.outboundSlots
 			if _, err := d.Conn.Write(b); err != nil {
 				_ = d.Close()
 				return
@@ -107,8 +108,8 @@
 func (d *delayedConn) Read(b []byte) (int, error) {
 	for len(d.unread) == 0 {
 		select {
-		case c := <-d.received:
-			<-d.incomingSlots
+		case c := <-d.inbound:
+			<-d.inboundSlots
 			if c.err != nil && len(c.bytes) == 0 {
 				return 0, c.err
 			}
@@ -122,20 +123,20 @@
 	return n, nil
 }
 
-// Write implements net.Conn: it returns when there is a slot for the bytes on their way.
+// Write implements net.Conn. It blocks while no outbound slot is free.
 func (d *delayedConn) Write(b []byte) (int, error) {
 	select {
-	case d.outgoingSlots <- struct{}{}:
+	case d.outboundSlots <- struct{}{}:
 	case <-d.done:
 		return 0, net.ErrClosed
 	}
 	c := append([]byte(nil), b...)
-	d.send(func() *model.Path { return d.out }, func() { d.departing <- c })
+	d.send(func() *model.Path { return d.outPath }, func() { d.outbound <- c })
 	return len(b), nil
 }
 
-// Close implements net.Conn. What is under way is lost.
+// Close implements net.Conn. Bytes in flight are lost.
 func (d *delayedConn) Close() error {
-	d.once.Do(func() { close(d.done) })
+	d.closeOnce.Do(func() { close(d.done) })
 	return d.Conn.Close()
 }
--- a/lab/worker/requests.go
+++ b/lab/worker/requests.go
@@ -7,20 +7,21 @@
 	"havencart/lab/model"
 )
 
-// maxDataBytes is the most that goes into one frame of a response; longer bodies are sent in several.
+// maxDataBytes is the maximum number of body bytes in one frame of a response. Longer bodies are split into several
+// frames.
 const maxDataBytes = 16 << 10
 
-// responseBody is the body of a response that is sent in several frames.
+// responseBody is the unsent part of a response body that is sent in several frames.
 type responseBody struct {
-	remaining int // bytes
-	credit    int // bytes that the front end accepts
+	remaining int // bytes not sent yet
+	credit    int // bytes that the front end accepts at present
 }
 
-// responseStream says where and how a response is sent.
+// responseStream describes the stream and the body size of a response.
 type responseStream struct {
 	id     uint32
 	window int // the front end's initial credit, in bytes
-	size   int // of the body, in bytes
+	size   int // size of the body, in bytes
 }
 
 func (c *connection) handleRequest(frame muxframe.Frame) error {
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// respond sends a worker's response with the faults that the socket has now. It is called within the clock.
+// respond sends a worker's response, subject to the current faults of the socket. It is called within the clock.
 func (c *connection) respond(stream responseStream, r model.Response) {
 	faults := c.server.currentFaults()
 	if faults.responseDelay > 0 {
@@ -88,7 +89,8 @@
 	}
 }
 
-// appendResponse queues a response, its body in several frames where it is long. The lock is held.
+// appendResponse appends a response to the send queue. A long body is split into several frames. The caller must hold
+// c.mu.
 func (c *connection) appendResponse(stream responseStream, header muxframe.Response) {
 	if stream.size <= maxDataBytes {
 		c.appendFrame(muxframe.TypeResponse, stream.id, header, make([]byte, stream.size))
@@ -96,13 +98,13 @@
 	}
 	header.More, header.Length = true, int64(stream.size)
 	c.appendFrame(muxframe.TypeResponse, stream.id, header, nil)
-	c.outgoing[stream.id] = &responseBody{remaining: stream.size, credit: stream.window}
+	c.outgoingBodies[stream.id] = &responseBody{remaining: stream.size, credit: stream.window}
 	c.sendBody(stream.id)
 }
 
-// sendBody queues what the credit allows of a body. The lock is held.
+// sendBody appends as much of a body to the send queue as the credit allows. The caller must hold c.mu.
 func (c *connection) sendBody(streamID uint32) {
-	body := c.outgoing[streamID]
+	body := c.outgoingBodies[streamID]
 	if body == nil {
 		return
 	}
@@ -113,7 +115,7 @@
 		body.credit -= n
 	}
 	if body.remaining == 0 {
-		delete(c.outgoing, streamID)
+		delete(c.outgoingBodies, streamID)
 		c.appendFrame(muxframe.TypeEnd, streamID, muxframe.End{}, nil)
 	}
 }
@@ -125,17 +127,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if body := c.outgoing[f.StreamID]; body != nil {
+	if body := c.outgoingBodies[f.StreamID]; body != nil {
 		body.credit += int(in.Bytes)
 		c.sendBody(f.StreamID)
 	}
 	return nil
 }
 
-// cancel stops a response that is being sent, and cancels a request that has none yet.
+// cancel stops sending the response on a stream, or cancels the request if it has no response yet.
 func (c *connection) cancel(streamID uint32) {
 	c.mu.Lock()
-	delete(c.outgoing, streamID)
+	delete(c.outgoingBodies, streamID)
 	request := c.requests[streamID]
 	delete(c.requests, streamID)
 	c.mu.Unlock()
--- a/lab/worker/server.go
+++ b/lab/worker/server.go
@@ -1,5 +1,5 @@
-// Package worker puts the model of a worker behind a socket: an emulated worker that speaks the protocol of
-// docs/protocol.md as a real one does, and has faults on command.
+// Package worker implements an emulated worker: the model of a worker behind a socket. It speaks the protocol of
+// docs/protocol.md, as a real worker does, and injects faults on command.
 package worker
 
 import (
@@ -12,12 +12,13 @@
 	"havencart/lab/portreservation"
 )
 
-// Config describes an emulated worker and its socket.
+// Config configures an emulated worker and its socket.
 type Config struct {
 	model.WorkerConfig
-	Address string        // host:port; port 0 chooses a free one
-	Work    time.Duration // of a request whose body does not say
-	// Paths returns the network's paths from and to a front end; nil: there is no emulated network.
+	Address string        // host:port; with port 0, a free port is chosen
+	Work    time.Duration // work of a request whose body does not specify it
+	// Paths returns the paths of the emulated network from and to a front end. If Paths is nil, the network is not
+	// emulated.
 	Paths func(frontEnd string) (in, out *model.Path)
 }
 
@@ -25,8 +26,8 @@
 type Server struct {
 	cfg         Config
 	clock       *model.RealClock
-	worker      *model.Worker                // accessed within the clock only
-	reservation *portreservation.Reservation // of its address, for all its processes
+	worker      *model.Worker                // accessed only within the clock
+	reservation *portreservation.Reservation // reserves the address across restarts of the emulated process
 
 	mu          sync.Mutex
 	listener    net.Listener
@@ -36,7 +37,7 @@
 	tasks       sync.WaitGroup
 }
 
-// Start starts a worker that has been running for long enough to be warm.
+// Start starts an emulated worker, which is warm.
 func Start(clock *model.RealClock, cfg Config, store model.Fetcher, keys *model.KeyCache, observer model.Observer) (*Server, error) {
 	reservation, err := portreservation.Reserve(cfg.Address)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return s, nil
 }
 
-// crashObserver closes the sockets of a worker that crashes from overload.
+// crashObserver is an observer that also closes the sockets of a worker that crashes from overload.
 type crashObserver struct {
 	model.Observer
 	s *Server
@@ -63,22 +64,22 @@
 	o.s.closeSockets()
 }
 
-// Address is where the worker listens.
+// Address returns the address that the worker listens on.
 func (s *Server) Address() string { return s.reservation.Address() }
 
-// Name is the worker's name.
+// Name returns the worker's name.
 func (s *Server) Name() string { return s.cfg.Name }
 
-// Running reports whether the process runs, for how long, and its incarnation.
+// Running returns whether the emulated process is running, its uptime and its incarnation.
 func (s *Server) Running() (up bool, uptime time.Duration, incarnation int) {
 	s.Do(func(w *model.Worker) { up, uptime, incarnation = w.Up(), w.Uptime(), w.Incarnation() })
 	return up, uptime, incarnation
 }
 
-// Do calls f with the model, between its events.
+// Do calls f with the model, within the clock.
 func (s *Server) Do(f func(*model.Worker)) { s.clock.Do(func() { f(s.worker) }) }
 
-// Close ends the worker and all its goroutines.
+// Close stops the worker and waits for all its goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -89,7 +90,7 @@
 	s.reservation.Release()
 }
 
-// listen opens the socket, at the worker's address.
+// listen starts to accept connections at the worker's address.
 func (s *Server) listen() error {
 	l, err := net.Listen("tcp", s.Address())
 	if err != nil {
@@ -106,13 +107,13 @@
 	for {
 		c, err := l.Accept()
 		if err != nil {
-			return // closed: the process ended
+			return // the listener was closed because the process ended
 		}
 		s.serve(c)
 	}
 }
 
-// closeSockets closes the sockets as the end of a process does.
+// closeSockets closes the listener and all connections, as the end of a process does.
 func (s *Server) closeSockets() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,12 +123,12 @@
 	}
 }
 
-// resetConnections ends all connections with a TCP reset; the process goes on.
+// resetConnections ends all connections with a TCP reset. The process keeps running.
 func (s *Server) resetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
-		_ = c.raw.(*net.TCPConn).SetLinger(0) // fails on a closed connection only
+		_ = c.raw.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 		c.close()
 	}
 }
