--- a/lab/model/command.go
+++ b/lab/model/command.go
@@ -22,11 +22,11 @@
 	case "flush":
 		w.InvalidateReplicas(argument)
 	case "re-release":
-		return true, w.reRelease(argument)
+		return true, w.applyReRelease(argument)
 	case "slow":
-		return true, applyFactor(argument, w.SetSlowdown)
+		return true, applyNumber(argument, w.SetSlowdown)
 	case "fail":
-		return true, applyFactor(argument, w.SetFailureShare)
+		return true, applyNumber(argument, w.SetFailureShare)
 	case "drain":
 		return true, applySwitch(argument, w.SetDraining)
 	case "hang":
@@ -39,8 +39,8 @@
 	return true, nil
 }
 
-// reRelease executes the re-release command, whose argument is "SHARE SALT".
-func (w *Worker) reRelease(argument string) error {
+// applyReRelease executes the re-release command, whose argument is "SHARE SALT".
+func (w *Worker) applyReRelease(argument string) error {
 	text, salt, _ := strings.Cut(argument, " ")
 	share, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(share >= 0 && share <= 1) {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func applyFactor(argument string, set func(float64)) error {
+func applyNumber(argument string, set func(float64)) error {
 	x, err := strconv.ParseFloat(argument, 64)
 	if err != nil || x < 0 {
 		return fmt.Errorf("%q is not a number of at least 0", argument)
--- a/lab/model/estimate.go
+++ b/lab/model/estimate.go
@@ -5,8 +5,8 @@
 const (
 	// oracleOverloadShare is the share of a cold worker's overload limit up to which an oracle sends requests to it.
 	oracleOverloadShare = 0.6
-	// stoppedStorePace is the factor by which a stopped store is assumed to prolong a fetch.
-	stoppedStorePace = 10
+	// stoppedStoreSlowdown is the factor by which a stopped store is assumed to prolong a fetch.
+	stoppedStoreSlowdown = 10
 	// unacceptableWait is an estimate that is longer than any request can wait.
 	unacceptableWait = time.Hour
 )
@@ -69,17 +69,17 @@
 		return unacceptableWait, 0
 	}
 	duration += duration * time.Duration(len(w.loads)/max(1, w.Config.MaxConcurrentLoads))
-	if w.memoryWith(r.MemoryMB) > w.Config.MemoryMB {
+	if w.memoryUsedWith(r.MemoryMB) > w.Config.MemoryMB {
 		return 2 * duration, 0
 	}
 	return duration, 0
 }
 
-// concurrencyOf returns the total concurrency of the worker's replicas of a function, and how much of it is free.
+// concurrencyOf returns the free and the total concurrency of the worker's replicas of a function.
 func (w *Worker) concurrencyOf(function string) (free, all int) {
 	for _, r := range w.replicas {
 		if r.serves(function) {
-			free += r.concurrency - r.busy
+			free += r.concurrency - r.executing
 			all += r.concurrency
 		}
 	}
@@ -93,7 +93,7 @@
 	if speed := s.shared.speed; speed > 0 {
 		pace /= speed
 	} else {
-		pace *= stoppedStorePace
+		pace *= stoppedStoreSlowdown
 	}
 	return time.Duration(float64(load) * (fetchShare*pace + 1 - fetchShare))
 }
--- a/lab/model/execution.go
+++ b/lab/model/execution.go
@@ -126,7 +126,7 @@
 // dispatch executes a request on a replica with free concurrency. Otherwise it queues the request, starting a load if
 // necessary, or rejects it.
 func (w *Worker) dispatch(a *attempt) {
-	if r := w.replicaWithRoom(a.Function); r != nil {
+	if r := w.availableReplica(a.Function); r != nil {
 		w.execute(a, r)
 		return
 	}
@@ -170,7 +170,7 @@
 	if a.coldStart == ColdStartUnknown {
 		a.coldStart = WarmStart
 	}
-	r.busy++
+	r.executing++
 	r.stopIdleTimer()
 	a.replica = r
 	w.running = append(w.running, a)
@@ -204,7 +204,7 @@
 			w.queue = slices.Delete(w.queue, i, i+1)
 			continue
 		}
-		r := w.replicaWithRoom(function)
+		r := w.availableReplica(function)
 		if r == nil {
 			return
 		}
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		r.invalid = true
-		if r.busy == 0 {
+		if r.executing == 0 {
 			w.removeReplica(r)
 		}
 	}
--- a/lab/model/load.go
+++ b/lab/model/load.go
@@ -176,7 +176,7 @@
 // renewKeepAlive restarts the keep-alive time of a function's idle replicas.
 func (w *Worker) renewKeepAlive(function string) {
 	for _, r := range w.replicas {
-		if r.serves(function) && r.busy == 0 {
+		if r.serves(function) && r.executing == 0 {
 			w.startIdle(r)
 		}
 	}
--- a/lab/model/replica.go
+++ b/lab/model/replica.go
@@ -10,15 +10,15 @@
 	function     string
 	memoryMB     float64
 	concurrency  int
-	busy         int // number of requests that are executing
+	executing    int // number of requests that are executing
 	idleSince    time.Duration
 	cancelUnload func() // cancels the idle timer; nil while the timer is not set
 	invalid      bool   // belongs to an old release, so that it is unloaded as soon as it is idle
 }
 
-// hasRoom reports whether the replica can execute another request of a function.
-func (r *replica) hasRoom(function string) bool {
-	return r.serves(function) && r.busy < r.concurrency
+// hasFreeConcurrency reports whether the replica can execute another request of a function.
+func (r *replica) hasFreeConcurrency(function string) bool {
+	return r.serves(function) && r.executing < r.concurrency
 }
 
 // serves reports whether the replica is a valid replica of a function.
@@ -32,10 +32,10 @@
 	}
 }
 
-// replicaWithRoom returns the first replica that can execute another request of a function, or nil if there is none.
-func (w *Worker) replicaWithRoom(function string) *replica {
+// availableReplica returns the first replica that can execute another request of a function, or nil if there is none.
+func (w *Worker) availableReplica(function string) *replica {
 	for _, r := range w.replicas {
-		if r.hasRoom(function) {
+		if r.hasFreeConcurrency(function) {
 			return r
 		}
 	}
@@ -59,8 +59,8 @@
 
 // release frees the concurrency that an execution used on a replica.
 func (w *Worker) release(r *replica) {
-	r.busy--
-	if r.busy == 0 {
+	r.executing--
+	if r.executing == 0 {
 		w.startIdle(r)
 	}
 }
@@ -84,7 +84,7 @@
 // Unload unloads the idle replicas of a function.
 func (w *Worker) Unload(function string) {
 	for _, r := range slices.Clone(w.replicas) {
-		if r.function == function && r.busy == 0 {
+		if r.function == function && r.executing == 0 {
 			w.removeReplica(r)
 		}
 	}
@@ -93,7 +93,7 @@
 // makeRoom makes room for a replica by unloading idle replicas, least recently used first. It reports whether there is
 // enough memory now.
 func (w *Worker) makeRoom(memoryMB float64) bool {
-	used := w.memoryWith(memoryMB)
+	used := w.memoryUsedWith(memoryMB)
 	for used > w.Config.MemoryMB {
 		oldest := w.longestIdle()
 		if oldest == nil {
@@ -105,8 +105,9 @@
 	return true
 }
 
-// memoryWith returns the memory of all replicas, including those that are being loaded, plus that of an additional one.
-func (w *Worker) memoryWith(memoryMB float64) float64 {
+// memoryUsedWith returns the memory of all replicas, including those that are being loaded, plus that of an additional
+// replica.
+func (w *Worker) memoryUsedWith(memoryMB float64) float64 {
 	used := memoryMB
 	for _, r := range w.replicas {
 		used += r.memoryMB
@@ -120,7 +121,7 @@
 // longestIdle returns the replica that has been idle longest, or nil if none is idle.
 func (w *Worker) longestIdle() (oldest *replica) {
 	for _, r := range w.replicas {
-		if r.busy > 0 {
+		if r.executing > 0 {
 			continue
 		}
 		if oldest == nil || r.idleSince < oldest.idleSince {
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -25,9 +25,9 @@
 	baseID         string // identifier of the request, without the number of the attempt
 	number         int
 	frontEnd       *frontEnd
-	recorded       *invariant.Request
-	gatewayRequest *gateway.Request // nil until the attempt reaches the front end
-	ended          bool             // the client no longer waits for a response
+	recorded       *invariant.Request // entry of the attempt in the event history
+	gatewayRequest *gateway.Request   // nil until the attempt reaches the front end
+	ended          bool               // the client no longer waits for a response
 }
 
 // scheduleNextRequest draws the next request and schedules its first attempt.
--- a/lab/worker/connection.go
+++ b/lab/worker/connection.go
@@ -51,9 +51,9 @@
 	if s.cfg.Paths != nil {
 		conn.stream = newDelayedConn(raw, s.clock, &s.tasks)
 	}
-	s.tasks.Go(conn.write)
+	s.tasks.Go(conn.writeLoop)
 	s.tasks.Go(func() {
-		_ = conn.read() // the error is ignored: the front end reports why the connection ended
+		_ = conn.readLoop() // the error is ignored: the front end reports why the connection ended
 		conn.close()
 		s.mu.Lock()
 		delete(s.connections, conn)
@@ -68,8 +68,8 @@
 	})
 }
 
-// write writes the queued frames to the socket, so that no callback of the clock blocks on the socket.
-func (c *connection) write() {
+// writeLoop writes the queued frames to the socket, so that no callback of the clock blocks on the socket.
+func (c *connection) writeLoop() {
 	for {
 		select {
 		case <-c.wakeWriter:
@@ -107,8 +107,8 @@
 	}
 }
 
-// read handles frames until the connection ends.
-func (c *connection) read() error {
+// readLoop handles frames until the connection ends.
+func (c *connection) readLoop() error {
 	in := muxframe.NewReader(bufio.NewReader(c.stream), 0)
 	if err := c.handshake(in); err != nil {
 		return err
