--- a/cmd/havencart/serveplatform_test.go
+++ b/cmd/havencart/serveplatform_test.go
@@ -220,7 +220,7 @@
 	p.waitForLog("configuration reload failed; keeping the current configuration")
 	p.writeConfig(strings.Replace(newConfig, `"name":"quote"`, `"name":"another customer's"`, 1))
 	p.signal(syscall.SIGHUP)
-	if field := p.waitForLog("the configuration stays as it was")["field"]; field != "settings.classes" {
+	if field := p.waitForLog("new configuration ignored")["field"]; field != "settings.classes" {
 		t.Errorf("the log names %v as the setting that differs, want settings.classes", field)
 	}
 	p.writeConfig(newConfig)
