--- a/internal/shadow/compare.go
+++ b/internal/shadow/compare.go
@@ -29,10 +29,10 @@
 	differentWorker         = "sent to another worker"
 	queuedInstead           = "queued"
 	sentInstead             = "sent"
-	differentResponse       = "different rejection, failure or retry advice"
-	differentLoadOrder      = "different load order, or load order by one scheduler only"
-	differentResidencyQuery = "residency query by one scheduler only"
-	differentCancellation   = "attempt cancelled by one scheduler only"
+	differentResponse       = "rejected or advised differently"
+	differentLoadOrder      = "load order given or omitted"
+	differentResidencyQuery = "residency query sent or omitted"
+	differentCancellation   = "attempt cancelled or not"
 )
 
 // compare counts and reports the differences between the actions of the two schedulers for the current event.
