--- a/lab/experiment/cell.go
+++ b/lab/experiment/cell.go
@@ -6,17 +6,18 @@
 	"havencart/lab/simulation"
 )
 
-// Cell is one run: a variant in a scenario with a seed.
+// Cell is one run of the experiment: one variant in one scenario with one seed.
 type Cell struct {
 	Variant  string
 	Scenario string
 	Seed     uint64
-	Key      string // a hash of everything that the run depends on
-	Failed   string // why the variant could not be run to its end, empty if it was
+	Key      string // hash of everything that the result of the run depends on
+	Failed   string // reason why the run did not complete, empty if it did
 	Result   simulation.Result
 }
 
-// InvalidReason is why the run counts for nothing, empty where it counts.
+// InvalidReason returns why the run is invalid, or an empty string if it is valid. A run is invalid if it failed, if it
+// violated an invariant or if its tally does not account for every request.
 func (c *Cell) InvalidReason() string {
 	r := &c.Result
 	switch {
@@ -31,7 +32,7 @@
 	return ""
 }
 
-// Service is the run's service, 0 where the run is invalid.
+// Service returns the service of the run, or 0 if the run is invalid.
 func (c *Cell) Service() float64 {
 	if c.InvalidReason() != "" {
 		return 0
@@ -39,7 +40,8 @@
 	return c.Result.Score.Service()
 }
 
-// cells lists all runs, the variants of one scenario and seed side by side.
+// cells lists all runs of the experiment, without their results. Runs of all variants with the same scenario and seed
+// are adjacent.
 func (s *Spec) cells() (cells []Cell) {
 	programs := s.programHashes()
 	for _, sc := range s.Scenarios {
@@ -54,7 +56,7 @@
 	return cells
 }
 
-// programHashes are the hashes of the variants' programs, by path.
+// programHashes returns the hashes of the variants' programs by path. Each program is read once.
 func (s *Spec) programHashes() map[string]uint64 {
 	hashes := map[string]uint64{}
 	for _, v := range s.Variants {
@@ -65,7 +67,7 @@
 	return hashes
 }
 
-// find returns a variant and a scenario by their names, zero values for names that are unknown.
+// find returns the variant and the scenario with the given names, and the zero value for each name that is unknown.
 func (s *Spec) find(variant, scenario string) (v Variant, sc Scenario) {
 	for _, x := range s.Variants {
 		if x.Name == variant {
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -9,48 +9,53 @@
 )
 
 const (
-	resamples          = 4000 // of the bootstrap
-	smallestDifference = 0.01 // of service that is worth detecting
+	bootstrapResamples = 4000
+	smallestDifference = 0.01 // smallest difference of service that is worth detecting
 )
 
-// The interval is the central 95% of the resampled means; normalQuantile is the matching quantile of the normal
-// distribution.
+// The confidence interval is the central 95% of the resampled means. normalQuantile is the quantile of the standard
+// normal distribution for a two-sided interval at the same level.
 const (
 	lowerQuantile  = 0.025
 	upperQuantile  = 0.975
 	normalQuantile = 1.96
 )
 
-// Verdict is what can be said of a variant compared with the first one.
+// Verdict is the conclusion of comparing a variant with the first one.
 type Verdict string
 
-// The verdicts. Their text is what reports print.
+// The verdicts. Reports print these texts.
 const (
 	Better       Verdict = "better"
 	Worse        Verdict = "worse"
 	Inconclusive Verdict = "not told apart"
 )
 
-// Comparison compares a variant with the first one, in the same scenarios with the same seeds.
+// Comparison is the result of comparing a variant with the first one by runs of the same scenarios with the same seeds.
 type Comparison struct {
-	Variant     string
-	Mean        float64 // service
-	Goodput     float64 // priority weight earned a second, over the valid runs
-	Difference  float64 // mean difference of service to the first variant
-	Low, High   float64 // its 95% interval, by the paired bootstrap
-	Verdict     Verdict
-	SeedsNeeded int // more seeds a scenario that would make an inconclusive difference, or one of 0.01, conclusive
-	InvalidRuns int // runs that violated an invariant or failed
+	Variant    string
+	Mean       float64 // mean service of the runs, invalid runs counted as 0
+	Goodput    float64 // mean priority weight earned per second in the valid runs whose service is not 0
+	Difference float64 // mean difference of service from the first variant
+	Low, High  float64 // 95% confidence interval of Difference, by the paired bootstrap
+	Verdict    Verdict
+
+	// SeedsNeeded estimates how many more seeds per scenario would make an inconclusive comparison conclusive, if the
+	// absolute value of the true difference is that of Difference or smallestDifference, whichever is larger. It is 0
+	// for a conclusive comparison.
+	SeedsNeeded int
+
+	InvalidRuns int // number of runs with an InvalidReason
 }
 
-// Compare compares all variants with the first of the Spec, over all scenarios. Differences are resampled with
-// replacement within each scenario (B. Efron, "Bootstrap Methods", 1979; percentile intervals), so that scenarios have
-// equal weight.
+// Compare compares all variants with the first one of the Spec over all scenarios. The interval is a percentile
+// bootstrap interval (B. Efron, "Bootstrap Methods", 1979). Differences are resampled with replacement within each
+// scenario, so that all scenarios have equal weight.
 func (s *Spec) Compare(cells []Cell) []Comparison {
 	return s.compare(cells, func(string) bool { return true })
 }
 
-// CompareScenario compares all variants with the first in one scenario.
+// CompareScenario compares all variants with the first one in a single scenario.
 func (s *Spec) CompareScenario(cells []Cell, scenario string) []Comparison {
 	return s.compare(cells, func(name string) bool { return name == scenario })
 }
@@ -73,17 +78,17 @@
 	return list
 }
 
-// runID tells the runs of one variant apart.
+// runID identifies a run among the runs of one variant.
 type runID struct {
 	scenario string
 	seed     uint64
 }
 
-// variantRuns are the runs of one variant.
+// variantRuns collects the results of the runs of one variant.
 type variantRuns struct {
 	service map[runID]float64
-	goodput []float64 // of the valid runs
-	invalid int
+	goodput []float64 // priority weight earned per second, one value for each valid run whose service is not 0
+	invalid int       // number of invalid runs
 }
 
 func (r *variantRuns) add(c *Cell) {
@@ -96,26 +101,26 @@
 	}
 }
 
-// compareRuns compares a variant with the first one by the runs that both have.
-func (s *Spec) compareRuns(name string, runs, first *variantRuns) Comparison {
-	var differences [][]float64 // by scenario
+// compareRuns compares a variant with the first one by the scenarios and seeds that both were run with.
+func (s *Spec) compareRuns(variant string, runs, first *variantRuns) Comparison {
+	var differences [][]float64 // of service, by scenario
 	var services []float64
 	for _, sc := range s.Scenarios {
-		var ofScenario []float64
+		var scenarioDifferences []float64
 		for i := range s.Seeds {
 			id := runID{sc.Name, uint64(s.FirstSeed + i)}
-			x, found := runs.service[id]
-			y, foundFirst := first.service[id]
+			service, found := runs.service[id]
+			firstService, foundFirst := first.service[id]
 			if found && foundFirst {
-				ofScenario = append(ofScenario, x-y)
-				services = append(services, x)
+				scenarioDifferences = append(scenarioDifferences, service-firstService)
+				services = append(services, service)
 			}
 		}
-		if len(ofScenario) > 0 {
-			differences = append(differences, ofScenario)
+		if len(scenarioDifferences) > 0 {
+			differences = append(differences, scenarioDifferences)
 		}
 	}
-	c := Comparison{Variant: name, Mean: stat.Mean(services, nil), InvalidRuns: runs.invalid}
+	c := Comparison{Variant: variant, Mean: stat.Mean(services, nil), InvalidRuns: runs.invalid}
 	if len(runs.goodput) > 0 {
 		c.Goodput = stat.Mean(runs.goodput, nil)
 	}
@@ -123,7 +128,8 @@
 	return c
 }
 
-// estimate fills in the difference, its interval and the verdict from the differences by scenario.
+// estimate sets the difference, its confidence interval, the verdict and the seeds needed from the differences of
+// service by scenario.
 func (c *Comparison) estimate(differences [][]float64) {
 	if len(differences) == 0 {
 		c.Verdict = Inconclusive
@@ -144,19 +150,20 @@
 	}
 }
 
-// resampleMeans draws the differences again with replacement within each scenario, and returns the means in
-// ascending order. The same differences give the same means.
+// resampleMeans resamples the differences with replacement within each scenario and returns the means of the
+// resamples in ascending order. Its generator has a fixed seed, so that the same differences always give the same
+// means.
 func resampleMeans(differences [][]float64) []float64 {
 	rng := rand.New(rand.NewPCG(1, 2))
-	means := make([]float64, resamples)
+	means := make([]float64, bootstrapResamples)
 	drawn := make([][]float64, len(differences))
-	for i, ofScenario := range differences {
-		drawn[i] = make([]float64, len(ofScenario))
+	for i, scenarioDifferences := range differences {
+		drawn[i] = make([]float64, len(scenarioDifferences))
 	}
 	for k := range means {
-		for i, ofScenario := range differences {
+		for i, scenarioDifferences := range differences {
 			for j := range drawn[i] {
-				drawn[i][j] = ofScenario[rng.IntN(len(ofScenario))]
+				drawn[i][j] = scenarioDifferences[rng.IntN(len(scenarioDifferences))]
 			}
 		}
 		means[k] = meanOfMeans(drawn)
@@ -165,6 +172,7 @@
 	return means
 }
 
+// meanOfMeans returns the mean over the scenarios of the mean of each scenario.
 func meanOfMeans(byScenario [][]float64) float64 {
 	sum := 0.0
 	for _, values := range byScenario {
@@ -173,16 +181,17 @@
 	return sum / float64(len(byScenario))
 }
 
-// seedsNeeded is how many more seeds a scenario it would take to detect a difference at 95%, by the variance seen.
+// seedsNeeded estimates how many more seeds per scenario are needed to detect a difference with 95% confidence, given
+// the variance of the differences observed so far.
 func seedsNeeded(differences [][]float64, difference float64) int {
 	variance, fewest := 0.0, len(differences[0])
-	for _, ofScenario := range differences {
-		fewest = min(fewest, len(ofScenario))
-		if len(ofScenario) > 1 {
-			variance += stat.Variance(ofScenario, nil)
+	for _, scenarioDifferences := range differences {
+		fewest = min(fewest, len(scenarioDifferences))
+		if len(scenarioDifferences) > 1 {
+			variance += stat.Variance(scenarioDifferences, nil)
 		}
 	}
 	scenarios := float64(len(differences))
-	need := normalQuantile * normalQuantile * variance / (scenarios * scenarios) / (difference * difference)
-	return max(0, int(math.Ceil(need))-fewest)
+	needed := normalQuantile * normalQuantile * variance / (scenarios * scenarios) / (difference * difference)
+	return max(0, int(math.Ceil(needed))-fewest)
 }
--- a/lab/experiment/config.go
+++ b/lab/experiment/config.go
@@ -10,10 +10,10 @@
 	"havencart/lab/simulation"
 )
 
-// networkJitter is the share of the network latency that is drawn anew for each message.
+// networkJitter is the fraction by which the network latency of a message varies at random around its mean.
 const networkJitter = 0.3
 
-// config is the simulation of a variant in a scenario with a seed.
+// config returns the configuration of the simulation that runs a variant in a scenario with a seed.
 func (s *Spec) config(variant Variant, scenario Scenario, seed uint64) simulation.Config {
 	worker := fleet.DemoWorker()
 	worker.Cores = scenario.WorkerCores
@@ -44,7 +44,8 @@
 	}
 }
 
-// settings are the demo's, with the scenario's tenants.
+// settings returns the front ends' settings: those of the demo, or the demo's classes with generated tenants t1, t2
+// and so on if the scenario sets their number.
 func (sc *Scenario) settings() string {
 	if sc.Tenants == 0 {
 		return fleet.DemoSettings
@@ -57,8 +58,8 @@
 	return text.String()
 }
 
-// overrideSettings replaces the directives of a settings text that stand outside of blocks: lines of those that
-// overrides name are removed, and the overrides are appended.
+// overrideSettings replaces top-level directives of a settings text. It removes the top-level lines whose directive
+// occurs in overrides and appends overrides. Lines within blocks stay unchanged.
 func overrideSettings(text string, overrides []string) string {
 	overridden := map[string]bool{}
 	for _, line := range overrides {
@@ -81,7 +82,7 @@
 	return strings.Join(append(kept, overrides...), "\n") + "\n"
 }
 
-// startsBlock reports whether a directive of the settings starts a block.
+// startsBlock reports whether a directive of the settings opens a block, which ends with an "end" line.
 func startsBlock(directive string) bool {
 	return directive == "class" || directive == "tenant" || directive == "function"
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -31,7 +31,7 @@
 day crash
   lasts 4s
   rate 60
-  at 1s crash 30% for 1s   # a trouble
+  at 1s crash 30% for 1s   # a fault
 end
 `
 
@@ -44,7 +44,8 @@
 	return s
 }
 
-func ignore(string) {}
+// discardProgress ignores the progress that Spec.Run reports.
+func discardProgress(string) {}
 
 func TestParse_ManyErrors_ReportsAll(t *testing.T) {
 	_, err := Parse("spec", "seeds 0\nvariant a\npolicy best\nend\nvariant b\nset\nend\nvariant c\nset colour red\nend\nday d\nrate -1\nat noon crash 5% for 1s\nlasts 3s\nend\n")
@@ -61,7 +62,9 @@
 	}
 }
 
-// TestRun_InterruptedExperiment_Resumes: stored runs are not run again, but the one whose line was cut off is.
+// TestRun_InterruptedExperiment_Resumes interrupts an experiment and cuts off the last line of its results file. The
+// resumed experiment must run again only the run of that line and the runs that were not stored, and its results must
+// equal those of an uninterrupted experiment.
 func TestRun_InterruptedExperiment_Resumes(t *testing.T) {
 	s := parse(t, quickSpec)
 	path := filepath.Join(t.TempDir(), "results")
@@ -72,35 +75,35 @@
 			cancel()
 		}
 	}); !errors.Is(err, context.Canceled) {
-		t.Fatalf("error %v of a run that was killed", err)
+		t.Fatalf("error %v from an interrupted experiment, want context.Canceled", err)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := strings.Count(string(raw), "\n")
+	stored := strings.Count(string(raw), "\n")
 	if err := os.WriteFile(path, raw[:len(raw)-10], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	played := -1 // the first line of progress reports what is known
-	cells, err := s.Run(context.Background(), path, 2, func(string) { played++ })
-	if err != nil || len(cells) != 18 || played != 18-kept+1 {
-		t.Errorf("%d cells, %d played after %d were kept, error %v", len(cells), played, kept, err)
+	completed := -1 // the first line of progress reports the number of stored runs, not a run
+	cells, err := s.Run(context.Background(), path, 2, func(string) { completed++ })
+	if err != nil || len(cells) != 18 || completed != 18-stored+1 {
+		t.Errorf("%d cells, %d run after %d were stored, error %v", len(cells), completed, stored, err)
 	}
-	whole, err := s.Run(context.Background(), filepath.Join(t.TempDir(), "results"), 4, ignore)
+	uninterrupted, err := s.Run(context.Background(), filepath.Join(t.TempDir(), "results"), 4, discardProgress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range cells {
-		if cells[i].Result.Trace != whole[i].Result.Trace || cells[i].Result.Tally != whole[i].Result.Tally {
-			t.Errorf("%s on %s, seed %d differs from a run in one go", cells[i].Variant, cells[i].Scenario, cells[i].Seed)
+		if cells[i].Result.Trace != uninterrupted[i].Result.Trace || cells[i].Result.Tally != uninterrupted[i].Result.Tally {
+			t.Errorf("%s on %s, seed %d differs from the uninterrupted experiment", cells[i].Variant, cells[i].Scenario, cells[i].Seed)
 		}
 	}
 }
 
 func TestRun_VariantThatCrashes_IsReportedAndOthersRun(t *testing.T) {
 	s := parse(t, strings.Replace(quickSpec, "  policy random\n", "  program /does/not/exist\n", 1))
-	cells, err := s.Run(context.Background(), filepath.Join(t.TempDir(), "results"), 2, ignore)
+	cells, err := s.Run(context.Background(), filepath.Join(t.TempDir(), "results"), 2, discardProgress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +120,7 @@
 	}
 }
 
-// cellsWithService makes runs with given services, by variant and seed, in one scenario.
+// cellsWithService returns runs of the scenario "quiet" with the given services by variant, one for each seed.
 func cellsWithService(s *Spec, service map[string][]float64) (list []Cell) {
 	for name, values := range service {
 		for i, v := range values {
@@ -130,7 +133,7 @@
 
 func TestCompareScenario_DifferenceAndSpread_DecideVerdict(t *testing.T) {
 	s := parse(t, strings.Replace(quickSpec, "seeds 3", "seeds 8", 1))
-	first := []float64{0.5, 0.7, 0.6, 0.9, 0.4, 0.8, 0.55, 0.65} // scenarios differ far more than variants
+	first := []float64{0.5, 0.7, 0.6, 0.9, 0.4, 0.8, 0.55, 0.65} // the runs of a variant differ far more than the variants
 	shifted := func(by, spread float64) (out []float64) {
 		for i, x := range first {
 			out = append(out, x+by+spread*float64(i%2*2-1))
@@ -152,9 +155,9 @@
 	}
 }
 
-// TestEstimate_NoDifference_IntervalHoldsZeroNinetyFivePercent: of 95% intervals over pairs without a difference, about
-// 95% hold 0.
-func TestEstimate_NoDifference_IntervalHoldsZeroNinetyFivePercent(t *testing.T) {
+// TestEstimate_NoDifference_IntervalContainsZeroInAbout95Percent checks the coverage of the 95% interval: if the
+// variants do not differ, about 95% of the intervals must contain 0.
+func TestEstimate_NoDifference_IntervalContainsZeroInAbout95Percent(t *testing.T) {
 	rng, misses, rounds := rand.New(rand.NewPCG(7, 7)), 0, 400
 	for range rounds {
 		var diffs []float64
@@ -168,7 +171,7 @@
 		}
 	}
 	if share := float64(misses) / float64(rounds); share < 0.02 || share > 0.12 {
-		t.Errorf("%.3f of intervals miss", share)
+		t.Errorf("a share of %.3f of the intervals does not contain 0", share)
 	}
 }
 
--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -15,9 +15,10 @@
 	"havencart/lab/simulation"
 )
 
-// keyedConfig is a simulation.Config as it enters a cell's key: printed with %+v, so the names and the order of
-// these fields decide whether a run that an earlier build stored is found again. Types of other packages are
-// repeated here where they are printed by their fields.
+// keyedConfig is the form of a simulation.Config that is hashed into the key of a cell. It is printed with %+v, so the
+// names and the order of its fields must not change: otherwise runs that earlier builds stored are not found in the
+// results file and are run again. Types of other packages whose fields %+v would print are repeated here, so that those
+// packages can rename them.
 type keyedConfig struct {
 	Workers   int
 	Cells     int
@@ -32,7 +33,7 @@
 	ListLag   time.Duration
 	Mix       keyedMix
 	Lasts     time.Duration
-	Troubles  []scenario.Fault // printed by its String method
+	Troubles  []scenario.Fault // printed by Fault.String, so its fields may be renamed
 	Seed      uint64
 	LogLevel  zerolog.Level
 	Policy    string
@@ -82,8 +83,8 @@
 	OwnFunctions bool
 }
 
-// keyed is cfg in the form that enters a key.
-func keyed(cfg *simulation.Config) keyedConfig {
+// keyedConfigOf converts a simulation.Config to the form that is hashed into a key.
+func keyedConfigOf(cfg *simulation.Config) keyedConfig {
 	return keyedConfig{
 		Workers:   cfg.Workers,
 		Cells:     cfg.Cells,
@@ -156,15 +157,16 @@
 	}
 }
 
-// key is a hash of all that a run depends on, the program that runs it included.
+// key returns a hash of everything that a run depends on, including the program that runs it.
 func (s *Spec) key(v Variant, sc Scenario, seed, program uint64) string {
 	h := xxhash.New()
 	cfg := s.config(v, sc, seed)
-	_, _ = fmt.Fprintf(h, "%+v %x", keyed(&cfg), program) // a hash never fails
+	_, _ = fmt.Fprintf(h, "%+v %x", keyedConfigOf(&cfg), program) // writing to a hash returns no error
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// programHash is a hash of a program, of this one if path is empty; 0 where it cannot be read.
+// programHash returns a hash of the program file at path, or of the running program if path is empty. It returns 0 if
+// the file cannot be read.
 func programHash(path string) uint64 {
 	if path == "" {
 		path, _ = os.Executable()
--- a/lab/experiment/parse.go
+++ b/lab/experiment/parse.go
@@ -11,7 +11,7 @@
 	"havencart/lab/simulation"
 )
 
-// Load reads an experiment's file.
+// Load reads an experiment from a file. Its errors wrap ErrSpec.
 func Load(path string) (*Spec, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -20,8 +20,8 @@
 	return Parse(path, string(raw))
 }
 
-// Parse reads the text of an experiment; path is its name in errors, and where the files that it names are. All errors
-// are reported at once; they wrap ErrSpec.
+// Parse reads an experiment from text. path names the text in errors, and the files that the text names are relative to
+// its directory. Parse reports all errors of the text at once. The error wraps ErrSpec.
 func Parse(path, text string) (*Spec, error) {
 	s, p := &Spec{Path: path}, &directive.Parser{}
 	directive.Defaults(s, specTable)
@@ -34,13 +34,13 @@
 	return s, nil
 }
 
-// parseDirective reads a directive outside of blocks, or the beginning of a block.
+// parseDirective reads a top-level directive or the first line of a block.
 func (s *Spec) parseDirective(p *directive.Parser, at directive.Position, words []directive.Word) {
 	switch words[0].Text {
 	case "day":
 		name := func(sc *Scenario) *string { return &sc.Name }
-		other := func(sc *Scenario, at directive.Position, w []directive.Word) bool { return sc.parseFault(p, at, w) }
-		directive.Block(p, at, words, scenarioTable, name, &s.Scenarios, other)
+		parseOther := func(sc *Scenario, at directive.Position, w []directive.Word) bool { return sc.parseFault(p, at, w) }
+		directive.Block(p, at, words, scenarioTable, name, &s.Scenarios, parseOther)
 	case "variant":
 		name := func(v *Variant) *string { return &v.Name }
 		directive.Block(p, at, words, variantTable, name, &s.Variants, nil)
@@ -49,7 +49,8 @@
 	}
 }
 
-// check reports what cannot be run.
+// check reports an experiment without scenarios or variants, and each pair of a variant and a scenario whose
+// configuration the simulation does not accept.
 func (s *Spec) check(p *directive.Parser) {
 	file := directive.Position{File: s.Path}
 	if len(s.Scenarios) == 0 || len(s.Variants) == 0 {
@@ -64,8 +65,8 @@
 	}
 }
 
-// parseFault reads the lines of a scenario that describe faults: a line of a scenario file, or such a file by its
-// path. It reports false for other lines.
+// parseFault reads a line of a "day" block that describes faults: a fault as in a scenario file ("at"), or the path
+// of a scenario file ("script"). It reports whether the line is one of these.
 func (sc *Scenario) parseFault(p *directive.Parser, at directive.Position, words []directive.Word) bool {
 	switch words[0].Text {
 	case "at":
--- a/lab/experiment/results.go
+++ b/lab/experiment/results.go
@@ -10,13 +10,14 @@
 	"strings"
 )
 
-// readResults reads the cells of a results file, by their keys. A file that does not exist has none. A last line that
-// was cut off when the experiment was interrupted is passed over, and so is what is no cell.
+// readResults reads the cells of a results file and returns them by key. It returns an empty map if the file does not
+// exist. It skips lines that are not cells, and a last line without a line end, which was cut off when the experiment
+// was interrupted.
 func readResults(path string) (map[string]Cell, error) {
-	known := map[string]Cell{}
+	cells := map[string]Cell{}
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return known, nil
+		return cells, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
@@ -26,11 +27,11 @@
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			return known, nil
+			return cells, nil
 		}
 		var c Cell
 		if json.Unmarshal([]byte(strings.TrimSpace(line)), &c) == nil && c.Key != "" {
-			known[c.Key] = c
+			cells[c.Key] = c
 		}
 	}
 }
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -12,8 +12,9 @@
 	"havencart/lab/simulation"
 )
 
-// Run runs all cells that the file results does not have yet, several at a time, and appends each to that file as it
-// ends: an experiment that was interrupted resumes. report is called with the progress, one line at a time.
+// Run runs all cells that are not yet stored in the file named results, up to parallel cells at a time, and appends
+// each completed cell to that file, so that an interrupted experiment resumes. It returns all cells, and the error of
+// ctx if ctx has ended. report is called with one line of progress at a time.
 func (s *Spec) Run(ctx context.Context, results string, parallel int, report func(string)) ([]Cell, error) {
 	known, err := readResults(results)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return cells, ctx.Err()
 }
 
-// runCells runs cells, several at a time, until ctx ends. What had not ended by then is not written.
+// runCells runs cells, up to parallel at a time, until ctx ends. Cells that are not completed by then are not written.
 func (s *Spec) runCells(ctx context.Context, pending []*Cell, parallel int, w *resultWriter) {
 	var tasks sync.WaitGroup
 	next := make(chan *Cell)
@@ -54,12 +55,12 @@
 			}
 		})
 	}
-	feed(ctx, pending, next)
+	sendCells(ctx, pending, next)
 	tasks.Wait()
 }
 
-// feed sends cells until ctx ends, and closes next.
-func feed(ctx context.Context, cells []*Cell, next chan<- *Cell) {
+// sendCells sends cells to next until ctx ends, and then closes next.
+func sendCells(ctx context.Context, cells []*Cell, next chan<- *Cell) {
 	defer close(next)
 	for _, c := range cells {
 		select {
@@ -70,15 +71,16 @@
 	}
 }
 
-// resultWriter appends cells to a results file. It may be used by several goroutines.
+// resultWriter appends cells to a results file. It is safe for concurrent use.
 type resultWriter struct {
 	mu     sync.Mutex
 	file   *os.File
 	report func(string)
-	err    error // of all writes
+	err    error // joined errors of all writes
 }
 
-// write appends a cell, unless ctx has ended: then the cell may not have been run to its end.
+// write appends a cell to the file and reports it as progress. It does nothing if ctx has ended, because the run of the
+// cell may have been interrupted then.
 func (w *resultWriter) write(ctx context.Context, c *Cell) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,18 +95,18 @@
 	w.report(fmt.Sprintf("%-12s %-12s seed %d: %.3f %s", c.Variant, c.Scenario, c.Seed, c.Service(), c.Failed))
 }
 
-// runCell runs one cell, in this process or by another program. The failure of a variant is noted in the cell, and
-// does not stop the others.
+// runCell runs one cell, in this process or, if the variant names a program, by that program. A failed run is
+// recorded in the cell's Failed field and does not stop the other runs.
 func (s *Spec) runCell(ctx context.Context, cell *Cell) {
 	variant, scenario := s.find(cell.Variant, cell.Scenario)
 	if variant.Program == "" {
-		cell.Result, cell.Failed = runHere(s.config(variant, scenario, cell.Seed))
+		cell.Result, cell.Failed = runInProcess(s.config(variant, scenario, cell.Seed))
 		return
 	}
-	out, err := exec.CommandContext(ctx, variant.Program, "cell", s.Path, cell.Variant, cell.Scenario, fmt.Sprint(cell.Seed)).Output()
+	output, err := exec.CommandContext(ctx, variant.Program, "cell", s.Path, cell.Variant, cell.Scenario, fmt.Sprint(cell.Seed)).Output()
 	var stored StoredResult
 	if err == nil {
-		err = json.Unmarshal(out, &stored)
+		err = json.Unmarshal(output, &stored)
 	}
 	cell.Result = stored.Result()
 	if err != nil {
@@ -112,8 +114,9 @@
 	}
 }
 
-// runHere runs a simulation in this process. A panic of the variant is its failure.
-func runHere(cfg simulation.Config) (r simulation.Result, failed string) {
+// runInProcess runs a simulation in this process. failed is the text of an error or of a panic, empty if there was
+// none.
+func runInProcess(cfg simulation.Config) (r simulation.Result, failed string) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			failed = fmt.Sprint("panic: ", reason)
@@ -126,8 +129,8 @@
 	return r, ""
 }
 
-// RunOne runs one cell by name, as another build of this program asks for it. It returns the result as that build reads
-// it.
+// RunOne runs a single cell, given by its names and seed, and returns the result in the stored form. Another build of
+// this program calls it through `havencart experiment cell` for a variant whose program is this build.
 func (s *Spec) RunOne(variant, scenario string, seed uint64) (StoredResult, error) {
 	v, sc := s.find(variant, scenario)
 	if v.Name == "" || sc.Name == "" {
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -8,9 +8,9 @@
 	"havencart/lab/simulation"
 )
 
-// storedCell is one line of a results file. The stored types below fix the names that such files have had from
-// the start, whatever the types of a run are called: users resume from files that earlier builds wrote, and a
-// variant may be run by another build.
+// storedCell is one line of a results file. This type and the stored types below fix the names of the fields in the
+// file, so that the types of a run may be renamed: users resume from files that earlier builds wrote, and a variant
+// may be run by another build.
 type storedCell struct {
 	Variant  string       `json:"Variant"`
 	Scenario string       `json:"Day"`
@@ -20,8 +20,8 @@
 	Result   StoredResult `json:"Result"`
 }
 
-// StoredResult is a simulation.Result as results files and `havencart experiment cell` write it. ResultOf makes
-// one, Result reads it.
+// StoredResult is the form of a simulation.Result in results files and in the output of `havencart experiment cell`.
+// ResultOf converts a simulation.Result to it, and Result converts it back.
 type StoredResult struct {
 	Tally      storedTally       `json:"Tally"`
 	Violations []storedViolation `json:"Breaks"`
@@ -87,7 +87,7 @@
 	Fetches    int    `json:"Fetches"`
 }
 
-// MarshalJSON implements json.Marshaler: it writes a line of a results file, without its end.
+// MarshalJSON implements json.Marshaler. It writes a line of a results file, without the line end.
 func (c Cell) MarshalJSON() ([]byte, error) {
 	return json.Marshal(storedCell{
 		Variant:  c.Variant,
@@ -99,7 +99,7 @@
 	})
 }
 
-// UnmarshalJSON implements json.Unmarshaler: it reads what MarshalJSON writes.
+// UnmarshalJSON implements json.Unmarshaler. It reads a line that MarshalJSON wrote.
 func (c *Cell) UnmarshalJSON(raw []byte) error {
 	var s storedCell
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// ResultOf is a result in its stored form.
+// ResultOf converts a result to its stored form.
 func ResultOf(r *simulation.Result) StoredResult {
 	return StoredResult{
 		Tally:      tallyOf(r.Tally),
@@ -136,7 +136,7 @@
 	}
 }
 
-// Result is the result that was stored.
+// Result converts the stored form back to a result.
 func (s *StoredResult) Result() simulation.Result {
 	return simulation.Result{
 		Tally:      s.Tally.tally(),
@@ -156,7 +156,7 @@
 	}
 }
 
-// convertAll converts each element; nil stays nil, which JSON tells from an empty list.
+// convertAll converts each element of a list. A nil list stays nil, because JSON distinguishes it from an empty one.
 func convertAll[From, To any](list []From, convert func(From) To) []To {
 	if list == nil {
 		return nil
@@ -168,7 +168,7 @@
 	return converted
 }
 
-// convertValues converts the values of a table; nil stays nil.
+// convertValues converts each value of a map. A nil map stays nil, because JSON distinguishes it from an empty one.
 func convertValues[From, To any](table map[string]*From, convert func(From) To) map[string]*To {
 	if table == nil {
 		return nil
@@ -181,10 +181,10 @@
 	return converted
 }
 
-func timelineOf(c invariant.Timeline) storedTimeline {
+func timelineOf(x invariant.Timeline) storedTimeline {
 	return storedTimeline{
-		storedServiceLevel: serviceLevelOf(c.ServiceLevel),
-		Seconds:            convertAll(c.Seconds, serviceLevelOf),
+		storedServiceLevel: serviceLevelOf(x.ServiceLevel),
+		Seconds:            convertAll(x.Seconds, serviceLevelOf),
 	}
 }
 
--- a/lab/experiment/stored_counts.go
+++ b/lab/experiment/stored_counts.go
@@ -21,7 +21,8 @@
 	PastDeadline      uint64       `json:"Overdue"`
 	ShadowDifferences storedShadow `json:"Otherwise"`
 
-	// Of later builds; absent where they are 0.
+	// The fields below were added after results files were first written. They are omitted while they are zero, so that
+	// a line of an earlier build is written back unchanged.
 	Retries            uint64           `json:"Retries,omitempty"`
 	AttemptsNotSent    uint64           `json:"AttemptsNotSent,omitempty"`
 	AttemptsUnanswered uint64           `json:"AttemptsUnanswered,omitempty"`
@@ -29,7 +30,8 @@
 	Violations         storedViolations `json:"Violations,omitzero"`
 }
 
-// storedViolations are by execution.Violation, whose order stays.
+// storedViolations is indexed by execution.Violation. It is stored as an array, so the order of those constants must
+// not change.
 type storedViolations [execution.Violations]uint64
 
 type storedShadow struct {
--- a/lab/experiment/stored_test.go
+++ b/lab/experiment/stored_test.go
@@ -14,8 +14,8 @@
 	"havencart/lab/simulation"
 )
 
-// storedFile was written by the build before types and fields of a run were renamed: a run of the spec below, a
-// variant whose program does not exist, and a cell in which every field has a value of its own.
+// storedFile was written by a build from before types and fields of a run were renamed. Its lines are a run of the spec
+// below, a run of a variant whose program does not exist, and a cell in which every field has a different value.
 const storedFile = "testdata/results-before-renames.jsonl"
 
 const storedSpec = `
@@ -53,12 +53,12 @@
 	return c
 }
 
-// TestCell_LineOfAnEarlierBuild_IsWrittenTheSame: nothing of a stored line is lost or changed by reading and
-// writing it, byte for byte.
+// TestCell_LineOfAnEarlierBuild_IsWrittenTheSame guards against a renamed field that changes the stored form: a line
+// of an earlier build that is read and written must stay the same byte for byte.
 func TestCell_LineOfAnEarlierBuild_IsWrittenTheSame(t *testing.T) {
 	lines := storedLines(t)
 	if len(lines) != 3 {
-		t.Fatalf("%d lines, 3 are stored", len(lines))
+		t.Fatalf("read %d lines, want 3", len(lines))
 	}
 	for _, line := range lines {
 		c := readLine(t, line)
@@ -72,16 +72,17 @@
 	}
 }
 
-// TestCell_LineOfAnEarlierBuild_FillsEveryField: the cell whose fields all had values of their own is read with no
-// field left at zero, and the renamed counters have the values that their old names had.
+// TestCell_LineOfAnEarlierBuild_FillsEveryField guards against a stored field that is no longer read. In the cell whose
+// fields all have different values, no field may be zero after reading except those that later builds added, and the
+// renamed counters must have the values that were stored under their old names.
 func TestCell_LineOfAnEarlierBuild_FillsEveryField(t *testing.T) {
 	c := readLine(t, storedLines(t)[2])
 	if path := zeroField(reflect.ValueOf(c), "Cell"); path != "Cell.Result.Counts.Retries" {
-		t.Errorf("%s is zero, want none but those of later builds", path)
+		t.Errorf("the first zero field is %s, want Cell.Result.Counts.Retries, the first that a later build added", path)
 	}
 	setLaterFields(&c)
 	if path := zeroField(reflect.ValueOf(c), "Cell"); path != "" {
-		t.Errorf("%s is zero", path)
+		t.Errorf("field %s is zero", path)
 	}
 	c = readLine(t, storedLines(t)[2])
 	want := gateway.Counts{
@@ -97,7 +98,7 @@
 	}
 }
 
-// setLaterFields gives the fields that the earlier build lacked values of their own.
+// setLaterFields sets each field that builds later than the one of storedFile added to a different value.
 func setLaterFields(c *Cell) {
 	counts := &c.Result.Counts
 	counts.Retries, counts.AttemptsNotSent, counts.AttemptsUnanswered, counts.Expired = 201, 202, 203, 204
@@ -106,7 +107,7 @@
 	}
 }
 
-// TestCell_FieldsOfLaterBuilds_AreStored: what a later build added is read as it was written.
+// TestCell_FieldsOfLaterBuilds_AreStored checks that the fields that later builds added are stored and read back.
 func TestCell_FieldsOfLaterBuilds_AreStored(t *testing.T) {
 	c := readLine(t, storedLines(t)[2])
 	setLaterFields(&c)
@@ -119,7 +120,7 @@
 	}
 }
 
-// zeroField returns the path of the first field of v that is zero, empty if there is none.
+// zeroField returns the path of the first field within value that is zero, empty if there is none.
 func zeroField(value reflect.Value, path string) string {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -152,8 +153,8 @@
 	return ""
 }
 
-// TestRun_ResultsOfAnEarlierBuild_AreResumed: a run of a program that did not change has the key that the earlier
-// build gave it, and is not run again.
+// TestRun_ResultsOfAnEarlierBuild_AreResumed guards against a change of the key of a cell: if the program of a
+// variant did not change, its run must have the key that an earlier build stored, and must not be run again.
 func TestRun_ResultsOfAnEarlierBuild_AreResumed(t *testing.T) {
 	s := parse(t, storedSpec)
 	stored := readLine(t, storedLines(t)[1])
@@ -174,11 +175,11 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(first, "2 runs, 1 of them known") {
-		t.Errorf("%q", first)
+		t.Errorf("first line of progress: %q", first)
 	}
 }
 
-// TestResultOf_ResultOfARun_IsReadBack covers empty tables and lists, which JSON tells from missing ones.
+// TestResultOf_ResultOfARun_IsReadBack covers empty maps and lists, which JSON distinguishes from nil ones.
 func TestResultOf_ResultOfARun_IsReadBack(t *testing.T) {
 	r := simulation.Result{Outcomes: map[string]int{}, Samples: []simulation.Sample{}, Log: []string{}}
 	raw, err := json.Marshal(ResultOf(&r))
@@ -190,6 +191,6 @@
 		t.Fatal(err)
 	}
 	if got := s.Result(); !reflect.DeepEqual(got, r) {
-		t.Errorf("%+v became %+v", r, got)
+		t.Errorf("%+v was read back as %+v", r, got)
 	}
 }
