--- a/lab/scenario/demand_faults.go
+++ b/lab/scenario/demand_faults.go
@@ -2,14 +2,15 @@
 
 import "havencart/lab/loadgen"
 
-// changeDemand changes what clients ask for and changes it back after the fault's duration.
+// changeDemand applies start to the clients' demand and, after the fault's duration, end, which reverts the change.
 func (p *Player) changeDemand(f Fault, start, end func(*loadgen.Demand)) error {
 	return p.forDuration(f,
 		func() error { return p.installation.ChangeDemand(start) },
 		func() error { return p.installation.ChangeDemand(end) })
 }
 
-// changeTenantDemand changes what one tenant's clients ask for and changes it back after the fault's duration.
+// changeTenantDemand applies start to the demand of the fault's tenant and, after the fault's duration, end, which
+// reverts the change.
 func (p *Player) changeTenantDemand(f Fault, start, end func(*loadgen.TenantDemand)) error {
 	return p.changeDemand(f,
 		func(d *loadgen.Demand) { d.ChangeTenant(f.Tenant, start) },
@@ -22,7 +23,7 @@
 		func(d *loadgen.Demand) { d.DisconnectShare = 0 })
 }
 
-func (p *Player) surge(f Fault) error {
+func (p *Player) changeRate(f Fault) error {
 	return p.changeDemand(f,
 		func(d *loadgen.Demand) { d.RateFactor *= f.Factor },
 		func(d *loadgen.Demand) { d.RateFactor /= f.Factor })
@@ -34,13 +35,13 @@
 		func(d *loadgen.Demand) { d.TimeoutFactor /= f.Factor })
 }
 
-func (p *Player) heavy(f Fault) error {
+func (p *Player) changeWork(f Fault) error {
 	return p.changeDemand(f,
 		func(d *loadgen.Demand) { d.WorkFactor *= f.Factor },
 		func(d *loadgen.Demand) { d.WorkFactor /= f.Factor })
 }
 
-func (p *Player) hot(f Fault) error {
+func (p *Player) requestHotFunctions(f Fault) error {
 	return p.changeDemand(f,
 		func(d *loadgen.Demand) {
 			d.HotShare = f.Share
@@ -50,37 +51,37 @@
 		func(d *loadgen.Demand) { d.HotShare = 0 })
 }
 
-func (p *Player) scan(f Fault) error {
+func (p *Player) requestOneTimeFunctions(f Fault) error {
 	return p.changeDemand(f,
 		func(d *loadgen.Demand) { d.ScanShare = f.Share },
 		func(d *loadgen.Demand) { d.ScanShare = 0 })
 }
 
-func (p *Player) flood(f Fault) error {
+func (p *Player) changeTenantRate(f Fault) error {
 	return p.changeTenantDemand(f,
 		func(d *loadgen.TenantDemand) { d.RateFactor = f.Factor },
 		func(d *loadgen.TenantDemand) { d.RateFactor = 0 })
 }
 
-func (p *Player) repeat(f Fault) error {
+func (p *Player) retryTenantRequests(f Fault) error {
 	return p.changeTenantDemand(f,
 		func(d *loadgen.TenantDemand) { d.Repeats = f.Number },
 		func(d *loadgen.TenantDemand) { d.Repeats = 0 })
 }
 
-func (p *Player) silent(f Fault) error {
+func (p *Player) silenceTenant(f Fault) error {
 	return p.changeTenantDemand(f,
 		func(d *loadgen.TenantDemand) { d.Silent = true },
 		func(d *loadgen.TenantDemand) { d.Silent = false })
 }
 
-func (p *Player) heavyOf(f Fault) error {
+func (p *Player) changeTenantWork(f Fault) error {
 	return p.changeTenantDemand(f,
 		func(d *loadgen.TenantDemand) { d.WorkFactor = f.Factor },
 		func(d *loadgen.TenantDemand) { d.WorkFactor = 0 })
 }
 
-func (p *Player) scanOf(f Fault) error {
+func (p *Player) requestTenantOneTimeFunctions(f Fault) error {
 	return p.changeTenantDemand(f,
 		func(d *loadgen.TenantDemand) { d.ScanShare = f.Share },
 		func(d *loadgen.TenantDemand) { d.ScanShare = 0 })
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,11 +1,12 @@
-// Package scenario reads scenario files and injects their faults: one fault a line, each at its time.
+// Package scenario parses scenario files and injects their faults. A scenario file has one fault per line, with the
+// time at which the fault starts:
 //
 //	at 2s crash 25% for 3s
 //	at 6s deploy 75% over 4s drain 400ms
 //	at 9s fail 20% rate 0.5 for 2s
 //
-// A comment runs from # to the end of the line. Faults may overlap. docs/troubles.md is the reference, generated from
-// the table of kinds.
+// A comment runs from # to the end of the line. Faults may overlap. docs/troubles.md is the reference of all faults.
+// It is generated from the table of kinds.
 package scenario
 
 import (
@@ -17,28 +18,28 @@
 	"time"
 )
 
-// ErrScenario is wrapped by every error about a scenario's text.
+// ErrScenario is wrapped by every error about the text of a scenario.
 var ErrScenario = errors.New("script")
 
-// Fault is one line of a scenario. Its kind says which of the parameters it has.
+// Fault is one line of a scenario. Its kind determines which of the parameter fields are set.
 type Fault struct {
-	At          time.Duration // from the start of the scenario
-	Kind        string        // the word of the file
-	Share       float64       // of the workers, clients, requests or functions, 0 to 1
-	Number      int           // of a front end or a zone, from 1, or how many functions or repeats
-	OtherZone   int
-	Tenant      string
-	Factor      float64       // of slowness or rate, or the share that fails or is lost
-	Offset      time.Duration // of a delay or a clock
-	PauseLength time.Duration // of one pause
-	Interval    time.Duration // from one pause to the next
-	Spread      time.Duration // from the first worker to the last
-	DrainTime   time.Duration
-	Duration    time.Duration
-	Line        int // of the file, from 1
+	At          time.Duration // start of the fault, since the start of the scenario
+	Kind        string        // name of the kind, as written in the file
+	Share       float64       // affected fraction of the workers, clients, requests or functions, 0 to 1
+	Number      int           // number of a front end or of a zone, from 1, or a count of functions or of retries
+	OtherZone   int           // number of the second zone of a network fault, from 1
+	Tenant      string        // name of the affected tenant
+	Factor      float64       // factor on a time, rate or amount of work, or the fraction that fails or is lost, 0 to 1
+	Offset      time.Duration // added delay, or the skew of a clock
+	PauseLength time.Duration // length of one pause
+	Interval    time.Duration // time from the start of one pause or slow period to the next one
+	Spread      time.Duration // time over which the workers are replaced one after another
+	DrainTime   time.Duration // time from the start of the drain until the worker stops
+	Duration    time.Duration // time until the fault ends
+	Line        int           // line number in the file, from 1
 }
 
-// Load reads the scenario in a file.
+// Load reads a scenario from a file. Its errors wrap ErrScenario.
 func Load(path string) ([]Fault, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -47,8 +48,8 @@
 	return Parse(path, string(raw))
 }
 
-// Parse reads a scenario, sorted by time. Errors name line and column, what was found and what is allowed; all are
-// reported at once. They wrap ErrScript.
+// Parse parses a scenario and returns its faults sorted by time. It reports all errors at once; each states the name,
+// line and column, what was found and what is allowed. The error wraps ErrScenario.
 func Parse(name, text string) ([]Fault, error) {
 	var faults []Fault
 	var errs []error
@@ -72,34 +73,34 @@
 	return faults, nil
 }
 
-// SortByTime sorts faults by their times; those of one time keep their order.
+// SortByTime sorts faults by their start times. Faults with the same time keep their order.
 func SortByTime(faults []Fault) {
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
-// tokenizer reads the words of a line.
+// tokenizer splits a line into words.
 type tokenizer struct {
 	line   string
-	at     int // where the next word is looked for
-	column int // of the last word, from 1
+	offset int // byte offset at which the search for the next word starts
+	column int // column of the last word, from 1
 }
 
 func isBlank(c byte) bool { return c == ' ' || c == '\t' }
 
-// next is the next word, empty at the end of the line.
+// next returns the next word, or an empty string at the end of the line.
 func (t *tokenizer) next() string {
-	for t.at < len(t.line) && isBlank(t.line[t.at]) {
-		t.at++
+	for t.offset < len(t.line) && isBlank(t.line[t.offset]) {
+		t.offset++
 	}
-	from := t.at
-	for t.at < len(t.line) && !isBlank(t.line[t.at]) {
-		t.at++
+	start := t.offset
+	for t.offset < len(t.line) && !isBlank(t.line[t.offset]) {
+		t.offset++
 	}
-	t.column = from + 1
-	return t.line[from:t.at]
+	t.column = start + 1
+	return t.line[start:t.offset]
 }
 
-// ParseLine reads one line without its comment. column is that of the error.
+// ParseLine parses one line without its comment. column is the column of the error, from 1, or 0 if there is none.
 func ParseLine(line string) (f Fault, column int, err error) {
 	t := &tokenizer{line: line}
 	if err := f.parse(t); err != nil {
@@ -108,10 +109,10 @@
 	return f, 0, nil
 }
 
-// parse reads a fault from the words of its line.
+// parse sets the fault from the words of its line.
 func (f *Fault) parse(t *tokenizer) (err error) {
 	if word := t.next(); word != "at" {
-		return fmt.Errorf("found %q; allowed: at TIME TROUBLE", word)
+		return fmt.Errorf("found %q; allowed: at TIME FAULT", word)
 	}
 	if f.At, err = parseTime(t.next()); err != nil {
 		return err
@@ -132,29 +133,30 @@
 	return nil
 }
 
-func (f *Fault) parseParameter(t *tokenizer, s syntax) error {
+// parseParameter parses a parameter and the keyword before it.
+func (f *Fault) parseParameter(t *tokenizer, s parameterSyntax) error {
 	if s.keyword != "" {
 		if found := t.next(); found != s.keyword {
 			return fmt.Errorf("found %q; allowed here: %q", found, s.keyword)
 		}
 	}
-	return s.read(f, t.next())
+	return s.parse(f, t.next())
 }
 
-// MaxZone is the highest number of a zone that faults name, 0 for none.
-func MaxZone(faults []Fault) (most int) {
+// MaxZone returns the highest zone number in faults, or 0 if no fault has a zone.
+func MaxZone(faults []Fault) (highest int) {
 	for _, f := range faults {
 		if HasParameter(f.Kind, ZoneParameter) {
-			most = max(most, f.Number, f.OtherZone)
+			highest = max(highest, f.Number, f.OtherZone)
 		}
 	}
-	return most
+	return highest
 }
 
-// Format writes a fault as the line that ParseLine reads.
+// Format returns the line that ParseLine parses to the fault.
 func Format(f Fault) string { return fmt.Sprintf("at %v %v", f.At, f) }
 
-// String is the fault in the words of its line, without its time.
+// String returns the line of the fault without its time.
 func (f Fault) String() string {
 	out := f.Kind
 	k := kindOf(f.Kind)
@@ -166,7 +168,7 @@
 		if s.keyword != "" {
 			out += " " + s.keyword
 		}
-		out += " " + s.write(f)
+		out += " " + s.format(f)
 	}
 	return out
 }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if strings.Contains(err.Error(), "day:11:") {
-		t.Errorf("a clock may be behind: %v", err)
+		t.Errorf("a negative clock skew is rejected: %v", err)
 	}
 }
 
@@ -64,7 +64,8 @@
 	}
 }
 
-// TestFormat_ExampleOfEachFault_IsParsedAgain parses the example of each fault on the page and formats it again.
+// TestFormat_ExampleOfEachFault_IsParsedAgain parses the example of each fault on the reference page and checks that
+// Format returns the same text.
 func TestFormat_ExampleOfEachFault_IsParsedAgain(t *testing.T) {
 	examples := 0
 	for _, line := range strings.Split(Reference(), "\n") {
@@ -79,7 +80,7 @@
 			t.Errorf("%s: %v", example, err)
 		}
 		if got := Format(x); got != "at 1.5s "+example {
-			t.Errorf("%q became %q", example, got)
+			t.Errorf("%q was formatted as %q", example, got)
 		}
 	}
 	if examples != len(kinds) {
--- a/lab/scenario/worker_faults.go
+++ b/lab/scenario/worker_faults.go
@@ -7,7 +7,7 @@
 	"havencart/scheduler"
 )
 
-// Commands of lab/worker.
+// Commands that lab/worker accepts.
 const (
 	commandCrash    = "die"
 	commandStart    = "start"
@@ -18,7 +18,8 @@
 
 func commandSlow(factor float64) string { return fmt.Sprint("slow ", factor) }
 
-// workerCommands makes a fault of a command to workers, and another command at its end where there is one.
+// workerCommands returns the inject function of a fault that sends a command to the affected workers when it starts
+// and, unless the second command is empty, another one when it ends.
 func workerCommands(commands func(Fault) (start, end string)) func(*Player, Fault) error {
 	return func(p *Player, f Fault) error {
 		start, end := commands(f)
@@ -30,7 +31,7 @@
 	}
 }
 
-// commandWorkers gives workers a command.
+// commandWorkers sends a command line to workers.
 func (p *Player) commandWorkers(workers []int, line string) error {
 	for _, w := range workers {
 		if err := p.installation.CommandWorker(w, line); err != nil {
@@ -40,7 +41,8 @@
 	return nil
 }
 
-// crash kills workers and starts them again. Discovery learns of both, with its lag.
+// crash crashes workers and starts them again after the fault's duration. Discovery publishes both changes, with its
+// usual lag.
 func (p *Player) crash(f Fault) error {
 	workers := p.pickWorkers(f.Share)
 	p.after(f.Duration, func() error { return p.startWorkers(workers) })
@@ -67,7 +69,8 @@
 	return nil
 }
 
-// deploy replaces workers one after another.
+// deploy replaces workers one after another: each is listed as draining, crashes after the drain time and starts
+// again at once. The drains start at equal intervals within the fault's spread.
 func (p *Player) deploy(f Fault) error {
 	workers := p.pickWorkers(f.Share)
 	for i, w := range workers {
@@ -86,7 +89,8 @@
 	return nil
 }
 
-// drainAndStop drains workers, stops them and starts them later.
+// drainAndStop lists workers as draining, stops them after the drain time and starts them again after the fault's
+// duration, but not before they have stopped. Both times count from the start of the drain.
 func (p *Player) drainAndStop(f Fault) error {
 	workers := p.pickWorkers(f.Share)
 	for _, w := range workers {
@@ -97,8 +101,8 @@
 	return nil
 }
 
-// alternate gives each worker two commands in turn: on, and off after onTime. It starts at a time of its own for each
-// worker, and gives the second command at the end.
+// alternate sends each affected worker the command on and, after onTime, the command off, once in every interval. The
+// first time is drawn separately for each worker. No period outlasts the fault's duration.
 func (p *Player) alternate(f Fault, on string, onTime time.Duration, off string) error {
 	for _, w := range p.pickWorkers(f.Share) {
 		first := time.Duration(p.rng.Int64N(int64(f.Interval)))
@@ -110,27 +114,27 @@
 	return nil
 }
 
-func (p *Player) pauses(f Fault) error {
+func (p *Player) pauseRepeatedly(f Fault) error {
 	return p.alternate(f, commandPauseOn, f.PauseLength, commandPauseOff)
 }
 
-// neighbour slows workers for one interval of two.
-func (p *Player) neighbour(f Fault) error {
+// slowIntermittently slows workers in every other interval, as a noisy neighbour does.
+func (p *Player) slowIntermittently(f Fault) error {
 	slow := f.Interval
 	f.Interval = 2 * slow
 	return p.alternate(f, commandSlow(f.Factor), slow, commandSlowOff)
 }
 
-// ageingSteps is the number of steps in which a worker becomes slower.
+// ageingSteps is the number of equal steps in which an ageing worker reaches its full slowdown.
 const ageingSteps = 10
 
-// ageing slows workers more and more, then crashes and starts them.
-func (p *Player) ageing(f Fault) error {
+// slowGradually slows workers in steps over the fault's duration, then crashes them and starts them again at once.
+func (p *Player) slowGradually(f Fault) error {
 	workers := p.pickWorkers(f.Share)
 	for i := range ageingSteps {
-		part := float64(i+1) / ageingSteps
+		fraction := float64(i+1) / ageingSteps
 		p.after(f.Duration*time.Duration(i)/ageingSteps, func() error {
-			return p.commandWorkers(workers, commandSlow(1+(f.Factor-1)*part))
+			return p.commandWorkers(workers, commandSlow(1+(f.Factor-1)*fraction))
 		})
 	}
 	p.after(f.Duration, func() error {
@@ -142,18 +146,19 @@
 	return nil
 }
 
-// reRelease invalidates the replicas of the same functions at all workers.
-func (p *Player) reRelease(f Fault) error {
+// invalidateFunctions invalidates the replicas of a share of the functions, which is the same at all workers, as the
+// release of new versions of these functions does.
+func (p *Player) invalidateFunctions(f Fault) error {
 	salt := p.rng.Uint32()
 	return p.commandWorkers(p.pickWorkers(1), fmt.Sprintf("re-release %v %d", f.Share, salt))
 }
 
-func (p *Player) clockJump(f Fault) error {
+func (p *Player) skewClocks(f Fault) error {
 	workers := p.pickWorkers(f.Share)
 	set := func(skew time.Duration) {
 		for _, w := range workers {
 			p.installation.SetClockSkew(w, skew)
 		}
 	}
-	return p.forDurationDo(f, func() { set(f.Offset) }, func() { set(0) })
+	return p.forDurationNoError(f, func() { set(f.Offset) }, func() { set(0) })
 }
