--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -11,7 +11,7 @@
 	"havencart/lab/invariant"
 )
 
-// HTML writes the report as one file.
+// HTML writes the report as a single HTML page.
 func (r Report) HTML(out io.Writer) error {
 	page := htmlPage{Title: r.Spec.Title, InvalidRuns: r.invalidRuns(), Seeds: r.Spec.Seeds}
 	page.Tables = append(page.Tables, htmlTable{"all days", r.Spec.Compare(r.Cells)})
@@ -28,7 +28,7 @@
 	return pageTemplate.Execute(out, page)
 }
 
-// htmlPage is what the template of the page reads.
+// htmlPage is the data of pageTemplate.
 type htmlPage struct {
 	Title       string
 	Seeds       int
@@ -38,6 +38,7 @@
 	Scenarios   []htmlScenario
 }
 
+// htmlTable is a table of comparisons.
 type htmlTable struct {
 	Title string
 	Rows  []experiment.Comparison
@@ -46,28 +47,28 @@
 // htmlScenario is the section of one scenario.
 type htmlScenario struct {
 	Name    string
-	Variant string // of which parts and log are shown
+	Variant string // variant of the run that Parts and Log show
 	Table   htmlTable
 	Plots   []template.HTML
 	Parts   []htmlPart
 	Log     []string
 }
 
-// htmlPart is the service level of a class or a tenant.
+// htmlPart is the service level of a class or of a tenant.
 type htmlPart struct {
-	Kind, Name      string
-	Offered, Earned float64
-	Share           float64
+	Kind, Name      string  // Kind is kindClass or kindTenant
+	Offered, Earned float64 // priority weight
+	Share           float64 // earned fraction of the offered priority weight, 0 to 1
 }
 
 const (
 	kindClass  = "class"
 	kindTenant = "tenant"
-	// servicePlot is the title of the plot of service.
+	// servicePlot is the title of the plot of service over time.
 	servicePlot = "service, by the second of the first try"
 )
 
-// scenarioSection is the section of a scenario, with plots of the first seed's runs.
+// scenarioSection returns the section of a scenario. Its plots show the first run of each variant.
 func (r Report) scenarioSection(name string) (htmlScenario, error) {
 	section := htmlScenario{Name: name, Table: htmlTable{"day " + name, r.Spec.CompareScenario(r.Cells, name)}}
 	curves, first := r.scenarioCurves(name)
@@ -94,8 +95,8 @@
 	return section, nil
 }
 
-// scenarioCurves are the curves of the variants' first runs by the titles of their plots, and the first of these runs,
-// nil if there is none.
+// scenarioCurves returns the curves of the first run of each variant in a scenario, by the title of the plot, and the
+// first of these runs, or nil if there is none.
 func (r Report) scenarioCurves(name string) (curves map[string][]curve, first *experiment.Cell) {
 	curves = map[string][]curve{}
 	for _, v := range r.Spec.Variants {
@@ -108,13 +109,14 @@
 		}
 		curves[servicePlot] = append(curves[servicePlot], curve{v.Name, service(c.Result.Score.Seconds)})
 		for _, s := range series {
-			curves[s.name] = append(curves[s.name], curve{v.Name, s.of(c.Result.Samples)})
+			curves[s.name] = append(curves[s.name], curve{v.Name, s.values(c.Result.Samples)})
 		}
 	}
 	return curves, first
 }
 
-// addPlot draws curves. The SVG is generated here from numbers and the experiment's own names.
+// addPlot draws curves and adds the plot to the section. The SVG needs no escaping by the template, because it is
+// generated here from numbers and names of the experiment.
 func (s *htmlScenario) addPlot(title string, curves []curve) error {
 	svg, err := plotSVG(title, curves)
 	if err != nil {
@@ -124,6 +126,7 @@
 	return nil
 }
 
+// serviceParts returns the service levels of classes or tenants, sorted by name.
 func serviceParts(kind string, timelines map[string]*invariant.Timeline) (parts []htmlPart) {
 	for name, t := range timelines {
 		parts = append(parts, htmlPart{kind, name, t.Offered, t.Earned, t.Share()})
--- a/lab/report/plot.go
+++ b/lab/report/plot.go
@@ -19,14 +19,14 @@
 	"havencart/lab/simulation"
 )
 
-// series are the plots of a scenario beside service. Their names are the plots' titles.
+// series lists the plots of a scenario other than that of service. The names are the titles of the plots.
 var series = []struct {
-	name string
-	of   func([]simulation.Sample) []float64
+	name   string
+	values func([]simulation.Sample) []float64 // returns one value per sample, that is per second
 }{
-	{"calls in hand at front ends", now(func(s simulation.Sample) int { return s.InFlight })},
-	{"calls waiting at workers", now(func(s simulation.Sample) int { return s.Queued })},
-	{"copies loaded", now(func(s simulation.Sample) int { return s.Replicas })},
+	{"calls in hand at front ends", gauge(func(s simulation.Sample) int { return s.InFlight })},
+	{"calls waiting at workers", gauge(func(s simulation.Sample) int { return s.Queued })},
+	{"copies loaded", gauge(func(s simulation.Sample) int { return s.Replicas })},
 	{"attempts a second", rate(func(s simulation.Sample) uint64 { return s.Attempts })},
 	{"refusals a second", rate(func(s simulation.Sample) uint64 { return s.Rejected })},
 	{"failures a second", rate(func(s simulation.Sample) uint64 { return s.Failed })},
@@ -41,24 +41,25 @@
 	return names
 }
 
-// now plots what a sample has.
-func now(of func(simulation.Sample) int) func([]simulation.Sample) []float64 {
+// gauge returns a series of the current value of a field at each sample.
+func gauge(field func(simulation.Sample) int) func([]simulation.Sample) []float64 {
 	return func(list []simulation.Sample) (values []float64) {
 		for _, s := range list {
-			values = append(values, float64(of(s)))
+			values = append(values, float64(field(s)))
 		}
 		return values
 	}
 }
 
-// rate plots the growth from sample to sample. A front end that was killed starts counting anew, which is no growth.
-func rate(of func(simulation.Sample) uint64) func([]simulation.Sample) []float64 {
+// rate returns a series of the increase of a counter since the previous sample. A decrease counts as 0: the counters
+// of a front end start from 0 after it was killed.
+func rate(counter func(simulation.Sample) uint64) func([]simulation.Sample) []float64 {
 	return func(list []simulation.Sample) (values []float64) {
 		last := uint64(0)
 		for _, s := range list {
-			x := of(s)
-			values = append(values, float64(max(x, last)-last))
-			last = x
+			count := counter(s)
+			values = append(values, float64(max(count, last)-last))
+			last = count
 		}
 		return values
 	}
@@ -70,7 +71,8 @@
 	values []float64
 }
 
-// colours tell up to eight curves apart, also for readers with colour vision deficiency (M. Okabe, K. Ito, 2008).
+// colours are the colours of the curves of a plot, in their order. Readers with colour vision deficiency can
+// distinguish them too (M. Okabe, K. Ito, 2008). Plots of more than eight curves reuse them.
 var colours = []color.Color{
 	color.RGBA{0, 114, 178, 255},
 	color.RGBA{213, 94, 0, 255},
@@ -88,7 +90,7 @@
 	lineWidth  = 1.2 // points
 )
 
-// plotSVG draws curves over the seconds as SVG.
+// plotSVG plots curves over time, with one value per second, and returns the plot as an SVG element.
 func plotSVG(title string, curves []curve) (string, error) {
 	figure := plot.New()
 	figure.Title.Text, figure.X.Label.Text = title, "seconds"
@@ -117,7 +119,7 @@
 	return svg[strings.Index(svg, "<svg"):], nil
 }
 
-// Plot writes the service of all variants in one scenario, with the first seed, as an SVG file.
+// Plot writes an SVG file with the service over time of the first run of each variant in one scenario.
 func (r Report) Plot(out io.Writer, scenario string) error {
 	var curves []curve
 	for _, v := range r.Spec.Variants {
@@ -133,7 +135,7 @@
 	return err
 }
 
-// timelineCurves are the curves of the parts of a score.
+// timelineCurves returns the service over time of each class or tenant, sorted by name.
 func timelineCurves(timelines map[string]*invariant.Timeline) (curves []curve) {
 	for _, name := range slices.Sorted(maps.Keys(timelines)) {
 		curves = append(curves, curve{name, service(timelines[name].Seconds)})
@@ -141,6 +143,7 @@
 	return curves
 }
 
+// service returns the earned fraction of the offered priority weight in each second.
 func service(seconds []invariant.ServiceLevel) (values []float64) {
 	for _, level := range seconds {
 		values = append(values, level.Share())
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes the results of an experiment: as text, and as one HTML file that needs no other files.
+// Package report writes the results of an experiment as text, as a self-contained HTML page or as an SVG plot.
 package report
 
 import (
@@ -8,13 +8,13 @@
 	"havencart/lab/invariant"
 )
 
-// Report is an experiment with its runs.
+// Report is an experiment and its runs. Cells are in the order in which experiment.Spec.Run returns them.
 type Report struct {
 	Spec  *experiment.Spec
 	Cells []experiment.Cell
 }
 
-// invalidRuns lists the runs that count for nothing.
+// invalidRuns describes each invalid run with the reason why it is invalid.
 func (r Report) invalidRuns() (list []string) {
 	for i := range r.Cells {
 		c := &r.Cells[i]
@@ -25,7 +25,7 @@
 	return list
 }
 
-// Total adds the invariant checker's tallies of a variant's runs.
+// Total returns the sum of the invariant checker's tallies of a variant's runs.
 func (r Report) Total(variant string) (t invariant.Tally) {
 	for i := range r.Cells {
 		if c := &r.Cells[i]; c.Variant == variant {
@@ -35,7 +35,7 @@
 	return t
 }
 
-// firstRun is a variant's run of a scenario with the first seed, nil if there is none.
+// firstRun returns a variant's run of a scenario with the first seed, or nil if there is none.
 func (r Report) firstRun(variant, scenario string) *experiment.Cell {
 	for i := range r.Cells {
 		if c := &r.Cells[i]; c.Variant == variant && c.Scenario == scenario {
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -28,7 +28,8 @@
 	return Report{spec, cells}
 }
 
-// TestReport_Totals_AreTheCheckersOwn compares text and page with the tallies of the runs, added up here once more.
+// TestReport_Totals_AreTheCheckersOwn checks that the text and the page show the tallies of the invariant checker,
+// which the test sums up independently.
 func TestReport_Totals_AreTheCheckersOwn(t *testing.T) {
 	r := testReport(t)
 	var text, page bytes.Buffer
@@ -48,7 +49,7 @@
 		}
 		want := fmt.Sprint(sum)
 		if sum.Sent == 0 || !strings.Contains(text.String(), want) || !strings.Contains(html.UnescapeString(page.String()), want) {
-			t.Errorf("%s: no %q", variant, want)
+			t.Errorf("%s: total %q is missing", variant, want)
 		}
 	}
 }
@@ -61,15 +62,16 @@
 	text := page.String()
 	for _, bad := range []string{"src=", "href=", "<script", "a <test>"} {
 		if strings.Contains(text, bad) {
-			t.Errorf("the page has %q", bad)
+			t.Errorf("the page contains %q", bad)
 		}
 	}
 	if n := strings.Count(text, "<svg"); n != 3+len(series) {
-		t.Errorf("%d plots", n)
+		t.Errorf("wrong number of plots on the page: %d", n)
 	}
 }
 
-// TestScore_Parts_AddUpToTheWhole: by class, by tenant and by second.
+// TestScore_Parts_AddUpToTheWhole checks that the service levels by class and by tenant add up to the whole, and
+// those by second to that of the class or tenant.
 func TestScore_Parts_AddUpToTheWhole(t *testing.T) {
 	for _, c := range testReport(t).Cells {
 		s := c.Result.Score
@@ -81,12 +83,12 @@
 					seconds.Offered, seconds.Earned = seconds.Offered+x.Offered, seconds.Earned+x.Earned
 				}
 				if math.Abs(seconds.Offered-part.Offered)+math.Abs(seconds.Earned-part.Earned) > 1e-6 {
-					t.Errorf("%s: seconds %v, in all %v", c.Variant, seconds, part.ServiceLevel)
+					t.Errorf("%s: sum over the seconds %v, total %v", c.Variant, seconds, part.ServiceLevel)
 				}
 				all.Offered, all.Earned = all.Offered+part.Offered, all.Earned+part.Earned
 			}
 			if math.Abs(all.Offered-s.Offered)+math.Abs(all.Earned-s.Earned) > 1e-6 || s.Offered == 0 {
-				t.Errorf("%s: parts %v, in all %v", c.Variant, all.ServiceLevel, s.ServiceLevel)
+				t.Errorf("%s: sum over the parts %v, total %v", c.Variant, all.ServiceLevel, s.ServiceLevel)
 			}
 		}
 	}
@@ -97,13 +99,14 @@
 	r.Cells[0].Result.Violations = []invariant.Violation{{Rule: "twice", Detail: "an effect"}}
 	var text bytes.Buffer
 	r.Text(&text)
-	broken, table := strings.Index(text.String(), "broke rule twice"), strings.Index(text.String(), "all days")
-	if broken < 0 || broken > table {
-		t.Errorf("broken at %d, first table at %d", broken, table)
+	violation, table := strings.Index(text.String(), "broke rule twice"), strings.Index(text.String(), "all days")
+	if violation < 0 || violation > table {
+		t.Errorf("violation at offset %d, first table at offset %d", violation, table)
 	}
 }
 
-// TestText_RunThatLostRequests_IsReported: it counts for nothing, so the report must say so.
+// TestText_RunThatLostRequests_IsReported checks that a run whose tally does not account for every request counts as
+// service 0 and is reported.
 func TestText_RunThatLostRequests_IsReported(t *testing.T) {
 	r := testReport(t)
 	r.Cells[0].Result.Tally.Sent++
--- a/lab/report/text.go
+++ b/lab/report/text.go
@@ -10,13 +10,13 @@
 	"havencart/lab/invariant"
 )
 
-// maxInvalidRuns is how many invalid runs the text lists.
+// maxInvalidRuns is the maximum number of invalid runs that the text lists.
 const maxInvalidRuns = 20
 
-// otherTenants is the name under which tenants that no fault names are summed up.
+// otherTenants is the name of the sum of all tenants that no fault names.
 const otherTenants = "others"
 
-// Text writes the report for a terminal. Violations come first.
+// Text writes the report as plain text for a terminal. Invalid runs come first. Errors of out are ignored.
 func (r Report) Text(out io.Writer) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %d days, %d seeds, %d variants; all emulated, in virtual time\n\n", r.Spec.Title, len(r.Spec.Scenarios),
@@ -31,7 +31,7 @@
 	for _, v := range r.Spec.Variants {
 		fmt.Fprintf(&text, "  %-14s %v\n", v.Name, r.Total(v.Name))
 	}
-	_, _ = io.WriteString(out, text.String()) // a terminal that is gone needs no report
+	_, _ = io.WriteString(out, text.String()) // the terminal may have been closed
 }
 
 func writeInvalidRuns(text *strings.Builder, list []string) {
@@ -63,6 +63,7 @@
 	fmt.Fprintln(text)
 }
 
+// share returns x as a fraction of best, or 0 if best is 0.
 func share(x, best float64) float64 {
 	if best == 0 {
 		return 0
@@ -70,7 +71,7 @@
 	return x / best
 }
 
-// verdict is what a table says of the i-th variant.
+// verdict returns the text of the verdict column for variant i, from 0.
 func verdict(i int, c experiment.Comparison) string {
 	text := string(c.Verdict)
 	switch {
@@ -85,7 +86,8 @@
 	return text
 }
 
-// writeTenants writes the service of each tenant that a scenario's faults name, and of the others together.
+// writeTenants writes, for each variant, the service of each tenant that the scenario's faults name and of all other
+// tenants together. It writes nothing if the faults name no tenant.
 func (r Report) writeTenants(text *strings.Builder, s experiment.Scenario) {
 	named := namedTenants(s)
 	if len(named) == 0 {
@@ -103,7 +105,7 @@
 	fmt.Fprintln(text)
 }
 
-// namedTenants are the tenants that a scenario's faults name.
+// namedTenants returns the tenants that a scenario's faults name, in the order of the faults.
 func namedTenants(s experiment.Scenario) (names []string) {
 	for _, f := range s.Faults {
 		if f.Tenant != "" && !slices.Contains(names, f.Tenant) {
@@ -113,7 +115,8 @@
 	return names
 }
 
-// serviceByTenant adds up the service levels of tenants in a scenario, over all seeds; those not named as others.
+// serviceByTenant returns the service levels of tenants in a scenario, summed over the valid runs of a variant.
+// Tenants that are not in named are summed under otherTenants.
 func (r Report) serviceByTenant(variant, scenario string, named []string) map[string]invariant.ServiceLevel {
 	levels := map[string]invariant.ServiceLevel{}
 	for i := range r.Cells {
