--- a/lab/reportimport/parser.go
+++ b/lab/reportimport/parser.go
@@ -11,28 +11,28 @@
 	"havencart/lab/scenario"
 )
 
-// window is a period of the run with its requests.
+// window is a row of the report's table of windows. It lasts until the next window begins.
 type window struct {
-	from     time.Duration
-	requests int
+	from     time.Duration // start of the window, since the start of the run
+	requests int           // requests that arrived in the window
 }
 
-// event is one line of what happened.
+// event is one line of the report that tells of an event.
 type event struct {
-	at   time.Duration
+	at   time.Duration // since the start of the run
 	text string
 }
 
-// parser reads a report.
+// parser holds the state of parsing a report.
 type parser struct {
 	report     *RunReport
 	windows    []window
 	events     []event
-	servers    int // at most, over all windows
-	faultCount int // faults added so far
+	maxWorkers int // highest number of workers in any window
+	faultCount int // number of faults added so far
 }
 
-// parseLine reads one line of the report. Lines that say nothing of what happened are passed over.
+// parseLine parses one line of the report. It ignores lines that are neither the summary nor an event or a window.
 func (p *parser) parseLine(line string) {
 	if p.parseSummary(line) {
 		return
@@ -44,7 +44,7 @@
 	p.parseWindow(line)
 }
 
-// parseSummary reads "2 balancers, 10 servers, 3000 requests in 0:20".
+// parseSummary parses a line such as "2 balancers, 10 servers, 3000 requests in 0:20" and reports whether it is one.
 func (p *parser) parseSummary(line string) bool {
 	var frontEnds, workers, requests, minutes, seconds int
 	n, _ := fmt.Sscanf(strings.TrimSpace(line), "%d balancers, %d servers, %d requests in %d:%d", &frontEnds, &workers,
@@ -52,15 +52,17 @@
 	if n != 5 {
 		return false
 	}
-	d := p.report
-	d.FrontEnds, d.Workers, d.Requests = frontEnds, workers, requests
-	d.Duration = time.Duration(minutes)*time.Minute + time.Duration(seconds)*time.Second
+	r := p.report
+	r.FrontEnds, r.Workers, r.Requests = frontEnds, workers, requests
+	r.Duration = time.Duration(minutes)*time.Minute + time.Duration(seconds)*time.Second
 	return true
 }
 
-const maxSeconds = 1e5 // of the time of an event or a window
+// maxSeconds is the upper bound of the time of an event or a window, in seconds.
+const maxSeconds = 1e5
 
-// parseEvent reads "- 0:06 text" and "7.49 s  text". The scheduler's own lines, "[1] worker ...", are no events.
+// parseEvent parses lines such as "- 0:06 text" and "7.49 s  text". Log lines of the scheduler, which begin with a
+// number in brackets after the time, as in "7.34 s  [1] worker ...", are not events.
 func parseEvent(line string) (e event, found bool) {
 	line = strings.TrimSpace(line)
 	if rest, dash := strings.CutPrefix(line, "- "); dash {
@@ -74,13 +76,13 @@
 	if !ok || err != nil || strings.HasPrefix(text, "[") {
 		return e, false
 	}
-	if !(seconds >= 0 && seconds < maxSeconds) { // also not a number
+	if !(seconds >= 0 && seconds < maxSeconds) { // the negation also rejects NaN
 		return e, false
 	}
 	return event{time.Duration(seconds * float64(time.Second)).Round(10 * time.Millisecond), text}, true
 }
 
-// parseClock reads minutes and seconds: "1:05".
+// parseClock parses minutes and seconds, such as "1:05".
 func parseClock(text string) (time.Duration, bool) {
 	m, s, ok := strings.Cut(text, ":")
 	minutes, minutesErr := strconv.Atoi(m)
@@ -91,13 +93,14 @@
 	return time.Duration(minutes)*time.Minute + time.Duration(seconds)*time.Second, ok
 }
 
-// windowColumns are the columns of a table of windows that are read.
+// windowColumns holds the columns of a table of windows that the parser uses.
 type windowColumns struct {
 	at                          time.Duration
 	requests, attempts, workers string
 }
 
-// splitWindow reads a line of the table of the on-call notes, or of the table of a run's report.
+// splitWindow extracts the columns of a row of the table of windows, either of the on-call notes or of the report of
+// one run.
 func splitWindow(line string) (c windowColumns, ok bool) {
 	f := strings.Fields(strings.NewReplacer(" ms ", "ms ", " s ", "s ").Replace(line))
 	switch {
@@ -112,7 +115,7 @@
 	return c, false
 }
 
-// parseWindow reads a line of either table of windows.
+// parseWindow adds the window of a line, if the line is a row of a table of windows with values in range.
 func (p *parser) parseWindow(line string) {
 	columns, ok := splitWindow(line)
 	if !ok {
@@ -129,13 +132,13 @@
 	}
 	p.windows = append(p.windows, window{columns.at, requests})
 	p.report.MaxAttempts = max(p.report.MaxAttempts, attempts)
-	p.servers = max(p.servers, workers)
+	p.maxWorkers = max(p.maxWorkers, workers)
 }
 
-// isWithin reports whether a number is from 0 up to but not including a limit. NaN is not.
+// isWithin reports whether x is at least 0 and below limit. It returns false for NaN.
 func isWithin(x, limit float64) bool { return x >= 0 && x < limit }
 
-// addFault adds a fault, with what was assumed of it.
+// addFault adds a fault to the report. assumed is the note on its assumed parameters, empty if there are none.
 func (p *parser) addFault(f scenario.Fault, assumed string) {
 	p.faultCount++
 	f.Line = p.faultCount
@@ -145,14 +148,15 @@
 	}
 }
 
-// finish completes the Day from what was read.
+// finish completes the report after all lines are parsed: it derives the values that the report does not state, and the
+// faults. It returns an error if the text is not a report.
 func (p *parser) finish() error {
 	report := p.report
 	if len(p.windows) == 0 {
-		return errors.New("no table of windows was found; allowed: what the bench prints for a run, a replay or an incident")
+		return errors.New("no table of windows was found; allowed: the simulator's output for a run, a replay or an incident")
 	}
 	if report.Workers == 0 {
-		report.Workers, report.FrontEnds = p.servers, defaultFrontEnds
+		report.Workers, report.FrontEnds = p.maxWorkers, defaultFrontEnds
 	}
 	if report.Requests == 0 {
 		for _, w := range p.windows {
@@ -164,7 +168,7 @@
 		report.Duration = last + p.windowLength()
 	}
 	if report.Workers < 1 || report.FrontEnds < 1 || report.Requests < 1 {
-		return errors.New("it tells of no workers or no requests")
+		return errors.New("no workers or no requests were found")
 	}
 	p.addSurges()
 	p.parseEvents()
@@ -173,11 +177,11 @@
 }
 
 const (
-	defaultWindowLength = 5 * time.Second
+	defaultWindowLength = 5 * time.Second // length of the window of a report with only one
 	minWindowLength     = time.Second
 )
 
-// windowLength is the length of the windows.
+// windowLength returns the length of the windows, which is the distance of the first two.
 func (p *parser) windowLength() time.Duration {
 	if len(p.windows) < 2 {
 		return defaultWindowLength
@@ -185,14 +189,15 @@
 	return max(minWindowLength, p.windows[1].from-p.windows[0].from)
 }
 
-// The factor of a surge is rounded to hundredths; one that differs less than minSurge from 1 is none.
+// The factor of a surge is rounded to hundredths. A window whose factor differs from 1 by minSurge or less has no
+// surge. minRateFactor and maxRateFactor are the bounds of a factor in a scenario file.
 const (
 	minSurge      = 0.02
 	minRateFactor = 0.01
 	maxRateFactor = 1000
 )
 
-// addSurges makes the windows' rates from the mean one.
+// addSurges adds a surge for each window whose rate of requests differs from the mean rate of the run.
 func (p *parser) addSurges() {
 	for i, w := range p.windows {
 		end := p.report.Duration
--- a/lab/reportimport/report.go
+++ b/lab/reportimport/report.go
@@ -1,5 +1,6 @@
-// Package reportimport reads the report of a run that the users' simulator prints, and writes it as a scenario and a load,
-// to be run again with front ends of our own. What a report does not say is assumed, and the scenario says so.
+// Package reportimport converts the report of a run of the users' simulator to a scenario and a load, so that the run
+// can be repeated with front ends of this project. Values that a report does not state are assumed. Comments in the
+// scenario name the assumed parameters of faults.
 package reportimport
 
 import (
@@ -16,59 +17,60 @@
 // ErrReport is wrapped by every error about a report.
 var ErrReport = errors.New("report")
 
-// RunReport is what a report says of a run.
+// RunReport is the information about a run that was read from its report.
 type RunReport struct {
 	FrontEnds, Workers int
 	Duration           time.Duration
 	Requests           int
-	MaxAttempts        float64 // attempts a request, at most
+	MaxAttempts        float64 // highest mean number of client attempts per request in any window
 	Faults             []scenario.Fault
-	Notes              map[int]string // what was assumed, by the Line of a fault
-	Unparsed           []string       // events that were not understood
+	Notes              map[int]string // notes on assumed parameters, by the Line of the fault
+	Unparsed           []string       // events that were not recognized
 }
 
-// Assumptions where a report does not say.
+// Assumed values that a report does not state.
 const (
-	defaultFrontEnds = 3               // of a report without them
-	workerCores      = 4               // of a worker
-	retriesFrom      = 1.02            // attempts a request above which clients retry
-	frontEndDownTime = 3 * time.Second // how long a killed front end is down
+	defaultFrontEnds = 3               // number of front ends, if the report does not state it
+	workerCores      = 4               // number of cores of a worker
+	retryThreshold   = 1.02            // attempts per request above which clients are assumed to retry
+	frontEndDownTime = 3 * time.Second // time until a killed front end starts again
 )
 
-// Rate is the mean rate, in requests a second.
-func (d *RunReport) Rate() float64 { return float64(d.Requests) / d.Duration.Seconds() }
+// Rate returns the mean rate of the run, in requests per second.
+func (r *RunReport) Rate() float64 { return float64(r.Requests) / r.Duration.Seconds() }
 
-// Mix is a load like the report's, and like base where the report does not say. Requests have the work that uses a share
-// of the workers' cores, which a report does not say either.
-func (d *RunReport) Mix(base loadgen.Mix, utilization float64) loadgen.Mix {
-	base.Rate = d.Rate()
-	base.Work = time.Duration(utilization * workerCores * float64(d.Workers) / base.Rate * float64(time.Second)).Round(time.Millisecond)
+// Mix returns a load like that of the run, with the values of base for what the report does not state. The mean work
+// of a request, which a report does not state either, is chosen so that the requests use the fraction utilization of
+// the workers' cores.
+func (r *RunReport) Mix(base loadgen.Mix, utilization float64) loadgen.Mix {
+	base.Rate = r.Rate()
+	base.Work = time.Duration(utilization * workerCores * float64(r.Workers) / base.Rate * float64(time.Second)).Round(time.Millisecond)
 	base.RetryPolicy, base.Retries = loadgen.RetryNever, 0
-	if d.MaxAttempts > retriesFrom {
-		base.RetryPolicy, base.Retries = loadgen.RetryWithBackoff, int(math.Ceil(d.MaxAttempts-1))
+	if r.MaxAttempts > retryThreshold {
+		base.RetryPolicy, base.Retries = loadgen.RetryWithBackoff, int(math.Ceil(r.MaxAttempts-1))
 	}
 	return base
 }
 
-// Script is the report as a scenario file.
-func (d *RunReport) Script() string {
+// Script returns the faults of the run as the text of a scenario file.
+func (r *RunReport) Script() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "# Transcribed from a report: %d front ends, %d workers, %d requests in %v, at most %.2f tries a request.\n",
-		d.FrontEnds, d.Workers, d.Requests, d.Duration, d.MaxAttempts)
-	for _, t := range d.Faults {
-		line := scenario.Format(t)
-		if note := d.Notes[t.Line]; note != "" {
+		r.FrontEnds, r.Workers, r.Requests, r.Duration, r.MaxAttempts)
+	for _, f := range r.Faults {
+		line := scenario.Format(f)
+		if note := r.Notes[f.Line]; note != "" {
 			line += "  # " + note
 		}
 		out.WriteString(line + "\n")
 	}
-	for _, line := range d.Unparsed {
+	for _, line := range r.Unparsed {
 		out.WriteString("# not transcribed: " + line + "\n")
 	}
 	return out.String()
 }
 
-// Parse reads a report: the notes from on-call, or the report of one run. Its errors wrap ErrReport.
+// Parse reads a report, which is either the notes from on-call or the report of one run. Its errors wrap ErrReport.
 func Parse(text string) (*RunReport, error) {
 	p := &parser{report: &RunReport{Notes: map[int]string{}}}
 	for _, line := range strings.Split(text, "\n") {
--- a/lab/reportimport/report_test.go
+++ b/lab/reportimport/report_test.go
@@ -11,7 +11,7 @@
 	"havencart/lab/scenario"
 )
 
-// onCallNotes is a report of our own in the form of notes from on-call.
+// onCallNotes is a made-up report in the form of notes from on-call.
 const onCallNotes = `x1    recorded day    2x10  0.500  0.50  -  0.1  -  0.9  notes
 
 Notes from on-call
@@ -70,11 +70,11 @@
 	}
 	again, err := scenario.Parse("again", d.Script())
 	if err != nil || len(again) != len(d.Faults) {
-		t.Errorf("%d of %d faults are read again: %v", len(again), len(d.Faults), err)
+		t.Errorf("the script parses to %d of %d faults: %v", len(again), len(d.Faults), err)
 	}
 }
 
-// runReport is a report of our own in the form of one run.
+// runReport is a made-up report in the form of the report of one run.
 const runReport = `site x  family warm  requests 1000
   from offered in-time%  late% refused%  fail%  t/o%    p50     p99 tries/r  att/r  err full  t/o conn reset spread used worth%
      0     500     94.4    2.5      3.1    0.0   0.0   81.1  1163.0    1.00   0.98    1    0    0    0     0   3.35   20   90.3
@@ -104,10 +104,10 @@
 func TestMix_AssumedUtilization_FillsCores(t *testing.T) {
 	m := parse(t, onCallNotes).Mix(loadgen.Mix{Functions: 7}, 0.5)
 	if used := m.Rate * m.Work.Seconds() / (10 * workerCores); math.Abs(used-0.5) > 0.01 || m.Rate != 150 || m.Functions != 7 {
-		t.Errorf("uses %.3f: %+v", used, m)
+		t.Errorf("the load uses %.3f of the cores: %+v", used, m)
 	}
 	if m.RetryPolicy != loadgen.RetryWithBackoff || m.Retries != 2 {
-		t.Errorf("habit %v, %d retries", m.RetryPolicy, m.Retries)
+		t.Errorf("retry policy %v, %d retries", m.RetryPolicy, m.Retries)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-// FuzzParse checks that every report that can be read becomes a scenario that can be read.
+// FuzzParse checks that the script of every report that Parse accepts is a valid scenario.
 func FuzzParse(f *testing.F) {
 	f.Add(onCallNotes)
 	f.Add(runReport)
