--- a/lab/faultsearch/base.go
+++ b/lab/faultsearch/base.go
@@ -10,8 +10,8 @@
 	"havencart/lab/simulation"
 )
 
-// Base is the installation of searches: 12 workers at about 0.6 of their capacity, and 3 front ends, under load for a
-// duration.
+// Base returns the configuration of the installation that searches use. It has 12 workers, which are loaded to about
+// 0.6 of their capacity, and 3 front ends. Clients send requests for the given duration.
 func Base(duration time.Duration) simulation.Config {
 	return simulation.Config{
 		Workers:   12,
--- a/lab/faultsearch/random.go
+++ b/lab/faultsearch/random.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	timeUnit        = 100 * time.Millisecond // of all random times
-	zoneCount       = 3                      // of the base installation
-	maxRandomFaults = 4                      // of a random scenario
-	maxFaults       = 6                      // of a mutated one
+	timeUnit        = 100 * time.Millisecond // resolution of all random times
+	zoneCount       = 3                      // number of zones of the base installation
+	maxRandomFaults = 4                      // maximum number of faults of a random scenario
+	maxFaults       = 6                      // maximum number of faults of a mutated scenario
 )
 
-// searchedKinds are the kinds of fault that a search uses. Kills of front ends and partial lists say little of the
-// scheduler's decisions.
+// searchedKinds lists the kinds of fault that a search uses. It omits kills of front ends and incomplete endpoint
+// lists, because their effect depends little on the scheduler's decisions.
 var searchedKinds = []string{
 	"crash", "deploy", "take-out", "fail", "hang", "pause", "pauses", "slow", "neighbour", "reset", "flush",
 	"re-release", "clock-jump", "ageing", "handshake", "heavy", "store-stop", "store-slow", "store-fail", "directory-lag",
 	"directory-down", "net-delay", "net-loss", "net-cut", "leave", "surge", "hot", "scan", "stall",
 }
 
-// randomScenario draws a scenario.
+// randomScenario draws a scenario of 1 to maxRandomFaults faults.
 func (s *search) randomScenario() (faults []scenario.Fault) {
 	for range 1 + s.rng.IntN(maxRandomFaults) {
 		faults = append(faults, s.randomFault())
@@ -31,12 +31,12 @@
 	return faults
 }
 
-// randomFault draws a fault, with times in tenths of a second and shares in whole percents.
+// randomFault draws a fault. Its times are multiples of timeUnit and its shares whole percentages.
 func (s *search) randomFault() scenario.Fault {
 	fault := scenario.Fault{Kind: searchedKinds[s.rng.IntN(len(searchedKinds))]}
-	duration := int(s.cfg.Base.Duration / timeUnit)
-	fault.At = s.randomDuration(duration/20, duration*3/4)
-	for _, p := range s.parameterDraws(&fault, duration) {
+	scenarioUnits := int(s.cfg.Base.Duration / timeUnit)
+	fault.At = s.randomDuration(scenarioUnits/20, scenarioUnits*3/4)
+	for _, p := range s.parameterDraws(&fault, scenarioUnits) {
 		if scenario.HasParameter(fault.Kind, p.parameter) {
 			p.draw()
 		}
@@ -60,9 +60,9 @@
 	draw      func()
 }
 
-// parameterDraws are the draws of a fault's parameters, in their order. duration is that of the scenario, in time
-// units.
-func (s *search) parameterDraws(fault *scenario.Fault, duration int) []parameterDraw {
+// parameterDraws returns the draws of the parameters of fault, in the order in which they are made. scenarioUnits is
+// the duration of the scenario in time units.
+func (s *search) parameterDraws(fault *scenario.Fault, scenarioUnits int) []parameterDraw {
 	return []parameterDraw{
 		{scenario.ShareParameter, func() { fault.Share = float64(5+s.rng.IntN(46)) / 100 }},
 		{scenario.FrontEndParameter, func() { fault.Number = 1 + s.rng.IntN(s.cfg.Base.FrontEnds) }},
@@ -75,37 +75,38 @@
 		{scenario.SkewParameter, func() { fault.Offset = s.randomDuration(1, 50) }},
 		{scenario.PauseLengthParameter, func() { fault.PauseLength = s.randomDuration(1, 6) }},
 		{scenario.IntervalParameter, func() { fault.Interval = s.randomDuration(8, 30) }},
-		{scenario.SpreadParameter, func() { fault.Spread = s.randomDuration(10, duration/2) }},
+		{scenario.SpreadParameter, func() { fault.Spread = s.randomDuration(10, scenarioUnits/2) }},
 		{scenario.DrainTimeParameter, func() { fault.DrainTime = s.randomDuration(2, 20) }},
-		{scenario.DurationParameter, func() { fault.Duration = s.randomDuration(3, duration/3) }},
+		{scenario.DurationParameter, func() { fault.Duration = s.randomDuration(3, scenarioUnits/3) }},
 	}
 }
 
-// randomDuration draws a duration, in time units, from up to but not including to.
+// randomDuration draws a duration from the half-open interval [from, to), in time units. It returns from if the
+// interval is empty.
 func (s *search) randomDuration(from, to int) time.Duration {
 	return time.Duration(from+s.rng.IntN(max(1, to-from))) * timeUnit
 }
 
-// mutate changes, adds or removes a fault.
+// mutate returns a copy of a scenario in which one fault is added, removed, replaced or moved.
 func (s *search) mutate(faults []scenario.Fault) []scenario.Fault {
 	faults = slices.Clone(faults)
 	i := s.rng.IntN(len(faults))
-	switch x := s.rng.IntN(4); {
-	case x == 0 && len(faults) < maxFaults:
+	switch choice := s.rng.IntN(4); {
+	case choice == 0 && len(faults) < maxFaults:
 		faults = append(faults, s.randomFault())
-	case x == 1 && len(faults) > 1:
+	case choice == 1 && len(faults) > 1:
 		faults = slices.Delete(faults, i, i+1)
-	case x == 2:
+	case choice == 2:
 		faults[i] = s.randomFault()
 	default:
-		s.shift(&faults[i])
+		s.moveFault(&faults[i])
 	}
 	scenario.SortByTime(faults)
 	return faults
 }
 
-// shift moves a fault to the time of a new random one and changes its duration by up to a half.
-func (s *search) shift(f *scenario.Fault) {
+// moveFault moves a fault to a random start time and scales its duration by a random factor from 0.5 to 1.5.
+func (s *search) moveFault(f *scenario.Fault) {
 	f.At = s.randomFault().At
 	if f.Duration > 0 {
 		f.Duration = f.Duration * time.Duration(5+s.rng.IntN(11)) / 10
--- a/lab/faultsearch/search.go
+++ b/lab/faultsearch/search.go
@@ -1,6 +1,7 @@
-// Package faultsearch searches for bad scenarios: faults with which the scheduler's service is far below the oracle's,
-// or with which an invariant is violated. Scenarios are drawn at random and mutated, the worst are kept, and each
-// finding is shrunk to what matters. The search is seeded: the same one finds the same scenarios.
+// Package faultsearch searches for bad scenarios: faults under which the scheduler's service is far below that of the
+// oracle, or under which the scheduler violates an invariant. Scenarios are drawn at random and mutated, the worst
+// are kept, and each finding is then shrunk to the faults that cause it. A search is seeded, so that a repeated
+// search finds the same scenarios.
 package faultsearch
 
 import (
@@ -19,13 +20,13 @@
 
 // Config describes a search.
 type Config struct {
-	Base     simulation.Config // the installation, without faults
-	Rounds   int               // of mutation
-	Width    int               // scenarios tried in each round
-	Keep     int               // findings
+	Base     simulation.Config // configuration of the installation, without faults
+	Rounds   int               // number of rounds, each of which draws, mutates and selects scenarios
+	Width    int               // number of scenarios that each round evaluates
+	Keep     int               // maximum number of findings that a round keeps
 	Seed     uint64
-	Parallel int          // simulations at a time
-	Report   func(string) // is called with the progress
+	Parallel int          // number of scenarios that are evaluated concurrently
+	Report   func(string) // receives one line of progress per round
 }
 
 // Finding is a bad scenario.
@@ -33,13 +34,14 @@
 	Faults           []scenario.Fault
 	SchedulerService float64
 	OracleService    float64
-	Violation        string // an invariant that the scheduler violated, and how
+	Violation        string // first invariant that the scheduler violated, with details; empty: none
 }
 
-// violationScore is the score of a finding with a violation, above that of any service.
+// violationScore is the score of a finding with a violation. It is above the score of any finding without one.
 const violationScore = 10
 
-// Score is how bad the scenario is: the distance from the oracle, and far more where an invariant is violated.
+// Score returns how bad the scenario is: by how much the oracle's service exceeds the scheduler's, or violationScore if
+// an invariant is violated.
 func (f Finding) Score() float64 {
 	if f.Violation != "" {
 		return violationScore
@@ -47,7 +49,7 @@
 	return f.OracleService - f.SchedulerService
 }
 
-// Text is the finding as a scenario file.
+// Text returns the finding as the text of a scenario file.
 func (f Finding) Text() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "# Found by a hunt and shrunk: module %.3f, oracle %.3f when it was found (emulated).\n",
@@ -61,43 +63,46 @@
 	return out.String()
 }
 
-// randomStream is that of the search's generator, beside those with the same seed.
+// randomStream is the stream of the search's random generator, so that it differs from other generators with the same
+// seed.
 const randomStream = 0x68756e74
 
-// Run searches and returns the findings, the worst first. When ctx ends, it returns what was found so far.
+// Run runs a search and returns the findings, the worst first. If ctx ends early, it returns the findings so far,
+// which may not be shrunk.
 func Run(ctx context.Context, cfg Config) ([]Finding, error) {
-	search := &search{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, randomStream))}
+	s := &search{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, randomStream))}
 	for round := range cfg.Rounds {
 		if ctx.Err() != nil {
 			break
 		}
-		if err := search.round(); err != nil {
+		if err := s.round(); err != nil {
 			return nil, err
 		}
-		cfg.Report(fmt.Sprintf("round %d: worst by %.3f, of %d kept", round+1, search.found[0].Score(), len(search.found)))
+		cfg.Report(fmt.Sprintf("round %d: worst by %.3f, of %d kept", round+1, s.found[0].Score(), len(s.found)))
 	}
-	for i := range search.found {
+	for i := range s.found {
 		if ctx.Err() != nil {
 			break
 		}
-		f, err := search.shrink(search.found[i])
+		f, err := s.shrink(s.found[i])
 		if err != nil {
 			return nil, err
 		}
-		search.found[i] = f
+		s.found[i] = f
 	}
-	search.sortFound()
-	return slices.CompactFunc(search.found, func(a, b Finding) bool { return a.Text() == b.Text() }), nil
+	s.sortFound()
+	return slices.CompactFunc(s.found, func(a, b Finding) bool { return a.Text() == b.Text() }), nil
 }
 
-// search is a search under way.
+// search is the state of a running search.
 type search struct {
 	cfg   Config
 	rng   *rand.Rand
-	found []Finding // the worst first
+	found []Finding // sorted by score, the worst first
 }
 
-// round tries new scenarios, half of them mutations of findings, and keeps the worst of different kinds.
+// round evaluates new scenarios, half of them mutations of findings, and keeps the worst ones of distinct sets of
+// fault kinds.
 func (s *search) round() error {
 	var candidates [][]scenario.Fault
 	for i := range s.cfg.Width {
@@ -114,7 +119,7 @@
 	}
 	s.found = append(s.found, findings...)
 	s.sortFound()
-	s.found = worstOfEachKind(s.found)
+	s.found = worstPerKindSet(s.found)
 	s.found = s.found[:min(len(s.found), s.cfg.Keep)]
 	return nil
 }
@@ -124,9 +129,9 @@
 	slices.SortStableFunc(s.found, func(a, b Finding) int { return cmp.Compare(b.Score(), a.Score()) })
 }
 
-// worstOfEachKind keeps the first of the findings that consist of the same kinds of fault, so that one kind does not
-// fill all places.
-func worstOfEachKind(findings []Finding) []Finding {
+// worstPerKindSet keeps only the first of the findings that have the same set of fault kinds, so that the findings do
+// not all show the same weakness. The findings are sorted, so the first is the worst.
+func worstPerKindSet(findings []Finding) []Finding {
 	known := map[string]bool{}
 	return slices.DeleteFunc(findings, func(f Finding) bool {
 		kinds := kindsOf(f.Faults)
@@ -136,7 +141,7 @@
 	})
 }
 
-// kindsOf is the set of the kinds of fault of a scenario.
+// kindsOf returns the set of the fault kinds of a scenario, as sorted names separated by spaces.
 func kindsOf(faults []scenario.Fault) string {
 	var kinds []string
 	for _, f := range faults {
@@ -146,7 +151,7 @@
 	return strings.Join(slices.Compact(kinds), " ")
 }
 
-// evaluateAll evaluates scenarios, several at a time. The findings have their order.
+// evaluateAll evaluates scenarios, up to Config.Parallel at a time, and returns their findings in the same order.
 func (s *search) evaluateAll(candidates [][]scenario.Fault) ([]Finding, error) {
 	findings, errs := make([]Finding, len(candidates)), make([]error, len(candidates))
 	var tasks sync.WaitGroup
@@ -167,7 +172,7 @@
 	return findings, nil
 }
 
-// evaluate simulates a scenario with the scheduler and with the oracle.
+// evaluate simulates a scenario once with the scheduler and once with the oracle and returns the result as a finding.
 func (s *search) evaluate(faults []scenario.Fault) (Finding, error) {
 	cfg := s.cfg.Base
 	cfg.Faults = faults
@@ -191,17 +196,18 @@
 	return f, nil
 }
 
-// keptScoreShare is the share of a finding's score that a smaller scenario must keep.
-const keptScoreShare = 0.9
+// minKeptScore is the fraction of a finding's score that a smaller scenario must reach to replace it.
+const minKeptScore = 0.9
 
-// shrink removes what a finding does not need: whole faults, then halves of their durations.
+// shrink removes the faults and shortens the durations that a finding does not need: it replaces the finding by a
+// smaller one while there is one whose score is at least minKeptScore of the finding's.
 func (s *search) shrink(f Finding) (Finding, error) {
 	for {
-		findings, err := s.evaluateAll(smaller(f.Faults))
+		findings, err := s.evaluateAll(reductions(f.Faults))
 		if err != nil {
 			return f, err
 		}
-		i := slices.IndexFunc(findings, func(x Finding) bool { return x.Score() >= keptScoreShare*f.Score() })
+		i := slices.IndexFunc(findings, func(x Finding) bool { return x.Score() >= minKeptScore*f.Score() })
 		if i < 0 {
 			return f, nil
 		}
@@ -209,8 +215,8 @@
 	}
 }
 
-// smaller lists the scenarios that lack one fault, or have one of half the duration.
-func smaller(faults []scenario.Fault) (candidates [][]scenario.Fault) {
+// reductions returns the smaller scenarios in which one fault is removed, or one duration of over a second is halved.
+func reductions(faults []scenario.Fault) (candidates [][]scenario.Fault) {
 	for i, fault := range faults {
 		if len(faults) > 1 {
 			candidates = append(candidates, slices.Delete(slices.Clone(faults), i, i+1))
--- a/lab/faultsearch/search_test.go
+++ b/lab/faultsearch/search_test.go
@@ -19,13 +19,13 @@
 		want := s.mutate(s.randomScenario())
 		got, err := scenario.Parse("found", Finding{Faults: want}.Text())
 		if err != nil || len(got) != len(want) {
-			t.Fatalf("%v, %d of %d", err, len(got), len(want))
+			t.Fatalf("the text parses to %d of %d faults, error %v", len(got), len(want), err)
 		}
 		for i := range got {
 			got[i].Line = 0
 			want[i].Line = 0
 			if scenario.Format(got[i]) != scenario.Format(want[i]) {
-				t.Fatalf("%+v came back as %+v", want[i], got[i])
+				t.Fatalf("%+v was parsed back as %+v", want[i], got[i])
 			}
 		}
 	})
@@ -39,20 +39,20 @@
 	}
 	again, err := Run(context.Background(), cfg)
 	if err != nil || len(again) != len(first) || len(first) == 0 {
-		t.Fatalf("%d and %d finds, %v", len(first), len(again), err)
+		t.Fatalf("%d and %d findings, error %v", len(first), len(again), err)
 	}
 	for i := range first {
 		if first[i].Text() != again[i].Text() {
-			t.Errorf("finding %d:\n%s\nand again:\n%s", i, first[i].Text(), again[i].Text())
+			t.Errorf("finding %d of the first run:\n%s\nof the second run:\n%s", i, first[i].Text(), again[i].Text())
 		}
 	}
 }
 
-// TestFoundScenarios_KeepInvariants runs the scenarios that searches found, which stay as regressions.
+// TestFoundScenarios_KeepInvariants runs the scenarios that earlier searches found, as regression tests.
 func TestFoundScenarios_KeepInvariants(t *testing.T) {
 	files, err := filepath.Glob("../scenarios/found/*.day")
 	if err != nil || len(files) < 10 {
-		t.Fatalf("%d found scenarios, %v", len(files), err)
+		t.Fatalf("%d scenario files of earlier searches, want at least 10; error %v", len(files), err)
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: module %.3f, oracle %.3f", filepath.Base(file), f.SchedulerService, f.OracleService)
+		t.Logf("%s: scheduler %.3f, oracle %.3f", filepath.Base(file), f.SchedulerService, f.OracleService)
 		if f.Violation != "" {
 			t.Errorf("%s: %s", file, f.Violation)
 		}
