--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -103,7 +103,7 @@
 
 // compareRuns compares a variant with the first one by the scenarios and seeds that both were run with.
 func (s *Spec) compareRuns(variant string, runs, first *variantRuns) Comparison {
-	var differences [][]float64 // of service, by scenario
+	var differences [][]float64 // differences of service from the first variant, grouped by scenario
 	var services []float64
 	for _, sc := range s.Scenarios {
 		var scenarioDifferences []float64
--- a/lab/faultsearch/search.go
+++ b/lab/faultsearch/search.go
@@ -29,7 +29,7 @@
 	Report   func(string) // receives one line of progress per round
 }
 
-// Finding is a bad scenario.
+// Finding is a bad scenario that a search found, with the service that the scheduler and the oracle reached in it.
 type Finding struct {
 	Faults           []scenario.Fault
 	SchedulerService float64
--- a/lab/report/plot.go
+++ b/lab/report/plot.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// curve is one line in a plot.
+// curve is one curve of a plot, with one value per second.
 type curve struct {
 	name   string
 	values []float64
@@ -87,7 +87,7 @@
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
-	lineWidth  = 1.2 // points
+	lineWidth  = 1.2 // width of a curve, in points
 )
 
 // plotSVG plots curves over time, with one value per second, and returns the plot as an SVG element.
--- a/lab/scenario/parameters.go
+++ b/lab/scenario/parameters.go
@@ -12,7 +12,7 @@
 // one.
 type Parameter int
 
-// The parameters.
+// The parameters of faults. The map parameters holds the syntax of each.
 const (
 	ShareParameter Parameter = iota + 1
 	FrontEndParameter
