--- a/lab/invariant/check_draining.go
+++ b/lab/invariant/check_draining.go
@@ -6,8 +6,8 @@
 	"havencart/scheduler"
 )
 
-// checkDraining checks that nothing new reaches a worker later than the drain grace after its front end learned that
-// the worker is not ready.
+// checkDraining checks that a worker receives no attempt and no load order from a front end later than the drain grace
+// after that front end learned that the worker is not ready.
 func (c *checker) checkDraining() {
 	updates := map[string][]EndpointUpdate{}
 	for _, u := range c.endpointUpdates {
@@ -24,15 +24,18 @@
 	}
 }
 
-func (c *checker) checkDrainGrace(updates []EndpointUpdate, what, frontEnd, worker string, at time.Duration) {
+// checkDrainGrace checks the time at which a worker received a message from a front end. updates holds the endpoint
+// lists of that front end, and message describes the message in the text of a violation.
+func (c *checker) checkDrainGrace(updates []EndpointUpdate, message, frontEnd, worker string, at time.Duration) {
 	since, notReady := notReadySince(updates, worker, at)
 	if notReady && at > since+c.rules.DrainGrace+c.rules.Tolerance {
-		c.violated(ruleDraining, "%s from %s reached %s %v after the notice", what, frontEnd, worker, at-since)
+		c.violated(ruleDraining, "%s from %s reached %s %v after the notice", message, frontEnd, worker, at-since)
 	}
 }
 
-// notReadySince reports whether a front end knew at a time that a worker was not ready, and since when. updates are the
-// front end's, in the order in which it received them.
+// notReadySince reports whether a front end knew at the given time that a worker was not ready, and since when. updates
+// holds the endpoint lists of that front end in the order in which it received them. A worker that is missing from the
+// latest list is not ready.
 func notReadySince(updates []EndpointUpdate, worker string, at time.Duration) (since time.Duration, notReady bool) {
 	for _, u := range updates {
 		if u.At > at {
--- a/lab/invariant/check_executions.go
+++ b/lab/invariant/check_executions.go
@@ -7,8 +7,8 @@
 	"havencart/scheduler"
 )
 
-// checkExecutions checks the attempts of each request: what may have executed is not sent again beyond what its class
-// allows, its effect takes place once, and what executed is not rejected.
+// checkExecutions checks the attempts of each request whose class restricts retries. A request that may have executed
+// is sent again only as far as its class allows, takes effect at most once, and is not rejected.
 func (c *checker) checkExecutions() {
 	byRequest := map[string][]*Attempt{}
 	for _, a := range c.attempts {
@@ -40,7 +40,7 @@
 	return len(r.Responses) > 0 && r.Responses[0].Outcome == OutcomeRejected
 }
 
-// retryIsSafe reports whether a client may retry a request of a class anywhere, also where it was executed.
+// retryIsSafe reports whether any worker may execute a request of a class again after the request was executed.
 func retryIsSafe(class scheduler.Class) bool {
 	if class.Idempotency == scheduler.Idempotent {
 		return true
@@ -48,11 +48,14 @@
 	return class.Idempotency == scheduler.IdempotentByKey && class.KeyScope == scheduler.ScopeAll
 }
 
-// mayHaveExecuted reports whether an attempt that a worker received may have had its effect.
+// mayHaveExecuted reports whether an attempt that a worker received may have taken effect. Only a rejection by the
+// worker rules that out; an attempt without a response may have executed.
 func mayHaveExecuted(a *Attempt) bool {
 	return a.Outcome != model.Overloaded && a.Outcome != model.NotLoaded
 }
 
+// checkNonIdempotent checks that a request is not sent again after an attempt that may have executed, and that it takes
+// effect at most once.
 func (c *checker) checkNonIdempotent(id string, attempts []*Attempt) {
 	executions := 0
 	for i, a := range attempts {
@@ -67,9 +70,11 @@
 	}
 }
 
+// checkIdempotentByKey checks the attempts that follow the first one that may have executed, and that the request takes
+// effect at most once.
 func (c *checker) checkIdempotentByKey(id string, attempts []*Attempt, class scheduler.Class) {
 	executions := 0
-	var first *Attempt // that may have executed
+	var first *Attempt // first attempt that may have executed
 	for _, a := range attempts {
 		executions += a.Executions
 		if first != nil {
@@ -83,7 +88,8 @@
 	}
 }
 
-// checkKeyedRetry checks that a retry stays within the scope and the retention of the idempotency key.
+// checkKeyedRetry checks that a retry stays within the scope and the retention of its idempotency key, which began with
+// the first attempt.
 func (c *checker) checkKeyedRetry(id string, first, retry *Attempt, class scheduler.Class) {
 	elapsed := retry.At - first.At
 	switch {
--- a/lab/invariant/check_load.go
+++ b/lab/invariant/check_load.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// checkColdWorkers checks the work that reached each cold worker within its overload window against its capacity.
+// checkColdWorkers checks that no worker crashed from overload, and that the work that reached a cold worker within its
+// overload window does not exceed its overload multiple of its capacity.
 func (c *checker) checkColdWorkers() {
 	for _, crash := range c.crashes {
 		c.tally.WorkerCrashes++
 		c.violated(ruleColdStart, "%s fell over at %v", crash.Worker, crash.At)
 	}
-	recent := map[string][]*Attempt{} // by worker and incarnation
+	recent := map[string][]*Attempt{} // attempts within the overload window, by worker and incarnation
 	for _, attempt := range c.attempts {
-		if attempt.Capacity == 0 { // it was warm
+		if attempt.Capacity == 0 { // the worker was warm
 			continue
 		}
 		window := time.Duration(attempt.OverloadWindowSeconds * float64(time.Second))
@@ -31,7 +32,9 @@
 	}
 }
 
-// checkLoadRate checks each front end's load orders within the window against the requests that it received in it.
+// checkLoadRate checks that the number of load orders that a front end sent within the load window stays within the
+// limit for the number of requests that it received in the same window. The tolerance shortens the window of the load
+// orders and lengthens that of the requests.
 func (c *checker) checkLoadRate() {
 	if c.rules.LoadWindow <= 0 {
 		return
@@ -47,13 +50,13 @@
 		orderTimes[o.FrontEnd] = append(orderTimes[o.FrontEnd], o.At)
 		orders := countWithin(orderTimes[o.FrontEnd], o.At-c.rules.LoadWindow+c.rules.Tolerance, o.At)
 		requests := countWithin(requestTimes[o.FrontEnd], o.At-c.rules.LoadWindow-c.rules.Tolerance, o.At)
-		if float64(orders) > c.rules.LoadFree+c.rules.LoadShare*float64(requests) {
+		if float64(orders) > c.rules.LoadBurst+c.rules.LoadPerRequest*float64(requests) {
 			c.violated(ruleLoadRate, "%s gave %d orders for %d calls within %v", o.FrontEnd, orders, requests, c.rules.LoadWindow)
 		}
 	}
 }
 
-// countWithin counts the times after from, up to and at to. They are in ascending order.
+// countWithin counts the times that are after from and not after to. times is in ascending order.
 func countWithin(times []time.Duration, from, to time.Duration) int {
 	countUpTo := func(t time.Duration) int {
 		i, _ := slices.BinarySearch(times, t+1)
--- a/lab/invariant/checker.go
+++ b/lab/invariant/checker.go
@@ -8,11 +8,12 @@
 
 // Violation is one violated invariant.
 type Violation struct {
-	Rule   string // lost, twice, drains, cold, loads
+	Rule   string // name of the violated rule: lost, twice, drains, cold or loads
 	Detail string
 }
 
-// Check checks the whole history against the rules. It is to be called when everything has ended.
+// Check checks the whole history against the rules. It must not be called before all requests have ended: a request
+// without a response counts as a violation.
 func (h *History) Check(rules Rules) ([]Violation, Tally) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -25,7 +26,7 @@
 	return c.violations, c.tally
 }
 
-// checker checks a History, whose lock is held.
+// checker checks a History. Its methods require that the lock of the History is held.
 type checker struct {
 	*History
 	rules      Rules
@@ -37,7 +38,8 @@
 	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// checkResponses checks that each request has one final response before its client's timeout.
+// checkResponses checks that each request got exactly one final response before its client's timeout. A request needs
+// none if its client disconnected or its front end was killed.
 func (c *checker) checkResponses() {
 	for _, r := range c.requests {
 		c.tally.Sent++
@@ -73,8 +75,8 @@
 	}
 }
 
-// responseDeadline is when a request must have its response: at the client's timeout, or at the end of a stall of its
-// front end that covers the timeout.
+// responseDeadline returns the time by which a request must have its response: the client's timeout, or the end of a
+// stall of the front end if the stall covers the timeout.
 func (c *checker) responseDeadline(r *Request) time.Duration {
 	deadline := r.SentAt + r.Timeout
 	for _, s := range c.stalls {
@@ -85,7 +87,8 @@
 	return deadline
 }
 
-// frontEndWasKilled reports whether a request's front end was killed while it held the request.
+// frontEndWasKilled reports whether a request's front end was killed between the sending of the request and the
+// client's timeout.
 func (c *checker) frontEndWasKilled(r *Request) bool {
 	from, to := r.SentAt-c.rules.Tolerance, r.SentAt+r.Timeout
 	return slices.ContainsFunc(c.kills, func(k FrontEndKill) bool {
--- a/lab/invariant/history.go
+++ b/lab/invariant/history.go
@@ -1,5 +1,5 @@
-// Package invariant checks the guarantees that front ends give, from the history of what emulated workers and clients saw
-// on their sockets. It takes nothing from inside a front end.
+// Package invariant checks the guarantees of front ends against an event history of what emulated workers and clients
+// observed on their sockets. It uses no internal state of a front end.
 package invariant
 
 import (
@@ -16,13 +16,14 @@
 	OutcomeRejected = "refused"
 )
 
-// Request is one attempt of a client's request, and its responses.
+// Request is a request that a client sent, with the responses that it received. A client's retry of a request is a
+// Request of its own.
 type Request struct {
 	ID, Class, Tenant string
 	IdempotencyKey    string
 	FrontEnd          string
 	SentAt            time.Duration
-	Timeout           time.Duration // of the client
+	Timeout           time.Duration // client's timeout, counted from SentAt
 	Responses         []Response
 	Disconnected      bool // the client closed the connection before a response
 	ConnectionLost    bool // the connection ended without a response
@@ -31,38 +32,38 @@
 // Response is one final response that a client received.
 type Response struct {
 	At       time.Duration
-	Outcome  string // served, refused, failed
-	Complete bool   // its body was received to the end
+	Outcome  string // served, refused or failed
+	Complete bool   // the whole body was received
 }
 
 // Attempt is one attempt that a worker received, and how the worker responded.
 type Attempt struct {
 	At             time.Duration
 	Worker, Cell   string
-	Incarnation    int // of the worker
+	Incarnation    int // incarnation of the worker that received the attempt
 	FrontEnd       string
 	RequestID      string
 	Class          string
 	IdempotencyKey string
 	Number         int
 	Work           time.Duration
-	Outcome        model.Outcome // 0 while there is no response
-	Executions     int           // times that its effect took place
+	Outcome        model.Outcome // zero until the worker responds
+	Executions     int           // number of times that the attempt took effect
 
-	// Of the worker at that time, while it was cold.
-	Capacity              float64 // 0: it was warm
+	// The worker's overload limit when it received the attempt. All three are zero if the worker was warm.
+	Capacity              float64 // cores of speed 1
 	OverloadMultiple      float64
 	OverloadWindowSeconds float64
 }
 
-// LoadOrder is one load order that a worker received, or a residency query: an order for no replicas.
+// LoadOrder is a load order that a worker received. A residency query is recorded as an order for no replicas.
 type LoadOrder struct {
 	At                         time.Duration
 	Worker, FrontEnd, Function string
 	Replicas                   int
 }
 
-// EndpointUpdate is a list of workers that a front end received.
+// EndpointUpdate is an endpoint list that a front end received, reduced to the state of each worker.
 type EndpointUpdate struct {
 	At       time.Duration
 	FrontEnd string
@@ -81,25 +82,25 @@
 	At       time.Duration
 }
 
-// FrontEndStall is a time in which a front end's event loop stalled.
+// FrontEndStall is a period during which a front end's event loop was stalled.
 type FrontEndStall struct {
 	FrontEnd string
 	From, To time.Duration
 }
 
-// covers reports whether a time is within the stall.
+// covers reports whether the given time lies within the stall, bounds included.
 func (s FrontEndStall) covers(at time.Duration) bool { return s.From <= at && at <= s.To }
 
-// History collects what workers, clients and the test itself observe. It may be used by several goroutines; the zero
-// History is not usable.
+// History collects what workers, clients and the test itself observe. It is safe for concurrent use. The zero History
+// is not usable; NewHistory and NewHistoryAt create one.
 type History struct {
-	start time.Time // wall time at 0
+	start time.Time // wall time at which clock returns 0
 	clock func() time.Duration
 
 	mu              sync.Mutex
 	requests        []*Request
 	attempts        []*Attempt
-	pending         map[*model.Request]*Attempt
+	pending         map[*model.Request]*Attempt // attempts without a response
 	loadOrders      []LoadOrder
 	endpointUpdates []EndpointUpdate
 	crashes         []WorkerCrash
@@ -107,135 +108,137 @@
 	stalls          []FrontEndStall
 }
 
-// NewHistory returns an empty History whose time starts now.
+// NewHistory returns an empty History whose clock starts now.
 func NewHistory() *History {
 	start := time.Now()
 	return NewHistoryAt(start, func() time.Duration { return time.Since(start) })
 }
 
-// NewHistoryAt returns an empty History on a clock that is 0 at start.
+// NewHistoryAt returns an empty History that uses the given clock, which returns 0 at start.
 func NewHistoryAt(start time.Time, clock func() time.Duration) *History {
 	return &History{start: start, clock: clock, pending: map[*model.Request]*Attempt{}}
 }
 
-// Now is the time on the History's clock.
+// Now returns the time on the History's clock.
 func (h *History) Now() time.Duration { return h.clock() }
 
 // Elapsed converts a wall time to the History's clock.
 func (h *History) Elapsed(t time.Time) time.Duration { return t.Sub(h.start) }
 
-// RequestSent records a request as its client sends it, now.
-func (h *History) RequestSent(a Request) *Request {
+// RequestSent records a request that its client is about to send, with the current time as SentAt.
+func (h *History) RequestSent(r Request) *Request {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a.SentAt = h.Now()
-	h.requests = append(h.requests, &a)
-	return &a
+	r.SentAt = h.Now()
+	h.requests = append(h.requests, &r)
+	return &r
 }
 
 // ResponseReceived records a response that a client received.
-func (h *History) ResponseReceived(a *Request, outcome string, complete bool) {
+func (h *History) ResponseReceived(r *Request, outcome string, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a.Responses = append(a.Responses, Response{h.Now(), outcome, complete})
+	r.Responses = append(r.Responses, Response{h.Now(), outcome, complete})
 }
 
-// RequestEnded records that a client disconnected, or else that it lost its connection.
-func (h *History) RequestEnded(a *Request, disconnected bool) {
+// RequestEnded records that a request ended without a response, because its client disconnected or else because the
+// connection was lost.
+func (h *History) RequestEnded(r *Request, disconnected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a.Disconnected, a.ConnectionLost = disconnected, !disconnected
+	r.Disconnected, r.ConnectionLost = disconnected, !disconnected
 }
 
-// EndpointsUpdated records a list of workers that a front end received.
-func (h *History) EndpointsUpdated(n EndpointUpdate) {
+// EndpointsUpdated records an endpoint list that a front end received.
+func (h *History) EndpointsUpdated(u EndpointUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.endpointUpdates = append(h.endpointUpdates, n)
+	h.endpointUpdates = append(h.endpointUpdates, u)
 }
 
-// FrontEndKilled records that a front end was killed now: its clients must retry what it held.
+// FrontEndKilled records that a front end is killed now. The requests that it held need no response; their clients must
+// retry them.
 func (h *History) FrontEndKilled(frontEnd string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.kills = append(h.kills, FrontEndKill{frontEnd, h.Now()})
 }
 
-// FrontEndStalled records that a front end's event loop stalls from now for d: it cannot respond before the end.
+// FrontEndStalled records that a front end's event loop stalls for d from now on and cannot respond before the end.
 func (h *History) FrontEndStalled(frontEnd string, d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stalls = append(h.stalls, FrontEndStall{frontEnd, h.Now(), h.Now() + d})
 }
 
-// RequestReceived implements model.Observer, as do the methods below.
-func (h *History) RequestReceived(w *model.Worker, c *model.Request) {
+// RequestReceived implements model.Observer. It records an attempt that a worker received.
+func (h *History) RequestReceived(w *model.Worker, r *model.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := &Attempt{
-		At: h.Now(), Worker: w.Config.Name, Cell: w.Config.Cell, Incarnation: w.Incarnation(), FrontEnd: c.FrontEnd,
-		RequestID: c.ID, Class: c.Class, IdempotencyKey: c.IdempotencyKey, Number: c.Attempt, Work: c.Work,
+	a := &Attempt{
+		At: h.Now(), Worker: w.Config.Name, Cell: w.Config.Cell, Incarnation: w.Incarnation(), FrontEnd: r.FrontEnd,
+		RequestID: r.ID, Class: r.Class, IdempotencyKey: r.IdempotencyKey, Number: r.Attempt, Work: r.Work,
 	}
 	if w.Cold() {
-		r.Capacity, r.OverloadMultiple = w.Capacity(), w.Config.OverloadMultiple
-		r.OverloadWindowSeconds = w.Config.OverloadWindow.Seconds()
+		a.Capacity, a.OverloadMultiple = w.Capacity(), w.Config.OverloadMultiple
+		a.OverloadWindowSeconds = w.Config.OverloadWindow.Seconds()
 	}
-	h.attempts = append(h.attempts, r)
-	h.pending[c] = r
+	h.attempts = append(h.attempts, a)
+	h.pending[r] = a
 }
 
-// ResponseSent records the outcome of an attempt.
-func (h *History) ResponseSent(_ *model.Worker, c *model.Request, o model.Outcome) {
+// ResponseSent implements model.Observer. It records the outcome of an attempt.
+func (h *History) ResponseSent(_ *model.Worker, r *model.Request, o model.Outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if r := h.pending[c]; r != nil {
-		r.Outcome = o
-		delete(h.pending, c)
+	if a := h.pending[r]; a != nil {
+		a.Outcome = o
+		delete(h.pending, r)
 	}
 }
 
-// RequestExecuted records that an attempt's effect took place.
-func (h *History) RequestExecuted(_ *model.Worker, c *model.Request) {
+// RequestExecuted implements model.Observer. It records that an attempt took effect.
+func (h *History) RequestExecuted(_ *model.Worker, r *model.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if r := h.pending[c]; r != nil {
-		r.Executions++
+	if a := h.pending[r]; a != nil {
+		a.Executions++
 	}
 }
 
-// LoadOrderReceived records a load order or a residency query.
+// LoadOrderReceived implements model.Observer. It records a load order or a residency query.
 func (h *History) LoadOrderReceived(w *model.Worker, frontEnd, function string, replicas int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.loadOrders = append(h.loadOrders, LoadOrder{h.Now(), w.Config.Name, frontEnd, function, replicas})
 }
 
-// WorkerCrashed records a crash from overload.
+// WorkerCrashed implements model.Observer. It records the crash of a worker from overload.
 func (h *History) WorkerCrashed(w *model.Worker) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.crashes = append(h.crashes, WorkerCrash{h.Now(), w.Config.Name})
 }
 
-// AttemptCount is the number of attempts of a request that workers received so far.
+// AttemptCount returns the number of attempts of a request that workers have received so far.
 func (h *History) AttemptCount(id string) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range h.attempts {
-		if r.RequestID == id {
+	for _, a := range h.attempts {
+		if a.RequestID == id {
 			n++
 		}
 	}
 	return n
 }
 
-// ExecutionCount is the number of executions with an idempotency key at all workers so far.
+// ExecutionCount returns the number of executions with the given idempotency key at all workers so far.
 func (h *History) ExecutionCount(key string) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range h.attempts {
-		if r.IdempotencyKey == key {
-			n += r.Executions
+	for _, a := range h.attempts {
+		if a.IdempotencyKey == key {
+			n += a.Executions
 		}
 	}
 	return n
--- a/lab/invariant/score.go
+++ b/lab/invariant/score.go
@@ -7,20 +7,20 @@
 	"havencart/scheduler"
 )
 
-// Score is the service of a run: the priority weight earned by responses in time over the weight offered by requests.
-// A client's retries count as part of its request. A response after the class's latency objective earns the class's late
-// weight.
+// Score is the service level of a run: the priority weight that responses earned, relative to the priority weight that
+// requests offered. A response within the latency objective of its class earns the full weight; a later response earns
+// that weight times the class's late weight. A client's retries count as part of their request.
 type Score struct {
 	Timeline
-	Requests int // without retries
+	Requests int // number of requests, not counting retries
 	ByClass  map[string]*Timeline
 	ByTenant map[string]*Timeline
 }
 
-// Timeline is a service level over time.
+// Timeline is a service level in total and for each second.
 type Timeline struct {
 	ServiceLevel
-	Seconds []ServiceLevel // by the second in which the request was first sent
+	Seconds []ServiceLevel // service level of the requests first sent in each second
 }
 
 func (t *Timeline) add(second int, offered, earned float64) {
@@ -33,10 +33,10 @@
 	t.Seconds[second].Earned += earned
 }
 
-// ServiceLevel is the priority weight that requests offered, and what was earned of it.
+// ServiceLevel is the priority weight that requests offered and the part of it that responses earned.
 type ServiceLevel struct{ Offered, Earned float64 }
 
-// Share is the share that was earned, 1 where nothing was offered.
+// Share returns the fraction of the offered weight that was earned, or 1 if no weight was offered.
 func (l ServiceLevel) Share() float64 {
 	if l.Offered == 0 {
 		return 1
@@ -44,10 +44,10 @@
 	return l.Earned / l.Offered
 }
 
-// Service is the share that was earned in the whole run.
+// Service returns the fraction of the offered weight that was earned in the whole run.
 func (s Score) Service() float64 { return s.Share() }
 
-// Worst is the least service over any period of so many seconds.
+// Worst returns the lowest service over any period of the given number of seconds, or 1 if the run is shorter.
 func (s Score) Worst(seconds int) float64 {
 	worst := 1.0
 	for i := 0; i+seconds <= len(s.Seconds); i++ {
@@ -61,13 +61,14 @@
 	return worst
 }
 
-// Score computes the service that clients saw. The attempts of a request have identifiers "REQUEST.NUMBER".
+// Score computes the service level that clients saw. A request and its retries are recognized by their identifiers,
+// "REQUEST.NUMBER"; the best response among them counts.
 func (h *History) Score(classes map[string]scheduler.Class) Score {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	score := Score{ByClass: map[string]*Timeline{}, ByTenant: map[string]*Timeline{}}
 	first := map[string]*Request{}
-	best := map[string]float64{} // earned by the best attempt
+	best := map[string]float64{} // weight earned by the best response, by request
 	var order []string
 	for _, r := range h.requests {
 		id, _, _ := strings.Cut(r.ID, ".")
@@ -84,7 +85,8 @@
 	return score
 }
 
-// earned is the weight that an attempt earned, where the request was first sent at a time.
+// earned returns the weight that a request or one of its retries earned. Latency counts from firstSentAt, when the
+// request was first sent.
 func earned(r *Request, firstSentAt time.Duration, class scheduler.Class) float64 {
 	if len(r.Responses) == 0 {
 		return 0
--- a/lab/invariant/tally.go
+++ b/lab/invariant/tally.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Tally counts the outcomes of requests and what workers saw of them.
+// Tally counts requests by outcome, and events at workers.
 type Tally struct {
-	// Each request has one of these outcomes.
+	// Requests sent by clients, retries included, and how many of them had each outcome.
 	Sent, Served, Rejected, Failed, Disconnected, AtKilledFrontEnds int
-	// At the workers.
+	// Events at workers.
 	Attempts, Executions, LoadOrders, WorkerCrashes int
 }
 
@@ -15,14 +15,14 @@
 	return t.Sent == t.Served+t.Rejected+t.Failed+t.Disconnected+t.AtKilledFrontEnds
 }
 
-// String is the tally in a line, as reports print it.
+// String returns the tally on one line, as reports print it.
 func (t Tally) String() string {
 	return fmt.Sprintf("asked %d = served %d + refused %d + failed %d + left %d + at killed front ends %d; %d attempts, "+
 		"%d runs, %d orders", t.Sent, t.Served, t.Rejected, t.Failed, t.Disconnected, t.AtKilledFrontEnds, t.Attempts,
 		t.Executions, t.LoadOrders)
 }
 
-// Add adds another tally.
+// Add adds the counts of another tally.
 func (t *Tally) Add(x Tally) {
 	t.Sent += x.Sent
 	t.Served += x.Served
