--- a/lab/loadgen/arrivals.go
+++ b/lab/loadgen/arrivals.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// ErrArrivals is wrapped by every error about a file of arrivals.
+// ErrArrivals is wrapped by every error about recorded arrivals.
 var ErrArrivals = errors.New("arrivals")
 
-// arrivalWords is the number of words of a recorded arrival.
-const arrivalWords = 5
+// arrivalFieldCount is the number of fields on the line of a recorded arrival.
+const arrivalFieldCount = 5
 
-// arrival is a request and its time.
+// arrival is a request and the time at which its client sends it.
 type arrival struct {
 	at      time.Duration
 	request Request
 }
 
-// ParseArrivals reads recorded arrivals, one a line: milliseconds since the start, class, function, tenant (- for
-// none) and milliseconds of work. A comment runs from #. Everything else of the requests is as in m. It returns a
-// function that returns them one after another, as Source.Next does, and their number. Errors name the line; all are
-// reported at once. They wrap ErrArrivals.
+// ParseArrivals parses recorded arrivals in ascending order of time. Each line names the milliseconds since the start,
+// the class, the function, the tenant (- for none) and the milliseconds of work; # begins a comment. The other fields
+// of the requests are taken from mix. ParseArrivals returns a function that yields the arrivals one after another, as
+// Source.Next does, and their number. The error wraps ErrArrivals and reports every faulty line with its number.
 func ParseArrivals(name, text string, mix Mix) (next func() (time.Duration, Request, bool), count int, err error) {
 	var list []arrival
 	var errs []error
@@ -35,13 +35,13 @@
 		}
 		a, err := parseArrival(words)
 		if err == nil && len(list) > 0 && a.at < list[len(list)-1].at {
-			err = fmt.Errorf("%v is before the line above", a.at)
+			err = fmt.Errorf("%v is earlier than the previous arrival", a.at)
 		}
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s:%d: %w", name, i+1, err))
 			continue
 		}
-		a.request.complete(len(list)+1, mix)
+		a.request.fillFromMix(len(list)+1, mix)
 		list = append(list, a)
 	}
 	if len(errs) > 0 {
@@ -50,7 +50,7 @@
 	return replay(list), len(list), nil
 }
 
-// replay returns arrivals one after another.
+// replay returns a function that yields the arrivals one after another.
 func replay(list []arrival) func() (time.Duration, Request, bool) {
 	return func() (time.Duration, Request, bool) {
 		if len(list) == 0 {
@@ -62,20 +62,20 @@
 	}
 }
 
-// complete sets what a recorded arrival does not have.
-func (c *Request) complete(number int, m Mix) {
-	c.ID = fmt.Sprintf("c%d", number)
-	c.IdempotencyKey = fmt.Sprintf("k%d", number)
-	c.Timeout = m.Timeout
-	c.MemoryMB = m.MemoryMB
-	c.Concurrency = replicaConcurrency
-	c.LoadTime = m.LoadTime
-	c.RetryPolicy = m.RetryPolicy
-	c.Retries = m.Retries
+// fillFromMix sets the fields that the line of a recorded arrival does not name.
+func (r *Request) fillFromMix(number int, m Mix) {
+	r.ID = fmt.Sprintf("c%d", number)
+	r.IdempotencyKey = fmt.Sprintf("k%d", number)
+	r.Timeout = m.Timeout
+	r.MemoryMB = m.MemoryMB
+	r.Concurrency = replicaConcurrency
+	r.LoadTime = m.LoadTime
+	r.RetryPolicy = m.RetryPolicy
+	r.Retries = m.Retries
 }
 
 func parseArrival(words []string) (arrival, error) {
-	if len(words) != arrivalWords {
+	if len(words) != arrivalFieldCount {
 		return arrival{}, fmt.Errorf("found %d words; allowed: MILLISECONDS CLASS FUNCTION TENANT WORK-MILLISECONDS", len(words))
 	}
 	at, err := parseMillis(words[0])
@@ -95,7 +95,7 @@
 
 func parseMillis(text string) (time.Duration, error) {
 	x, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(x >= 0 && x < 1e9) { // also not a number
+	if err != nil || !(x >= 0 && x < 1e9) { // the negated form also rejects NaN
 		return 0, fmt.Errorf("found %q; allowed: milliseconds, 0 or more", text)
 	}
 	return time.Duration(x * float64(time.Millisecond)), nil
--- a/lab/loadgen/request.go
+++ b/lab/loadgen/request.go
@@ -1,5 +1,5 @@
-// Package loadgen decides what clients ask for and when: arrivals, mixes of functions, timeouts and retries. It is pure
-// and seeded, so that the same clients run in real and in virtual time.
+// Package loadgen generates the requests of clients: arrival times, mixes of functions, timeouts and retries. It reads
+// no clock and draws from a seeded generator, so that the same requests can be sent in real and in virtual time.
 package loadgen
 
 import "time"
@@ -8,53 +8,55 @@
 type Request struct {
 	ID, Function, Class, Tenant string
 	IdempotencyKey              string
-	Timeout                     time.Duration // of the client
-	Work                        time.Duration // that the worker is to do
-	ResponseBytes               int           // that the worker is to respond with
-	PaddingBytes                int           // added to the request's body
-	MemoryMB                    float64       // of a replica
-	Concurrency                 int           // of a replica
-	LoadTime                    time.Duration // of a replica
-	DisconnectAfter             time.Duration // the client closes the connection then; 0: it does not
+	Timeout                     time.Duration // client's timeout
+	Work                        time.Duration // work of the request at the worker
+	ResponseBytes               int           // size of the response's body
+	PaddingBytes                int           // bytes added to the request's body
+	MemoryMB                    float64       // memory of each replica
+	Concurrency                 int           // concurrency of each replica
+	LoadTime                    time.Duration // time to load a replica
+	DisconnectAfter             time.Duration // time after which the client closes the connection; 0 means never
 	RetryPolicy                 RetryPolicy
-	Retries                     int // at most
+	Retries                     int // maximum number of retries
 }
 
-// RetryPolicy is a client's retry policy. Its values are the words of experiment files.
+// RetryPolicy is a client's retry policy. Its values are the words that experiment files use. Only RetryAlways retries
+// requests that were neither rejected nor unreachable.
 type RetryPolicy string
 
 // The retry policies.
 const (
 	RetryNever       RetryPolicy = "never"
-	RetryAtOnce      RetryPolicy = "at-once"  // retries a rejected request at once, whatever it was advised
-	RetryWithBackoff RetryPolicy = "wait"     // retries a rejected request with a backoff of its own
-	RetryAsAdvised   RetryPolicy = "advised"  // retries a rejected request when it is advised to
-	RetryAlways      RetryPolicy = "impolite" // retries at once, also after failures that may have executed; for retry storms
+	RetryAtOnce      RetryPolicy = "at-once" // retries immediately, whatever delay the response advises
+	RetryWithBackoff RetryPolicy = "wait"    // retries with an exponential backoff, whatever delay the response advises
+	RetryAsAdvised   RetryPolicy = "advised" // retries after the delay that the response advises
+	// RetryAlways retries immediately, even after a failure that may have executed; it makes retry storms.
+	RetryAlways RetryPolicy = "impolite"
 )
 
-// Outcomes of a request that a retry depends on.
+// Outcomes of a request that decide about a retry.
 const (
 	outcomeServed      = "served"
 	outcomeRejected    = "refused"
 	outcomeUnreachable = "unreachable"
 )
 
-// The backoff of Wait doubles from firstBackoff on, maxBackoffDoublings times at most.
+// The backoff of RetryWithBackoff starts at firstBackoff and doubles with each retry, up to maxBackoffDoublings times.
 const (
 	firstBackoff        = 50 * time.Millisecond
 	maxBackoffDoublings = 6
 )
 
-// Retry reports whether a client retries after an attempt, from 0, with an outcome, and after which wait. retryAfter
-// is what the response advised.
-func (c *Request) Retry(attempt int, outcome string, retryAfter time.Duration) (wait time.Duration, retry bool) {
-	if attempt >= c.Retries || outcome == outcomeServed {
+// Retry reports whether the client retries after an attempt with the given outcome, and how long it waits before that.
+// Attempts are counted from 0. retryAfter is the delay that the response advised.
+func (r *Request) Retry(attempt int, outcome string, retryAfter time.Duration) (wait time.Duration, retry bool) {
+	if attempt >= r.Retries || outcome == outcomeServed {
 		return 0, false
 	}
 	if outcome != outcomeRejected && outcome != outcomeUnreachable {
-		return 0, c.RetryPolicy == RetryAlways
+		return 0, r.RetryPolicy == RetryAlways
 	}
-	switch c.RetryPolicy {
+	switch r.RetryPolicy {
 	case RetryAtOnce, RetryAlways:
 		return 0, true
 	case RetryWithBackoff:
--- a/lab/loadgen/source.go
+++ b/lab/loadgen/source.go
@@ -11,33 +11,33 @@
 	"havencart/internal/config/gatewayconfig"
 )
 
-// Shape is how the rate of arrivals changes over a run. Its values are the words of experiment files.
+// Shape is how the arrival rate changes over a run. Its values are the words that experiment files use.
 type Shape string
 
 // The shapes.
 const (
 	Steady Shape = "steady"
-	Bursty Shape = "bursty" // for a fifth of each ten seconds twice the rate, else less, so that the mean holds
-	Ramp   Shape = "ramp"   // from a half to one and a half times the rate
-	Daily  Shape = "daily"  // a sine with one period, between 0.4 and 1.6 times the rate
+	Bursty Shape = "bursty" // twice the rate for 2 s of every 10 s and 0.75 of it otherwise, which keeps the mean
+	Ramp   Shape = "ramp"   // rises linearly from 0.5 to 1.5 times the rate
+	Daily  Shape = "daily"  // one sine period between 0.4 and 1.6 times the rate, lowest at the start and the end
 )
 
-// Mix is what clients ask for.
+// Mix describes the requests of all clients.
 type Mix struct {
-	Rate               float64 // requests a second in all, the mean of the run
+	Rate               float64 // requests per second of all clients, mean over the run
 	Shape              Shape
-	Functions          int           // of each class, with popularity by Zipf's law
-	Zipf               float64       // its exponent, above 1; 0: 1.3
-	RequestedOnceShare float64       // share of requests for functions that are requested once only
-	Drift              time.Duration // after each of these, a fifth of the functions are replaced by others; 0: never
+	Functions          int           // number of functions of each class; their popularity follows Zipf's law
+	Zipf               float64       // exponent of Zipf's law, above 1; 0 means 1.3
+	RequestedOnceShare float64       // fraction of requests for functions requested only once
+	Drift              time.Duration // interval at which another fifth of the functions is replaced; 0 means never
 	Work               time.Duration // mean of the work of a request
-	WorkSigma          float64       // of its lognormal distribution
-	LoadTime           time.Duration // of a replica
-	MemoryMB           float64       // of a replica
-	ResponseBytes      int           // bytes of a response at most, distributed evenly
-	Timeout            time.Duration // timeout of a client at most; drawn from half of it up
+	WorkSigma          float64       // sigma of the lognormal distribution of the work
+	LoadTime           time.Duration // time to load a replica
+	MemoryMB           float64       // memory of each replica
+	ResponseBytes      int           // upper bound of the size of a response's body, which is distributed uniformly from 0
+	Timeout            time.Duration // upper bound of a client's timeout, which is distributed uniformly from half of it
 	RetryPolicy        RetryPolicy
-	Retries            int
+	Retries            int // maximum number of retries of a request
 
 	OwnFunctions bool // each tenant requests functions of its own
 }
@@ -46,8 +46,8 @@
 	defaultZipf        = 1.3
 	zipfOffset         = 2
 	replicaConcurrency = 2
-	randomStream       = 0x6c6f6164 // of the source's generator, beside those with the same seed
-	driftParts         = 5          // functions of one part in these change with each drift
+	randomStream       = 0x6c6f6164 // PCG stream of the source, unlike that of other generators with the same seed
+	driftParts         = 5          // number of parts of the functions, of which each drift replaces one
 )
 
 // Source draws the requests of a Mix one after another.
@@ -56,17 +56,18 @@
 	duration time.Duration
 	classes  []string
 	tenants  []string
-	shares   []float64 // of the tenants
+	shares   []float64 // relative shares of the tenants in the requests
 	rng      *rand.Rand
 	zipf     *rand.Zipf
-	time     time.Duration // of the last arrival
-	count    int           // of requests drawn
+	time     time.Duration // time of the last arrival
+	count    int           // number of requests drawn
 
 	mu     sync.Mutex
 	demand Demand
 }
 
-// NewSource returns the requests of a run of some duration. Tenants have the given shares of them.
+// NewSource returns a Source for a run of the given duration. Each request has a class chosen uniformly and a tenant
+// chosen by shares, which has one entry per tenant and need not add up to 1.
 func NewSource(m Mix, duration time.Duration, classes, tenants []string, shares []float64, seed uint64) *Source {
 	rng := rand.New(rand.NewPCG(seed, randomStream))
 	return &Source{
@@ -81,7 +82,7 @@
 	}
 }
 
-// ForSettings returns the requests of a run for the classes and tenants of a front end's settings.
+// ForSettings returns a Source for a run of the given duration with the classes and tenants of a front end's settings.
 func ForSettings(m Mix, duration time.Duration, settings *gatewayconfig.Settings, seed uint64) *Source {
 	var classes, tenants []string
 	var shares []float64
@@ -94,8 +95,9 @@
 	return NewSource(m, duration, classes, tenants, shares, seed)
 }
 
-// Next draws the next request and its time; false when the run is over. Arrivals are a Poisson process that does not
-// wait for responses, so that a slow server is not spared. It may be called while Change is.
+// Next draws the next request and its arrival time; more is false when the run is over. Arrivals are a Poisson process
+// that does not wait for responses (open loop), so that a slow server does not lower its own load. Next and Change may
+// be called concurrently.
 func (s *Source) Next() (at time.Duration, request Request, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,11 +109,11 @@
 	}
 }
 
-// drawRequest draws a request, also of a tenant that is silent. The order of the random draws decides what a seed
-// gives.
+// drawRequest draws a request, which may be of a silent tenant. The order of the random draws must not change, because
+// it determines the requests that a seed yields.
 func (s *Source) drawRequest() (time.Duration, Request, bool) {
 	mix := &s.mix
-	floods, flood := s.floodShares()
+	floodByTenant, flood := s.floodShares()
 	rate := mix.Rate * s.relativeRate(s.time) * s.demand.RateFactor
 	s.time += time.Duration(s.rng.ExpFloat64() / (rate * (1 + flood)) * float64(time.Second))
 	if s.time >= s.duration {
@@ -138,7 +140,7 @@
 	if len(s.tenants) > 0 {
 		shares := s.shares
 		if s.rng.Float64() < flood/(1+flood) {
-			shares = floods
+			shares = floodByTenant
 		}
 		request.Tenant = s.drawTenant(shares)
 	}
@@ -166,7 +168,7 @@
 	once := s.mix.RequestedOnceShare + d.ScanShare
 	switch x := s.rng.Float64(); {
 	case x < once:
-		return s.functionRequestedOnce(class)
+		return s.uniqueFunction(class)
 	case x < once+d.HotShare:
 		return fmt.Sprintf("%s-hot-%d-%d", class, d.HotSpell, s.rng.IntN(max(1, d.HotFunctions)))
 	}
@@ -180,12 +182,12 @@
 	return fmt.Sprintf("%s-%d", class, rank)
 }
 
-// functionRequestedOnce is a function that no other request is for.
-func (s *Source) functionRequestedOnce(class string) string {
+// uniqueFunction returns the name of a function that no other request is for.
+func (s *Source) uniqueFunction(class string) string {
 	return fmt.Sprintf("%s-once-%d", class, s.count)
 }
 
-// drawTenant draws a tenant by shares.
+// drawTenant draws a tenant with a probability proportional to its share.
 func (s *Source) drawTenant(shares []float64) string {
 	total := 0.0
 	for _, x := range shares {
@@ -206,7 +208,7 @@
 	burstLength = 2 * time.Second
 )
 
-// relativeRate is the rate at a time, relative to the mean rate.
+// relativeRate returns the arrival rate at the given time, relative to the mean rate.
 func (s *Source) relativeRate(at time.Duration) float64 {
 	elapsed := float64(at) / float64(max(1, s.duration))
 	switch s.mix.Shape {
