--- a/lab/loadgen/demand.go
+++ b/lab/loadgen/demand.go
@@ -13,7 +13,7 @@
 	RateFactor      float64                 // factor on the arrival rate
 	HotShare        float64                 // fraction of requests for hot functions, which nothing requested before
 	HotFunctions    int                     // number of hot functions of each class
-	HotSpell        int                     // number of the hot period; each period has hot functions of its own
+	HotPeriod       int                     // number of the hot period; each period has hot functions of its own
 	ScanShare       float64                 // fraction of requests for functions requested only once, added to the Mix's
 	TimeoutFactor   float64                 // factor on clients' timeouts
 	WorkFactor      float64                 // factor on the work of requests
--- a/lab/loadgen/source.go
+++ b/lab/loadgen/source.go
@@ -170,7 +170,7 @@
 	case x < once:
 		return s.uniqueFunction(class)
 	case x < once+d.HotShare:
-		return fmt.Sprintf("%s-hot-%d-%d", class, d.HotSpell, s.rng.IntN(max(1, d.HotFunctions)))
+		return fmt.Sprintf("%s-hot-%d-%d", class, d.HotPeriod, s.rng.IntN(max(1, d.HotFunctions)))
 	}
 	rank := s.zipf.Uint64()
 	if s.mix.Drift > 0 {
--- a/lab/loadgen/source_test.go
+++ b/lab/loadgen/source_test.go
@@ -100,7 +100,7 @@
 }
 
 func TestChange_HotAndScan_UseNewFunctions(t *testing.T) {
-	times, requests := drawWithDemandChange(t, func(d *Demand) { d.HotShare, d.HotFunctions, d.HotSpell, d.ScanShare = 0.3, 2, 1, 0.2 },
+	times, requests := drawWithDemandChange(t, func(d *Demand) { d.HotShare, d.HotFunctions, d.HotPeriod, d.ScanShare = 0.3, 2, 1, 0.2 },
 		func(d *Demand) { d.HotShare, d.ScanShare = 0, 0 })
 	names := map[string]int{}
 	hot, after := countMatching(times, requests, func(c Request) bool {
--- a/lab/scenario/demand_faults.go
+++ b/lab/scenario/demand_faults.go
@@ -45,7 +45,7 @@
 		func(d *loadgen.Demand) {
 			d.HotShare = f.Share
 			d.HotFunctions = f.Number
-			d.HotSpell++
+			d.HotPeriod++
 		},
 		func(d *loadgen.Demand) { d.HotShare = 0 })
 }
