--- a/lab/measure/benchmark.go
+++ b/lab/measure/benchmark.go
@@ -33,12 +33,12 @@
 	requestTimeout     = time.Minute
 )
 
-// benchmark is the installation that is measured.
+// benchmark is an installation with all routes that are compared.
 type benchmark struct {
 	cfg          Config
-	routes       []*Route // direct, proxy, gateway
+	routes       []*Route // direct, proxy and gateway, in this order
 	discoveryURL string
-	cleanups     []func() // called in reverse order
+	cleanups     []func() // functions that close calls, in reverse order
 }
 
 func (b *benchmark) gatewayRoute() *Route { return b.routes[2] }
@@ -51,7 +51,8 @@
 
 func (b *benchmark) addCleanup(f func()) { b.cleanups = append(b.cleanups, f) }
 
-// start starts workers with a socket and an HTTP handler each, discovery, the proxy and the gateway.
+// start starts the workers, discovery, the proxy and the gateway. Each worker listens for the worker protocol and for
+// direct HTTP requests.
 func (b *benchmark) start() error {
 	discovery, err := discoveryserver.Start(loopback)
 	if err != nil {
@@ -72,19 +73,19 @@
 	if err != nil {
 		return err
 	}
-	gate, err := b.gateway(b.discoveryURL, settings)
+	service, err := b.gateway(b.discoveryURL, settings)
 	if err != nil {
 		return err
 	}
 	b.routes = []*Route{
 		{Name: "direct", Address: direct},
 		{Name: "proxy", Address: []string{proxy}},
-		{Name: "gateway", Address: []string{gate.Address()}},
+		{Name: "gateway", Address: []string{service.Address()}},
 	}
 	return nil
 }
 
-// discardObserver records nothing: a history would grow with each request.
+// discardObserver is a model.Observer that records nothing. A History would grow with each request.
 type discardObserver struct{}
 
 func (discardObserver) RequestReceived(*model.Worker, *model.Request)             {}
@@ -93,7 +94,8 @@
 func (discardObserver) LoadOrderReceived(*model.Worker, string, string, int)      {}
 func (discardObserver) WorkerCrashed(*model.Worker)                               {}
 
-// worker starts one emulated worker on a clock of its own, and returns it with the address of its HTTP handler.
+// worker starts one emulated worker with its own clock and function store. It also returns the address of the worker's
+// HTTP handler.
 func (b *benchmark) worker(i int) (*worker.Server, string, error) {
 	clock := model.NewRealClock()
 	store, err := functionstore.Start(clock, model.StoreConfig{Concurrency: 8, Limit: 40}, loopback)
@@ -136,7 +138,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = server.Serve(listener) // ends by Close
+		_ = server.Serve(listener) // returns once the server is closed
 	}()
 	b.addCleanup(func() {
 		_ = server.Close()
@@ -145,7 +147,7 @@
 	return listener.Addr().String(), nil
 }
 
-// httpHandler is the HTTP handler of an emulated worker: the same model, reached without the worker protocol.
+// httpHandler executes HTTP requests on the model of an emulated worker, without the worker protocol.
 type httpHandler struct {
 	clock  *model.RealClock
 	worker *worker.Server
@@ -176,12 +178,12 @@
 			out.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = out.Write(make([]byte, size)) // the client sees a response that was cut off
+		_, _ = out.Write(make([]byte, size)) // a write error shows at the client as a truncated response
 	case <-r.Context().Done():
 	}
 }
 
-// proxy starts the plain reverse proxy and returns its address.
+// proxy starts a plain reverse proxy to the workers, round robin, and returns its address.
 func (b *benchmark) proxy(workers []string) (string, error) {
 	var targets []*url.URL
 	for _, address := range workers {
@@ -194,7 +196,7 @@
 	return b.serve(&httputil.ReverseProxy{Transport: transport, Rewrite: rewrite})
 }
 
-// gateway starts a front end with settings.
+// gateway starts a front end with the given settings, which are added to those for discovery and event loops.
 func (b *benchmark) gateway(discoveryURL, settings string) (*gateway.Service, error) {
 	text := fmt.Sprintf("listen 127.0.0.1:0\ndirectory consul %s workers\nloops %d\nfront-ends %d\n%s", discoveryURL, b.cfg.Loops,
 		b.cfg.Loops, settings)
--- a/lab/measure/latency.go
+++ b/lab/measure/latency.go
@@ -15,25 +15,25 @@
 	"havencart/lab/worker"
 )
 
-// connection is one client's connection.
+// connection is a client's connection on a route, with the encoded request that the client repeats on it.
 type connection struct {
 	conn    net.Conn
 	in      *bufio.Reader
 	request []byte
 }
 
-// connect opens the i-th connection of a route.
-func (b *benchmark) connect(w *Route, i int) (*connection, error) {
-	c, err := net.Dial("tcp", w.Address[i%len(w.Address)])
+// connect opens the i-th connection of a route. Connections are spread over the addresses of the route.
+func (b *benchmark) connect(route *Route, i int) (*connection, error) {
+	c, err := net.Dial("tcp", route.Address[i%len(route.Address)])
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", w.Name, err)
+		return nil, fmt.Errorf("%s: %w", route.Name, err)
 	}
 	body := worker.Body(b.cfg.Work, b.cfg.ResponseBytes)
 	request := fmt.Appendf(nil, "POST /call/echo HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return &connection{c, bufio.NewReader(c), request}, nil
 }
 
-// roundTrip sends one request and reports whether it was served.
+// roundTrip sends one request, reads the response and reports whether the request was served.
 func (c *connection) roundTrip() (bool, error) {
 	if _, err := c.conn.Write(c.request); err != nil {
 		return false, err
@@ -51,7 +51,7 @@
 	significantDigits = 3
 )
 
-// latencies collects the latencies of several clients.
+// latencies collects the latencies of the requests of several clients. It is safe for concurrent use.
 type latencies struct {
 	mu     sync.Mutex
 	hist   *hdrhistogram.Histogram
@@ -69,26 +69,27 @@
 		l.errors++
 		return
 	}
-	_ = l.hist.RecordValue(int64(d)) // within the bounds: no request takes as long
+	_ = l.hist.RecordValue(int64(d)) // fails only above maxLatency, which no request reaches
 }
 
 func (l *latencies) quantile(percent float64) time.Duration {
 	return time.Duration(l.hist.ValueAtQuantile(percent)).Round(time.Microsecond)
 }
 
-// forEachConnection calls f for every connection of a route at once and returns the first error.
-func (b *benchmark) forEachConnection(w *Route, f func(i int, c *connection) error) error {
+// forEachConnection opens the connections of a route, calls f for all of them concurrently, waits and returns the first
+// error.
+func (b *benchmark) forEachConnection(route *Route, f func(i int, c *connection) error) error {
 	var tasks sync.WaitGroup
 	errs := make(chan error, b.cfg.Connections)
 	for i := range b.cfg.Connections {
 		tasks.Go(func() {
-			c, err := b.connect(w, i)
+			c, err := b.connect(route, i)
 			if err == nil {
 				err = f(i, c)
 				_ = c.conn.Close()
 			}
 			if err != nil {
-				errs <- fmt.Errorf("%s: %w", w.Name, err)
+				errs <- fmt.Errorf("%s: %w", route.Name, err)
 			}
 		})
 	}
@@ -97,12 +98,12 @@
 	return <-errs
 }
 
-// measureClosedLoop measures with clients that each wait for a response before the next request: the highest rate of
-// the route.
-func (b *benchmark) measureClosedLoop(ctx context.Context, w *Route, duration time.Duration) (Sample, error) {
+// measureClosedLoop measures a route with clients that each wait for a response before they send the next request. Its
+// rate is the highest that the route reaches with that many clients.
+func (b *benchmark) measureClosedLoop(ctx context.Context, route *Route, duration time.Duration) (Sample, error) {
 	l := newLatencies()
 	start, cpu := time.Now(), cpuTime()
-	err := b.forEachConnection(w, func(_ int, c *connection) error {
+	err := b.forEachConnection(route, func(_ int, c *connection) error {
 		for time.Since(start) < duration && ctx.Err() == nil {
 			sentAt := time.Now()
 			served, err := c.roundTrip()
@@ -125,16 +126,16 @@
 	return s, err
 }
 
-// measureOpenLoop measures at a fixed rate: each connection has its times to send, and a request that is sent late
-// because the one before it was slow is measured from its time, so that a slow route is not spared (coordinated
-// omission).
-func (b *benchmark) measureOpenLoop(ctx context.Context, w *Route, sample *Sample, rate float64) error {
+// measureOpenLoop measures a route at a fixed rate of requests per second and adds the result to sample. Each
+// connection has a schedule of times at which to send. The latency of a request counts from its scheduled time, even if
+// the request is sent late because the previous one was slow; this avoids coordinated omission.
+func (b *benchmark) measureOpenLoop(ctx context.Context, route *Route, sample *Sample, rate float64) error {
 	l := newLatencies()
-	gap := time.Duration(float64(time.Second) * float64(b.cfg.Connections) / rate)
+	interval := time.Duration(float64(time.Second) * float64(b.cfg.Connections) / rate)
 	start := time.Now()
-	err := b.forEachConnection(w, func(i int, c *connection) error {
-		due := start.Add(gap * time.Duration(i) / time.Duration(b.cfg.Connections))
-		for ; due.Sub(start) < b.cfg.Duration && ctx.Err() == nil; due = due.Add(gap) {
+	err := b.forEachConnection(route, func(i int, c *connection) error {
+		due := start.Add(interval * time.Duration(i) / time.Duration(b.cfg.Connections))
+		for ; due.Sub(start) < b.cfg.Duration && ctx.Err() == nil; due = due.Add(interval) {
 			time.Sleep(time.Until(due))
 			served, err := c.roundTrip()
 			if err != nil {
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure compares a front end with direct requests to the emulated workers and with a plain reverse proxy
-// (net/http/httputil, round robin) to the same workers, in one run on one machine: requests a second, latency, memory
-// of a connection. All of it runs in one process, clients and workers included, so that only ratios mean anything.
+// Package measure benchmarks a front end against direct requests to the emulated workers and against a plain reverse
+// proxy (net/http/httputil, round robin) to the same workers: requests per second, latency and memory of a connection.
+// Clients, front end and workers run in one process on one machine, so only the ratios of the results are meaningful.
 package measure
 
 import (
@@ -17,35 +17,35 @@
 // Config describes a measurement.
 type Config struct {
 	Workers       int
-	Connections   int           // of clients, each with one request in flight
-	Work          time.Duration // of a request at its worker
-	ResponseBytes int           // bytes of a response
-	Duration      time.Duration // of each measurement
+	Connections   int           // number of client connections, each with one request in flight
+	Work          time.Duration // work of a request at its worker
+	ResponseBytes int           // size of a response's body
+	Duration      time.Duration // duration of each measurement
 	Rounds        int
 	Loops         int // event loops of the front end
 }
 
-// Sample is one measurement of one route.
+// Sample is the result of one round of measurements of one route.
 type Sample struct {
-	Rate                     float64 // requests a second, clients waiting for each response
-	P50, P99, P999           time.Duration
-	HalfLoadP50, HalfLoadP99 time.Duration // quantiles in an open loop at half the slowest route's rate
+	Rate                     float64       // requests per second in a closed loop
+	P50, P99, P999           time.Duration // latency quantiles in a closed loop
+	HalfLoadP50, HalfLoadP99 time.Duration // latency quantiles in an open loop at half the slowest route's rate
 	HalfLoadP999             time.Duration
-	Errors                   int
-	CPUPerRequestMicros      float64 // processor time a request
+	Errors                   int     // requests that were not served, in both loops
+	CPUPerRequestMicros      float64 // processor time of the whole process per request in a closed loop
 }
 
 // Route is one route from a client to a worker.
 type Route struct {
 	Name    string
-	Address []string // clients are spread over them
+	Address []string // addresses that the connections are spread over
 	Samples []Sample
 }
 
-// settings are those of the front end: nothing is rejected, and each worker has one replica for all connections.
+// settings are the front end's settings. Nothing is rejected, and one replica at each worker serves all connections.
 const settings = "keep-alive 60s\nmax-calls 100000\nqueue 100000\nclass echo\naim 1s\ngive-up 5s\nrepeat safe\nlanes 64\nend\n"
 
-// Run measures the routes: direct, proxy, gateway. report is called with the progress.
+// Run measures the routes direct, proxy and gateway, and calls report with each result as text.
 func Run(ctx context.Context, cfg Config, report func(string)) ([]*Route, error) {
 	b := &benchmark{cfg: cfg}
 	defer b.close()
@@ -63,53 +63,56 @@
 	return b.routes, nil
 }
 
-// round measures each route with clients that wait, and then all at half the rate of the slowest.
+// round measures each route in a closed loop, and then each in an open loop at half the rate of the slowest route.
 func (b *benchmark) round(ctx context.Context, round int, report func(string)) error {
 	slowest := math.Inf(1)
-	for _, w := range b.routes {
-		s, err := b.measureClosedLoop(ctx, w, b.cfg.Duration)
+	for _, route := range b.routes {
+		s, err := b.measureClosedLoop(ctx, route, b.cfg.Duration)
 		if err != nil {
 			return err
 		}
-		w.Samples = append(w.Samples, s)
+		route.Samples = append(route.Samples, s)
 		slowest = min(slowest, s.Rate)
 	}
-	for _, w := range b.routes {
-		s := &w.Samples[round]
-		if err := b.measureOpenLoop(ctx, w, s, slowest/2); err != nil {
+	for _, route := range b.routes {
+		s := &route.Samples[round]
+		if err := b.measureOpenLoop(ctx, route, s, slowest/2); err != nil {
 			return err
 		}
 		report(fmt.Sprintf("round %d %-8s %8.0f/s p50 %v p99 %v p999 %v; half load p50 %v p99 %v p999 %v; errors %d", round+1,
-			w.Name, s.Rate, s.P50, s.P99, s.P999, s.HalfLoadP50, s.HalfLoadP99, s.HalfLoadP999, s.Errors))
+			route.Name, s.Rate, s.P50, s.P99, s.P999, s.HalfLoadP50, s.HalfLoadP99, s.HalfLoadP999, s.Errors))
 	}
 	return nil
 }
 
-// warmUp loads replicas, opens connections and lets averages settle.
+// warmUp sends requests on the routes, so that replicas are loaded and the gateway's averages have settled.
 func (b *benchmark) warmUp(ctx context.Context, routes ...*Route) error {
-	for _, w := range routes {
-		if _, err := b.measureClosedLoop(ctx, w, b.cfg.Duration/4); err != nil {
+	for _, route := range routes {
+		if _, err := b.measureClosedLoop(ctx, route, b.cfg.Duration/4); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Ratios compares the samples of two routes in pairs: the least ratio, the median, the greatest.
-func Ratios(a, b *Route, of func(Sample) float64) (least, median, greatest float64) {
+// Ratios returns the least, the median and the greatest ratio of a figure between the samples of two routes. Samples of
+// the same round are compared.
+func Ratios(a, b *Route, figure func(Sample) float64) (least, median, greatest float64) {
 	var ratios []float64
 	for i := range a.Samples {
-		ratios = append(ratios, of(a.Samples[i])/of(b.Samples[i]))
+		ratios = append(ratios, figure(a.Samples[i])/figure(b.Samples[i]))
 	}
 	slices.Sort(ratios)
 	return ratios[0], ratios[len(ratios)/2], ratios[len(ratios)-1]
 }
 
-// recovery is the time for which a stalled event loop is given to go on.
-const recovery = time.Second
+// stallMargin is how much longer than a measurement the event loop stalls. The next round begins after the same time,
+// so that the event loop has recovered.
+const stallMargin = time.Second
 
-// RejectionCost measures the processor time of a request that is served and of one that is rejected by an event loop that is
-// behind, in microseconds of the whole process, clients and workers included, in turn for each round.
+// RejectionCost measures the processor time of a served request and of a request that a lagging event loop rejects, and
+// calls report with both in each round. The times are in microseconds and are those of the whole process, clients and
+// workers included.
 func RejectionCost(ctx context.Context, cfg Config, report func(served, rejected float64)) error {
 	b := &benchmark{cfg: cfg}
 	defer b.close()
@@ -120,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	toStalled := &Route{Name: "refused", Address: []string{stalled.Address()}}
+	stalledRoute := &Route{Name: "refused", Address: []string{stalled.Address()}}
 	if err := b.warmUp(ctx, b.gatewayRoute()); err != nil {
 		return err
 	}
@@ -129,18 +132,19 @@
 		if err != nil {
 			return err
 		}
-		stalled.Stall(cfg.Duration + recovery) // one request waits in the queue, the others are rejected
-		rejected, err := b.measureClosedLoop(ctx, toStalled, cfg.Duration)
+		stalled.Stall(cfg.Duration + stallMargin) // one request waits in the queue, the others are rejected
+		rejected, err := b.measureClosedLoop(ctx, stalledRoute, cfg.Duration)
 		if err != nil {
 			return err
 		}
 		report(served.CPUPerRequestMicros, rejected.CPUPerRequestMicros)
-		time.Sleep(recovery)
+		time.Sleep(stallMargin)
 	}
 	return nil
 }
 
-// IdleMemory measures the memory of n idle connections to the gateway, both ends of each, in bytes a connection.
+// IdleMemory opens n connections to the gateway and returns the heap and stack memory of an idle connection in bytes,
+// averaged over them. Both ends of a connection are in this process and are included.
 func IdleMemory(ctx context.Context, cfg Config, n int) (heap, stack float64, err error) {
 	b := &benchmark{cfg: cfg}
 	defer b.close()
@@ -163,7 +167,7 @@
 			return 0, 0, err
 		}
 		conns = append(conns, c.conn)
-		if _, err := c.roundTrip(); err != nil { // it is idle after a request
+		if _, err := c.roundTrip(); err != nil { // the connection is idle after one request
 			return 0, 0, err
 		}
 	}
@@ -173,6 +177,7 @@
 	return heap, stack, nil
 }
 
+// memory returns the memory statistics after garbage collection.
 func memory() (m runtime.MemStats) {
 	runtime.GC()
 	runtime.GC()
--- a/lab/measure/overload.go
+++ b/lab/measure/overload.go
@@ -12,11 +12,11 @@
 	"havencart/lab/model"
 )
 
-// Point is what a whole installation behind sockets did at a multiple of its workers' capacity.
+// Point is the measurement of an installation at one offered load.
 type Point struct {
-	Factor     float64
-	Offered    float64 // requests a second
-	Goodput    float64 // goodput: priority weight of responses in time, a second
+	Factor     float64 // offered load as a multiple of the workers' capacity
+	Offered    float64 // offered load in requests per second
+	Goodput    float64 // priority weight per second that responses earned, late ones less than those in time
 	Tally      invariant.Tally
 	Violations []invariant.Violation
 }
@@ -25,18 +25,20 @@
 type OverloadConfig struct {
 	Factors            []float64
 	Workers, FrontEnds int
-	Work               time.Duration // of a request, mean
-	Duration           time.Duration // at each factor; the first quarter, in which replicas load, does not count
-	Seed               uint64
+	Work               time.Duration // mean work of a request
+	// Duration is the length of each measurement. Goodput leaves out the first quarter, in which replicas load.
+	Duration time.Duration
+	Seed     uint64
 }
 
 const (
-	overloadCores = 2 // of each worker
+	overloadCores = 2 // cores of each worker
 	overloadCells = 2
 )
 
-// Overload measures each factor on an installation of its own: emulated workers of two cores, clients that do not
-// retry, three classes. The front ends are real, behind sockets. report is called with each measurement.
+// Overload measures an installation at each factor of the workers' capacity and calls report with each measurement.
+// Every measurement has an installation of its own: emulated workers of two cores, real front ends behind sockets,
+// clients that do not retry, and three classes.
 func Overload(ctx context.Context, cfg OverloadConfig, report func(Point)) error {
 	capacity := overloadCores * float64(cfg.Workers) / cfg.Work.Seconds()
 	for _, factor := range cfg.Factors {
@@ -49,7 +51,7 @@
 	return nil
 }
 
-// point measures one factor. rate is in requests a second.
+// point measures an installation at one factor, which is equal to rate requests per second.
 func (cfg OverloadConfig) point(ctx context.Context, factor, rate float64) (Point, error) {
 	w := fleet.DemoWorker()
 	w.Cores = overloadCores
@@ -83,7 +85,7 @@
 	return p, ctx.Err()
 }
 
-// mix is what the clients ask for.
+// mix returns the requests of the clients at a rate in requests per second.
 func (cfg OverloadConfig) mix(rate float64) loadgen.Mix {
 	return loadgen.Mix{
 		Rate:          rate,
