--- a/lab/faultproxy/copy.go
+++ b/lab/faultproxy/copy.go
@@ -7,26 +7,27 @@
 	"sync"
 )
 
-// bufferSize is what one read forwards at most, in bytes.
+// bufferSize is the maximum size of one read, in bytes.
 const bufferSize = 16 << 10
 
-// copyForward forwards what who connects sends, and gives it to the tap.
-func (p *Proxy) copyForward(far, near *net.TCPConn) {
+// copyForward forwards the data that the client sends to the target and also writes it to the tap.
+func (p *Proxy) copyForward(target, client *net.TCPConn) {
 	var tap io.Writer
 	if p.tap != nil {
 		tapped := p.tap()
 		defer func() { _ = tapped.Close() }()
 		tap = tapped
 	}
-	p.copy(far, near, p.forward, tap)
+	p.copy(target, client, p.forward, tap)
 }
 
-// maxBufferedChunks bounds what is read from one side and not forwarded yet; beyond, it is not read.
+// maxBufferedChunks is the number of reads that are buffered in one direction. While the buffer is full, the source is
+// not read.
 const maxBufferedChunks = 256
 
-// copy forwards one direction of a connection. What is held back by a stall is read nevertheless, as by a network that has
-// it under way. When the source ends, the destination's writing side is closed after all was forwarded; any failure
-// resets both.
+// copy forwards one direction of a connection. It reads from the source even while the direction is stalled, as a
+// network does that has data in flight. After the source's end of file and the forwarding of all data, it closes the
+// destination's writing side. On any failure it resets both sides.
 func (p *Proxy) copy(to, from *net.TCPConn, direction *gate, tap io.Writer) {
 	chunks := make(chan []byte, maxBufferedChunks)
 	var reading sync.WaitGroup
@@ -50,11 +51,12 @@
 	}
 	reset(to)
 	reset(from)
-	for range chunks { // releases the reading goroutine
+	for range chunks { // unblocks the reading goroutine
 	}
 }
 
-// readChunks reads until the source ends, and returns why it did.
+// readChunks sends the data of the source to chunks and writes it to tap, unless that is nil. It returns the error that
+// ended the reading, io.EOF at the end of the data.
 func readChunks(from *net.TCPConn, tap io.Writer, chunks chan<- []byte, done <-chan struct{}) error {
 	buffer := make([]byte, bufferSize)
 	for {
--- a/lab/faultproxy/gate.go
+++ b/lab/faultproxy/gate.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// gate is open or closed. Whoever waits at it goes on once it is open.
+// gate blocks the goroutines that wait at it while it is closed.
 type gate struct {
 	mu     sync.Mutex
 	opened chan struct{} // closed while the gate is open
@@ -14,7 +14,6 @@
 	return g
 }
 
-// close closes the gate.
 func (g *gate) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,7 +22,6 @@
 	}
 }
 
-// open opens the gate.
 func (g *gate) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -32,7 +30,7 @@
 	}
 }
 
-// isOpen tells whether the gate is open. The lock is held.
+// isOpen reports whether the gate is open. The caller holds the lock.
 func (g *gate) isOpen() bool {
 	select {
 	case <-g.opened:
@@ -42,7 +40,8 @@
 	}
 }
 
-// whenOpen returns a channel that is closed while the gate is open, or once it is opened next.
+// whenOpen returns a channel that is closed once the gate is open. If the gate is open now, the channel is closed
+// already.
 func (g *gate) whenOpen() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/lab/faultproxy/hold.go
+++ b/lab/faultproxy/hold.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// fillTimeout is how long a connection that fills the backlog is waited for.
+// fillTimeout is the time within which a filler connection must be established; if it is not, the backlog is full.
 const fillTimeout = 50 * time.Millisecond
 
-// maxHoldTries is how often it is tried to fill the backlog.
-const maxHoldTries = 10
+// maxHoldAttempts is the number of attempts to fill the backlog.
+const maxHoldAttempts = 10
 
 // listenBacklog is the backlog of the listener while connections are not held back.
 const listenBacklog = 512
 
-// fillerIP is from where the connections come that only fill the backlog.
+// fillerIP is the source address of filler connections, by which the accepting goroutine recognizes them.
 var fillerIP = net.IPv4(127, 0, 0, 77)
 
-// isFiller tells whether a connection only fills the backlog.
+// isFiller reports whether a connection is a filler, which only takes a place in the backlog.
 func isFiller(conn *net.TCPConn) bool { return conn.RemoteAddr().(*net.TCPAddr).IP.Equal(fillerIP) }
 
-// HoldConnects holds back new connections: their SYNs are dropped, so that they come up when the system sends the SYN
-// again after ReleaseConnects, or time out. Connections that exist go on. Several holds may overlap: each is to be
-// released.
+// HoldConnects holds back new connections. It fills the listener's backlog, so that the system drops further SYNs; a
+// connection is established when its SYN is sent again after ReleaseConnects, or it times out. Existing connections are
+// not affected. Holds may overlap: connections are held back until each HoldConnects has its ReleaseConnects.
 func (p *Proxy) HoldConnects() error {
 	p.holding.Lock()
 	defer p.holding.Unlock()
@@ -37,32 +37,33 @@
 	if err := p.setBacklog(0); err != nil {
 		return err
 	}
-	for range maxHoldTries {
-		isAccepted, err := p.fill() // releases the accepting goroutine from its accept
+	for range maxHoldAttempts {
+		isAccepted, err := p.fill() // makes the accepting goroutine return from its accept
 		if err != nil {
 			return err
 		}
 		if !isAccepted {
-			continue // it was busy with connections that came up before
+			continue // the accepting goroutine was busy with connections that were established earlier
 		}
 		select {
 		case <-p.parked:
 		case <-p.done:
 			return net.ErrClosed
 		}
-		isFull, err := p.fill() // and this one fills the backlog
+		isFull, err := p.fill() // takes the only place in the backlog
 		if err != nil || isFull {
 			return err
 		}
-		p.acceptMore() // a connection that came up before has the place: it is served
+		p.acceptMore() // lets a connection be served that was established earlier and has the place
 	}
 	return errCannotHold
 }
 
-// errCannotHold is returned if connections come up faster than the backlog can be filled.
-var errCannotHold = errors.New("fault proxy: the backlog cannot be filled")
+// errCannotHold is returned if connections are established faster than the backlog can be filled.
+var errCannotHold = errors.New("fault proxy: cannot fill the backlog")
 
-// acceptMore releases the accepting goroutine from the gate until it has accepted a connection that fills the backlog.
+// acceptMore lets the accepting goroutine pass the closed gate once. It waits there again after it has accepted another
+// filler.
 func (p *Proxy) acceptMore() {
 	select {
 	case p.more <- struct{}{}:
@@ -70,8 +71,8 @@
 	}
 }
 
-// fill makes a connection that only takes a place in the backlog. It returns false if there is none: a connection that
-// came up before has it.
+// fill opens a filler connection. It returns false if the connection was not established in time, because earlier
+// connections have taken the backlog.
 func (p *Proxy) fill() (filled bool, err error) {
 	dialer := net.Dialer{Timeout: fillTimeout, LocalAddr: &net.TCPAddr{IP: fillerIP}}
 	conn, err := dialer.Dial("tcp", p.Address())
@@ -87,7 +88,7 @@
 	return true, nil
 }
 
-// ReleaseConnects ends HoldConnects.
+// ReleaseConnects ends one HoldConnects. With the last one, new connections are accepted again.
 func (p *Proxy) ReleaseConnects() error {
 	p.holding.Lock()
 	defer p.holding.Unlock()
@@ -106,7 +107,7 @@
 	return err
 }
 
-// setBacklog changes how many connections the system completes before they are accepted.
+// setBacklog changes the listener's backlog, the number of established connections that may wait to be accepted.
 func (p *Proxy) setBacklog(backlog int) error {
 	raw, err := p.listener.SyscallConn()
 	if err != nil {
--- a/lab/faultproxy/proxy.go
+++ b/lab/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a TCP proxy on loopback that stands for the network between two processes. It can hold back new
-// connections as a network does that loses their first packets, stop what is under way in either direction, and reset
+// Package faultproxy provides a TCP proxy on loopback that injects network faults between two processes. It can hold
+// back new connections, as a network does that loses their SYNs, stall the data of either direction, and reset
 // connections.
 package faultproxy
 
@@ -11,40 +11,40 @@
 	"sync"
 )
 
-// maxNotedAccepts bounds the connections that Accepted has not told yet.
-const maxNotedAccepts = 64
+// acceptedBuffer is the number of accepted connections that the channel of Accepted buffers.
+const acceptedBuffer = 64
 
-// Proxy forwards each connection that is made to it to its target. Its methods may be called from any goroutine.
+// Proxy forwards every connection from a client to its target. It is safe for concurrent use.
 type Proxy struct {
 	target   string
 	tap      Tap
 	listener *net.TCPListener
 	done     chan struct{}
-	accepts  *gate
-	forward  *gate // from who connects to the target
-	backward *gate
-	parked   chan struct{} // receives when the accepting goroutine waits at the closed gate
-	more     chan struct{} // releases it from the gate while that stays closed
-	accepted chan struct{}
+	accepts  *gate         // closed while new connections are held back
+	forward  *gate         // closed while data from clients to the target is stalled
+	backward *gate         // closed while data from the target to clients is stalled
+	parked   chan struct{} // signals that the accepting goroutine waits at the closed accepts gate
+	more     chan struct{} // lets the accepting goroutine pass the accepts gate while the gate stays closed
+	accepted chan struct{} // channel that Accepted returns
 	tasks    sync.WaitGroup
 
-	holding sync.Mutex // held while connections begin or end to be held back
-	holds   int
+	holding sync.Mutex // serializes HoldConnects and ReleaseConnects
+	holds   int        // number of HoldConnects without a ReleaseConnects
 
 	mu          sync.Mutex
-	connections map[*net.TCPConn]bool // both sides
-	fillers     []net.Conn            // fill the backlog while connections are held back
+	connections map[*net.TCPConn]bool // open connections to clients and to the target
+	fillers     []net.Conn            // fill the backlog while new connections are held back
 	closeOnce   sync.Once
 }
 
-// Tap returns, for each connection, a writer that is given what who connects sends, as soon as it is read, and is closed at
-// the connection's end. Its errors are ignored.
+// Tap is called for each connection and returns a writer. The proxy writes to it the data that the client sends, as soon
+// as it reads them, and closes the writer at the end of the connection. Errors of the writer are ignored.
 type Tap func() io.WriteCloser
 
-// Start starts a proxy to a target (host:port).
+// Start starts a proxy to a target, given as host:port.
 func Start(target string) (*Proxy, error) { return StartWithTap(target, nil) }
 
-// StartWithTap starts a proxy to a target (host:port) whose connections are tapped; nil taps none.
+// StartWithTap starts a proxy to a target, given as host:port, and taps its connections unless tap is nil.
 func StartWithTap(target string, tap Tap) (*Proxy, error) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -60,32 +60,33 @@
 		backward:    newOpenGate(),
 		parked:      make(chan struct{}, 1),
 		more:        make(chan struct{}),
-		accepted:    make(chan struct{}, maxNotedAccepts),
+		accepted:    make(chan struct{}, acceptedBuffer),
 		connections: map[*net.TCPConn]bool{},
 	}
 	p.tasks.Go(p.accept)
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Accepted receives for each connection that came up, but for those that nobody received in time.
+// Accepted returns a channel that receives a value for each accepted connection. Values are dropped while the channel's
+// buffer is full.
 func (p *Proxy) Accepted() <-chan struct{} { return p.accepted }
 
-// StallForward stops what who connects sends to the target, until ResumeForward; connections stay open.
+// StallForward holds back the data that clients send to the target until ResumeForward. Connections stay open.
 func (p *Proxy) StallForward() { p.forward.close() }
 
-// ResumeForward ends StallForward: what was held back is delivered.
+// ResumeForward ends StallForward and delivers the data that was held back.
 func (p *Proxy) ResumeForward() { p.forward.open() }
 
-// StallBackward stops what the target sends, until ResumeBackward; connections stay open.
+// StallBackward holds back the data that the target sends to clients until ResumeBackward. Connections stay open.
 func (p *Proxy) StallBackward() { p.backward.close() }
 
-// ResumeBackward ends StallBackward: what was held back is delivered.
+// ResumeBackward ends StallBackward and delivers the data that was held back.
 func (p *Proxy) ResumeBackward() { p.backward.open() }
 
-// ResetConnections resets all connections, on both sides.
+// ResetConnections resets all connections, both to clients and to the target.
 func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +95,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy, resets its connections and waits for its goroutines.
 func (p *Proxy) Close() {
 	p.closeOnce.Do(func() {
 		close(p.done)
@@ -109,8 +110,8 @@
 	p.tasks.Wait()
 }
 
-// accept forwards each connection. While connections are held back, it waits at the gate once it has accepted one that
-// fills the backlog: those that came up before are served.
+// accept serves each connection, and resets fillers. Once it has accepted a filler while connections are held back, it
+// waits at the accepts gate; connections that were established before the filler are served.
 func (p *Proxy) accept() {
 	for {
 		conn, err := p.listener.AcceptTCP()
@@ -122,7 +123,7 @@
 		case !isFiller(conn):
 			p.noteAccepted()
 			p.tasks.Go(func() { p.serve(conn) })
-		case !p.awaitGate():
+		case !p.awaitAccepts():
 			reset(conn)
 			return
 		default:
@@ -131,8 +132,9 @@
 	}
 }
 
-// awaitGate waits until connections are accepted, and notes that it waits. It returns false once the proxy ends.
-func (p *Proxy) awaitGate() bool {
+// awaitAccepts waits until the accepts gate is open or acceptMore is called, and signals on parked that it waits. It
+// returns false if the proxy is closed first.
+func (p *Proxy) awaitAccepts() bool {
 	opened := p.accepts.whenOpen()
 	select {
 	case <-opened:
@@ -153,7 +155,7 @@
 	}
 }
 
-// noteAccepted tells Accepted of a connection, unless nobody received the ones before.
+// noteAccepted sends a value to the channel of Accepted, unless its buffer is full.
 func (p *Proxy) noteAccepted() {
 	select {
 	case p.accepted <- struct{}{}:
@@ -161,28 +163,28 @@
 	}
 }
 
-// serve forwards one connection until either side ends it.
-func (p *Proxy) serve(near *net.TCPConn) {
-	defer p.forget(near)
-	if !p.track(near) {
+// serve forwards one connection until both directions have ended or either has failed.
+func (p *Proxy) serve(client *net.TCPConn) {
+	defer p.forget(client)
+	if !p.track(client) {
 		return
 	}
 	conn, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	far := conn.(*net.TCPConn)
-	defer p.forget(far)
-	if !p.track(far) {
+	target := conn.(*net.TCPConn)
+	defer p.forget(target)
+	if !p.track(target) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.copyForward(far, near) })
-	both.Go(func() { p.copy(near, far, p.backward, nil) })
+	both.Go(func() { p.copyForward(target, client) })
+	both.Go(func() { p.copy(client, target, p.backward, nil) })
 	both.Wait()
 }
 
-// track notes a connection. It returns false once the proxy ends.
+// track registers a connection for ResetConnections. It returns false if the proxy is closed.
 func (p *Proxy) track(conn *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +197,7 @@
 	return true
 }
 
-// forget resets a connection, unless it has ended regularly.
+// forget unregisters a connection and closes it, with a reset unless both directions have ended.
 func (p *Proxy) forget(conn *net.TCPConn) {
 	p.mu.Lock()
 	delete(p.connections, conn)
--- a/lab/faultproxy/proxy_test.go
+++ b/lab/faultproxy/proxy_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEcho starts a server that sends back what it receives, and a proxy before it.
+// startEcho starts a server that echoes the data that it receives, and a proxy to it.
 func startEcho(t *testing.T) *Proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +56,7 @@
 	return conn
 }
 
-// echo sends a byte and reads it back.
+// echo sends a byte and reads the echoed byte.
 func echo(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if _, err := conn.Write([]byte{1}); err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestHoldConnects_NewConnection_ComesUpAfterRelease(t *testing.T) {
+func TestHoldConnects_NewConnection_IsEstablishedAfterRelease(t *testing.T) {
 	proxy := startEcho(t)
 	before := dial(t, proxy)
 	echo(t, before)
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		if conn, err := net.DialTimeout("tcp", proxy.Address(), 50*time.Millisecond); !isTimeout(err) {
-			t.Fatalf("a connection that is held back: %v, %v", conn, err)
+			t.Fatalf("dial while connections are held back: %v, %v; want a timeout", conn, err)
 		}
 		echo(t, before)
 		if err := proxy.ReleaseConnects(); err != nil {
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	if conn, err := net.DialTimeout("tcp", proxy.Address(), 50*time.Millisecond); !isTimeout(err) {
-		t.Fatalf("a connection that is still held back: %v, %v", conn, err)
+		t.Fatalf("dial after one of two releases: %v, %v; want a timeout", conn, err)
 	}
 	if err := proxy.ReleaseConnects(); err != nil {
 		t.Fatal(err)
@@ -119,12 +119,12 @@
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		if _, err := conn.Read(make([]byte, 1)); !isTimeout(err) {
-			t.Errorf("%s: stalled, and read ends with %v", name, err)
+			t.Errorf("%s: read during a stall returns %v, want a timeout", name, err)
 		}
 		direction[1]()
 		_ = conn.SetReadDeadline(time.Time{})
 		if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
-			t.Errorf("%s: after the stall: %v", name, err)
+			t.Errorf("%s: read after the stall: %v", name, err)
 		}
 	}
 }
@@ -135,6 +135,6 @@
 	echo(t, conn)
 	proxy.ResetConnections()
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("read ends with %v, want a reset", err)
+		t.Errorf("read returns %v, want a connection reset", err)
 	}
 }
--- a/lab/faultproxy/reset.go
+++ b/lab/faultproxy/reset.go
@@ -6,17 +6,17 @@
 	"net"
 )
 
-// reset closes a connection with a TCP reset. A connection that is closed already stays as it is.
+// reset closes a connection with a TCP reset. It has no effect on a closed connection.
 func reset(conn *net.TCPConn) {
 	_ = conn.SetLinger(0) // fails on a closed connection only
 	_ = conn.Close()
 }
 
-// isTimeout tells whether an error is that of a deadline.
+// isTimeout reports whether an error is a network timeout.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// isEOF tells whether a read met the regular end of a connection.
+// isEOF reports whether a read ended because the other side closed the connection without a reset.
 func isEOF(err error) bool { return errors.Is(err, io.EOF) }
