--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -1,5 +1,5 @@
-// Package client is the laboratory's clients: they send requests to front ends over sockets of their own, time out,
-// disconnect early when told to, retry by their policies, and record what they see.
+// Package client emulates clients. They send requests to front ends over sockets, time out, disconnect early if a
+// request says so, retry by their policies, and record what they observe.
 package client
 
 import (
@@ -14,34 +14,35 @@
 	"havencart/lab/loadgen"
 )
 
-// Outcomes recorded for what is no response to the request; the checker counts them as failed.
+// Outcomes that are recorded when a client receives something other than the response to its request. The invariant
+// checker counts them as failed.
 const (
-	outcomeUnexpected     = "unasked"        // bytes after the response
-	outcomeWrongRequest   = "another call's" // the response to another request
-	outcomeInvalidRequest = "invalid"        // has no identifier
+	outcomeUnexpected     = "unasked"        // the client received bytes after the response
+	outcomeWrongRequest   = "another call's" // the response is to another request
+	outcomeInvalidRequest = "invalid"        // the request was invalid; such a response may lack a Call-Id
 )
 
-// Response is what a client received.
+// Response is the response that a client received to one attempt.
 type Response struct {
-	Outcome    string // served, refused, failed, or empty: none
-	RetryAfter time.Duration
-	Duration   time.Duration // from the request on
-	Bytes      int           // of the body
+	Outcome    string        // served, refused or failed; empty without a response
+	RetryAfter time.Duration // delay before a retry that the response advises; 0: none
+	Duration   time.Duration // time from the sending of the request to the end of the attempt
+	Bytes      int           // size of the body
 }
 
-// Pool keeps connections to one front end. It may be used by several goroutines.
+// Pool sends requests to one front end and keeps the connections for reuse. It is safe for concurrent use.
 type Pool struct {
-	Name    string // of the front end
-	Address string
-	History *invariant.History
-	Grace   time.Duration // how much longer than its timeout a client waits, to record a late response
+	Name    string             // name of the front end
+	Address string             // address of the front end, as host:port
+	History *invariant.History // records requests and responses
+	Grace   time.Duration      // time that a client waits beyond its timeout, so that a late response is recorded
 
 	mu   sync.Mutex
 	idle []*connection
 }
 
-// Do sends one request and records its outcome. An error says that there was no connection: then nothing was sent, and
-// nothing recorded.
+// Do sends one request and records its outcome. It returns an error only if it cannot connect; then nothing was sent or
+// recorded. If the connection ends early, the Response has no outcome.
 func (p *Pool) Do(request loadgen.Request) (Response, error) {
 	conn, err := p.connect()
 	if err != nil {
@@ -55,7 +56,7 @@
 		FrontEnd:       p.Name,
 		Timeout:        request.Timeout,
 	})
-	sentAt := time.Now() // before the timer, so that a client that disconnects has waited at least that long
+	sentAt := time.Now() // taken before the timer starts, so that Duration reaches DisconnectAfter if the timer fires
 	if request.DisconnectAfter > 0 {
 		timer := time.AfterFunc(request.DisconnectAfter, func() { _ = conn.Close() })
 		defer timer.Stop()
@@ -77,7 +78,8 @@
 	return response, nil
 }
 
-// connect returns an open connection. To find out that one is open takes time, during which no lock is held.
+// connect returns an open connection, an idle one if possible. It does not hold the lock while it probes whether an
+// idle connection is still open, which takes up to probeTime.
 func (p *Pool) connect() (*connection, error) {
 	for c := p.reuseIdle(); c != nil; c = p.reuseIdle() {
 		if c.isOpen() {
@@ -92,7 +94,7 @@
 	return c, nil
 }
 
-// reuseIdle returns the idle connection that was used last, nil if there is none.
+// reuseIdle removes the most recently used idle connection from the pool and returns it, or nil if there is none.
 func (p *Pool) reuseIdle() *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,6 +107,7 @@
 	return c
 }
 
+// release returns a connection to the pool.
 func (p *Pool) release(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +124,8 @@
 	p.idle = nil
 }
 
-// exchange sends a request and receives its response.
+// exchange sends a request, and receives and records its response. It returns an error if no response
+// arrives.
 func (p *Pool) exchange(conn *connection, recorded *invariant.Request, request loadgen.Request) (Response, error) {
 	_ = conn.SetDeadline(time.Now().Add(request.Timeout + p.Grace))
 	if _, err := conn.Write(encodeRequest(request)); err != nil {
@@ -137,18 +141,18 @@
 	if ms, bad := strconv.Atoi(received.Header.Get("Retry-After-Ms")); bad == nil {
 		response.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
-	if isForAnother(received, response.Outcome, request.ID) {
+	if isForOtherRequest(received, response.Outcome, request.ID) {
 		p.History.ResponseReceived(recorded, outcomeWrongRequest, false)
 	}
 	p.History.ResponseReceived(recorded, response.Outcome, err == nil)
 	if received.Close || err != nil {
-		_ = conn.Close() // found closed when it is next taken
+		_ = conn.Close() // connect discards the closed connection
 	}
 	return response, nil
 }
 
-// isForAnother reports whether a response is to another request than the one with the identifier.
-func isForAnother(received *http.Response, outcome, requestID string) bool {
+// isForOtherRequest reports whether a response belongs to a request with an identifier other than requestID.
+func isForOtherRequest(received *http.Response, outcome, requestID string) bool {
 	if outcome == outcomeInvalidRequest {
 		return false
 	}
--- a/lab/client/connection.go
+++ b/lab/client/connection.go
@@ -14,7 +14,7 @@
 
 const (
 	dialTimeout = time.Second
-	// probeTime is how long an idle connection is read to find out that it is open.
+	// probeTime is the timeout of the read that detects whether an idle connection is still open.
 	probeTime = 100 * time.Microsecond
 )
 
@@ -32,7 +32,8 @@
 	return &connection{c, bufio.NewReader(c)}, nil
 }
 
-// isOpen reports whether an idle connection is still open: nothing is there to read, and no end.
+// isOpen reports whether an idle connection can be reused: a read times out, so the front end has neither sent data nor
+// closed the connection.
 func (c *connection) isOpen() bool {
 	_ = c.SetReadDeadline(time.Now().Add(probeTime))
 	_, err := c.in.Peek(1)
@@ -40,7 +41,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// encodeRequest is a request in HTTP/1.1.
+// encodeRequest encodes a request in HTTP/1.1.
 func encodeRequest(r loadgen.Request) []byte {
 	body := append(worker.Body(r.Work, r.ResponseBytes), bytes.Repeat([]byte(" "), r.PaddingBytes)...)
 	out := fmt.Appendf(nil, "POST /call/%s HTTP/1.1\r\nHost: lab\r\nContent-Length: %d\r\nCall-Id: %s\r\nCall-Patience: %d\r\n",
@@ -56,7 +57,7 @@
 	return append(out, body...)
 }
 
-// appendHeader appends a header that has a value.
+// appendHeader appends a header field, unless its value is empty.
 func appendHeader(out []byte, name, value string) []byte {
 	if value == "" {
 		return out
--- a/lab/client/run.go
+++ b/lab/client/run.go
@@ -9,27 +9,27 @@
 	"havencart/lab/loadgen"
 )
 
-// Observation is the outcome of one request of a client, its retries counted as part of it.
+// Observation is the result of one request of a client, its retries included.
 type Observation struct {
 	Request   loadgen.Request
-	Outcome   string        // of the last attempt
-	Duration  time.Duration // from when the request was due, not from when it could be sent
-	SendDelay time.Duration // how long after it was due its first attempt was sent
-	Attempts  int           // attempts
-	Lost      bool          // it got no response that it should have had
+	Outcome   string        // outcome of the last attempt
+	Duration  time.Duration // time from when the request was due, not sent, to the end of the last attempt
+	SendDelay time.Duration // delay of the first attempt after the request was due
+	Attempts  int           // number of attempts
+	Lost      bool          // no response to the last attempt, although the client was not told to disconnect
 }
 
-// Runner sends the requests of a source, each at its time whatever becomes of earlier ones (open loop): a slow server
-// is not spared, and what a request waits because the client could not send it in time is counted as the request's (G.
-// Tene's "coordinated omission").
+// Runner sends the requests of a source, each at its arrival time, whether earlier requests have ended or not (open
+// loop). A slow server therefore does not lower its own load. If a request is sent late, the delay counts as part of
+// its latency, which avoids what G. Tene calls coordinated omission.
 type Runner struct {
-	Next      func() (time.Duration, loadgen.Request, bool)
-	Pools     func(i int) *Pool // of front end i
-	FrontEnds int               // number of front ends
-	Observe   func(Observation) // is called by several goroutines
+	Next      func() (time.Duration, loadgen.Request, bool) // yields the requests as loadgen.Source.Next does
+	Pools     func(i int) *Pool                             // returns the pool of front end i
+	FrontEnds int                                           // number of front ends
+	Observe   func(Observation)                             // is called once per request, by several goroutines
 }
 
-// Run sends all requests and returns when they have ended.
+// Run sends all requests and returns once they have ended. If ctx ends first, the rest is not sent or retried.
 func (r Runner) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	start := time.Now()
@@ -44,10 +44,11 @@
 	tasks.Wait()
 }
 
-// outcomeUnreachable is the outcome of an attempt for which there was no connection.
+// outcomeUnreachable is the outcome of an attempt whose client could not connect to the front end.
 const outcomeUnreachable = "unreachable"
 
-// runRequest sends a request and retries it by the client's policy, each time through the next front end.
+// runRequest sends a request through a front end and retries it as its retry policy says, each time through the next
+// front end.
 func (r Runner) runRequest(ctx context.Context, request loadgen.Request, frontEnd int, due time.Time) Observation {
 	id := request.ID
 	o := Observation{Request: request, SendDelay: time.Since(due)}
@@ -66,7 +67,7 @@
 	}
 }
 
-// Sleep waits for d. It returns false where ctx ended first.
+// Sleep waits for d. It returns false if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(max(0, d))
 	defer timer.Stop()
--- a/lab/discoveryserver/server.go
+++ b/lab/discoveryserver/server.go
@@ -1,5 +1,6 @@
-// Package discoveryserver emulates endpoint discovery: a list of workers served on Consul's health endpoint with
-// blocking queries, and the faults that such a service has. It records which front end received which list when.
+// Package discoveryserver emulates endpoint discovery by Consul. It serves the endpoint list on Consul's health
+// endpoint with blocking queries, injects the faults that such a service has, and records which list each front end
+// received and when.
 package discoveryserver
 
 import (
@@ -17,22 +18,22 @@
 )
 
 const (
-	defaultWait = 5 * time.Minute // of a blocking query that does not say
+	defaultWait = 5 * time.Minute // longest wait of a blocking query without the wait parameter
 	firstIndex  = 1
 )
 
-// Entry is one worker as discovery lists it.
+// Entry is one worker in the endpoint list.
 type Entry struct {
 	Name, Address, Zone, Cell string
-	Started                   time.Time
-	State                     scheduler.WorkerState // Removed: not listed, or listed as critical
-	Critical                  bool                  // a removed worker is listed as critical
+	Started                   time.Time             // start of the worker's process; omitted from the list if zero
+	State                     scheduler.WorkerState // a Removed worker is not listed, or is listed as critical
+	Critical                  bool                  // list the worker as critical when it is Removed
 }
 
-// Update is one list as it was sent to one client.
+// Update is an endpoint list that was sent to a client.
 type Update struct {
 	At     time.Time
-	Client string // as it names itself in User-Agent
+	Client string // User-Agent of the client
 	States map[string]scheduler.WorkerState
 }
 
@@ -44,20 +45,21 @@
 
 	mu          sync.Mutex
 	entries     map[string]Entry
-	order       []string // of the entries' names
-	index       uint64   // of the list
-	changed     chan struct{}
-	lag         time.Duration
-	down        bool
-	listedShare float64 // share of the workers that the list names
+	order       []string      // names of the entries in the order in which they were added
+	index       uint64        // index of the list, as Consul counts it
+	changed     chan struct{} // closed and replaced at each change of the index
+	lag         time.Duration // delay of changes to the list
+	down        bool          // respond to queries with status 500
+	listedShare float64       // fraction of the workers that the list contains, 0 to 1
 	updates     []Update
 }
 
-// Start starts a service at address, for any service name; port 0 chooses a free one.
+// Start starts a discovery service at address. It lists the same workers for every service name. Port 0 chooses a free
+// port.
 func Start(address string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("directory: %w", err)
+		return nil, fmt.Errorf("discovery server: %w", err)
 	}
 	server := &Server{
 		addr:        listener.Addr().String(),
@@ -72,21 +74,21 @@
 	server.http.Handler = mux
 	go func() {
 		defer close(server.done)
-		_ = server.http.Serve(listener) // ends by Close
+		_ = server.http.Serve(listener) // returns once the server is closed
 	}()
 	return server, nil
 }
 
-// URL is where the service is queried.
+// URL returns the base URL of the service.
 func (s *Server) URL() string { return "http://" + s.addr }
 
-// Close ends the service.
+// Close stops the service.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	<-s.done
 }
 
-// Set adds or changes entries. Front ends are notified after the lag.
+// Set adds entries, or replaces those of the same name. The list changes after the lag.
 func (s *Server) Set(entries ...Entry) {
 	s.mu.Lock()
 	lag := s.lag
@@ -99,7 +101,7 @@
 	apply()
 }
 
-// apply changes entries. The lock is held.
+// apply adds or replaces entries. The caller holds the lock.
 func (s *Server) apply(entries []Entry) {
 	for _, e := range entries {
 		if _, known := s.entries[e.Name]; !known {
@@ -110,17 +112,17 @@
 	s.setIndex(s.index + 1)
 }
 
-// setIndex gives the list another index and wakes the blocking queries. The lock is held.
+// setIndex changes the index of the list and wakes the blocking queries. The caller holds the lock.
 func (s *Server) setIndex(index uint64) {
 	s.index = index
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetLag delays the notification of changes from now on.
+// SetLag delays the effect of later calls of Set by d.
 func (s *Server) SetLag(d time.Duration) { s.update(func() { s.lag = d }) }
 
-// SetDown makes the service respond with 500, or ends that.
+// SetDown begins or ends an outage, in which the service responds to each query with status 500.
 func (s *Server) SetDown(on bool) {
 	s.update(func() {
 		s.down = on
@@ -128,7 +130,7 @@
 	})
 }
 
-// SetListedShare makes the list name only a share of the workers; 1 ends it.
+// SetListedShare restricts the list to a fraction of the workers, those that were added first. 1 lists all of them.
 func (s *Server) SetListedShare(share float64) {
 	s.update(func() {
 		s.listedShare = share
@@ -136,23 +138,25 @@
 	})
 }
 
-// ResetIndex makes the index start again, as after a loss of the service's state.
+// ResetIndex makes the index start over, as after a loss of the service's state.
 func (s *Server) ResetIndex() { s.update(func() { s.setIndex(firstIndex) }) }
 
+// update calls change with the lock held.
 func (s *Server) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// Updates returns the lists that were sent so far.
+// Updates returns the endpoint lists that were sent so far.
 func (s *Server) Updates() []Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.updates)
 }
 
-// handleHealth responds to a query; to a blocking one when the list is another than the client knows.
+// handleHealth handles a query. It responds to a blocking query once the index differs from the one that the client
+// names, or when its wait is over.
 func (s *Server) handleHealth(w http.ResponseWriter, r *http.Request) {
 	known, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
@@ -184,7 +188,7 @@
 	}
 }
 
-// respond sends the list. It counts as received once it is sent, so it is recorded last.
+// respond sends the list. It records the list only after sending it, because the client can have received it only then.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request) {
 	index, instances, states := s.list()
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
@@ -197,7 +201,8 @@
 	})
 }
 
-// list is the list as it is now, and the state of every worker in it; one that is not listed is Removed.
+// list returns the current index and list, and the state of every worker. The state of a worker that is not listed is
+// Removed.
 func (s *Server) list() (index uint64, instances []discovery.ConsulInstance, states map[string]scheduler.WorkerState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,7 +221,7 @@
 	return s.index, instances, states
 }
 
-// instance is the entry as Consul lists it.
+// instance returns the entry in Consul's form.
 func (e Entry) instance() (i discovery.ConsulInstance) {
 	host, port, _ := net.SplitHostPort(e.Address)
 	i.Service.ID, i.Service.Address = e.Name, host
--- a/lab/functionstore/client.go
+++ b/lab/functionstore/client.go
@@ -11,20 +11,20 @@
 	"havencart/lab/model"
 )
 
-// maxIdleConnections is how many connections to the store are kept.
+// maxIdleConnections is the maximum number of idle connections to the store that a client keeps.
 const maxIdleConnections = 64
 
-// Client fetches artefacts for the workers of one clock. It implements model.Fetcher.
+// Client fetches the artefacts of functions for workers that share a clock. It implements model.Fetcher.
 type Client struct {
 	clock  *model.RealClock
 	url    string
 	http   *http.Client
-	ctx    context.Context // ends by Close
+	ctx    context.Context // cancelled by Close
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 }
 
-// NewClient returns a client of the store at address.
+// NewClient returns a client of the store at address, given as host:port.
 func NewClient(clock *model.RealClock, address string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}
 	c := &Client{clock: clock, url: "http://" + address, http: &http.Client{Transport: transport}}
@@ -32,7 +32,7 @@
 	return c
 }
 
-// Fetch implements model.Fetcher. done is called within the clock.
+// Fetch implements model.Fetcher. It returns immediately; done is called as an event of the clock.
 func (c *Client) Fetch(function string, work time.Duration, done func(ok bool)) {
 	c.tasks.Go(func() {
 		ok := c.fetch(function, work)
@@ -41,8 +41,8 @@
 }
 
 func (c *Client) fetch(function string, work time.Duration) bool {
-	at := fmt.Sprintf("%s/artefact/%s?takes=%v", c.url, url.PathEscape(function), work)
-	request, err := http.NewRequestWithContext(c.ctx, http.MethodGet, at, nil)
+	artefactURL := fmt.Sprintf("%s/artefact/%s?takes=%v", c.url, url.PathEscape(function), work)
+	request, err := http.NewRequestWithContext(c.ctx, http.MethodGet, artefactURL, nil)
 	if err != nil {
 		return false
 	}
@@ -54,7 +54,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Close ends all fetches under way.
+// Close cancels the fetches in progress and waits for them.
 func (c *Client) Close() {
 	c.cancel()
 	c.tasks.Wait()
--- a/lab/functionstore/server.go
+++ b/lab/functionstore/server.go
@@ -1,5 +1,5 @@
-// Package functionstore emulates the function store: an HTTP server that all workers fetch artefacts from, and their
-// client.
+// Package functionstore emulates the function store. It provides an HTTP server, from which workers fetch the artefacts
+// of functions, and the workers' client.
 package functionstore
 
 import (
@@ -20,7 +20,7 @@
 	done  chan struct{}
 }
 
-// Start starts a store at address; port 0 chooses a free one.
+// Start starts a store at address. Port 0 chooses a free port.
 func Start(clock *model.RealClock, cfg model.StoreConfig, address string) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -33,33 +33,34 @@
 	s.http.Handler = mux
 	go func() {
 		defer close(s.done)
-		_ = s.http.Serve(l) // ends by Close
+		_ = s.http.Serve(l) // returns once the server is closed
 	}()
 	return s, nil
 }
 
-// Address is where the store listens.
+// Address returns the address at which the store listens.
 func (s *Server) Address() string { return s.addr }
 
-// Close ends the store.
+// Close stops the store.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	<-s.done
 }
 
-// Do calls f with the model, between its events.
+// Do calls f with the model of the store, between two events of the clock.
 func (s *Server) Do(f func(*model.Store)) { s.clock.Do(func() { f(s.store) }) }
 
-// Stop makes the store reject everything for d.
+// Stop makes the store reject all fetches for d.
 func (s *Server) Stop(d time.Duration) { s.Do(func(m *model.Store) { m.StartOutage(d) }) }
 
-// Slow makes fetches take factor times as long; 1 ends it.
+// Slow makes fetches take factor times as long. A factor of 1 restores the normal speed.
 func (s *Server) Slow(factor float64) { s.Do(func(m *model.Store) { m.SetSlowdown(factor) }) }
 
-// Fail makes a share of the fetches fail; 0 ends it.
+// Fail makes a fraction of the fetches fail. A share of 0 ends the fault.
 func (s *Server) Fail(share float64) { s.Do(func(m *model.Store) { m.SetFailureShare(share) }) }
 
-// handleFetch responds with 200 when an artefact has been served, and with 503 where the store rejects the fetch.
+// handleFetch handles a fetch whose duration at full speed is the parameter takes. It responds with status 200 once the
+// fetch has succeeded, or with 503 if the store rejects it or it fails.
 func (s *Server) handleFetch(w http.ResponseWriter, r *http.Request) {
 	work, err := time.ParseDuration(r.URL.Query().Get("takes"))
 	if err != nil || work < 0 {
