--- a/lab/platformdiscovery/server.go
+++ b/lab/platformdiscovery/server.go
@@ -1,4 +1,5 @@
-// Package platformdiscovery emulates the endpoint discovery stream of the users' platform, its "bulletin", on loopback.
+// Package platformdiscovery emulates the endpoint discovery stream of the users' platform, which calls it the bulletin,
+// on loopback.
 package platformdiscovery
 
 import (
@@ -12,37 +13,37 @@
 	"havencart/internal/platform/endpointstream"
 )
 
-// heartbeatInterval is the time between two events without changes.
+// heartbeatInterval is the interval between heartbeats, which are events without changes.
 const heartbeatInterval = time.Second
 
-// Reachability is what becomes of front ends' connections.
+// Reachability says how the server treats the connections of front ends.
 type Reachability int
 
 // The kinds of reachability.
 const (
 	Reachable   Reachability = iota
-	Silent                   // connections are accepted and stay open, and nothing is sent
-	Unreachable              // connections are closed
+	Silent                   // connections are accepted and stay open, but nothing is sent
+	Unreachable              // open connections are closed, and new ones once the front end has sent its hello
 )
 
-// Server sends its events to each front end that connects, from the event on with which it resumes, and an event without
-// changes each second.
+// Server sends its events to every connected front end, beginning after the last event that the front end names when it
+// connects, and a heartbeat each second.
 type Server struct {
-	listener    net.Listener
-	mu          sync.Mutex
-	reach       Reachability
-	events      []endpointstream.Event
-	connections map[net.Conn]uint64 // by number of the last event sent
-	resumed     chan uint64
-	tasks       sync.WaitGroup
-	stop        context.CancelFunc // ends the heartbeats
+	listener     net.Listener
+	mu           sync.Mutex
+	reachability Reachability
+	events       []endpointstream.Event
+	connections  map[net.Conn]uint64 // number of the last event sent on each connection
+	resumed      chan uint64         // channel that Resumed returns
+	tasks        sync.WaitGroup
+	stop         context.CancelFunc // stops the heartbeats
 }
 
 // Start starts a server on loopback.
 func Start() (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("bulletin: %w", err)
+		return nil, fmt.Errorf("platform discovery: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{listener: l, connections: map[net.Conn]uint64{}, resumed: make(chan uint64, 64), stop: cancel}
@@ -51,23 +52,24 @@
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Resumed delivers, for each connection, the number of the last event that the front end has. Where nobody receives them,
-// the first ones are kept.
+// Resumed returns a channel that receives, for each connection, the number of the last event that the front end names
+// when it connects. Numbers are dropped while the channel's buffer is full.
 func (s *Server) Resumed() <-chan uint64 { return s.resumed }
 
 func (s *Server) accept() {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the server is closed
 		}
 		s.tasks.Go(func() { s.serve(c) })
 	}
 }
 
+// serve reads the hello of a connection and sends it the events that the front end does not have.
 func (s *Server) serve(c net.Conn) {
 	last, err := endpointstream.ReadHello(c)
 	if err != nil {
@@ -76,7 +78,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reach == Unreachable {
+	if s.reachability == Unreachable {
 		_ = c.Close()
 		return
 	}
@@ -84,16 +86,16 @@
 	s.sendEvents()
 	select {
 	case s.resumed <- last:
-	default: // nobody receives them
+	default: // the buffer is full
 	}
 }
 
-// write writes; a connection that broke is noticed by its other side.
+// write writes to a connection. It ignores errors, because the front end notices a broken connection itself.
 func write(c net.Conn, raw []byte) { _, _ = c.Write(raw) }
 
-// sendEvents sends what is new to all that are connected. The lock is held.
+// sendEvents sends every connected front end the events that it does not have. The caller holds the lock.
 func (s *Server) sendEvents() {
-	if s.reach != Reachable {
+	if s.reachability != Reachable {
 		return
 	}
 	for c, last := range s.connections {
@@ -106,11 +108,11 @@
 	}
 }
 
-// sendHeartbeats sends an event without changes to all that are connected.
+// sendHeartbeats sends an event without changes to every connected front end.
 func (s *Server) sendHeartbeats() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reach != Reachable {
+	if s.reachability != Reachable {
 		return
 	}
 	for c, last := range s.connections {
@@ -118,7 +120,7 @@
 	}
 }
 
-// Publish adds an event. It is sent to all that are connected, at once or when the server is reachable again.
+// Publish adds an event and sends it to every connected front end, or does so once the server is reachable again.
 func (s *Server) Publish(e endpointstream.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,17 +129,17 @@
 }
 
 // SetReachability begins or ends an outage.
-func (s *Server) SetReachability(reach Reachability) {
+func (s *Server) SetReachability(reachability Reachability) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reach = reach
-	if reach == Unreachable {
+	s.reachability = reachability
+	if reachability == Unreachable {
 		s.closeConnections()
 	}
 	s.sendEvents()
 }
 
-// WriteRaw writes bytes as they are to all that are connected.
+// WriteRaw writes bytes unchanged to every connected front end.
 func (s *Server) WriteRaw(raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +155,7 @@
 	s.closeConnections()
 }
 
-// closeConnections is CloseConnections for a caller that holds the lock.
+// closeConnections closes all connections. The caller holds the lock.
 func (s *Server) closeConnections() {
 	for c := range s.connections {
 		_ = c.Close()
@@ -161,7 +163,7 @@
 	}
 }
 
-// Close ends the server and its connections.
+// Close stops the server, closes its connections and waits for its goroutines.
 func (s *Server) Close() {
 	s.stop()
 	_ = s.listener.Close()
--- a/lab/platformworker/server.go
+++ b/lab/platformworker/server.go
@@ -1,5 +1,5 @@
-// Package platformworker emulates a worker of the users' platform, an "executor", by a script: it speaks the frames of
-// internal/platform/workerframe on loopback and handles each frame as its script says.
+// Package platformworker emulates a worker of the users' platform, which calls it an executor. The worker exchanges the
+// frames of internal/platform/workerframe on loopback, and a script handles each frame.
 package platformworker
 
 import (
@@ -12,16 +12,17 @@
 	"havencart/internal/platform/workerframe"
 )
 
-// Script handles a frame from a front end. It is called with the frames of one connection in their order.
+// Script handles a frame from a front end. It is called for the frames of one connection in their order, and
+// concurrently for those of different connections.
 type Script func(c *Conn, f workerframe.Frame)
 
 // Conn is one front end's connection.
 type Conn struct {
 	net.Conn
-	Number int // from 1, in the order in which they were made
+	Number int // number of the connection at its worker, from 1 in the order of acceptance
 }
 
-// Respond writes a response.
+// Respond writes a response frame. It drops a frame that cannot be encoded.
 func (c *Conn) Respond(f workerframe.Frame) {
 	raw, err := workerframe.Append(nil, workerframe.FromWorker, f)
 	if err == nil {
@@ -29,7 +30,8 @@
 	}
 }
 
-// WriteRaw writes bytes as they are. A write that fails is the end of the connection, which the reading side notices.
+// WriteRaw writes bytes unchanged. It ignores write errors, because the goroutine that reads the connection notices its
+// end.
 func (c *Conn) WriteRaw(raw []byte) { _, _ = c.Write(raw) }
 
 // Reset closes the connection with a TCP reset.
@@ -40,29 +42,30 @@
 	_ = c.Close()
 }
 
-// Server is one emulated worker.
+// Server is an emulated worker.
 type Server struct {
 	listener        net.Listener
 	script          Script
-	mu              sync.Mutex
+	mu              sync.Mutex // guards connections and connectionCount
 	connections     map[*Conn]bool
-	connectionCount int
+	connectionCount int // number of connections accepted so far
 	draining        atomic.Bool
 	tasks           sync.WaitGroup
 }
 
-// Start starts a worker on loopback that drains when it is told to: it then says so to health checks and rejects new work,
-// and its script gets neither. Residency queries go to the script, as a draining worker answers them like any other.
+// Start starts a worker on loopback that can drain. The worker itself responds to health checks and, while it drains,
+// rejects new work. Its script handles all other frames; these include residency queries, to which a draining worker
+// responds as usual.
 func Start(script Script) (*Server, error) {
 	return StartObserved(script, func(workerframe.Frame) {})
 }
 
-// StartObserved is Start with an observer that is called with each frame before it is handled.
+// StartObserved starts a worker as Start does and calls observe with each frame before the frame is handled.
 func StartObserved(script Script, observe func(workerframe.Frame)) (*Server, error) {
 	s := newServer(script)
 	s.script = func(c *Conn, f workerframe.Frame) {
 		observe(f)
-		if response, isGiven := s.ownResponse(f); isGiven {
+		if response, handled := s.builtInResponse(f); handled {
 			c.Respond(response)
 		} else {
 			script(c, f)
@@ -71,8 +74,9 @@
 	return s, s.listen()
 }
 
-// ownResponse returns the response that the worker gives without its script.
-func (s *Server) ownResponse(f workerframe.Frame) (response workerframe.Frame, isGiven bool) {
+// builtInResponse returns the response to a frame that the worker handles without its script. handled is false for
+// other frames.
+func (s *Server) builtInResponse(f workerframe.Frame) (response workerframe.Frame, handled bool) {
 	draining := s.draining.Load()
 	switch {
 	case IsHealthCheck(f):
@@ -83,12 +87,12 @@
 	return response, false
 }
 
-// IsHealthCheck reports whether a frame asks a worker for its health.
+// IsHealthCheck reports whether a frame is a health check or asks for a load report.
 func IsHealthCheck(f workerframe.Frame) bool {
 	return f.Code == workerframe.HealthCheck || f.Code == workerframe.LoadReport
 }
 
-// Health is the response to a health check: a worker that drains is not healthy.
+// Health returns the response to a health check. A draining worker responds that it is unhealthy.
 func Health(check workerframe.Frame, draining bool) workerframe.Frame {
 	code := workerframe.Healthy
 	if draining {
@@ -97,7 +101,8 @@
 	return workerframe.Frame{Code: code, ID: check.ID}
 }
 
-// IsNewWork reports whether a frame makes a worker execute or load something.
+// IsNewWork reports whether a frame makes a worker execute a request or load replicas. A load order for no replicas is
+// a residency query and not new work.
 func IsNewWork(f workerframe.Frame) bool {
 	if f.Code == workerframe.Load {
 		replicas, _ := workerframe.Count(f.Fields, "replicas", 0)
@@ -106,10 +111,10 @@
 	return f.Code == workerframe.Request
 }
 
-// SetDraining has the worker drain, or accept new work again.
+// SetDraining makes the worker drain or accept new work again.
 func (s *Server) SetDraining(draining bool) { s.draining.Store(draining) }
 
-// StartScripted starts a worker on loopback whose script handles each frame.
+// StartScripted starts a worker on loopback whose script handles all frames, health checks included.
 func StartScripted(script Script) (*Server, error) {
 	s := newServer(script)
 	return s, s.listen()
@@ -119,16 +124,16 @@
 
 func (s *Server) listen() (err error) {
 	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return fmt.Errorf("executor: %w", err)
+		return fmt.Errorf("platform worker: %w", err)
 	}
 	s.tasks.Go(s.accept)
 	return nil
 }
 
-// Address is where the worker listens.
+// Address returns the address at which the worker listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// ConnectionCount is the number of connections that were made to the worker.
+// ConnectionCount returns the number of connections that the worker has accepted so far.
 func (s *Server) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +144,7 @@
 	for {
 		nc, err := s.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the server is closed
 		}
 		s.mu.Lock()
 		s.connectionCount++
@@ -162,7 +167,7 @@
 	}
 }
 
-// Close ends the worker as the end of its process does: connections are reset and new ones refused.
+// Close stops the worker. As at the end of a process, connections are reset and new ones are refused.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
