--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -14,12 +14,11 @@
 	"havencart/lab/loadgen"
 )
 
-// Outcomes that are recorded when a client receives something other than the response to its request. The invariant
-// checker counts them as failed.
+// Outcomes besides those of a regular response to the request. The invariant checker counts them as failed.
 const (
 	outcomeUnexpected     = "unasked"        // the client received bytes after the response
 	outcomeWrongRequest   = "another call's" // the response is to another request
-	outcomeInvalidRequest = "invalid"        // the request was invalid; such a response may lack a Call-Id
+	outcomeInvalidRequest = "invalid"        // the front end found the request invalid; its response names no request
 )
 
 // Response is the response that a client received to one attempt.
@@ -124,8 +123,7 @@
 	p.idle = nil
 }
 
-// exchange sends a request, and receives and records its response. It returns an error if no response
-// arrives.
+// exchange sends a request, and receives and records its response. It returns an error if no response arrives.
 func (p *Pool) exchange(conn *connection, recorded *invariant.Request, request loadgen.Request) (Response, error) {
 	_ = conn.SetDeadline(time.Now().Add(request.Timeout + p.Grace))
 	if _, err := conn.Write(encodeRequest(request)); err != nil {
--- a/lab/invariant/check_executions.go
+++ b/lab/invariant/check_executions.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// checkKeyedRetry checks that a retry stays within the scope and the retention of its idempotency key, which began with
-// the first attempt.
+// checkKeyedRetry checks that a retry stays within the scope of its idempotency key and within the key's retention,
+// counted from the first attempt that may have executed.
 func (c *checker) checkKeyedRetry(id string, first, retry *Attempt, class scheduler.Class) {
 	elapsed := retry.At - first.At
 	switch {
--- a/lab/loadgen/request.go
+++ b/lab/loadgen/request.go
@@ -20,8 +20,8 @@
 	Retries                     int // maximum number of retries
 }
 
-// RetryPolicy is a client's retry policy. Its values are the words that experiment files use. Only RetryAlways retries
-// requests that were neither rejected nor unreachable.
+// RetryPolicy is a client's retry policy. Its values are the words that experiment files use. The policies apply to
+// requests that were rejected or for which the front end was unreachable. Only RetryAlways also retries other failures.
 type RetryPolicy string
 
 // The retry policies.
--- a/lab/measure/benchmark.go
+++ b/lab/measure/benchmark.go
@@ -38,7 +38,7 @@
 	cfg          Config
 	routes       []*Route // direct, proxy and gateway, in this order
 	discoveryURL string
-	cleanups     []func() // functions that close calls, in reverse order
+	cleanups     []func() // called by close, in reverse order
 }
 
 func (b *benchmark) gatewayRoute() *Route { return b.routes[2] }
--- a/lab/measure/overload.go
+++ b/lab/measure/overload.go
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// point measures an installation at one factor, which is equal to rate requests per second.
+// point measures an installation at an offered load of rate requests per second, which is factor times the capacity of
+// its workers.
 func (cfg OverloadConfig) point(ctx context.Context, factor, rate float64) (Point, error) {
 	w := fleet.DemoWorker()
 	w.Cores = overloadCores
