--- a/lab/faultproxy/hold.go
+++ b/lab/faultproxy/hold.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// fill opens a filler connection. It returns false if the connection is not established within fillTimeout, because other
-// connections fill the backlog.
+// fill opens a filler connection. It returns false if the connection is not established within fillTimeout, because
+// other connections fill the backlog.
 func (p *Proxy) fill() (filled bool, err error) {
 	dialer := net.Dialer{Timeout: fillTimeout, LocalAddr: &net.TCPAddr{IP: fillerIP}}
 	conn, err := dialer.Dial("tcp", p.Address())
