--- a/lab/faultproxy/proxy.go
+++ b/lab/faultproxy/proxy.go
@@ -37,8 +37,8 @@
 	closeOnce   sync.Once
 }
 
-// Tap is called for each connection and returns a writer. The proxy writes the client's data to it as soon as it has read
-// them, and closes the writer at the end of the connection. Errors of the writer are ignored.
+// Tap is called for each connection and returns a writer. The proxy writes the client's data to it as soon as it has
+// read them, and closes the writer at the end of the connection. Errors of the writer are ignored.
 type Tap func() io.WriteCloser
 
 // Start starts a proxy to a target, given as host:port.
