--- a/lab/scenario/demand_faults.go
+++ b/lab/scenario/demand_faults.go
@@ -46,7 +46,7 @@
 		func(d *loadgen.Demand) {
 			d.HotShare = f.Share
 			d.HotFunctions = f.Number
-			d.HotSpell++
+			d.HotPeriod++
 		},
 		func(d *loadgen.Demand) { d.HotShare = 0 })
 }
