--- a/internal/decide/endpointlease/endpointlease.go
+++ b/internal/decide/endpointlease/endpointlease.go
@@ -36,12 +36,12 @@
 	maxHealthCheckTimeout = time.Second
 )
 
-// Rules are the platform's times after which a front end counts as notified of a change. If Silence is 0, endpoint
-// lists never expire.
+// Rules are the platform's times after which a front end counts as notified of a change. If NotifiedAfterSilence is 0,
+// endpoint lists never expire.
 type Rules struct {
-	Silence time.Duration // time from the start of the service's silence until the front end counts as notified
-	Break   time.Duration // time from an interruption of the service's stream until the front end counts as notified
-	Grace   time.Duration // time after the notification during which new work may still start at a draining worker
+	NotifiedAfterSilence      time.Duration // time from the start of the service's silence until notification
+	NotifiedAfterInterruption time.Duration // time from an interruption of the service's stream until notification
+	DrainGrace                time.Duration // how long after notification new work may start at a draining worker
 }
 
 // HealthCheckTimeout returns how long new work waits for a worker's response to a health check: the connect timeout,
@@ -58,12 +58,12 @@
 }
 
 // startMargin returns for how long after the notification new work may start.
-func (r Rules) startMargin() time.Duration { return (r.Grace + ruleSlack) / graceDivisor }
+func (r Rules) startMargin() time.Duration { return (r.DrainGrace + ruleSlack) / graceDivisor }
 
-// AcceptedUntil returns until when new work may start at a worker that accepted work at the given time. Even if the
-// worker began to drain immediately afterwards, the notification cannot have preceded that time.
-func (r Rules) AcceptedUntil(at time.Duration) time.Duration {
-	if r.Silence == 0 {
+// AcceptanceValidUntil returns until when new work may start at a worker that accepted work at the given time. Even if
+// the worker began to drain immediately afterwards, the notification cannot have preceded that time.
+func (r Rules) AcceptanceValidUntil(at time.Duration) time.Duration {
+	if r.NotifiedAfterSilence == 0 {
 		return Unlimited
 	}
 	return at + r.startMargin()
@@ -85,11 +85,13 @@
 // Confirm records that the list matched the service's at the time asOf.
 func (l *Lease) Confirm(asOf time.Duration) {
 	l.confirmedAt = max(l.confirmedAt, asOf)
-	l.notifiedAt = l.confirmedAt + l.rules.Silence
+	l.notifiedAt = l.confirmedAt + l.rules.NotifiedAfterSilence
 }
 
 // Interrupt records that the stream from the service was interrupted at some time since the last confirmation.
-func (l *Lease) Interrupt() { l.notifiedAt = min(l.notifiedAt, l.confirmedAt+l.rules.Break) }
+func (l *Lease) Interrupt() {
+	l.notifiedAt = min(l.notifiedAt, l.confirmedAt+l.rules.NotifiedAfterInterruption)
+}
 
 // RequestUpdate records that changes were requested from the service at the given time. The front end counts as
 // notified of all changes that the service had by then.
@@ -102,13 +104,13 @@
 // rules count the front end as notified. A worker whose connection is older than the last confirmation of the list is
 // still the same process.
 func (l *Lease) MayHaveRestarted(now, connectedAt time.Duration) bool {
-	silenceExceeded := l.rules.Silence > 0 && now > l.confirmedAt+l.rules.Silence
+	silenceExceeded := l.rules.NotifiedAfterSilence > 0 && now > l.confirmedAt+l.rules.NotifiedAfterSilence
 	return silenceExceeded && connectedAt > l.confirmedAt
 }
 
-// Until returns the time until which new work may start at workers that the list shows as ready.
-func (l *Lease) Until() time.Duration {
-	if l.rules.Silence == 0 {
+// ValidUntil returns the time until which new work may start at workers that the list shows as ready.
+func (l *Lease) ValidUntil() time.Duration {
+	if l.rules.NotifiedAfterSilence == 0 {
 		return Unlimited
 	}
 	return l.notifiedAt + l.rules.startMargin()
--- a/internal/decide/endpointlease/endpointlease_test.go
+++ b/internal/decide/endpointlease/endpointlease_test.go
@@ -9,9 +9,13 @@
 
 const ms = time.Millisecond
 
-var platformRules = Rules{Silence: 4 * time.Second, Break: 2 * time.Second, Grace: 500 * ms}
+var platformRules = Rules{
+	NotifiedAfterSilence:      4 * time.Second,
+	NotifiedAfterInterruption: 2 * time.Second,
+	DrainGrace:                500 * ms,
+}
 
-// margin is half the sum of platformRules.Grace and ruleSlack.
+// margin is half the sum of platformRules.DrainGrace and ruleSlack.
 const margin = 275 * ms
 
 func TestLease_EachEvent_ExpiresAfterNotification(t *testing.T) {
@@ -33,18 +37,18 @@
 	for name, c := range cases {
 		lease := New(platformRules, start)
 		c.observe(&lease)
-		if got, want := lease.Until(), start+c.want+margin; got != want {
+		if got, want := lease.ValidUntil(), start+c.want+margin; got != want {
 			t.Errorf("%s: lease expires at %v, want %v", name, got, want)
 		}
 	}
 }
 
 func TestLease_WithoutRules_NeverExpires(t *testing.T) {
-	lease := New(Rules{Grace: time.Second}, time.Minute)
+	lease := New(Rules{DrainGrace: time.Second}, time.Minute)
 	lease.Interrupt()
 	lease.RequestUpdate(time.Minute)
-	if lease.Until() != Unlimited || (Rules{}).AcceptedUntil(time.Minute) != Unlimited {
-		t.Errorf("lease expires at %v, acceptance at %v; want both Unlimited", lease.Until(), (Rules{}).AcceptedUntil(time.Minute))
+	if lease.ValidUntil() != Unlimited || (Rules{}).AcceptanceValidUntil(time.Minute) != Unlimited {
+		t.Errorf("lease expires at %v, acceptance at %v; want both Unlimited", lease.ValidUntil(), (Rules{}).AcceptanceValidUntil(time.Minute))
 	}
 }
 
@@ -74,23 +78,23 @@
 		lease.Confirm(confirmedAt)
 		outageAt := confirmedAt + draw("outage after")
 		drainAt := outageAt + draw("drain after")
-		notified := max(drainAt, outageAt+platformRules.Silence)
+		notified := max(drainAt, outageAt+platformRules.NotifiedAfterSilence)
 		if rapid.Bool().Draw(t, "interrupted") {
 			lease.Interrupt()
-			notified = max(drainAt, outageAt+platformRules.Break)
+			notified = max(drainAt, outageAt+platformRules.NotifiedAfterInterruption)
 		}
 		if rapid.Bool().Draw(t, "requested") {
 			requestedAt := outageAt + draw("requested after")
 			lease.RequestUpdate(requestedAt)
 			notified = max(drainAt, min(notified, requestedAt))
 		}
-		if end := notified + platformRules.Grace; lease.Until() > end {
-			t.Fatalf("new work may start until %v, but the rules allow it only until %v", lease.Until(), end)
+		if end := notified + platformRules.DrainGrace; lease.ValidUntil() > end {
+			t.Fatalf("new work may start until %v, but the rules allow it only until %v", lease.ValidUntil(), end)
 		}
 		accepted := outageAt + draw("accepted after")
-		if accepted <= drainAt && platformRules.AcceptedUntil(accepted) > drainAt+platformRules.Grace {
+		if accepted <= drainAt && platformRules.AcceptanceValidUntil(accepted) > drainAt+platformRules.DrainGrace {
 			t.Fatalf("worker that accepted work at %v and drained from %v may be sent new work until %v, after its grace period",
-				accepted, drainAt, platformRules.AcceptedUntil(accepted))
+				accepted, drainAt, platformRules.AcceptanceValidUntil(accepted))
 		}
 	})
 }
--- a/internal/gateway/endpoint_lease.go
+++ b/internal/gateway/endpoint_lease.go
@@ -11,9 +11,9 @@
 // shortened at any time.
 func (f *FrontEnd) EndpointLeaseChanged(now time.Duration, lease endpointlease.Lease, isComplete bool) {
 	f.now = now
-	if isComplete || lease.Until() < f.lease.Until() {
+	if isComplete || lease.ValidUntil() < f.lease.ValidUntil() {
 		f.lease = lease
-		f.guard.SetEndpointLease(lease.Until())
+		f.guard.SetEndpointLease(lease.ValidUntil())
 	}
 	f.logLeaseChange()
 	if f.listIsConfirmed() {
@@ -24,7 +24,7 @@
 
 // listIsConfirmed reports whether the endpoint lease is valid. While it is, workers that are listed as ready may be
 // sent new work without a confirmation of their own.
-func (f *FrontEnd) listIsConfirmed() bool { return f.now <= f.lease.Until() }
+func (f *FrontEnd) listIsConfirmed() bool { return f.now <= f.lease.ValidUntil() }
 
 // logLeaseChange logs when the lease on the endpoint list ends and when it is valid again.
 func (f *FrontEnd) logLeaseChange() {
--- a/internal/gateway/endpoint_steps_test.go
+++ b/internal/gateway/endpoint_steps_test.go
@@ -145,7 +145,7 @@
 // TestEndpointChanges_MoreThanOneStep_LeaseIsExtendedByLastStep checks that the lease is extended only by the step that
 // handles the last of the changes that were reported before the lease.
 func TestEndpointChanges_MoreThanOneStep_LeaseIsExtendedByLastStep(t *testing.T) {
-	rules := endpointlease.Rules{Silence: time.Second}
+	rules := endpointlease.Rules{NotifiedAfterSilence: time.Second}
 	changes := newEndpointChanges(endpointlease.New(rules, 0))
 	var many []discovery.Worker
 	for i := range maxEndpointChanges + 1 {
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -26,7 +26,7 @@
 	Tenants        []string // tenant names, in the order of Scheduler.Tenants
 	Zones          []string // zone names; Scheduler.Zone is an index into them
 	Tenancy        tenancy.Settings
-	EndpointRules  endpointlease.Rules // if Silence is 0, the endpoint list never becomes invalid
+	EndpointRules  endpointlease.Rules // if NotifiedAfterSilence is 0, the endpoint list never becomes invalid
 	DeadlineMargin time.Duration       // how long before the client's timeout the final response is due
 	MaxInFlight    int                 // limit of requests in flight; further ones are rejected immediately
 	ClockStart     time.Time           // wall time at which the clock is 0
@@ -175,7 +175,7 @@
 		cells:        map[string]int{},
 		kinds:        map[string]int{},
 	}
-	frontEnd.guard.SetEndpointLease(frontEnd.lease.Until())
+	frontEnd.guard.SetEndpointLease(frontEnd.lease.ValidUntil())
 	for _, zone := range settings.Zones {
 		intern(frontEnd.zones, zone)
 	}
--- a/internal/gateway/platform_config.go
+++ b/internal/gateway/platform_config.go
@@ -52,9 +52,9 @@
 // list.
 func (p *PlatformServer) endpointRules() endpointlease.Rules {
 	return endpointlease.Rules{
-		Silence: platformNoticeAfterSilence,
-		Break:   platformNoticeAfterBreak,
-		Grace:   p.config.Settings.Scheduler.DrainGrace,
+		NotifiedAfterSilence:      platformNoticeAfterSilence,
+		NotifiedAfterInterruption: platformNoticeAfterBreak,
+		DrainGrace:                p.config.Settings.Scheduler.DrainGrace,
 	}
 }
 
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -62,7 +62,7 @@
 // that it accepts new work. Without this check, a worker that starts to drain while discovery is unreachable would be
 // sent new work, although the platform regards this front end as notified of the drain.
 func (f *FrontEnd) acceptsNewWork(w *worker) (confirmedUntil time.Duration, allowed bool) {
-	confirmedUntil = f.settings.EndpointRules.AcceptedUntil(w.readiness.acceptedAt)
+	confirmedUntil = f.settings.EndpointRules.AcceptanceValidUntil(w.readiness.acceptedAt)
 	return confirmedUntil, f.listIsConfirmed() || f.now <= confirmedUntil
 }
 
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -12,7 +12,11 @@
 // The tests in this file check how new work is sent while the endpoint list is not confirmed.
 
 // leaseRules are the platform's rules, with a grace of 500 ms.
-var leaseRules = endpointlease.Rules{Silence: 4 * time.Second, Break: 2 * time.Second, Grace: 500 * ms}
+var leaseRules = endpointlease.Rules{
+	NotifiedAfterSilence:      4 * time.Second,
+	NotifiedAfterInterruption: 2 * time.Second,
+	DrainGrace:                500 * ms,
+}
 
 // newLeaseHarness returns a harness whose endpoint list was last confirmed at its start.
 func newLeaseHarness(t *testing.T, workers int, change func(*Settings)) *testHarness {
@@ -265,7 +269,7 @@
 	harness := newLeaseHarness(t, 1, func(settings *Settings) { settings.Guard = guard })
 	queue, batch := workerconn.NewSendQueue[string](), workerconn.WriteBatch[string]{}
 	encode := func(buffer []byte, _ workerconn.QueueItem[string]) ([]byte, error) { return append(buffer, 'x'), nil }
-	until := harness.lease.Until()
+	until := harness.lease.ValidUntil()
 	guard.Renew(until)
 	queue.PushAttempt(1, &workerconn.Attempt{})
 	queue.NextBatch(guard, until, &batch, encode)
