--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -69,9 +69,9 @@
 	return d.Read(now, memory) / (counted * memory.Seconds())
 }
 
-// UpperBoundOfOneIn returns the 1/divisor quantile of values, or 0 if there are no values. A divisor of 2 gives the
+// QuantileByDivisor returns the 1/divisor quantile of values, or 0 if there are no values. A divisor of 2 gives the
 // median, the upper one of an even number of values. It sorts values.
-func UpperBoundOfOneIn(divisor int, values []float64) float64 {
+func QuantileByDivisor(divisor int, values []float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -83,7 +83,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := UpperBoundOfOneIn(test.divisor, test.values); got != test.want {
+			if got := QuantileByDivisor(test.divisor, test.values); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -226,7 +226,7 @@
 			runs = append(runs, worker.runTimeByClass[class].Value)
 		}
 	}
-	return time.Duration(estimate.UpperBoundOfOneIn(divisor, runs))
+	return time.Duration(estimate.QuantileByDivisor(divisor, runs))
 }
 
 // unloadedRunTime returns the run time of a class at lightly loaded workers, which is also what a cold worker would
@@ -289,5 +289,5 @@
 	if len(delays) < contactedMinSamples {
 		return 0
 	}
-	return estimate.UpperBoundOfOneIn(contactedDivisor, delays)
+	return estimate.QuantileByDivisor(contactedDivisor, delays)
 }
