--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestUpperBoundOfOneIn(t *testing.T) {
+func TestQuantileByDivisor(t *testing.T) {
 	tests := []struct {
 		name    string
 		divisor int
