--- a/internal/decide/tenancy/quota.go
+++ b/internal/decide/tenancy/quota.go
@@ -7,12 +7,12 @@
 
 // consumeQuota reports whether the tenant's quota allows another request, and if so counts the request against it. It
 // implements the generic cell rate algorithm (ITU-T I.371).
-func (t *Limiter) consumeQuota(now time.Duration, tenant int) bool {
-	if !t.hasQuota(tenant) {
+func (l *Limiter) consumeQuota(now time.Duration, tenant int) bool {
+	if !l.hasQuota(tenant) {
 		return true
 	}
-	state := &t.tenants[tenant]
-	increment := time.Duration(float64(time.Second) / t.settings.Quotas[tenant])
+	state := &l.tenants[tenant]
+	increment := time.Duration(float64(time.Second) / l.settings.Quotas[tenant])
 	if state.theoreticalArrival > now+max(0, quotaBurst-increment) {
 		return false
 	}
@@ -20,6 +20,6 @@
 	return true
 }
 
-func (t *Limiter) hasQuota(tenant int) bool {
-	return tenant < len(t.settings.Quotas) && t.settings.Quotas[tenant] > 0
+func (l *Limiter) hasQuota(tenant int) bool {
+	return tenant < len(l.settings.Quotas) && l.settings.Quotas[tenant] > 0
 }
--- a/internal/decide/tenancy/shares.go
+++ b/internal/decide/tenancy/shares.go
@@ -28,8 +28,8 @@
 	minShare = 1e-9
 	// minRequestCount replaces a request count of 0 in divisions.
 	minRequestCount = 1e-9
-	// maxLendingFactor is the multiple of the unused work that is lent at a restraint of 0. The factor falls
-	// exponentially to 1 at strictRestraint.
+	// maxLendingFactor is the multiple of the unused work that is lent at a lending restriction of 0. The factor falls
+	// exponentially to 1 at strictRestriction.
 	maxLendingFactor = 8.0
 )
 
@@ -53,35 +53,35 @@
 
 // workOf returns the work, in seconds, that a request is counted with. The parameter is its estimated work in seconds,
 // 0 if unknown.
-func (t *Limiter) workOf(work float64) float64 {
-	if t.settings.Basis == ByRequestCount {
+func (l *Limiter) workOf(work float64) float64 {
+	if l.settings.Basis == ByRequestCount {
 		return defaultWork.Seconds()
 	}
 	return cmp.Or(work, defaultWork.Seconds())
 }
 
 // updateRateMemory adapts the time constant of the work rates to the request rate.
-func (t *Limiter) updateRateMemory(now time.Duration) {
-	counted := min(longOutcomeMemory, now-t.firstRequest+evaluationInterval)
-	rate := t.received.at(now, longOutcomeMemory) / counted.Seconds()
+func (l *Limiter) updateRateMemory(now time.Duration) {
+	counted := min(longOutcomeMemory, now-l.firstRequest+evaluationInterval)
+	rate := l.received.at(now, longOutcomeMemory) / counted.Seconds()
 	wanted := time.Duration(rateSampleSize / max(rate, 1) * float64(time.Second))
-	t.rateMemory = min(maxRateMemory, max(minRateMemory, wanted))
+	l.rateMemory = min(maxRateMemory, max(minRateMemory, wanted))
 }
 
 // updateDemands updates the demand of each active tenant, removes idle tenants from the active ones, and returns the
 // sums over the remaining tenants.
-func (t *Limiter) updateDemands(now time.Duration) demands {
+func (l *Limiter) updateDemands(now time.Duration) demands {
 	var total demands
-	t.active = slices.DeleteFunc(t.active, func(tenant int) bool {
-		state := &t.tenants[tenant]
-		requests := state.requests.at(now, t.rateMemory)
+	l.active = slices.DeleteFunc(l.active, func(tenant int) bool {
+		state := &l.tenants[tenant]
+		requests := state.requests.at(now, l.rateMemory)
 		if requests < idleThreshold {
 			state.active, state.overShare = false, false
 			return true
 		}
-		state.demand = requests * t.workOf(state.work)
+		state.demand = requests * l.workOf(state.work)
 		total.work += state.demand
-		total.shares += t.settings.Shares[tenant]
+		total.shares += l.settings.Shares[tenant]
 		return false
 	})
 	total.shares = max(total.shares, minShare)
@@ -94,13 +94,13 @@
 // with large demands would hide each other.
 //
 // It returns the tenants over their shares in that order, and the total demand of the others in seconds.
-func (t *Limiter) findOverShare(total demands) (over []int, othersWork float64) {
-	slices.SortFunc(t.active, func(a, b int) int {
-		return cmp.Or(cmp.Compare(t.relativeDemand(b), t.relativeDemand(a)), cmp.Compare(a, b))
+func (l *Limiter) findOverShare(total demands) (over []int, othersWork float64) {
+	slices.SortFunc(l.active, func(a, b int) int {
+		return cmp.Or(cmp.Compare(l.relativeDemand(b), l.relativeDemand(a)), cmp.Compare(a, b))
 	})
 	rest := total
-	for i, tenant := range t.active {
-		state, share := &t.tenants[tenant], t.settings.Shares[tenant]
+	for i, tenant := range l.active {
+		state, share := &l.tenants[tenant], l.settings.Shares[tenant]
 		others := demands{work: rest.work - state.demand, shares: rest.shares - share}
 		largerAreAllOver := len(over) == i
 		state.admitFraction = 1
@@ -114,8 +114,8 @@
 }
 
 // relativeDemand returns a tenant's demand divided by its share.
-func (t *Limiter) relativeDemand(tenant int) float64 {
-	return t.tenants[tenant].demand / max(t.settings.Shares[tenant], minShare)
+func (l *Limiter) relativeDemand(tenant int) float64 {
+	return l.tenants[tenant].demand / max(l.settings.Shares[tenant], minShare)
 }
 
 // exceedsShare reports whether the tenant's demand per share exceeds that of the others by more than overShareFactor,
@@ -137,30 +137,30 @@
 //
 // The work done serves as the estimate of the capacity. The two are equal while the workers are fully utilized; below
 // full utilization, lending increases until a tenant within its share lacks capacity.
-func (t *Limiter) allocate(over []int, othersWork, totalShares, workDone float64) {
+func (l *Limiter) allocate(over []int, othersWork, totalShares, workDone float64) {
 	shares := 0.0
 	for _, tenant := range over {
-		shares += t.settings.Shares[tenant]
+		shares += l.settings.Shares[tenant]
 	}
-	available := t.lendableWork(workDone*shares/totalShares, workDone-othersWork)
+	available := l.lendableWork(workDone*shares/totalShares, workDone-othersWork)
 	for _, tenant := range slices.Backward(over) {
-		state, part := &t.tenants[tenant], 0.0
+		state, part := &l.tenants[tenant], 0.0
 		if shares > 0 {
-			part = available * t.settings.Shares[tenant] / shares
+			part = available * l.settings.Shares[tenant] / shares
 		}
 		granted := min(state.demand, part)
-		available, shares = available-granted, shares-t.settings.Shares[tenant]
+		available, shares = available-granted, shares-l.settings.Shares[tenant]
 		state.admitFraction = granted / state.demand
 	}
 }
 
 // lendableWork returns the work, in seconds, that is available to all tenants over their shares together. The parameter
 // promised is the work that corresponds to their shares, and unused is the work that the other tenants leave. As the
-// restraint grows, the result falls from a multiple of the larger of the two down to promised.
-func (t *Limiter) lendableWork(promised, unused float64) float64 {
+// restriction grows, the result falls from a multiple of the larger of the two down to promised.
+func (l *Limiter) lendableWork(promised, unused float64) float64 {
 	available := max(promised, unused)
-	if t.restraint < strictRestraint {
-		return available * math.Pow(maxLendingFactor, strictRestraint-t.restraint)
+	if l.lendingRestriction < strictRestriction {
+		return available * math.Pow(maxLendingFactor, strictRestriction-l.lendingRestriction)
 	}
-	return available - (t.restraint-strictRestraint)*(available-promised)
+	return available - (l.lendingRestriction-strictRestriction)*(available-promised)
 }
--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -54,18 +54,18 @@
 
 // Limiter enforces the shares and quotas at one front end. It belongs to a single goroutine, the event loop.
 type Limiter struct {
-	settings       Settings
-	tenants        []tenantState
-	active         []int          // tenants that sent requests recently
-	firstRequest   time.Duration  // time of the first request
-	received       decayedSum     // decayed number of requests of all tenants
-	rateMemory     time.Duration  // time constant of the decayed work rates
-	lastEvaluation time.Duration  // time of the last evaluation, 0 before the first request
-	workDone       decayedSum     // decayed work of served requests, in seconds
-	lastOutcome    time.Duration  // last time at which a request of a tenant within its share ended
-	recentOutcomes outcomeCounter // outcomes of tenants within their shares, with recentOutcomeMemory
-	longOutcomes   outcomeCounter // outcomes of tenants within their shares, with longOutcomeMemory
-	restraint      float64        // restriction of lending, 0 to maxRestraint; see Restraint
+	settings           Settings
+	tenants            []tenantState
+	active             []int          // tenants that sent requests recently
+	firstRequest       time.Duration  // time of the first request
+	received           decayedSum     // decayed number of requests of all tenants
+	rateMemory         time.Duration  // time constant of the decayed work rates
+	lastEvaluation     time.Duration  // time of the last evaluation, 0 before the first request
+	workDone           decayedSum     // decayed work of served requests, in seconds
+	lastOutcome        time.Duration  // last time at which a request of a tenant within its share ended
+	recentOutcomes     outcomeCounter // outcomes of tenants within their shares, with recentOutcomeMemory
+	longOutcomes       outcomeCounter // outcomes of tenants within their shares, with longOutcomeMemory
+	lendingRestriction float64        // 0 to maxRestriction; see LendingRestriction
 }
 
 // New returns a Limiter without observations.
@@ -74,31 +74,31 @@
 }
 
 // RequestReceived decides on a request of a tenant that was received at now. Requests of unknown tenants are admitted.
-func (t *Limiter) RequestReceived(now time.Duration, tenant int) Verdict {
-	if tenant >= len(t.tenants) {
+func (l *Limiter) RequestReceived(now time.Duration, tenant int) Verdict {
+	if tenant >= len(l.tenants) {
 		return Admit
 	}
-	if t.settings.Basis != NotEnforced {
-		t.evaluateWhenDue(now)
-		t.countRequest(now, tenant)
+	if l.settings.Basis != NotEnforced {
+		l.evaluateWhenDue(now)
+		l.countRequest(now, tenant)
 	}
 	switch {
-	case !t.consumeQuota(now, tenant):
+	case !l.consumeQuota(now, tenant):
 		return OverQuota
-	case t.settings.Basis != NotEnforced && !t.tenants[tenant].useCredit():
+	case l.settings.Basis != NotEnforced && !l.tenants[tenant].useCredit():
 		return OverShare
 	}
 	return Admit
 }
 
 // countRequest adds a request to the demand of its tenant.
-func (t *Limiter) countRequest(now time.Duration, tenant int) {
-	t.received.add(now, longOutcomeMemory, 1)
-	state := &t.tenants[tenant]
-	state.requests.add(now, t.rateMemory, 1)
+func (l *Limiter) countRequest(now time.Duration, tenant int) {
+	l.received.add(now, longOutcomeMemory, 1)
+	state := &l.tenants[tenant]
+	state.requests.add(now, l.rateMemory, 1)
 	if !state.active {
 		state.active, state.admitFraction, state.overShare = true, 1, false
-		t.active = append(t.active, tenant)
+		l.active = append(l.active, tenant)
 	}
 }
 
@@ -121,31 +121,31 @@
 }
 
 // RequestEnded records that an admitted request of a tenant ended at now.
-func (t *Limiter) RequestEnded(now time.Duration, tenant int, end RequestEnd) {
-	if tenant >= len(t.tenants) || t.settings.Basis == NotEnforced {
+func (l *Limiter) RequestEnded(now time.Duration, tenant int, end RequestEnd) {
+	if tenant >= len(l.tenants) || l.settings.Basis == NotEnforced {
 		return
 	}
-	state := &t.tenants[tenant]
+	state := &l.tenants[tenant]
 	if end.Work > 0 {
 		state.work = movingAverage(state.work, end.Work, tenantAverageWindow)
 	}
 	if end.Served {
-		t.workDone.add(now, t.rateMemory, t.workOf(end.Work.Seconds()))
+		l.workDone.add(now, l.rateMemory, l.workOf(end.Work.Seconds()))
 	}
-	if state.overShare || now-t.firstRequest < startupPeriod {
+	if state.overShare || now-l.firstRequest < startupPeriod {
 		return
 	}
-	t.lastOutcome = now
-	t.recentOutcomes.add(now, recentOutcomeMemory, end.MissedObjective)
-	t.longOutcomes.add(now, longOutcomeMemory, end.MissedObjective)
+	l.lastOutcome = now
+	l.recentOutcomes.add(now, recentOutcomeMemory, end.MissedObjective)
+	l.longOutcomes.add(now, longOutcomeMemory, end.MissedObjective)
 }
 
-func (t *Limiter) evaluateWhenDue(now time.Duration) {
-	if t.lastEvaluation == 0 {
-		t.firstRequest, t.lastEvaluation = now, now
+func (l *Limiter) evaluateWhenDue(now time.Duration) {
+	if l.lastEvaluation == 0 {
+		l.firstRequest, l.lastEvaluation = now, now
 	}
-	if now-t.lastEvaluation >= evaluationInterval {
-		t.evaluate(now)
+	if now-l.lastEvaluation >= evaluationInterval {
+		l.evaluate(now)
 	}
 }
 
@@ -155,20 +155,20 @@
 // It keeps a burst of one tenant from using the capacity promised to others. Its drawback appears where requests of
 // tenants within their shares miss their objectives for a reason of their own, such as functions slower than the
 // objective: the other tenants are then limited to their shares and the capacity left unused.
-func (t *Limiter) evaluate(now time.Duration) {
-	if now-t.lastEvaluation > longOutcomeMemory {
-		t.restraint = 0 // no request was received since the last evaluation
+func (l *Limiter) evaluate(now time.Duration) {
+	if now-l.lastEvaluation > longOutcomeMemory {
+		l.lendingRestriction = 0 // no request was received since the last evaluation
 	}
-	t.lastEvaluation = now
-	t.updateRateMemory(now)
-	total := t.updateDemands(now)
-	t.updateRestraint(t.hasShortage(now))
-	over, othersWork := t.findOverShare(total)
-	if t.restraint > 0 && len(over) > 0 {
-		t.allocate(over, othersWork, total.shares, t.workDone.at(now, t.rateMemory))
+	l.lastEvaluation = now
+	l.updateRateMemory(now)
+	total := l.updateDemands(now)
+	l.updateLendingRestriction(l.hasShortage(now))
+	over, othersWork := l.findOverShare(total)
+	if l.lendingRestriction > 0 && len(over) > 0 {
+		l.allocate(over, othersWork, total.shares, l.workDone.at(now, l.rateMemory))
 	}
 }
 
-// Restraint returns how far lending of capacity is restricted, from 0 to 2. At 0 all demand is admitted, at 1 only the
-// capacity left by tenants within their shares is lent, and at 2 no capacity is lent.
-func (t *Limiter) Restraint() float64 { return t.restraint }
+// LendingRestriction returns how far lending of capacity is restricted, from 0 to 2. At 0 all demand is admitted, at 1
+// only the capacity left by tenants within their shares is lent, and at 2 no capacity is lent.
+func (l *Limiter) LendingRestriction() float64 { return l.lendingRestriction }
--- a/internal/decide/tenancy/workestimate.go
+++ b/internal/decide/tenancy/workestimate.go
@@ -28,9 +28,9 @@
 }
 
 // ObserveReported records an execution time that a worker reported.
-func (c *WorkEstimator) ObserveReported(execution time.Duration) {
-	c.mean = movingAverage(c.mean, execution, elapsedBatch)
-	c.count = 0
+func (e *WorkEstimator) ObserveReported(execution time.Duration) {
+	e.mean = movingAverage(e.mean, execution, elapsedBatch)
+	e.count = 0
 }
 
 // movingAverage returns the mean, in seconds, updated with a sample at the weight 1/window. A mean of 0 means that
@@ -41,30 +41,30 @@
 }
 
 // ObserveElapsed records the time from sending a request to its response, including any queue delay.
-func (c *WorkEstimator) ObserveElapsed(elapsed time.Duration) {
-	c.count++
-	if c.count == 1 || elapsed.Seconds() < c.shortest {
-		c.shortest = elapsed.Seconds()
+func (e *WorkEstimator) ObserveElapsed(elapsed time.Duration) {
+	e.count++
+	if e.count == 1 || elapsed.Seconds() < e.shortest {
+		e.shortest = elapsed.Seconds()
 	}
-	batchComplete := c.count >= elapsedBatch
+	batchComplete := e.count >= elapsedBatch
 	switch {
-	case c.mean == 0, batchComplete && c.shortest > changedFactor*c.mean:
-		c.mean = c.shortest
+	case e.mean == 0, batchComplete && e.shortest > changedFactor*e.mean:
+		e.mean = e.shortest
 	case batchComplete:
-		c.mean += (c.shortest - c.mean) / 2
+		e.mean += (e.shortest - e.mean) / 2
 	}
 	if batchComplete {
-		c.count = 0
+		e.count = 0
 	}
 }
 
 // ObserveAbandoned records a request that was given up after elapsed without a response. Several such requests in a row
 // mean that the function takes longer than estimated.
-func (c *WorkEstimator) ObserveAbandoned(elapsed time.Duration) {
-	if elapsed.Seconds() > c.mean {
-		c.ObserveElapsed(elapsed)
+func (e *WorkEstimator) ObserveAbandoned(elapsed time.Duration) {
+	if elapsed.Seconds() > e.mean {
+		e.ObserveElapsed(elapsed)
 	}
 }
 
 // Estimate returns the expected work of one request, or 0 before the first observation.
-func (c *WorkEstimator) Estimate() time.Duration { return time.Duration(c.mean * float64(time.Second)) }
+func (e *WorkEstimator) Estimate() time.Duration { return time.Duration(e.mean * float64(time.Second)) }
