--- a/internal/platform/rpcframe/message.go
+++ b/internal/platform/rpcframe/message.go
@@ -42,27 +42,27 @@
 
 // Message is a request or, if Cancelled is not nil, a notification that cancels requests.
 type Message struct {
-	Number    uint32 // number that the client assigned to the request; the response repeats it
+	MessageID uint32 // assigned by the client; the response repeats it
 	Method    string // MethodHeartbeat, MethodCancel or the name of a request class
 	Params    Params
 	Body      []byte   // nil if the request has no body, as for a heartbeat
-	Cancelled []uint32 // numbers of the requests to cancel
+	Cancelled []uint32 // message IDs of the requests to cancel
 }
 
 // Params are the named fields of a request as sent by the client. Message.Request validates them. Fields with unknown
 // names are accepted and ignored.
 type Params struct {
-	ID             string       // ID of the request, unique among all clients
-	Function       string       // ID of the function
-	IdempotencyKey string       // empty if the request has none
-	Tenant         OptionalText // name of the tenant
-	Retry          OptionalText // set if the request is a retry; the only valid value is 1
-	Timeout        string       // timeout as a decimal number of milliseconds
-	Attributes     string       // name:value pairs, separated by semicolons
+	ID             string         // ID of the request, unique among all clients
+	Function       string         // ID of the function
+	IdempotencyKey string         // empty if the request has none
+	Tenant         OptionalString // name of the tenant
+	Retry          OptionalString // set if the request is a retry; the only valid value is 1
+	Timeout        string         // timeout as a decimal number of milliseconds
+	Attributes     string         // name:value pairs, separated by semicolons
 }
 
-// OptionalText is the value of a field for which being absent differs from being empty.
-type OptionalText struct {
+// OptionalString is the value of a field for which being absent differs from being empty.
+type OptionalString struct {
 	Value   string
 	Present bool
 }
@@ -77,9 +77,9 @@
 	case "once":
 		p.IdempotencyKey = value
 	case "tenant":
-		p.Tenant = OptionalText{value, true}
+		p.Tenant = OptionalString{value, true}
 	case "retry":
-		p.Retry = OptionalText{value, true}
+		p.Retry = OptionalString{value, true}
 	case "wait":
 		p.Timeout = value
 	case "attrs":
--- a/internal/platform/rpcframe/reader.go
+++ b/internal/platform/rpcframe/reader.go
@@ -73,10 +73,10 @@
 	return uint32(number), nil
 }
 
-// readRequest reads the elements that follow the type of a request: its number, its method and an array of its fields
-// and, for most methods, its body.
+// readRequest reads the elements that follow the type of a request: its message ID, its method and an array of its
+// fields and, for most methods, its body.
 func (r *Reader) readRequest() (message Message, err error) {
-	if message.Number, err = r.readNumber(); err != nil {
+	if message.MessageID, err = r.readNumber(); err != nil {
 		return message, err
 	}
 	if message.Method, err = r.readString("method", maxNameSize); err != nil {
@@ -115,11 +115,11 @@
 		return message, malformed("%d requests cancelled", count)
 	}
 	for range count {
-		number, err := r.readNumber()
+		messageID, err := r.readNumber()
 		if err != nil {
 			return message, err
 		}
-		message.Cancelled = append(message.Cancelled, number)
+		message.Cancelled = append(message.Cancelled, messageID)
 	}
 	return message, nil
 }
--- a/internal/platform/rpcframe/reader_test.go
+++ b/internal/platform/rpcframe/reader_test.go
@@ -30,7 +30,7 @@
 
 func TestNext_ValidMessages_Read(t *testing.T) {
 	message, err := readMessage(encodedRequest(t))
-	if err != nil || message.Number != 7 || message.Method != "call" || message.Params.Timeout != "1500" ||
+	if err != nil || message.MessageID != 7 || message.Method != "call" || message.Params.Timeout != "1500" ||
 		!bytes.Equal(message.Body, []byte{1, 2}) {
 		t.Errorf("read %+v, error %v", message, err)
 	}
--- a/internal/platform/rpcframe/request.go
+++ b/internal/platform/rpcframe/request.go
@@ -24,12 +24,12 @@
 type Request struct {
 	ID             string // 16 lower-case hexadecimal digits
 	Class          string
-	Function       string        // 16 lower-case hexadecimal digits
-	IdempotencyKey string        // 32 lower-case hexadecimal digits, or empty if the request has none
-	Tenant         OptionalText  // name of the tenant
-	Timeout        time.Duration // time for which the client waits for the response; above 0
-	Attributes     []Attribute   // in the order sent; among attributes of the same kind the last takes precedence
-	Body           []byte        // not nil, may be empty
+	Function       string         // 16 lower-case hexadecimal digits
+	IdempotencyKey string         // 32 lower-case hexadecimal digits, or empty if the request has none
+	Tenant         OptionalString // name of the tenant
+	Timeout        time.Duration  // time for which the client waits for the response; above 0
+	Attributes     []Attribute    // in the order sent; among attributes of the same kind the last takes precedence
+	Body           []byte         // not nil, may be empty
 }
 
 // Attribute is a property of a request or of its function.
--- a/internal/platform/rpcframe/request_test.go
+++ b/internal/platform/rpcframe/request_test.go
@@ -7,7 +7,7 @@
 )
 
 func validMessage() Message {
-	return Message{Number: 1, Method: "quote", Body: []byte("body"), Params: Params{
+	return Message{MessageID: 1, Method: "quote", Body: []byte("body"), Params: Params{
 		ID: "9b1f03aa5c7e2d41", Function: "7f3a9c21e0b4d655",
 		Timeout: "900", Attributes: "memory_mb:512;unknown:7;lanes:2;cost:3;hint:4",
 	}}
@@ -15,7 +15,7 @@
 
 func TestRequest_ValidFields_Decoded(t *testing.T) {
 	message := validMessage()
-	message.Params.Tenant = OptionalText{"", true}
+	message.Params.Tenant = OptionalString{"", true}
 	request, err := message.Request()
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 		"upper-case id":              func(m *Message) { m.Params.ID = "9B1F03AA5C7E2D41" },
 		"short function":             func(m *Message) { m.Params.Function = "7f3a" },
 		"short idempotency key":      func(m *Message) { m.Params.IdempotencyKey = "7f3a9c21e0b4d655" },
-		"empty retry":                func(m *Message) { m.Params.Retry = OptionalText{"", true} },
+		"empty retry":                func(m *Message) { m.Params.Retry = OptionalString{"", true} },
 		"no timeout":                 func(m *Message) { m.Params.Timeout = "" },
 		"timeout of 0":               func(m *Message) { m.Params.Timeout = "0" },
 		"timeout with a sign":        func(m *Message) { m.Params.Timeout = "+5" },
--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -33,8 +33,8 @@
 	consecutiveRejections int
 
 	mu             sync.Mutex                 // guards the fields below
-	inFlight       map[uint32]*pendingRequest // requests without a response, by number; at most MaxInFlight
-	lastNumber     uint32                     // number of the last request
+	inFlight       map[uint32]*pendingRequest // requests without a response, by message ID; at most MaxInFlight
+	lastMessageID  uint32                     // message ID of the last request
 	hasSentRequest bool
 	input          inputState
 	stateSince     time.Time // when input last changed or a response was last queued
@@ -160,9 +160,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var abandoned []*pendingRequest
-	for number, pending := range c.inFlight {
+	for messageID, pending := range c.inFlight {
 		abandoned = append(abandoned, pending)
-		delete(c.inFlight, number)
+		delete(c.inFlight, messageID)
 	}
 	c.drainLocked()
 	return abandoned
@@ -183,7 +183,7 @@
 		return false // the input ended
 	}
 	if err != nil {
-		c.reportViolation(message.Number, err)
+		c.reportViolation(message.MessageID, err)
 		return false
 	}
 	return true
@@ -202,19 +202,19 @@
 		c.cancelRequests(message.Cancelled)
 		return nil
 	case message.Method == rpcframe.MethodHeartbeat:
-		c.handleHeartbeat(message.Number)
+		c.handleHeartbeat(message.MessageID)
 		return nil
 	}
 	return c.handleRequest(message)
 }
 
-// reportViolation logs and counts a protocol violation. If the number of the request is known, that is above 0, it
+// reportViolation logs and counts a protocol violation. If the message ID is known, that is above 0, it
 // sends an error response.
-func (c *conn) reportViolation(number uint32, reason error) {
+func (c *conn) reportViolation(messageID uint32, reason error) {
 	c.server.protocolErrors.Add(1)
 	c.server.log.Info().Err(reason).Msg("protocol violation by a client")
-	if number > 0 {
-		c.enqueue(func(output []byte) []byte { return rpcframe.AppendMalformed(output, number) })
+	if messageID > 0 {
+		c.enqueue(func(output []byte) []byte { return rpcframe.AppendMalformed(output, messageID) })
 	}
 }
 
@@ -225,18 +225,18 @@
 	}
 	request.ReceivedAt = time.Now()
 	request.ArrivedAfter = c.arrivals.ArrivedAfter()
-	pending, err := c.addInFlight(message.Number)
+	pending, err := c.addInFlight(message.MessageID)
 	if err != nil {
 		return err
 	}
-	cancel, err := c.server.handler.Handle(request, func(r Response) { c.respond(message.Number, pending, r) })
+	cancel, err := c.server.handler.Handle(request, func(r Response) { c.respond(message.MessageID, pending, r) })
 	if err != nil {
-		c.removeInFlight(message.Number)
+		c.removeInFlight(message.MessageID)
 		c.consecutiveRejections++
 		if c.consecutiveRejections >= maxConsecutiveRejections {
 			return err
 		}
-		c.reportViolation(message.Number, err)
+		c.reportViolation(message.MessageID, err)
 		return nil
 	}
 	c.consecutiveRejections = 0
@@ -247,43 +247,45 @@
 }
 
 // addInFlight adds a request to the requests in flight. It returns an error if the request violates the protocol: if
-// too many requests are in flight or its number is not above all earlier numbers.
-func (c *conn) addInFlight(number uint32) (*pendingRequest, error) {
+// too many requests are in flight or its message ID is not above all earlier ones.
+func (c *conn) addInFlight(messageID uint32) (*pendingRequest, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.inFlight) >= c.server.cfg.MaxInFlight {
 		return nil, protocolError("more than %d requests in flight", c.server.cfg.MaxInFlight)
 	}
-	if number <= c.lastNumber {
-		return nil, protocolError("number %d after %d", number, c.lastNumber)
+	if messageID <= c.lastMessageID {
+		return nil, protocolError("number %d after %d", messageID, c.lastMessageID)
 	}
-	c.lastNumber, c.hasSentRequest = number, true
+	c.lastMessageID, c.hasSentRequest = messageID, true
 	pending := &pendingRequest{}
-	c.inFlight[number] = pending
+	c.inFlight[messageID] = pending
 	return pending, nil
 }
 
 // removeInFlight removes a request from the requests in flight and returns it, or nil if it is not in flight.
-func (c *conn) removeInFlight(number uint32) *pendingRequest {
+func (c *conn) removeInFlight(messageID uint32) *pendingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	pending := c.inFlight[number]
-	delete(c.inFlight, number)
+	pending := c.inFlight[messageID]
+	delete(c.inFlight, messageID)
 	return pending
 }
 
-func (c *conn) handleHeartbeat(number uint32) {
+func (c *conn) handleHeartbeat(messageID uint32) {
 	c.mu.Lock()
-	c.lastNumber = max(c.lastNumber, number)
+	c.lastMessageID = max(c.lastMessageID, messageID)
 	c.hasSentRequest = true
 	c.mu.Unlock()
-	c.enqueue(func(output []byte) []byte { return rpcframe.AppendHeartbeat(output, number, c.server.handler.Ready()) })
+	c.enqueue(func(output []byte) []byte {
+		return rpcframe.AppendHeartbeat(output, messageID, c.server.handler.Ready())
+	})
 }
 
-// cancelRequests cancels the requests with the given numbers that are still in flight.
-func (c *conn) cancelRequests(numbers []uint32) {
-	for _, number := range numbers {
-		if pending := c.removeInFlight(number); pending != nil {
+// cancelRequests cancels the requests with the given message IDs that are still in flight.
+func (c *conn) cancelRequests(messageIDs []uint32) {
+	for _, messageID := range messageIDs {
+		if pending := c.removeInFlight(messageID); pending != nil {
 			pending.cancel()
 		}
 	}
--- a/internal/platform/rpcserver/output.go
+++ b/internal/platform/rpcserver/output.go
@@ -8,25 +8,25 @@
 )
 
 // respond queues the final response to a request. It discards the response if the request is no longer in flight.
-func (c *conn) respond(number uint32, pending *pendingRequest, response Response) {
+func (c *conn) respond(messageID uint32, pending *pendingRequest, response Response) {
 	c.enqueue(func(output []byte) []byte {
-		if c.inFlight[number] != pending { // already responded to, cancelled, or abandoned by a disconnect
+		if c.inFlight[messageID] != pending { // already responded to, cancelled, or abandoned by a disconnect
 			return output
 		}
-		delete(c.inFlight, number)
+		delete(c.inFlight, messageID)
 		c.stateSince = time.Now()
-		return appendResponse(output, number, response)
+		return appendResponse(output, messageID, response)
 	})
 }
 
-func appendResponse(output []byte, number uint32, response Response) []byte {
+func appendResponse(output []byte, messageID uint32, response Response) []byte {
 	switch response.Kind {
 	case Served:
-		return rpcframe.AppendServed(output, number, response.Body)
+		return rpcframe.AppendServed(output, messageID, response.Body)
 	case Rejected:
-		return rpcframe.AppendRejected(output, number, response.RetryAfter)
+		return rpcframe.AppendRejected(output, messageID, response.RetryAfter)
 	}
-	return rpcframe.AppendFailed(output, number)
+	return rpcframe.AppendFailed(output, messageID)
 }
 
 // enqueue calls encode with c.mu held to append a response to the output, and starts the writing goroutine if it is not
--- a/internal/platform/rpcserver/rules.go
+++ b/internal/platform/rpcserver/rules.go
@@ -80,7 +80,7 @@
 
 // tenantIndex returns the index of the tenant that a request names, or -1 if the tenant is unknown. If the rules have
 // no tenants, the index of a request without a tenant is 0.
-func (r *Rules) tenantIndex(tenant rpcframe.OptionalText) int {
+func (r *Rules) tenantIndex(tenant rpcframe.OptionalString) int {
 	if !tenant.Present && len(r.Tenants) == 0 {
 		return 0
 	}
--- a/internal/platform/rpcserver/rules_test.go
+++ b/internal/platform/rpcserver/rules_test.go
@@ -28,7 +28,7 @@
 	} {
 		message := rpcframe.Message{Method: "quote", Body: []byte{}, Params: rpcframe.Params{
 			ID:       "9b1f03aa5c7e2d41",
-			Function: "7f3a9c21e0b4d655", Timeout: "900", Tenant: rpcframe.OptionalText{Value: "acme", Present: true},
+			Function: "7f3a9c21e0b4d655", Timeout: "900", Tenant: rpcframe.OptionalString{Value: "acme", Present: true},
 			Attributes: test.attributes,
 		}}
 		if request, err := rules.parse(message); (err == nil) != test.accepted {
@@ -40,7 +40,7 @@
 func TestRules_Timeout_AtMostTwiceTheClass(t *testing.T) {
 	message := rpcframe.Message{Method: "quote", Body: []byte{}, Params: rpcframe.Params{
 		ID:       "9b1f03aa5c7e2d41",
-		Function: "7f3a9c21e0b4d655", Timeout: "2000", Tenant: rpcframe.OptionalText{Value: "acme", Present: true},
+		Function: "7f3a9c21e0b4d655", Timeout: "2000", Tenant: rpcframe.OptionalString{Value: "acme", Present: true},
 	}}
 	if request, err := rules.parse(message); err != nil || request.Timeout != 2*time.Second {
 		t.Errorf("parsed %+v, error %v", request, err)
@@ -54,15 +54,15 @@
 func TestRules_TenantNames(t *testing.T) {
 	for name, test := range map[string]struct {
 		tenants []string
-		tenant  rpcframe.OptionalText
+		tenant  rpcframe.OptionalString
 		want    int
 	}{
-		"known":                             {[]string{"acme", "other"}, rpcframe.OptionalText{Value: "other", Present: true}, 1},
-		"unknown":                           {[]string{"acme", "other"}, rpcframe.OptionalText{Value: "nobody", Present: true}, -1},
-		"absent":                            {[]string{"acme", "other"}, rpcframe.OptionalText{}, -1},
-		"absent without tenants":            {nil, rpcframe.OptionalText{}, 0},
-		"present without tenants":           {nil, rpcframe.OptionalText{Present: true}, -1},
-		"absent, tenant with an empty name": {[]string{"acme", ""}, rpcframe.OptionalText{}, 1},
+		"known":                             {[]string{"acme", "other"}, rpcframe.OptionalString{Value: "other", Present: true}, 1},
+		"unknown":                           {[]string{"acme", "other"}, rpcframe.OptionalString{Value: "nobody", Present: true}, -1},
+		"absent":                            {[]string{"acme", "other"}, rpcframe.OptionalString{}, -1},
+		"absent without tenants":            {nil, rpcframe.OptionalString{}, 0},
+		"present without tenants":           {nil, rpcframe.OptionalString{Present: true}, -1},
+		"absent, tenant with an empty name": {[]string{"acme", ""}, rpcframe.OptionalString{}, 1},
 	} {
 		r := Rules{Tenants: test.tenants}
 		if got := r.tenantIndex(test.tenant); got != test.want {
