--- a/internal/platform/workerclient/connection_read.go
+++ b/internal/platform/workerclient/connection_read.go
@@ -29,7 +29,7 @@
 // read reads and handles responses until the network connection breaks.
 func (c *connection) read(netConn net.Conn) error {
 	source := bufio.NewReaderSize(netConn, readBufferSize)
-	reader := workerframe.NewReader(source, workerframe.FromWorker, c.client.cfg.MaxResponse)
+	reader := workerframe.NewReader(source, workerframe.MagicWorker, c.client.cfg.MaxResponse)
 	reader.OnFrameStart = func() {
 		_ = netConn.SetReadDeadline(time.Now().Add(connpool.FrameTimeout())) // fails only if the connection is closed
 	}
--- a/internal/platform/workerclient/connection_read_test.go
+++ b/internal/platform/workerclient/connection_read_test.go
@@ -12,7 +12,7 @@
 // TestRead_ResponseSplitAtEveryByte_IsReceived checks that a response that arrives in two segments is read, wherever it
 // is split.
 func TestRead_ResponseSplitAtEveryByte_IsReceived(t *testing.T) {
-	raw, err := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: 5, Fields: "peers_in=3", Body: []byte("answer")})
+	raw, err := workerframe.Append(nil, workerframe.MagicWorker, workerframe.Frame{Code: workerframe.OK, ID: 5, Fields: "peers_in=3", Body: []byte("answer")})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -21,7 +21,7 @@
 	}
 	corrupted := func(change func(raw []byte) []byte) platformworker.Script {
 		return func(c *platformworker.Conn, f workerframe.Frame) {
-			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("x")})
+			raw, _ := workerframe.Append(nil, workerframe.MagicWorker, workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("x")})
 			c.WriteRaw(change(raw))
 		}
 	}
@@ -107,14 +107,14 @@
 		send(t, client, a)
 		served := make(chan error, 1)
 		client.tasks.Go(func() { served <- conn.serve(local) })
-		r := workerframe.NewReader(remote, workerframe.FromFrontEnd, workerframe.MaxBody)
+		r := workerframe.NewReader(remote, workerframe.MagicFrontEnd, workerframe.MaxBody)
 		if f, err := r.Next(); err != nil || f.ID != 5 {
 			t.Fatalf("read frame %+v, error %v; want request 5", f, err)
 		}
 		if cancelled {
 			client.Abandon(a)
 		} else {
-			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: 5})
+			raw, _ := workerframe.Append(nil, workerframe.MagicWorker, workerframe.Frame{Code: workerframe.OK, ID: 5})
 			if _, err := remote.Write(raw); err != nil {
 				t.Fatal(err)
 			}
@@ -140,7 +140,7 @@
 	send(t, client, newAttempt(5))
 	served := make(chan error, 1)
 	client.tasks.Go(func() { served <- conn.serve(local) })
-	r := workerframe.NewReader(remote, workerframe.FromFrontEnd, workerframe.MaxBody)
+	r := workerframe.NewReader(remote, workerframe.MagicFrontEnd, workerframe.MaxBody)
 	if f, err := r.Next(); err != nil || f.ID != 5 {
 		t.Fatalf("read frame %+v, error %v; want request 5", f, err)
 	}
--- a/internal/platform/workerclient/connection_write.go
+++ b/internal/platform/workerclient/connection_write.go
@@ -122,7 +122,7 @@
 
 // encode appends the encoded frame of an item to buffer.
 func (c *connection) encode(buffer []byte, item queueItem) ([]byte, error) {
-	return workerframe.Append(buffer, workerframe.FromFrontEnd, c.frameOf(item))
+	return workerframe.Append(buffer, workerframe.MagicFrontEnd, c.frameOf(item))
 }
 
 // frameOf returns the frame of an item. The timeout of a request is at least one millisecond.
--- a/internal/platform/workerframe/frame.go
+++ b/internal/platform/workerframe/frame.go
@@ -55,8 +55,8 @@
 
 // Magic bytes of the two sides.
 const (
-	FromFrontEnd = 165
-	FromWorker   = 90
+	MagicFrontEnd = 165
+	MagicWorker   = 90
 )
 
 const (
@@ -161,7 +161,7 @@
 
 // isKnownCode reports whether the sending side uses the code.
 func (r *Reader) isKnownCode(c Code) bool {
-	if r.magic == FromFrontEnd {
+	if r.magic == MagicFrontEnd {
 		return c >= Request && c <= Load || c == Unload
 	}
 	return c == OK || c >= NotLoaded && c <= Unhealthy
--- a/internal/platform/workerframe/frame_test.go
+++ b/internal/platform/workerframe/frame_test.go
@@ -13,11 +13,11 @@
 	var raw []byte
 	for _, f := range frames {
 		var err error
-		if raw, err = Append(raw, FromWorker, f); err != nil {
+		if raw, err = Append(raw, MagicWorker, f); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r := NewReader(bytes.NewReader(raw), FromWorker, MaxBody)
+	r := NewReader(bytes.NewReader(raw), MagicWorker, MaxBody)
 	for _, want := range frames {
 		f, err := r.Next()
 		if err != nil || f.Code != want.Code || f.ID != want.ID || f.Fields != want.Fields || !bytes.Equal(f.Body, want.Body) {
@@ -38,7 +38,7 @@
 // TestReader_CorruptedFrame_IsMalformed corrupts each part of a valid frame in turn, and also truncates the frame at
 // every byte.
 func TestReader_CorruptedFrame_IsMalformed(t *testing.T) {
-	valid, err := Append(nil, FromWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
+	valid, err := Append(nil, MagicWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,19 +48,19 @@
 		return raw
 	}
 	for name, raw := range map[string][]byte{
-		"wrong magic byte":  corrupt(func(b []byte) { b[0] = FromFrontEnd }),
+		"wrong magic byte":  corrupt(func(b []byte) { b[0] = MagicFrontEnd }),
 		"unknown code":      corrupt(func(b []byte) { b[1] = 65 }),
 		"body length 3 GiB": corrupt(func(b []byte) { binary.BigEndian.PutUint32(b[4:], 3<<30) }),
 		"fields too long":   corrupt(func(b []byte) { binary.BigEndian.PutUint16(b[2:], 60000) }),
 		"corrupted body":    corrupt(func(b []byte) { b[headerSize+12] ^= 1 }),
 		"wrong checksum":    corrupt(func(b []byte) { b[len(b)-1] ^= 1 }),
 	} {
-		if _, err := NewReader(bytes.NewReader(raw), FromWorker, MaxBody).Next(); !errors.Is(err, ErrMalformed) {
+		if _, err := NewReader(bytes.NewReader(raw), MagicWorker, MaxBody).Next(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 	for n := 1; n < len(valid); n++ {
-		if _, err := NewReader(bytes.NewReader(valid[:n]), FromWorker, MaxBody).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := NewReader(bytes.NewReader(valid[:n]), MagicWorker, MaxBody).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("truncated after %d bytes: error %v, want io.ErrUnexpectedEOF", n, err)
 		}
 	}
@@ -69,16 +69,16 @@
 // FuzzReader checks that arbitrary input causes no panic and that every frame that is read encodes to bytes of the
 // input.
 func FuzzReader(f *testing.F) {
-	valid, _ := Append(nil, FromWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
+	valid, _ := Append(nil, MagicWorker, Frame{Code: OK, ID: 7, Fields: "peers_in=3", Body: []byte("hello")})
 	f.Add(valid)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		r := NewReader(bytes.NewReader(raw), FromWorker, 1<<16)
+		r := NewReader(bytes.NewReader(raw), MagicWorker, 1<<16)
 		for {
 			frame, err := r.Next()
 			if err != nil {
 				return
 			}
-			encoded, err := Append(nil, FromWorker, frame)
+			encoded, err := Append(nil, MagicWorker, frame)
 			if err != nil || !bytes.Contains(raw, encoded) {
 				t.Fatalf("frame %+v was encoded as %x, error %v, which is not part of the input", frame, encoded, err)
 			}
--- a/lab/platformworker/server.go
+++ b/lab/platformworker/server.go
@@ -24,7 +24,7 @@
 
 // Respond writes a response frame. It drops a frame that cannot be encoded.
 func (c *Conn) Respond(f workerframe.Frame) {
-	raw, err := workerframe.Append(nil, workerframe.FromWorker, f)
+	raw, err := workerframe.Append(nil, workerframe.MagicWorker, f)
 	if err == nil {
 		c.WriteRaw(raw)
 	}
@@ -157,7 +157,7 @@
 
 func (s *Server) serve(c *Conn) {
 	defer func() { _ = c.Close() }()
-	r := workerframe.NewReader(bufio.NewReader(c), workerframe.FromFrontEnd, workerframe.MaxBody)
+	r := workerframe.NewReader(bufio.NewReader(c), workerframe.MagicFrontEnd, workerframe.MaxBody)
 	for {
 		f, err := r.Next()
 		if err != nil {
--- a/lab/soak/worker.go
+++ b/lab/soak/worker.go
@@ -94,7 +94,7 @@
 	t.buffered = append(t.buffered, chunk...)
 	for {
 		unread := bytes.NewReader(t.buffered)
-		frame, err := workerframe.NewReader(unread, workerframe.FromFrontEnd, workerframe.MaxBody).Next()
+		frame, err := workerframe.NewReader(unread, workerframe.MagicFrontEnd, workerframe.MaxBody).Next()
 		if err != nil {
 			return len(chunk), nil // the frame is not complete yet
 		}
--- a/lab/soak/worker_test.go
+++ b/lab/soak/worker_test.go
@@ -16,7 +16,7 @@
 		{Code: workerframe.Request, ID: 9, Fields: "lane=quote,ttl=20"},
 	} {
 		var err error
-		if raw, err = workerframe.Append(raw, workerframe.FromFrontEnd, frame); err != nil {
+		if raw, err = workerframe.Append(raw, workerframe.MagicFrontEnd, frame); err != nil {
 			t.Fatal(err)
 		}
 	}
