--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -208,8 +208,8 @@
 	return c.handleRequest(message)
 }
 
-// reportViolation logs and counts a protocol violation. If the message ID is known, that is above 0, it
-// sends an error response.
+// reportViolation logs and counts a protocol violation. If the message ID is known, that is above 0, it sends an error
+// response.
 func (c *conn) reportViolation(messageID uint32, reason error) {
 	c.server.protocolErrors.Add(1)
 	c.server.log.Info().Err(reason).Msg("protocol violation by a client")
--- a/internal/platform/rpcserver/server.go
+++ b/internal/platform/rpcserver/server.go
@@ -2,8 +2,8 @@
 // requests in flight on a connection and responses in any order. Requests are checked against the Rules before they are
 // passed to a Handler. The package is independent of workers: the Handler provides the final response to each request.
 //
-// If a client violates the protocol, the server sends an error response, provided that the number of the request is
-// known, and closes the connection, which cancels all other requests in flight on it. Conforming clients do not violate
+// If a client violates the protocol, the server sends an error response, provided that the message ID is known,
+// and closes the connection, which cancels all other requests in flight on it. Conforming clients do not violate
 // the protocol. A single request that the Handler rejects does not close the connection: see maxConsecutiveRejections.
 package rpcserver
 
