--- a/internal/native/muxclient/connection.go
+++ b/internal/native/muxclient/connection.go
@@ -158,8 +158,8 @@
 // name than expected.
 func (c *Client) checkWelcome(welcome muxframe.Welcome) error {
 	switch {
-	case welcome.Rejection != "":
-		return fmt.Errorf("refused: %s", welcome.Rejection)
+	case welcome.RejectionReason != "":
+		return fmt.Errorf("refused: %s", welcome.RejectionReason)
 	case welcome.Version != muxframe.Version:
 		return fmt.Errorf("it speaks version %d, this is %d", welcome.Version, muxframe.Version)
 	case welcome.Worker != c.cfg.Worker:
--- a/internal/native/muxclient/response.go
+++ b/internal/native/muxclient/response.go
@@ -36,7 +36,7 @@
 	}
 	result := workerconn.Result{
 		Status:     status,
-		Reason:     response.Problem,
+		Reason:     response.FailureReason,
 		ColdStart:  coldStarts[response.ColdStart],
 		QueueDepth: -1,
 		LoadReport: response.LoadReport,
--- a/internal/native/muxframe/messages.go
+++ b/internal/native/muxframe/messages.go
@@ -33,7 +33,7 @@
 }
 
 // Welcome is the header of WELCOME, the response to HELLO. A worker that rejects the connection, for example because it
-// does not implement the protocol version, sets Rejection and closes the connection.
+// does not implement the protocol version, sets RejectionReason and closes the connection.
 type Welcome struct {
 	Version          int      `cbor:"1,keyasint"`
 	Worker           string   `cbor:"2,keyasint"`           // name of the worker in the endpoint list
@@ -41,7 +41,7 @@
 	UptimeMillis     int64    `cbor:"4,keyasint"`           // ms since the process started, by its monotonic clock
 	LoadReportFields []string `cbor:"5,keyasint,omitempty"` // names of the values in a load report
 	Features         []string `cbor:"6,keyasint,omitempty"`
-	Rejection        string   `cbor:"7,keyasint,omitempty"` // reason for rejecting the connection; else empty
+	RejectionReason  string   `cbor:"7,keyasint,omitempty"` // reason for rejecting the connection; else empty
 }
 
 // ReplicaSpec describes a replica of a function.
@@ -73,15 +73,15 @@
 // Response is the header of RESPONSE. If More is set, the frame only starts the response, and DATA frames and one END
 // follow.
 type Response struct {
-	Status      Status    `cbor:"1,keyasint"`
-	More        bool      `cbor:"2,keyasint,omitempty"`
-	ColdStart   ColdStart `cbor:"3,keyasint,omitempty"`
-	QueueDepth  *int      `cbor:"4,keyasint,omitempty"` // queue depth of the function on arrival; nil if not reported
-	LoadReport  []float64 `cbor:"5,keyasint,omitempty"` // values in the order of Welcome.LoadReportFields
-	ContentType string    `cbor:"6,keyasint,omitempty"` // content type of the body
-	Length      int64     `cbor:"7,keyasint,omitempty"` // bytes of the complete body if More is set; 0 if unknown
-	Problem     string    `cbor:"8,keyasint,omitempty"` // human-readable description of a failure
-	RunMillis   float64   `cbor:"9,keyasint,omitempty"` // execution time in ms, without queue delay; 0 if not reported
+	Status        Status    `cbor:"1,keyasint"`
+	More          bool      `cbor:"2,keyasint,omitempty"`
+	ColdStart     ColdStart `cbor:"3,keyasint,omitempty"`
+	QueueDepth    *int      `cbor:"4,keyasint,omitempty"` // queue depth of the function on arrival; nil if not reported
+	LoadReport    []float64 `cbor:"5,keyasint,omitempty"` // values in the order of Welcome.LoadReportFields
+	ContentType   string    `cbor:"6,keyasint,omitempty"` // content type of the body
+	Length        int64     `cbor:"7,keyasint,omitempty"` // bytes of the complete body if More is set; 0 if unknown
+	FailureReason string    `cbor:"8,keyasint,omitempty"` // human-readable description of a failure
+	RunMillis     float64   `cbor:"9,keyasint,omitempty"` // execution time in ms, without queue delay; 0 if not reported
 }
 
 // End is the header of END.
--- a/lab/worker/connection.go
+++ b/lab/worker/connection.go
@@ -150,7 +150,7 @@
 		LoadReportFields: []string{"queue"},
 	}
 	if hello.Version != muxframe.Version {
-		welcome.Rejection = fmt.Sprintf("version %d is not spoken here", hello.Version)
+		welcome.RejectionReason = fmt.Sprintf("version %d is not spoken here", hello.Version)
 	}
 	c.send(muxframe.TypeWelcome, 0, welcome)
 	return nil
--- a/lab/worker/requests.go
+++ b/lab/worker/requests.go
@@ -81,7 +81,7 @@
 		RunMillis:   float64(r.RunTime) / float64(time.Millisecond),
 	}
 	if r.Outcome != model.OK {
-		header.Problem, stream.size = "emulated", 0
+		header.FailureReason, stream.size = "emulated", 0
 	}
 	c.appendResponse(stream, header)
 	if faults.duplicateResponses {
