--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -39,9 +39,9 @@
 	kill          chan struct{}                 // closed by Kill
 	done          chan struct{}                 // closed when the loop has ended
 	gate          queueGate
-	guard         *workerconn.Guard    // shared with the worker clients
-	stalls        looplag.StallTracker // used only by the loop's goroutine
-	times         LoopTimes            // used only by the loop's goroutine
+	guard         *workerconn.WriteGuard // shared with the worker clients
+	stalls        looplag.StallTracker   // used only by the loop's goroutine
+	times         LoopTimes              // used only by the loop's goroutine
 
 	endpointChanges *endpointChanges
 }
@@ -61,7 +61,7 @@
 		events:   make(chan loopEvent, cfg.EventQueue),
 		kill:     make(chan struct{}),
 		done:     make(chan struct{}),
-		guard:    &workerconn.Guard{},
+		guard:    &workerconn.WriteGuard{},
 
 		endpointChanges: newEndpointChanges(endpointlease.New(cfg.EndpointRules, time.Since(cfg.ClockStart))),
 	}
@@ -256,7 +256,7 @@
 // stall.
 func (l *EventLoop) renewLease(now time.Duration) {
 	if l.stalls.MayRenewLease(now) {
-		l.guard.Renew(now)
+		l.guard.RenewSendLease(now)
 	}
 }
 
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -31,7 +31,7 @@
 	MaxInFlight    int                 // limit of requests in flight; further ones are rejected immediately
 	ClockStart     time.Time           // wall time at which the clock is 0
 	// Guard is shared with the worker clients. If nil, the FrontEnd creates its own.
-	Guard *workerconn.Guard
+	Guard *workerconn.WriteGuard
 
 	// NewScheduler creates the scheduler. If nil, scheduler.New is used.
 	NewScheduler func(now time.Duration, settings scheduler.Settings, a scheduler.Actions) Scheduler
@@ -109,7 +109,7 @@
 	dependencies Dependencies
 	log          zerolog.Logger
 	trace        *trace
-	guard        *workerconn.Guard
+	guard        *workerconn.WriteGuard
 	scheduler    Scheduler
 	shadow       *shadow.Scheduler // same as scheduler if shadow settings are evaluated, else nil
 	incarnations *incarnation.Tracker
@@ -156,7 +156,7 @@
 		settings:     settings,
 		dependencies: dependencies,
 		log:          log,
-		guard:        cmp.Or(settings.Guard, &workerconn.Guard{}),
+		guard:        cmp.Or(settings.Guard, &workerconn.WriteGuard{}),
 		trace:        newTrace(log, settings.Classes),
 		incarnations: incarnation.New(),
 		lease:        endpointlease.New(settings.EndpointRules, now),
--- a/internal/gateway/open_worker.go
+++ b/internal/gateway/open_worker.go
@@ -22,7 +22,7 @@
 type ClientRuntime struct {
 	Now    func() time.Duration // returns the time on the loop's clock
 	Events muxclient.Events     // receives the client's reports
-	Guard  *workerconn.Guard
+	Guard  *workerconn.WriteGuard
 }
 
 // ClosableWorkerClient is a WorkerClient whose goroutines can be waited for.
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -265,12 +265,12 @@
 // TestEndpointLeaseChanged_GuardIsUpdated checks that worker clients apply the same lease: an attempt that waits for a
 // connection when the lease ends is not sent.
 func TestEndpointLeaseChanged_GuardIsUpdated(t *testing.T) {
-	guard := &workerconn.Guard{}
+	guard := &workerconn.WriteGuard{}
 	harness := newLeaseHarness(t, 1, func(settings *Settings) { settings.Guard = guard })
 	queue, batch := workerconn.NewSendQueue[string](), workerconn.WriteBatch[string]{}
 	encode := func(buffer []byte, _ workerconn.QueueItem[string]) ([]byte, error) { return append(buffer, 'x'), nil }
 	until := harness.lease.ValidUntil()
-	guard.Renew(until)
+	guard.RenewSendLease(until)
 	queue.PushAttempt(1, &workerconn.Attempt{})
 	queue.NextBatch(guard, until, &batch, encode)
 	if len(batch.Bytes) != 1 {
--- a/internal/native/muxclient/config.go
+++ b/internal/native/muxclient/config.go
@@ -38,14 +38,14 @@
 
 // Config is the configuration of a Client. All fields are required unless their comments say otherwise.
 type Config struct {
-	Worker         string               // name in the endpoint list; the worker must report the same name
-	Address        string               // host:port of the worker
-	FrontEnd       string               // name of this front end, for the worker's log records
-	ConnectTimeout time.Duration        // timeout for connecting, including the handshake
-	Window         int                  // flow control window of one response in bytes, at least 1
-	MaxFrame       int                  // largest frame accepted from the worker, in bytes; 0 for muxframe.MaxFrame
-	MaxQueue       int                  // number of queued frames at which attempts and load orders are rejected
-	Seed           uint64               // random seed for the jitter of the reconnect backoff
-	Now            func() time.Duration // monotonic clock
-	Guard          *workerconn.Guard    // shared with the event loop; nil to send without restrictions
+	Worker         string                 // name in the endpoint list; the worker must report the same name
+	Address        string                 // host:port of the worker
+	FrontEnd       string                 // name of this front end, for the worker's log records
+	ConnectTimeout time.Duration          // timeout for connecting, including the handshake
+	Window         int                    // flow control window of one response in bytes, at least 1
+	MaxFrame       int                    // largest frame accepted from the worker, in bytes; 0 for muxframe.MaxFrame
+	MaxQueue       int                    // number of queued frames at which attempts and load orders are rejected
+	Seed           uint64                 // random seed for the jitter of the reconnect backoff
+	Now            func() time.Duration   // monotonic clock
+	Guard          *workerconn.WriteGuard // shared with the event loop; nil to send without restrictions
 }
--- a/internal/native/muxclient/connection_write.go
+++ b/internal/native/muxclient/connection_write.go
@@ -21,7 +21,7 @@
 	var batch writeBatch
 	for {
 		c.nextBatch(&batch)
-		batch.Unsent(c.events)
+		batch.ReportUnsent(c.events)
 		if len(batch.Bytes) > 0 {
 			if err := c.sendBatch(conn, &batch); err != nil {
 				return err
--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -33,15 +33,15 @@
 	Worker               string // worker's name in the endpoint list
 	Address              string // host:port
 	ConnectTimeout       time.Duration
-	StreamsPerConnection int                  // maximum unfinished attempts and load orders on a connection
-	IdleTimeout          time.Duration        // time after which the worker closes an idle connection
-	MaxQueue             int                  // maximum unfinished attempts and load orders; more are not sent
-	MaxResponse          int                  // maximum bytes of a response's body; exceeding it breaks the connection
-	LoadReportFields     []string             // names of the values to read from load reports
-	Budget               *ConnectionBudget    // shared by the clients of all workers
-	Guard                *workerconn.Guard    // shared with the event loop; if nil, no new work is held back
-	Seed                 uint64               // seed of the random numbers of load orders and health checks
-	Now                  func() time.Duration // monotonic clock
+	StreamsPerConnection int                    // maximum unfinished attempts and load orders on a connection
+	IdleTimeout          time.Duration          // time after which the worker closes an idle connection
+	MaxQueue             int                    // maximum unfinished attempts and load orders; more are not sent
+	MaxResponse          int                    // maximum bytes of a response's body; exceeding it breaks the connection
+	LoadReportFields     []string               // names of the values to read from load reports
+	Budget               *ConnectionBudget      // shared by the clients of all workers
+	Guard                *workerconn.WriteGuard // shared with the event loop; if nil, no new work is held back
+	Seed                 uint64                 // seed of the random numbers of load orders and health checks
+	Now                  func() time.Duration   // monotonic clock
 }
 
 // Client sends attempts and load orders to one worker. Its methods are safe for concurrent use and do not block on the
--- a/internal/platform/workerclient/connection.go
+++ b/internal/platform/workerclient/connection.go
@@ -149,7 +149,7 @@
 	}
 	c.netConn = nil
 	c.received = false
-	outcome.workerAlive = errors.Is(reason, workerframe.ErrMalformed) || errors.Is(reason, workerconn.ErrUnneeded)
+	outcome.workerAlive = errors.Is(reason, workerframe.ErrMalformed) || errors.Is(reason, workerconn.ErrIdle)
 	needed := c.queue.Unfinished() > 0 || len(c.healthChecks) > 0 || len(lost) > 0 && !outcome.workerAlive
 	mayRetry := c.client.ctx.Err() == nil && connpool.RetryAfterReset(c.silentConnections)
 	outcome.reconnect = needed && mayRetry
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -123,8 +123,8 @@
 			conn.wakeUp()
 			client.mu.Unlock()
 		}
-		if err := <-served; !errors.Is(err, workerconn.ErrUnneeded) {
-			t.Errorf("serve returned %v, want ErrUnneeded", err)
+		if err := <-served; !errors.Is(err, workerconn.ErrIdle) {
+			t.Errorf("serve returned %v, want ErrIdle", err)
 		}
 		if _, err := io.Copy(io.Discard, remote); errors.Is(err, syscall.ECONNRESET) != cancelled {
 			t.Errorf("cancelled %v: the worker's read ended with %v", cancelled, err)
--- a/internal/platform/workerclient/connection_write.go
+++ b/internal/platform/workerclient/connection_write.go
@@ -30,7 +30,7 @@
 			return fmt.Errorf("write to %s: %w", c.client.cfg.Worker, err)
 		}
 		idleTime, unneeded := c.nextBatch(netConn, &batch)
-		batch.Unsent(c.client.events)
+		batch.ReportUnsent(c.client.events)
 		if len(batch.Bytes) > 0 {
 			if err := c.sendBatch(netConn, &batch); err != nil {
 				return err
@@ -38,7 +38,7 @@
 			continue
 		}
 		if unneeded {
-			return workerconn.ErrUnneeded
+			return workerconn.ErrIdle
 		}
 		timer.Reset(idleTime)
 		select {
--- a/internal/workerconn/guard.go
+++ b/internal/workerconn/guard.go
@@ -11,7 +11,7 @@
 // LeaseRetryInterval is the interval at which a client checks the send lease again while new work is deferred.
 const LeaseRetryInterval = 5 * time.Millisecond
 
-// Guard is shared by an event loop and its worker clients. It keeps the clients from writing new work that the loop
+// WriteGuard is shared by an event loop and its worker clients. It keeps the clients from writing new work that the loop
 // would no longer allow, by means of two leases, and counts violations. New work means attempts and orders to load
 // replicas.
 //
@@ -23,28 +23,28 @@
 // the list was no longer valid. Without a valid lease, new work is sent only if its worker has confirmed that it
 // accepts new work.
 //
-// A nil Guard allows all writes and counts nothing. The methods may be called from any goroutine.
-type Guard struct {
+// A nil WriteGuard allows all writes and counts nothing. The methods may be called from any goroutine.
+type WriteGuard struct {
 	renewedAt        atomic.Int64 // last renewal of the send lease, on the clock of the loop and its clients
 	endpointLeaseEnd atomic.Int64 // end of the endpoint lease, on the same clock; 0: it never ends
 	violations       [execution.Violations]atomic.Uint64
 }
 
-// Renew renews the send lease as of now.
-func (g *Guard) Renew(now time.Duration) { g.renewedAt.Store(int64(now)) }
+// RenewSendLease renews the send lease as of now.
+func (g *WriteGuard) RenewSendLease(now time.Duration) { g.renewedAt.Store(int64(now)) }
 
 // mayWriteNewWork reports whether the send lease is valid at now.
-func (g *Guard) mayWriteNewWork(now time.Duration) bool {
+func (g *WriteGuard) mayWriteNewWork(now time.Duration) bool {
 	return g == nil || now-time.Duration(g.renewedAt.Load()) <= looplag.SendLease()
 }
 
 // SetEndpointLease sets the end of the endpoint lease. Until then, new work may be sent to workers that are ready
 // on the endpoint list.
-func (g *Guard) SetEndpointLease(until time.Duration) { g.endpointLeaseEnd.Store(int64(until)) }
+func (g *WriteGuard) SetEndpointLease(until time.Duration) { g.endpointLeaseEnd.Store(int64(until)) }
 
 // isConfirmed reports whether new work may be sent at now: either the worker itself has confirmed that it accepts new
 // work until confirmedUntil, or the endpoint lease is valid.
-func (g *Guard) isConfirmed(now, confirmedUntil time.Duration) bool {
+func (g *WriteGuard) isConfirmed(now, confirmedUntil time.Duration) bool {
 	if g == nil || now <= confirmedUntil {
 		return true
 	}
@@ -53,14 +53,14 @@
 }
 
 // Count counts one violation.
-func (g *Guard) Count(violation execution.Violation) {
+func (g *WriteGuard) Count(violation execution.Violation) {
 	if g != nil {
 		g.violations[violation].Add(1)
 	}
 }
 
 // Violations returns how often each violation was counted, indexed by execution.Violation.
-func (g *Guard) Violations() (counts [execution.Violations]uint64) {
+func (g *WriteGuard) Violations() (counts [execution.Violations]uint64) {
 	for violation := range counts {
 		counts[violation] = g.violations[violation].Load()
 	}
--- a/internal/workerconn/guard_test.go
+++ b/internal/workerconn/guard_test.go
@@ -60,14 +60,14 @@
 }
 
 func TestNextBatch_LeaseNotRenewed_DefersNewWorkOnly(t *testing.T) {
-	var guard Guard
+	var guard WriteGuard
 	queue, batch := NewSendQueue[testFrame](), WriteBatch[testFrame]{}
 	attempt, order, query := &Attempt{}, newLoadOrder(1), newLoadOrder(0)
 	queue.PushAttempt(1, attempt)
 	queue.Push("control")
 	queue.PushLoad(2, order)
 	queue.PushLoad(3, query)
-	guard.Renew(testNow - looplag.SendLease() - 1)
+	guard.RenewSendLease(testNow - looplag.SendLease() - 1)
 	queue.NextBatch(&guard, testNow, &batch, encodeByNumber)
 	if !batch.DeferredNewWork || len(batch.Bytes) != 20 || queue.Queued() != 2 {
 		t.Errorf("deferred %t, %d bytes, %d queued; want the control frame and the residency query sent", batch.DeferredNewWork, len(batch.Bytes), queue.Queued())
@@ -76,7 +76,7 @@
 	if !queue.CancelUnsent(attempt) {
 		t.Error("the deferred attempt cannot be cancelled")
 	}
-	guard.Renew(testNow)
+	guard.RenewSendLease(testNow)
 	queue.NextBatch(&guard, testNow+looplag.SendLease(), &batch, encodeByNumber)
 	if batch.DeferredNewWork || len(batch.Bytes) != 10 || queue.Queued() != 0 {
 		t.Errorf("deferred %t, %d bytes, %d queued; want the load order sent", batch.DeferredNewWork, len(batch.Bytes), queue.Queued())
@@ -96,8 +96,8 @@
 		"late and partial":  {permitEnds + time.Minute, 9, 0},
 		"late and no bytes": {permitEnds + time.Minute, 0, 0},
 	} {
-		var guard Guard
-		guard.Renew(testNow)
+		var guard WriteGuard
+		guard.RenewSendLease(testNow)
 		queue, batch := NewSendQueue[testFrame](), WriteBatch[testFrame]{}
 		queue.PushAttempt(1, &Attempt{Deadline: time.Hour, NotAfter: permitEnds})
 		queue.NextBatch(&guard, testNow, &batch, encodeByNumber)
@@ -109,8 +109,8 @@
 }
 
 func TestNextBatch_EndpointLeaseExpired_SendsOnlyConfirmedNewWork(t *testing.T) {
-	guard := &Guard{}
-	guard.Renew(testNow)
+	guard := &WriteGuard{}
+	guard.RenewSendLease(testNow)
 	guard.SetEndpointLease(testNow - 1)
 	attempt, confirmed := &Attempt{}, &Attempt{ConfirmedUntil: testNow}
 	order, query := newLoadOrder(1), newLoadOrder(0)
--- a/internal/workerconn/serve.go
+++ b/internal/workerconn/serve.go
@@ -6,14 +6,14 @@
 	"net"
 )
 
-// ErrUnneeded is returned by the write function of Serve to close a connection on which nothing is in flight.
-var ErrUnneeded = errors.New("idle or retired")
+// ErrIdle is returned by the write function of Serve to close a connection on which nothing is in flight.
+var ErrIdle = errors.New("idle or retired")
 
 // Serve runs write and read on a connection until one of them returns or ctx is done, and then closes the connection.
 // It runs write in a separate goroutine and read in the caller's; both have returned when Serve returns.
 //
 // Closing the connection unblocks a function that is blocked on it, so that a write without progress does not delay
-// the return. Unless write returns ErrUnneeded, Serve discards the data that the operating system still holds for the
+// the return. Unless write returns ErrIdle, Serve discards the data that the operating system still holds for the
 // connection, because the requests in it are reported as ended now and must not reach the worker later. The channel
 // passed to write is closed once read has returned. Serve returns the error of write, or that of read if write
 // returned nil.
@@ -24,7 +24,7 @@
 	readDone := make(chan struct{})
 	go func() {
 		err := write(readDone)
-		if errors.Is(err, ErrUnneeded) {
+		if errors.Is(err, ErrIdle) {
 			_ = conn.Close()
 		}
 		discardAndClose(conn) // ends the read below
--- a/internal/workerconn/write_batch.go
+++ b/internal/workerconn/write_batch.go
@@ -24,7 +24,7 @@
 	Bytes           []byte             // the encoded frames
 	Unencodable     []QueueItem[Frame] // items that were never sent, because their frames cannot be encoded
 	Expired         []QueueItem[Frame] // new work that was never sent, because it may no longer be written
-	DeferredNewWork bool               // new work stayed in the queue, because the send lease of the Guard is not valid
+	DeferredNewWork bool               // new work stayed in the queue, because the send lease is not valid
 	NotAfter        time.Duration      // the write may not continue after this; 0: no permit limits it
 
 	frames []batchFrame[Frame]
@@ -46,8 +46,8 @@
 	b.frames = b.frames[:0]
 }
 
-// Unsent reports as ended the attempts and load orders that NextBatch removed from the queue without sending them.
-func (b *WriteBatch[Frame]) Unsent(events Events) {
+// ReportUnsent reports as ended the attempts and load orders that NextBatch removed from the queue without sending them.
+func (b *WriteBatch[Frame]) ReportUnsent(events Events) {
 	NotifyEnded(events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
 	NotifyEnded(events, b.Expired, scheduler.NotSent, scheduler.NotSent, "not written in time")
 }
@@ -76,7 +76,7 @@
 // NextBatch is the only place where frames leave the queue to be written. It therefore enforces that new work is
 // written only as the guard's leases allow, and an attempt only before its write deadline.
 func (q *SendQueue[Frame]) NextBatch(
-	guard *Guard, now time.Duration, batch *WriteBatch[Frame],
+	guard *WriteGuard, now time.Duration, batch *WriteBatch[Frame],
 	encode func(buffer []byte, item QueueItem[Frame]) ([]byte, error),
 ) {
 	batch.reset()
@@ -143,7 +143,7 @@
 // items, provided that the owner now closes the connection. A complete frame that was written too late is counted as a
 // violation.
 func (q *SendQueue[Frame]) BatchWritten(
-	guard *Guard, now time.Duration, batch *WriteBatch[Frame], written int,
+	guard *WriteGuard, now time.Duration, batch *WriteBatch[Frame], written int,
 ) (unsent []QueueItem[Frame]) {
 	q.writingNewWork = false
 	for _, frame := range batch.frames {
