--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -33,7 +33,7 @@
 	frontEnd      *FrontEnd
 	requests      chan *Request                 // capacity RequestQueue; when it is full, requests are rejected
 	events        chan loopEvent                // capacity EventQueue; when it is full, post blocks
-	workerClients []ClosableWorkerClient        // clients not known to have ended; used only by the loop's goroutine
+	workerClients []AwaitableWorkerClient       // clients not known to have ended; used only by the loop's goroutine
 	nextPrune     int                           // length of workerClients at which ended clients are removed from it
 	newTestClient func(*EventLoop) WorkerClient // if not nil, a test's replacement for worker clients
 	kill          chan struct{}                 // closed by Kill
--- a/internal/gateway/open_worker.go
+++ b/internal/gateway/open_worker.go
@@ -16,7 +16,7 @@
 const minPrune = 16
 
 // Dial starts a client of a worker for the event loop that provides runtime.
-type Dial func(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) ClosableWorkerClient
+type Dial func(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) AwaitableWorkerClient
 
 // ClientRuntime is what an event loop provides to a worker client.
 type ClientRuntime struct {
@@ -25,8 +25,8 @@
 	Guard  *workerconn.WriteGuard
 }
 
-// ClosableWorkerClient is a WorkerClient whose goroutines can be waited for.
-type ClosableWorkerClient interface {
+// AwaitableWorkerClient is a WorkerClient whose goroutines can be waited for.
+type AwaitableWorkerClient interface {
 	WorkerClient
 	// Done returns a channel that is closed when all goroutines of the client have ended after Stop.
 	Done() <-chan struct{}
@@ -48,7 +48,7 @@
 // pruneWorkerClients removes the ended clients from the list. It runs again when the list has doubled in length, so
 // that the amortized cost per opened client is constant.
 func (l *EventLoop) pruneWorkerClients() {
-	l.workerClients = slices.DeleteFunc(l.workerClients, func(client ClosableWorkerClient) bool {
+	l.workerClients = slices.DeleteFunc(l.workerClients, func(client AwaitableWorkerClient) bool {
 		select {
 		case <-client.Done():
 			return true
@@ -60,7 +60,7 @@
 }
 
 // newWorkerClient starts a client for the protocol that the loop is configured with.
-func (l *EventLoop) newWorkerClient(id scheduler.WorkerID, w discovery.Worker) ClosableWorkerClient {
+func (l *EventLoop) newWorkerClient(id scheduler.WorkerID, w discovery.Worker) AwaitableWorkerClient {
 	if l.cfg.Dial != nil {
 		return l.cfg.Dial(id, w, ClientRuntime{Now: l.Now, Events: workerEvents{l, id}, Guard: l.guard})
 	}
--- a/internal/gateway/platform_config.go
+++ b/internal/gateway/platform_config.go
@@ -59,7 +59,7 @@
 }
 
 // newWorkerClient implements Dial for the platform's worker protocol.
-func (p *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) ClosableWorkerClient {
+func (p *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) AwaitableWorkerClient {
 	settings := p.config.Settings
 	return workerclient.New(workerclient.Config{
 		Worker:               w.Name,
