--- a/internal/workerconn/guard.go
+++ b/internal/workerconn/guard.go
@@ -11,8 +11,8 @@
 // LeaseRetryInterval is the interval at which a client checks the send lease again while new work is deferred.
 const LeaseRetryInterval = 5 * time.Millisecond
 
-// WriteGuard is shared by an event loop and its worker clients. It keeps the clients from writing new work that the loop
-// would no longer allow, by means of two leases, and counts violations. New work means attempts and orders to load
+// WriteGuard is shared by an event loop and its worker clients. It keeps the clients from writing new work that the
+// loop would no longer allow, by means of two leases, and counts violations. New work means attempts and orders to load
 // replicas.
 //
 // The send lease protects against a stall of the process: when the process resumes, its writers may run before the loop
--- a/internal/workerconn/write_batch.go
+++ b/internal/workerconn/write_batch.go
@@ -46,7 +46,8 @@
 	b.frames = b.frames[:0]
 }
 
-// ReportUnsent reports as ended the attempts and load orders that NextBatch removed from the queue without sending them.
+// ReportUnsent reports as ended the attempts and load orders that NextBatch removed from the queue without sending
+// them.
 func (b *WriteBatch[Frame]) ReportUnsent(events Events) {
 	NotifyEnded(events, b.Unencodable, scheduler.NotSent, scheduler.Error, "its frame cannot be encoded")
 	NotifyEnded(events, b.Expired, scheduler.NotSent, scheduler.NotSent, "not written in time")
