--- a/internal/decide/execution/violation.go
+++ b/internal/decide/execution/violation.go
@@ -19,10 +19,10 @@
 	violationSentinel                      // one more than the last violation
 )
 
-// Violations is one more than the highest Violation, for use as an array length.
-const Violations = int(violationSentinel)
+// NumViolations is one more than the highest Violation, for use as an array length.
+const NumViolations = int(violationSentinel)
 
-var violationNames = [Violations]string{
+var violationNames = [NumViolations]string{
 	NoViolation:                  "none",
 	SendAfterFinalResponse:       "send-after-final-response",
 	SecondAttemptInFlight:        "second-attempt-in-flight",
--- a/internal/gateway/counts.go
+++ b/internal/gateway/counts.go
@@ -35,7 +35,7 @@
 
 // ViolationCounts is the number of violations of each rule, prevented or not, indexed by execution.Violation. All
 // counts are 0 unless the program has a fault.
-type ViolationCounts [execution.Violations]uint64
+type ViolationCounts [execution.NumViolations]uint64
 
 // Total returns the number of violations of all rules.
 func (v ViolationCounts) Total() (total uint64) {
--- a/internal/workerconn/guard.go
+++ b/internal/workerconn/guard.go
@@ -27,7 +27,7 @@
 type WriteGuard struct {
 	renewedAt        atomic.Int64 // last renewal of the send lease, on the clock of the loop and its clients
 	endpointLeaseEnd atomic.Int64 // end of the endpoint lease, on the same clock; 0: it never ends
-	violations       [execution.Violations]atomic.Uint64
+	violations       [execution.NumViolations]atomic.Uint64
 }
 
 // RenewSendLease renews the send lease as of now.
@@ -60,7 +60,7 @@
 }
 
 // Violations returns how often each violation was counted, indexed by execution.Violation.
-func (g *WriteGuard) Violations() (counts [execution.Violations]uint64) {
+func (g *WriteGuard) Violations() (counts [execution.NumViolations]uint64) {
 	for violation := range counts {
 		counts[violation] = g.violations[violation].Load()
 	}
--- a/lab/experiment/stored_counts.go
+++ b/lab/experiment/stored_counts.go
@@ -32,7 +32,7 @@
 
 // storedViolations is indexed by execution.Violation. It is stored as an array, so the order of those constants must
 // not change.
-type storedViolations [execution.Violations]uint64
+type storedViolations [execution.NumViolations]uint64
 
 type storedShadow struct {
 	Compared       uint64 `json:"Looked"`
--- a/scheduler/finish_cause.go
+++ b/scheduler/finish_cause.go
@@ -15,10 +15,10 @@
 	finishCauseSentinel                        // one more than the last cause
 )
 
-// FinishCauses is one more than the highest cause, the length of a table indexed by cause.
-const FinishCauses = int(finishCauseSentinel)
+// numFinishCauses is one more than the highest cause, the length of a table indexed by cause.
+const numFinishCauses = int(finishCauseSentinel)
 
-var finishCauseNames = [FinishCauses]string{
+var finishCauseNames = [numFinishCauses]string{
 	ShedOnArrival:      "shed on arrival",
 	DeadlineTooClose:   "deadline too close",
 	NoHeadroomInTime:   "no headroom in time",
