--- a/internal/config/platformconfig/config.go
+++ b/internal/config/platformconfig/config.go
@@ -88,7 +88,7 @@
 		{"settings.classes", slices.Equal(c.Settings.ClassNames, other.Settings.ClassNames)},
 		{"settings.customers", slices.Equal(c.Settings.TenantNames, other.Settings.TenantNames)},
 		{"settings.azs", slices.Equal(c.Settings.ZoneNames, other.Settings.ZoneNames)},
-		{"settings.skus", slices.Equal(c.Settings.WorkerKinds, other.Settings.WorkerKinds)},
+		{"settings.skus", slices.Equal(c.Settings.WorkerKindNames, other.Settings.WorkerKindNames)},
 	} {
 		if !comparison.same {
 			return comparison.key
--- a/internal/config/platformconfig/config_test.go
+++ b/internal/config/platformconfig/config_test.go
@@ -76,11 +76,11 @@
 	}
 	s := config.Settings
 	c := s.Scheduler
-	if len(s.ZoneNames) != 1 || s.ZoneNames[0] != "" || len(s.WorkerKinds) != 1 || s.WorkerKinds[0] != "" || len(s.TenantNames) != 0 {
-		t.Errorf("zones %q, kinds %q, tenants %q", s.ZoneNames, s.WorkerKinds, s.TenantNames)
+	if len(s.ZoneNames) != 1 || s.ZoneNames[0] != "" || len(s.WorkerKindNames) != 1 || s.WorkerKindNames[0] != "" || len(s.TenantNames) != 0 {
+		t.Errorf("zones %q, kinds %q, tenants %q", s.ZoneNames, s.WorkerKindNames, s.TenantNames)
 	}
 	if s.MaxInFlight < 1<<30 || s.WorkerIdleTimeout < time.Hour || c.LoadOrderTimeout != 800*time.Millisecond || c.MaxAttempts != 1 ||
-		c.OverloadWindow != 0 || c.MaxRetryAfter != 0 || c.LoadOrdersAllowed || c.AnswersNotLoaded || c.FrontEndCount != 1 ||
+		c.OverloadWindow != 0 || c.MaxRetryAfter != 0 || c.LoadOrdersAllowed || c.ReportsNotLoaded || c.FrontEndCount != 1 ||
 		c.Classes[0].LatencyObjective != 800*time.Millisecond || len(config.InitialEvents) != 0 {
 		t.Errorf("settings %+v", s)
 	}
--- a/internal/config/platformconfig/json.go
+++ b/internal/config/platformconfig/json.go
@@ -34,20 +34,20 @@
 }
 
 type settingsJSON struct {
-	FrontEndCount int             `json:"balancers"`
-	FrontEndIndex int             `json:"ordinal"`
-	Zone          int             `json:"zone"` // index into ZoneNames
-	WatchMode     string          `json:"registryMode"`
-	Resolution    milliseconds    `json:"resolution"`
-	ScaleMeaning  string          `json:"weights"`
-	Classes       []classJSON     `json:"classes"`
-	ZoneNames     []string        `json:"azs"`
-	WorkerKinds   []string        `json:"skus"`
-	Tenants       []tenantJSON    `json:"customers"`
-	Functions     functionsJSON   `json:"familyInfo"`
-	Limits        limitsJSON      `json:"limits"`
-	LoadReport    loadReportJSON  `json:"loadReport"`
-	WorkerRules   workerRulesJSON `json:"rules"`
+	FrontEndCount   int             `json:"balancers"`
+	FrontEndIndex   int             `json:"ordinal"`
+	Zone            int             `json:"zone"` // index into ZoneNames
+	WatchMode       string          `json:"registryMode"`
+	Resolution      milliseconds    `json:"resolution"`
+	ScaleMeaning    string          `json:"weights"`
+	Classes         []classJSON     `json:"classes"`
+	ZoneNames       []string        `json:"azs"`
+	WorkerKindNames []string        `json:"skus"`
+	Tenants         []tenantJSON    `json:"customers"`
+	Functions       functionsJSON   `json:"familyInfo"`
+	Limits          limitsJSON      `json:"limits"`
+	LoadReport      loadReportJSON  `json:"loadReport"`
+	WorkerRules     workerRulesJSON `json:"rules"`
 }
 
 // watchOnRequest is the value of WatchMode if a front end receives the endpoint list only after it has requested it.
--- a/internal/config/platformconfig/settings.go
+++ b/internal/config/platformconfig/settings.go
@@ -22,7 +22,7 @@
 	ClassNames           []string      // class names, in the order of Scheduler.Classes
 	TenantNames          []string      // tenant names, in the order of Scheduler.Tenants
 	ZoneNames            []string      // zone names; Scheduler.Zone is an index into them
-	WorkerKinds          []string      // names of the kinds of worker
+	WorkerKindNames      []string      // names of the kinds of worker
 	StreamsPerConnection int           // requests in flight on one connection to a worker
 	WorkerIdleTimeout    time.Duration // idle time after which a worker closes a connection
 	MaxInFlight          int           // requests in flight at one front end
@@ -39,7 +39,7 @@
 	settings := Settings{
 		Scheduler:            decoded.scheduler(seed),
 		ZoneNames:            decoded.ZoneNames,
-		WorkerKinds:          decoded.WorkerKinds,
+		WorkerKindNames:      decoded.WorkerKindNames,
 		StreamsPerConnection: decoded.Limits.StreamsPerConnection,
 		WorkerIdleTimeout:    decoded.Limits.WorkerIdleTimeout.duration(),
 		MaxInFlight:          decoded.Limits.MaxInFlight,
@@ -70,7 +70,7 @@
 		FrontEndCount: max(1, s.FrontEndCount),
 		Zone:          s.Zone,
 
-		AnswersNotLoaded:   s.Functions.WhenNotLoaded == answerNotLoaded,
+		ReportsNotLoaded:   s.Functions.WhenNotLoaded == answerNotLoaded,
 		LoadOrdersAllowed:  s.Functions.LoadOrdersAllowed,
 		ReportsColdStart:   s.Functions.ReportsColdStart,
 		ReportsQueueDepth:  s.Functions.ReportsQueueDepth,
--- a/internal/config/platformconfig/settings_test.go
+++ b/internal/config/platformconfig/settings_test.go
@@ -21,13 +21,13 @@
 	}
 	s := settings.Scheduler
 	c := s.Classes[0]
-	if s.Seed != 9 || s.FrontEndCount != 3 || !s.WatchOnStart || !s.AnswersNotLoaded || s.ReplicaIdleTimeout != 8600*time.Millisecond ||
+	if s.Seed != 9 || s.FrontEndCount != 3 || !s.WatchOnStart || !s.ReportsNotLoaded || s.ReplicaIdleTimeout != 8600*time.Millisecond ||
 		s.MaxRetryAfter != 500*time.Millisecond || s.OverloadWindow != 2*time.Second || s.HedgingAllowed ||
 		c.Idempotency != scheduler.IdempotentByKey || c.KeyScope != scheduler.ScopeCell || c.KeyRetention != 6*time.Second || s.Tenants[0].Share != 0.82 {
 		t.Errorf("scheduler settings %+v", s)
 	}
 	if settings.StreamsPerConnection != 32 || settings.WorkerIdleTimeout != 30*time.Second || settings.MaxInFlight != 20000 || len(settings.ZoneNames) != 2 ||
-		settings.WorkerKinds[0] != "std" || settings.ClassNames[0] != "log" || settings.TenantNames[0] != "p" {
+		settings.WorkerKindNames[0] != "std" || settings.ClassNames[0] != "log" || settings.TenantNames[0] != "p" {
 		t.Errorf("settings %+v", settings)
 	}
 }
--- a/internal/config/platformconfig/validate.go
+++ b/internal/config/platformconfig/validate.go
@@ -64,8 +64,8 @@
 	if len(s.ZoneNames) == 0 {
 		s.ZoneNames = []string{""} // one unnamed zone
 	}
-	if len(s.WorkerKinds) == 0 {
-		s.WorkerKinds = []string{""}
+	if len(s.WorkerKindNames) == 0 {
+		s.WorkerKindNames = []string{""}
 	}
 	if s.MaxInFlight == 0 {
 		s.MaxInFlight = math.MaxInt // only the front end's own limit applies
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -77,7 +77,7 @@
 	}
 	settings := config.Settings
 	var err error
-	server.endpoints, err = discovery.NewEndpointStream(config.EndpointStreamAddress, config.InitialEvents, settings.ZoneNames, settings.WorkerKinds, config.Seed)
+	server.endpoints, err = discovery.NewEndpointStream(config.EndpointStreamAddress, config.InitialEvents, settings.ZoneNames, settings.WorkerKindNames, config.Seed)
 	if err != nil {
 		return nil, err
 	}
