--- a/internal/config/gatewayconfig/directives.go
+++ b/internal/config/gatewayconfig/directives.go
@@ -36,7 +36,7 @@
 		func(s *Settings) *bool { return &s.ListedFunctionsOnly }),
 	directive.Choice("on-miss", []string{"load", "miss"}, []bool{false, true}, "load",
 		"what a worker does with a request for a function that is not loaded: load the function, or respond that it is not loaded (miss)",
-		func(s *Settings) *bool { return &s.AnswersNotLoaded }),
+		func(s *Settings) *bool { return &s.ReportsNotLoaded }),
 	directive.OnOff("orders", "on", "workers accept orders to load and unload functions",
 		func(s *Settings) *bool { return &s.LoadOrdersAllowed }),
 	directive.OnOff("tells-warm", "on", "responses report whether the replica was loaded (warm start)",
--- a/internal/config/gatewayconfig/gatewayconfig_test.go
+++ b/internal/config/gatewayconfig/gatewayconfig_test.go
@@ -43,7 +43,7 @@
 		s.Classes[1].KeyScope != scheduler.ScopeZone || s.Tenants[0].Share != 0.82 || s.Functions[0].ReplicaConcurrency != 4 {
 		t.Errorf("settings %+v", s)
 	}
-	if s.MaxInFlight != 20000 || s.Classes[1].Timeout != 2*time.Second || s.AnswersNotLoaded {
+	if s.MaxInFlight != 20000 || s.Classes[1].Timeout != 2*time.Second || s.ReportsNotLoaded {
 		t.Errorf("defaults: %+v", s)
 	}
 }
--- a/internal/config/gatewayconfig/settings.go
+++ b/internal/config/gatewayconfig/settings.go
@@ -39,7 +39,7 @@
 
 	// Capabilities of workers and their platform.
 
-	AnswersNotLoaded    bool // a worker responds that a function is not loaded instead of loading it
+	ReportsNotLoaded    bool // a worker reports that a function is not loaded instead of loading it
 	LoadOrdersAllowed   bool // load and unload orders may be sent
 	ReportsColdStart    bool // responses report whether the replica was loaded
 	ReportsQueueDepth   bool // responses report the function's queue depth at the worker
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -139,7 +139,7 @@
 // load order itself is not cancelled, because other requests may use the replica.
 func TestClientDisconnected_AwaitingLoadOrder_NothingSent(t *testing.T) {
 	inBothOrders(t, "disconnected", "loaded", func(t *testing.T, disconnectFirst bool) {
-		harness := newHarness(t, 1, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
+		harness := newHarness(t, 1, func(s *Settings) { s.Scheduler.ReportsNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
 		request := harness.submit(idempotentClass)
 		worker := harness.clients["w0"]
 		for len(worker.orders) > 0 { // residency queries, followed by the load order
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestLoadOrder_NoResponse_TimesOut(t *testing.T) {
-	harness := newHarness(t, 2, func(s *Settings) { s.Scheduler.AnswersNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
+	harness := newHarness(t, 2, func(s *Settings) { s.Scheduler.ReportsNotLoaded, s.Scheduler.LoadOrdersAllowed = true, true })
 	request := harness.submit(idempotentClass)
 	orders := 0
 	for _, worker := range harness.clients {
--- a/scheduler/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -250,7 +250,7 @@
 func invariantSettings(seed uint64) Settings {
 	set := testSettings()
 	set.Classes[1].KeyScope = KeyScope(seed % 3)
-	set.AnswersNotLoaded = seed%2 == 0
+	set.ReportsNotLoaded = seed%2 == 0
 	set.ReportsQueueDepth = seed%3 == 0
 	if seed%4 == 0 {
 		set.LoadRateWindow, set.LoadRateBurst, set.LoadRatePerRequest = time.Second, 2, 0.05
--- a/scheduler/load_limits_test.go
+++ b/scheduler/load_limits_test.go
@@ -7,7 +7,7 @@
 
 func TestLoadRateLimit_BurstUsed_AllowsNoMoreOrders(t *testing.T) {
 	set := testSettings()
-	set.AnswersNotLoaded, set.LoadRateWindow, set.LoadRateBurst, set.LoadRatePerRequest = true, 5*time.Second, 2, 0
+	set.ReportsNotLoaded, set.LoadRateWindow, set.LoadRateBurst, set.LoadRatePerRequest = true, 5*time.Second, 2, 0
 	h := newHarness(t, set, 4)
 	for f := range FunctionID(6) {
 		h.request(f, 0)
--- a/scheduler/scale_out.go
+++ b/scheduler/scale_out.go
@@ -100,7 +100,7 @@
 		concurrency = normalLoadingConcurrency
 	}
 	replica := newLoadingReplica(function, worker, max(singleRequest, concurrency), s.now)
-	if s.settings.AnswersNotLoaded || request == nil {
+	if s.settings.ReportsNotLoaded || request == nil {
 		key := replicaKey{worker.ID, function.id}
 		_, busy := s.loadOrders[key]
 		if busy || !s.settings.LoadOrdersAllowed || !s.loadRate.allows(s.now, &s.settings) {
--- a/scheduler/scale_out_test.go
+++ b/scheduler/scale_out_test.go
@@ -30,7 +30,7 @@
 
 func TestStartLoad_WorkersAnswerNotLoaded_OrdersLoadFirst(t *testing.T) {
 	set := testSettings()
-	set.AnswersNotLoaded = true
+	set.ReportsNotLoaded = true
 	h := newHarness(t, set, 4)
 	r := h.request(7, 0)
 	h.answerQueries()
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -73,7 +73,7 @@
 	Classes       []Class
 	Tenants       []Tenant
 
-	AnswersNotLoaded   bool          // a worker without the function answers NotLoaded instead of loading it
+	ReportsNotLoaded   bool          // a worker without the function reports NotLoaded instead of loading it
 	LoadOrdersAllowed  bool          // Actions.Load and Actions.Unload may be used
 	ReportsColdStart   bool          // responses say whether the replica was loaded
 	ReportsQueueDepth  bool          // responses say how many requests for the function the worker held
