--- a/cmd/havencart/load.go
+++ b/cmd/havencart/load.go
@@ -128,7 +128,7 @@
 	runner := client.Runner{
 		Next:      next,
 		FrontEnds: len(pools),
-		Pools:     func(i int) *client.Pool { return pools[i] },
+		Pool:      func(i int) *client.Pool { return pools[i] },
 		Observe:   tally.observe,
 	}
 	ctx, cancel := context.WithCancel(cmd.Context())
--- a/lab/client/run.go
+++ b/lab/client/run.go
@@ -24,7 +24,7 @@
 // its latency, which avoids what G. Tene calls coordinated omission.
 type Runner struct {
 	Next      func() (time.Duration, loadgen.Request, bool) // yields the requests as loadgen.Source.Next does
-	Pools     func(i int) *Pool                             // returns the pool of front end i
+	Pool      func(i int) *Pool                             // returns the pool of front end i
 	FrontEnds int                                           // number of front ends
 	Observe   func(Observation)                             // is called once per request, by several goroutines
 }
@@ -54,7 +54,7 @@
 	o := Observation{Request: request, SendDelay: time.Since(due)}
 	for attempt := 0; ; attempt++ {
 		request.ID = fmt.Sprintf("%s.%d", id, attempt)
-		response, err := r.Pools((frontEnd + attempt) % r.FrontEnds).Do(request)
+		response, err := r.Pool((frontEnd + attempt) % r.FrontEnds).Do(request)
 		if err != nil {
 			response.Outcome = outcomeUnreachable
 		}
--- a/lab/fleet/clients.go
+++ b/lab/fleet/clients.go
@@ -40,7 +40,7 @@
 	outcomes := map[string]int{}
 	client.Runner{
 		FrontEnds: len(f.FrontEnds),
-		Pools:     func(i int) *client.Pool { return f.FrontEnds[i].Pool() },
+		Pool:      func(i int) *client.Pool { return f.FrontEnds[i].Pool() },
 		Next:      source.Next,
 		Observe: func(o client.Observation) {
 			mu.Lock()
