--- a/lab/loadgen/demand.go
+++ b/lab/loadgen/demand.go
@@ -24,7 +24,7 @@
 type TenantDemand struct {
 	RateFactor float64 // factor on the tenant's arrival rate; 0 means 1
 	Silent     bool    // the tenant sends no requests
-	Repeats    int     // number of immediate retries by RetryAlways; 0 keeps the Mix's retry policy
+	Retries    int     // number of immediate retries by RetryAlways; 0 keeps the Mix's retry policy
 	ScanShare  float64 // fraction of the tenant's requests for functions requested only once
 	WorkFactor float64 // factor on the work of the tenant's requests; 0 means 1
 }
@@ -77,8 +77,8 @@
 // applyTenantDemand changes a drawn request as the demand of its tenant says.
 func (s *Source) applyTenantDemand(c *Request) {
 	own := s.demand.Tenants[c.Tenant]
-	if own.Repeats > 0 {
-		c.RetryPolicy, c.Retries = RetryAlways, own.Repeats
+	if own.Retries > 0 {
+		c.RetryPolicy, c.Retries = RetryAlways, own.Retries
 	}
 	if own.WorkFactor > 0 {
 		c.Work = time.Duration(own.WorkFactor * float64(c.Work))
--- a/lab/loadgen/source_test.go
+++ b/lab/loadgen/source_test.go
@@ -117,13 +117,13 @@
 	}
 }
 
-func TestChange_TenantRepeats_RetriesAlways(t *testing.T) {
+func TestChange_TenantRetries_RetriesAlways(t *testing.T) {
 	times, requests := drawWithDemandChange(t, func(d *Demand) {
-		d.ChangeTenant("u", func(o *TenantDemand) { o.Repeats = 3 })
+		d.ChangeTenant("u", func(o *TenantDemand) { o.Retries = 3 })
 		d.TimeoutFactor, d.WorkFactor = 0.5, 2
 	},
 		func(d *Demand) {
-			d.ChangeTenant("u", func(o *TenantDemand) { o.Repeats = 0 })
+			d.ChangeTenant("u", func(o *TenantDemand) { o.Retries = 0 })
 			d.TimeoutFactor, d.WorkFactor = 1, 1
 		})
 	retriesAlways := func(c Request) bool { return c.RetryPolicy == RetryAlways && c.Retries == 3 }
--- a/lab/scenario/demand_faults.go
+++ b/lab/scenario/demand_faults.go
@@ -65,8 +65,8 @@
 
 func (p *Player) retryTenantRequests(f Fault) error {
 	return p.changeTenantDemand(f,
-		func(d *loadgen.TenantDemand) { d.Repeats = f.Number },
-		func(d *loadgen.TenantDemand) { d.Repeats = 0 })
+		func(d *loadgen.TenantDemand) { d.Retries = f.Number },
+		func(d *loadgen.TenantDemand) { d.Retries = 0 })
 }
 
 func (p *Player) silenceTenant(f Fault) error {
--- a/lab/scenario/kinds.go
+++ b/lab/scenario/kinds.go
@@ -100,7 +100,7 @@
 	{"leave", []Parameter{ShareParameter, DurationParameter}, "a share of the clients disconnects early", (*Player).disconnectClients},
 	{"surge", []Parameter{FactorParameter, DurationParameter}, "requests arrive at that multiple of their rate", (*Player).changeRate},
 	{"flood", []Parameter{TenantParameter, FactorParameter, DurationParameter}, "one tenant sends requests at that multiple of its usual rate", (*Player).changeTenantRate},
-	{"repeat", []Parameter{TenantParameter, RepeatsParameter, DurationParameter}, "one tenant's clients retry at once, up to that many times, whatever they are advised", (*Player).retryTenantRequests},
+	{"repeat", []Parameter{TenantParameter, RetriesParameter, DurationParameter}, "one tenant's clients retry at once, up to that many times, whatever they are advised", (*Player).retryTenantRequests},
 	{"silent", []Parameter{TenantParameter, DurationParameter}, "one tenant sends no requests", (*Player).silenceTenant},
 	{"heavy-of", []Parameter{TenantParameter, FactorParameter, DurationParameter}, "one tenant's requests take that multiple of their work", (*Player).changeTenantWork},
 	{"scan-of", []Parameter{TenantParameter, ShareParameter, DurationParameter}, "a share of one tenant's requests is for functions that are requested only once", (*Player).requestTenantOneTimeFunctions},
--- a/lab/scenario/parameters.go
+++ b/lab/scenario/parameters.go
@@ -20,7 +20,7 @@
 	OtherZoneParameter
 	TenantParameter
 	FunctionsParameter
-	RepeatsParameter
+	RetriesParameter
 	RateParameter
 	FactorParameter
 	OffsetParameter
@@ -53,7 +53,7 @@
 	ZoneParameter:        countSyntax("", "1", "a zone's number", func(f *Fault) *int { return &f.Number }),
 	OtherZoneParameter:   countSyntax("", "2", "a zone's number", func(f *Fault) *int { return &f.OtherZone }),
 	FunctionsParameter:   countSyntax("functions", "3", "a number of functions", func(f *Fault) *int { return &f.Number }),
-	RepeatsParameter:     countSyntax("times", "3", "a number of repeats", func(f *Fault) *int { return &f.Number }),
+	RetriesParameter:     countSyntax("times", "3", "a number of repeats", func(f *Fault) *int { return &f.Number }),
 	TenantParameter:      {example: "palermo", parse: parseTenant, format: func(f Fault) string { return f.Tenant }},
 	RateParameter:        numberSyntax("rate", "0.5", 0, 1),
 	FactorParameter:      numberSyntax("factor", "4", 0.01, 1000),
