--- a/internal/platform/workerclient/client_test.go
+++ b/internal/platform/workerclient/client_test.go
@@ -156,7 +156,7 @@
 func TestConnectionBudget_Exhausted_AttemptsShareConnections(t *testing.T) {
 	responses := make(chan func(), 16)
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	server, err := platformworker.StartScripted(func(c *platformworker.Conn, f workerframe.Frame) {
+	server, err := platformworker.StartFullyScripted(func(c *platformworker.Conn, f workerframe.Frame) {
 		responses <- func() { c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID}) }
 	})
 	if err != nil {
--- a/internal/platform/workerclient/connection_budget_test.go
+++ b/internal/platform/workerclient/connection_budget_test.go
@@ -32,7 +32,7 @@
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	set := &clientSet{budget: NewConnectionBudget(connections), held: make(chan func(), 64)}
 	for range workers {
-		server, err := platformworker.StartScripted(func(c *platformworker.Conn, f workerframe.Frame) {
+		server, err := platformworker.StartFullyScripted(func(c *platformworker.Conn, f workerframe.Frame) {
 			respond := func() { c.Respond(workerframe.Frame{Code: workerframe.OK, ID: f.ID}) }
 			if holds {
 				set.held <- respond
--- a/internal/platform/workerclient/helpers_test.go
+++ b/internal/platform/workerclient/helpers_test.go
@@ -45,7 +45,7 @@
 func startWorkerAndClient(t *testing.T, script platformworker.Script) (*Client, eventRecorder, *platformworker.Server) {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	server, err := platformworker.StartScripted(script)
+	server, err := platformworker.StartFullyScripted(script)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/platformworker/server.go
+++ b/lab/platformworker/server.go
@@ -114,8 +114,8 @@
 // SetDraining makes the worker drain or accept new work again.
 func (s *Server) SetDraining(draining bool) { s.draining.Store(draining) }
 
-// StartScripted starts a worker on loopback whose script handles all frames, health checks included.
-func StartScripted(script Script) (*Server, error) {
+// StartFullyScripted starts a worker on loopback whose script handles all frames, health checks included.
+func StartFullyScripted(script Script) (*Server, error) {
 	s := newServer(script)
 	return s, s.listen()
 }
--- a/lab/soak/worker.go
+++ b/lab/soak/worker.go
@@ -53,7 +53,7 @@
 func startWorker(history *History, id uint32, cell int, started int64, rng *rand.Rand) (*worker, error) {
 	w := &worker{history: history, rng: rng}
 	var err error
-	if w.server, err = platformworker.StartScripted(w.handle); err != nil {
+	if w.server, err = platformworker.StartFullyScripted(w.handle); err != nil {
 		return nil, err
 	}
 	if w.proxy, err = faultproxy.StartWithTap(w.server.Address(), w.tap); err != nil {
