--- a/cmd/havencart/experiment.go
+++ b/cmd/havencart/experiment.go
@@ -104,7 +104,7 @@
 			if err != nil {
 				return fmt.Errorf("%w: seed: %w", errUsage, err)
 			}
-			cell, err := spec.RunOne(variant, scenarioName, seed)
+			cell, err := spec.RunCell(variant, scenarioName, seed)
 			if err != nil {
 				return err
 			}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -129,9 +129,9 @@
 	return r, ""
 }
 
-// RunOne runs a single cell, given by its names and seed, and returns the result in the stored form. Another build of
+// RunCell runs a single cell, given by its names and seed, and returns the result in the stored form. Another build of
 // this program calls it through `havencart experiment cell` for a variant whose program is this build.
-func (s *Spec) RunOne(variant, scenario string, seed uint64) (StoredResult, error) {
+func (s *Spec) RunCell(variant, scenario string, seed uint64) (StoredResult, error) {
 	v, sc := s.find(variant, scenario)
 	if v.Name == "" || sc.Name == "" {
 		return StoredResult{}, fmt.Errorf("%w: no variant %q or day %q", ErrSpec, variant, scenario)
