--- a/cmd/havencart/measure.go
+++ b/cmd/havencart/measure.go
@@ -38,7 +38,7 @@
 	flags.IntVar(&config.Loops, "loops", 1, "number of event loops of the front end")
 	flags.IntVar(&options.idleConnections, "idle", 2000, "number of idle connections whose memory is measured; 0: none")
 	flags.BoolVar(&options.rejectionCost, "refusal", false, "only compare the cost of a rejection with that of a served request")
-	flags.Float64SliceVar(&overload.Factors, "overload", nil, "only measure whole installations at these multiples of the workers' capacity")
+	flags.Float64SliceVar(&overload.LoadFactors, "overload", nil, "only measure whole installations at these multiples of the workers' capacity")
 	flags.Uint64Var(&overload.Seed, "overload-seed", 1, "seed of the clients' requests with --overload")
 	flags.IntVar(&overload.Workers, "overload-workers", 8, "number of emulated workers with two cores each with --overload")
 	flags.IntVar(&overload.FrontEnds, "overload-front-ends", 2, "number of front ends with --overload")
@@ -57,7 +57,7 @@
 		defer stop()
 	}
 	switch {
-	case o.overload.Factors != nil:
+	case o.overload.LoadFactors != nil:
 		return measureOverload(cmd, o.overload)
 	case o.rejectionCost:
 		return measureRejection(cmd, o.config)
@@ -99,14 +99,14 @@
 // invariant was violated.
 func measureOverload(cmd *cobra.Command, config measure.OverloadConfig) error {
 	out, violated, best := results(cmd), false, 0.0
-	err := measure.Overload(cmd.Context(), config, func(point measure.Point) {
-		best = max(best, point.Goodput)
+	err := measure.Overload(cmd.Context(), config, func(sample measure.OverloadSample) {
+		best = max(best, sample.Goodput)
 		out.printf("x%-4v %6.0f requests/s offered, goodput %6.0f/s, %.2f of the best so far; %v\n",
-			point.Factor, point.Offered, point.Goodput, point.Goodput/best, point.Tally)
-		for _, violation := range point.Violations {
+			sample.LoadFactor, sample.Offered, sample.Goodput, sample.Goodput/best, sample.Tally)
+		for _, violation := range sample.Violations {
 			out.printf("invariant %s violated: %s\n", violation.Rule, violation.Detail)
 		}
-		if len(point.Violations) > 0 || !point.Tally.Balanced() {
+		if len(sample.Violations) > 0 || !sample.Tally.Balanced() {
 			violated = true
 		}
 	})
--- a/lab/measure/benchmark.go
+++ b/lab/measure/benchmark.go
@@ -78,9 +78,9 @@
 		return err
 	}
 	b.routes = []*Route{
-		{Name: "direct", Address: direct},
-		{Name: "proxy", Address: []string{proxy}},
-		{Name: "gateway", Address: []string{service.Address()}},
+		{Name: "direct", Addresses: direct},
+		{Name: "proxy", Addresses: []string{proxy}},
+		{Name: "gateway", Addresses: []string{service.Address()}},
 	}
 	return nil
 }
--- a/lab/measure/latency.go
+++ b/lab/measure/latency.go
@@ -24,7 +24,7 @@
 
 // connect opens the i-th connection of a route. Connections are spread over the addresses of the route.
 func (b *benchmark) connect(route *Route, i int) (*connection, error) {
-	c, err := net.Dial("tcp", route.Address[i%len(route.Address)])
+	c, err := net.Dial("tcp", route.Addresses[i%len(route.Addresses)])
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", route.Name, err)
 	}
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -37,9 +37,9 @@
 
 // Route is one route from a client to a worker.
 type Route struct {
-	Name    string
-	Address []string // addresses that the connections are spread over
-	Samples []Sample
+	Name      string
+	Addresses []string // addresses that the connections are spread over
+	Samples   []Sample
 }
 
 // settings are the front end's settings. Nothing is rejected, and one replica at each worker serves all connections.
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	stalledRoute := &Route{Name: "refused", Address: []string{stalled.Address()}}
+	stalledRoute := &Route{Name: "refused", Addresses: []string{stalled.Address()}}
 	if err := b.warmUp(ctx, b.gatewayRoute()); err != nil {
 		return err
 	}
--- a/lab/measure/overload.go
+++ b/lab/measure/overload.go
@@ -12,9 +12,9 @@
 	"havencart/lab/model"
 )
 
-// Point is the measurement of an installation at one offered load.
-type Point struct {
-	Factor     float64 // offered load as a multiple of the workers' capacity
+// OverloadSample is the measurement of an installation at one offered load.
+type OverloadSample struct {
+	LoadFactor float64 // offered load as a multiple of the workers' capacity
 	Offered    float64 // offered load in requests per second
 	Goodput    float64 // priority weight per second that responses earned, late ones less than those in time
 	Tally      invariant.Tally
@@ -23,7 +23,7 @@
 
 // OverloadConfig describes an overload measurement.
 type OverloadConfig struct {
-	Factors            []float64
+	LoadFactors        []float64
 	Workers, FrontEnds int
 	Work               time.Duration // mean work of a request
 	// Duration is the length of each measurement. Goodput leaves out the first quarter, in which replicas load.
@@ -39,21 +39,21 @@
 // Overload measures an installation at each factor of the workers' capacity and calls report with each measurement.
 // Every measurement has an installation of its own: emulated workers of two cores, real front ends behind sockets,
 // clients that do not retry, and three classes.
-func Overload(ctx context.Context, cfg OverloadConfig, report func(Point)) error {
+func Overload(ctx context.Context, cfg OverloadConfig, report func(OverloadSample)) error {
 	capacity := overloadCores * float64(cfg.Workers) / cfg.Work.Seconds()
-	for _, factor := range cfg.Factors {
-		p, err := cfg.point(ctx, factor, factor*capacity)
+	for _, factor := range cfg.LoadFactors {
+		sample, err := cfg.measureAt(ctx, factor, factor*capacity)
 		if err != nil {
 			return err
 		}
-		report(p)
+		report(sample)
 	}
 	return nil
 }
 
-// point measures an installation at an offered load of rate requests per second, which is factor times the capacity of
-// its workers.
-func (cfg OverloadConfig) point(ctx context.Context, factor, rate float64) (Point, error) {
+// measureAt measures an installation at an offered load of rate requests per second, which is factor times the capacity
+// of its workers.
+func (cfg OverloadConfig) measureAt(ctx context.Context, factor, rate float64) (OverloadSample, error) {
 	w := fleet.DemoWorker()
 	w.Cores = overloadCores
 	installation, err := fleet.Start(fleet.Config{
@@ -67,23 +67,23 @@
 		Log:       zerolog.Nop(),
 	})
 	if err != nil {
-		return Point{}, err
+		return OverloadSample{}, err
 	}
 	defer installation.Close()
 	installation.RunClients(ctx, cfg.mix(rate), cfg.Duration, cfg.Seed)
 	for _, e := range installation.FrontEnds {
 		if err := e.Stop(); err != nil {
-			return Point{}, err
+			return OverloadSample{}, err
 		}
 	}
-	p := Point{Factor: factor, Offered: rate}
-	p.Violations, p.Tally = installation.Check()
+	sample := OverloadSample{LoadFactor: factor, Offered: rate}
+	sample.Violations, sample.Tally = installation.Check()
 	seconds := installation.Score().Seconds
 	from := len(seconds) / 4
 	for _, s := range seconds[from:] {
-		p.Goodput += s.Earned / float64(len(seconds)-from)
+		sample.Goodput += s.Earned / float64(len(seconds)-from)
 	}
-	return p, ctx.Err()
+	return sample, ctx.Err()
 }
 
 // mix returns the requests of the clients at a rate in requests per second.
