--- a/cmd/havencart/incident_many_workers_test.go
+++ b/cmd/havencart/incident_many_workers_test.go
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var quota sync.WaitGroup
 	quota.Go(func() {
-		if err := cpuquota.Hold(ctx, frontEnd.Process.Pid, largeFleetCPUQuota); err != nil {
+		if err := cpuquota.Limit(ctx, frontEnd.Process.Pid, largeFleetCPUQuota); err != nil {
 			t.Error(err)
 		}
 	})
--- a/lab/cpuquota/cpuquota.go
+++ b/lab/cpuquota/cpuquota.go
@@ -22,10 +22,10 @@
 	maxTokens = 5 * time.Millisecond
 )
 
-// Hold limits a process to a share of a core, where 1 is the whole core. It returns nil once ctx ends and leaves the
+// Limit limits a process to a share of a core, where 1 is the whole core. It returns nil once ctx ends and leaves the
 // process running. It returns an error if the processor time of the process cannot be read or the process cannot be
 // signaled, for example because it has ended.
-func Hold(ctx context.Context, pid int, share float64) error {
+func Limit(ctx context.Context, pid int, share float64) error {
 	used, err := processorTime(pid)
 	if err != nil {
 		return err
