--- a/cmd/havencart/faultsearch.go
+++ b/cmd/havencart/faultsearch.go
@@ -22,7 +22,7 @@
 		Short:   "Search in virtual time for scenarios that the scheduler handles badly; minimize and store them",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			config.Base = faultsearch.Base(duration)
+			config.Base = faultsearch.BaseConfig(duration)
 			config.Base.Seed = config.Seed
 			config.Report = func(text string) { progress(cmd).println(text) }
 			return runFaultSearch(cmd, config, directory)
--- a/lab/faultsearch/base.go
+++ b/lab/faultsearch/base.go
@@ -10,9 +10,9 @@
 	"havencart/lab/simulation"
 )
 
-// Base returns the configuration of the installation that searches use. It has 12 workers, which are loaded to about
+// BaseConfig returns the configuration of the installation that searches use. It has 12 workers, which are loaded to about
 // 0.6 of their capacity, and 3 front ends. Clients send requests for the given duration.
-func Base(duration time.Duration) simulation.Config {
+func BaseConfig(duration time.Duration) simulation.Config {
 	return simulation.Config{
 		Workers:   12,
 		Cells:     3,
--- a/lab/faultsearch/search_test.go
+++ b/lab/faultsearch/search_test.go
@@ -15,7 +15,7 @@
 
 func TestFinding_Text_IsParsedAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &search{cfg: Config{Base: Base(30 * time.Second)}, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
+		s := &search{cfg: Config{Base: BaseConfig(30 * time.Second)}, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
 		want := s.mutate(s.randomScenario())
 		got, err := scenario.Parse("found", Finding{Faults: want}.Text())
 		if err != nil || len(got) != len(want) {
@@ -32,7 +32,7 @@
 }
 
 func TestRun_SameSeed_GivesTheSameFindings(t *testing.T) {
-	cfg := Config{Base: Base(8 * time.Second), Rounds: 2, Width: 6, Keep: 2, Seed: 3, Parallel: 2, Report: func(string) {}}
+	cfg := Config{Base: BaseConfig(8 * time.Second), Rounds: 2, Width: 6, Keep: 2, Seed: 3, Parallel: 2, Report: func(string) {}}
 	first, err := Run(context.Background(), cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &search{cfg: Config{Base: Base(20 * time.Second)}}
+		s := &search{cfg: Config{Base: BaseConfig(20 * time.Second)}}
 		f, err := s.evaluate(faults)
 		if err != nil {
 			t.Fatal(err)
