--- a/lab/experiment/key.go
+++ b/lab/experiment/key.go
@@ -117,7 +117,7 @@
 		LoadsAtOnce: config.MaxConcurrentLoads,
 		KeepAlive:   config.KeepAlive,
 		MissAnswers: config.ReportsNotLoaded,
-		MoreCopies:  config.LoadsMoreReplicas,
+		MoreCopies:  config.ScalesUpOnQueue,
 		StopsRuns:   config.CancelStopsWork,
 		ColdFrom:    config.ColdCapacity,
 		ColdTime:    config.SlowStart,
--- a/lab/model/execution.go
+++ b/lab/model/execution.go
@@ -158,7 +158,7 @@
 // needsAnotherReplica reports whether the worker should load another replica of a queued request's function without a
 // load order.
 func (w *Worker) needsAnotherReplica(a *attempt, loaded, loading int) bool {
-	if !w.Config.LoadsMoreReplicas || loaded == 0 || loading > 0 {
+	if !w.Config.ScalesUpOnQueue || loaded == 0 || loading > 0 {
 		return false
 	}
 	return w.queuedFor(a.Function) > a.Concurrency
