--- a/cmd/havencart/demo.go
+++ b/cmd/havencart/demo.go
@@ -85,7 +85,7 @@
 
 func runDemo(cmd *cobra.Command, demo fleet.Demo) error {
 	out := results(cmd)
-	demo.Report = func(text string) { out.println(text) }
+	demo.ReportProgress = func(text string) { out.println(text) }
 	ctx, cancel := context.WithCancel(cmd.Context())
 	defer cancel()
 	result, err := demo.Run(ctx)
--- a/cmd/havencart/faultsearch.go
+++ b/cmd/havencart/faultsearch.go
@@ -24,7 +24,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			config.Base = faultsearch.BaseConfig(duration)
 			config.Base.Seed = config.Seed
-			config.Report = func(text string) { progress(cmd).println(text) }
+			config.ReportProgress = func(text string) { progress(cmd).println(text) }
 			return runFaultSearch(cmd, config, directory)
 		},
 	}
--- a/lab/faultsearch/search.go
+++ b/lab/faultsearch/search.go
@@ -20,13 +20,13 @@
 
 // Config describes a search.
 type Config struct {
-	Base     simulation.Config // configuration of the installation, without faults
-	Rounds   int               // number of rounds, each of which draws, mutates and selects scenarios
-	Width    int               // number of scenarios that each round evaluates
-	Keep     int               // maximum number of findings that a round keeps
-	Seed     uint64
-	Parallel int          // number of scenarios that are evaluated concurrently
-	Report   func(string) // receives one line of progress per round
+	Base           simulation.Config // configuration of the installation, without faults
+	Rounds         int               // number of rounds, each of which draws, mutates and selects scenarios
+	Width          int               // number of scenarios that each round evaluates
+	Keep           int               // maximum number of findings that a round keeps
+	Seed           uint64
+	Parallel       int          // number of scenarios that are evaluated concurrently
+	ReportProgress func(string) // receives one line of progress per round
 }
 
 // Finding is a bad scenario that a search found, with the service that the scheduler and the oracle reached in it.
@@ -78,7 +78,7 @@
 		if err := s.round(); err != nil {
 			return nil, err
 		}
-		cfg.Report(fmt.Sprintf("round %d: worst by %.3f, of %d kept", round+1, s.found[0].Score(), len(s.found)))
+		cfg.ReportProgress(fmt.Sprintf("round %d: worst by %.3f, of %d kept", round+1, s.found[0].Score(), len(s.found)))
 	}
 	for i := range s.found {
 		if ctx.Err() != nil {
--- a/lab/faultsearch/search_test.go
+++ b/lab/faultsearch/search_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestRun_SameSeed_GivesTheSameFindings(t *testing.T) {
-	cfg := Config{Base: BaseConfig(8 * time.Second), Rounds: 2, Width: 6, Keep: 2, Seed: 3, Parallel: 2, Report: func(string) {}}
+	cfg := Config{Base: BaseConfig(8 * time.Second), Rounds: 2, Width: 6, Keep: 2, Seed: 3, Parallel: 2, ReportProgress: func(string) {}}
 	first, err := Run(context.Background(), cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/fleet/demo.go
+++ b/lab/fleet/demo.go
@@ -113,7 +113,7 @@
 	Settings           []string // lines that precede DemoSettings in the front ends' settings
 	Seed               uint64
 	Log                zerolog.Logger
-	Report             func(string) // receives progress lines: faults, and the totals each second; not nil
+	ReportProgress     func(string) // receives progress lines: faults, and the totals each second; not nil
 }
 
 // Result is the outcome of a Demo.
@@ -145,7 +145,7 @@
 		return Result{}, err
 	}
 	defer fleet.Close()
-	d.Report("front ends, emulated workers, function store and discovery are running on loopback")
+	d.ReportProgress("front ends, emulated workers, function store and discovery are running on loopback")
 	outcomes, err := d.runLoad(ctx, fleet, faults)
 	if err != nil {
 		return Result{}, err
@@ -164,11 +164,11 @@
 	background, cancel := context.WithCancel(ctx)
 	defer cancel()
 	scenarioEnded := make(chan error, 1)
-	go func() { scenarioEnded <- f.RunScenario(background, faults, d.Seed, d.Report) }()
+	go func() { scenarioEnded <- f.RunScenario(background, faults, d.Seed, d.ReportProgress) }()
 	progressEnded := make(chan struct{})
 	go func() {
 		defer close(progressEnded)
-		f.reportProgress(background, d.Report)
+		f.reportProgress(background, d.ReportProgress)
 	}()
 	outcomes = f.RunClients(ctx, d.Mix, d.Duration, d.Seed)
 	cancel()
--- a/lab/fleet/scenario_test.go
+++ b/lab/fleet/scenario_test.go
@@ -27,7 +27,7 @@
 	}
 	demo := Demo{
 		Workers: 12, FrontEnds: 3, Mix: DemoMix(120), Duration: duration, Scenario: string(text), Seed: 7,
-		Log: zerolog.Nop(), Report: func(s string) { t.Log(s) },
+		Log: zerolog.Nop(), ReportProgress: func(s string) { t.Log(s) },
 	}
 	result, err := demo.Run(context.Background())
 	if err != nil {
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -146,7 +146,7 @@
 	const script, duration = "at 2s crash 25% for 2s\nat 5s store-slow factor 3 for 2s\nat 6s slow 25% factor 3 for 2s\n", 9 * time.Second
 	d := fleet.Demo{
 		Workers: 12, FrontEnds: 3, Mix: fleet.DemoMix(150), Duration: duration, Scenario: script, Seed: 1, Log: zerolog.Nop(),
-		Report: func(string) {},
+		ReportProgress: func(string) {},
 	}
 	realTime, err := d.Run(context.Background())
 	if err != nil {
