--- a/lab/faultsearch/base.go
+++ b/lab/faultsearch/base.go
@@ -10,8 +10,8 @@
 	"havencart/lab/simulation"
 )
 
-// BaseConfig returns the configuration of the installation that searches use. It has 12 workers, which are loaded to about
-// 0.6 of their capacity, and 3 front ends. Clients send requests for the given duration.
+// BaseConfig returns the configuration of the installation that searches use. It has 12 workers, which are loaded to
+// about 0.6 of their capacity, and 3 front ends. Clients send requests for the given duration.
 func BaseConfig(duration time.Duration) simulation.Config {
 	return simulation.Config{
 		Workers:   12,
