--- a/cmd/havencart/soak.go
+++ b/cmd/havencart/soak.go
@@ -121,7 +121,7 @@
 	if len(report.Violations) > 0 {
 		runs = &t.violating
 	}
-	if len(report.NotedLags) > 0 {
+	if len(report.RecordedLags) > 0 {
 		runs.late++
 	} else {
 		runs.punctual++
@@ -150,7 +150,7 @@
 		LogDir:    o.logs,
 	}
 	if o.verbose {
-		config.Notes = func(text string) { out.printf("seed %d: %s\n", seed, text) }
+		config.ReportFault = func(text string) { out.printf("seed %d: %s\n", seed, text) }
 	}
 	return config
 }
@@ -162,9 +162,9 @@
 		faults += report.Faults[name]
 	}
 	out.printf("seed %d: %d requests, %d served, %d rejected, %d failed, %d cancelled; %d attempts, %d of them repeats; %d faults; %d violations\n",
-		seed, report.Requests, report.Served, report.Rejected, report.Failed, report.Cancelled, report.Arrivals, report.Repeats,
+		seed, report.Requests, report.Served, report.Rejected, report.Failed, report.Cancelled, report.Attempts, report.Retries,
 		faults, len(report.Violations))
-	out.printf("seed %d: maximum lag of the soak process itself: %v; lags above the allowed slack: %v\n", seed, report.WorstLag, report.NotedLags)
+	out.printf("seed %d: maximum lag of the soak process itself: %v; lags above the allowed slack: %v\n", seed, report.WorstLag, report.RecordedLags)
 	for _, violation := range report.Violations {
 		out.printf("seed %d: %s\n", seed, violation)
 	}
--- a/cmd/havencart/soak_test.go
+++ b/cmd/havencart/soak_test.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Served == 0 || report.Arrivals == 0 || len(report.Faults) == 0 {
-		t.Errorf("%d requests served, %d attempts, faults %v: the run does not test anything", report.Served, report.Arrivals, report.Faults)
+	if report.Served == 0 || report.Attempts == 0 || len(report.Faults) == 0 {
+		t.Errorf("%d requests served, %d attempts, faults %v: the run does not test anything", report.Served, report.Attempts, report.Faults)
 	}
 	for _, violation := range report.Violations {
-		if violation.Timed {
+		if violation.TimingOnly {
 			t.Log(violation)
 		} else {
 			t.Error(violation)
--- a/lab/soak/history.go
+++ b/lab/soak/history.go
@@ -58,8 +58,8 @@
 	Worker string
 }
 
-// Notice records that the endpoint stream announced a worker's drain or removal.
-type Notice struct {
+// DrainNotice records that the endpoint stream announced a worker's drain or removal.
+type DrainNotice struct {
 	Worker string
 	At     time.Duration // time from which on all front ends count as notified
 }
@@ -80,7 +80,7 @@
 	arrivals            []*Arrival
 	notExecuted         map[executionKey]int // number of responses that a request was not executed
 	loadOrders          []LoadOrder
-	notices             map[string]*Notice // first notice of each worker, by its name
+	notices             map[string]*DrainNotice // first notice of each worker, by its name
 	pauses              []*Pause
 	terminations        []*Termination
 	immediateViolations []string // violations found during the run, such as a crashed process
@@ -88,7 +88,7 @@
 
 // NewHistory returns an empty History whose clock starts now.
 func NewHistory() *History {
-	return &History{start: time.Now(), requests: map[string]*Request{}, notices: map[string]*Notice{}, notExecuted: map[executionKey]int{}}
+	return &History{start: time.Now(), requests: map[string]*Request{}, notices: map[string]*DrainNotice{}, notExecuted: map[executionKey]int{}}
 }
 
 // Now returns the time since the start of the run.
@@ -172,7 +172,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.notices[worker] == nil {
-		h.notices[worker] = &Notice{Worker: worker, At: at}
+		h.notices[worker] = &DrainNotice{Worker: worker, At: at}
 	}
 }
 
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -19,9 +19,9 @@
 
 // Violation describes one case in which a rule was broken.
 type Violation struct {
-	Rule  string
-	Text  string
-	Timed bool // only time limits were exceeded, which can also happen because the machine is busy with other work
+	Rule       string
+	Text       string
+	TimingOnly bool // only time limits were exceeded, which can also happen because the machine is busy with other work
 }
 
 // String returns the rule and the text in one line.
@@ -75,9 +75,9 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// reportTimed reports a violation that only exceeds a time limit; see Violation.Timed.
+// reportTimed reports a violation that only exceeds a time limit; see Violation.TimingOnly.
 func (c *checker) reportTimed(rule, format string, args ...any) {
-	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...), Timed: true})
+	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...), TimingOnly: true})
 }
 
 // checkResponse checks that a request has exactly one final response, that the response was received in time, and that
--- a/lab/soak/judge_test.go
+++ b/lab/soak/judge_test.go
@@ -140,8 +140,8 @@
 				}
 				return
 			}
-			if len(found) != 1 || found[0].Rule != c.rule || found[0].Timed != c.timed {
-				t.Errorf("found %+v, want one violation of rule %s with Timed %v", found, c.rule, c.timed)
+			if len(found) != 1 || found[0].Rule != c.rule || found[0].TimingOnly != c.timed {
+				t.Errorf("found %+v, want one violation of rule %s with TimingOnly %v", found, c.rule, c.timed)
 			}
 		})
 	}
@@ -150,7 +150,7 @@
 func rejected(_ *History, request *Request) { request.Responses[0].Outcome = Rejected }
 
 func draining(history *History, _ *Request) {
-	history.notices["w1"] = &Notice{Worker: "w1", At: 1100 * ms}
+	history.notices["w1"] = &DrainNotice{Worker: "w1", At: 1100 * ms}
 }
 
 // Each kind of fault is drawn sometimes.
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -14,24 +14,24 @@
 
 // Config configures one run.
 type Config struct {
-	Seed      uint64 // seeds the random draws of faults, clients and workers
-	FrontEnds int
-	Workers   int
-	Cells     int
-	Length    time.Duration     // how long clients send requests and faults are injected
-	Command   func() *exec.Cmd  // returns a front end's command, to which RELAY_CONFIG names its configuration file
-	LogDir    string            // directory for the front ends' logs; if empty, a temporary directory that is removed
-	Notes     func(text string) // called for each fault as it begins, and for its steps; may be nil
+	Seed        uint64 // seeds the random draws of faults, clients and workers
+	FrontEnds   int
+	Workers     int
+	Cells       int
+	Length      time.Duration     // how long clients send requests and faults are injected
+	Command     func() *exec.Cmd  // returns a front end's command, to which RELAY_CONFIG names its configuration file
+	LogDir      string            // directory for the front ends' logs; if empty, a temporary directory that is removed
+	ReportFault func(text string) // called for each fault as it begins, and for its steps; may be nil
 }
 
 // Report summarizes a run.
 type Report struct {
 	Requests, Served, Rejected, Failed, Cancelled int
-	Arrivals, Repeats                             int            // all attempts, and those after a request's first
+	Attempts, Retries                             int            // all attempts, and those after a request's first
 	Faults                                        map[string]int // number of injected faults by name
 	Violations                                    []Violation
 	WorstLag                                      time.Duration // the longest lag of the soak's own process; see lagMeter
-	NotedLags                                     []string      // lags above timingSlack, at most maxRecordedLags
+	RecordedLags                                  []string      // lags above timingSlack, at most maxRecordedLags
 }
 
 // run is a run in progress.
@@ -167,10 +167,10 @@
 	r.logf("%s for %v", name, length.Round(time.Millisecond))
 }
 
-// logf passes a line with the time of the run to Config.Notes.
+// logf passes a line with the time of the run to Config.ReportFault.
 func (r *run) logf(format string, args ...any) {
-	if r.config.Notes != nil {
-		r.config.Notes(fmt.Sprintf("%v ", r.history.Now().Round(time.Millisecond)) + fmt.Sprintf(format, args...))
+	if r.config.ReportFault != nil {
+		r.config.ReportFault(fmt.Sprintf("%v ", r.history.Now().Round(time.Millisecond)) + fmt.Sprintf(format, args...))
 	}
 }
 
@@ -272,19 +272,19 @@
 func (r *run) report() Report {
 	r.stopFrontEnds()
 	report := Report{
-		Faults:     r.faultCounts,
-		Violations: CheckHistory(r.history),
-		WorstLag:   r.lag.worst,
-		NotedLags:  r.lag.recorded,
+		Faults:       r.faultCounts,
+		Violations:   CheckHistory(r.history),
+		WorstLag:     r.lag.worst,
+		RecordedLags: r.lag.recorded,
 	}
 	h := r.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	report.Requests, report.Arrivals = len(h.requests), len(h.arrivals)
+	report.Requests, report.Attempts = len(h.requests), len(h.arrivals)
 	seen := map[string]bool{}
 	for _, arrival := range h.arrivals {
 		if seen[arrival.RequestID] {
-			report.Repeats++
+			report.Retries++
 		}
 		seen[arrival.RequestID] = true
 	}
