--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -106,10 +106,10 @@
 	return time.Duration(min(at+requests/rate, float64(limit)))
 }
 
-// Mix returns a hash of a and b that is the same on every platform. It consists of three rounds of xor-shift and
+// HashPair returns a hash of a and b that is the same on every platform. It consists of three rounds of xor-shift and
 // multiplication, as in the finalizer of SplitMix64 (Steele, Lea, Flood: "Fast splittable pseudorandom number
 // generators", 2014). It does not resist maliciously chosen input.
-func Mix(a, b uint64) uint64 {
+func HashPair(a, b uint64) uint64 {
 	x := a*0x9E3779B97F4A7C15 ^ b
 	for range 3 {
 		x ^= x >> 31
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -115,17 +115,17 @@
 
 // TestMix_Values_AreUniformAndFixed pins two hash values, because placement on workers and all random draws depend on
 // the hash.
-func TestMix_Values_AreUniformAndFixed(t *testing.T) {
-	if first, second := Mix(1, 2), Mix(42, 1<<63); first != 0xc6c62fe4e45e3f6f || second != 0xde7518d6b83e4283 {
+func TestHashPair_Values_AreUniformAndFixed(t *testing.T) {
+	if first, second := HashPair(1, 2), HashPair(42, 1<<63); first != 0xc6c62fe4e45e3f6f || second != 0xde7518d6b83e4283 {
 		t.Errorf("hashes are %#x and %#x, want 0xc6c62fe4e45e3f6f and 0xde7518d6b83e4283", first, second)
 	}
-	if Mix(1, 2) == Mix(2, 1) {
+	if HashPair(1, 2) == HashPair(2, 1) {
 		t.Error("the hash does not depend on the order of its arguments")
 	}
 	const draws = 10000
 	sum := 0.0
 	for i := range uint64(draws) {
-		x := UnitInterval(Mix(42, i))
+		x := UnitInterval(HashPair(42, i))
 		if x < 0 || x >= 1 {
 			t.Fatalf("%v is not in [0, 1)", x)
 		}
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -44,7 +44,7 @@
 	}
 	tolerable := delayBudgetFraction * float64(s.queueDelayBudget()) * valueDensity
 	tolerable = max(tolerable, float64(s.unloadedRunTime(request.function.class)))
-	draw := estimate.UnitInterval(estimate.Mix(s.settings.Seed, uint64(request.ID)))
+	draw := estimate.UnitInterval(estimate.HashPair(s.settings.Seed, uint64(request.ID)))
 	if draw*s.delay.contactedMedian <= tolerable {
 		return false
 	}
--- a/scheduler/load_breaker.go
+++ b/scheduler/load_breaker.go
@@ -29,7 +29,7 @@
 func (b *loadBreaker) recordFailure(now time.Duration, seed uint64) {
 	if b.failures++; b.failures >= breakerThreshold && now >= b.openUntil {
 		b.openFor = min(maxBreakerOpenTime, max(minBreakerOpenTime, 2*b.openFor))
-		jitter := time.Duration(estimate.Mix(seed, uint64(now)) % uint64(b.openFor))
+		jitter := time.Duration(estimate.HashPair(seed, uint64(now)) % uint64(b.openFor))
 		b.openUntil = now + b.openFor/2 + jitter
 	}
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -47,7 +47,7 @@
 		return preferred.workers
 	}
 	order := s.rendezvousOrder(function, target)
-	own := int(estimate.Mix(uint64(function.id), uint64(s.settings.FrontEndIndex+1)) % uint64(target))
+	own := int(estimate.HashPair(uint64(function.id), uint64(s.settings.FrontEndIndex+1)) % uint64(target))
 	preferred.version = s.endpoints.version
 	preferred.workers = s.ownZoneFirst(order[own:target], order[:own])
 	return preferred.workers
--- a/scheduler/rendezvous.go
+++ b/scheduler/rendezvous.go
@@ -91,7 +91,7 @@
 
 // rendezvousDraw returns a hash of both identifiers in the open interval (0, 1).
 func rendezvousDraw(function FunctionID, worker WorkerID) float64 {
-	return estimate.UnitInterval(estimate.Mix(uint64(function), uint64(worker))) + 0.5/(1<<53)
+	return estimate.UnitInterval(estimate.HashPair(uint64(function), uint64(worker))) + 0.5/(1<<53)
 }
 
 // rendezvousRank returns a worker's rank in weighted rendezvous hashing: -ln(1-draw) / capacity. Lower ranks come
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -43,7 +43,7 @@
 	budget := slowStartSafety * s.settings.OverloadFactor * fraction * allowance
 	budget = max(budget, slowStartMinRequests/float64(max(1, s.settings.FrontEndCount)))
 	windowNumber := uint64(age / s.settings.OverloadWindow)
-	draw := estimate.Mix(estimate.Mix(s.settings.Seed, uint64(worker.ID)), windowNumber)
+	draw := estimate.HashPair(estimate.HashPair(s.settings.Seed, uint64(worker.ID)), windowNumber)
 	worker.slowStart.budget = max(worker.slowStart.budget, budget)
 	return float64(len(worker.sendTimes)) < math.Floor(budget+estimate.UnitInterval(draw))
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -68,7 +68,7 @@
 			h.now += set.OverloadWindow
 			h.scheduler.now, worker.Started = h.now, h.now-set.SlowStartDuration/2-time.Duration(n)
 			h.scheduler.demand.completions = estimate.Decayed{Value: workerRate * workers / frontEnds * completionMemory.Seconds(), ReadAt: h.now}
-			draw := estimate.Mix(uint64(i), uint64(n)+1000)
+			draw := estimate.HashPair(uint64(i), uint64(n)+1000)
 			if estimate.UnitInterval(draw) < demandFactor*workerRate*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
 				worker.sendTimes = append(worker.sendTimes, h.now)
 				sent++
