--- a/internal/native/muxclient/client.go
+++ b/internal/native/muxclient/client.go
@@ -79,10 +79,10 @@
 	defer c.mu.Unlock()
 	switch {
 	case c.draining:
-		attempt.Reject()
+		attempt.MarkRejected()
 		return &workerconn.Result{Status: scheduler.NotSent, Reason: "the worker drains", QueueDepth: -1}
 	case c.isClosedOrFull():
-		attempt.Reject()
+		attempt.MarkRejected()
 		return &workerconn.Result{Status: scheduler.ConnectFailed, Reason: "the link's queue is full or closed", QueueDepth: -1}
 	}
 	c.queue.PushAttempt(c.nextStreamID(), attempt)
@@ -125,10 +125,10 @@
 	defer c.mu.Unlock()
 	switch {
 	case c.draining && order.Load.Replicas > 0:
-		order.Reject()
+		order.MarkRejected()
 		return scheduler.Overloaded
 	case c.isClosedOrFull():
-		order.Reject()
+		order.MarkRejected()
 		return scheduler.ConnectFailed
 	}
 	c.queue.PushLoad(c.nextStreamID(), order)
--- a/internal/workerconn/attempt.go
+++ b/internal/workerconn/attempt.go
@@ -47,8 +47,8 @@
 // WriteStartedAt returns, for an attempt that has ended, when its write started on the client's clock; 0: it never did.
 func (a *Attempt) WriteStartedAt() time.Duration { return a.delivery.writeStartedAt }
 
-// Reject records that a client refused the attempt, which was therefore never sent.
-func (a *Attempt) Reject() { a.delivery.cancel() }
+// MarkRejected records that a client refused the attempt, which was therefore never sent.
+func (a *Attempt) MarkRejected() { a.delivery.cancel() }
 
 // LoadOrder tells a worker how many replicas of a function to keep loaded. A load order of zero replicas is a residency
 // query, which only asks how many replicas are loaded.
@@ -59,8 +59,8 @@
 	delivery delivery
 }
 
-// Reject records that a client refused the load order, which was therefore never sent.
-func (o *LoadOrder) Reject() { o.delivery.cancel() }
+// MarkRejected records that a client refused the load order, which was therefore never sent.
+func (o *LoadOrder) MarkRejected() { o.delivery.cancel() }
 
 // WriteStartedAt returns, for an order that has ended, when its write started on the client's clock; 0: it never did.
 func (o *LoadOrder) WriteStartedAt() time.Duration { return o.delivery.writeStartedAt }
--- a/internal/workerconn/send_queue_test.go
+++ b/internal/workerconn/send_queue_test.go
@@ -78,7 +78,7 @@
 		},
 	},
 	"rejected": {
-		prepare: func(_ *SendQueue[testFrame], _ *WriteBatch[testFrame], attempt *Attempt) { attempt.Reject() },
+		prepare: func(_ *SendQueue[testFrame], _ *WriteBatch[testFrame], attempt *Attempt) { attempt.MarkRejected() },
 	},
 }
 
