--- a/lab/fleet/clients.go
+++ b/lab/fleet/clients.go
@@ -34,7 +34,7 @@
 // RunClients sends requests of a mix for d and returns when all of them have ended. Arrivals are drawn from seed and do
 // not depend on the responses. The result is the number of requests by outcome; a request and its retries count as one.
 func (f *Fleet) RunClients(ctx context.Context, m loadgen.Mix, d time.Duration, seed uint64) map[string]int {
-	source := loadgen.ForSettings(m, d, f.Settings, seed)
+	source := loadgen.NewSourceForSettings(m, d, f.Settings, seed)
 	f.Clients.setSource(source)
 	var mu sync.Mutex
 	outcomes := map[string]int{}
--- a/lab/loadgen/source.go
+++ b/lab/loadgen/source.go
@@ -82,8 +82,9 @@
 	}
 }
 
-// ForSettings returns a Source for a run of the given duration with the classes and tenants of a front end's settings.
-func ForSettings(m Mix, duration time.Duration, settings *gatewayconfig.Settings, seed uint64) *Source {
+// NewSourceForSettings returns a Source for a run of the given duration with the classes and tenants of a front end's
+// settings.
+func NewSourceForSettings(m Mix, duration time.Duration, settings *gatewayconfig.Settings, seed uint64) *Source {
 	var classes, tenants []string
 	var shares []float64
 	for _, c := range settings.Classes {
--- a/lab/simulation/installation.go
+++ b/lab/simulation/installation.go
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	sim.startFrontEnds()
-	sim.source = loadgen.ForSettings(cfg.Mix, cfg.Duration, settings, cfg.Seed)
+	sim.source = loadgen.NewSourceForSettings(cfg.Mix, cfg.Duration, settings, cfg.Seed)
 	return sim, nil
 }
 
