--- a/lab/platformworker/server.go
+++ b/lab/platformworker/server.go
@@ -80,7 +80,7 @@
 	draining := s.draining.Load()
 	switch {
 	case IsHealthCheck(f):
-		return Health(f, draining), true
+		return HealthResponse(f, draining), true
 	case IsNewWork(f) && draining:
 		return workerframe.Frame{Code: workerframe.Overloaded, ID: f.ID}, true
 	}
@@ -92,8 +92,8 @@
 	return f.Code == workerframe.HealthCheck || f.Code == workerframe.LoadReport
 }
 
-// Health returns the response to a health check. A draining worker responds that it is unhealthy.
-func Health(check workerframe.Frame, draining bool) workerframe.Frame {
+// HealthResponse returns the response to a health check. A draining worker responds that it is unhealthy.
+func HealthResponse(check workerframe.Frame, draining bool) workerframe.Frame {
 	code := workerframe.Healthy
 	if draining {
 		code = workerframe.Unhealthy
--- a/lab/soak/worker.go
+++ b/lab/soak/worker.go
@@ -135,7 +135,7 @@
 	draining := w.draining.Load()
 	switch {
 	case platformworker.IsHealthCheck(frame):
-		c.Respond(platformworker.Health(frame, draining))
+		c.Respond(platformworker.HealthResponse(frame, draining))
 	case draining && platformworker.IsNewWork(frame):
 		w.reject(c, frame)
 	case frame.Code == workerframe.Request:
