--- a/lab/invariant/score.go
+++ b/lab/invariant/score.go
@@ -47,8 +47,8 @@
 // Service returns the fraction of the offered weight that was earned in the whole run.
 func (s Score) Service() float64 { return s.Share() }
 
-// Worst returns the lowest service over any period of the given number of seconds, or 1 if the run is shorter.
-func (s Score) Worst(seconds int) float64 {
+// LowestService returns the lowest service over any period of the given number of seconds, or 1 if the run is shorter.
+func (s Score) LowestService(seconds int) float64 {
 	worst := 1.0
 	for i := 0; i+seconds <= len(s.Seconds); i++ {
 		var sum ServiceLevel
