--- a/lab/platformworker/server.go
+++ b/lab/platformworker/server.go
@@ -24,7 +24,7 @@
 
 // Respond writes a response frame. It drops a frame that cannot be encoded.
 func (c *Conn) Respond(f workerframe.Frame) {
-	raw, err := workerframe.Append(nil, workerframe.FromWorker, f)
+	raw, err := workerframe.Append(nil, workerframe.MagicWorker, f)
 	if err == nil {
 		c.WriteRaw(raw)
 	}
@@ -80,7 +80,7 @@
 	draining := s.draining.Load()
 	switch {
 	case IsHealthCheck(f):
-		return Health(f, draining), true
+		return HealthResponse(f, draining), true
 	case IsNewWork(f) && draining:
 		return workerframe.Frame{Code: workerframe.Overloaded, ID: f.ID}, true
 	}
@@ -92,8 +92,8 @@
 	return f.Code == workerframe.HealthCheck || f.Code == workerframe.LoadReport
 }
 
-// Health returns the response to a health check. A draining worker responds that it is unhealthy.
-func Health(check workerframe.Frame, draining bool) workerframe.Frame {
+// HealthResponse returns the response to a health check. A draining worker responds that it is unhealthy.
+func HealthResponse(check workerframe.Frame, draining bool) workerframe.Frame {
 	code := workerframe.Healthy
 	if draining {
 		code = workerframe.Unhealthy
@@ -114,8 +114,8 @@
 // SetDraining makes the worker drain or accept new work again.
 func (s *Server) SetDraining(draining bool) { s.draining.Store(draining) }
 
-// StartScripted starts a worker on loopback whose script handles all frames, health checks included.
-func StartScripted(script Script) (*Server, error) {
+// StartFullyScripted starts a worker on loopback whose script handles all frames, health checks included.
+func StartFullyScripted(script Script) (*Server, error) {
 	s := newServer(script)
 	return s, s.listen()
 }
@@ -157,7 +157,7 @@
 
 func (s *Server) serve(c *Conn) {
 	defer func() { _ = c.Close() }()
-	r := workerframe.NewReader(bufio.NewReader(c), workerframe.FromFrontEnd, workerframe.MaxBody)
+	r := workerframe.NewReader(bufio.NewReader(c), workerframe.MagicFrontEnd, workerframe.MaxBody)
 	for {
 		f, err := r.Next()
 		if err != nil {
