--- a/cmd/havencart/incident_discovery_outage_test.go
+++ b/cmd/havencart/incident_discovery_outage_test.go
@@ -40,7 +40,7 @@
 	outageWarmUp          = 2500 * time.Millisecond // long enough for the endpoint list to be confirmed
 	outageLength          = 7 * time.Second
 	outageRecovery        = 2 * time.Second
-	firstDrainDelay       = 100 * time.Millisecond // delay after the warm-up, when discovery is unreachable
+	firstDrainDelay       = 100 * time.Millisecond // counted from the end of the warm-up, by which the outage has begun
 	secondDrainDelay      = 5 * time.Second
 	outageMinServed       = 0.95 // minimum fraction of requests that are served
 )
--- a/cmd/havencart/main.go
+++ b/cmd/havencart/main.go
@@ -40,7 +40,7 @@
 
 func main() {
 	zerolog.TimeFieldFormat = timeFormat
-	// The process handles signals until it exits, so that a second signal during the shutdown does not kill it.
+	// The process handles signals until it exits, so that neither a second signal nor one during the shutdown kills it.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	os.Exit(exitCode(rootCommand().ExecuteContext(ctx)))
--- a/cmd/havencart/measure.go
+++ b/cmd/havencart/measure.go
@@ -35,7 +35,7 @@
 	flags.IntVar(&config.ResponseBytes, "reply", 100, "size of a response in bytes")
 	flags.DurationVar(&config.Duration, "for", 3*time.Second, "duration of each measurement")
 	flags.IntVar(&config.Rounds, "rounds", 5, "number of rounds, each of which measures all paths in turn")
-	flags.IntVar(&config.Loops, "loops", 1, "number of event loops of the front end")
+	flags.IntVar(&config.Loops, "loops", 1, "number of event loops in the front end's process")
 	flags.IntVar(&options.idleConnections, "idle", 2000, "number of idle connections whose memory is measured; 0: none")
 	flags.BoolVar(&options.rejectionCost, "refusal", false, "only compare the cost of a rejection with that of a served request")
 	flags.Float64SliceVar(&overload.Factors, "overload", nil, "only measure whole installations at these multiples of the workers' capacity")
--- a/cmd/havencart/serveplatform_test.go
+++ b/cmd/havencart/serveplatform_test.go
@@ -137,11 +137,11 @@
 	if _, err := c.Write(raw); err != nil {
 		c.t.Fatal(err)
 	}
-	answer, err := c.dec.DecodeSlice()
-	if err != nil || len(answer) != 4 {
-		c.t.Fatalf("response to %s is %v, %v", method, answer, err)
+	response, err := c.dec.DecodeSlice()
+	if err != nil || len(response) != 4 {
+		c.t.Fatalf("response to %s is %v, %v", method, response, err)
 	}
-	return answer[2], answer[3]
+	return response[2], response[3]
 }
 
 func (c *rpcClient) call(id int) (failure, result any) {
--- a/cmd/havencart/soak.go
+++ b/cmd/havencart/soak.go
@@ -161,7 +161,7 @@
 	for _, name := range slices.Sorted(maps.Keys(report.Faults)) {
 		faults += report.Faults[name]
 	}
-	out.printf("seed %d: %d requests, %d served, %d rejected, %d failed, %d cancelled; %d attempts, %d of them repeats; %d faults; %d violations\n",
+	out.printf("seed %d: %d requests, %d served, %d rejected, %d failed, %d abandoned; %d attempts, %d of them repeats; %d faults; %d violations\n",
 		seed, report.Requests, report.Served, report.Rejected, report.Failed, report.Cancelled, report.Arrivals, report.Repeats,
 		faults, len(report.Violations))
 	out.printf("seed %d: maximum lag of the soak process itself: %v; lags above the allowed slack: %v\n", seed, report.WorstLag, report.NotedLags)
--- a/cmd/havencart/steady_client_test.go
+++ b/cmd/havencart/steady_client_test.go
@@ -23,9 +23,9 @@
 }
 
 type openRequest struct {
-	id     string
-	sentAt time.Time
-	wait   time.Duration
+	id      string
+	sentAt  time.Time
+	timeout time.Duration
 }
 
 // responseLog counts the outcomes of the requests of all clients.
@@ -64,17 +64,17 @@
 }
 
 // sendRequest sends a request with fields, which are specific to its class and function, and adds the common fields.
-func (c *steadyClient) sendRequest(number int, id, class string, wait time.Duration, fields map[string]string) {
+func (c *steadyClient) sendRequest(number int, id, class string, timeout time.Duration, fields map[string]string) {
 	fields["id"] = id
-	fields["wait"] = strconv.FormatInt(wait.Milliseconds(), 10)
+	fields["wait"] = strconv.FormatInt(timeout.Milliseconds(), 10)
 	raw, err := msgpack.Marshal([]any{0, number, class, []any{fields, []byte(id)}})
 	if err != nil {
 		panic(err)
 	}
 	c.mu.Lock()
-	c.open[number] = openRequest{id: id, sentAt: time.Now(), wait: wait}
+	c.open[number] = openRequest{id: id, sentAt: time.Now(), timeout: timeout}
 	c.mu.Unlock()
-	time.AfterFunc(wait+lateResponseGrace, func() { c.cancelIfOpen(number) })
+	time.AfterFunc(timeout+lateResponseGrace, func() { c.cancelIfOpen(number) })
 	_, _ = c.Write(raw) // the reading goroutine detects a closed connection
 }
 
@@ -98,12 +98,12 @@
 	decoder := msgpack.NewDecoder(c.Conn)
 	decoder.UseLooseInterfaceDecoding(true)
 	for {
-		answer, err := decoder.DecodeSlice()
-		if err != nil || len(answer) != 4 {
+		response, err := decoder.DecodeSlice()
+		if err != nil || len(response) != 4 {
 			c.connectionClosed()
 			return
 		}
-		c.responseReceived(answer[1], answer[2])
+		c.responseReceived(response[1], response[2])
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 func (r *responseLog) recordResponse(request openRequest, failure any) {
-	if late := time.Since(request.sentAt) - request.wait; late > lateResponseGrace {
+	if late := time.Since(request.sentAt) - request.timeout; late > lateResponseGrace {
 		r.recordLost(request, fmt.Sprintf("final response %v after the client's timeout", late))
 		return
 	}
--- a/cmd/havencart/worker.go
+++ b/cmd/havencart/worker.go
@@ -39,7 +39,7 @@
 	flags.StringVar(&config.Name, "name", "worker-1", "name of the worker in the endpoint list")
 	flags.StringVar(&config.Cell, "cell", "cell-1", "cell of the worker")
 	flags.StringVar(&config.Address, "listen", "127.0.0.1:9001", "address that front ends connect to")
-	flags.StringVar(&storeAddress, "store", "", "HOST:PORT of a function store; empty: start a separate store")
+	flags.StringVar(&storeAddress, "store", "", "HOST:PORT of a function store; empty: start one for this worker")
 	flags.Float64Var(&config.Cores, "cores", config.Cores, "number of cores")
 	flags.Float64Var(&config.Speed, "speed", config.Speed, "speed of a core, relative to the emulation's standard core")
 	flags.Float64Var(&config.MemoryMB, "memory", config.MemoryMB, "memory for replicas in megabytes")
--- a/internal/directive/values.go
+++ b/internal/directive/values.go
@@ -12,8 +12,8 @@
 // maxTextLength is the maximum length of the value of a Text directive, in bytes.
 const maxTextLength = 256
 
-// scalar declares a directive with a single value, which parse converts and which is stored in the field that field
-// returns a pointer to.
+// scalar declares a directive with a single value. parse converts the value, and field returns a pointer to the field
+// that stores it.
 func scalar[T, V any](name, allowedValues, defaultValue, help string, parse func(string) (V, error), field func(*T) *V) Directive[T] {
 	set := func(t *T, values []string) error {
 		value, err := parse(values[0])
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -14,8 +14,8 @@
 const (
 	modulePrefix = "havencart/"
 	thisPackage  = "internal/layering"
-	// minPackages and minDecisionPackages are the numbers of packages that a test must have checked at least, so that a
-	// test that finds no packages fails.
+	// minPackages and minDecisionPackages are the minimum numbers of packages that a test must check. A test that finds
+	// fewer packages proves nothing and fails.
 	minPackages         = 10
 	minDecisionPackages = 3
 )
--- a/internal/native/muxframe/frame_test.go
+++ b/internal/native/muxframe/frame_test.go
@@ -33,10 +33,10 @@
 	raw := mustAppend(t, TypeRequest, 7, testRequest(), "body")
 	raw = append(raw, mustAppend(t, TypeResponse, 7, response, "")...)
 	raw = append(raw, mustAppend(t, TypePing, 0, nil, "")...)
-	r := NewReader(bytes.NewReader(raw), 0)
+	reader := NewReader(bytes.NewReader(raw), 0)
 
 	var request Request
-	frame, err := r.Next()
+	frame, err := reader.Next()
 	if err != nil || frame.Type != TypeRequest || frame.StreamID != 7 || string(frame.Body) != "body" {
 		t.Fatalf("frame %+v, error %v", frame, err)
 	}
@@ -44,16 +44,16 @@
 		t.Errorf("request %+v, error %v", request, err)
 	}
 	var got Response
-	if frame, err = r.Next(); err != nil {
+	if frame, err = reader.Next(); err != nil {
 		t.Fatal(err)
 	}
 	if err := frame.Decode(&got); err != nil || !reflect.DeepEqual(got, response) {
 		t.Errorf("response %+v, error %v", got, err)
 	}
-	if frame, err = r.Next(); err != nil || frame.Type != TypePing {
+	if frame, err = reader.Next(); err != nil || frame.Type != TypePing {
 		t.Errorf("frame %+v, error %v", frame, err)
 	}
-	if _, err = r.Next(); err != io.EOF {
+	if _, err = reader.Next(); err != io.EOF {
 		t.Errorf("error %v at the end of the input, want io.EOF", err)
 	}
 }
--- a/internal/simwire/field_reader.go
+++ b/internal/simwire/field_reader.go
@@ -41,15 +41,15 @@
 func (f *fieldReader) skip(n int) { f.next(n) }
 
 // f32 reads a single-precision number.
-func (f *fieldReader) f32() float64 { return f.inBounds(float64(math.Float32frombits(f.u32()))) }
+func (f *fieldReader) f32() float64 { return f.checkBounds(float64(math.Float32frombits(f.u32()))) }
 
 // duration reads a time, which the protocol sends as a double-precision number of milliseconds.
 func (f *fieldReader) duration() time.Duration {
-	return millis(f.inBounds(math.Float64frombits(f.u64())))
+	return millis(f.checkBounds(math.Float64frombits(f.u64())))
 }
 
-// inBounds returns x if it is within the bounds of validMillis. Otherwise it records an error and returns 0.
-func (f *fieldReader) inBounds(x float64) float64 {
+// checkBounds returns x if it is within the bounds of validMillis. Otherwise it records an error and returns 0.
+func (f *fieldReader) checkBounds(x float64) float64 {
 	if !validMillis(x) {
 		f.fail("number %v", x)
 		return 0
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -35,7 +35,7 @@
 	Workers   int
 	Cells     int
 	FrontEnds int
-	Loops     int                // event loops of each front end; 0 means 1
+	Loops     int                // event loops in each front end's process; 0 means 1
 	Zones     int                // machines are assigned to them round robin; 0 disables the emulated network
 	Worker    model.WorkerConfig // configuration of each worker, whose name and cell are generated
 	Store     model.StoreConfig
@@ -131,7 +131,7 @@
 		return nil
 	}
 	return func(frontEnd string) (in, out *model.Path) {
-		number, _ := strconv.Atoi(frontEnd[strings.LastIndexByte(frontEnd, '-')+1:]) // number of FrontEnd.Name
+		number, _ := strconv.Atoi(frontEnd[strings.LastIndexByte(frontEnd, '-')+1:]) // the name is FrontEnd.Name
 		near, far := f.network.Zone(number), f.network.Zone(workerIndex)
 		return f.network.NewPath(near, far), f.network.NewPath(far, near)
 	}
--- a/lab/fleet/front_end.go
+++ b/lab/fleet/front_end.go
@@ -29,7 +29,8 @@
 	err     error          // result of the service that stopped last
 }
 
-// Name returns the name by which workers and discovery know the front end.
+// Name returns the name by which workers and discovery know the front end if it has a single event loop. With several
+// event loops, each one has a name of this form with its own number.
 func (fe *FrontEnd) Name() string { return fmt.Sprintf("fe-%d", fe.number) }
 
 // Pool returns the clients' connections to the front end.
--- a/lab/fleet/invariants_test.go
+++ b/lab/fleet/invariants_test.go
@@ -44,20 +44,20 @@
 	go func() {
 		defer close(done)
 		for {
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			in := bufio.NewReader(c)
+			reader := bufio.NewReader(conn)
 			for {
-				request, err := http.ReadRequest(in)
+				request, err := http.ReadRequest(reader)
 				if err != nil {
 					break
 				}
 				_, _ = io.Copy(io.Discard, request.Body)
-				r.respond(request, c)
+				r.respond(request, conn)
 			}
-			_ = c.Close()
+			_ = conn.Close()
 		}
 	}()
 	r.pool = &client.Pool{Name: "rogue", Address: listener.Addr().String(), History: r.fleet.History, Grace: cfg.Tolerance}
@@ -73,9 +73,9 @@
 // workerConnection is the misbehaving front end's connection to one worker.
 type workerConnection struct {
 	*misbehavingFrontEnd
-	conn       net.Conn
-	in         *muxframe.Reader
-	lastNumber uint32
+	conn         net.Conn
+	reader       *muxframe.Reader
+	lastStreamID uint32
 }
 
 func (r *misbehavingFrontEnd) connect(w *worker.Server) *workerConnection {
@@ -86,15 +86,15 @@
 	}
 	r.Cleanup(func() { _ = c.Close() })
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	conn := &workerConnection{misbehavingFrontEnd: r, conn: c, in: muxframe.NewReader(bufio.NewReader(c), 0)}
+	conn := &workerConnection{misbehavingFrontEnd: r, conn: c, reader: muxframe.NewReader(bufio.NewReader(c), 0)}
 	conn.writeFrame(muxframe.TypeHello, 0, muxframe.Hello{Version: muxframe.Version, FrontEnd: "rogue"}, nil)
 	conn.expectFrame(muxframe.TypeWelcome)
 	return conn
 }
 
-func (c *workerConnection) writeFrame(kind muxframe.Type, number uint32, header any, body []byte) {
+func (c *workerConnection) writeFrame(frameType muxframe.Type, streamID uint32, header any, body []byte) {
 	c.Helper()
-	raw, err := muxframe.Append(nil, kind, number, header, body)
+	raw, err := muxframe.Append(nil, frameType, streamID, header, body)
 	if err != nil {
 		c.Fatal(err)
 	}
@@ -103,11 +103,11 @@
 	}
 }
 
-func (c *workerConnection) expectFrame(kind muxframe.Type) {
+func (c *workerConnection) expectFrame(frameType muxframe.Type) {
 	c.Helper()
-	f, err := c.in.Next()
-	if err != nil || f.Type != kind {
-		c.Fatalf("received frame %v, error %v; want frame %v", f.Type, err, kind)
+	f, err := c.reader.Next()
+	if err != nil || f.Type != frameType {
+		c.Fatalf("received frame %v, error %v; want frame %v", f.Type, err, frameType)
 	}
 }
 
@@ -123,8 +123,8 @@
 
 func (c *workerConnection) sendAttempt(id, class string, attempt int, work time.Duration) {
 	c.Helper()
-	c.lastNumber++
-	c.writeFrame(muxframe.TypeRequest, c.lastNumber, muxframe.Request{
+	c.lastStreamID++
+	c.writeFrame(muxframe.TypeRequest, c.lastStreamID, muxframe.Request{
 		Replica: muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 9},
 		ID:      id, Class: class, Attempt: attempt, TimeoutMillis: 5000, IdempotencyKey: map[string]string{"log": "key-" + id}[class],
 	},
@@ -133,8 +133,8 @@
 
 func (c *workerConnection) sendLoadOrder(replicas int) {
 	c.Helper()
-	c.lastNumber++
-	c.writeFrame(muxframe.TypeLoadOrder, c.lastNumber, muxframe.LoadOrder{
+	c.lastStreamID++
+	c.writeFrame(muxframe.TypeLoadOrder, c.lastStreamID, muxframe.LoadOrder{
 		Replica:  muxframe.ReplicaSpec{Function: "f", MemoryMB: 10, Concurrency: 1},
 		Replicas: replicas,
 	}, nil)
--- a/lab/soak/client_test.go
+++ b/lab/soak/client_test.go
@@ -14,7 +14,7 @@
 // The responses are encoded with the front end's own encoder.
 func TestOutcomeOf_EachResponse_IsRecognized(t *testing.T) {
 	const id = "0000000000000007"
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		raw         []byte
 		want        Outcome
 		bodyMatches bool
@@ -26,16 +26,16 @@
 		"failed":              {rpcframe.AppendFailed(nil, 7), Failed, false},
 		"malformed":           {rpcframe.AppendMalformed(nil, 7), Failed, false},
 	} {
-		decoder := msgpack.NewDecoder(bytes.NewReader(c.raw))
+		decoder := msgpack.NewDecoder(bytes.NewReader(testCase.raw))
 		decoder.UseLooseInterfaceDecoding(true)
-		answer, err := decoder.DecodeSlice()
+		response, err := decoder.DecodeSlice()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if number, isNumber := asInt(answer[1]); !isNumber || number != 7 {
-			t.Errorf("%s: request number %v, want 7", name, answer[1])
+		if number, isNumber := asInt(response[1]); !isNumber || number != 7 {
+			t.Errorf("%s: request number %v, want 7", name, response[1])
 		}
-		if outcome, bodyMatches := outcomeOf(answer[2], answer[3], id); outcome != c.want || bodyMatches != c.bodyMatches {
+		if outcome, bodyMatches := outcomeOf(response[2], response[3], id); outcome != testCase.want || bodyMatches != testCase.bodyMatches {
 			t.Errorf("%s: outcome %v, body matches %t", name, outcome, bodyMatches)
 		}
 	}
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -122,12 +122,13 @@
 	w.proxy.ResumeBackward()
 }
 
-// replaceWorker starts a successor of a worker in the same cell and removes the worker. Mostly the worker drains first,
-// which the endpoint list publishes a little later. On some draws it dies instead, before its removal is published.
+// replaceWorker replaces a worker by a successor in the same cell. Mostly the worker drains first, which the endpoint
+// stream announces a little later; in one of three draws it dies instead, before the stream announces its removal. In
+// both cases the stream announces the successor before the removal.
 func replaceWorker(ctx context.Context, r *run, params *faultParams) {
 	old := r.removeWorker(params.rng)
 	if old == nil {
-		return // too many workers are being replaced
+		return // too many workers are already being replaced
 	}
 	startedAt := time.Now().UnixMilli()
 	dies := params.rng.IntN(3) == 0
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -150,7 +150,7 @@
 }
 
 // checkExecutions checks that a request which may have been executed is sent again only where its class allows it, and
-// is rejected only if it is safe to execute again: a rejection tells the client that it may send the request retry.
+// is rejected only if it is safe to execute again: a rejection tells the client that it may send the request again.
 func (c *checker) checkExecutions(request *Request) {
 	class := classes[request.Class]
 	var first *Arrival
--- a/lab/soak/judge_test.go
+++ b/lab/soak/judge_test.go
@@ -88,20 +88,20 @@
 		}},
 		"crashed process": {class: Quote, want: "process", change: func(h *History, _ *Request) { h.RecordViolation("front end 0 exited unexpectedly") }},
 	}
-	for name, c := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
-			history, request := NewHistory(), sentRequest(c.class)
+			history, request := NewHistory(), sentRequest(testCase.class)
 			history.requests[request.ID] = request
-			history.arrivals = c.arrivals
-			if c.change != nil {
-				c.change(history, request)
+			history.arrivals = testCase.arrivals
+			if testCase.change != nil {
+				testCase.change(history, request)
 			}
 			var rules []string
 			for _, violation := range CheckHistory(history) {
 				rules = append(rules, violation.Rule)
 			}
-			if got := strings.Join(rules, " "); got != c.want {
-				t.Errorf("broken rules %q, want %q", got, c.want)
+			if got := strings.Join(rules, " "); got != testCase.want {
+				t.Errorf("broken rules %q, want %q", got, testCase.want)
 			}
 		})
 	}
@@ -124,24 +124,24 @@
 		"request lost long after it was sent":      {lostAfter: lateResponseGrace + ms, rule: "lost"},
 		"request lost that had reached its worker": {lostAfter: 60 * ms, arrivals: []*Arrival{arrivalAt(1010*ms, "w1", 1)}, rule: "lost"},
 	}
-	for name, c := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			history, request := NewHistory(), sentRequest(Quote)
 			history.requests[request.ID] = request
-			history.arrivals = c.arrivals
-			history.terminations = []*Termination{{At: 500 * ms, Killed: c.killed}}
-			if c.lostAfter > 0 {
-				request.Responses, request.ConnectionLostAt = nil, request.SentAt+c.lostAfter
+			history.arrivals = testCase.arrivals
+			history.terminations = []*Termination{{At: 500 * ms, Killed: testCase.killed}}
+			if testCase.lostAfter > 0 {
+				request.Responses, request.ConnectionLostAt = nil, request.SentAt+testCase.lostAfter
 			}
 			found := CheckHistory(history)
-			if c.rule == "" {
+			if testCase.rule == "" {
 				if len(found) > 0 {
 					t.Errorf("found %v, want nothing", found)
 				}
 				return
 			}
-			if len(found) != 1 || found[0].Rule != c.rule || found[0].Timed != c.timed {
-				t.Errorf("found %+v, want one violation of rule %s with Timed %v", found, c.rule, c.timed)
+			if len(found) != 1 || found[0].Rule != testCase.rule || found[0].Timed != testCase.timed {
+				t.Errorf("found %+v, want one violation of rule %s with Timed %v", found, testCase.rule, testCase.timed)
 			}
 		})
 	}
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -225,8 +225,8 @@
 	return r.workers[rng.IntN(len(r.workers))]
 }
 
-// removeWorker draws a worker at random and takes it off the list, for the caller to close. It returns nil if no more
-// than half of the configured workers are left.
+// removeWorker draws a worker at random and removes it from r.workers, for the caller to close. It returns nil if too
+// many are being replaced already, which leaves no more than half of the configured workers.
 func (r *run) removeWorker(rng *rand.Rand) *worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
