--- a/cmd/havencart/measure.go
+++ b/cmd/havencart/measure.go
@@ -101,7 +101,7 @@
 	out, violated, best := results(cmd), false, 0.0
 	err := measure.Overload(cmd.Context(), config, func(point measure.Point) {
 		best = max(best, point.Goodput)
-		out.printf("x%-4v %6.0f requests/s offered, goodput %6.0f/s, %.2f of the best so far; %v\n",
+		out.printf("x%-4v %6.0f requests/s offered, goodput %6.0f priority weight/s, %.2f of the best so far; %v\n",
 			point.Factor, point.Offered, point.Goodput, point.Goodput/best, point.Tally)
 		for _, violation := range point.Violations {
 			out.printf("invariant %s violated: %s\n", violation.Rule, violation.Detail)
