--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -26,12 +26,12 @@
 	Tenants        []string // tenant names, in the order of Scheduler.Tenants
 	Zones          []string // zone names; Scheduler.Zone is an index into them
 	Tenancy        tenancy.Settings
-	EndpointRules  endpointlease.Rules // if Silence is 0, the endpoint list never becomes invalid
+	EndpointRules  endpointlease.Rules // if NotifiedAfterSilence is 0, the endpoint list never becomes invalid
 	DeadlineMargin time.Duration       // how long before the client's timeout the final response is due
 	MaxInFlight    int                 // limit of requests in flight; further ones are rejected immediately
 	ClockStart     time.Time           // wall time at which the clock is 0
 	// Guard is shared with the worker clients. If nil, the FrontEnd creates its own.
-	Guard *workerconn.Guard
+	Guard *workerconn.WriteGuard
 
 	// NewScheduler creates the scheduler. If nil, scheduler.New is used.
 	NewScheduler func(now time.Duration, settings scheduler.Settings, a scheduler.Actions) Scheduler
@@ -109,7 +109,7 @@
 	dependencies Dependencies
 	log          zerolog.Logger
 	trace        *trace
-	guard        *workerconn.Guard
+	guard        *workerconn.WriteGuard
 	scheduler    Scheduler
 	shadow       *shadow.Scheduler // same as scheduler if shadow settings are evaluated, else nil
 	incarnations *incarnation.Tracker
@@ -156,7 +156,7 @@
 		settings:     settings,
 		dependencies: dependencies,
 		log:          log,
-		guard:        cmp.Or(settings.Guard, &workerconn.Guard{}),
+		guard:        cmp.Or(settings.Guard, &workerconn.WriteGuard{}),
 		trace:        newTrace(log, settings.Classes),
 		incarnations: incarnation.New(),
 		lease:        endpointlease.New(settings.EndpointRules, now),
@@ -175,7 +175,7 @@
 		cells:        map[string]int{},
 		kinds:        map[string]int{},
 	}
-	frontEnd.guard.SetEndpointLease(frontEnd.lease.Until())
+	frontEnd.guard.SetEndpointLease(frontEnd.lease.ValidUntil())
 	for _, zone := range settings.Zones {
 		intern(frontEnd.zones, zone)
 	}
--- a/internal/platform/workerclient/connection_test.go
+++ b/internal/platform/workerclient/connection_test.go
@@ -21,7 +21,7 @@
 	}
 	corrupted := func(change func(raw []byte) []byte) platformworker.Script {
 		return func(c *platformworker.Conn, f workerframe.Frame) {
-			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("x")})
+			raw, _ := workerframe.Append(nil, workerframe.MagicWorker, workerframe.Frame{Code: workerframe.OK, ID: f.ID, Body: []byte("x")})
 			c.WriteRaw(change(raw))
 		}
 	}
@@ -107,14 +107,14 @@
 		send(t, client, a)
 		served := make(chan error, 1)
 		client.tasks.Go(func() { served <- conn.serve(local) })
-		r := workerframe.NewReader(remote, workerframe.FromFrontEnd, workerframe.MaxBody)
+		r := workerframe.NewReader(remote, workerframe.MagicFrontEnd, workerframe.MaxBody)
 		if f, err := r.Next(); err != nil || f.ID != 5 {
 			t.Fatalf("read frame %+v, error %v; want request 5", f, err)
 		}
 		if cancelled {
 			client.Abandon(a)
 		} else {
-			raw, _ := workerframe.Append(nil, workerframe.FromWorker, workerframe.Frame{Code: workerframe.OK, ID: 5})
+			raw, _ := workerframe.Append(nil, workerframe.MagicWorker, workerframe.Frame{Code: workerframe.OK, ID: 5})
 			if _, err := remote.Write(raw); err != nil {
 				t.Fatal(err)
 			}
@@ -123,8 +123,8 @@
 			conn.wakeUp()
 			client.mu.Unlock()
 		}
-		if err := <-served; !errors.Is(err, workerconn.ErrUnneeded) {
-			t.Errorf("serve returned %v, want ErrUnneeded", err)
+		if err := <-served; !errors.Is(err, workerconn.ErrIdle) {
+			t.Errorf("serve returned %v, want ErrIdle", err)
 		}
 		if _, err := io.Copy(io.Discard, remote); errors.Is(err, syscall.ECONNRESET) != cancelled {
 			t.Errorf("cancelled %v: the worker's read ended with %v", cancelled, err)
@@ -140,7 +140,7 @@
 	send(t, client, newAttempt(5))
 	served := make(chan error, 1)
 	client.tasks.Go(func() { served <- conn.serve(local) })
-	r := workerframe.NewReader(remote, workerframe.FromFrontEnd, workerframe.MaxBody)
+	r := workerframe.NewReader(remote, workerframe.MagicFrontEnd, workerframe.MaxBody)
 	if f, err := r.Next(); err != nil || f.ID != 5 {
 		t.Fatalf("read frame %+v, error %v; want request 5", f, err)
 	}
