--- a/cmd/havencart/measure.go
+++ b/cmd/havencart/measure.go
@@ -35,7 +35,7 @@
 	flags.IntVar(&config.ResponseBytes, "reply", 100, "size of a response in bytes")
 	flags.DurationVar(&config.Duration, "for", 3*time.Second, "duration of each measurement")
 	flags.IntVar(&config.Rounds, "rounds", 5, "number of rounds, each of which measures all paths in turn")
-	flags.IntVar(&config.Loops, "loops", 1, "number of event loops of the front end")
+	flags.IntVar(&config.Loops, "loops", 1, "number of event loops in the front end's process")
 	flags.IntVar(&options.idleConnections, "idle", 2000, "number of idle connections whose memory is measured; 0: none")
 	flags.BoolVar(&options.rejectionCost, "refusal", false, "only compare the cost of a rejection with that of a served request")
 	flags.Float64SliceVar(&overload.LoadFactors, "overload", nil, "only measure whole installations at these multiples of the workers' capacity")
@@ -101,7 +101,7 @@
 	out, violated, best := results(cmd), false, 0.0
 	err := measure.Overload(cmd.Context(), config, func(sample measure.OverloadSample) {
 		best = max(best, sample.Goodput)
-		out.printf("x%-4v %6.0f requests/s offered, goodput %6.0f/s, %.2f of the best so far; %v\n",
+		out.printf("x%-4v %6.0f requests/s offered, goodput %6.0f priority weight/s, %.2f of the best so far; %v\n",
 			sample.LoadFactor, sample.Offered, sample.Goodput, sample.Goodput/best, sample.Tally)
 		for _, violation := range sample.Violations {
 			out.printf("invariant %s violated: %s\n", violation.Rule, violation.Detail)
