--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// isHostPort reports whether address consists of a host and a port, and the port is not 0.
+// isHostPort reports whether address consists of a host and a port that can be dialled, that is, other than 0.
 func isHostPort(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -136,7 +136,8 @@
 	return ""
 }
 
-// Cancel implements scheduler.Actions. It cancels the current attempt, unless its response is already being streamed.
+// Cancel implements scheduler.Actions. It cancels the attempt with the given number if it is the request's current
+// attempt, unless its response is already being streamed.
 func (f *FrontEnd) Cancel(id scheduler.RequestID, number int) {
 	request := f.requests[id]
 	if request == nil || request.current == nil {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -143,7 +143,8 @@
 	return strconv.Itoa(int(state))
 }
 
-// drainClient drains a worker's client. Attempts and load orders that were not sent end without being sent.
+// drainClient drains a worker's client. New work that was not sent ends without being sent, whether it was queued in
+// the client or waited for the worker to confirm that it accepts new work.
 func (f *FrontEnd) drainClient(w *worker) {
 	f.deferred = append(f.deferred, func() { f.endWaiting(w, scheduler.NotSent) })
 	attempts, orders := w.client.Drain(f.settings.Scheduler.DrainGrace)
--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -252,8 +252,8 @@
 	return now
 }
 
-// renewLease extends the time for which worker clients may send new work, unless the loop is still catching up after a
-// stall.
+// renewLease renews the send lease, which lets worker clients send new work, unless the loop is still catching up after
+// a stall.
 func (l *EventLoop) renewLease(now time.Duration) {
 	if l.stalls.MayRenewLease(now) {
 		l.guard.Renew(now)
@@ -261,7 +261,7 @@
 }
 
 // nextPass returns the time of the next pass if no event arrives: that of the next timer or, if it is earlier, the
-// time at which the lease may be renewed after a stall.
+// time at which the send lease may be renewed after a stall.
 func (l *EventLoop) nextPass(now time.Duration) time.Duration {
 	next := l.frontEnd.NextTimer()
 	if renewal := l.stalls.NextRenewal(); renewal > now {
@@ -271,7 +271,7 @@
 }
 
 // receive passes a request to the FrontEnd. The request's timeout counts from the earliest time at which the request
-// may have arrived; after a stall of the process, that can be before the time at which the request was read. The
+// may have arrived; after a stall of the process, that can be before the time at which the request was read. The send
 // lease is renewed first, because a request can be the first thing that the loop handles after a stall.
 func (l *EventLoop) receive(request *Request) {
 	l.renewLease(l.Now())
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -44,8 +44,8 @@
 // compared with it. The FrontEnd calls it from the goroutine that owns the FrontEnd. The outcome of an action is
 // reported only after the call in which the scheduler requested the action has returned.
 type Scheduler interface {
-	// WorkersChanged reports the complete list of workers if whole is set, and otherwise only the workers that changed.
-	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool)
+	// WorkersChanged reports the complete list of workers if complete is set, and otherwise only the workers that changed.
+	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, complete bool)
 	// WatchFailed reports that the endpoint list could not be received.
 	WatchFailed(now time.Duration)
 	// TimerFired reports that a timer set with scheduler.Actions.SetTimer is due.
@@ -83,7 +83,8 @@
 	CheckHealth(*workerconn.HealthCheck) scheduler.Status
 	// AbandonHealthCheck stops waiting for a health check.
 	AbandonHealthCheck(*workerconn.HealthCheck)
-	// Drain stops accepting new work until Resume is called, and returns the work that was not sent.
+	// Drain stops accepting new work until Resume is called. It returns the attempts and the orders to load replicas
+	// that were not sent.
 	Drain(grace time.Duration) ([]*workerconn.Attempt, []*workerconn.LoadOrder)
 	// Resume ends a drain.
 	Resume()
@@ -113,8 +114,8 @@
 	scheduler    Scheduler
 	shadow       *shadow.Scheduler // same as scheduler if shadow settings are evaluated, else nil
 	incarnations *incarnation.Tracker
-	lease        endpointlease.Lease // lease on the endpoint list
-	leaseEnded   bool                // whether the end of the lease was logged
+	lease        endpointlease.Lease // endpoint lease
+	leaseEnded   bool                // whether the end of the endpoint lease was logged
 	shedder      loadshed.Shedder
 	tenancy      *tenancy.Limiter
 	lag          looplag.Estimator
@@ -131,7 +132,7 @@
 	healthChecks  map[*workerconn.HealthCheck]*healthCheck
 	workers       map[scheduler.WorkerID]*worker
 	retiring      map[scheduler.WorkerID]*worker // workers with clients that sweep has to stop
-	overridden    map[scheduler.WorkerID]*worker // workers whose state or start differs from the list
+	overridden    map[scheduler.WorkerID]*worker // workers with a state or start other than the listed one, until the list is confirmed
 	functions     map[scheduler.FunctionID]*function
 
 	// Numbers that stand for names in the scheduler, assigned in the order in which the names are first seen.
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -179,7 +179,8 @@
 }
 
 // Reload applies a configuration that was read again. Only the address of endpoint discovery can change while the
-// server runs. If any other field differs, the configuration belongs to another front end and is ignored.
+// server runs; other changes have no effect until it restarts. A configuration that belongs to another front end,
+// according to platformconfig.Config.FirstDifference, is ignored.
 func (p *PlatformServer) Reload(config *platformconfig.Config) {
 	if field := p.config.FirstDifference(config); field != "" {
 		p.log.Error().Str("field", field).Msg("new configuration ignored: it belongs to another front end")
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -15,7 +15,7 @@
 // list is not confirmed.
 type readiness struct {
 	acceptedAt   time.Duration // when the worker last accepted new work or passed a health check; 0 if never
-	connectedAt  time.Duration // when the connection was made because of which the worker last counted as restarted
+	connectedAt  time.Duration // when the connection was established that last made the worker count as restarted
 	check        *healthCheck  // health check in flight, or nil
 	drainReports int           // number of consecutive health checks that reported the worker as draining
 	recheckAt    time.Duration // when a worker that reported itself as draining is to be checked again
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -111,7 +111,8 @@
 	f.runDeferred()
 }
 
-// dropAttempt ends an attempt after its client disconnected, if its response is being streamed or it was not sent.
+// dropAttempt ends an attempt after the request's client has disconnected, if the response is being streamed or the
+// attempt was not sent.
 func (f *FrontEnd) dropAttempt(attempt *requestAttempt) {
 	if attempt.state == attemptStreaming {
 		f.abandonAttempt(attempt, scheduler.Cancelled, attemptDisconnected)
--- a/internal/gateway/service_settings.go
+++ b/internal/gateway/service_settings.go
@@ -13,7 +13,7 @@
 	"havencart/scheduler"
 )
 
-// loadReportFields are the fields of the load reports that workers send.
+// loadReportFields are the names of the values that the scheduler expects in the load reports of workers.
 var loadReportFields = []string{"queue"}
 
 // eventQueue is the capacity of a loop's event queue. While the queue is full, worker clients stop reading.
--- a/internal/platform/rpcserver/handler.go
+++ b/internal/platform/rpcserver/handler.go
@@ -45,9 +45,8 @@
 // Handler handles the requests of all connections. Its methods must be safe for concurrent use.
 type Handler interface {
 	// Handle starts a request. It must not block, because the connection reads no other message until Handle returns.
-	// The Handler passes the final response to respond, once. It may call respond from any goroutine, also
-	// before Handle returns. If the request violates the protocol, Handle returns an error and respond must not be
-	// called.
+	// The Handler passes the final response to respond, once. It may call respond from any goroutine, also before
+	// Handle returns. If the request violates the protocol, Handle returns an error and respond must not be called.
 	//
 	// The connection calls cancel at most once, if the client cancels the request or disconnects before the response. A
 	// response that is passed to respond after that is discarded.
--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -237,10 +237,10 @@
 	}
 }
 
-// Drain removes and returns the attempts and load orders that are still unsent, and rejects new work until Resume is
-// called. The worker has not executed any of the returned work. New work that is being written must be written within
-// half of the grace period; the grace period starts when the worker announces that it drains, not with this call, hence
-// the margin. Attempts and load orders that were already sent continue.
+// Drain removes and returns the new work that is still unsent, that is, attempts and orders to load replicas, and
+// rejects further new work until Resume is called. The worker has not executed any of the returned work. New work that
+// is being written must be written within half of the grace period; the grace period starts when the worker announces
+// that it drains, not with this call, hence the margin. Attempts and load orders that were already sent continue.
 func (c *Client) Drain(grace time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/workerconn/events.go
+++ b/internal/workerconn/events.go
@@ -3,8 +3,7 @@
 import "havencart/scheduler"
 
 // Events receives the events of the connections to one worker. Its methods are called from the client's goroutines,
-// never from within a method of the client and never with a lock held. The client does not read while
-// they block.
+// never from within a method of the client and never with a lock held. The client does not read while they block.
 type Events interface {
 	// ResponseStarted reports the start of a response that arrives in parts. AttemptEnded follows when the response is
 	// complete or has broken off.
--- a/internal/workerconn/guard.go
+++ b/internal/workerconn/guard.go
@@ -19,9 +19,9 @@
 // has received which workers are draining and which clients have disconnected meanwhile. The loop renews the lease once
 // it has received that. Without a valid lease, new work stays queued.
 //
-// The endpoint lease protects against work that was decided by the endpoint list and waited for its connection until
-// the list was no longer valid. Without a valid lease, new work is sent only if its worker has confirmed that it
-// accepts new work.
+// The endpoint lease protects against sending work that was scheduled according to the endpoint list and then waited
+// for a connection until the list was no longer valid. Without a valid lease, new work is sent only if its worker has
+// confirmed that it accepts new work.
 //
 // A nil Guard allows all writes and counts nothing. The methods may be called from any goroutine.
 type Guard struct {
