--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -21,7 +21,7 @@
 		t.Error("admitted above the limit")
 	}
 	if all := table.All(); len(all) != 2 || slices.Contains(all, 3) {
-		t.Errorf("open: %v", all)
+		t.Errorf("open connections %v, want 1 and 2", all)
 	}
 	table.Remove(1)
 	table.Remove(1)
@@ -29,13 +29,13 @@
 		t.Error("rejected although a connection was removed")
 	}
 	if all := table.All(); table.Len() != 2 || !slices.Contains(all, 2) || !slices.Contains(all, 3) {
-		t.Errorf("open: %v", all)
+		t.Errorf("open connections %v, want 2 and 3", all)
 	}
 }
 
 func TestTable_LimitOfZero_AdmitsNothing(t *testing.T) {
 	if table := NewTable[int](0); table.Add(1) || table.Len() != 0 {
-		t.Error("admitted")
+		t.Error("a table with a limit of 0 admitted a connection")
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 	workers.Wait()
 	if table.Len() != 0 {
-		t.Errorf("left open: %v", table.All())
+		t.Errorf("connections %v are still in the table", table.All())
 	}
 }
 
@@ -111,7 +111,7 @@
 	defer func() { _ = remote.Close() }()
 	SetWriteTimeout(local, time.Millisecond)
 	if _, err := local.Write([]byte("x")); !IsTimeout(err) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a timeout", err)
 	}
 }
 
@@ -127,7 +127,7 @@
 		"none":             {nil, false},
 	} {
 		if got := IsTimeout(test.err); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: IsTimeout returned %v", name, got)
 		}
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -126,7 +126,7 @@
 	server, sink, _ := startConsul(t, 2)
 	list := sink.list(t)
 	if summary(list) != "w1:1 w2:1" || list[0].Cell != "c" || !list[0].Started.Equal(time.UnixMilli(1000)) {
-		t.Fatalf("%+v", list)
+		t.Fatalf("unexpected first list %+v", list)
 	}
 	server.Set(entry(1, scheduler.Draining))
 	if got := summary(sink.list(t)); got != "w1:2 w2:1" {
@@ -198,7 +198,7 @@
 		"bad start":       `[{"Service":{"ID":"w","Address":"h","Port":1,"Meta":{"started":"noon"}}}]`,
 	} {
 		if _, err := discovery.ParseConsul([]byte(body)); !errors.Is(err, discovery.ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "[]") }))
@@ -241,7 +241,7 @@
 		list, err := discovery.ParseConsul(raw)
 		for _, w := range list {
 			if err == nil && (w.Name == "" || w.Address == "" || !(w.Scale > 0) || w.State == 0) {
-				t.Fatalf("accepted %+v", w)
+				t.Fatalf("accepted a list with the invalid worker %+v", w)
 			}
 		}
 	})
@@ -253,7 +253,7 @@
 		list, err := discovery.ParseFile("f", text)
 		for _, w := range list {
 			if err == nil && (w.Name == "" || w.Address == "" || !(w.Scale > 0) || w.State == 0) {
-				t.Fatalf("accepted %+v", w)
+				t.Fatalf("accepted a list with the invalid worker %+v", w)
 			}
 		}
 	})
--- a/internal/discovery/endpointstream_reconnect_test.go
+++ b/internal/discovery/endpointstream_reconnect_test.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// The server sends nothing more and leaves the connection open.
+// TestEndpointStream_SilentServer_ReconnectsSpreadWithinTimeout checks reconnects from a server that sends nothing more
+// and leaves the connection open.
 func TestEndpointStream_SilentServer_ReconnectsSpreadWithinTimeout(t *testing.T) {
 	testReconnectSpread(t, 2*time.Second, 4*time.Second, 10*time.Millisecond, func(connection) {})
 }
@@ -101,8 +102,8 @@
 	testReconnectSpread(t, 0, time.Second, time.Millisecond, func(conn connection) { _ = conn.Close() })
 }
 
-// After a change of address the stream resumes after the last event, applies no event twice and no longer reads the old
-// connection.
+// TestEndpointStream_AddressChangesAtAnyMoment_ResumesWithoutRepeats checks that, after a change of address, the stream
+// resumes after the last event, applies no event twice and no longer reads the old connection.
 func TestEndpointStream_AddressChangesAtAnyMoment_ResumesWithoutRepeats(t *testing.T) {
 	raw := endpointstream.AppendEvent(nil, secondEvent)
 	for name, change := range map[string]func(t *testing.T, stream *EndpointStream, first connection) (last uint64){
@@ -181,7 +182,8 @@
 	})
 }
 
-// The events arrive in two parts, split at every byte position; at position 0 they arrive whole.
+// TestEndpointStream_EventsSplitAtAnyByte_AppliesEachOnce checks events that arrive in two parts, split at every byte
+// position; at position 0 they arrive in one part.
 func TestEndpointStream_EventsSplitAtAnyByte_AppliesEachOnce(t *testing.T) {
 	raw := endpointstream.AppendEvent(endpointstream.AppendEvent(endpointstream.AppendEvent(nil, secondEvent), endpointstream.Event{Number: 4}),
 		event(5, endpointstream.Snapshot, entry(3, 9003, 0), entry(1, 9001, 1)))
@@ -210,8 +212,9 @@
 
 func (s confirmationSink) ListConfirmed(asOf time.Time) { s.confirmed <- asOf.Sub(s.requestedAt) }
 
-// An event confirms the list only as of the last time at which the connection had no unread data, because after a stall
-// of this process the event may have waited to be read since then.
+// TestEndpointStream_Events_ConfirmListAsOfEmptyConnection checks that an event confirms the list only as of the last
+// time at which the connection had no unread data, because after a stall of this process the event may have waited to
+// be read since then.
 func TestEndpointStream_Events_ConfirmListAsOfEmptyConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stream, err := NewEndpointStream("one", nil, []string{"room"}, []string{"std"}, 1)
--- a/internal/discovery/endpointstream_test.go
+++ b/internal/discovery/endpointstream_test.go
@@ -172,7 +172,8 @@
 func (updateSink) ListRequested(time.Time)             {}
 func (updateSink) ListConfirmed(time.Time)             {}
 
-// Workers that a snapshot leaves unchanged are not reported, and neither are workers that an event does not mention.
+// TestEndpointStream_Snapshot_ReportsChangesOnly checks that workers that a snapshot leaves unchanged are not reported,
+// and neither are workers that an event does not mention.
 func TestEndpointStream_Snapshot_ReportsChangesOnly(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	server := startServer(t)
@@ -185,7 +186,7 @@
 	go func() { defer close(done); stream.Run(ctx, sink) }()
 	t.Cleanup(func() { cancel(); <-done })
 	if list := summary(<-sink.lists); list != "1 " {
-		t.Errorf("initial list %q", list)
+		t.Errorf("initial list %q, want only worker 1", list)
 	}
 	<-server.Resumed()
 	expectUpdate := func(number uint64, kind endpointstream.EventKind, want string, entries ...endpointstream.Entry) {
--- a/internal/discovery/list_comparer_test.go
+++ b/internal/discovery/list_comparer_test.go
@@ -13,11 +13,11 @@
 
 // reportSink keeps the last list and the last changes reported, and counts the reports.
 type reportSink struct {
-	whole, changed []Worker
+	list, changed []Worker
 	reports        int
 }
 
-func (r *reportSink) EndpointsChanged(list []Worker)    { r.whole, r.reports = list, r.reports+1 }
+func (r *reportSink) EndpointsChanged(list []Worker)    { r.list, r.reports = list, r.reports+1 }
 func (r *reportSink) EndpointsUpdated(changed []Worker) { r.changed, r.reports = changed, r.reports+1 }
 func (r *reportSink) WatchFailed(error)                 {}
 func (r *reportSink) ListRequested(time.Time)           {}
@@ -32,8 +32,8 @@
 	}
 	first := []Worker{worker("a"), worker("b"), worker("c")}
 	comparer.EndpointsChanged(first)
-	if sink.reports != 1 || len(sink.whole) != 3 {
-		t.Fatalf("first list: %d reports, the list has %d", sink.reports, len(sink.whole))
+	if sink.reports != 1 || len(sink.list) != 3 {
+		t.Fatalf("first list: %d reports, the list has %d", sink.reports, len(sink.list))
 	}
 	again := worker("a")
 	again.Started = started.UTC() // the same instant
@@ -54,7 +54,7 @@
 	}
 }
 
-// Applying the reports in order must reproduce each list.
+// TestListComparer_RandomLists_ReportsReproduceEachList checks that applying the reports in order reproduces each list.
 func TestListComparer_RandomLists_ReportsReproduceEachList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sink := &reportSink{}
@@ -65,9 +65,9 @@
 			for _, number := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 0, 10, rapid.ID[int]).Draw(t, "workers") {
 				list = append(list, Worker{Name: fmt.Sprint(number), Scale: float64(1 + rapid.IntRange(0, 1).Draw(t, "scale"))})
 			}
-			sink.whole, sink.changed = nil, nil
+			sink.list, sink.changed = nil, nil
 			comparer.EndpointsChanged(list)
-			for _, worker := range slices.Concat(sink.whole, sink.changed) {
+			for _, worker := range slices.Concat(sink.list, sink.changed) {
 				if listed[worker.Name] = worker; worker.State == scheduler.Removed {
 					delete(listed, worker.Name)
 				}
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -15,7 +15,7 @@
 		worker, _ := harness.sentAttempt(request)
 		harness.ClientDisconnected(harness.clock, request)
 		if len(worker.canceled) != 1 || !harness.Idle() {
-			t.Errorf("cancelled %d, idle %t", len(worker.canceled), harness.Idle())
+			t.Errorf("%d attempts were cancelled, want 1; idle %t, want true", len(worker.canceled), harness.Idle())
 		}
 		harness.wantResponse(request, 0)
 	})
@@ -41,7 +41,7 @@
 		}
 		harness.ClientDisconnected(harness.clock, request)
 		if len(worker.canceled) != 1 || !harness.Idle() {
-			t.Errorf("cancelled %d, idle %t", len(worker.canceled), harness.Idle())
+			t.Errorf("%d attempts were cancelled, want 1; idle %t, want true", len(worker.canceled), harness.Idle())
 		}
 	})
 }
@@ -159,7 +159,7 @@
 			}
 		}
 		if n := harness.Counts().Attempts; disconnectFirst && n != 0 || len(worker.sent)+len(worker.queued) > 0 || !harness.Idle() {
-			t.Errorf("%d attempts, %d in flight", n, len(worker.sent)+len(worker.queued))
+			t.Errorf("%d attempts were made and %d are in flight; want none in flight, and none made if the client disconnected first", n, len(worker.sent)+len(worker.queued))
 		}
 		harness.wantResponse(request, 0)
 	})
--- a/internal/gateway/endpoint_steps_test.go
+++ b/internal/gateway/endpoint_steps_test.go
@@ -96,10 +96,10 @@
 		first = append(first, worker.Name)
 	}
 	if want := []string{"new5", "draining", "removed", "new0"}; !slices.Equal(first, want) {
-		t.Errorf("%v are taken first, want %v", first, want)
+		t.Errorf("workers %v are taken first, want %v", first, want)
 	}
 	if len(taken) != maxEndpointChanges {
-		t.Errorf("%d are taken at a time, want %d", len(taken), maxEndpointChanges)
+		t.Errorf("%d changes are taken in a step, want %d", len(taken), maxEndpointChanges)
 	}
 }
 
@@ -170,9 +170,9 @@
 	calls *[]string
 }
 
-func (s orderingScheduler) WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool) {
+func (s orderingScheduler) WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, complete bool) {
 	*s.calls = append(*s.calls, "workers changed")
-	s.Scheduler.WorkersChanged(now, list, whole)
+	s.Scheduler.WorkersChanged(now, list, complete)
 }
 
 func (s orderingScheduler) TimerFired(now time.Duration, token uint64) {
@@ -191,6 +191,6 @@
 	loop.frontEnd.timers.add(&timer{kind: schedulerTimer, due: 0})
 	loop.beginPass()
 	if want := []string{"workers changed", "timer"}; len(calls) < 2 || !slices.Equal(calls[:2], want) {
-		t.Errorf("%v, want %v first", calls, want)
+		t.Errorf("scheduler calls %v, want %v first", calls, want)
 	}
 }
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -23,7 +23,7 @@
 	harness.advance(100 * ms)
 	next, attempt := harness.sentAttempt(request)
 	if next == worker || attempt.Request.Attempt != 1 {
-		t.Errorf("attempt %d at %s after the drain", attempt.Request.Attempt, next.name)
+		t.Errorf("attempt %d was sent to %s after the drain, want attempt 1 at another worker", attempt.Request.Attempt, next.name)
 	}
 	harness.endWith(request, scheduler.OK)
 	harness.wantResponse(request, Served)
@@ -52,7 +52,7 @@
 	request := harness.submit(idempotentClass)
 	harness.EndpointsChanged(harness.clock, []discovery.Worker{{Name: "w0", Address: "elsewhere:1", Scale: 1, State: scheduler.Ready}})
 	if harness.opened != 2 || !old.drained || old.stopped {
-		t.Fatalf("opened %d, old client drained %t, stopped %t", harness.opened, old.drained, old.stopped)
+		t.Fatalf("%d clients were opened, want 2; old client drained %t, want true; stopped %t, want false", harness.opened, old.drained, old.stopped)
 	}
 	attempt := old.sent[0]
 	old.remove(attempt)
--- a/internal/gateway/event_loop_test.go
+++ b/internal/gateway/event_loop_test.go
@@ -66,7 +66,7 @@
 	request.StartedAt, request.Timeout = loop.Now(), 100*time.Millisecond
 	loop.receive(request)
 	if response := <-request.Response(); response.Kind != Rejected || response.Reason != DeadlineExceeded.String() {
-		t.Errorf("%+v; want a rejection, as no time may be left", response)
+		t.Errorf("response %+v; want a rejection for its deadline, as no time may be left", response)
 	}
 }
 
@@ -85,7 +85,7 @@
 	request.StartedAt, request.ArrivedAfter, request.Timeout = now, now-time.Minute, time.Second
 	loop.receive(request)
 	if response := <-request.Response(); response.Kind != Rejected || response.Reason != DeadlineExceeded.String() {
-		t.Errorf("%+v; want a rejection, as no time may be left", response)
+		t.Errorf("response %+v; want a rejection for its deadline, as no time may be left", response)
 	}
 }
 
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	response := <-request.Response()
 	if response.Kind != kind || loop.Now() >= request.StartedAt+request.Timeout {
-		t.Errorf("%v after %v, want %v before %v", response.Kind, loop.Now()-request.StartedAt, kind, request.Timeout)
+		t.Errorf("response %v after %v, want %v before %v", response.Kind, loop.Now()-request.StartedAt, kind, request.Timeout)
 	}
 }
 
@@ -47,7 +47,7 @@
 		expectResponse(t, loop, request, Rejected)
 		loop.receive(<-loop.requests)
 		if counts := loop.counts(); counts.Admitted != 0 || counts.Expired != 1 || request.state != requestCompleted {
-			t.Errorf("the request was received after it expired: state %d, %+v", request.state, counts)
+			t.Errorf("the request was received after it expired: state %d, counts %+v", request.state, counts)
 		}
 	})
 }
@@ -64,7 +64,7 @@
 		synctest.Wait()
 		loop.drainEvents()
 		if counts := loop.counts(); !loop.frontEnd.Idle() || counts.Failed != 1 || counts.Expired != 1 || counts.PastDeadline != 1 {
-			t.Errorf("after it expired: idle %v, %+v", loop.frontEnd.Idle(), counts)
+			t.Errorf("after the request expired: idle %v, counts %+v", loop.frontEnd.Idle(), counts)
 		}
 	})
 }
@@ -98,7 +98,7 @@
 		expectResponse(t, loop, request, Served)
 		time.Sleep(2 * expiryTimeout)
 		if len(request.Response()) > 0 || loop.counts().Expired != 0 {
-			t.Errorf("a request expired after its final response: %+v", loop.counts())
+			t.Errorf("a request expired after its final response: counts %+v", loop.counts())
 		}
 	})
 }
--- a/internal/gateway/explore_test.go
+++ b/internal/gateway/explore_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-func newSimulation(t *testing.T, of [2]int) *simulation {
-	sim := &simulation{classes: of, sentByRequest: map[string][]sentRecord{}}
+func newSimulation(t *testing.T, classes [2]int) *simulation {
+	sim := &simulation{classes: classes, sentByRequest: map[string][]sentRecord{}}
 	sim.testHarness = &testHarness{T: t, clock: time.Minute, clients: map[string]*fakeWorkerClient{}}
 	settings := Settings{
 		Scheduler: testScheduler(), Name: "fe", Classes: []string{"safe", "keyed", "unsafe"}, DeadlineMargin: 20 * ms, MaxInFlight: 100,
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -157,7 +157,7 @@
 	harness.listWorkers(4, map[string]scheduler.WorkerState{"w0": scheduler.Draining})
 	scripted.do(harness, func() { scripted.actions.Load(WorkerID("w0"), FunctionID("f"), 1) })
 	if orders := len(harness.clients["w0"].orders); orders != 0 {
-		t.Errorf("%d load orders were sent", orders)
+		t.Errorf("%d load orders were sent, want none", orders)
 	}
 	wantViolation(t, harness, execution.StartAtDrainingWorker, 0)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -221,7 +221,7 @@
 		harness.Errorf("final response %v, want %v", got, k)
 	}
 	if got := harness.responseKind(request); got != 0 {
-		harness.Errorf("a second final response: %v", got)
+		harness.Errorf("got a second final response: %v", got)
 	}
 }
 
--- a/internal/gateway/platform_server_test.go
+++ b/internal/gateway/platform_server_test.go
@@ -171,7 +171,7 @@
 	server.stop()
 	(<-server.delayed)()
 	if err := <-server.ended; err != nil {
-		server.t.Errorf("stopped: %v", err)
+		server.t.Errorf("Run returned error %v, want none", err)
 	}
 }
 
@@ -211,7 +211,7 @@
 		executions[id]++
 	}
 	if executions[1] != 1 || executions[2] < 2 {
-		t.Errorf("executions by id: %v", executions)
+		t.Errorf("executions by frame ID: %v; want one of request 1 and at least two of request 2", executions)
 	}
 }
 
@@ -248,7 +248,7 @@
 	server.expect(c, rpcframe.AppendServed(nil, 1, []byte("did body")))
 	server.expect(lateClient, rpcframe.AppendServed(nil, 2, []byte("did body")))
 	if err := <-server.ended; err != nil {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("Run returned error %v, want none", err)
 	}
 }
 
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -285,7 +285,7 @@
 // one that has just started.
 func TestSend_WorkerMayHaveRestarted_IsInSlowStart(t *testing.T) {
 	const submitted, sentWarm, sentCold = 30, 12, 4
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		connectedAfter time.Duration // since the list was confirmed
 		want           int
 	}{
@@ -303,15 +303,15 @@
 				harness.submitTo(idempotentClass, 50)
 			}
 			worker := harness.onlyChecked()
-			worker.healthChecks[0].ConnectedAt = confirmedAt + c.connectedAfter
+			worker.healthChecks[0].ConnectedAt = confirmedAt + test.connectedAfter
 			harness.respondToHealthCheck(worker, scheduler.OK)
 			harness.advance(20 * ms)
 			for len(harness.checkedWorkers()) > 0 {
-				worker.healthChecks[0].ConnectedAt = confirmedAt + c.connectedAfter
+				worker.healthChecks[0].ConnectedAt = confirmedAt + test.connectedAfter
 				harness.respondToHealthCheck(worker, scheduler.OK)
 			}
-			if got := harness.sentAnywhere(); got != c.want {
-				t.Errorf("%d requests were sent, want %d", got, c.want)
+			if got := harness.sentAnywhere(); got != test.want {
+				t.Errorf("%d requests were sent, want %d", got, test.want)
 			}
 			harness.confirmList()
 			harness.advance(20 * ms)
--- a/internal/gateway/reason_test.go
+++ b/internal/gateway/reason_test.go
@@ -42,7 +42,7 @@
 		`function "f\n" is not of class "ä"`: &ClassMismatchError{Function: "f\n", Class: "ä"},
 	} {
 		if got := err.Error(); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("error text %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/gateway/recent_ids_test.go
+++ b/internal/gateway/recent_ids_test.go
@@ -22,7 +22,7 @@
 		ids.release(id)
 	}
 	if len(ids.current)+len(ids.previous) > 2*idsPerGeneration || len(ids.inFlight) != 0 {
-		t.Errorf("%d and %d identifiers are kept, %d in flight", len(ids.current), len(ids.previous), len(ids.inFlight))
+		t.Errorf("%d current and %d previous identifiers are kept, %d are in flight; want at most 2*idsPerGeneration and none in flight", len(ids.current), len(ids.previous), len(ids.inFlight))
 	}
 	if !ids.admit("a") {
 		t.Error("an old identifier was not forgotten")
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -19,6 +19,6 @@
 	harness.wantResponse(sent, Failed)
 	harness.wantResponse(queued, Rejected)
 	if !harness.Idle() || sent.attempts != 1 || queued.attempts > 1 {
-		t.Errorf("idle %t, attempts %d and %d", harness.Idle(), sent.attempts, queued.attempts)
+		t.Errorf("idle %t, want true; %d attempts of the sent request, want 1; %d of the queued request, want at most 1", harness.Idle(), sent.attempts, queued.attempts)
 	}
 }
--- a/internal/platform/rpcframe/request_test.go
+++ b/internal/platform/rpcframe/request_test.go
@@ -22,7 +22,7 @@
 	}
 	if request.Class != "quote" || request.ID != message.Params.ID || request.Function != message.Params.Function ||
 		request.Timeout != 900*time.Millisecond || string(request.Body) != "body" || !request.Tenant.Present {
-		t.Errorf("decoded %+v", request)
+		t.Errorf("decoded request %+v does not match the message", request)
 	}
 	want := []Attribute{
 		{AttributeMemory, 512, "memory_mb:512"},
--- a/internal/platform/rpcserver/disconnect_test.go
+++ b/internal/platform/rpcserver/disconnect_test.go
@@ -49,7 +49,7 @@
 			cancelled := map[string]bool{<-handler.cancelled: true, <-handler.cancelled: true}
 			for _, request := range requests {
 				if !cancelled[request.ID] {
-					t.Errorf("%s was not cancelled: %v", request.ID, cancelled)
+					t.Errorf("request %s was not cancelled, only %v", request.ID, cancelled)
 				}
 				request.respond(Response{Kind: Served}) // is discarded, as the client has disconnected
 			}
--- a/internal/platform/rpcserver/shutdown_test.go
+++ b/internal/platform/rpcserver/shutdown_test.go
@@ -33,20 +33,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := gatedListener{listener.(*net.TCPListener), make(chan bool)}
+		gated := gatedListener{listener.(*net.TCPListener), make(chan bool)}
 		handler := stubHandler{make(chan *stubRequest, 4), make(chan string, 4)}
 		cfg := Config{Rules: rules, MaxConnections: 4, MaxInFlight: 4, MaxQueuedBytes: 1 << 20, WriteTimeout: time.Minute, AcceptGracePeriod: time.Minute}
 		server := New(cfg, handler, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		served := make(chan error, 1)
-		go func() { served <- server.Serve(ctx, g) }()
+		go func() { served <- server.Serve(ctx, gated) }()
 		client := connect(t, listener.Addr().String())
 		write(t, client, requestMessage(t, 1, "quote", validFields(1)))
 		if shutdownFirst {
 			server.BeginShutdown()
-			close(g.pass)
+			close(gated.pass)
 		} else {
-			close(g.pass)
+			close(gated.pass)
 			request := <-handler.requests
 			handler.requests <- request
 			server.BeginShutdown()
--- a/internal/platform/workerclient/connection_budget_test.go
+++ b/internal/platform/workerclient/connection_budget_test.go
@@ -198,7 +198,7 @@
 	addIdleConnection(set.budget)
 	send(t, set.clients[0], newAttempt(1))
 	if result := <-set.recorders[0].attemptEnds; result.Status != scheduler.NotSent {
-		t.Errorf("the attempt ended as %+v", result)
+		t.Errorf("the attempt ended as %+v, want NotSent", result)
 	}
 	select {
 	case err := <-set.recorders[0].disconnects:
@@ -225,7 +225,7 @@
 		errStopped:                                        scheduler.ConnectFailed,
 	} {
 		if status := unsentStatus(reason); status != want {
-			t.Errorf("%v: %v, want %v", reason, status, want)
+			t.Errorf("%v: status %v, want %v", reason, status, want)
 		}
 	}
 }
--- a/internal/socket/arrival_test.go
+++ b/internal/socket/arrival_test.go
@@ -18,7 +18,8 @@
 	return n, nil
 }
 
-// ArrivedAfter of a read is the time at which the last short read before it left no unread data.
+// TestArrivalConn_ReadsFillBuffer_ArrivedAfterLastShortRead checks that ArrivedAfter of a read is the time at which the
+// last read before it that did not fill the buffer left no unread data.
 func TestArrivalConn_ReadsFillBuffer_ArrivedAfterLastShortRead(t *testing.T) {
 	in := &ArrivalConn{Conn: &scriptedConn{lengths: []int{8, 3, 8, 8, 5, 1}}}
 	var arrivedAfter []time.Time
@@ -58,8 +59,8 @@
 	return n, err
 }
 
-// The process may be stopped between a read and reading the clock. Bytes that arrived in between must not count as
-// arrived after the clock was read.
+// TestArrivalConn_ProcessStopsAfterRead_ArrivalStaysUnknown checks a process that is stopped between a read and reading
+// the clock. Bytes that arrived in between must not count as arrived after the clock was read.
 func TestArrivalConn_ProcessStopsAfterRead_ArrivalStaysUnknown(t *testing.T) {
 	local, remote := connectedPair(t)
 	in := &ArrivalConn{Conn: stoppedConn{local.(*net.TCPConn), remote}}
--- a/internal/socket/peer_close_test.go
+++ b/internal/socket/peer_close_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("connection closed by the peer, with unread data: %v", err)
 	}
 	if got, err := io.ReadAll(local); err != nil || string(got) != "ab" {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("read %q, error %v; want the unread data", got, err)
 	}
 	if err := PeerClosed(local); !errors.Is(err, io.EOF) {
 		t.Errorf("connection closed by the peer, read to its end: %v", err)
--- a/internal/workerconn/guard_test.go
+++ b/internal/workerconn/guard_test.go
@@ -30,15 +30,16 @@
 			t.Errorf("%s: sent %t, want %t", name, isSent, c.isSent)
 		}
 		if isExpired := len(batch.Expired) > 0; isExpired == c.isSent {
-			t.Errorf("%s: expired %t", name, isExpired)
+			t.Errorf("%s: expired %t; an attempt must be either sent or expired", name, isExpired)
 		}
 		if _, mayHaveBeenSent := queue.Abandon(attempt); mayHaveBeenSent != c.isSent {
-			t.Errorf("%s: may have been sent %t", name, mayHaveBeenSent)
+			t.Errorf("%s: may have been sent %t; want true only if the attempt was sent", name, mayHaveBeenSent)
 		}
 	}
 }
 
-// The timeout of a write ends with the shortest permit of its attempts, and never exceeds the longest allowed timeout.
+// TestWriteBatch_Timeout_EndsWithShortestPermit checks that the timeout of a write ends with the shortest permit of its
+// attempts, and never exceeds the longest allowed timeout.
 func TestWriteBatch_Timeout_EndsWithShortestPermit(t *testing.T) {
 	queue, batch := NewSendQueue[testFrame](), WriteBatch[testFrame]{}
 	if timeout := batch.Timeout(testNow, time.Second); timeout != time.Second {
@@ -85,7 +86,7 @@
 
 func TestBatchWritten_AfterPermitEnded_CountsLateWrite(t *testing.T) {
 	const permitEnds = testNow + time.Second
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		endedAt time.Duration
 		written int
 		want    uint64
@@ -101,9 +102,9 @@
 		queue, batch := NewSendQueue[testFrame](), WriteBatch[testFrame]{}
 		queue.PushAttempt(1, &Attempt{Deadline: time.Hour, NotAfter: permitEnds})
 		queue.NextBatch(&guard, testNow, &batch, encodeByNumber)
-		queue.BatchWritten(&guard, c.endedAt, &batch, c.written)
-		if got := guard.Violations()[execution.LateWrite]; got != c.want {
-			t.Errorf("%s: %d late writes, want %d", name, got, c.want)
+		queue.BatchWritten(&guard, test.endedAt, &batch, test.written)
+		if got := guard.Violations()[execution.LateWrite]; got != test.want {
+			t.Errorf("%s: %d late writes, want %d", name, got, test.want)
 		}
 	}
 }
--- a/internal/workerconn/send_queue_test.go
+++ b/internal/workerconn/send_queue_test.go
@@ -110,11 +110,11 @@
 	var batch WriteBatch[testFrame]
 	queue.NextBatch(nil, testNow, &batch, encodeByNumber)
 	if len(batch.Bytes) != 40 || queue.Queued() != 0 || queue.Unfinished() != 3 || !queue.IsWritingNewWork() || !queue.IsSending(second) {
-		t.Fatalf("%d bytes, %d queued, %d unfinished", len(batch.Bytes), queue.Queued(), queue.Unfinished())
+		t.Fatalf("%d bytes, %d queued, %d unfinished; want 40, 0 and 3, with new work and the second attempt being written", len(batch.Bytes), queue.Queued(), queue.Unfinished())
 	}
 	unsent := queue.BatchWritten(nil, testNow, &batch, 29) // one byte of the second attempt is missing
 	if len(unsent) != 2 || unsent[0].Attempt != second || unsent[1].Load != order {
-		t.Errorf("unsent: %+v", unsent)
+		t.Errorf("unsent items %+v, want the second attempt and the load order", unsent)
 	}
 	if queue.IsWritingNewWork() || queue.HasNumber(2) || queue.HasNumber(3) || queue.InFlightAttempt(1) != first {
 		t.Error("only the first attempt must be in flight")
@@ -129,7 +129,7 @@
 	var batch WriteBatch[testFrame]
 	queue.NextBatch(nil, testNow, &batch, encodeByNumber)
 	if len(batch.Unencodable) != 1 || batch.Unencodable[0].Attempt != attempt || attempt.MayHaveBeenSent() || len(batch.Bytes) != 10 {
-		t.Errorf("unencodable %+v, %d bytes", batch.Unencodable, len(batch.Bytes))
+		t.Errorf("unencodable %+v, %d bytes; want only the first attempt, unsent, and the frame of the second", batch.Unencodable, len(batch.Bytes))
 	}
 	if queue.HasNumber(99) {
 		t.Error("the attempt is still in the queue")
@@ -146,7 +146,7 @@
 		return append(buffer, make([]byte, maxBatchBytes)...), nil
 	})
 	if len(batch.Bytes) != maxBatchBytes || queue.Queued() != 1 || !queue.CancelUnsent(last) {
-		t.Errorf("%d bytes, %d queued", len(batch.Bytes), queue.Queued())
+		t.Errorf("%d bytes, %d queued; want one frame in the batch and the last attempt still queued", len(batch.Bytes), queue.Queued())
 	}
 }
 
@@ -159,10 +159,10 @@
 	queue.Push("control")
 	attempts, orders := queue.RemoveNewWork()
 	if len(attempts) != 1 || attempts[0] != attempt || len(orders) != 1 || orders[0] != order {
-		t.Errorf("removed %d attempts, %d load orders", len(attempts), len(orders))
+		t.Errorf("removed %d attempts and %d load orders, want the attempt and the order to load replicas", len(attempts), len(orders))
 	}
 	if queue.Queued() != 2 || queue.Unfinished() != 1 || !queue.HasNumber(3) || queue.HasNumber(1) || queue.HasNumber(2) {
-		t.Errorf("%d queued, %d unfinished", queue.Queued(), queue.Unfinished())
+		t.Errorf("%d queued, %d unfinished; want only the control frame and the residency query", queue.Queued(), queue.Unfinished())
 	}
 }
 
@@ -177,7 +177,7 @@
 	queue.AbandonLoad(sentOrder)
 	queue.AbandonLoad(queuedOrder)
 	if queue.FinishLoad(1) != nil || queue.FinishLoad(2) != nil || queue.Unfinished() != 0 {
-		t.Errorf("%d unfinished", queue.Unfinished())
+		t.Errorf("%d unfinished load orders, want none, and no response matched", queue.Unfinished())
 	}
 }
 
@@ -200,9 +200,9 @@
 	NotifyEnded(recorder, items, scheduler.NotSent, scheduler.Error, "why")
 	if len(recorder.results) != 1 || recorder.results[0].Status != scheduler.NotSent || recorder.results[0].Reason != "why" ||
 		recorder.results[0].QueueDepth != -1 {
-		t.Errorf("attempts: %+v", recorder.results)
+		t.Errorf("attempts ended as %+v, want one NotSent with its reason and no queue depth", recorder.results)
 	}
 	if len(recorder.statuses) != 1 || recorder.statuses[0] != scheduler.Error {
-		t.Errorf("load orders: %v", recorder.statuses)
+		t.Errorf("load orders ended with %v, want one Error", recorder.statuses)
 	}
 }
--- a/internal/workerconn/serve_test.go
+++ b/internal/workerconn/serve_test.go
@@ -26,7 +26,7 @@
 	writeErr := errors.New("write failed")
 	err := Serve(context.Background(), local, func(<-chan struct{}) error { return writeErr }, readAll(local))
 	if !errors.Is(err, writeErr) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want that of write", err)
 	}
 	if _, err := remote.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("read from the closed connection: error %v, want io.EOF", err)
@@ -42,7 +42,7 @@
 		return nil
 	}
 	if err := Serve(context.Background(), local, write, func() error { return readErr }); !errors.Is(err, readErr) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want that of read", err)
 	}
 }
 
@@ -56,7 +56,7 @@
 		return err
 	}
 	if err := Serve(ctx, local, write, readAll(local)); !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want io.ErrClosedPipe", err)
 	}
 }
 
@@ -67,7 +67,7 @@
 	<-signal
 	select {
 	case <-signal:
-		t.Error("a second wake-up")
+		t.Error("two notifications caused two wake-ups")
 	default:
 	}
 }
--- a/internal/workerconn/stream_test.go
+++ b/internal/workerconn/stream_test.go
@@ -40,10 +40,10 @@
 		stream.End(end)
 		stream.End(errors.New("second call of End"))
 		if part, err := stream.Next(context.Background(), longTimeout); string(part) != "a" || err != nil {
-			t.Errorf("%s: part %q, error %v", name, part, err)
+			t.Errorf("%s: part %q, error %v; want the buffered part", name, part, err)
 		}
 		if part, err := stream.Next(context.Background(), longTimeout); part != nil || !errors.Is(err, end) {
-			t.Errorf("%s: part %q, error %v at the end", name, part, err)
+			t.Errorf("%s: part %q, error %v at the end; want the error of the first call of End", name, part, err)
 		}
 	}
 }
@@ -51,11 +51,11 @@
 func TestStream_NothingArrives_StallsOrIsCancelled(t *testing.T) {
 	stream := NewStream(10, nil)
 	if _, err := stream.Next(context.Background(), shortTimeout); !errors.Is(err, ErrStalled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrStalled", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := stream.Next(ctx, longTimeout); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 }
