--- a/internal/discovery/list_comparer_test.go
+++ b/internal/discovery/list_comparer_test.go
@@ -14,7 +14,7 @@
 // reportSink keeps the last list and the last changes reported, and counts the reports.
 type reportSink struct {
 	list, changed []Worker
-	reports        int
+	reports       int
 }
 
 func (r *reportSink) EndpointsChanged(list []Worker)    { r.list, r.reports = list, r.reports+1 }
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -44,7 +44,8 @@
 // compared with it. The FrontEnd calls it from the goroutine that owns the FrontEnd. The outcome of an action is
 // reported only after the call in which the scheduler requested the action has returned.
 type Scheduler interface {
-	// WorkersChanged reports the complete list of workers if complete is set, and otherwise only the workers that changed.
+	// WorkersChanged reports the complete list of workers if complete is set, and otherwise only the workers that
+	// changed.
 	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, complete bool)
 	// WatchFailed reports that the endpoint list could not be received.
 	WatchFailed(now time.Duration)
@@ -132,7 +133,7 @@
 	healthChecks  map[*workerconn.HealthCheck]*healthCheck
 	workers       map[scheduler.WorkerID]*worker
 	retiring      map[scheduler.WorkerID]*worker // workers with clients that sweep has to stop
-	overridden    map[scheduler.WorkerID]*worker // workers with a state or start other than the listed one, until the list is confirmed
+	overridden    map[scheduler.WorkerID]*worker // state or start is not as listed; until the list is confirmed
 	functions     map[scheduler.FunctionID]*function
 
 	// Numbers that stand for names in the scheduler, assigned in the order in which the names are first seen.
--- a/internal/platform/rpcserver/conn.go
+++ b/internal/platform/rpcserver/conn.go
@@ -38,7 +38,7 @@
 	hasSentRequest bool
 	input          inputState
 	stateSince     time.Time // when input last changed or a response was last queued
-	output         []byte    // responses that are not written yet; the connection is closed if they exceed MaxQueuedBytes
+	output         []byte    // unwritten responses; the connection is closed if they exceed MaxQueuedBytes
 	writing        bool      // the writing goroutine is running
 	lifecycle      lifecycle
 }
--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -5,12 +5,12 @@
 // The status with which an attempt ends is determined as in internal/native/muxclient; see the table in the comment of
 // that package. In addition:
 //
-//	event                                                    status   reason
-//	a connection breaks, and the client can reconnect        Error    the worker is alive; the attempt may have executed
-//	a connection breaks, and the client cannot reconnect     Reset    the worker is lost; the attempt may have executed
-//	a response is malformed                                  Error    the attempt may have executed
-//	the worker responds that the request had already ended   NotSent  the attempt was not executed
-//	this process lacks a resource for a new connection       NotSent  the worker is not the cause
+//	event                                                   status   reason
+//	a connection breaks, and the client can reconnect       Error    the worker is up; the attempt may have executed
+//	a connection breaks, and the client cannot reconnect    Reset    the worker is down; the attempt may have executed
+//	a response is malformed                                 Error    the attempt may have executed
+//	the worker responds that the request had already ended  NotSent  the attempt was not executed
+//	this process lacks a resource for a new connection      NotSent  the worker is not the cause
 package workerclient
 
 import (
--- a/internal/platform/workerclient/connection.go
+++ b/internal/platform/workerclient/connection.go
@@ -29,7 +29,7 @@
 
 	// Guarded by client.mu.
 	queue        workerconn.SendQueue[workerframe.Frame]
-	healthChecks map[uint64]*workerconn.HealthCheck // health checks without a response, by number; the caller limits them
+	healthChecks map[uint64]*workerconn.HealthCheck // health checks without response, by number; limited by the caller
 	connectedAt  time.Duration                      // time at which netConn was established
 	netConn      net.Conn                           // nil while not connected
 	draining     bool                               // accepts nothing new and closes once all its work is finished
--- a/internal/workerconn/attempt.go
+++ b/internal/workerconn/attempt.go
@@ -83,7 +83,7 @@
 	Status     scheduler.Status
 	Reason     string // explanation for people; it may reach the client that sent the request
 	ColdStart  scheduler.ColdStart
-	QueueDepth int           // requests for the function that the worker held when the attempt arrived, -1 if not reported
+	QueueDepth int           // requests for the function that the worker held on arrival, -1 if not reported
 	LoadReport []float64     // values in the order of the worker's load report fields
 	RunTime    time.Duration // execution time without time spent queued; 0 if not reported
 	Response   *Response     // nil if the worker sent none
--- a/internal/workerconn/guard_test.go
+++ b/internal/workerconn/guard_test.go
@@ -47,7 +47,7 @@
 	}
 	queue.PushAttempt(1, &Attempt{Deadline: testNow + time.Hour})
 	queue.PushAttempt(2, &Attempt{Deadline: testNow + time.Hour, NotAfter: testNow + 100*time.Millisecond})
-	queue.PushAttempt(3, &Attempt{Deadline: testNow + time.Millisecond, NotAfter: testNow + time.Millisecond}) // NotAfter is not before Deadline
+	queue.PushAttempt(3, &Attempt{Deadline: testNow + time.Millisecond, NotAfter: testNow + time.Millisecond}) // no permit before the deadline
 	queue.NextBatch(nil, testNow, &batch, encodeByNumber)
 	if timeout := batch.Timeout(testNow, time.Second); timeout != 100*time.Millisecond {
 		t.Errorf("timeout %v, want 100 ms, the rest of the shortest permit", timeout)
