--- a/internal/platform/endpointstream/frame.go
+++ b/internal/platform/endpointstream/frame.go
@@ -29,9 +29,9 @@
 
 // ReadHello reads the hello message of a front end. It returns errors of the reader unchanged.
 func ReadHello(r io.Reader) (last uint64, err error) {
-	var greeting [8]byte
-	_, err = io.ReadFull(r, greeting[:])
-	return binary.BigEndian.Uint64(greeting[:]), err
+	var hello [8]byte
+	_, err = io.ReadFull(r, hello[:])
+	return binary.BigEndian.Uint64(hello[:]), err
 }
 
 // AppendEvent appends the event's frame to buf. It does not validate the event: the caller must pass only events that
