--- a/internal/platform/rpcserver/accept_test.go
+++ b/internal/platform/rpcserver/accept_test.go
@@ -20,14 +20,14 @@
 // connection table is full, so that a new client is served.
 func TestEviction_TableFull_IdleConnectionCloses(t *testing.T) {
 	handler, address := startServer(t, 2)
-	silent, busy := connect(t, address), connect(t, address)
+	idle, busy := connect(t, address), connect(t, address)
 	write(t, busy, requestMessage(t, 1, "quote", validFields(1)))
 	request := <-handler.requests
 	third := connect(t, address)
 	write(t, third, requestMessage(t, 1, "quote", validFields(2)))
 	(<-handler.requests).respond(Response{Kind: Failed})
 	expect(t, third, rpcframe.AppendError(nil, 1, "Lost", "", ""))
-	if _, err := io.ReadAll(silent); err != nil && !strings.Contains(err.Error(), "reset") {
+	if _, err := io.ReadAll(idle); err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Error(err)
 	}
 	request.respond(Response{Kind: Served})
@@ -86,9 +86,9 @@
 	busy := connect(t, address)
 	write(t, busy, requestMessage(t, 1, "quote", validFields(1)))
 	request := <-handler.requests
-	var silent []net.Conn
+	var idle []net.Conn
 	for range 40 {
-		silent = append(silent, connect(t, address))
+		idle = append(idle, connect(t, address))
 	}
 	last := connect(t, address)
 	write(t, last, requestMessage(t, 1, "quote", validFields(2)))
@@ -96,7 +96,7 @@
 	expect(t, last, rpcframe.AppendServed(nil, 1, nil))
 	request.respond(Response{Kind: Served})
 	expect(t, busy, rpcframe.AppendServed(nil, 1, nil))
-	for _, client := range silent {
+	for _, client := range idle {
 		_ = client.Close()
 	}
 }
