--- a/lab/soak/worker.go
+++ b/lab/soak/worker.go
@@ -53,7 +53,7 @@
 func startWorker(history *History, id uint32, cell int, started int64, rng *rand.Rand) (*worker, error) {
 	w := &worker{history: history, rng: rng}
 	var err error
-	if w.server, err = platformworker.StartScripted(w.handle); err != nil {
+	if w.server, err = platformworker.StartFullyScripted(w.handle); err != nil {
 		return nil, err
 	}
 	if w.proxy, err = faultproxy.StartWithTap(w.server.Address(), w.tap); err != nil {
@@ -94,7 +94,7 @@
 	t.buffered = append(t.buffered, chunk...)
 	for {
 		unread := bytes.NewReader(t.buffered)
-		frame, err := workerframe.NewReader(unread, workerframe.FromFrontEnd, workerframe.MaxBody).Next()
+		frame, err := workerframe.NewReader(unread, workerframe.MagicFrontEnd, workerframe.MaxBody).Next()
 		if err != nil {
 			return len(chunk), nil // the frame is not complete yet
 		}
@@ -135,7 +135,7 @@
 	draining := w.draining.Load()
 	switch {
 	case platformworker.IsHealthCheck(frame):
-		c.Respond(platformworker.Health(frame, draining))
+		c.Respond(platformworker.HealthResponse(frame, draining))
 	case draining && platformworker.IsNewWork(frame):
 		w.reject(c, frame)
 	case frame.Code == workerframe.Request:
