--- a/internal/gateway/platform_config.go
+++ b/internal/gateway/platform_config.go
@@ -52,8 +52,8 @@
 // list.
 func (p *PlatformServer) endpointRules() endpointlease.Rules {
 	return endpointlease.Rules{
-		NotifiedAfterSilence:      platformNoticeAfterSilence,
-		NotifiedAfterInterruption: platformNoticeAfterBreak,
+		NotifiedAfterSilence:      platformNotifiedAfterSilence,
+		NotifiedAfterInterruption: platformNotifiedAfterInterruption,
 		DrainGrace:                p.config.Settings.Scheduler.DrainGrace,
 	}
 }
--- a/internal/gateway/platform_server.go
+++ b/internal/gateway/platform_server.go
@@ -38,12 +38,12 @@
 	platformBacklogGrace     = 100 * time.Millisecond // further time for clients in the listener's backlog
 	// The platform regards a front end as notified of a change of the endpoint list this long after the endpoint stream
 	// fell silent or broke off, even if the front end has not received the change.
-	platformNoticeAfterSilence = 4 * time.Second // time after the stream fell silent
-	platformNoticeAfterBreak   = 2 * time.Second // time after the stream broke off
-	platformLogInterval        = 5 * time.Second // time between two log lines with the totals
-	memoryLimitFraction        = 0.7             // fraction of the memory above which the GC works harder
-	bodyMemoryFraction         = 0.25            // fraction of the memory for the bodies of requests in flight
-	bytesPerMB                 = 1 << 20
+	platformNotifiedAfterSilence      = 4 * time.Second // time after the stream fell silent
+	platformNotifiedAfterInterruption = 2 * time.Second // time after the stream broke off
+	platformLogInterval               = 5 * time.Second // time between two log lines with the totals
+	memoryLimitFraction               = 0.7             // fraction of the memory above which the GC works harder
+	bodyMemoryFraction                = 0.25            // fraction of the memory for the bodies of requests in flight
+	bytesPerMB                        = 1 << 20
 )
 
 // PlatformServer is a front end on the platform: one event loop that uses the platform's protocols for clients, workers
--- a/internal/platform/rpcframe/reader.go
+++ b/internal/platform/rpcframe/reader.go
@@ -24,7 +24,7 @@
 func NewReader(source Source) *Reader { return &Reader{msgpack.NewDecoder(source)} }
 
 // Next reads the next message. If the message is malformed, the error wraps ErrMalformed, and the returned message has
-// its Number set if that could be read. Nothing more can be read after a malformed message. Other errors come from the
+// its MessageID set if that could be read. Nothing more can be read after a malformed message. Other errors come from the
 // source.
 func (r *Reader) Next() (Message, error) {
 	length, err := r.decoder.DecodeArrayLen()
--- a/internal/platform/rpcserver/disconnect_test.go
+++ b/internal/platform/rpcserver/disconnect_test.go
@@ -67,20 +67,20 @@
 	handler, address := startServer(t, 1)
 	client := connect(t, address)
 	for round := range 3 {
-		var numbers []int
+		var messageIDs []int
 		var requests []*stubRequest
 		for i := range 4 { // MaxInFlight of the test server
-			number := 1 + 4*round + i
-			numbers = append(numbers, number)
-			write(t, client, requestMessage(t, number, "quote", validFields(number)))
+			messageID := 1 + 4*round + i
+			messageIDs = append(messageIDs, messageID)
+			write(t, client, requestMessage(t, messageID, "quote", validFields(messageID)))
 			requests = append(requests, <-handler.requests)
 		}
 		requests[0].respond(Response{Kind: Served, Body: []byte("first")})
-		write(t, client, message(t, 2, "revoke", numbers))
+		write(t, client, message(t, 2, "revoke", messageIDs))
 		for range 3 {
 			<-handler.cancelled
 		}
 		requests[1].respond(Response{Kind: Served, Body: []byte("late")})
-		expect(t, client, rpcframe.AppendServed(nil, uint32(numbers[0]), []byte("first")))
+		expect(t, client, rpcframe.AppendServed(nil, uint32(messageIDs[0]), []byte("first")))
 	}
 }
--- a/internal/platform/rpcserver/helpers_test.go
+++ b/internal/platform/rpcserver/helpers_test.go
@@ -97,9 +97,9 @@
 	return raw
 }
 
-func requestMessage(t *testing.T, number int, method string, fields map[string]string) []byte {
+func requestMessage(t *testing.T, messageID int, method string, fields map[string]string) []byte {
 	t.Helper()
-	return message(t, 0, number, method, []any{fields, []byte("body")})
+	return message(t, 0, messageID, method, []any{fields, []byte("body")})
 }
 
 func write(t *testing.T, client net.Conn, raw []byte) {
--- a/internal/platform/rpcserver/protocol_test.go
+++ b/internal/platform/rpcserver/protocol_test.go
@@ -58,8 +58,8 @@
 // flight on the connection and closes it.
 func TestProtocolError_InvalidNumberOrExcess_CancelsAllInFlight(t *testing.T) {
 	for name, second := range map[string][]byte{
-		"repeated number": requestMessage(t, 5, "quote", validFields(2)),
-		"lower number":    requestMessage(t, 4, "quote", validFields(2)),
+		"repeated message ID": requestMessage(t, 5, "quote", validFields(2)),
+		"lower message ID":    requestMessage(t, 4, "quote", validFields(2)),
 		"too many in flight": bytes.Join([][]byte{
 			requestMessage(t, 6, "quote", validFields(2)), requestMessage(t, 7, "quote", validFields(3)),
 			requestMessage(t, 8, "quote", validFields(4)), requestMessage(t, 9, "quote", validFields(5)),
--- a/internal/platform/workerframe/frame.go
+++ b/internal/platform/workerframe/frame.go
@@ -18,7 +18,7 @@
 // code base. The platform's field names appear in no other package.
 //
 // A client can receive the error texts of this package as the reason for a failed request, so treat them as part of the
-// interface.
+// interface. In these texts, mark stands for the magic byte.
 package workerframe
 
 import (
