--- a/internal/platform/workerclient/client.go
+++ b/internal/platform/workerclient/client.go
@@ -5,12 +5,12 @@
 // The status with which an attempt ends is determined as in internal/native/muxclient; see the table in the comment of
 // that package. In addition:
 //
-//	event                                                    status   reason
-//	a connection breaks, and the client can reconnect        Error    the worker is alive; the attempt may have executed
-//	a connection breaks, and the client cannot reconnect     Reset    the worker is lost; the attempt may have executed
-//	a response is malformed                                  Error    the attempt may have executed
-//	the worker responds that the request had already ended   NotSent  the attempt was not executed
-//	this process lacks a resource for a new connection       NotSent  the worker is not the cause
+//	event                                                   status   reason
+//	a connection breaks, and the client can reconnect       Error    the worker is up; the attempt may have executed
+//	a connection breaks, and the client cannot reconnect    Reset    the worker is down; the attempt may have executed
+//	a response is malformed                                 Error    the attempt may have executed
+//	the worker responds that the request had already ended  NotSent  the attempt was not executed
+//	this process lacks a resource for a new connection      NotSent  the worker is not the cause
 package workerclient
 
 import (
@@ -237,10 +237,10 @@
 	}
 }
 
-// Drain removes and returns the attempts and load orders that are still unsent, and rejects new work until Resume is
-// called. The worker has not executed any of the returned work. New work that is being written must be written within
-// half of the grace period; the grace period starts when the worker announces that it drains, not with this call, hence
-// the margin. Attempts and load orders that were already sent continue.
+// Drain removes and returns the new work that is still unsent, that is, attempts and orders to load replicas, and
+// rejects further new work until Resume is called. The worker has not executed any of the returned work. New work that
+// is being written must be written within half of the grace period; the grace period starts when the worker announces
+// that it drains, not with this call, hence the margin. Attempts and load orders that were already sent continue.
 func (c *Client) Drain(grace time.Duration) (attempts []*workerconn.Attempt, orders []*workerconn.LoadOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
