--- a/internal/decide/incarnation/incarnation.go
+++ b/internal/decide/incarnation/incarnation.go
@@ -46,7 +46,7 @@
 // the effective start time.
 func (t *Tracker) ObserveList(now time.Duration, list []scheduler.WorkerInfo) []scheduler.WorkerInfo {
 	effective := t.observeEntries(now, list)
-	t.forgetUnlisted(list)
+	t.removeUnlisted(list)
 	return effective
 }
 
@@ -56,7 +56,7 @@
 func (t *Tracker) ObserveChanges(now time.Duration, changed []scheduler.WorkerInfo, listed int) []scheduler.WorkerInfo {
 	effective := t.observeEntries(now, changed)
 	if len(t.workers) > listed+maxUnlistedWorkers {
-		maps.DeleteFunc(t.workers, func(_ scheduler.WorkerID, w *worker) bool { return w.info.State == scheduler.Removed })
+		maps.DeleteFunc(t.workers, func(_ scheduler.WorkerID, tracked *worker) bool { return tracked.info.State == scheduler.Removed })
 	}
 	return effective
 }
@@ -72,18 +72,18 @@
 
 // observeListed processes one entry of a list and returns it with the effective start time.
 func (t *Tracker) observeListed(now time.Duration, info scheduler.WorkerInfo) scheduler.WorkerInfo {
-	w, known := t.workers[info.ID]
+	tracked, known := t.workers[info.ID]
 	if !known {
-		w = &worker{}
-		t.workers[info.ID] = w
+		tracked = &worker{}
+		t.workers[info.ID] = tracked
 	}
 	listedStart := info.Started
-	if known && w.sameStart(listedStart) {
-		info.Started = w.info.Started
+	if known && tracked.sameStart(listedStart) {
+		info.Started = tracked.info.Started
 	} else {
 		info.Started = min(listedStart, now)
 	}
-	w.info, w.listedStart = info, listedStart
+	tracked.info, tracked.listedStart = info, listedStart
 	return info
 }
 
@@ -93,9 +93,9 @@
 	return listedStart == w.listedStart || listedStart <= w.info.Started+startTolerance
 }
 
-// forgetUnlisted bounds the number of tracked workers: if there are too many, those missing from the complete list are
+// removeUnlisted bounds the number of tracked workers: if there are too many, those missing from the complete list are
 // removed.
-func (t *Tracker) forgetUnlisted(list []scheduler.WorkerInfo) {
+func (t *Tracker) removeUnlisted(list []scheduler.WorkerInfo) {
 	if len(t.workers) <= len(list)+maxUnlistedWorkers {
 		return
 	}
@@ -115,19 +115,19 @@
 func (t *Tracker) ObserveConnection(
 	now time.Duration, id scheduler.WorkerID, incarnationID uint64, uptime time.Duration,
 ) (info scheduler.WorkerInfo, restarted bool) {
-	w := t.workers[id]
-	if w == nil {
+	tracked := t.workers[id]
+	if tracked == nil {
 		return scheduler.WorkerInfo{}, false
 	}
-	otherIncarnation := w.incarnationID != 0 && w.incarnationID != incarnationID
-	w.incarnationID = incarnationID
+	otherIncarnation := tracked.incarnationID != 0 && tracked.incarnationID != incarnationID
+	tracked.incarnationID = incarnationID
 	started := now - max(0, uptime)
 	if otherIncarnation {
-		started = max(started, w.info.Started+1) // a new process started later, even if its reported uptime is wrong
+		started = max(started, tracked.info.Started+1) // a new process started later, even if its reported uptime is wrong
 	}
-	if !otherIncarnation && started <= w.info.Started+startTolerance {
-		return w.info, false
+	if !otherIncarnation && started <= tracked.info.Started+startTolerance {
+		return tracked.info, false
 	}
-	w.info.Started = started
-	return w.info, true
+	tracked.info.Started = started
+	return tracked.info, true
 }
--- a/internal/shadow/shadow.go
+++ b/internal/shadow/shadow.go
@@ -52,9 +52,9 @@
 // Counts returns the counts since the start.
 func (s *Scheduler) Counts() Counts { return s.counts }
 
-// WorkersChanged handles a change of the endpoint list.
-func (s *Scheduler) WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool) {
-	s.observe(func(target *scheduler.Scheduler) { target.WorkersChanged(now, list, whole) })
+// WorkersChanged handles a change of the endpoint list, or the complete list if complete is set.
+func (s *Scheduler) WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, complete bool) {
+	s.observe(func(target *scheduler.Scheduler) { target.WorkersChanged(now, list, complete) })
 }
 
 // TimerFired handles the expiry of a timer.
--- a/internal/shadow/shadow_test.go
+++ b/internal/shadow/shadow_test.go
@@ -66,7 +66,7 @@
 
 // eventHandler handles the events of a simulation. scheduler.Scheduler and shadow.Scheduler both implement it.
 type eventHandler interface {
-	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, whole bool)
+	WorkersChanged(now time.Duration, list []scheduler.WorkerInfo, complete bool)
 	TimerFired(now time.Duration, token uint64)
 	RequestReceived(now time.Duration, r scheduler.Request)
 	AttemptEnded(now time.Duration, o scheduler.Outcome)
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -30,12 +30,12 @@
 }
 
 // shouldShed implements randomized admission: it reports whether to reject a request on arrival. When
-// requests wait at the workers contacted most recently, it admits as many requests as can wait without making
-// the most urgent class in use miss its objective. Classes with more priority weight per unit of work are
-// admitted more often, and a request is always admitted if a replica with a short, recently observed queue
-// delay is available. A queue delay shorter than an unloaded run is ignored, because run times vary by as
-// much. Shedding guards against an overload of all workers, in which each admitted request delays others. It
-// does harm if only the workers in use are slow.
+// requests wait at the workers contacted most recently, it admits a random fraction of the requests: the
+// ratio of the queue delay that the most urgent class in use tolerates to the observed one. Classes with more
+// priority weight per unit of work are admitted more often, and a request is always admitted if a replica
+// with a short, recently observed queue delay is available. A queue delay shorter than an unloaded run is
+// ignored, because run times vary by as much. Shedding guards against an overload of all workers, in which
+// each admitted request delays others. It does harm if only the workers in use are slow.
 func (s *Scheduler) shouldShed(request *requestRecord) bool {
 	valueDensity := 1.0 // priority weight per unit of work, relative to recent demand
 	if weight := s.demand.priorityWeight.Value; weight > 0 {
@@ -88,16 +88,17 @@
 	}
 }
 
-// missesDeadline reports whether a request that starts after delay would end after its client gives up.
+// missesDeadline reports whether a request that starts after delay would not be answered before its client
+// gives up.
 func (s *Scheduler) missesDeadline(request *requestRecord, delay time.Duration) bool {
 	run := max(tickInterval, s.expectedRunTime(request.function))
 	return s.now+delay+run+2*s.settings.Resolution >= request.deadline
 }
 
-// shouldGiveUp reports whether a queued request finds no headroom although it is over quota or would miss its
-// latency objective after delay. It guards against spending scarce capacity on work of little value. It
-// returns false while a replica is loading or being queried for, and before a run of the class was observed:
-// a guessed run time would reject an initial burst that a fast worker soon completes.
+// shouldGiveUp reports whether a queued request that is over quota, or would miss its latency objective after
+// delay, finds no headroom. It guards against spending scarce capacity on work of little value. It returns
+// false while a replica is loading or being queried for. Before a run of the class was observed, it keeps
+// requests within quota: a guessed run time would reject an initial burst that a fast worker soon completes.
 func (s *Scheduler) shouldGiveUp(request *requestRecord, delay time.Duration) bool {
 	function := request.function
 	if !request.overQuota {
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -6,89 +6,89 @@
 )
 
 func TestAdmission_NoWorkers_RejectsBeforeDeadline(t *testing.T) {
-	h := newHarness(t, testSettings(), 0)
-	r := h.request(7, 0)
-	h.advance(2990 * ms)
-	if h.answers[r] != "rejected" {
-		t.Errorf("response %q with no known workers, want rejected", h.answers[r])
+	harness := newHarness(t, testSettings(), 0)
+	r := harness.request(7, 0)
+	harness.advance(2990 * ms)
+	if harness.finalResponses[r] != "rejected" {
+		t.Errorf("response %q with no known workers, want rejected", harness.finalResponses[r])
 	}
 }
 
 func TestAdmission_TimeoutBeforeNextTick_RejectsAtOnce(t *testing.T) {
-	h := newHarness(t, testSettings(), 0)
-	h.scheduler.RequestReceived(h.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
-	if h.answers[1] != "rejected" {
-		t.Errorf("response %q to a request that times out before the next tick, want rejected", h.answers[1])
+	harness := newHarness(t, testSettings(), 0)
+	harness.scheduler.RequestReceived(harness.now, Request{ID: 1, Function: 7, Timeout: 5 * ms, ReplicaConcurrency: 1})
+	if harness.finalResponses[1] != "rejected" {
+		t.Errorf("response %q to a request that times out before the next tick, want rejected", harness.finalResponses[1])
 	}
 }
 
 func TestAdmission_WarmWorkerAboutToHaveHeadroom_KeepsRequest(t *testing.T) {
-	h := newHarness(t, testSettings(), 1)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	harness := newHarness(t, testSettings(), 1)
+	worker := harness.scheduler.endpoints.byID[harness.warm(7)]
 	worker.concurrencyLimit = 1
-	h.request(8, 0) // takes the only slot
-	h.answerQueries(1)
-	r := h.request(7, 0)
-	h.advance(100 * ms)
-	if h.answers[r] != "" {
-		t.Errorf("request %s although a warm worker will soon have headroom", h.answers[r])
+	harness.request(8, 0) // takes the only slot
+	harness.answerQueries(1)
+	r := harness.request(7, 0)
+	harness.advance(100 * ms)
+	if harness.finalResponses[r] != "" {
+		t.Errorf("request %s although a warm worker will soon have headroom", harness.finalResponses[r])
 	}
 }
 
 func TestTenantQuota_TenantOverShare_IsRankedLast(t *testing.T) {
-	h := newHarness(t, testSettings(), 1)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	harness := newHarness(t, testSettings(), 1)
+	worker := harness.scheduler.endpoints.byID[harness.warm(7)]
 	for range quotaWindow {
-		h.scheduler.tenants.exceeds(1, 0.5)
+		harness.scheduler.tenants.exceeds(1, 0.5)
 	}
 	counted := 0
 	for range 20 { // a tenant that sends all requests, although its share is half
-		if h.scheduler.tenants.exceeds(1, 0.5) {
+		if harness.scheduler.tenants.exceeds(1, 0.5) {
 			counted++
 		}
 	}
 	if counted < 5 || counted > 10 {
 		t.Errorf("%d of 20 requests are over quota, want 5 to 10", counted)
 	}
-	within, beyond := h.request(7, 0), h.request(7, 0)
-	h.scheduler.requests[beyond].overQuota = true
+	within, beyond := harness.request(7, 0), harness.request(7, 0)
+	harness.scheduler.requests[beyond].overQuota = true
 	worker.concurrencyLimit = 4
-	if !h.scheduler.hasHeadroom(worker, h.scheduler.requests[within]) || h.scheduler.hasHeadroom(worker, h.scheduler.requests[beyond]) {
+	if !harness.scheduler.hasHeadroom(worker, harness.scheduler.requests[within]) || harness.scheduler.hasHeadroom(worker, harness.scheduler.requests[beyond]) {
 		t.Error("with two of four slots in use, a request within quota must have headroom and one over quota must not")
 	}
 }
 
 func TestAdmission_LateWithoutHeadroom_RejectsAtOnce(t *testing.T) {
-	h := newHarness(t, testSettings(), 1)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	harness := newHarness(t, testSettings(), 1)
+	worker := harness.scheduler.endpoints.byID[harness.warm(7)]
 	worker.concurrencyLimit = 2
 	var ids []RequestID
 	for range 40 { // concurrency 2 and 100 ms per run: the last one would wait for two seconds
-		ids = append(ids, h.request(7, 0))
+		ids = append(ids, harness.request(7, 0))
 	}
-	h.advance(2 * tickInterval)
-	if h.answers[ids[39]] != "rejected" || h.answers[ids[4]] != "" {
+	harness.advance(2 * tickInterval)
+	if harness.finalResponses[ids[39]] != "rejected" || harness.finalResponses[ids[4]] != "" {
 		t.Errorf("responses %q to the last and %q to the fifth of 40 requests, want rejected and none",
-			h.answers[ids[39]], h.answers[ids[4]])
+			harness.finalResponses[ids[39]], harness.finalResponses[ids[4]])
 	}
 }
 
 func TestShedding_OverloadOfAllWorkers_RejectsMostAtRandom(t *testing.T) {
-	rejected := func(delays ...time.Duration) (n int) {
-		h := newHarness(t, testSettings(), 6)
-		h.warm(7)
+	rejected := func(delays ...time.Duration) (count int) {
+		harness := newHarness(t, testSettings(), 6)
+		harness.warm(7)
 		for i, delay := range delays {
-			worker := h.scheduler.endpoints.byID[WorkerID(i+1)]
-			h.setQueueDelay(worker, delay)
+			worker := harness.scheduler.endpoints.byID[WorkerID(i+1)]
+			harness.setQueueDelay(worker, delay)
 		}
-		h.advance(tickInterval)
+		harness.advance(tickInterval)
 		for range 100 {
-			r := h.request(7, 0)
-			if h.answers[r] == "rejected" {
-				n++
+			r := harness.request(7, 0)
+			if harness.finalResponses[r] == "rejected" {
+				count++
 			}
 		}
-		return n
+		return count
 	}
 	long, short := 700*ms, 5*ms
 	if n := rejected(long, long, long, long, long, long); n < 50 || n == 100 {
@@ -105,18 +105,18 @@
 func TestShedding_ValueDensity_DecidesByClass(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].PriorityWeight, set.Classes[2].LatencyObjective = 3, 2*time.Second
-	h := newHarness(t, set, 6)
+	harness := newHarness(t, set, 6)
 	for i := range 3 {
-		h.warm(FunctionID(7 + i))
+		harness.warm(FunctionID(7 + i))
 	}
-	for _, worker := range h.scheduler.endpoints.list {
-		h.setQueueDelay(worker, 300*ms)
+	for _, worker := range harness.scheduler.endpoints.list {
+		harness.setQueueDelay(worker, 300*ms)
 	}
-	h.advance(tickInterval)
+	harness.advance(tickInterval)
 	var rejected [3]int
 	for range 200 {
 		for class := range 3 {
-			if h.answers[h.request(FunctionID(7+class), class)] == "rejected" {
+			if harness.finalResponses[harness.request(FunctionID(7+class), class)] == "rejected" {
 				rejected[class]++
 			}
 		}
@@ -133,9 +133,9 @@
 func TestQueueDelayBudget_UnusedClass_DoesNotCount(t *testing.T) {
 	set := testSettings()
 	set.Classes[2].LatencyObjective = ms
-	h := newHarness(t, set, 2)
-	h.warm(7)
-	if slack := h.scheduler.queueDelayBudget(); slack < 600*ms {
+	harness := newHarness(t, set, 2)
+	harness.warm(7)
+	if slack := harness.scheduler.queueDelayBudget(); slack < 600*ms {
 		t.Errorf("queue delay budget is %v, want it to ignore the unused class; the objective of the others is 800ms", slack)
 	}
 }
@@ -143,26 +143,26 @@
 func TestAdmission_BurstBeforeFirstRun_IsNotRejected(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective = 400 * ms
-	h := newHarness(t, set, 1)
-	first := h.request(7, 0)
-	h.answerQueries()
-	h.advance(40 * ms)
-	h.endAttempt(first, OK, ColdStartTriggered)
+	harness := newHarness(t, set, 1)
+	first := harness.request(7, 0)
+	harness.answerQueries()
+	harness.advance(40 * ms)
+	harness.endAttempt(first, OK, ColdStartTriggered)
 	for range 16 {
-		h.request(7, 0)
+		harness.request(7, 0)
 	}
-	h.advance(40 * ms)
-	if n := h.count("reject"); n != 0 {
+	harness.advance(40 * ms)
+	if n := harness.count("reject"); n != 0 {
 		t.Errorf("%d of 16 requests rejected before any run was observed, want 0", n)
 	}
 	for id := first + 1; id <= first+2; id++ {
-		h.endAttempt(id, OK, WarmStart)
+		harness.endAttempt(id, OK, WarmStart)
 	}
 	for range 200 {
-		h.request(7, 0)
+		harness.request(7, 0)
 	}
-	h.advance(40 * ms)
-	if h.count("reject") == 0 {
+	harness.advance(40 * ms)
+	if harness.count("reject") == 0 {
 		t.Error("none of 200 requests rejected although runs of 40 ms make some late")
 	}
 }
@@ -174,18 +174,18 @@
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective = 400 * ms
 	}
-	h := newHarness(t, set, 6)
-	h.warm(7)
+	harness := newHarness(t, set, 6)
+	harness.warm(7)
 	for range 2 * unloadedMinSamples {
-		h.advance(300 * ms)
-		h.endAttempt(h.request(7, 0), OK, WarmStart)
+		harness.advance(300 * ms)
+		harness.endAttempt(harness.request(7, 0), OK, WarmStart)
 	}
-	unloaded := h.scheduler.unloadedRunTime(0)
+	unloaded := harness.scheduler.unloadedRunTime(0)
 	rejected := func(delay time.Duration) (n int) {
-		h.scheduler.delay.contactedMedian = float64(delay)
+		harness.scheduler.delay.contactedMedian = float64(delay)
 		for id := range RequestID(200) {
-			function := h.scheduler.trackFunction(FunctionID(1000), 0) // without any known replica
-			if h.scheduler.shouldShed(&requestRecord{Request: Request{ID: 5000 + id}, class: &h.scheduler.settings.Classes[0], function: function}) {
+			function := harness.scheduler.trackFunction(FunctionID(1000), 0) // without any known replica
+			if harness.scheduler.shouldShed(&requestRecord{Request: Request{ID: 5000 + id}, class: &harness.scheduler.settings.Classes[0], function: function}) {
 				n++
 			}
 		}
@@ -197,16 +197,16 @@
 }
 
 func TestAdmission_ZeroRunTimes_AnswersEveryRequest(t *testing.T) {
-	h := newHarness(t, testSettings(), 2)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	harness := newHarness(t, testSettings(), 2)
+	worker := harness.scheduler.endpoints.byID[harness.warm(7)]
 	for range 30 {
-		h.endAttempt(h.request(7, 0), OK, WarmStart)
+		harness.endAttempt(harness.request(7, 0), OK, WarmStart)
 	}
 	worker.concurrencyLimit = 1
-	h.request(7, 0)
-	queued := h.request(7, 0)
-	h.advance(3 * time.Second)
-	if h.answers[queued] == "" {
-		t.Errorf("no response to a request queued behind runs of zero duration; the expected run time is %v", h.scheduler.expectedRunTime(h.scheduler.functions.byID[7]))
+	harness.request(7, 0)
+	queued := harness.request(7, 0)
+	harness.advance(3 * time.Second)
+	if harness.finalResponses[queued] == "" {
+		t.Errorf("no response to a request queued behind runs of zero duration; the expected run time is %v", harness.scheduler.expectedRunTime(harness.scheduler.functions.byID[7]))
 	}
 }
--- a/scheduler/aggregates_test.go
+++ b/scheduler/aggregates_test.go
@@ -84,8 +84,8 @@
 	if counted := s.servingCapacity(class); math.Abs(counted-serving) > 1e-3 {
 		t.Errorf("the serving capacity for class %d is %.4f, a scan finds %.4f", class, counted, serving)
 	}
-	if noted := len(s.latency.sampledWorkers[class]); noted != sampled {
-		t.Errorf("%d workers in sampledWorkers of class %d, want %d", noted, class, sampled)
+	if counted := len(s.latency.sampledWorkers[class]); counted != sampled {
+		t.Errorf("%d workers in sampledWorkers of class %d, want %d", counted, class, sampled)
 	}
 }
 
@@ -122,7 +122,7 @@
 	rng := rand.New(rand.NewPCG(1, 5))
 	settings := testSettings()
 	settings.ScaleIsCapacity = true
-	h := newHarness(t, settings, 0)
+	harness := newHarness(t, settings, 0)
 	infos := map[WorkerID]WorkerInfo{}
 	for round := range rounds {
 		var changed []WorkerInfo
@@ -130,32 +130,32 @@
 			id := WorkerID(1 + rng.IntN(workers))
 			infos[id] = WorkerInfo{
 				ID: id, Scale: 0.1 + rng.Float64(), Cell: int(id) % 50, State: WorkerState(1 + rng.IntN(3)),
-				Started: h.now - time.Duration(rng.IntN(20))*time.Second,
+				Started: harness.now - time.Duration(rng.IntN(20))*time.Second,
 			}
 			changed = append(changed, infos[id])
 		}
-		if whole := round%7 == 0; whole {
+		if complete := round%7 == 0; complete {
 			changed = nil
 			for id := range WorkerID(workers) {
 				if info, known := infos[id]; known && rng.IntN(9) > 0 {
 					changed = append(changed, info)
 				}
 			}
-			h.scheduler.WorkersChanged(h.now, changed, true)
+			harness.scheduler.WorkersChanged(harness.now, changed, true)
 		} else {
-			h.scheduler.WorkersChanged(h.now, changed, false)
+			harness.scheduler.WorkersChanged(harness.now, changed, false)
 		}
 		for function := range FunctionID(6) {
-			h.request(function, rng.IntN(3))
+			harness.request(function, rng.IntN(3))
 		}
-		h.answerQueries()
-		h.advance(time.Duration(rng.IntN(1000)) * ms)
-		for id, request := range h.scheduler.requests {
+		harness.answerQueries()
+		harness.advance(time.Duration(rng.IntN(1000)) * ms)
+		for id, request := range harness.scheduler.requests {
 			if request.replica != nil {
-				h.endAttempt(id, []Status{OK, OK, Error, Reset, Overloaded}[id%5], WarmStart)
+				harness.endAttempt(id, []Status{OK, OK, Error, Reset, Overloaded}[id%5], WarmStart)
 			}
 		}
-		verifyAggregates(t, h.scheduler)
+		verifyAggregates(t, harness.scheduler)
 	}
 }
 
@@ -191,7 +191,7 @@
 	const workers = 200
 	settings := testSettings()
 	settings.ScaleIsCapacity = true
-	h := newHarness(t, settings, 0)
+	harness := newHarness(t, settings, 0)
 	var list []WorkerInfo
 	for i := range workers {
 		scale := math.SmallestNonzeroFloat64
@@ -200,14 +200,14 @@
 		}
 		list = append(list, WorkerInfo{ID: WorkerID(i + 1), Scale: scale, Started: UnknownStart, State: Ready})
 	}
-	h.scheduler.WorkersChanged(h.now, list, true)
+	harness.scheduler.WorkersChanged(harness.now, list, true)
 	function := &functionRecord{id: 7}
 	for _, count := range []int{1, 10, workers} {
-		if order := h.scheduler.rendezvousOrder(function, count); len(order) < count {
+		if order := harness.scheduler.rendezvousOrder(function, count); len(order) < count {
 			t.Errorf("%d workers ranked, want at least %d", len(order), count)
 		}
 	}
-	for _, worker := range h.scheduler.rendezvousOrder(function, workers)[:3] {
+	for _, worker := range harness.scheduler.rendezvousOrder(function, workers)[:3] {
 		if worker.ID > 3 {
 			t.Errorf("worker %d, with almost no capacity, is among the first three", worker.ID)
 		}
@@ -218,14 +218,14 @@
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{120, 1920, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			h := newHarness(&testing.T{}, testSettings(), workers)
-			for _, worker := range h.scheduler.endpoints.list[:100] {
-				h.setQueueDelay(worker, time.Second)
+			harness := newHarness(&testing.T{}, testSettings(), workers)
+			for _, worker := range harness.scheduler.endpoints.list[:100] {
+				harness.setQueueDelay(worker, time.Second)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				h.now += tickInterval
-				h.scheduler.TimerFired(h.now, tickTimer)
+				harness.now += tickInterval
+				harness.scheduler.TimerFired(harness.now, tickTimer)
 			}
 		})
 	}
@@ -235,11 +235,11 @@
 func BenchmarkTopRanked(b *testing.B) {
 	for _, workers := range []int{120, 1920, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			h := newHarness(&testing.T{}, testSettings(), workers)
+			harness := newHarness(&testing.T{}, testSettings(), workers)
 			function := &functionRecord{id: 7}
 			b.ReportAllocs()
 			for b.Loop() {
-				h.scheduler.topRanked(function, rendezvousLength(1, workers))
+				harness.scheduler.topRanked(function, rendezvousLength(1, workers))
 			}
 		})
 	}
--- a/scheduler/clone.go
+++ b/scheduler/clone.go
@@ -13,33 +13,33 @@
 func (s *Scheduler) Clone(settings Settings, actions Actions) *Scheduler {
 	clone := *s
 	clone.settings, clone.actions = settings, actions
-	c := newCloner(&clone.settings)
-	clone.endpoints.byID = cloneValues(s.endpoints.byID, c.worker)
-	clone.endpoints.list = cloneElements(s.endpoints.list, c.worker)
+	cloner := newCloner(&clone.settings)
+	clone.endpoints.byID = cloneValues(s.endpoints.byID, cloner.worker)
+	clone.endpoints.list = cloneElements(s.endpoints.list, cloner.worker)
 	clone.endpoints.ranking = slices.Clone(s.endpoints.ranking)
-	clone.endpoints.busy = cloneElements(s.endpoints.busy, c.worker)
+	clone.endpoints.busy = cloneElements(s.endpoints.busy, cloner.worker)
 	clone.endpoints.cells = make(map[int][]*workerRecord, len(s.endpoints.cells))
 	for cell, workers := range s.endpoints.cells {
-		clone.endpoints.cells[cell] = cloneElements(workers, c.worker)
+		clone.endpoints.cells[cell] = cloneElements(workers, cloner.worker)
 	}
 	clone.endpoints.counts.healthy = slices.Clone(s.endpoints.counts.healthy)
 	clone.endpoints.counts.serving = slices.Clone(s.endpoints.counts.serving)
-	clone.endpoints.counts.cold = cloneElements(s.endpoints.counts.cold, c.worker)
-	clone.endpoints.counts.servingByResponse = cloneElements(s.endpoints.counts.servingByResponse, c.worker)
-	clone.delay.ordered = cloneElements(s.delay.ordered, c.worker)
+	clone.endpoints.counts.cold = cloneElements(s.endpoints.counts.cold, cloner.worker)
+	clone.endpoints.counts.servingByResponse = cloneElements(s.endpoints.counts.servingByResponse, cloner.worker)
+	clone.delay.ordered = cloneElements(s.delay.ordered, cloner.worker)
 	clone.delay.contacts = slices.Clone(s.delay.contacts)
 	for i := range clone.delay.contacts {
-		clone.delay.contacts[i].worker = c.worker(s.delay.contacts[i].worker)
+		clone.delay.contacts[i].worker = cloner.worker(s.delay.contacts[i].worker)
 	}
-	clone.functions.byID = cloneValues(s.functions.byID, c.function)
-	clone.functions.active = cloneElements(s.functions.active, c.function)
-	clone.functions.idle = cloneElements(s.functions.idle, c.function)
-	clone.requests = cloneValues(s.requests, c.request)
+	clone.functions.byID = cloneValues(s.functions.byID, cloner.function)
+	clone.functions.active = cloneElements(s.functions.active, cloner.function)
+	clone.functions.idle = cloneElements(s.functions.idle, cloner.function)
+	clone.requests = cloneValues(s.requests, cloner.request)
 	clone.loadOrders = maps.Clone(s.loadOrders)
 	clone.latency.runTimeByClass = slices.Clone(s.latency.runTimeByClass)
 	clone.latency.sampledWorkers = slices.Clone(s.latency.sampledWorkers)
 	for class, workers := range s.latency.sampledWorkers {
-		clone.latency.sampledWorkers[class] = cloneElements(workers, c.worker)
+		clone.latency.sampledWorkers[class] = cloneElements(workers, cloner.worker)
 	}
 	clone.latency.unloadedRunTime = slices.Clone(s.latency.unloadedRunTime)
 	clone.latency.unloadedRunTimeAt = slices.Clone(s.latency.unloadedRunTimeAt)
--- a/scheduler/cold_worker.go
+++ b/scheduler/cold_worker.go
@@ -10,9 +10,10 @@
 const placementSearch = 256
 
 // pickColdWorker picks the worker that loads a function: the first in placement order whose queue delay is at
-// most the median. A worker without observations counts as having the median delay. An ejected worker is used
-// only if no healthy one is left. All front ends rank the workers of a function alike, so that they load it
-// at the same workers without communicating.
+// most the median, or the one with the lowest delay if all are above it. Delays below the median count as the
+// median, because a worker without observations looks idle. An ejected worker is used only if no healthy one
+// is left, or for a request bound to its key scope. All front ends rank the workers of a function alike, so
+// that they load it at the same workers without communicating.
 func (s *Scheduler) pickColdWorker(
 	function *functionRecord, request *requestRecord, minIdle time.Duration,
 ) *workerRecord {
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -20,7 +20,7 @@
 	ranking   []rankedWorker // inputs of the ranks, in the order of list
 
 	counts            servingCounts
-	busy              []*workerRecord         // workers with attempts in flight now or at the last tick
+	busy              []*workerRecord         // workers with attempts in flight at some time since the last tick
 	cells             map[int][]*workerRecord // computed on demand by cellMembers
 	cellsVersion      int                     // version for which cells was computed
 	noIdleWorkerUntil time.Duration           // until then, no worker is without contact for idleProbeAfter
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -7,18 +7,18 @@
 
 func TestEndpoints_DrainingOrRemoved_ReceiveNoRequests(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Removed} {
-		h := newHarness(t, testSettings(), 4)
-		w := h.warm(7)
-		h.changeWorker(WorkerInfo{ID: w, Started: UnknownStart, State: state})
-		h.queries = nil
+		harness := newHarness(t, testSettings(), 4)
+		w := harness.warm(7)
+		harness.changeWorker(WorkerInfo{ID: w, Started: UnknownStart, State: state})
+		harness.queries = nil
 		for range 8 {
-			r := h.request(7, 0)
-			h.answerQueries(1, 2, 3, 4)
-			if h.workerOf(r) == w {
+			r := harness.request(7, 0)
+			harness.answerQueries(1, 2, 3, 4)
+			if harness.workerOf(r) == w {
 				t.Fatalf("request sent to a worker in state %d", state)
 			}
-			h.now += 50 * ms
-			h.endAttempt(r, OK, WarmStart)
+			harness.now += 50 * ms
+			harness.endAttempt(r, OK, WarmStart)
 		}
 	}
 }
@@ -26,11 +26,11 @@
 func TestEndpoints_WatchFailed_IsRetried(t *testing.T) {
 	set := testSettings()
 	set.WatchOnStart = true
-	h := newHarness(t, set, 0)
-	h.scheduler.WatchFailed(h.now)
-	h.scheduler.TimerFired(h.now+time.Second, 1)
-	if h.count("watch") != 2 {
-		t.Errorf("%d watches of the endpoint list, want 2", h.count("watch"))
+	harness := newHarness(t, set, 0)
+	harness.scheduler.WatchFailed(harness.now)
+	harness.scheduler.TimerFired(harness.now+time.Second, 1)
+	if harness.count("watch") != 2 {
+		t.Errorf("%d watches of the endpoint list, want 2", harness.count("watch"))
 	}
 }
 
@@ -39,14 +39,14 @@
 func TestEndpoints_RemovedWorkers_AreForgotten(t *testing.T) {
 	set := testSettings()
 	set.SlowStartDuration = 10 * time.Second
-	h := newHarness(t, set, 4)
+	harness := newHarness(t, set, 4)
 	for i := range 50 {
 		id := WorkerID(100 + i)
-		h.scheduler.WorkersChanged(h.now, []WorkerInfo{{ID: id, State: Ready, Scale: 1, Started: h.now}}, false)
-		h.advance(time.Second)
-		h.scheduler.WorkersChanged(h.now, []WorkerInfo{{ID: id, State: Removed, Scale: 1}}, false)
+		harness.scheduler.WorkersChanged(harness.now, []WorkerInfo{{ID: id, State: Ready, Scale: 1, Started: harness.now}}, false)
+		harness.advance(time.Second)
+		harness.scheduler.WorkersChanged(harness.now, []WorkerInfo{{ID: id, State: Removed, Scale: 1}}, false)
 	}
-	if n := len(h.scheduler.endpoints.list); n > 4+12 || n != len(h.scheduler.endpoints.byID) {
-		t.Errorf("%d workers in list, %d in byID, want the same number, at most 16", n, len(h.scheduler.endpoints.byID))
+	if n := len(harness.scheduler.endpoints.list); n > 4+12 || n != len(harness.scheduler.endpoints.byID) {
+		t.Errorf("%d workers in list, %d in byID, want the same number, at most 16", n, len(harness.scheduler.endpoints.byID))
 	}
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -17,11 +17,11 @@
 	rng        *rand.Rand
 	set        Settings
 	now        time.Duration
-	frontEnds  []*fleetFront
+	frontEnds  []*fleetFrontEnd
 	list       []WorkerInfo
 	replicas   map[replicaKey]time.Duration // time from which each replica is loaded
-	run        time.Duration
-	load       time.Duration
+	runTime    time.Duration
+	loadTime   time.Duration
 	pending    fleetEvents
 	seq        int
 	coldWorker WorkerID
@@ -33,8 +33,8 @@
 	connectFailures float64 // fraction of the attempts at the other workers that fail to connect
 }
 
-// fleetFront is one front end of a fleet.
-type fleetFront struct {
+// fleetFrontEnd is one front end of a fleet.
+type fleetFrontEnd struct {
 	*fleet
 	scheduler     *Scheduler
 	trafficWeight float64 // relative to the other front ends
@@ -78,7 +78,7 @@
 }
 
 // start starts or restarts a front end.
-func (f *fleet) start(frontEnd *fleetFront, index int) {
+func (f *fleet) start(frontEnd *fleetFrontEnd, index int) {
 	frontEnd.incarnation++
 	set := f.set
 	set.FrontEndIndex, set.Seed = index, f.rng.Uint64()
@@ -88,7 +88,7 @@
 }
 
 // later schedules a call for a front end unless the front end is restarted before.
-func (frontEnd *fleetFront) later(d time.Duration, do func()) {
+func (frontEnd *fleetFrontEnd) later(d time.Duration, do func()) {
 	incarnation := frontEnd.incarnation
 	frontEnd.after(d, func() {
 		if frontEnd.incarnation == incarnation {
@@ -97,60 +97,60 @@
 	})
 }
 
-func (frontEnd *fleetFront) SetTimer(after time.Duration, token uint64) {
+func (frontEnd *fleetFrontEnd) SetTimer(after time.Duration, token uint64) {
 	frontEnd.later(max(after, frontEnd.set.Resolution), func() { frontEnd.scheduler.TimerFired(frontEnd.now, token) })
 }
 
-func (frontEnd *fleetFront) Send(r RequestID, w WorkerID, _ time.Duration) {
-	q := frontEnd.scheduler.requests[r]
-	key, attempt := replicaKey{w, q.Function}, frontEnd.attempts[r]
-	frontEnd.attempts[r]++
-	if w == frontEnd.coldWorker {
+func (frontEnd *fleetFrontEnd) Send(id RequestID, worker WorkerID, _ time.Duration) {
+	request := frontEnd.scheduler.requests[id]
+	key, attempt := replicaKey{worker, request.Function}, frontEnd.attempts[id]
+	frontEnd.attempts[id]++
+	if worker == frontEnd.coldWorker {
 		frontEnd.sends = append(frontEnd.sends, frontEnd.now)
 	}
-	if w != frontEnd.coldWorker && frontEnd.rng.Float64() < frontEnd.connectFailures {
+	if worker != frontEnd.coldWorker && frontEnd.rng.Float64() < frontEnd.connectFailures {
 		frontEnd.later(connectTimeout, func() {
-			frontEnd.scheduler.AttemptEnded(frontEnd.now, Outcome{Request: r, Attempt: attempt, Worker: w, Status: ConnectFailed, Latency: connectTimeout, QueueDepth: -1})
+			frontEnd.scheduler.AttemptEnded(frontEnd.now, Outcome{Request: id, Attempt: attempt, Worker: worker, Status: ConnectFailed, Latency: connectTimeout, QueueDepth: -1})
 		})
 		return
 	}
 	if _, isLoaded := frontEnd.replicas[key]; !isLoaded {
-		frontEnd.replicas[key] = frontEnd.now + frontEnd.load
+		frontEnd.replicas[key] = frontEnd.now + frontEnd.loadTime
 		frontEnd.loads++
 	}
-	latency := max(0, frontEnd.replicas[key]-frontEnd.now) + time.Duration(frontEnd.rng.ExpFloat64()*float64(frontEnd.run))
+	latency := max(0, frontEnd.replicas[key]-frontEnd.now) + time.Duration(frontEnd.rng.ExpFloat64()*float64(frontEnd.runTime))
 	frontEnd.later(latency, func() {
 		frontEnd.served++
-		frontEnd.scheduler.AttemptEnded(frontEnd.now, Outcome{Request: r, Attempt: attempt, Worker: w, Status: OK, Latency: latency, RequestClosed: true, QueueDepth: -1})
+		frontEnd.scheduler.AttemptEnded(frontEnd.now, Outcome{Request: id, Attempt: attempt, Worker: worker, Status: OK, Latency: latency, RequestClosed: true, QueueDepth: -1})
 	})
 }
 
-func (frontEnd *fleetFront) Load(w WorkerID, fn FunctionID, replicas int) {
+func (frontEnd *fleetFrontEnd) Load(worker WorkerID, function FunctionID, replicas int) {
 	loaded := 0
-	if since, isLoaded := frontEnd.replicas[replicaKey{w, fn}]; isLoaded && since <= frontEnd.now {
+	if since, isLoaded := frontEnd.replicas[replicaKey{worker, function}]; isLoaded && since <= frontEnd.now {
 		loaded = 1
 	}
 	latency := ms
 	if replicas > 0 && loaded == 0 {
-		latency, loaded = frontEnd.load, 1
+		latency, loaded = frontEnd.loadTime, 1
 		frontEnd.loads++
-		frontEnd.replicas[replicaKey{w, fn}] = frontEnd.now + frontEnd.load
+		frontEnd.replicas[replicaKey{worker, function}] = frontEnd.now + frontEnd.loadTime
 	}
 	frontEnd.later(latency, func() {
-		frontEnd.scheduler.LoadEnded(frontEnd.now, LoadResult{Worker: w, Function: fn, Status: OK, Latency: latency, Replicas: loaded})
+		frontEnd.scheduler.LoadEnded(frontEnd.now, LoadResult{Worker: worker, Function: function, Status: OK, Latency: latency, Replicas: loaded})
 	})
 }
 
-func (frontEnd *fleetFront) Reject(RequestID, time.Duration, FinishCause) {}
-func (frontEnd *fleetFront) Fail(RequestID, FinishCause)                  {}
-func (frontEnd *fleetFront) Cancel(RequestID, int)                        {}
-func (frontEnd *fleetFront) Unload(WorkerID, FunctionID)                  {}
-func (frontEnd *fleetFront) CheckHealth(WorkerID)                         {}
-func (frontEnd *fleetFront) WatchEndpoints()                              {}
-func (frontEnd *fleetFront) Log(string)                                   {}
+func (frontEnd *fleetFrontEnd) Reject(RequestID, time.Duration, FinishCause) {}
+func (frontEnd *fleetFrontEnd) Fail(RequestID, FinishCause)                  {}
+func (frontEnd *fleetFrontEnd) Cancel(RequestID, int)                        {}
+func (frontEnd *fleetFrontEnd) Unload(WorkerID, FunctionID)                  {}
+func (frontEnd *fleetFrontEnd) CheckHealth(WorkerID)                         {}
+func (frontEnd *fleetFrontEnd) WatchEndpoints()                              {}
+func (frontEnd *fleetFrontEnd) Log(string)                                   {}
 
 // arrivals generates the front end's share of requests at the given total rate.
-func (frontEnd *fleetFront) arrivals(rate float64) {
+func (frontEnd *fleetFrontEnd) arrivals(rate float64) {
 	var next func()
 	next = func() {
 		frontEnd.nextID++
@@ -171,33 +171,33 @@
 // newFleet starts a fleet with unequal traffic: a tenth of the front ends receives four times the traffic of the
 // others.
 func newFleet(seed uint64, frontEnds, workers, functions int, set Settings) *fleet {
-	f := &fleet{
+	fleet := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Minute, replicas: map[replicaKey]time.Duration{},
-		run: 100 * ms, load: 500 * ms, coldWorker: WorkerID(workers),
+		runTime: 100 * ms, loadTime: 500 * ms, coldWorker: WorkerID(workers),
 	}
-	f.set.FrontEndCount = frontEnds
+	fleet.set.FrontEndCount = frontEnds
 	for i := range workers {
-		f.list = append(f.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
+		fleet.list = append(fleet.list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready, Scale: 1})
 	}
-	f.list[workers-1].State = Removed
+	fleet.list[workers-1].State = Removed
 	totalWeight := 0.0
 	for i := range frontEnds {
-		frontEnd := &fleetFront{fleet: f, trafficWeight: 1}
+		frontEnd := &fleetFrontEnd{fleet: fleet, trafficWeight: 1}
 		if i%10 == 0 {
 			frontEnd.trafficWeight = 4
 		}
 		totalWeight += frontEnd.trafficWeight
-		f.frontEnds = append(f.frontEnds, frontEnd)
+		fleet.frontEnds = append(fleet.frontEnds, frontEnd)
 	}
-	zipf := rand.NewZipf(f.rng, 1.3, 2, uint64(functions-1))
-	f.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
+	zipf := rand.NewZipf(fleet.rng, 1.3, 2, uint64(functions-1))
+	fleet.draw = func() FunctionID { return FunctionID(1000 + zipf.Uint64()) }
 	rate := fleetLoad * requestsPerWorker * float64(workers-1)
-	for i, frontEnd := range f.frontEnds {
+	for i, frontEnd := range fleet.frontEnds {
 		frontEnd.trafficWeight /= totalWeight
-		f.after(time.Duration(i)*set.Resolution, func() { f.start(frontEnd, i) })
-		f.after(time.Second, func() { frontEnd.arrivals(rate) })
+		fleet.after(time.Duration(i)*set.Resolution, func() { fleet.start(frontEnd, i) })
+		fleet.after(time.Second, func() { frontEnd.arrivals(rate) })
 	}
-	return f
+	return fleet
 }
 
 // worstOverload returns the largest excess of sends to the cold worker over the limit in any window, with a
@@ -252,28 +252,28 @@
 		} {
 			t.Run(fmt.Sprintf("%d front ends, %s", size.frontEnds, test.name), func(t *testing.T) {
 				for seed := range size.seeds {
-					f := newFleet(seed, size.frontEnds, size.workers, 400, testSettings())
-					f.advanceTo(f.now + 4*time.Second)
-					began := f.now
-					f.list[size.workers-1].State, f.list[size.workers-1].Started = Ready, began
-					for _, frontEnd := range f.frontEnds {
-						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
+					fleet := newFleet(seed, size.frontEnds, size.workers, 400, testSettings())
+					fleet.advanceTo(fleet.now + 4*time.Second)
+					began := fleet.now
+					fleet.list[size.workers-1].State, fleet.list[size.workers-1].Started = Ready, began
+					for _, frontEnd := range fleet.frontEnds {
+						frontEnd.scheduler.WorkersChanged(fleet.now, fleet.list, true)
 					}
 					if test.newFunctions > 0 {
-						functions := f.functionsPlacedOnColdWorker(test.newFunctions)
-						f.draw = func() FunctionID { return functions[f.rng.IntN(len(functions))] }
+						functions := fleet.functionsPlacedOnColdWorker(test.newFunctions)
+						fleet.draw = func() FunctionID { return functions[fleet.rng.IntN(len(functions))] }
 					}
 					if test.restarts > 0 {
-						f.advanceTo(f.now + test.restarts)
-						for i, frontEnd := range f.frontEnds {
+						fleet.advanceTo(fleet.now + test.restarts)
+						for i, frontEnd := range fleet.frontEnds {
 							if i%10 < 7 {
-								f.start(frontEnd, i)
+								fleet.start(frontEnd, i)
 							}
 						}
 					}
-					f.advanceTo(began + 5*time.Second)
-					excess, text := f.worstOverload(began)
-					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(f.sends), f.served)
+					fleet.advanceTo(began + 5*time.Second)
+					excess, text := fleet.worstOverload(began)
+					t.Logf("seed %d: %s; %d sends, %d served", seed, text, len(fleet.sends), fleet.served)
 					if excess > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
@@ -284,29 +284,29 @@
 }
 
 // TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded verifies the same limit while connections to the other workers
-// time out, so that most workers are ejected at most front ends most of the time, and while half of the workers
-// drain.
+// time out, so that most workers are ejected at most front ends most of the time. In half of the cases, half of the
+// workers drain too.
 func TestFleet_ColdWorkerWhileOthersFail_IsNotOverloaded(t *testing.T) {
 	const workers = 16
 	for _, frontEnds := range []int{1, 3, 6, 30} {
 		for _, half := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d front ends, half drain %t", frontEnds, half), func(t *testing.T) {
 				for seed := range uint64(5) {
-					f := newFleet(seed, frontEnds, workers, 200, testSettings())
-					f.advanceTo(f.now + 4*time.Second)
-					began := f.now
-					f.connectFailures = 0.4
-					f.list[workers-1].State, f.list[workers-1].Started = Ready, began
+					fleet := newFleet(seed, frontEnds, workers, 200, testSettings())
+					fleet.advanceTo(fleet.now + 4*time.Second)
+					began := fleet.now
+					fleet.connectFailures = 0.4
+					fleet.list[workers-1].State, fleet.list[workers-1].Started = Ready, began
 					for i := range workers / 2 {
 						if half {
-							f.list[i].State = Draining
+							fleet.list[i].State = Draining
 						}
 					}
-					for _, frontEnd := range f.frontEnds {
-						frontEnd.scheduler.WorkersChanged(f.now, f.list, true)
+					for _, frontEnd := range fleet.frontEnds {
+						frontEnd.scheduler.WorkersChanged(fleet.now, fleet.list, true)
 					}
-					f.advanceTo(began + 8*time.Second)
-					if excess, text := f.worstOverload(began); excess > 0 {
+					fleet.advanceTo(began + 8*time.Second)
+					if excess, text := fleet.worstOverload(began); excess > 0 {
 						t.Errorf("seed %d: %s", seed, text)
 					}
 				}
@@ -321,20 +321,20 @@
 func TestFleet_NewVersions_CauseNoExcessLoads(t *testing.T) {
 	for _, size := range []struct{ frontEnds, workers int }{{30, 12}, {300, 60}} {
 		t.Run(fmt.Sprint(size.frontEnds, " front ends"), func(t *testing.T) {
-			f := newFleet(1, size.frontEnds, size.workers, 200, testSettings())
-			f.advanceTo(f.now + 8*time.Second)
-			normalLoads := f.loads
-			f.advanceTo(f.now + 3*time.Second)
-			normalLoads = f.loads - normalLoads
-			stale, before := 0, f.loads
-			for key := range f.replicas {
+			fleet := newFleet(1, size.frontEnds, size.workers, 200, testSettings())
+			fleet.advanceTo(fleet.now + 8*time.Second)
+			normalLoads := fleet.loads
+			fleet.advanceTo(fleet.now + 3*time.Second)
+			normalLoads = fleet.loads - normalLoads
+			stale, before := 0, fleet.loads
+			for key := range fleet.replicas {
 				if key.function%10 < 4 {
-					delete(f.replicas, key)
+					delete(fleet.replicas, key)
 					stale++
 				}
 			}
-			f.advanceTo(f.now + 3*time.Second)
-			if got := f.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
+			fleet.advanceTo(fleet.now + 3*time.Second)
+			if got := fleet.loads - before; got < stale/4 || got > stale+stale/4+normalLoads {
 				t.Errorf("%d replicas became stale; %d loads in the next 3 s, %d in the 3 s before", stale, got, normalLoads)
 			}
 		})
--- a/scheduler/function_table.go
+++ b/scheduler/function_table.go
@@ -11,7 +11,7 @@
 // functionTable holds the recently requested functions. Each is either active or idle.
 type functionTable struct {
 	byID   map[FunctionID]*functionRecord
-	active []*functionRecord // referenced now, or were at the last tick; sorted by comparePriority
+	active []*functionRecord // referenced at some time since the last tick; sorted by comparePriority
 	idle   []*functionRecord // known but unreferenced; sorted by last request, oldest first
 	added  uint64            // number of functions ever added
 }
--- a/scheduler/function_table_test.go
+++ b/scheduler/function_table_test.go
@@ -45,7 +45,7 @@
 // TestFunctionTable_RandomRequests_EqualsScan compares the function table with a scan for recurring and one-time
 // functions, and verifies that functions that are no longer requested are dropped.
 func TestFunctionTable_RandomRequests_EqualsScan(t *testing.T) {
-	h := newHarness(t, testSettings(), 6)
+	harness := newHarness(t, testSettings(), 6)
 	rng := rand.New(rand.NewPCG(1, 7))
 	answered := map[RequestID]bool{}
 	for range 2000 {
@@ -53,30 +53,30 @@
 		if rng.IntN(4) == 0 {
 			id = FunctionID(1000 + rng.IntN(1_000_000))
 		}
-		h.request(id, rng.IntN(3))
-		h.answerQueries(WorkerID(1 + rng.IntN(6)))
-		h.answerOrders()
-		for _, request := range slices.Sorted(maps.Keys(h.sentTo)) {
+		harness.request(id, rng.IntN(3))
+		harness.answerQueries(WorkerID(1 + rng.IntN(6)))
+		harness.answerOrders()
+		for _, request := range slices.Sorted(maps.Keys(harness.sentTo)) {
 			if !answered[request] && rng.IntN(3) > 0 {
 				answered[request] = true
-				h.endAttempt(request, OK, WarmStart)
+				harness.endAttempt(request, OK, WarmStart)
 			}
 		}
-		h.advance(time.Duration(rng.IntN(200)) * ms)
-		verifyFunctions(t, h.scheduler)
+		harness.advance(time.Duration(rng.IntN(200)) * ms)
+		verifyFunctions(t, harness.scheduler)
 	}
-	for _, request := range slices.Sorted(maps.Keys(h.sentTo)) {
+	for _, request := range slices.Sorted(maps.Keys(harness.sentTo)) {
 		if !answered[request] {
-			h.endAttempt(request, OK, WarmStart)
+			harness.endAttempt(request, OK, WarmStart)
 		}
 	}
-	for end := h.now + 2*functionIdleTime + h.scheduler.settings.ReplicaIdleTimeout; h.now < end; {
-		h.answerQueries() // answers those still pending when the requests ended
-		h.answerOrders()
-		h.advance(time.Second)
+	for end := harness.now + 2*functionIdleTime + harness.scheduler.settings.ReplicaIdleTimeout; harness.now < end; {
+		harness.answerQueries() // answers those still pending when the requests ended
+		harness.answerOrders()
+		harness.advance(time.Second)
 	}
-	verifyFunctions(t, h.scheduler)
-	if left := len(h.scheduler.functions.byID); left > 0 {
+	verifyFunctions(t, harness.scheduler)
+	if left := len(harness.scheduler.functions.byID); left > 0 {
 		t.Errorf("%d functions are kept long after their last request", left)
 	}
 }
@@ -84,31 +84,31 @@
 // TestFunctionTable_Idle_IsForgottenAfterItsTime verifies that an idle function is kept for functionIdleTime after
 // its last request.
 func TestFunctionTable_Idle_IsForgottenAfterItsTime(t *testing.T) {
-	h := newHarness(t, testSettings(), 2)
-	s := h.scheduler
-	request, requestedAt := h.request(1, 0), h.now
-	h.answerQueries()
-	h.endAttempt(request, OK, WarmStart)
-	for s.functions.byID[1] != nil && h.now < requestedAt+2*functionIdleTime {
-		h.advance(tickInterval)
+	harness := newHarness(t, testSettings(), 2)
+	s := harness.scheduler
+	request, requestedAt := harness.request(1, 0), harness.now
+	harness.answerQueries()
+	harness.endAttempt(request, OK, WarmStart)
+	for s.functions.byID[1] != nil && harness.now < requestedAt+2*functionIdleTime {
+		harness.advance(tickInterval)
 	}
-	if kept := h.now - requestedAt; kept < functionIdleTime || kept > functionIdleTime+2*tickInterval {
+	if kept := harness.now - requestedAt; kept < functionIdleTime || kept > functionIdleTime+2*tickInterval {
 		t.Errorf("function kept for %v, want %v", kept, functionIdleTime)
 	}
 }
 
 // BenchmarkManyFunctions measures single events after 12,000 functions were requested once within two minutes.
 func BenchmarkManyFunctions(b *testing.B) {
-	h := newHarness(&testing.T{}, testSettings(), 3000)
-	s := h.scheduler
+	harness := newHarness(&testing.T{}, testSettings(), 3000)
+	s := harness.scheduler
 	for i := range 12000 {
-		s.trackFunction(FunctionID(i), i%3).lastUsed = h.now
+		s.trackFunction(FunctionID(i), i%3).lastUsed = harness.now
 	}
-	s.TimerFired(h.now, tickTimer) // the functions become idle
+	s.TimerFired(harness.now, tickTimer) // the functions become idle
 	next := FunctionID(1_000_000)
 	for name, event := range map[string]func(){
 		"new function":   func() { next++; s.trackFunction(next, 0); s.expireFunctions() },
-		"tick":           func() { s.TimerFired(h.now, tickTimer) },
+		"tick":           func() { s.TimerFired(harness.now, tickTimer) },
 		"response":       s.dispatchAll,
 		"worker changed": func() { s.dropReplicasOn(s.endpoints.list[5]) },
 	} {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -13,48 +13,48 @@
 // harness reports events to a Scheduler and records its actions. It simulates only the front end; each test supplies
 // the workers' answers.
 type harness struct {
-	t         *testing.T
-	scheduler *Scheduler
-	now       time.Duration
-	actions   []string
-	sentTo    map[RequestID][]WorkerID
-	queries   []replicaKey
-	orders    []replicaKey
-	answers   map[RequestID]string
-	nextID    RequestID
-}
-
-func (h *harness) note(format string, args ...any) {
+	t              *testing.T
+	scheduler      *Scheduler
+	now            time.Duration
+	actions        []string
+	sentTo         map[RequestID][]WorkerID
+	queries        []replicaKey
+	orders         []replicaKey
+	finalResponses map[RequestID]string
+	nextID         RequestID
+}
+
+func (h *harness) record(format string, args ...any) {
 	h.actions = append(h.actions, fmt.Sprintf(format, args...))
 }
 
 func (h *harness) Send(r RequestID, w WorkerID, _ time.Duration) {
 	h.sentTo[r] = append(h.sentTo[r], w)
-	h.note("send %d", r)
+	h.record("send %d", r)
 }
 
 func (h *harness) Reject(r RequestID, _ time.Duration, _ FinishCause) {
-	h.answers[r] = "rejected"
-	h.note("reject %d", r)
+	h.finalResponses[r] = "rejected"
+	h.record("reject %d", r)
 }
 
 func (h *harness) Fail(r RequestID, _ FinishCause) {
-	h.answers[r] = "failed"
-	h.note("fail %d", r)
+	h.finalResponses[r] = "failed"
+	h.record("fail %d", r)
 }
 
-func (h *harness) Cancel(r RequestID, _ int)      { h.note("cancel %d", r) }
-func (h *harness) Unload(WorkerID, FunctionID)    { h.note("unload") }
-func (h *harness) CheckHealth(w WorkerID)         { h.note("check health %d", w) }
+func (h *harness) Cancel(r RequestID, _ int)      { h.record("cancel %d", r) }
+func (h *harness) Unload(WorkerID, FunctionID)    { h.record("unload") }
+func (h *harness) CheckHealth(w WorkerID)         { h.record("check health %d", w) }
 func (h *harness) SetTimer(time.Duration, uint64) {}
-func (h *harness) WatchEndpoints()                { h.note("watch") }
+func (h *harness) WatchEndpoints()                { h.record("watch") }
 func (h *harness) Log(string)                     {}
 func (h *harness) Load(w WorkerID, f FunctionID, replicas int) {
 	if replicas == 0 {
 		h.queries = append(h.queries, replicaKey{w, f})
 	} else {
 		h.orders = append(h.orders, replicaKey{w, f})
-		h.note("load %d", w)
+		h.record("load %d", w)
 	}
 }
 
@@ -73,14 +73,14 @@
 
 // newHarness starts a Scheduler and reports the given number of workers to it.
 func newHarness(t *testing.T, set Settings, workers int) *harness {
-	h := &harness{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, answers: map[RequestID]string{}}
-	h.scheduler = New(h.now, set, h)
+	harness := &harness{t: t, now: time.Minute, sentTo: map[RequestID][]WorkerID{}, finalResponses: map[RequestID]string{}}
+	harness.scheduler = New(harness.now, set, harness)
 	var list []WorkerInfo
 	for i := range workers {
 		list = append(list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % 2, Started: UnknownStart, State: Ready})
 	}
-	h.scheduler.WorkersChanged(h.now, list, true)
-	return h
+	harness.scheduler.WorkersChanged(harness.now, list, true)
+	return harness
 }
 
 func (h *harness) changeWorker(info WorkerInfo) {
--- a/scheduler/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -8,8 +8,15 @@
 	"time"
 )
 
-// invariantChecker reports random legal events to a Scheduler and checks the invariants on every action. It does not
-// model workers: outcomes are drawn at random from those that the protocols allow.
+// invariantChecker reports random legal events to a Scheduler and checks the following invariants on every action. It
+// does not model workers: outcomes are drawn at random from those that the protocols allow.
+//
+//   - one final response: each request gets exactly one final response, in time, and is not sent afterwards.
+//   - safe retries: no retry or rejection makes a request execute twice that must not.
+//   - worker state: only workers that are ready are sent requests and load orders.
+//   - slow start: a worker in slow start is not overloaded.
+//   - load rate limit: load orders stay within their limit.
+//   - attempt limit: no request has more than Settings.MaxAttempts attempts.
 type invariantChecker struct {
 	t             *testing.T
 	set           Settings
@@ -44,82 +51,82 @@
 	mayHaveExecuted bool
 	firstSentAt     time.Duration
 	firstWorker     WorkerInfo
-	answered        bool
+	closed          bool
 }
 
 func (c *invariantChecker) violate(rule string, format string, args ...any) {
 	c.t.Fatalf("%s at %v: %s", rule, c.now, fmt.Sprintf(format, args...))
 }
 
-func (c *invariantChecker) note(format string, args ...any) {
+func (c *invariantChecker) record(format string, args ...any) {
 	c.trace = append(c.trace, fmt.Sprintf(format, args...))
 }
 
-func (c *invariantChecker) Send(id RequestID, w WorkerID, _ time.Duration) {
-	c.note("send %d %d", id, w)
-	r, info := c.open[id], c.workers[w]
+func (c *invariantChecker) Send(id RequestID, worker WorkerID, _ time.Duration) {
+	c.record("send %d %d", id, worker)
+	request, info := c.open[id], c.workers[worker]
 	switch {
-	case r == nil || r.answered:
+	case request == nil || request.closed:
 		c.violate("one final response", "request %d sent after its final response", id)
-	case r.worker != 0:
+	case request.worker != 0:
 		c.violate("safe retries", "request %d has two attempts in flight", id)
-	case r.attempts >= c.set.MaxAttempts:
-		c.violate("attempt limit", "attempt %d of request %d", r.attempts+1, id)
+	case request.attempts >= c.set.MaxAttempts:
+		c.violate("attempt limit", "attempt %d of request %d", request.attempts+1, id)
 	case info.State != Ready:
-		c.violate("worker state", "request %d sent to worker %d in state %d", id, w, info.State)
-	case r.mayHaveExecuted && r.class.Idempotency == NonIdempotent:
+		c.violate("worker state", "request %d sent to worker %d in state %d", id, worker, info.State)
+	case request.mayHaveExecuted && request.class.Idempotency == NonIdempotent:
 		c.violate("safe retries", "non-idempotent request %d sent again", id)
-	case r.mayHaveExecuted && r.class.Idempotency == IdempotentByKey:
-		same := r.class.KeyScope == ScopeAll || r.class.KeyScope == ScopeZone && info.Zone == r.firstWorker.Zone ||
-			r.class.KeyScope == ScopeCell && info.Cell == r.firstWorker.Cell
-		if !same || c.now-r.firstSentAt > r.class.KeyRetention {
+	case request.mayHaveExecuted && request.class.Idempotency == IdempotentByKey:
+		same := request.class.KeyScope == ScopeAll || request.class.KeyScope == ScopeZone && info.Zone == request.firstWorker.Zone ||
+			request.class.KeyScope == ScopeCell && info.Cell == request.firstWorker.Cell
+		if !same || c.now-request.firstSentAt > request.class.KeyRetention {
 			c.violate("safe retries", "request %d with an idempotency key sent outside its key scope or past its key retention", id)
 		}
 	}
 	if age := c.now - info.Started; info.Started != UnknownStart && age < c.set.SlowStartDuration {
-		// At most one response per millisecond arrives in this test, far less than this fraction of one worker's
-		// capacity.
+		// The limit assumes a capacity of 1000 requests per second for all workers together. Only about 200 requests
+		// per second arrive in this test, so that the capacity estimated from responses stays below it.
 		part := c.set.SlowStartFraction + (1-c.set.SlowStartFraction)*float64(age)/float64(c.set.SlowStartDuration)
 		limit := max(1, c.set.OverloadFactor*part*1000*c.set.OverloadWindow.Seconds()/float64(len(c.ids)))
-		c.sends[w] = append(dropBefore(c.sends[w], c.now-c.set.OverloadWindow), c.now)
-		if float64(len(c.sends[w])) > limit {
-			c.violate("slow start", "%d requests to a cold worker, want at most %.0f", len(c.sends[w]), limit)
+		c.sends[worker] = append(dropBefore(c.sends[worker], c.now-c.set.OverloadWindow), c.now)
+		if float64(len(c.sends[worker])) > limit {
+			c.violate("slow start", "%d requests to a cold worker, want at most %.0f", len(c.sends[worker]), limit)
 		}
 	}
-	r.attempts++
-	r.worker, r.sentAt = w, c.now
+	request.attempts++
+	request.worker, request.sentAt = worker, c.now
 }
 
-func (c *invariantChecker) answer(id RequestID, rejected bool) {
-	r := c.open[id]
+func (c *invariantChecker) recordFinalResponse(id RequestID, rejected bool) {
+	request := c.open[id]
 	switch {
-	case r == nil || r.answered:
+	case request == nil || request.closed:
 		c.violate("one final response", "second final response for request %d", id)
-	case c.now > r.deadline+8*ms:
-		c.violate("one final response", "final response for request %d is %v late", id, c.now-r.deadline)
-	case rejected && r.mayHaveExecuted && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != ScopeAll):
+	case c.now > request.deadline+8*ms:
+		c.violate("one final response", "final response for request %d is %v late", id, c.now-request.deadline)
+	case rejected && request.mayHaveExecuted && (request.class.Idempotency == NonIdempotent || request.class.Idempotency == IdempotentByKey && request.class.KeyScope != ScopeAll):
 		c.violate("safe retries", "request %d rejected though it may have executed", id)
-	case rejected && r.worker != 0 && r.class.Idempotency != Idempotent:
+	case rejected && request.worker != 0 && request.class.Idempotency != Idempotent:
 		c.violate("safe retries", "request %d rejected with an attempt in flight", id)
 	}
-	r.answered = true
+	request.closed = true
 }
 
 func (c *invariantChecker) Reject(id RequestID, _ time.Duration, _ FinishCause) {
-	c.note("reject %d", id)
-	c.answer(id, true)
+	c.record("reject %d", id)
+	c.recordFinalResponse(id, true)
 }
 
 func (c *invariantChecker) Fail(id RequestID, _ FinishCause) {
-	c.note("fail %d", id)
-	c.answer(id, false)
+	c.record("fail %d", id)
+	c.recordFinalResponse(id, false)
 }
 
-func (c *invariantChecker) Load(w WorkerID, fn FunctionID, replicas int) {
-	c.note("load %d %d %d", w, fn, replicas)
+func (c *invariantChecker) Load(worker WorkerID, function FunctionID, replicas int) {
+	c.record("load %d %d %d", worker, function, replicas)
 	if replicas > 0 {
-		if c.workers[w].State != Ready {
-			c.violate("worker state", "load order to worker %d in state %d", w, c.workers[w].State)
+		if c.workers[worker].State != Ready {
+			c.violate("worker state", "load order to worker %d in state %d", worker, c.workers[worker].State)
 		}
 		from := c.now - c.set.LoadRateWindow
 		c.loads, c.received = append(dropBefore(c.loads, from), c.now), dropBefore(c.received, from)
@@ -127,31 +134,31 @@
 			c.violate("load rate limit", "%d load orders in the window, want at most %.1f", len(c.loads), limit)
 		}
 	}
-	c.pendingLoads, c.pendingCounts = append(c.pendingLoads, replicaKey{w, fn}), append(c.pendingCounts, replicas)
+	c.pendingLoads, c.pendingCounts = append(c.pendingLoads, replicaKey{worker, function}), append(c.pendingCounts, replicas)
 }
 
-func (c *invariantChecker) Cancel(id RequestID, attempt int) { c.note("cancel %d %d", id, attempt) }
-func (c *invariantChecker) Unload(w WorkerID, fn FunctionID) { c.note("unload %d %d", w, fn) }
-func (c *invariantChecker) CheckHealth(w WorkerID)           { c.note("check health %d", w) }
-func (c *invariantChecker) WatchEndpoints()                  { c.note("watch") }
+func (c *invariantChecker) Cancel(id RequestID, attempt int) { c.record("cancel %d %d", id, attempt) }
+func (c *invariantChecker) Unload(w WorkerID, fn FunctionID) { c.record("unload %d %d", w, fn) }
+func (c *invariantChecker) CheckHealth(w WorkerID)           { c.record("check health %d", w) }
+func (c *invariantChecker) WatchEndpoints()                  { c.record("watch") }
 func (c *invariantChecker) Log(string)                       {}
 func (c *invariantChecker) SetTimer(after time.Duration, token uint64) {
 	c.timers = append(c.timers, pendingTimer{c.now + max(after, ms), token})
 }
 
 func (c *invariantChecker) changeRandomWorker() {
-	w := c.workers[c.ids[c.rng.IntN(len(c.ids))]]
+	worker := c.workers[c.ids[c.rng.IntN(len(c.ids))]]
 	switch c.rng.IntN(4) {
 	case 0:
-		w.State = Draining
+		worker.State = Draining
 	case 1:
-		w.State = Removed
+		worker.State = Removed
 	default:
-		w.State = Ready
-		w.Started = c.now - time.Duration(c.rng.IntN(3000))*ms
+		worker.State = Ready
+		worker.Started = c.now - time.Duration(c.rng.IntN(3000))*ms
 	}
-	c.workers[w.ID] = w
-	c.scheduler.WorkersChanged(c.now, []WorkerInfo{w}, false)
+	c.workers[worker.ID] = worker
+	c.scheduler.WorkersChanged(c.now, []WorkerInfo{worker}, false)
 }
 
 func (c *invariantChecker) receiveRequest() {
@@ -168,22 +175,22 @@
 }
 
 func (c *invariantChecker) endAttempt(id RequestID, status Status) {
-	r := c.open[id]
+	request := c.open[id]
 	if status == Error || status == Timeout || status == Reset || status == Cancelled {
-		if !r.mayHaveExecuted {
-			r.mayHaveExecuted, r.firstSentAt, r.firstWorker = true, r.sentAt, c.workers[r.worker]
+		if !request.mayHaveExecuted {
+			request.mayHaveExecuted, request.firstSentAt, request.firstWorker = true, request.sentAt, c.workers[request.worker]
 		}
 	}
-	o := Outcome{
-		Request: id, Attempt: r.attempts - 1, Worker: r.worker, Status: status, Latency: c.now - r.sentAt,
+	outcome := Outcome{
+		Request: id, Attempt: request.attempts - 1, Worker: request.worker, Status: status, Latency: c.now - request.sentAt,
 		ColdStart: ColdStart(c.rng.IntN(4)), QueueDepth: c.rng.IntN(5),
 	}
-	r.worker = 0
+	request.worker = 0
 	if status == OK {
-		r.answered = true
+		request.closed = true
 	}
-	o.RequestClosed = r.answered
-	c.scheduler.AttemptEnded(c.now, o)
+	outcome.RequestClosed = request.closed
+	c.scheduler.AttemptEnded(c.now, outcome)
 }
 
 // step advances time by a millisecond, fires the timers that are due and generates random events.
@@ -210,20 +217,20 @@
 	}
 	var remaining []RequestID
 	for _, id := range c.order {
-		r := c.open[id]
+		request := c.open[id]
 		switch {
-		case r.worker != 0 && c.now >= r.deadline:
+		case request.worker != 0 && c.now >= request.deadline:
 			c.endAttempt(id, Timeout)
-		case r.worker != 0 && c.rng.IntN(150) == 0:
+		case request.worker != 0 && c.rng.IntN(150) == 0:
 			c.endAttempt(id, []Status{OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, Cancelled, NotLoaded}[c.rng.IntN(9)])
-		case !r.answered && r.worker == 0 && c.rng.IntN(2000) == 0:
-			r.answered = true
+		case !request.closed && request.worker == 0 && c.rng.IntN(2000) == 0:
+			request.closed = true
 			c.scheduler.ClientDisconnected(c.now, id)
 		}
-		if !r.answered && c.now > r.deadline+8*ms {
+		if !request.closed && c.now > request.deadline+8*ms {
 			c.violate("one final response", "no final response for request %d", id)
 		}
-		if !r.answered || r.worker != 0 {
+		if !request.closed || request.worker != 0 {
 			remaining = append(remaining, id)
 		} else {
 			delete(c.open, id)
@@ -233,18 +240,18 @@
 }
 
 func newInvariantChecker(t *testing.T, seed uint64, set Settings) *invariantChecker {
-	c := &invariantChecker{
+	checker := &invariantChecker{
 		t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), workers: map[WorkerID]WorkerInfo{},
 		open: map[RequestID]*trackedRequest{}, sends: map[WorkerID][]time.Duration{}, now: time.Hour,
 	}
-	c.scheduler = New(c.now, set, c)
+	checker.scheduler = New(checker.now, set, checker)
 	var list []WorkerInfo
 	for i := range 6 {
 		w := WorkerInfo{ID: WorkerID(i + 1), Zone: i % 2, Cell: i % 3, Started: UnknownStart, State: Ready}
-		c.workers[w.ID], c.ids, list = w, append(c.ids, w.ID), append(list, w)
+		checker.workers[w.ID], checker.ids, list = w, append(checker.ids, w.ID), append(list, w)
 	}
-	c.scheduler.WorkersChanged(c.now, list, true)
-	return c
+	checker.scheduler.WorkersChanged(checker.now, list, true)
+	return checker
 }
 
 func invariantSettings(seed uint64) Settings {
@@ -261,12 +268,12 @@
 func TestInvariants_RandomEvents_Hold(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			c := newInvariantChecker(t, seed, invariantSettings(seed))
+			checker := newInvariantChecker(t, seed, invariantSettings(seed))
 			for range 20000 {
-				c.step()
+				checker.step()
 			}
-			if len(c.trace) < 1000 {
-				t.Errorf("only %d actions recorded, want at least 1000", len(c.trace))
+			if len(checker.trace) < 1000 {
+				t.Errorf("only %d actions recorded, want at least 1000", len(checker.trace))
 			}
 		})
 	}
--- a/scheduler/load_rate.go
+++ b/scheduler/load_rate.go
@@ -9,7 +9,7 @@
 		return true
 	}
 	windowStart := now - settings.LoadRateWindow
-	margin := max(tickInterval, settings.Resolution) // an observer may see the window's edges shifted
+	margin := max(tickInterval, settings.Resolution) // whoever checks the limit may shift the window
 	l.orderTimes = dropBefore(l.orderTimes, windowStart-margin)
 	l.requestTimes = dropBefore(l.requestTimes, windowStart+margin)
 	allowed := settings.LoadRateBurst + settings.LoadRatePerRequest*float64(len(l.requestTimes))
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -65,13 +65,13 @@
 func (s *Scheduler) recordOverload(request *requestRecord, replica *replicaRecord, outcome *Outcome) {
 	worker, function := replica.worker, request.function
 	hasSlot := s.settings.ReportsQueueDepth && outcome.QueueDepth < function.concurrency
-	if request.triggeredLoad || hasSlot { // no replica is loaded, and memory is short
+	if request.triggeredLoad || hasSlot { // no replica is loaded, and memory is too short for one
 		worker.noLoadsUntil = s.now + freshnessWindow
 		function.dropReplica(replica)
 		return
 	}
 	s.decreaseLimit(worker)
-	delay := 2 * (s.loadCost(function) + s.expectedRunTime(function)) // a load elsewhere is faster
+	delay := 2 * (s.loadCost(function) + s.expectedRunTime(function)) // so long that a load is faster
 	s.delay.set(worker, s.now, float64(delay))
 }
 
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	ejectionThreshold      = 0.3                    // share of recent failed attempts that ejects a worker
+	ejectionThreshold      = 0.3                    // failure share of recent attempts that ejects a worker
 	failureWeight          = 0.2                    // weight of one attempt in the failure share
-	probationSuccessFactor = 0.6                    // extra factor for a success while ejected
+	probationSuccessFactor = 0.6                    // extra failure share factor for a success while ejected
 	minEjectedFailureShare = 0.5                    // lowest failure share after an ejection
 	minEjectionTime        = 500 * time.Millisecond // first ejection period; doubles with each failure
 	maxEjectionTime        = 16 * time.Second
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -10,7 +10,7 @@
 
 const (
 	demandMemory     = 10 * time.Second // time constant of the demand estimates
-	demandSmoothing  = 10               // runs added to the total demand, for shares of few requests
+	demandSmoothing  = 10               // runs added to the total, so that few requests are a small share
 	placementSpread  = 3.0              // replicas for each worker that the function's demand would fill
 	rendezvousStep   = 32               // constant number of workers ranked beyond those needed
 	rendezvousMargin = 2                // a further worker is ranked per rendezvousMargin needed
--- a/scheduler/queue_delay.go
+++ b/scheduler/queue_delay.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	initialLimit            = 12.0                   // requests of this front end at a new worker
+	initialLimit            = 12.0                   // concurrency limit of a worker before any response
 	limitDecrease           = 0.9                    // factor on the limit after a slow run or rejection
 	limitDecreaseInterval   = 100 * time.Millisecond // minimum time between two decreases of a limit
 	slowDelayRuns           = 2.5                    // queue delay of a slow worker, in unloaded run times
--- a/scheduler/queue_delay_test.go
+++ b/scheduler/queue_delay_test.go
@@ -7,53 +7,53 @@
 )
 
 func TestConcurrencyLimit_OverloadedWorker_IsDecreased(t *testing.T) {
-	h := newHarness(t, testSettings(), 1)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
+	harness := newHarness(t, testSettings(), 1)
+	worker := harness.scheduler.endpoints.byID[harness.warm(7)]
 	before := worker.concurrencyLimit
-	h.request(7, 0)
-	h.now += 200 * ms
-	h.endAttempt(h.nextID, Overloaded, ColdStartUnknown)
+	harness.request(7, 0)
+	harness.now += 200 * ms
+	harness.endAttempt(harness.nextID, Overloaded, ColdStartUnknown)
 	if worker.concurrencyLimit >= before {
 		t.Errorf("the concurrency limit is %.1f after a rejection as overloaded, %.1f before", worker.concurrencyLimit, before)
 	}
 }
 
 func TestUnloadedRunTime_OverloadOfAllWorkers_RisesSlowly(t *testing.T) {
-	h := newHarness(t, testSettings(), 2)
-	h.warm(7)
-	before := h.scheduler.unloadedRunTime(0)
+	harness := newHarness(t, testSettings(), 2)
+	harness.warm(7)
+	before := harness.scheduler.unloadedRunTime(0)
 	for range 10 {
-		r := h.request(7, 0)
-		h.advance(time.Second)
-		h.endAttempt(r, OK, WarmStart)
-		h.answerQueries()
-		for _, worker := range h.scheduler.endpoints.list {
-			h.clearQueueDelay(worker) // as if it had decayed before the next request
+		r := harness.request(7, 0)
+		harness.advance(time.Second)
+		harness.endAttempt(r, OK, WarmStart)
+		harness.answerQueries()
+		for _, worker := range harness.scheduler.endpoints.list {
+			harness.clearQueueDelay(worker) // as if it had decayed before the next request
 		}
 	}
-	if now := h.scheduler.unloadedRunTime(0); now > before+before/2 {
+	if now := harness.scheduler.unloadedRunTime(0); now > before+before/2 {
 		t.Errorf("the unloaded run time rose from %v to %v while all workers were slow", before, now)
 	}
 }
 
 func TestContactedDelay_LatestContacted_ShowOverload(t *testing.T) {
-	h := newHarness(t, testSettings(), 60)
-	for i, worker := range slices.Backward(h.scheduler.endpoints.list) {
-		contactedAt, delay := h.now-5*time.Second, float64(ms)
+	harness := newHarness(t, testSettings(), 60)
+	for i, worker := range slices.Backward(harness.scheduler.endpoints.list) {
+		contactedAt, delay := harness.now-5*time.Second, float64(ms)
 		if i < contactedSampleLimit {
-			contactedAt, delay = h.now-1500*ms, float64(2*time.Second)
+			contactedAt, delay = harness.now-1500*ms, float64(2*time.Second)
 		}
-		h.scheduler.delay.set(worker, contactedAt, delay)
+		harness.scheduler.delay.set(worker, contactedAt, delay)
 	}
-	if now := h.scheduler.contactedDelay(); now < float64(time.Second) {
+	if now := harness.scheduler.contactedDelay(); now < float64(time.Second) {
 		t.Errorf("the contacted delay is %v, want about 2s, the delay of the latest contacted workers", time.Duration(now))
 	}
 }
 
 func TestQueueDelay_OverloadedResponse_CountsAsLongDelay(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
-	h.endAttemptWithQueueDepth(h.request(7, 0), Overloaded, 20)
+	harness := newHarness(t, testSettings(), 4)
+	worker := harness.scheduler.endpoints.byID[harness.warm(7)]
+	harness.endAttemptWithQueueDepth(harness.request(7, 0), Overloaded, 20)
 	if worker.queueDelay.observed < float64(time.Second) {
 		t.Errorf("the observed queue delay is %v after a rejection as overloaded, want at least 1s", time.Duration(worker.queueDelay.observed))
 	}
@@ -62,16 +62,16 @@
 // TestContactedDelay_LongRun_IsNoQueueDelay verifies that a long run does not count as a queue delay: of several
 // requests in flight at a worker, the oldest has always been in flight for long.
 func TestContactedDelay_LongRun_IsNoQueueDelay(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
-	for _, other := range h.scheduler.endpoints.list {
-		h.setQueueDelay(other, 0)
+	harness := newHarness(t, testSettings(), 4)
+	worker := harness.scheduler.endpoints.byID[harness.warm(7)]
+	for _, other := range harness.scheduler.endpoints.list {
+		harness.setQueueDelay(other, 0)
 	}
-	if r := h.request(7, 0); h.workerOf(r) != worker.ID {
-		t.Fatalf("the request was sent to worker %d, want %d, where a replica is loaded", h.workerOf(r), worker.ID)
+	if r := harness.request(7, 0); harness.workerOf(r) != worker.ID {
+		t.Fatalf("the request was sent to worker %d, want %d, where a replica is loaded", harness.workerOf(r), worker.ID)
 	}
-	h.advance(responseTimeoutFloor)
-	if now := h.scheduler.contactedDelay(); now > 0 {
+	harness.advance(responseTimeoutFloor)
+	if now := harness.scheduler.contactedDelay(); now > 0 {
 		t.Errorf("a request in flight for %v produced a queue delay of %v, want 0", responseTimeoutFloor, time.Duration(now))
 	}
 }
@@ -79,28 +79,28 @@
 // TestQueueDelay_FrequentContacts_ShortenMemory verifies that a front end with many requests for few workers does not
 // avoid a worker for long after its queue delay has ended.
 func TestQueueDelay_FrequentContacts_ShortenMemory(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	h.warm(7)
-	h.advance(tickInterval)
-	rarelyContacted := h.scheduler.delay.memory
+	harness := newHarness(t, testSettings(), 4)
+	harness.warm(7)
+	harness.advance(tickInterval)
+	rarelyContacted := harness.scheduler.delay.memory
 	for range 400 {
-		h.endAttempt(h.request(7, 0), OK, WarmStart)
-		h.advance(tickInterval)
+		harness.endAttempt(harness.request(7, 0), OK, WarmStart)
+		harness.advance(tickInterval)
 	}
-	if frequentlyContacted := h.scheduler.delay.memory; rarelyContacted != maxDelayMemory || frequentlyContacted > maxDelayMemory/4 || frequentlyContacted < minDelayMemory {
+	if frequentlyContacted := harness.scheduler.delay.memory; rarelyContacted != maxDelayMemory || frequentlyContacted > maxDelayMemory/4 || frequentlyContacted < minDelayMemory {
 		t.Errorf("the memory of queue delays is %v with few requests, %v with many", rarelyContacted, frequentlyContacted)
 	}
 }
 
 func TestQueueDelay_OldObservation_Decays(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	worker := h.scheduler.endpoints.byID[h.warm(7)]
-	r := h.request(7, 0)
-	h.advance(2500 * ms)
-	h.endAttempt(r, OK, WarmStart)
-	before := h.scheduler.queueDelay(worker)
-	h.advance(2 * maxDelayMemory)
-	if after := h.scheduler.queueDelay(worker); before < time.Second || after > before/4 {
+	harness := newHarness(t, testSettings(), 4)
+	worker := harness.scheduler.endpoints.byID[harness.warm(7)]
+	r := harness.request(7, 0)
+	harness.advance(2500 * ms)
+	harness.endAttempt(r, OK, WarmStart)
+	before := harness.scheduler.queueDelay(worker)
+	harness.advance(2 * maxDelayMemory)
+	if after := harness.scheduler.queueDelay(worker); before < time.Second || after > before/4 {
 		t.Errorf("a queue delay of %v decayed to %v in %v", before, after, 2*maxDelayMemory)
 	}
 }
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -14,14 +14,14 @@
 	attempts        int
 	replica         *replicaRecord // replica of the attempt in flight; nil while queued
 	sentAt          time.Duration
-	queuedBehindOwn bool // sent while this front end's requests used the replica's whole concurrency
-	triggeredLoad   bool // sent to a replica that was not known to be loaded
-	mayHaveExecuted bool // an earlier attempt may have executed
-	firstSentAt     time.Duration
-	firstWorker     WorkerInfo // worker of that attempt, which determines the idempotency key's scope
-	closed          bool       // no response is owed any longer
-	streamed        bool       // the response has begun
-	overQuota       bool       // over the quota of its tenant
+	queuedBehindOwn bool          // sent while this front end's requests used the replica's whole concurrency
+	triggeredLoad   bool          // sent to a replica that was not known to be loaded
+	mayHaveExecuted bool          // an earlier attempt may have executed
+	firstSentAt     time.Duration // send time of the first attempt that may have executed
+	firstWorker     WorkerInfo    // worker of the first attempt that may have executed, for the scope of its idempotency key
+	closed          bool          // no response is owed any longer
+	streamed        bool          // the response has begun
+	overQuota       bool          // over the quota of its tenant
 }
 
 // queueRank is the rank of a queued request; lower ranks are sent first.
--- a/scheduler/residency.go
+++ b/scheduler/residency.go
@@ -32,7 +32,7 @@
 // is called when no replica is known to be warm, or when queue delays at the warm ones call for another load;
 // a query costs milliseconds, a load hundreds. It queries the first workers in placement order and reports
 // whether to wait for their answers. A lagging front end sends no queries: each may cost it a new connection,
-// and it would load the function at the worker where the other front ends load it first.
+// and without them it loads the function at the worker that the other front ends try first too.
 func (s *Scheduler) queryResidency(function *functionRecord) bool {
 	if s.stall.isLagging(s.now) {
 		return s.awaitsResidency(function)
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -21,19 +21,19 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			h := newHarness(t, testSettings(), 4)
-			h.warm(7)
-			r := h.request(7, test.class)
-			first := h.workerOf(r)
-			h.now += 50 * ms
-			h.endAttempt(r, test.status, ColdStartUnknown)
-			h.answerQueries()
-			h.answerQueries()
-			h.advance(300 * ms)
-			if h.answers[r] != test.want {
-				t.Errorf("final response %q, want %q", h.answers[r], test.want)
+			harness := newHarness(t, testSettings(), 4)
+			harness.warm(7)
+			r := harness.request(7, test.class)
+			first := harness.workerOf(r)
+			harness.now += 50 * ms
+			harness.endAttempt(r, test.status, ColdStartUnknown)
+			harness.answerQueries()
+			harness.answerQueries()
+			harness.advance(300 * ms)
+			if harness.finalResponses[r] != test.want {
+				t.Errorf("final response %q, want %q", harness.finalResponses[r], test.want)
 			}
-			if again := h.sentTo[r][1:]; test.class == 1 && len(again) > 0 && (again[0]-first)%2 != 0 {
+			if again := harness.sentTo[r][1:]; test.class == 1 && len(again) > 0 && (again[0]-first)%2 != 0 {
 				t.Errorf("a request with an idempotency key was retried from worker %d to %d, outside its key scope", first, again[0])
 			}
 		})
@@ -41,14 +41,14 @@
 }
 
 func TestRetry_KeyRetentionPassed_Fails(t *testing.T) {
-	h := newHarness(t, testSettings(), 2) // one worker per cell
-	h.warm(7)
-	r := h.request(7, 1)
-	h.changeWorker(WorkerInfo{ID: h.workerOf(r), Cell: int(h.workerOf(r)+1) % 2, Started: UnknownStart, State: Draining})
-	h.endAttempt(r, Error, ColdStartUnknown)
-	h.advance(1100 * ms)
-	if h.answers[r] != "failed" || len(h.sentTo[r]) != 1 {
-		t.Errorf("final response %q after %d attempts, want failed after 1", h.answers[r], len(h.sentTo[r]))
+	harness := newHarness(t, testSettings(), 2) // one worker per cell
+	harness.warm(7)
+	r := harness.request(7, 1)
+	harness.changeWorker(WorkerInfo{ID: harness.workerOf(r), Cell: int(harness.workerOf(r)+1) % 2, Started: UnknownStart, State: Draining})
+	harness.endAttempt(r, Error, ColdStartUnknown)
+	harness.advance(1100 * ms)
+	if harness.finalResponses[r] != "failed" || len(harness.sentTo[r]) != 1 {
+		t.Errorf("final response %q after %d attempts, want failed after 1", harness.finalResponses[r], len(harness.sentTo[r]))
 	}
 }
 
@@ -63,24 +63,24 @@
 	longest := set.MaxRetryAfter + class.Timeout
 	for retention, want := range map[time.Duration]string{longest + 200*ms: "rejected", longest + 50*ms: "failed", time.Second: "failed"} {
 		class.KeyRetention = retention
-		h := newHarness(t, set, 2)
-		h.warm(7)
-		r := h.request(7, 1)
-		h.advance(100 * ms)
-		h.endAttempt(r, Error, ColdStartUnknown)
-		if h.answers[r] != want {
-			t.Errorf("key retention %v: %s, want %s", retention, h.answers[r], want)
+		harness := newHarness(t, set, 2)
+		harness.warm(7)
+		r := harness.request(7, 1)
+		harness.advance(100 * ms)
+		harness.endAttempt(r, Error, ColdStartUnknown)
+		if harness.finalResponses[r] != want {
+			t.Errorf("key retention %v: %s, want %s", retention, harness.finalResponses[r], want)
 		}
 	}
 }
 
 func TestRetry_OverloadedWorker_GoesElsewhere(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	w := h.warm(7)
-	r := h.request(7, 0)
-	h.endAttemptWithQueueDepth(r, Overloaded, 20)
-	h.answerQueries()
-	if sent := h.sentTo[r]; len(sent) != 2 || sent[1] == w {
+	harness := newHarness(t, testSettings(), 4)
+	w := harness.warm(7)
+	r := harness.request(7, 0)
+	harness.endAttemptWithQueueDepth(r, Overloaded, 20)
+	harness.answerQueries()
+	if sent := harness.sentTo[r]; len(sent) != 2 || sent[1] == w {
 		t.Errorf("a request rejected as overloaded by worker %d was sent to %v, want one retry elsewhere", w, sent)
 	}
 }
@@ -89,20 +89,20 @@
 	for _, mayCancel := range []bool{true, false} {
 		set := testSettings()
 		set.CancelAllowed = mayCancel
-		h := newHarness(t, set, 1)
-		h.warm(7)
-		r := h.request(7, 0)
-		h.scheduler.ClientDisconnected(h.now, r)
-		if cancelled := h.count("cancel") == 1; cancelled != mayCancel {
+		harness := newHarness(t, set, 1)
+		harness.warm(7)
+		request := harness.request(7, 0)
+		harness.scheduler.ClientDisconnected(harness.now, request)
+		if cancelled := harness.count("cancel") == 1; cancelled != mayCancel {
 			t.Errorf("cancelled after the client disconnected: %v, want %v", cancelled, mayCancel)
 		}
-		h.advance(time.Second)
-		h.endAttempt(r, Cancelled, ColdStartUnknown)
-		if worker := h.scheduler.endpoints.byID[h.workerOf(r)]; h.scheduler.queueDelay(worker) < 400*ms {
-			t.Errorf("the queue delay is %v after an attempt was cancelled after 1s, want at least 400ms", h.scheduler.queueDelay(worker))
+		harness.advance(time.Second)
+		harness.endAttempt(request, Cancelled, ColdStartUnknown)
+		if worker := harness.scheduler.endpoints.byID[harness.workerOf(request)]; harness.scheduler.queueDelay(worker) < 400*ms {
+			t.Errorf("the queue delay is %v after an attempt was cancelled after 1s, want at least 400ms", harness.scheduler.queueDelay(worker))
 		}
-		if h.answers[r] != "" || len(h.sentTo[r]) != 1 {
-			t.Errorf("a request of a disconnected client got response %q after %d attempts, want none after 1", h.answers[r], len(h.sentTo[r]))
+		if harness.finalResponses[request] != "" || len(harness.sentTo[request]) != 1 {
+			t.Errorf("a request of a disconnected client got response %q after %d attempts, want none after 1", harness.finalResponses[request], len(harness.sentTo[request]))
 		}
 	}
 }
@@ -113,22 +113,22 @@
 	for name, cells := range map[string]int{"small cells": 150, "large cells": 2} {
 		t.Run(name, func(t *testing.T) {
 			const workers = 4 * placementSearch
-			h := newHarness(t, testSettings(), 0)
+			harness := newHarness(t, testSettings(), 0)
 			var list []WorkerInfo
 			for i := range workers {
 				list = append(list, WorkerInfo{ID: WorkerID(i + 1), Cell: i % cells, Started: UnknownStart, State: Ready})
 			}
-			h.scheduler.WorkersChanged(h.now, list, true)
-			r := h.request(7, 1)
-			h.answerQueries()
-			first := h.workerOf(r)
-			h.advance(20 * ms)
-			h.changeWorker(WorkerInfo{ID: first, Cell: (int(first) - 1) % cells, Started: UnknownStart, State: Draining})
-			h.endAttempt(r, Reset, ColdStartUnknown)
-			h.answerQueries()
-			second := h.workerOf(r)
-			if len(h.sentTo[r]) != 2 || first == second || (int(first)-1)%cells != (int(second)-1)%cells {
-				t.Errorf("sent to workers %v, want a second worker in the cell of the first", h.sentTo[r])
+			harness.scheduler.WorkersChanged(harness.now, list, true)
+			r := harness.request(7, 1)
+			harness.answerQueries()
+			first := harness.workerOf(r)
+			harness.advance(20 * ms)
+			harness.changeWorker(WorkerInfo{ID: first, Cell: (int(first) - 1) % cells, Started: UnknownStart, State: Draining})
+			harness.endAttempt(r, Reset, ColdStartUnknown)
+			harness.answerQueries()
+			second := harness.workerOf(r)
+			if len(harness.sentTo[r]) != 2 || first == second || (int(first)-1)%cells != (int(second)-1)%cells {
+				t.Errorf("sent to workers %v, want a second worker in the cell of the first", harness.sentTo[r])
 			}
 		})
 	}
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -14,15 +14,15 @@
 		for seed := range uint64(400) { // each seed is one of 400 front ends
 			set := testSettings()
 			set.Seed, set.FrontEndCount = seed, frontEnds
-			h := newHarness(t, set, 1)
-			h.changeWorker(WorkerInfo{ID: 1, Started: h.now, State: Ready})
+			harness := newHarness(t, set, 1)
+			harness.changeWorker(WorkerInfo{ID: 1, Started: harness.now, State: Ready})
 			for f := range FunctionID(6) {
-				h.request(f, 0)
-				h.answerQueries()
-				h.answerQueries()
+				harness.request(f, 0)
+				harness.answerQueries()
+				harness.answerQueries()
 			}
-			h.advance(time.Second)
-			sent += h.count("send")
+			harness.advance(time.Second)
+			sent += harness.count("send")
 		}
 		if sent == 0 || sent > limit {
 			t.Errorf("400 front ends, each configured for %[2]d, sent %[1]d requests to a worker that just started; want 1 to %[3]d",
@@ -35,13 +35,13 @@
 	countRequests := func(scale float64) int {
 		set := testSettings()
 		set.ScaleIsCapacity, set.FrontEndCount = true, 1
-		h := newHarness(t, set, 0)
-		list := []WorkerInfo{{ID: 1, Scale: scale, Started: h.now, State: Ready}}
+		harness := newHarness(t, set, 0)
+		list := []WorkerInfo{{ID: 1, Scale: scale, Started: harness.now, State: Ready}}
 		for i := range 4 {
 			list = append(list, WorkerInfo{ID: WorkerID(i + 2), Scale: 1, Started: UnknownStart, State: Ready})
 		}
-		h.scheduler.WorkersChanged(h.now, list, true)
-		return h.countColdRequests(1)
+		harness.scheduler.WorkersChanged(harness.now, list, true)
+		return harness.countColdRequests(1)
 	}
 	if small, large := countRequests(0.5), countRequests(2); float64(large) < 2.5*float64(small) {
 		t.Errorf("a cold worker may be sent %d requests at scale 0.5 and %d at scale 2", small, large)
@@ -60,17 +60,17 @@
 	sent, windows := 0, 40
 	for i := range frontEnds {
 		set.Seed = uint64(i)
-		h := newHarness(t, set, workers)
-		h.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: h.now, State: Ready})
-		h.now += set.SlowStartDuration / 2
-		worker, request := h.scheduler.endpoints.byID[1], &requestRecord{function: h.scheduler.trackFunction(7, 0)}
+		harness := newHarness(t, set, workers)
+		harness.changeWorker(WorkerInfo{ID: 1, Scale: 1, Started: harness.now, State: Ready})
+		harness.now += set.SlowStartDuration / 2
+		worker, request := harness.scheduler.endpoints.byID[1], &requestRecord{function: harness.scheduler.trackFunction(7, 0)}
 		for n := range windows {
-			h.now += set.OverloadWindow
-			h.scheduler.now, worker.Started = h.now, h.now-set.SlowStartDuration/2-time.Duration(n)
-			h.scheduler.demand.completions = estimate.Decayed{Value: workerRate * workers / frontEnds * completionMemory.Seconds(), ReadAt: h.now}
+			harness.now += set.OverloadWindow
+			harness.scheduler.now, worker.Started = harness.now, harness.now-set.SlowStartDuration/2-time.Duration(n)
+			harness.scheduler.demand.completions = estimate.Decayed{Value: workerRate * workers / frontEnds * completionMemory.Seconds(), ReadAt: harness.now}
 			draw := estimate.Mix(uint64(i), uint64(n)+1000)
-			if estimate.UnitInterval(draw) < demandFactor*workerRate*set.OverloadWindow.Seconds()/frontEnds && h.scheduler.slowStartAllows(worker, request) {
-				worker.sendTimes = append(worker.sendTimes, h.now)
+			if estimate.UnitInterval(draw) < demandFactor*workerRate*set.OverloadWindow.Seconds()/frontEnds && harness.scheduler.slowStartAllows(worker, request) {
+				worker.sendTimes = append(worker.sendTimes, harness.now)
 				sent++
 			}
 		}
@@ -87,11 +87,11 @@
 	countRequests := func(others int) int {
 		set := testSettings()
 		set.FrontEndCount = 1
-		h := newHarness(t, set, 4)
+		harness := newHarness(t, set, 4)
 		for i := range others + 1 {
-			h.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: h.now, State: Ready})
+			harness.changeWorker(WorkerInfo{ID: WorkerID(10 + i), Scale: 1, Started: harness.now, State: Ready})
 		}
-		return h.countColdRequests(10)
+		return harness.countColdRequests(10)
 	}
 	if alone, among := countRequests(0), countRequests(8); float64(among) < 0.6*float64(alone) {
 		t.Errorf("a cold worker may be sent %d requests among eight other cold workers, %d alone", among, alone)
@@ -102,33 +102,33 @@
 // drain or are removed: the remaining workers cannot take over all that those workers recently completed.
 func TestSlowStart_ServingWorkersLeave_BudgetDoesNotGrow(t *testing.T) {
 	const cold, others = 10, 8
-	departures := map[string]func(h *harness, worker *workerRecord){
+	departures := map[string]func(harness *harness, worker *workerRecord){
 		"stay":    func(*harness, *workerRecord) {},
-		"ejected": func(h *harness, worker *workerRecord) { h.scheduler.connectionLost(worker) },
-		"draining": func(h *harness, worker *workerRecord) {
-			h.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Draining})
+		"ejected": func(harness *harness, worker *workerRecord) { harness.scheduler.connectionLost(worker) },
+		"draining": func(harness *harness, worker *workerRecord) {
+			harness.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Draining})
 		},
-		"removed": func(h *harness, worker *workerRecord) {
-			h.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Removed})
+		"removed": func(harness *harness, worker *workerRecord) {
+			harness.changeWorker(WorkerInfo{ID: worker.ID, Started: UnknownStart, State: Removed})
 		},
-		"ejected long ago": func(h *harness, worker *workerRecord) {
+		"ejected long ago": func(harness *harness, worker *workerRecord) {
 			worker.healthByClass[0].lastResponseAt = 0
-			h.scheduler.connectionLost(worker)
+			harness.scheduler.connectionLost(worker)
 		},
 	}
 	sent := map[string]int{}
 	for name, depart := range departures {
 		set := testSettings()
 		set.FrontEndCount = 1
-		h := newHarness(t, set, others)
-		h.changeWorker(WorkerInfo{ID: cold, Scale: 1, Started: h.now, State: Ready})
-		s := h.scheduler
+		harness := newHarness(t, set, others)
+		harness.changeWorker(WorkerInfo{ID: cold, Scale: 1, Started: harness.now, State: Ready})
+		s := harness.scheduler
 		s.demand.completions = estimate.Decayed{Value: 20 * completionMemory.Seconds(), ReadAt: s.now}
 		for id := range WorkerID(others) {
 			worker := s.endpoints.byID[id+1]
 			worker.healthByClass[0].lastResponseAt = s.now
 			if id > 0 {
-				depart(h, worker)
+				depart(harness, worker)
 			}
 		}
 		worker, request := s.endpoints.byID[cold], &requestRecord{function: s.trackFunction(7, 0)}
--- a/scheduler/tenant_quota.go
+++ b/scheduler/tenant_quota.go
@@ -6,13 +6,13 @@
 	quotaTolerance  = 1.2 // multiple of its share that a tenant may use
 )
 
-// exceeds counts a request and reports whether it is over its tenant's quota. If the tenant uses more than
-// quotaTolerance times its share of this front end's requests, the excess requests are reported as over
-// quota. The quota argument is that share, from 0 to 1.
-func (q *tenantQuotas) exceeds(tenant int, quota float64) bool {
-	share := q.countRequest(tenant)
-	if allowed := quotaTolerance * quota; share > allowed {
-		q.overage[tenant] += 1 - allowed/share
+// exceeds counts a request and reports whether it is over its tenant's quota. If the tenant sends more than
+// quotaTolerance times its guaranteed share, from 0 to 1, of this front end's requests, the excess requests
+// are reported as over quota.
+func (q *tenantQuotas) exceeds(tenant int, guaranteedShare float64) bool {
+	usedShare := q.countRequest(tenant)
+	if allowed := quotaTolerance * guaranteedShare; usedShare > allowed {
+		q.overage[tenant] += 1 - allowed/usedShare
 	}
 	if q.overage[tenant] < 1 {
 		return false
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -1,8 +1,8 @@
 // Package scheduler decides where a front end sends its requests, which requests wait, where functions are loaded,
 // and which requests are rejected.
 //
-// For each function, a front end keeps as many requests in flight at each worker that should have the function loaded
-// as one replica executes at a time, and queues the rest. It loads the function on a cold worker only if the warm
+// For each function, a front end keeps as many requests in flight at each worker that it assumes to have the function
+// loaded as one replica executes at a time, and queues the rest. It loads the function on a cold worker only if the warm
 // workers would take longer to drain the queue than a load plus one run. docs/design.md describes what was adopted
 // from the design's source, what was changed, and when each exception applies.
 //
@@ -58,7 +58,7 @@
 	KeyRetention     time.Duration // applies to IdempotentByKey: how long repeats are dropped
 }
 
-// Tenant describes one tenant.
+// Tenant is the share and the quota of one tenant.
 type Tenant struct {
 	Share float64 // fraction of a front end's requests, from 0 to 1
 	Quota float64 // requests per second over all front ends
@@ -108,7 +108,7 @@
 const (
 	Ready    WorkerState = iota + 1 // accepts requests and load orders
 	Draining                        // finishes its requests and must not be sent new ones
-	Removed                         // no longer exists
+	Removed                         // is not in the endpoint list
 )
 
 // WorkerInfo is one entry of the endpoint list.
