--- a/internal/decide/looplag/stall_test.go
+++ b/internal/decide/looplag/stall_test.go
@@ -85,12 +85,12 @@
 		tracker.MayRenewLease(now)
 	}
 	for name, c := range map[string]struct{ readAt, arrivedAfter, want time.Duration }{
-		"read first long after the stall":             {resumed + length, 50 * ms, began},
-		"first request of a connection":               {resumed + length, AnyArrival, began},
-		"seen empty in the stall, before it was seen": {resumed + 30*ms, resumed - 10*ms, resumed - 10*ms},
-		"seen empty since the stall":                  {resumed + 30*ms, resumed + 10*ms, resumed + 30*ms},
-		"first read once all have been read":          {resumed + length + ms, 50 * ms, resumed + length + ms},
-		"read before the stall":                       {began - 10*ms, AnyArrival, began - 10*ms},
+		"last seen empty before the stall, read long after it": {resumed + length, 50 * ms, began},
+		"first request on a connection":                        {resumed + length, AnyArrival, began},
+		"seen empty shortly before the end of the stall":       {resumed + 30*ms, resumed - 10*ms, resumed - 10*ms},
+		"seen empty after the stall":                           {resumed + 30*ms, resumed + 10*ms, resumed + 30*ms},
+		"read after all connections were read":                 {resumed + length + ms, 50 * ms, resumed + length + ms},
+		"read before the stall":                                {began - 10*ms, AnyArrival, began - 10*ms},
 	} {
 		if got := tracker.EarliestArrival(c.readAt, c.arrivedAfter); got != c.want {
 			t.Errorf("%s: counts from %v, want %v", name, got, c.want)
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -51,7 +51,7 @@
 	busy             bool // in endpointTable.busy
 }
 
-// slowStartWindow is what a worker in slow start was sent in the current overload window, for the log.
+// slowStartWindow counts what a worker in slow start was sent in the current overload window, for the log.
 type slowStartWindow struct {
 	window int     // number of the window since the worker's start
 	sent   int     // requests sent by this front end
--- a/scheduler/queue_delay_index.go
+++ b/scheduler/queue_delay_index.go
@@ -39,7 +39,7 @@
 //	delay(t) = delay(t0) * exp(clock(t0) - clock(t))
 type queueDelayEstimates struct {
 	memory          time.Duration // time constant of the decay
-	median          time.Duration // over the ready workers
+	median          time.Duration // median queue delay over the ready workers
 	contactedMedian float64       // nanoseconds; see contactedDelay; 0 if there are too few samples
 
 	clock    float64 // elapsed time in units of memory
--- a/scheduler/scale_out.go
+++ b/scheduler/scale_out.go
@@ -44,7 +44,7 @@
 	if function.hasLoadingReplica() {
 		return
 	}
-	if worker := s.pickColdWorker(function, request, idleProbeAfter); worker != nil { // the design's probe
+	if worker := s.pickColdWorker(function, request, idleProbeAfter); worker != nil { // a probe
 		s.startLoad(function, request, worker, singleRequest)
 		return
 	}
--- a/scheduler/serving_capacity.go
+++ b/scheduler/serving_capacity.go
@@ -41,9 +41,9 @@
 // servingCounts are counts over the workers of the endpoint list.
 type servingCounts struct {
 	ready   int
-	healthy []int         // by class: ready and not ejected
-	serving []capacitySum // by class: healthy, or responded within completionMemory
-	cold    []*workerRecord
+	healthy []int           // by class: workers that are ready and not ejected
+	serving []capacitySum   // by class: workers that are healthy or responded within completionMemory
+	cold    []*workerRecord // workers in slow start, sorted by start time
 	// servingByResponse are the workers that count as serving only by a recent response, which expires.
 	servingByResponse []*workerRecord
 }
