--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -12,7 +12,11 @@
 // The tests in this file check how new work is sent while the endpoint list is not confirmed.
 
 // leaseRules are the platform's rules, with a grace of 500 ms.
-var leaseRules = endpointlease.Rules{Silence: 4 * time.Second, Break: 2 * time.Second, Grace: 500 * ms}
+var leaseRules = endpointlease.Rules{
+	NotifiedAfterSilence:      4 * time.Second,
+	NotifiedAfterInterruption: 2 * time.Second,
+	DrainGrace:                500 * ms,
+}
 
 // newLeaseHarness returns a harness whose endpoint list was last confirmed at its start.
 func newLeaseHarness(t *testing.T, workers int, change func(*Settings)) *testHarness {
@@ -261,12 +265,12 @@
 // TestEndpointLeaseChanged_GuardIsUpdated checks that worker clients apply the same lease: an attempt that waits for a
 // connection when the lease ends is not sent.
 func TestEndpointLeaseChanged_GuardIsUpdated(t *testing.T) {
-	guard := &workerconn.Guard{}
+	guard := &workerconn.WriteGuard{}
 	harness := newLeaseHarness(t, 1, func(settings *Settings) { settings.Guard = guard })
 	queue, batch := workerconn.NewSendQueue[string](), workerconn.WriteBatch[string]{}
 	encode := func(buffer []byte, _ workerconn.QueueItem[string]) ([]byte, error) { return append(buffer, 'x'), nil }
-	until := harness.lease.Until()
-	guard.Renew(until)
+	until := harness.lease.ValidUntil()
+	guard.RenewSendLease(until)
 	queue.PushAttempt(1, &workerconn.Attempt{})
 	queue.NextBatch(guard, until, &batch, encode)
 	if len(batch.Bytes) != 1 {
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -68,7 +68,7 @@
 			harness.now += set.OverloadWindow
 			harness.scheduler.now, worker.Started = harness.now, harness.now-set.SlowStartDuration/2-time.Duration(n)
 			harness.scheduler.demand.completions = estimate.Decayed{Value: workerRate * workers / frontEnds * completionMemory.Seconds(), ReadAt: harness.now}
-			draw := estimate.Mix(uint64(i), uint64(n)+1000)
+			draw := estimate.HashPair(uint64(i), uint64(n)+1000)
 			if estimate.UnitInterval(draw) < demandFactor*workerRate*set.OverloadWindow.Seconds()/frontEnds && harness.scheduler.slowStartAllows(worker, request) {
 				worker.sendTimes = append(worker.sendTimes, harness.now)
 				sent++
