--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestHashPair_Values_AreUniformAndFixed pins two hash values, because placement on workers and all random draws depend on
-// the hash.
+// TestHashPair_Values_AreUniformAndFixed pins two hash values, because placement on workers and all random draws depend
+// on the hash.
 func TestHashPair_Values_AreUniformAndFixed(t *testing.T) {
 	if first, second := HashPair(1, 2), HashPair(42, 1<<63); first != 0xc6c62fe4e45e3f6f || second != 0xde7518d6b83e4283 {
 		t.Errorf("hashes are %#x and %#x, want 0xc6c62fe4e45e3f6f and 0xde7518d6b83e4283", first, second)
