--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -2,9 +2,9 @@
 // and which requests are rejected.
 //
 // For each function, a front end keeps as many requests in flight at each worker that it assumes to have the function
-// loaded as one replica executes at a time, and queues the rest. It loads the function on a cold worker only if the warm
-// workers would take longer to drain the queue than a load plus one run. docs/design.md describes what was adopted
-// from the design's source, what was changed, and when each exception applies.
+// loaded as one replica executes at a time, and queues the rest. It loads the function on a cold worker only if the
+// warm workers would take longer to drain the queue than a load plus one run. docs/design.md describes what was
+// adopted from the design's source, what was changed, and when each exception applies.
 //
 // The package implements no protocol and performs no I/O. An owner (internal/gateway, internal/simhost,
 // internal/shadow) reports timestamped events to a Scheduler and carries out its Actions. All times are durations
