--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -20,7 +20,7 @@
 	ranking   []rankedWorker // inputs of the ranks, in the order of list
 
 	counts            servingCounts
-	busy              []*workerRecord         // workers with attempts in flight now or at the last tick
+	busy              []*workerRecord         // workers with attempts in flight at some time since the last tick
 	cells             map[int][]*workerRecord // computed on demand by cellMembers
 	cellsVersion      int                     // version for which cells was computed
 	noIdleWorkerUntil time.Duration           // until then, no worker is without contact for idleProbeAfter
@@ -51,7 +51,7 @@
 	busy             bool // in endpointTable.busy
 }
 
-// slowStartWindow is what a worker in slow start was sent in the current overload window, for the log.
+// slowStartWindow counts what a worker in slow start was sent in the current overload window, for the log.
 type slowStartWindow struct {
 	window int     // number of the window since the worker's start
 	sent   int     // requests sent by this front end
