--- a/lab/loadgen/arrivals.go
+++ b/lab/loadgen/arrivals.go
@@ -29,11 +29,11 @@
 	var errs []error
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
-		words := strings.Fields(line)
-		if len(words) == 0 {
+		fields := strings.Fields(line)
+		if len(fields) == 0 {
 			continue
 		}
-		a, err := parseArrival(words)
+		a, err := parseArrival(fields)
 		if err == nil && len(list) > 0 && a.at < list[len(list)-1].at {
 			err = fmt.Errorf("%v is earlier than the previous arrival", a.at)
 		}
@@ -74,23 +74,23 @@
 	r.Retries = m.Retries
 }
 
-func parseArrival(words []string) (arrival, error) {
-	if len(words) != arrivalFieldCount {
-		return arrival{}, fmt.Errorf("found %d words; allowed: MILLISECONDS CLASS FUNCTION TENANT WORK-MILLISECONDS", len(words))
+func parseArrival(fields []string) (arrival, error) {
+	if len(fields) != arrivalFieldCount {
+		return arrival{}, fmt.Errorf("found %d fields; allowed: MILLISECONDS CLASS FUNCTION TENANT WORK-MILLISECONDS", len(fields))
 	}
-	at, err := parseMillis(words[0])
+	at, err := parseMillis(fields[0])
 	if err != nil {
 		return arrival{}, err
 	}
-	work, err := parseMillis(words[4])
+	work, err := parseMillis(fields[4])
 	if err != nil {
 		return arrival{}, err
 	}
-	tenant := words[3]
+	tenant := fields[3]
 	if tenant == "-" {
 		tenant = ""
 	}
-	return arrival{at, Request{Class: words[1], Function: words[2], Tenant: tenant, Work: work}}, nil
+	return arrival{at, Request{Class: fields[1], Function: fields[2], Tenant: tenant, Work: work}}, nil
 }
 
 func parseMillis(text string) (time.Duration, error) {
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -130,7 +130,7 @@
 		t.Logf("%-12s service level %.3f, %d violations", policy, r.Score.Service(), len(r.Violations))
 	}
 	for policy, got := range service {
-		if policy != "oracle" && got > service["oracle"]+0.01 { // in easy scenarios the policies come close to the oracle
+		if policy != "oracle" && got > service["oracle"]+0.01 { // in easy scenarios, policies come close to the oracle
 			t.Errorf("service level of %s is %.3f, above that of the oracle, %.3f", policy, got, service["oracle"])
 		}
 	}
@@ -144,11 +144,11 @@
 // system add delays in real time.
 func TestRun_RealAndVirtualTime_AgreeWithinTolerance(t *testing.T) {
 	const script, duration = "at 2s crash 25% for 2s\nat 5s store-slow factor 3 for 2s\nat 6s slow 25% factor 3 for 2s\n", 9 * time.Second
-	d := fleet.Demo{
+	demo := fleet.Demo{
 		Workers: 12, FrontEnds: 3, Mix: fleet.DemoMix(150), Duration: duration, Scenario: script, Seed: 1, Log: zerolog.Nop(),
 		ReportProgress: func(string) {},
 	}
-	realTime, err := d.Run(context.Background())
+	realTime, err := demo.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/worker/connection.go
+++ b/lab/worker/connection.go
@@ -11,8 +11,9 @@
 	"havencart/lab/model"
 )
 
-// maxHandshakeDelay is the delay of a handshake that never ends. It exceeds the lifetime of any connection.
-const maxHandshakeDelay = time.Hour
+// neverHandshakeWait is the delay that stands for a handshake that never ends. It exceeds the lifetime of any
+// connection.
+const neverHandshakeWait = time.Hour
 
 // connection is a connection from a front end.
 type connection struct {
@@ -109,12 +110,12 @@
 
 // readLoop handles frames until the connection ends.
 func (c *connection) readLoop() error {
-	in := muxframe.NewReader(bufio.NewReader(c.stream), 0)
-	if err := c.handshake(in); err != nil {
+	reader := muxframe.NewReader(bufio.NewReader(c.stream), 0)
+	if err := c.handshake(reader); err != nil {
 		return err
 	}
 	for {
-		f, err := in.Next()
+		f, err := reader.Next()
 		if err != nil {
 			return err
 		}
@@ -125,8 +126,8 @@
 }
 
 // handshake receives the hello message and sends the welcome message.
-func (c *connection) handshake(in *muxframe.Reader) error {
-	f, err := in.Next()
+func (c *connection) handshake(reader *muxframe.Reader) error {
+	f, err := reader.Next()
 	if err != nil {
 		return err
 	}
@@ -156,14 +157,14 @@
 	return nil
 }
 
-// delayHandshake waits for the given delay, or for maxHandshakeDelay if delay is neverHandshake. It returns false if
+// delayHandshake waits for the given delay, or for neverHandshakeWait if delay is neverHandshake. It returns false if
 // the connection ended meanwhile.
 func (c *connection) delayHandshake(delay time.Duration) bool {
 	if delay == 0 {
 		return true
 	}
 	if delay < 0 {
-		delay = maxHandshakeDelay
+		delay = neverHandshakeWait
 	}
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/lab/worker/requests.go
+++ b/lab/worker/requests.go
@@ -25,25 +25,25 @@
 }
 
 func (c *connection) handleRequest(frame muxframe.Frame) error {
-	var in muxframe.Request
-	if err := frame.Decode(&in); err != nil {
+	var header muxframe.Request
+	if err := frame.Decode(&header); err != nil {
 		return err
 	}
 	work, size := ParseBody(string(frame.Body), c.server.cfg.Work)
-	stream := responseStream{id: frame.StreamID, window: int(in.Window), size: size}
+	stream := responseStream{id: frame.StreamID, window: int(header.Window), size: size}
 	c.server.Do(func(w *model.Worker) {
 		request := &model.Request{
-			ID:             in.ID,
-			Attempt:        in.Attempt,
+			ID:             header.ID,
+			Attempt:        header.Attempt,
 			FrontEnd:       c.frontEnd,
-			Class:          in.Class,
-			IdempotencyKey: in.IdempotencyKey,
-			Function:       in.Replica.Function,
-			MemoryMB:       in.Replica.MemoryMB,
-			Concurrency:    max(1, in.Replica.Concurrency),
-			LoadTime:       in.Replica.LoadTime(),
+			Class:          header.Class,
+			IdempotencyKey: header.IdempotencyKey,
+			Function:       header.Replica.Function,
+			MemoryMB:       header.Replica.MemoryMB,
+			Concurrency:    max(1, header.Replica.Concurrency),
+			LoadTime:       header.Replica.LoadTime(),
 			Work:           work,
-			Deadline:       c.server.clock.Now() + time.Duration(in.TimeoutMillis)*time.Millisecond,
+			Deadline:       c.server.clock.Now() + time.Duration(header.TimeoutMillis)*time.Millisecond,
 		}
 		c.mu.Lock()
 		c.requests[stream.id] = request
@@ -147,17 +147,17 @@
 }
 
 func (c *connection) handleLoadOrder(frame muxframe.Frame) error {
-	var in muxframe.LoadOrder
-	if err := frame.Decode(&in); err != nil {
+	var header muxframe.LoadOrder
+	if err := frame.Decode(&header); err != nil {
 		return err
 	}
 	order := model.LoadOrder{
 		FrontEnd:    c.frontEnd,
-		Function:    in.Replica.Function,
-		Replicas:    in.Replicas,
-		MemoryMB:    in.Replica.MemoryMB,
-		Concurrency: in.Replica.Concurrency,
-		LoadTime:    in.Replica.LoadTime(),
+		Function:    header.Replica.Function,
+		Replicas:    header.Replicas,
+		MemoryMB:    header.Replica.MemoryMB,
+		Concurrency: header.Replica.Concurrency,
+		LoadTime:    header.Replica.LoadTime(),
 	}
 	c.server.Do(func(w *model.Worker) {
 		w.HandleLoadOrder(order, func(o model.Outcome, replicas int) {
