--- a/lab/client/run.go
+++ b/lab/client/run.go
@@ -13,10 +13,10 @@
 type Observation struct {
 	Request   loadgen.Request
 	Outcome   string        // outcome of the last attempt
-	Duration  time.Duration // time from when the request was due, not sent, to the end of the last attempt
+	Duration  time.Duration // time from when the request was due (not from when it was sent) to its end
 	SendDelay time.Duration // delay of the first attempt after the request was due
 	Attempts  int           // number of attempts
-	Lost      bool          // no response to the last attempt, although the client was not told to disconnect
+	Lost      bool          // the last attempt was sent without a response, and the client was not told to disconnect
 }
 
 // Runner sends the requests of a source, each at its arrival time, whether earlier requests have ended or not (open
@@ -29,7 +29,7 @@
 	Observe   func(Observation)                             // is called once per request, by several goroutines
 }
 
-// Run sends all requests and returns once they have ended. If ctx ends first, the rest is not sent or retried.
+// Run sends all requests and returns once they have ended. After ctx ends, it sends no further requests or retries.
 func (r Runner) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	start := time.Now()
@@ -51,18 +51,18 @@
 // front end.
 func (r Runner) runRequest(ctx context.Context, request loadgen.Request, frontEnd int, due time.Time) Observation {
 	id := request.ID
-	o := Observation{Request: request, SendDelay: time.Since(due)}
+	observation := Observation{Request: request, SendDelay: time.Since(due)}
 	for attempt := 0; ; attempt++ {
 		request.ID = fmt.Sprintf("%s.%d", id, attempt)
 		response, err := r.Pool((frontEnd + attempt) % r.FrontEnds).Do(request)
 		if err != nil {
 			response.Outcome = outcomeUnreachable
 		}
-		o.Outcome, o.Duration, o.Attempts = response.Outcome, time.Since(due), attempt+1
-		o.Lost = response.Outcome == "" && request.DisconnectAfter == 0
+		observation.Outcome, observation.Duration, observation.Attempts = response.Outcome, time.Since(due), attempt+1
+		observation.Lost = response.Outcome == "" && request.DisconnectAfter == 0
 		wait, retry := request.Retry(attempt, response.Outcome, response.RetryAfter)
 		if !retry || request.DisconnectAfter > 0 || !Sleep(ctx, wait) {
-			return o
+			return observation
 		}
 	}
 }
--- a/lab/loadgen/demand.go
+++ b/lab/loadgen/demand.go
@@ -13,8 +13,8 @@
 	RateFactor      float64                 // factor on the arrival rate
 	HotShare        float64                 // fraction of requests for hot functions, which nothing requested before
 	HotFunctions    int                     // number of hot functions of each class
-	HotPeriod       int                     // number of the hot period; each period has hot functions of its own
-	ScanShare       float64                 // fraction of requests for functions requested only once, added to the Mix's
+	HotPeriod       int                     // number of the current hot period; each period has its own hot functions
+	ScanShare       float64                 // fraction of requests for functions requested only once, on top of the Mix
 	TimeoutFactor   float64                 // factor on clients' timeouts
 	WorkFactor      float64                 // factor on the work of requests
 	Tenants         map[string]TenantDemand // changes of single tenants, by tenant name
@@ -75,18 +75,18 @@
 }
 
 // applyTenantDemand changes a drawn request as the demand of its tenant says.
-func (s *Source) applyTenantDemand(c *Request) {
-	own := s.demand.Tenants[c.Tenant]
+func (s *Source) applyTenantDemand(request *Request) {
+	own := s.demand.Tenants[request.Tenant]
 	if own.Retries > 0 {
-		c.RetryPolicy, c.Retries = RetryAlways, own.Retries
+		request.RetryPolicy, request.Retries = RetryAlways, own.Retries
 	}
 	if own.WorkFactor > 0 {
-		c.Work = time.Duration(own.WorkFactor * float64(c.Work))
+		request.Work = time.Duration(own.WorkFactor * float64(request.Work))
 	}
 	if own.ScanShare > 0 && s.rng.Float64() < own.ScanShare {
-		c.Function = s.uniqueFunction(c.Class)
+		request.Function = s.uniqueFunction(request.Class)
 	}
 	if s.mix.OwnFunctions {
-		c.Function = c.Tenant + "-" + c.Function
+		request.Function = request.Tenant + "-" + request.Function
 	}
 }
