--- a/lab/baseline/pickers.go
+++ b/lab/baseline/pickers.go
@@ -49,9 +49,9 @@
 // loadBound is the largest load that rendezvous gives to a worker, as a multiple of the mean load.
 const loadBound = 1.25
 
-// rendezvous picks the first worker in the function's rendezvous order whose load does not exceed loadBound times the
-// mean. This is highest-random-weight hashing (D. Thaler, C. Ravishankar, 1998) with bounded loads (V. Mirrokni et al.,
-// 2018).
+// rendezvous picks the first worker in the function's rendezvous order whose load, including the request, does not
+// exceed loadBound times the mean, rounded up. This is highest-random-weight hashing (D. Thaler, C. Ravishankar, 1998)
+// with bounded loads (V. Mirrokni et al., 2018).
 func rendezvous(_ *policy, r *request, candidates []*worker) *worker {
 	total := 1
 	for _, w := range candidates {
--- a/lab/baseline/policy.go
+++ b/lab/baseline/policy.go
@@ -30,8 +30,8 @@
 	firstEndedAt    time.Duration
 }
 
-// policy is a scheduler that sends each request at once to the worker that its picker chooses. It retries the request,
-// possibly at another worker, if that is safe.
+// policy is a scheduler that sends each request at once to the worker that its picker chooses, or queues the request if
+// the picker chooses none. It retries the request, possibly at another worker, if that is safe.
 type policy struct {
 	settings   scheduler.Settings
 	actions    scheduler.Actions
@@ -40,13 +40,13 @@
 	now        time.Duration
 	workers    []*worker // sorted by identifier
 	requests   map[scheduler.RequestID]*request
-	queued     []*request              // requests to send again
+	queued     []*request              // requests that no worker could take, and requests to retry
 	queueOrder func(a, b *request) int // order in which queued requests are sent; nil: first in, first out
-	rotation   int                     // position of round robin
+	rotation   int                     // number of rotations by roundRobin and leastInFlight
 }
 
 const (
-	retryInterval = 20 * time.Millisecond // interval at which queued requests are sent again
+	retryInterval = 20 * time.Millisecond // interval at which the policy tries to send queued requests
 	watchBackoff  = time.Second           // delay before a failed watch is restarted
 	randomStream  = 0x62617365            // distinguishes the policy's random generator from others with the same seed
 )
@@ -115,7 +115,7 @@
 	p.retryQueued()
 }
 
-// retryQueued sends the queued requests again, and gives a final response to those whose deadline is near.
+// retryQueued tries to send the queued requests, and gives a final response to those whose deadline is near.
 func (p *policy) retryQueued() {
 	queued := p.queued
 	p.queued = nil
--- a/lab/invariant/check_executions.go
+++ b/lab/invariant/check_executions.go
@@ -8,7 +8,8 @@
 )
 
 // checkExecutions checks the attempts of each request whose class restricts retries. A request that may have executed
-// is sent again only as far as its class allows, takes effect at most once, and is not rejected.
+// is sent again only as far as its class allows and takes effect at most once. It is rejected only if its class allows
+// another execution at any worker, because the client may retry a rejected request.
 func (c *checker) checkExecutions() {
 	byRequest := map[string][]*Attempt{}
 	for _, a := range c.attempts {
@@ -88,8 +89,9 @@
 	}
 }
 
-// checkKeyedRetry checks that a retry stays within the scope of its idempotency key and within the key's retention,
-// counted from the first attempt that may have executed.
+// checkKeyedRetry checks that a retry stays within the scope of its idempotency key, if that is a cell, and within the
+// key's retention, counted from the first attempt that may have executed. The scope of a zone is not checked, because
+// an Attempt does not record the worker's zone.
 func (c *checker) checkKeyedRetry(id string, first, retry *Attempt, class scheduler.Class) {
 	elapsed := retry.At - first.At
 	switch {
--- a/lab/invariant/rules.go
+++ b/lab/invariant/rules.go
@@ -24,7 +24,7 @@
 	LoadBurst      float64       // load orders allowed within the window without any request
 	LoadPerRequest float64       // further load orders allowed for each request within the window
 	// Tolerance is the greatest delay between an event and its record, which sockets and the operating system's
-	// scheduler cause. Every time limit of a rule is relaxed by it.
+	// scheduler cause. Every time limit of a rule is relaxed by it, except the overload window of a cold worker.
 	Tolerance time.Duration
 }
 
--- a/lab/loadgen/source.go
+++ b/lab/loadgen/source.go
@@ -29,13 +29,13 @@
 	Functions          int           // number of functions of each class; their popularity follows Zipf's law
 	Zipf               float64       // exponent of Zipf's law, above 1; 0 means 1.3
 	RequestedOnceShare float64       // fraction of requests for functions requested only once
-	Drift              time.Duration // interval at which another fifth of the functions is replaced; 0 means never
+	Drift              time.Duration // interval at which the replaced fifth of the functions changes; 0 means no drift
 	Work               time.Duration // mean of the work of a request
 	WorkSigma          float64       // sigma of the lognormal distribution of the work
 	LoadTime           time.Duration // time to load a replica
 	MemoryMB           float64       // memory of each replica
-	ResponseBytes      int           // upper bound of the size of a response's body, which is distributed uniformly from 0
-	Timeout            time.Duration // upper bound of a client's timeout, which is distributed uniformly from half of it
+	ResponseBytes      int           // upper bound of the size of a response's body, distributed uniformly from 0
+	Timeout            time.Duration // upper bound of a client's timeout, distributed uniformly from half of it
 	RetryPolicy        RetryPolicy
 	Retries            int // maximum number of retries of a request
 
@@ -47,7 +47,9 @@
 	zipfOffset         = 2
 	replicaConcurrency = 2
 	randomStream       = 0x6c6f6164 // PCG stream of the source, unlike that of other generators with the same seed
-	driftParts         = 5          // number of parts of the functions, of which each drift replaces one
+	// driftParts is the number of parts into which drift divides the functions, by rank. The functions of one part are
+	// replaced in each interval, those of the other parts are not.
+	driftParts = 5
 )
 
 // Source draws the requests of a Mix one after another.
--- a/lab/loadgen/source_test.go
+++ b/lab/loadgen/source_test.go
@@ -128,7 +128,7 @@
 		})
 	retriesAlways := func(c Request) bool { return c.RetryPolicy == RetryAlways && c.Retries == 3 }
 	during, after := countMatching(times, requests, retriesAlways)
-	if math.Abs(float64(during)-200) > 60 || after > 1 { // the first request after it has the old demand
+	if math.Abs(float64(during)-200) > 60 || after > 1 { // the first request after 20 s has the old demand
 		t.Errorf("%d requests with three immediate retries during the change, %d after it", during, after)
 	}
 	long := func(c Request) bool { return c.Timeout > 500*time.Millisecond }
--- a/lab/model/execution.go
+++ b/lab/model/execution.go
@@ -25,8 +25,8 @@
 	work time.Duration
 }
 
-// Handle receives an attempt of a request. reply is called once, unless the worker crashes or hangs or the attempt is
-// cancelled.
+// Handle receives an attempt of a request. reply is called once, unless the worker crashes or hangs, the attempt is
+// cancelled, or its deadline passes while it is queued.
 func (w *Worker) Handle(r *Request, reply func(Response)) {
 	w.observer.RequestReceived(w, r)
 	if !w.up {
@@ -51,7 +51,7 @@
 	}
 }
 
-// respond ends an attempt. The observer is notified of the outcome even if the attempt was cancelled.
+// respond ends an attempt. The observer is notified of the outcome even if the attempt was cancelled while it executed.
 func (w *Worker) respond(a *attempt, o Outcome) {
 	w.observer.ResponseSent(w, a.Request, o)
 	if a.closed {
@@ -177,8 +177,9 @@
 	a.job = w.cpu.Add(a.Work, func() { w.completeExecution(a) })
 }
 
-// completeExecution handles the end of an execution, at which the request takes effect. If a request with the same
-// idempotency key completed while this one was executing, this one has no second effect.
+// completeExecution handles the end of an execution, at which the request takes effect. It has no second effect if a
+// request with the same idempotency key has completed in the worker's cell within the key retention, such as one that
+// executed at the same time.
 func (w *Worker) completeExecution(a *attempt) {
 	w.running = slices.DeleteFunc(w.running, func(x *attempt) bool { return x == a })
 	if !w.hasExecuted(a.IdempotencyKey) {
--- a/lab/model/request.go
+++ b/lab/model/request.go
@@ -59,7 +59,7 @@
 type Observer interface {
 	// RequestReceived is called for each attempt that is received, before the worker acts on it.
 	RequestReceived(w *Worker, r *Request)
-	// ResponseSent is called with the outcome of an attempt, even if the attempt was cancelled.
+	// ResponseSent is called with the outcome of an attempt, even if the attempt was cancelled while it executed.
 	ResponseSent(w *Worker, r *Request, o Outcome)
 	// RequestExecuted is called when a request takes effect, at the end of its execution.
 	RequestExecuted(w *Worker, r *Request)
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -6,7 +6,7 @@
 type StoreConfig struct {
 	Concurrency    float64       // number of concurrent fetches that are served at full speed
 	Limit          int           // number of concurrent fetches at which further fetches are rejected
-	OutageMultiple float64       // demand that causes an outage, as a multiple of the store's capacity; 0: no outages
+	OutageMultiple float64       // demand that causes an outage, as a multiple of the store's capacity; 0: none does
 	OutageAfter    time.Duration // window over which demand is measured; rejected fetches count
 	OutageDuration time.Duration
 }
--- a/lab/model/worker_config.go
+++ b/lab/model/worker_config.go
@@ -15,7 +15,7 @@
 	MaxConcurrentLoads int           // maximum number of loads in progress; twice as many may be queued
 	KeepAlive          time.Duration // time after which an idle replica is unloaded
 	ReportsNotLoaded   bool          // respond NotLoaded instead of loading a function that has no replica
-	ScalesUpOnQueue    bool          // load another replica if more requests than its concurrency are queued
+	ScalesUpOnQueue    bool          // load another replica if more requests of a function are queued than one executes
 	CancelStopsWork    bool          // stop the execution of a cancelled request
 	ColdCapacity       float64       // share of the capacity that a new process has; 0: no slow start
 	SlowStart          time.Duration // time until a new process reaches its full capacity
--- a/lab/simulation/connection.go
+++ b/lab/simulation/connection.go
@@ -171,7 +171,8 @@
 	c.failPending(reason)
 }
 
-// requestDial schedules a dial because a message is waiting for the connection.
+// requestDial schedules a dial because a message is waiting for the connection. It does nothing if the client is
+// connected or dialing.
 func (c *workerClient) requestDial() {
 	if c.state == connected || c.state == dialing {
 		return
--- a/lab/simulation/front_end.go
+++ b/lab/simulation/front_end.go
@@ -12,7 +12,7 @@
 	"havencart/scheduler"
 )
 
-// event is an event that a front end handles.
+// event is a call into the gateway, which a front end's event loop makes with the current time.
 type event func(now time.Duration)
 
 // frontEnd is one front end. It runs the real gateway.FrontEnd on an event loop in virtual time.
--- a/lab/simulation/worker_client.go
+++ b/lab/simulation/worker_client.go
@@ -122,7 +122,7 @@
 	c.send(outgoingMessage{call: func() { c.worker.Unload(function) }})
 }
 
-// CheckHealth sends a health check, which the worker answers with a load report.
+// CheckHealth sends a health check, to which the worker responds with a load report.
 func (c *workerClient) CheckHealth(check *workerconn.HealthCheck) scheduler.Status {
 	c.send(outgoingMessage{call: func() {
 		loadReport := []float64{float64(c.worker.QueueLength())}
