--- a/lab/model/command.go
+++ b/lab/model/command.go
@@ -53,7 +53,7 @@
 func applyNumber(argument string, set func(float64)) error {
 	x, err := strconv.ParseFloat(argument, 64)
 	if err != nil || x < 0 {
-		return fmt.Errorf("%q is not a number of at least 0", argument)
+		return fmt.Errorf("%q is not a factor or share of at least 0", argument)
 	}
 	set(x)
 	return nil
--- a/lab/worker/requests.go
+++ b/lab/worker/requests.go
@@ -121,14 +121,14 @@
 }
 
 func (c *connection) handleCredit(f muxframe.Frame) error {
-	var in muxframe.Credit
-	if err := f.Decode(&in); err != nil {
+	var header muxframe.Credit
+	if err := f.Decode(&header); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if body := c.outgoingBodies[f.StreamID]; body != nil {
-		body.credit += int(in.Bytes)
+		body.credit += int(header.Bytes)
 		c.sendBody(f.StreamID)
 	}
 	return nil
@@ -169,11 +169,11 @@
 }
 
 func (c *connection) handleUnload(f muxframe.Frame) error {
-	var in muxframe.Unload
-	if err := f.Decode(&in); err != nil {
+	var header muxframe.Unload
+	if err := f.Decode(&header); err != nil {
 		return err
 	}
-	c.server.Do(func(w *model.Worker) { w.Unload(in.Function) })
+	c.server.Do(func(w *model.Worker) { w.Unload(header.Function) })
 	return nil
 }
 
