--- a/internal/gateway/event_loop.go
+++ b/internal/gateway/event_loop.go
@@ -33,15 +33,15 @@
 	frontEnd      *FrontEnd
 	requests      chan *Request                 // capacity RequestQueue; when it is full, requests are rejected
 	events        chan loopEvent                // capacity EventQueue; when it is full, post blocks
-	workerClients []ClosableWorkerClient        // clients not known to have ended; used only by the loop's goroutine
+	workerClients []AwaitableWorkerClient       // clients not known to have ended; used only by the loop's goroutine
 	nextPrune     int                           // length of workerClients at which ended clients are removed from it
 	newTestClient func(*EventLoop) WorkerClient // if not nil, a test's replacement for worker clients
 	kill          chan struct{}                 // closed by Kill
 	done          chan struct{}                 // closed when the loop has ended
 	gate          queueGate
-	guard         *workerconn.Guard    // shared with the worker clients
-	stalls        looplag.StallTracker // used only by the loop's goroutine
-	times         LoopTimes            // used only by the loop's goroutine
+	guard         *workerconn.WriteGuard // shared with the worker clients
+	stalls        looplag.StallTracker   // used only by the loop's goroutine
+	times         LoopTimes              // used only by the loop's goroutine
 
 	endpointChanges *endpointChanges
 }
@@ -61,7 +61,7 @@
 		events:   make(chan loopEvent, cfg.EventQueue),
 		kill:     make(chan struct{}),
 		done:     make(chan struct{}),
-		guard:    &workerconn.Guard{},
+		guard:    &workerconn.WriteGuard{},
 
 		endpointChanges: newEndpointChanges(endpointlease.New(cfg.EndpointRules, time.Since(cfg.ClockStart))),
 	}
@@ -256,7 +256,7 @@
 // stall.
 func (l *EventLoop) renewLease(now time.Duration) {
 	if l.stalls.MayRenewLease(now) {
-		l.guard.Renew(now)
+		l.guard.RenewSendLease(now)
 	}
 }
 
--- a/internal/gateway/platform_config.go
+++ b/internal/gateway/platform_config.go
@@ -52,14 +52,14 @@
 // list.
 func (p *PlatformServer) endpointRules() endpointlease.Rules {
 	return endpointlease.Rules{
-		Silence: platformNoticeAfterSilence,
-		Break:   platformNoticeAfterBreak,
-		Grace:   p.config.Settings.Scheduler.DrainGrace,
+		NotifiedAfterSilence:      platformNoticeAfterSilence,
+		NotifiedAfterInterruption: platformNoticeAfterBreak,
+		DrainGrace:                p.config.Settings.Scheduler.DrainGrace,
 	}
 }
 
 // newWorkerClient implements Dial for the platform's worker protocol.
-func (p *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) ClosableWorkerClient {
+func (p *PlatformServer) newWorkerClient(id scheduler.WorkerID, w discovery.Worker, runtime ClientRuntime) AwaitableWorkerClient {
 	settings := p.config.Settings
 	return workerclient.New(workerclient.Config{
 		Worker:               w.Name,
