--- a/lab/faultproxy/hold.go
+++ b/lab/faultproxy/hold.go
@@ -38,11 +38,11 @@
 		return err
 	}
 	for range maxHoldAttempts {
-		isAccepted, err := p.fill() // makes the accepting goroutine return from its accept
+		isEstablished, err := p.fill() // makes the accepting goroutine return from its accept
 		if err != nil {
 			return err
 		}
-		if !isAccepted {
+		if !isEstablished {
 			continue // the accepting goroutine was busy with connections that were established earlier
 		}
 		select {
--- a/lab/measure/latency.go
+++ b/lab/measure/latency.go
@@ -101,7 +101,7 @@
 // measureClosedLoop measures a route with clients that each wait for a response before they send the next request. Its
 // rate is the highest that the route reaches with that many clients.
 func (b *benchmark) measureClosedLoop(ctx context.Context, route *Route, duration time.Duration) (Sample, error) {
-	l := newLatencies()
+	recorded := newLatencies()
 	start, cpu := time.Now(), cpuTime()
 	err := b.forEachConnection(route, func(_ int, c *connection) error {
 		for time.Since(start) < duration && ctx.Err() == nil {
@@ -110,19 +110,19 @@
 			if err != nil {
 				return err
 			}
-			l.add(time.Since(sentAt), served)
+			recorded.add(time.Since(sentAt), served)
 		}
 		return nil
 	})
-	elapsed, n := time.Since(start), float64(l.hist.TotalCount())
+	elapsed, n := time.Since(start), float64(recorded.hist.TotalCount())
 	s := Sample{
 		Rate:   n / elapsed.Seconds(),
-		P50:    l.quantile(50),
-		P99:    l.quantile(99),
-		P999:   l.quantile(99.9),
-		Errors: l.errors,
+		P50:    recorded.quantile(50),
+		P99:    recorded.quantile(99),
+		P999:   recorded.quantile(99.9),
+		Errors: recorded.errors,
 	}
-	s.CPUPerRequestMicros = float64((cpuTime() - cpu).Microseconds()) / max(1, n+float64(l.errors))
+	s.CPUPerRequestMicros = float64((cpuTime() - cpu).Microseconds()) / max(1, n+float64(recorded.errors))
 	return s, err
 }
 
@@ -130,7 +130,7 @@
 // connection has a schedule of times at which to send. The latency of a request counts from its scheduled time, even if
 // the request is sent late because the previous one was slow; this avoids coordinated omission.
 func (b *benchmark) measureOpenLoop(ctx context.Context, route *Route, sample *Sample, rate float64) error {
-	l := newLatencies()
+	recorded := newLatencies()
 	interval := time.Duration(float64(time.Second) * float64(b.cfg.Connections) / rate)
 	start := time.Now()
 	err := b.forEachConnection(route, func(i int, c *connection) error {
@@ -141,11 +141,11 @@
 			if err != nil {
 				return err
 			}
-			l.add(time.Since(due), served)
+			recorded.add(time.Since(due), served)
 		}
 		return nil
 	})
-	sample.HalfLoadP50, sample.HalfLoadP99, sample.HalfLoadP999 = l.quantile(50), l.quantile(99), l.quantile(99.9)
-	sample.Errors += l.errors
+	sample.HalfLoadP50, sample.HalfLoadP99, sample.HalfLoadP999 = recorded.quantile(50), recorded.quantile(99), recorded.quantile(99.9)
+	sample.Errors += recorded.errors
 	return err
 }
