--- a/lab/reportimport/parser.go
+++ b/lab/reportimport/parser.go
@@ -17,7 +17,7 @@
 	requests int           // requests that arrived in the window
 }
 
-// event is one line of the report that tells of an event.
+// event is one line of the report that describes an event.
 type event struct {
 	at   time.Duration // since the start of the run
 	text string
@@ -168,7 +168,7 @@
 		report.Duration = last + p.windowLength()
 	}
 	if report.Workers < 1 || report.FrontEnds < 1 || report.Requests < 1 {
-		return errors.New("no workers or no requests were found")
+		return errors.New("no workers, no front ends or no requests were found")
 	}
 	p.addSurges()
 	p.parseEvents()
