--- a/lab/experiment/config.go
+++ b/lab/experiment/config.go
@@ -10,7 +10,8 @@
 	"havencart/lab/simulation"
 )
 
-// networkJitter is the fraction by which the network latency of a message varies at random around its mean.
+// networkJitter is the largest random deviation of a message's network latency from the mean, as a fraction of the
+// mean. The deviation is drawn anew for each message.
 const networkJitter = 0.3
 
 // config returns the configuration of the simulation that runs a variant in a scenario with a seed.
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -130,7 +130,7 @@
 }
 
 // RunCell runs a single cell, given by its names and seed, and returns the result in the stored form. Another build of
-// this program calls it through `havencart experiment cell` for a variant whose program is this build.
+// this program calls it through `havencart cell` for a variant whose program is this build.
 func (s *Spec) RunCell(variant, scenario string, seed uint64) (StoredResult, error) {
 	v, sc := s.find(variant, scenario)
 	if v.Name == "" || sc.Name == "" {
--- a/lab/experiment/spec.go
+++ b/lab/experiment/spec.go
@@ -54,7 +54,8 @@
 	Program   string   // path of the build of havencart to run; empty: the running program
 }
 
-const maxDuration = time.Hour // upper bound of all durations in an experiment file
+// maxDuration is the upper bound of durations in an experiment file, except those of faults.
+const maxDuration = time.Hour
 
 var specTable = []directive.Directive[Spec]{
 	directive.Text("title", "words in quotes", "", "title of the report", func(s *Spec) *string { return &s.Title }),
--- a/lab/experiment/stored.go
+++ b/lab/experiment/stored.go
@@ -20,7 +20,7 @@
 	Result   StoredResult `json:"Result"`
 }
 
-// StoredResult is the form of a simulation.Result in results files and in the output of `havencart experiment cell`.
+// StoredResult is the form of a simulation.Result in results files and in the output of `havencart cell`.
 // ResultOf converts a simulation.Result to it, and Result converts it back.
 type StoredResult struct {
 	Tally      storedTally       `json:"Tally"`
--- a/lab/measure/cpu.go
+++ b/lab/measure/cpu.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// cpuTime returns the processor time that this process has used, or 0 if the system does not tell it.
+// cpuTime returns the processor time that this process has used, or 0 if the system call fails.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -1,6 +1,7 @@
 // Package measure benchmarks a front end against direct requests to the emulated workers and against a plain reverse
 // proxy (net/http/httputil, round robin) to the same workers: requests per second, latency and memory of a connection.
-// Clients, front end and workers run in one process on one machine, so only the ratios of the results are meaningful.
+// All routes are measured in the same run. Clients, front end, proxy and workers share one process on one machine, so
+// only the ratios of the results are meaningful.
 package measure
 
 import (
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// warmUp sends requests on the routes, so that replicas are loaded and the gateway's averages have settled.
+// warmUp sends requests on the routes, so that replicas are loaded, the connections to workers are open and the
+// gateway's averages have settled.
 func (b *benchmark) warmUp(ctx context.Context, routes ...*Route) error {
 	for _, route := range routes {
 		if _, err := b.measureClosedLoop(ctx, route, b.cfg.Duration/4); err != nil {
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -68,7 +68,7 @@
 	servicePlot = "service, by the second of the first try"
 )
 
-// scenarioSection returns the section of a scenario. Its plots show the first run of each variant.
+// scenarioSection returns the section of a scenario. Its plots show each variant's run with the first seed.
 func (r Report) scenarioSection(name string) (htmlScenario, error) {
 	section := htmlScenario{Name: name, Table: htmlTable{"day " + name, r.Spec.CompareScenario(r.Cells, name)}}
 	curves, first := r.scenarioCurves(name)
@@ -95,8 +95,8 @@
 	return section, nil
 }
 
-// scenarioCurves returns the curves of the first run of each variant in a scenario, by the title of the plot, and the
-// first of these runs, or nil if there is none.
+// scenarioCurves returns the curves of each variant's run of a scenario with the first seed, by the title of the plot,
+// and the first of these runs, or nil if there is none.
 func (r Report) scenarioCurves(name string) (curves map[string][]curve, first *experiment.Cell) {
 	curves = map[string][]curve{}
 	for _, v := range r.Spec.Variants {
--- a/lab/report/plot.go
+++ b/lab/report/plot.go
@@ -119,7 +119,7 @@
 	return svg[strings.Index(svg, "<svg"):], nil
 }
 
-// Plot writes an SVG file with the service over time of the first run of each variant in one scenario.
+// Plot writes an SVG file with the service over time of each variant's run of one scenario with the first seed.
 func (r Report) Plot(out io.Writer, scenario string) error {
 	var curves []curve
 	for _, v := range r.Spec.Variants {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -32,7 +32,7 @@
 	Factor      float64       // factor on a time, rate or amount of work, or the fraction that fails or is lost, 0 to 1
 	Offset      time.Duration // added delay, or the skew of a clock
 	PauseLength time.Duration // length of one pause
-	Interval    time.Duration // time from the start of one pause or slow period to the next one
+	Interval    time.Duration // time from the start of one pause to the next, or length of each slow period and gap
 	Spread      time.Duration // time over which the workers are replaced one after another
 	DrainTime   time.Duration // time from the start of the drain until the worker stops
 	Duration    time.Duration // time until the fault ends
--- a/lab/scenario/worker_faults.go
+++ b/lab/scenario/worker_faults.go
@@ -101,8 +101,9 @@
 	return nil
 }
 
-// alternate sends each affected worker the command on and, after onTime, the command off, once in every interval. The
-// first time is drawn separately for each worker. No period outlasts the fault's duration.
+// alternate sends each affected worker the command on and, after onTime, the command off. It repeats this at the
+// fault's interval, or without a gap if onTime is longer than the interval. The first time is drawn separately for each
+// worker. No period outlasts the fault's duration.
 func (p *Player) alternate(f Fault, on string, onTime time.Duration, off string) error {
 	for _, w := range p.pickWorkers(f.Share) {
 		first := time.Duration(p.rng.Int64N(int64(f.Interval)))
